--- /dev/null
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -0,0 +1,190 @@
+//! What operators and clients are answered: statuses, bodies and the names in them, which their tools rest on.
+
+use aspendrum_consensus::holdings::{Config as HeldConfig, Holdings};
+use aspendrum_consensus::{Order, Outcome};
+use aspendrum_control::api::{look_up, look_ups, orders, Orders};
+use aspendrum_control::directory::{Directory, HELD};
+use aspendrum_control::event::Event;
+use aspendrum_control::report::{self, Membership, Node};
+use aspendrum_model::config::Config;
+use aspendrum_model::news::{Edition, Front, Mark, Readiness};
+use aspendrum_model::packed::pack;
+use aspendrum_net::mail;
+use aspendrum_net::message::Request;
+use aspendrum_net::reception::Reply;
+use aspendrum_reconcile::Standing;
+use std::sync::{Arc, RwLock};
+use std::thread;
+
+const CONFIG: &str = r#"{"gen":"00000107","caps":{"hdr-bytes":16384,"body-bytes":1024,"hdr-ms":3000,"idle-ms":15000},
+"ports":[{"vhost":"a.example","rules":[
+{"name":"r","type":"idem","goal-ms":500,"match":{"pfx":"/a/"},"action":{"svc":"s","limit-ms":2000,"tries":2}},
+{"name":"m","type":"mutating","goal-ms":500,"public":true,"match":{"pfx":"/m/"},
+"action":{"split":[{"svc":"s","wt":3},{"svc":"t","wt":1}],"limit-ms":2500,"tries":1,"homes":["g"]}}]}],
+"pools":[{"name":"s","check":"/healthz"},{"name":"t","check":"/healthz"}]}"#;
+
+fn request(method: &str, path: &str, body: &str) -> Request {
+    Request {
+        method: method.into(),
+        path: path.into(),
+        headers: Vec::new(),
+        body: body.as_bytes().to_vec(),
+        close: false,
+    }
+}
+
+/// Status, headers and body as one text.
+fn shown(reply: &Reply) -> String {
+    let headers: String = reply.headers.iter().map(|h| format!(" {}: {};", h.0, h.1)).collect();
+    format!("{}{headers} {}", reply.status, String::from_utf8_lossy(&reply.body))
+}
+
+/// What an operator is answered by a machine whose orders all end in that way.
+fn answer(outcome: &Outcome, request: &Request) -> (String, Vec<Order>) {
+    let (given, taken) = crossbeam_channel::unbounded();
+    let outcome = outcome.clone();
+    let start = |inbox: mail::Inbox<Event>| {
+        thread::Builder::new().spawn(move || {
+            while let Ok(event) = inbox.next(None) {
+                match event {
+                    Event::Order { order, answer, .. } => {
+                        given.send(order).unwrap();
+                        answer.send(outcome.clone()).unwrap();
+                    }
+                    Event::Report { of, answer } => {
+                        answer.send(serde_json::json!({ "of": of })).unwrap();
+                    }
+                    _ => panic!("a call is an order or asks for a report"),
+                }
+            }
+        })
+    };
+    let events = Arc::new(mail::with(8, start).unwrap());
+    let zones = [("z1".to_string(), "g".to_string())].into();
+    let reply = Orders { events: events.clone(), zones }.answer(&orders(), request);
+    Arc::into_inner(events).unwrap().close();
+    (shown(&reply), taken.iter().collect())
+}
+
+fn done(version: u32, text: &[u8]) -> Outcome {
+    let config = HeldConfig { version, text: text.to_vec() };
+    Outcome::Done(Box::new(Holdings { config, ..Holdings::default() }))
+}
+
+#[test]
+fn a_configuration_is_acknowledged_refused_or_neither() {
+    let set = request("POST", "/api/Cfg.Set", CONFIG);
+    let (acknowledged, orders) = answer(&done(1, b""), &set);
+    assert_eq!(acknowledged, "200 ");
+    let digest = aspendrum_model::hash::digest(CONFIG.as_bytes());
+    assert_eq!(orders, [Order::Config { version: 0x0107, text: pack(CONFIG.as_bytes()), digest }]);
+    assert_eq!(answer(&Outcome::Taken, &set).0, "409 another text was decided under this number\n");
+    assert_eq!(answer(&Outcome::NoMajority, &set).0, "503 ");
+    let invalid = request("POST", "/api/Cfg.Set", &CONFIG.replace("/a/", "a/"));
+    let refused = "400 the prefix a/ does not begin with a slash\n".to_string();
+    assert_eq!(answer(&done(1, b""), &invalid), (refused, vec![]));
+    assert_eq!(answer(&done(1, b""), &request("GET", "/api/Cfg.Set", CONFIG)).0, "405 ");
+}
+
+#[test]
+fn the_configuration_in_force_is_shown_as_it_was_sent() {
+    let show = request("GET", "/api/Cfg.Show", "");
+    let in_force = done(0x0107, &pack(CONFIG.as_bytes()));
+    let expected = format!("200 Content-Type: application/json; {CONFIG}");
+    assert_eq!(answer(&in_force, &show), (expected, vec![Order::Read]));
+    assert_eq!(answer(&done(0, b""), &show).0, "503 ");
+    assert_eq!(answer(&done(1, b"no packed text"), &show).0, "500 ");
+    assert_eq!(answer(&Outcome::NoMajority, &show).0, "503 ");
+}
+
+#[test]
+fn evacuations_are_ordered_by_zone() {
+    let order = |on| vec![Order::Evacuation { zone: "z1".into(), on }];
+    let call = |path: &str| answer(&done(1, b""), &request("POST", path, ""));
+    assert_eq!(call("/api/Evac.Begin/z1"), ("200 ".into(), order(true)));
+    assert_eq!(call("/api/Evac.Finish/z1"), ("200 ".into(), order(false)));
+    assert_eq!(call("/api/Evac.Begin/z2"), ("404 ".into(), vec![]));
+    let begin = request("POST", "/api/Evac.Begin/z1", "");
+    assert_eq!(answer(&Outcome::NoMajority, &begin).0, "503 ");
+}
+
+#[test]
+fn reports_are_asked_for_by_name() {
+    let call = |path: &str| answer(&Outcome::NoMajority, &request("GET", path, "")).0;
+    assert_eq!(call("/api/Nodes"), r#"200 Content-Type: application/json; {"of":null}"#);
+    let explained = r#"200 Content-Type: application/json; {"of":["a.example","/a/x"]}"#;
+    assert_eq!(call("/api/Explain?host=a.example&path=/a/x"), explained);
+    assert_eq!(call("/api/Explain?host=a.example"), "400 ");
+    assert_eq!(call("/api/lookup"), "404 ");
+    assert_eq!(call("/"), "404 ");
+}
+
+fn edition(config: u32, evacuation: u64, digests: [u64; 4]) -> Edition {
+    Edition { mark: Mark { config, evacuation }, digests }
+}
+
+#[test]
+fn the_report_of_nodes_keeps_its_names() {
+    let decided = edition(0x0107, 3, [1, 2, 3, 4]);
+    let node = |host: &str, standing, off_ms, applied| Node {
+        host: host.into(),
+        front: "10.0.0.9:80".into(),
+        zone: "z1".into(),
+        ready: off_ms == 0,
+        standing,
+        off_ms,
+        applied,
+        news: (7, 6),
+    };
+    let nodes = [
+        node("e1", Standing::Current, 0, decided),
+        node("e2", Standing::Behind, 40, edition(0x0106, 2, [1, 9, 3, 9])),
+        node("e3", Standing::Differs, 41, edition(0x0107, 3, [9, 2, 9, 4])),
+        node("e4", Standing::Alone, 42, Edition::default()),
+    ];
+    let members = Membership {
+        epoch: 5,
+        voters: vec!["10.0.0.1".into(), "10.0.0.2".into()],
+        control: vec!["10.0.0.2".into()],
+        joined: true,
+    };
+    let known = report::nodes("core-1", &decided, Some(120), &nodes, &members).to_string();
+    assert_eq!(known + "\n", include_str!("fixtures/nodes.json"));
+    let unknown = Membership { epoch: 0, voters: Vec::new(), control: Vec::new(), joined: false };
+    let unknown = report::nodes("core-1", &Edition::default(), None, &[], &unknown).to_string();
+    assert_eq!(unknown + "\n", include_str!("fixtures/nodes_unknown.json"));
+}
+
+#[test]
+fn the_report_of_versions_keeps_its_names() {
+    let newest = Config::read(CONFIG.as_bytes()).unwrap();
+    let before = CONFIG.replace("00000107", "00000106").replace("/m/", "/n/");
+    let versions = [newest, Config::read(before.as_bytes()).unwrap()];
+    let explained = |path| report::explain(versions.iter(), "a.example", path).to_string() + "\n";
+    assert_eq!(explained("/a/x"), include_str!("fixtures/explain_retried.json"));
+    assert_eq!(explained("/m/x"), include_str!("fixtures/explain_mutating.json"));
+}
+
+#[test]
+fn a_look_up_is_answered_with_addresses_and_their_time() {
+    let mut directory = Directory::new(0.0, &[("z1".to_string(), "g".to_string())].into());
+    let front = |n: u8| Front {
+        addr: format!("10.0.0.{n}:80").parse().unwrap(),
+        zone: "z1".into(),
+        readiness: Readiness::Ready,
+        current: true,
+    };
+    directory.update(0.0, &[front(1), front(2)]);
+    let known = RwLock::new(directory);
+    let tree = look_ups();
+    let asked = |known, method, path| shown(&look_up(known, &tree, &request(method, path, ""), HELD, 5.0));
+    let addresses =
+        r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":5.0}"#;
+    assert_eq!(asked(&known, "GET", "/api/lookup?geo=g&az=z1"), addresses);
+    let away = r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":1.0}"#;
+    assert_eq!(asked(&known, "GET", "/api/lookup?geo=h&az=z9"), away);
+    let nobody = RwLock::new(Directory::default());
+    assert_eq!(asked(&nobody, "GET", "/api/lookup?geo=g&az=z1"), "503 ");
+    assert_eq!(asked(&known, "POST", "/api/lookup"), "405 ");
+    assert_eq!(asked(&known, "GET", "/api/Nodes"), "404 ");
+}
--- /dev/null
+++ b/crates/aspendrum-control/tests/pinned/mod.rs
@@ -0,0 +1,49 @@
+//! Values whose encoded bytes must stay as they are, compared with a fixture file of lines `name hex`.
+
+use std::fmt::Write;
+
+/// The named byte strings of one fixture file.
+pub struct Pinned {
+    file: &'static str,
+    expected: Vec<(String, Vec<u8>)>,
+    next: usize,
+}
+
+impl Pinned {
+    /// `file` names the fixture in failures; `content` is what it holds.
+    pub fn new(file: &'static str, content: &str) -> Pinned {
+        let line = |line: &str| {
+            let (name, hex) = line.split_once(' ').expect("each line is `name hex`");
+            (name.to_string(), bytes(hex))
+        };
+        Pinned { file, expected: content.lines().map(line).collect(), next: 0 }
+    }
+
+    /// The next line of the fixture has that name and those bytes.
+    pub fn same_bytes(&mut self, name: &str, encoded: &[u8]) {
+        let (expected_name, expected) = self
+            .expected
+            .get(self.next)
+            .unwrap_or_else(|| panic!("{}: no line for {name} {}", self.file, hex(encoded)));
+        self.next += 1;
+        assert_eq!(name, expected_name, "{}: line {}", self.file, self.next);
+        assert_eq!(hex(encoded), hex(expected), "{}: {name} is encoded otherwise", self.file);
+    }
+
+    /// Every line of the fixture was compared.
+    pub fn complete(self) {
+        assert_eq!(self.next, self.expected.len(), "{}: lines that no value was compared with", self.file);
+    }
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    assert!(hex.len().is_multiple_of(2) && hex.is_ascii(), "hex digits come in pairs: {hex}");
+    (0..hex.len()).step_by(2).map(|n| u8::from_str_radix(&hex[n..n + 2], 16).expect("a hex digit")).collect()
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        write!(text, "{byte:02x}").expect("a string takes all");
+        text
+    })
+}
