--- /dev/null
+++ b/crates/aspendrum-agent/tests/wire_bytes.rs
@@ -0,0 +1,142 @@
+//! What an agent exchanges with control, with its proxy and with other agents, byte by byte. A fleet is upgraded
+//! process by process, so each version must read what the others write: the fixture file stays as it is, whatever the
+//! types are called.
+
+use aspendrum_gossip::view::Neighbour;
+use aspendrum_gossip::Word as Datagram;
+use aspendrum_model::news::{ControlAddress, Down, Edition, Front, Mark, Part, Readiness, Up, Word};
+use aspendrum_model::servers::Server;
+use aspendrum_net::frames;
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+/// One line per message: its channel, a name, and its bytes in hexadecimal.
+const MESSAGES: &str = include_str!("fixtures/messages.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits");
+    (0..hex.len()).step_by(2).map(digits).collect()
+}
+
+fn address() -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 9), 8080)
+}
+
+fn edition() -> Edition {
+    Edition { mark: Mark { config: 300, evacuation: 7 }, digests: [1, u64::MAX, 0, 129] }
+}
+
+/// What flows from control to an agent, from an agent to its proxy, and in a snapshot from agent to agent.
+fn downward() -> Vec<(&'static str, Down)> {
+    let server = Server {
+        uid: "i-1".into(),
+        service: "s1".into(),
+        addr: address(),
+        zone: "poa-a".into(),
+        slots: 400,
+        draining: true,
+        warm_left_ms: 3000,
+    };
+    let front = |readiness, current| Front { addr: address(), zone: "poa-a".into(), readiness, current };
+    let fronts = vec![
+        front(Readiness::Closed, false),
+        front(Readiness::Draining, true),
+        front(Readiness::Ready, true),
+    ];
+    let control = ControlAddress { ip: *address().ip(), zone: "poa-a".into(), up: true };
+    let news = |number, part| Down::News { number, part };
+    let beat = |age, heard, deserted| Down::Beat { stamp: 300, age, of: edition(), heard, deserted };
+    vec![
+        ("configuration", news(1, Part::Config { version: 0xabcd, text: vec![1, 2, 255], seal: u64::MAX })),
+        (
+            "evacuated_zones",
+            news(300, Part::Evacuated { number: 7, zones: vec!["poa-a".into(), String::new()] }),
+        ),
+        ("servers", news(3, Part::Servers { age: 1500, list: vec![server] })),
+        ("proxies", news(4, Part::Fronts(fronts))),
+        ("control_nodes", news(u64::MAX, Part::Control(vec![control]))),
+        ("heartbeat_answer", beat(Some(250), true, false)),
+        ("heartbeat_answer_without_age", beat(None, false, true)),
+        ("resync", Down::Anew),
+    ]
+}
+
+/// What flows from a proxy to its agent and from an agent to control.
+fn upward() -> Vec<(&'static str, Up)> {
+    let beat = |readiness| Up::Beat { stamp: 300, readiness, applied: edition() };
+    vec![
+        ("hello", Up::Hello { host: "edge-1".into(), front: address(), zone: "poa-a".into() }),
+        ("heartbeat_closed", beat(Readiness::Closed)),
+        ("heartbeat_draining", beat(Readiness::Draining)),
+        ("heartbeat_ready", beat(Readiness::Ready)),
+        ("disconnecting", Up::Moving),
+        ("applied", Up::Applied { number: 300 }),
+    ]
+}
+
+/// Datagrams between agents.
+fn datagrams() -> Vec<(&'static str, Datagram)> {
+    let neighbour = |last, age| Neighbour { ip: Ipv4Addr::new(10, 1, 0, last), age };
+    vec![
+        ("shuffle", Datagram::Shuffle { offer: vec![neighbour(1, 0), neighbour(2, 300)] }),
+        ("shuffle_answer", Datagram::Shuffled { offer: Vec::new() }),
+        ("question", Datagram::Ask { stamp: 300 }),
+        ("majority_report", Datagram::Lent { stamp: 300, age: 250, of: edition() }),
+        ("no_majority_report", Datagram::Alone { stamp: u64::MAX }),
+    ]
+}
+
+#[test]
+fn messages_keep_their_bytes() {
+    let mut written = String::new();
+    for (name, message) in downward() {
+        written += &format!("down {name} {}\n", hex(&frames::frame(&message)));
+    }
+    for (name, message) in upward() {
+        written += &format!("to_agent {name} {}\n", hex(&frames::frame(&message)));
+        let enveloped: Word = Word::Up(message);
+        written += &format!("to_control {name} {}\n", hex(&frames::frame(&enveloped)));
+    }
+    for (name, message) in datagrams() {
+        written += &format!("datagram {name} {}\n", hex(&postcard::to_allocvec(&message).unwrap()));
+    }
+    assert_eq!(written, MESSAGES);
+}
+
+#[test]
+fn messages_are_read_from_their_bytes() {
+    let lines = |channel: &str| -> Vec<(String, Vec<u8>)> {
+        let parts = MESSAGES.lines().map(|line| line.splitn(3, ' ').collect::<Vec<&str>>());
+        let own = parts.filter(|parts| parts[0] == channel);
+        own.map(|parts| (parts[1].to_string(), bytes_of(parts[2]))).collect()
+    };
+    let read =
+        lines("down").into_iter().map(|(name, bytes)| (name, frames::read::<Down>(&mut &bytes[..]).unwrap()));
+    assert!(read.eq(downward().into_iter().map(|(name, message)| (name.to_string(), message))));
+    let read = lines("to_agent")
+        .into_iter()
+        .map(|(name, bytes)| (name, frames::read::<Up>(&mut &bytes[..]).unwrap()));
+    assert!(read.eq(upward().into_iter().map(|(name, message)| (name.to_string(), message))));
+    let read = lines("to_control")
+        .into_iter()
+        .map(|(name, bytes)| (name, frames::read::<Word>(&mut &bytes[..]).unwrap()));
+    assert!(read.eq(upward().into_iter().map(|(name, message)| (name.to_string(), Word::Up(message)))));
+    let read =
+        lines("datagram").into_iter().map(|(name, bytes)| (name, postcard::from_bytes(&bytes).unwrap()));
+    assert!(read.eq(datagrams().into_iter().map(|(name, message)| (name.to_string(), message))));
+}
+
+/// A snapshot between agents is one frame after another, numbered from 1, until the connection ends.
+#[test]
+fn a_snapshot_is_read_frame_by_frame() {
+    let updates: Vec<Down> = downward().into_iter().take(5).map(|(_, message)| message).collect();
+    let snapshot: Vec<u8> = updates.iter().flat_map(frames::frame).collect();
+    let mut from = &snapshot[..];
+    for update in updates {
+        assert_eq!(frames::read::<Down>(&mut from).unwrap(), update);
+    }
+    assert!(frames::read::<Down>(&mut from).is_err());
+}
--- /dev/null
+++ b/crates/aspendrum-proxy/tests/process.rs
@@ -0,0 +1,139 @@
+//! The proxy as a process on loopback, beside an agent played by the test: its readiness and metrics pages, and what it
+//! says to its agent.
+
+use aspendrum_model::news::{Down, Front, Part, Readiness, Up};
+use aspendrum_model::packed::pack;
+use aspendrum_model::servers::Server;
+use aspendrum_net::frames::{self, frame};
+use std::io::{Read, Write};
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::thread;
+use std::time::{Duration, Instant};
+
+const IP: Ipv4Addr = Ipv4Addr::new(127, 13, 0, 1);
+const FIRST_PORT: u16 = 23_000;
+const METRICS_PORT: u16 = 23_015;
+const READINESS_PORT: u16 = 23_100;
+const FRONT_PORT: u16 = 23_101;
+/// Whatever the test waits for has come by then.
+const PATIENCE: Duration = Duration::from_secs(30);
+const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":1024,"hdr-ms":3000,"idle-ms":15000},
+"ports":[{"vhost":"a.example","rules":[{"name":"r","type":"idem","goal-ms":500,"match":{"pfx":"/a/"},
+"action":{"svc":"s1","limit-ms":2000,"tries":2}}]}],"pools":[{"name":"s1","check":"/healthz"}]}"#;
+
+struct ProxyProcess {
+    child: Child,
+    settings: PathBuf,
+}
+
+impl ProxyProcess {
+    fn start(agent: SocketAddr) -> ProxyProcess {
+        let text = format!(
+            r#"{{"self":{{"host-name":"edge-1","ip":"{IP}","az":"poa-a","geo":"poa"}},
+"net":{{"binds":{{"front":"{IP}:{FRONT_PORT}","readyz":"{IP}:{READINESS_PORT}"}},
+"port-range":[{FIRST_PORT},{METRICS_PORT}],"zones":{{"poa-a":"poa"}},
+"ways":{{"127.0.0.1:{}":"{agent}"}}}}}}"#,
+            FIRST_PORT + 2
+        );
+        let name = format!("aspendrum-proxy-process-{}.json", std::process::id());
+        let settings = std::env::temp_dir().join(name);
+        std::fs::write(&settings, text).unwrap();
+        let child = Command::new(env!("CARGO_BIN_EXE_aspendrum-proxy"))
+            .arg("serve")
+            .env("ASPENDRUM_SETTINGS", &settings)
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
+        ProxyProcess { child, settings }
+    }
+}
+
+impl Drop for ProxyProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_file(&self.settings);
+    }
+}
+
+/// What comes back for a GET, once the process listens there.
+fn get(port: u16, path: &str) -> String {
+    let begun = Instant::now();
+    let mut stream = loop {
+        match TcpStream::connect((IP, port)) {
+            Ok(stream) => break stream,
+            Err(e) => assert!(begun.elapsed() < PATIENCE, "{port}: {e}"),
+        }
+        thread::yield_now();
+    };
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    write!(stream, "GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").unwrap();
+    let mut text = String::new();
+    stream.read_to_string(&mut text).unwrap();
+    text.replace("\r\n", "\n")
+}
+
+fn empty(status: &str) -> String {
+    format!("HTTP/1.1 {status}\nContent-Length: 0\nConnection: close\n\n")
+}
+
+/// What makes a proxy ready: a configuration, servers, and the list of proxies.
+fn updates(front: SocketAddrV4) -> [Part; 3] {
+    let server = Server {
+        uid: "i-1".into(),
+        service: "s1".into(),
+        addr: SocketAddrV4::new(IP, 1),
+        zone: "poa-a".into(),
+        slots: 2,
+        draining: false,
+        warm_left_ms: 0,
+    };
+    let front = Front { addr: front, zone: "poa-a".into(), readiness: Readiness::Ready, current: true };
+    [
+        Part::config(1, pack(CONFIG.as_bytes())),
+        Part::Servers { age: 0, list: vec![server] },
+        Part::Fronts(vec![front]),
+    ]
+}
+
+#[test]
+fn readiness_and_metrics_pages_follow_what_the_agent_sends() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let _proxy = ProxyProcess::start(listener.local_addr().unwrap());
+    assert_eq!(get(READINESS_PORT, "/api/readyz"), empty("503 Service Unavailable"));
+    assert_eq!(get(READINESS_PORT, "/readyz"), empty("404 Not Found"));
+    assert_eq!(get(METRICS_PORT, "/other"), empty("404 Not Found"));
+    assert_eq!(
+        get(METRICS_PORT, "/metrics"),
+        "HTTP/1.1 200 OK\nContent-Length: 0\nContent-Type: text/plain\nConnection: close\n\n"
+    );
+    let (mut agent, _) = listener.accept().unwrap();
+    agent.set_read_timeout(Some(PATIENCE)).unwrap();
+    let front = SocketAddrV4::new(IP, FRONT_PORT);
+    let hello = Up::Hello { host: "edge-1".into(), front, zone: "poa-a".into() };
+    assert_eq!(frames::read::<Up>(&mut agent).unwrap(), hello);
+    let Up::Beat { readiness, applied, .. } = frames::read::<Up>(&mut agent).unwrap() else {
+        panic!("a heartbeat follows")
+    };
+    assert_eq!((readiness, applied.mark.config), (Readiness::Closed, 0));
+    let mut applied_in_order = Vec::new();
+    for (number, part) in (1..).zip(updates(front)) {
+        agent.write_all(&frame(&Down::News { number, part })).unwrap();
+    }
+    loop {
+        match frames::read::<Up>(&mut agent).unwrap() {
+            Up::Applied { number } => applied_in_order.push(number),
+            Up::Beat { readiness: Readiness::Ready, applied, .. } if applied.mark.config == 1 => break,
+            _ => {}
+        }
+    }
+    assert_eq!(applied_in_order, [1, 2, 3]);
+    assert_eq!(get(READINESS_PORT, "/api/readyz"), empty("200 OK"));
+    assert_eq!(
+        get(FRONT_PORT, "/elsewhere"),
+        "HTTP/1.1 400 Bad Request\nContent-Length: 0\nConnection: close\n\n",
+        "clients are taken in"
+    );
+}
--- /dev/null
+++ b/crates/aspendrum-proxy/tests/wire_bytes.rs
@@ -0,0 +1,62 @@
+//! The counter datagrams between proxies, byte by byte. A fleet is upgraded proxy by proxy, so each version must read
+//! what the others write: the fixture file stays as it is, whatever the types are called.
+
+use aspendrum_proxy::counts::{Handed, Word};
+
+/// One line per datagram: a name and its bytes in hexadecimal.
+const DATAGRAMS: &str = include_str!("fixtures/counter_datagrams.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits");
+    (0..hex.len()).step_by(2).map(digits).collect()
+}
+
+/// Each variant, with values whose encodings are short and with those whose encodings are the longest.
+fn datagrams() -> Vec<(&'static str, Word)> {
+    let handed = |name, total, age| Word::Hand(Handed { name, total, age });
+    vec![
+        ("add", Word::Add { call: 1, name: 7, add: 1.0 }),
+        ("add_longest", Word::Add { call: u32::MAX, name: u64::MAX, add: -0.5 }),
+        ("total", Word::Total { call: 300, total: 2.5 }),
+        ("fenced", Word::Fenced { call: 129 }),
+        ("handover_with_total", handed((1 << 40) - 1, Some(17.25), 400)),
+        ("handover_of_fenced_counter", handed(128, None, 0)),
+        ("handover_longest", handed(u64::MAX, Some(1e9), u32::MAX)),
+    ]
+}
+
+#[test]
+fn counter_datagrams_keep_their_bytes() {
+    let written = datagrams().into_iter().map(|(name, datagram)| {
+        let mut space = [0; 32];
+        let bytes = postcard::to_slice(&datagram, &mut space).expect("32 bytes hold any datagram");
+        format!("{name} {}\n", hex(bytes))
+    });
+    assert_eq!(written.collect::<String>(), DATAGRAMS);
+}
+
+#[test]
+fn counter_datagrams_are_read_from_their_bytes() {
+    let expected = datagrams();
+    assert_eq!(DATAGRAMS.lines().count(), expected.len());
+    for (line, (name, datagram)) in DATAGRAMS.lines().zip(expected) {
+        let (found, hex) = line.split_once(' ').expect("a name and bytes");
+        assert_eq!(found, name);
+        assert_eq!(postcard::from_bytes::<Word>(&bytes_of(hex)), Ok(datagram));
+    }
+}
+
+#[test]
+fn datagrams_that_are_cut_or_of_an_unknown_variant_are_not_read() {
+    for line in DATAGRAMS.lines() {
+        let (name, hex) = line.split_once(' ').expect("a name and bytes");
+        let bytes = bytes_of(hex);
+        let cut = &bytes[..bytes.len() - 1];
+        assert!(postcard::from_bytes::<Word>(cut).is_err(), "{name}");
+    }
+    assert!(postcard::from_bytes::<Word>(&[4, 1, 1, 1, 1, 1, 1]).is_err());
+}
