--- a/crates/aspendrum/tests/suite/main.rs
+++ b/crates/aspendrum/tests/suite/main.rs
@@ -3,3 +3,4 @@
 mod helper;
 mod limiter;
 mod pieces;
+mod wire_bytes;
