--- /dev/null
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -0,0 +1,189 @@
+//! The bytes that processes of different versions exchange. Postcard writes a variant's position and a struct's fields
+//! in their order: the fixture of bytes stays as it is, whatever a type or a field is called.
+
+use aspendrum_model::hash::{digest, first, rank};
+use aspendrum_model::news::{ControlAddress, Down, Edition, Front, Mark, Part, Readiness, Up, Word};
+use aspendrum_model::packed::{pack, unpack};
+use aspendrum_model::servers::Server;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::fmt::Debug;
+use std::fmt::Write;
+
+const MESSAGES: &str = include_str!("fixtures/messages.txt");
+const PACKED: &str = include_str!("fixtures/packed.txt");
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        write!(text, "{byte:02x}").unwrap();
+        text
+    })
+}
+
+fn bytes(hexadecimal: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&hexadecimal[at..at + 2], 16).unwrap();
+    (0..hexadecimal.len()).step_by(2).map(digits).collect()
+}
+
+/// The bytes under that name in the fixture.
+fn pinned(name: &str) -> Vec<u8> {
+    let mut lines = MESSAGES.lines().filter_map(|line| line.split_once(' '));
+    let line = lines.find(|line| line.0 == name);
+    bytes(line.unwrap_or_else(|| panic!("the fixture has no line {name}")).1)
+}
+
+/// The value is written as the fixture has it, and read back from there.
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: T) {
+    let written = postcard::to_allocvec(&value).unwrap();
+    assert_eq!(hexadecimal(&written), hexadecimal(&pinned(name)), "{name}: {value:?}");
+    assert_eq!(postcard::from_bytes::<T>(&pinned(name)).unwrap(), value, "{name}");
+}
+
+fn mark() -> Mark {
+    Mark { config: 300, evacuation: 7 }
+}
+
+fn edition() -> Edition {
+    Edition { mark: mark(), digests: [1, 0x80, 0xffff_ffff_ffff_ffff, 0] }
+}
+
+fn front(readiness: Readiness, current: bool) -> Front {
+    Front { addr: "10.1.0.31:8206".parse().unwrap(), zone: "poa-a".into(), readiness, current }
+}
+
+fn control_address() -> ControlAddress {
+    ControlAddress { ip: "10.1.0.34".parse().unwrap(), zone: "cwb-a".into(), up: true }
+}
+
+fn server() -> Server {
+    Server {
+        uid: "i-7".into(),
+        service: "s1".into(),
+        addr: "10.128.0.9:8080".parse().unwrap(),
+        zone: "poa-a".into(),
+        slots: 300,
+        draining: true,
+        warm_left_ms: 1200,
+    }
+}
+
+fn sections() -> [(&'static str, Part); 5] {
+    [
+        ("config", Part::config(12, b"packed".to_vec())),
+        ("evacuated", Part::Evacuated { number: 9, zones: vec!["poa-a".into(), "poa-b".into()] }),
+        ("servers", Part::Servers { age: 450, list: vec![server()] }),
+        ("proxies", Part::Fronts(vec![front(Readiness::Ready, true)])),
+        ("control", Part::Control(vec![control_address()])),
+    ]
+}
+
+#[test]
+fn parts_of_messages_keep_their_bytes() {
+    check("readiness.closed", Readiness::Closed);
+    check("readiness.draining", Readiness::Draining);
+    check("readiness.ready", Readiness::Ready);
+    check("proxy.closed", front(Readiness::Closed, false));
+    check("proxy.draining", front(Readiness::Draining, true));
+    check("proxy.ready", front(Readiness::Ready, true));
+    check("revision", mark());
+    check("state_digest", edition());
+    check("control_address", control_address());
+    check("server", server());
+    for (name, section) in sections() {
+        check(&format!("section.{name}"), section);
+    }
+}
+
+#[test]
+fn messages_to_an_agent_or_a_proxy_keep_their_bytes() {
+    for (name, part) in sections() {
+        check(&format!("down.update.{name}"), Down::News { number: 1000, part });
+    }
+    let heartbeat = |age, heard, deserted| Down::Beat { stamp: 5, age, of: edition(), heard, deserted };
+    check("down.heartbeat.confirmed", heartbeat(Some(1500), true, false));
+    check("down.heartbeat.unconfirmed", heartbeat(None, false, true));
+    check("down.resync", Down::Anew);
+}
+
+fn messages_from_an_agent_or_a_proxy() -> [(&'static str, Up); 4] {
+    let (host, front, zone) = ("edge-1".to_string(), "10.1.0.31:8206".parse().unwrap(), "poa-a".to_string());
+    [
+        ("hello", Up::Hello { host, front, zone }),
+        ("heartbeat", Up::Beat { stamp: 5, readiness: Readiness::Draining, applied: edition() }),
+        ("disconnecting", Up::Moving),
+        ("applied", Up::Applied { number: 1000 }),
+    ]
+}
+
+#[test]
+fn messages_from_an_agent_or_a_proxy_keep_their_bytes() {
+    for (name, message) in messages_from_an_agent_or_a_proxy() {
+        check(&format!("up.{name}"), message);
+    }
+}
+
+#[test]
+fn what_arrives_at_control_keeps_its_bytes() {
+    for (name, message) in messages_from_an_agent_or_a_proxy() {
+        check(&format!("envelope.up.{name}"), Word::<()>::Up(message));
+    }
+    check("envelope.between.nothing", Word::Between(()));
+    check("envelope.between.bytes", Word::Between(vec![1_u8, 2, 3]));
+}
+
+/// A line that no test reads pins nothing.
+#[test]
+fn each_line_of_the_fixture_has_its_message() {
+    assert_eq!(MESSAGES.lines().count(), 33);
+}
+
+#[test]
+fn sections_keep_their_numbers_and_a_damaged_configuration_is_found() {
+    let kinds: Vec<usize> = sections().iter().map(|(_, section)| section.kind()).collect();
+    assert_eq!(kinds, [0, 1, 2, 3, 4]);
+    assert!(sections().iter().all(|(_, section)| section.whole()));
+    let damaged = Part::Config { version: 12, text: b"packet".to_vec(), seal: digest(b"packed") };
+    assert!(!damaged.whole());
+}
+
+#[test]
+fn readiness_is_ordered_from_closed_to_ready() {
+    assert!(Readiness::Closed < Readiness::Draining && Readiness::Draining < Readiness::Ready);
+    assert_eq!(Readiness::default(), Readiness::Closed);
+    assert!(front(Readiness::Ready, false).ready() && !front(Readiness::Draining, true).ready());
+}
+
+#[test]
+fn a_revision_covers_what_is_not_newer_in_either_number() {
+    let older = [Mark { config: 300, evacuation: 7 }, Mark { config: 299, evacuation: 7 }, Mark::default()];
+    assert!(older.iter().all(|other| mark().covers(other)));
+    let newer = [Mark { config: 301, evacuation: 7 }, Mark { config: 0, evacuation: 8 }];
+    assert!(newer.iter().all(|other| !mark().covers(other)));
+}
+
+const DIGEST: u64 = 0x963e_db87_da3f_fe7d;
+const RANKS: [u64; 2] = [0x1722_dee5_0e00_c79c, 0x40ec_3339_838d_6d11];
+const OWNERS: [u64; 16] = [10, 30, 10, 20, 10, 10, 20, 30, 30, 30, 30, 10, 30, 10, 20, 10];
+
+/// All nodes must compute the same digests and the same owner of a key, also those of another version.
+#[test]
+fn digests_and_owners_of_keys_stay() {
+    assert_eq!(digest(b""), 0x2d06_8005_38d3_94c2);
+    assert_eq!(digest(b"aspendrum"), DIGEST);
+    assert_eq!([rank(1, 2), rank(2, 1)], RANKS);
+    let members = || [10, 20, 30].into_iter().map(|member| (member, member));
+    let owners: Vec<u64> = (0..16).filter_map(|key| first(key, members())).collect();
+    assert_eq!(owners, OWNERS);
+    assert_eq!(first::<u64>(1, std::iter::empty()), None);
+}
+
+/// Packed configurations are digested as they are and lie on disks: a text is packed as before, and what was packed
+/// before can be read.
+#[test]
+fn packed_texts_stay() {
+    let text = include_str!("fixtures/config.json");
+    assert_eq!(hexadecimal(&pack(text.as_bytes())), PACKED.trim());
+    assert_eq!(unpack(&bytes(PACKED.trim())).unwrap(), text.as_bytes());
+    assert_eq!((hexadecimal(&pack(b"")), unpack(&[0x03, 0x00])), ("0300".to_string(), Some(Vec::new())));
+    assert_eq!(unpack(b"no packed text"), None);
+}
