--- /dev/null
+++ b/crates/aspendrum-net/tests/wire_bytes.rs
@@ -0,0 +1,332 @@
+//! What is written to connections, byte by byte, and what is read from them: it stays, whatever a type is called.
+
+use aspendrum_net::caller::Caller;
+use aspendrum_net::departure_figures::{DepartureFigures, BOUND};
+use aspendrum_net::forward::{Kind, Stage};
+use aspendrum_net::frames::{frame, read, Link};
+use aspendrum_net::matcher::{argument, find, Found, Node};
+use aspendrum_net::message::{self, Bounds, Parsed, Request, Response};
+use aspendrum_net::reception::{self, Reply, Terms};
+use aspendrum_net::ring::Ring;
+use serde::{Deserialize, Serialize};
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::thread::{self, JoinHandle};
+use std::time::Duration;
+
+const PATIENCE: Duration = Duration::from_secs(20);
+const BOUNDS: Bounds = Bounds { head: 256, body: 64 };
+
+#[derive(Debug, Deserialize, PartialEq, Serialize)]
+enum Sample {
+    Empty,
+    Named { number: u64, text: String },
+}
+
+fn sample() -> Sample {
+    Sample::Named { number: 300, text: "abc".into() }
+}
+
+const SAMPLE_FRAME: &[u8] = b"\x07\x00\x00\x00\x01\xac\x02\x03abc";
+
+#[test]
+fn a_frame_is_its_length_in_four_bytes_and_postcard() {
+    assert_eq!(frame(&sample()), SAMPLE_FRAME);
+    assert_eq!(frame(&Sample::Empty), b"\x01\x00\x00\x00\x00");
+    assert_eq!(frame(&()), b"\x00\x00\x00\x00");
+    let mut two: &[u8] = &[SAMPLE_FRAME, b"\x01\x00\x00\x00\x00"].concat();
+    assert_eq!(read::<Sample>(&mut two).unwrap(), sample());
+    assert_eq!(read::<Sample>(&mut two).unwrap(), Sample::Empty);
+    assert_eq!(read::<Sample>(&mut two).unwrap_err().kind(), ErrorKind::UnexpectedEof);
+}
+
+#[test]
+fn what_is_no_frame_is_refused() {
+    let refusal = |mut bytes: &[u8]| read::<Sample>(&mut bytes).unwrap_err().kind();
+    assert_eq!(refusal(&SAMPLE_FRAME[..5]), ErrorKind::UnexpectedEof, "cut short");
+    assert_eq!(refusal(b"\x01\x00\x00\x00\x02"), ErrorKind::InvalidData, "an unknown variant");
+    assert_eq!(refusal(b"\x01\x00\x00\x02"), ErrorKind::InvalidData, "longer than 32 MiB");
+    assert_eq!(refusal(b"\x00\x00\x00\x02"), ErrorKind::UnexpectedEof, "32 MiB");
+}
+
+/// Both ends of a connection.
+fn pair() -> (TcpStream, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let server = listener.accept().unwrap().0;
+    [&client, &server].iter().for_each(|stream| stream.set_read_timeout(Some(PATIENCE)).unwrap());
+    (client, server)
+}
+
+fn until_end(mut stream: &TcpStream) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    stream.read_to_end(&mut bytes).unwrap();
+    bytes
+}
+
+#[test]
+fn a_link_writes_frames_in_their_order_and_ends_behind_the_last() {
+    let (peer, own) = pair();
+    let link = Link::over(Arc::new(own), PATIENCE, 8).unwrap();
+    link.say(&sample());
+    link.say(&Sample::Empty);
+    link.finish();
+    drop(link);
+    assert_eq!(until_end(&peer), [SAMPLE_FRAME, b"\x01\x00\x00\x00\x00"].concat());
+}
+
+#[test]
+fn answers_are_written_alike() {
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
+    assert_eq!(text(message::answer(200, &[], false, b"")), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(
+        text(message::answer(429, &[("Retry-After", "1"), ("X", "y")], true, b"body")),
+        "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 4\r\nRetry-After: 1\r\nX: y\r\nConnection: close\r\n\r\nbody"
+    );
+}
+
+#[test]
+fn each_status_has_its_reason() {
+    let reasons = [
+        (200, "OK"),
+        (307, "Temporary Redirect"),
+        (400, "Bad Request"),
+        (401, "Unauthorized"),
+        (404, "Not Found"),
+        (405, "Method Not Allowed"),
+        (408, "Request Timeout"),
+        (413, "Content Too Large"),
+        (421, "Misdirected Request"),
+        (422, "Unprocessable Content"),
+        (429, "Too Many Requests"),
+        (431, "Request Header Fields Too Large"),
+        (500, "Internal Server Error"),
+        (502, "Bad Gateway"),
+        (503, "Service Unavailable"),
+        (504, "Gateway Timeout"),
+        (299, "Answer"),
+    ];
+    for (status, reason) in reasons {
+        assert_eq!(message::reason(status), reason);
+    }
+}
+
+fn ring(bytes: &[u8]) -> Ring {
+    let mut ring = Ring::new(64, 1024);
+    assert!(ring.put(bytes));
+    ring
+}
+
+#[test]
+fn requests_are_read_whole_and_one_after_another() {
+    let mut ring = ring(
+        b"POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody\
+          GET / HTTP/1.1\r\nConnection: close\r\n\r\n",
+    );
+    let Parsed::Whole(first) = message::request(&mut ring, &BOUNDS) else { panic!("the first") };
+    let headers = vec![("Host".to_string(), b"h".to_vec()), ("Content-Length".to_string(), b"4".to_vec())];
+    let (method, path, body) = ("POST".to_string(), "/a?b=c".to_string(), b"body".to_vec());
+    assert_eq!(first, Request { method, path, headers, body, close: false });
+    let Parsed::Whole(second) = message::request(&mut ring, &BOUNDS) else { panic!("the second") };
+    assert!(second.method == "GET" && second.close && second.body.is_empty());
+    assert!(matches!(message::request(&mut ring, &BOUNDS), Parsed::More));
+}
+
+#[test]
+fn a_request_that_cannot_be_read_has_its_status() {
+    let chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n";
+    let head_of_300 = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(300));
+    let cases = [
+        ("GET / HTTP/9.9\r\n\r\n".to_string(), 400),
+        ("POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n".to_string(), 400),
+        ("POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n".to_string(), 400),
+        ("POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n".to_string(), 400),
+        (format!("{chunked}Content-Length: 1\r\n\r\n"), 400),
+        (format!("{chunked}\r\n41\r\n"), 400),
+        ("POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n".to_string(), 413),
+        (head_of_300, 431),
+    ];
+    for (text, status) in cases {
+        let Parsed::Bad(found) = message::request(&mut ring(text.as_bytes()), &BOUNDS) else {
+            panic!("{text}")
+        };
+        assert_eq!(found, status, "{text}");
+    }
+}
+
+#[test]
+fn responses_are_read_whole() {
+    let mut ring = ring(
+        b"HTTP/1.1 100 Continue\r\n\r\n\
+          HTTP/1.1 200 Fine\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nTrailer: t\r\n\r\n\
+          HTTP/1.0 204 None\r\n\r\n",
+    );
+    let Parsed::Whole(first) = message::response(&mut ring, &BOUNDS) else { panic!("the first") };
+    let headers = vec![("Transfer-Encoding".to_string(), b"chunked".to_vec())];
+    let (reason, body) = ("Fine".to_string(), b"abcd".to_vec());
+    assert_eq!(first, Response { status: 200, reason, headers, body, close: false });
+    let Parsed::Whole(second) = message::response(&mut ring, &BOUNDS) else { panic!("the second") };
+    assert!(second.status == 204 && second.close, "HTTP/1.0 closes");
+    assert!(ring.is_empty());
+}
+
+#[test]
+fn a_response_without_a_length_is_refused() {
+    for text in [
+        "HTTP/1.1 200 OK\r\n\r\n",
+        "HTTP/1.1 101 Upgrade\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n",
+    ] {
+        assert!(matches!(message::response(&mut ring(text.as_bytes()), &BOUNDS), Parsed::Bad(502)), "{text}");
+    }
+}
+
+#[test]
+fn headers_of_one_hop_are_known() {
+    let headers = vec![("Connection".to_string(), b"close, X-Own".to_vec())];
+    let always = "connection keep-alive te trailer transfer-encoding upgrade proxy-connection content-length expect x-own";
+    for name in always.split(' ') {
+        assert!(
+            message::one_hop(&headers, name) && message::one_hop(&headers, &name.to_uppercase()),
+            "{name}"
+        );
+    }
+    assert!(!message::one_hop(&headers, "Host") && !message::one_hop(&Vec::new(), "X-Own"));
+}
+
+/// A server's address, and everything that it is sent on its connections, one after another; it answers each with the
+/// bytes given.
+fn server(answers: Vec<&'static [u8]>) -> (SocketAddrV4, JoinHandle<Vec<String>>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string().parse().unwrap();
+    let serve = move || {
+        let mut requests = Vec::new();
+        let mut stream: Option<TcpStream> = None;
+        for answer in answers {
+            let mut connection = stream.take().unwrap_or_else(|| listener.accept().unwrap().0);
+            connection.set_read_timeout(Some(PATIENCE)).unwrap();
+            let mut bytes = vec![0; 1024];
+            let size = connection.read(&mut bytes).unwrap();
+            requests.push(String::from_utf8_lossy(&bytes[..size]).into_owned());
+            connection.write_all(answer).unwrap();
+            stream = Some(connection).filter(|_| !answer.is_empty());
+        }
+        requests
+    };
+    (address, thread::spawn(serve))
+}
+
+#[test]
+fn calls_are_written_alike_and_keep_their_connection() {
+    let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    let (to, requests) = server(vec![answer, answer, answer]);
+    let mut caller = Caller::new(to, BOUNDS);
+    assert_eq!(caller.call("GET", "/a", b"", PATIENCE).unwrap().body, b"ok");
+    assert_eq!(caller.call("POST", "/b", b"body", PATIENCE).unwrap().status, 200);
+    assert_eq!(caller.call("POST", "/c", b"", PATIENCE).unwrap().reason, "OK");
+    let json = "Content-Type: application/json\r\nContent-Length:";
+    assert_eq!(
+        requests.join().unwrap(),
+        [
+            format!("GET /a HTTP/1.1\r\nHost: {to}\r\n\r\n"),
+            format!("POST /b HTTP/1.1\r\nHost: {to}\r\n{json} 4\r\n\r\nbody"),
+            format!("POST /c HTTP/1.1\r\nHost: {to}\r\n{json} 0\r\n\r\n"),
+        ]
+    );
+}
+
+/// Operators read these texts behind the address.
+#[test]
+fn a_call_without_an_answer_says_why() {
+    let call = |to| Caller::new(to, BOUNDS).call("GET", "/", b"", PATIENCE).map_err(|why| why.to_string());
+    let (to, requests) = server(vec![b""]);
+    assert_eq!(call(to).unwrap_err(), "Reset");
+    requests.join().unwrap();
+    let (to, requests) = server(vec![b"no answer\r\n\r\n"]);
+    assert_eq!(call(to).unwrap_err(), "Error");
+    requests.join().unwrap();
+    // Bound, so that nobody else takes the port, and not listening.
+    let deaf = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    deaf.bind(&SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0).into()).unwrap();
+    let to = deaf.local_addr().unwrap().as_socket_ipv4().unwrap();
+    assert_eq!(call(to).unwrap_err(), "Connection refused (os error 111)");
+    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
+    let to = silent.local_addr().unwrap().to_string().parse().unwrap();
+    let late = Caller::new(to, BOUNDS).call("GET", "/", b"", Duration::from_millis(5));
+    assert_eq!(late.map_err(|why| why.to_string()).unwrap_err(), "TimedOut");
+}
+
+#[test]
+fn a_listener_answers_alike() {
+    let serve = |request: Request| match request.path.as_str() {
+        "/text" => Reply::text("text".into()),
+        "/json" => Reply::json(b"{}".to_vec()),
+        "/moved" => {
+            Reply { status: 307, headers: vec![("Location", "/there".to_string())], body: Vec::new() }
+        }
+        _ => Reply::plain(404),
+    };
+    let terms = Terms { stack: 128 << 10, bounds: BOUNDS, idle: PATIENCE, workers: PATIENCE };
+    let at = |port| SocketAddrV4::new(Ipv4Addr::new(127, 0, 8, 1), port);
+    let port = (20_000..30_000).find(|port| reception::open(at(*port), terms.clone(), serve).is_ok());
+    let address = at(port.expect("a port is free"));
+    let calls = [
+        (
+            "GET /text HTTP/1.1\r\n\r\nGET /json HTTP/1.1\r\nConnection: close\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: text/plain\r\n\r\ntext\
+             HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n{}",
+        ),
+        (
+            "GET /moved HTTP/1.1\r\n\r\nGET /else HTTP/1.1\r\nConnection: close\r\n\r\n",
+            "HTTP/1.1 307 Temporary Redirect\r\nContent-Length: 0\r\nLocation: /there\r\n\r\n\
+             HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+        ),
+        (
+            "nonsense\r\n\r\n",
+            "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+        ),
+        (
+            "POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n",
+            "HTTP/1.1 413 Content Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+        ),
+    ];
+    for (request, answer) in calls {
+        let mut client = TcpStream::connect(address).unwrap();
+        client.set_read_timeout(Some(PATIENCE)).unwrap();
+        client.write_all(request.as_bytes()).unwrap();
+        assert_eq!(String::from_utf8(until_end(&client)).unwrap(), answer);
+    }
+}
+
+#[test]
+fn figures_keep_their_names_and_labels() {
+    let figures = DepartureFigures::default();
+    let kinds = [Kind::Repeatable, Kind::OnceOnly];
+    for kind in kinds {
+        for stage in [Stage::Waiting, Stage::Dialling, Stage::Sending, Stage::AtServer] {
+            figures.heard(kind, stage);
+            figures.outlasted(kind, stage, false);
+            figures.outlasted(kind, stage, true);
+        }
+        figures.sent(kind, BOUND * 2);
+    }
+    assert_eq!(figures.text(), include_str!("fixtures/disconnect_figures.txt"));
+}
+
+#[test]
+fn calls_are_found_by_their_path_and_method() {
+    let tree = [
+        Node::Word(
+            "api",
+            vec![Node::Word("Show", vec![Node::Leaf("GET", 1)]), Node::Any(vec![Node::Leaf("POST", 2)])],
+        ),
+        Node::Leaf("GET", 3),
+    ];
+    assert_eq!(find(&tree, "GET", "/api/Show?a=b"), Found::Call(1, vec![], "a=b"));
+    assert_eq!(find(&tree, "POST", "/api/zone"), Found::Call(2, vec!["zone"], ""));
+    assert_eq!(find(&tree, "PUT", "/api/Show"), Found::OtherMethod);
+    assert_eq!(find(&tree, "GET", "/api/"), Found::Nothing);
+    assert_eq!(find(&tree, "GET", "api"), Found::Nothing);
+    assert_eq!((argument("a=b&c=d", "c"), argument("a=b", "c")), (Some("d"), None));
+}
