--- a/crates/aspendrum-client/tests/transcripts.rs
+++ b/crates/aspendrum-client/tests/transcripts.rs
@@ -3,6 +3,7 @@
 use aspendrum_net::message::{Bounds, Request};
 use aspendrum_net::reception::{open, Reply, Terms};
 use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::time::Duration;
 
@@ -32,6 +33,9 @@
         ("GET", "/api/Explain?host=a.example&path=/send/1") => json(EXPLAINED),
         ("GET", "/api/Cfg.Show") => json(CONFIG),
         // Only the second has a majority.
+        ("POST", "/api/Cfg.Set") if request.body.starts_with(b"{\"gen\":\"00000008\"") => {
+            Reply { status: 409, headers: Vec::new(), body: b"older than 00000009\n".to_vec() }
+        }
         ("POST", "/api/Cfg.Set" | "/api/Evac.Begin/z1") if machine == 1 => Reply::plain(200),
         ("POST", "/api/Cfg.Set" | "/api/Evac.Begin/z1") => Reply::plain(503),
         _ => Reply::plain(404),
@@ -121,3 +125,73 @@
     assert!(!out.contains("k1"), "keys are secrets");
     std::fs::remove_dir_all(folder).unwrap();
 }
+
+fn folder(name: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("client-{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+fn file(folder: &Path, name: &str, text: &str) -> String {
+    let path = folder.join(name);
+    std::fs::write(&path, text).unwrap();
+    path.display().to_string()
+}
+
+#[test]
+fn an_operator_sees_each_difference_of_two_configurations() {
+    let port = control();
+    let folder = folder("diff");
+    let new = CONFIG.replace("00000007", "0000000a").replace(
+        "\"ports\":[{\"vhost\":\"a.example\",\"rules\":[{\"name\":\"r\",\"type\":\"mutating\"",
+        "\"ports\":[{\"vhost\":\"b.example\",\"rules\":[{\"name\":\"q\",\"type\":\"mutating\",\"goal-ms\":10,\"match\":{\"pfx\":\"/\"},\"action\":{\"split\":[{\"svc\":\"s\",\"wt\":1.5},{\"svc\":\"t\",\"wt\":2}],\"limit-ms\":20,\"tries\":1}}]},{\"vhost\":\"a.example\",\"rules\":[{\"name\":\"r\",\"type\":\"idem\"",
+    );
+    let new = new.replace("\"k1\",", "\"k5\",\"k6\",");
+    let (code, out, told) = client(port, &["diff", &file(&folder, "new.json", &new)]);
+    let approved = "\
+~ a.example/send/, repeats otherwise: Route { name: \"r\", repeatable: false, goal_ms: 500.0, limit_ms: 2000.0, prio: 0.0, public: false, tries: 2, homes: [], services: [(\"s\", 1.0)] } -> Route { name: \"r\", repeatable: true, goal_ms: 500.0, limit_ms: 2000.0, prio: 0.0, public: false, tries: 2, homes: [], services: [(\"s\", 1.0)] }
++ b.example/ -> [(\"s\", 1.5), (\"t\", 2.0)]
+~ keys: 2 given, 1 taken away
+~ version: 00000007 -> 0000000a
+";
+    assert_eq!((code, out.as_str(), told.as_str()), (1, approved, ""));
+    let other = CONFIG.replace("/send/", "/other/").replace("a.example", "c.example");
+    let (code, out, _) = client(port, &["diff", &file(&folder, "other.json", &other)]);
+    let approved = "+ c.example/other/ -> [(\"s\", 1.0)]\n- a.example/send/\n";
+    assert_eq!((code, out.as_str()), (1, approved));
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn an_operator_sees_what_control_holds_and_refuses() {
+    let port = control();
+    let folder = folder("refused");
+    assert_eq!(client(port, &["show"]), (0, format!("{CONFIG}\n"), String::new()));
+    let older = file(&folder, "older.json", &CONFIG.replace("00000007", "00000008"));
+    let refused = (1, String::new(), "refused with 409: older than 00000009\n".to_string());
+    assert_eq!(client(port, &["put", &older]), refused);
+    let refused = (1, String::new(), "refused with 404: \n".to_string());
+    assert_eq!(client(port, &["evacuate", "finish", "z9"]), refused);
+    let bare = CONFIG.replace("\"tenants\":[{\"name\":\"ann\",\"keys\":[\"k1\",\"k2\"]}],\n", "");
+    let checked = (0, "version 00000007: 1 routes, 2 services, no tenants\n".to_string(), String::new());
+    assert_eq!(client(port, &["check", &file(&folder, "bare.json", &bare)]), checked);
+    let json = client(port, &["--json", "explain", "a.example", "/send/1"]);
+    let approved: serde_json::Value = serde_json::from_str(EXPLAINED).unwrap();
+    assert_eq!(json, (0, serde_json::to_string_pretty(&approved).unwrap() + "\n", String::new()));
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn an_operator_is_told_of_files_and_machines_that_do_not_answer() {
+    let (code, out, told) = client(1, &["check", "/no/such/file"]);
+    let approved = "aspendrum-client: /no/such/file: No such file or directory (os error 2)\n";
+    assert_eq!((code, out.as_str(), told.as_str()), (2, "", approved));
+    // Nobody may listen on the first port.
+    for arguments in [&["nodes"][..], &["explain", "a.example", "/"]] {
+        let (code, out, told) = client(1, arguments);
+        let approved = "aspendrum-client: 127.0.7.1:1: Connection refused (os error 111)\n";
+        assert_eq!((code, out.as_str(), told.as_str()), (2, "", approved), "{arguments:?}");
+    }
+    let (code, out, told) = client(control(), &["explain", "b.example", "/"]);
+    assert!(code == 2 && out.is_empty() && told.ends_with(" answered 404\n"), "{told}");
+}
