--- /dev/null
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -0,0 +1,667 @@
+//! Long drawn runs of the decision module, pinned action by action: what a run decided at the commit that recorded
+//! it, it decides today, to the last bit of each number.
+//!
+//! `fixtures/recorded_runs.txt` holds a line for each second of each run: how many actions of each kind, and a
+//! digest of all their numbers. The first second that differs is where behaviour has changed. The text of
+//! actions is left out of the digest, the numbers in it are not wire formats. Only a wanted change of decisions may
+//! change the fixture; its commit says which.
+
+use aspendrum_core::api::{
+    Action, Event, Group, Health, ListKind, Load, LoadValue, Member, NewQuery, Outcome, Plan, RepeatGroup,
+    ReportsVia, Semantics, Settings,
+};
+use aspendrum_core::control::Control;
+use std::collections::HashMap;
+use std::fmt::Write;
+use test_case::test_case;
+
+mod common;
+
+const STEP: f64 = 5.0;
+const SECOND: u64 = 200;
+const STARTED: f64 = 100_000.0;
+const KINDS: usize = 13;
+
+/// SplitMix64 (Steele, Lea and Flood, 2014): what the world around the limiters draws from.
+struct Draws(u64);
+
+impl Draws {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        z ^ (z >> 31)
+    }
+
+    fn below(&mut self, end: u64) -> u64 {
+        (self.next() >> 8) % end
+    }
+
+    fn one_in(&mut self, n: u64) -> bool {
+        self.below(n) == 0
+    }
+}
+
+/// FNV-1a of 64 bits, and how many actions of each kind.
+struct Digest {
+    hash: u64,
+    kinds: [u32; KINDS],
+}
+
+impl Default for Digest {
+    fn default() -> Self {
+        Digest { hash: 0xcbf2_9ce4_8422_2325, kinds: [0; KINDS] }
+    }
+}
+
+impl Digest {
+    fn number(&mut self, number: u64) {
+        for byte in number.to_be_bytes() {
+            self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
+        }
+    }
+
+    fn float(&mut self, number: f64) {
+        self.number(number.to_bits());
+    }
+
+    fn action(&mut self, limiter: usize, action: &Action) {
+        self.number(limiter as u64);
+        let kind = match action {
+            Action::Forward { id, server, timeout } => {
+                self.number(*id);
+                self.number((*server).into());
+                self.float(*timeout);
+                0
+            }
+            Action::Shed { id, retry_after, beyond } => {
+                self.number(*id);
+                self.float(*retry_after);
+                self.number((*beyond).into());
+                1
+            }
+            Action::Drop { id } => {
+                self.number(*id);
+                2
+            }
+            Action::Cancel { id, forward } => {
+                self.number(*id);
+                self.number((*forward).into());
+                3
+            }
+            Action::Count { name, add, ttl } => {
+                self.number(*name);
+                self.number(add.to_bits().into());
+                self.float(*ttl);
+                4
+            }
+            Action::Probe { server } => {
+                self.number((*server).into());
+                5
+            }
+            Action::Close { server } => {
+                self.number((*server).into());
+                6
+            }
+            Action::Timer { token, wait } => {
+                self.number((*token).into());
+                self.float(*wait);
+                7
+            }
+            Action::Fetch => 8,
+            Action::Watch { on } => {
+                self.number((*on).into());
+                9
+            }
+            Action::Tell { to, data } => {
+                self.number(to.map_or(u64::MAX, u64::from));
+                data.iter().for_each(|byte| self.number((*byte).into()));
+                10
+            }
+            Action::Log(_) => 11,
+            Action::Fault(_) => 12,
+        };
+        self.number(kind as u64);
+        self.kinds[kind] += 1;
+    }
+}
+
+/// What is on its way to a limiter, due at a step.
+enum Arrival {
+    Forward { id: u64, forward: u8, server: u32, outcome: Outcome, rtt: f64, actual: u16 },
+    Stream { id: u64, server: u32 },
+    Counter { name: u64, outcome: Outcome, total: f32, rtt: f64 },
+    Probe { server: u32, outcome: Outcome },
+    Datagram { from: u16, data: Vec<u8> },
+}
+
+/// What the world does to the limiters, by the second of the run.
+struct Script {
+    settings: Settings,
+    seconds: u64,
+    servers: u32,
+    /// Answer times are multiplied by this.
+    slowness: f64,
+    /// One new query a step and limiter in so many draws.
+    query_in: u64,
+    tenants: u64,
+    /// The counter's state in that second.
+    counter: fn(u64) -> Counter,
+    /// Whether the second limiter gets datagrams of the first in that second.
+    linked: fn(u64, usize, usize) -> bool,
+    /// All limiters get another configuration in that second.
+    configured_at: Option<u64>,
+    /// A limiter is killed and starts again every so many seconds; 0: never.
+    killed_every: u64,
+    spreads: &'static [f32],
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum Counter {
+    Answers,
+    Slow,
+    Overfull,
+    Silent,
+    Refuses,
+}
+
+struct World {
+    script: Script,
+    draws: Draws,
+    step: u64,
+    limiters: Vec<Control>,
+    due: HashMap<u64, Vec<(usize, Arrival)>>,
+    totals: HashMap<u64, f32>,
+    /// Forwards of each query so far, by limiter and query.
+    forwards: HashMap<(usize, u64), Vec<(u32, bool)>>,
+    next_query: u64,
+    health: Vec<(Health, f64)>,
+    digest: Digest,
+    text: String,
+}
+
+impl World {
+    fn new(script: Script, seed: u64) -> World {
+        let mut world = World {
+            draws: Draws(seed),
+            step: 0,
+            limiters: Vec::new(),
+            due: HashMap::new(),
+            totals: HashMap::new(),
+            forwards: HashMap::new(),
+            next_query: 0,
+            health: vec![(Health::Ready, 0.0); script.servers as usize],
+            digest: Digest::default(),
+            text: String::new(),
+            script,
+        };
+        for me in 0..world.script.settings.instances as usize {
+            let limiter = world.start(me);
+            world.limiters.push(limiter);
+        }
+        for me in 0..world.limiters.len() {
+            world.tell_members(me, ListKind::Full);
+        }
+        world
+    }
+
+    fn now(&self) -> f64 {
+        STARTED + self.step as f64 * STEP
+    }
+
+    fn second(&self) -> u64 {
+        self.step / SECOND
+    }
+
+    fn start(&mut self, me: usize) -> Control {
+        let settings = Settings { me: me as u32, ..self.script.settings.clone() };
+        let mut out = Vec::new();
+        let limiter = Control::new(self.now(), 7 + me as u64, &settings, &mut out);
+        out.iter().for_each(|action| self.digest.action(me, action));
+        limiter
+    }
+
+    fn tell(&mut self, me: usize, event: &Event) {
+        let mut out = Vec::new();
+        let now = self.now();
+        self.limiters[me].handle(now, event, &mut out);
+        for action in &out {
+            self.digest.action(me, action);
+            self.carry_out(me, action);
+        }
+    }
+
+    fn later(&mut self, steps: u64, me: usize, arrival: Arrival) {
+        self.due.entry(self.step + steps.max(1)).or_default().push((me, arrival));
+    }
+
+    fn carry_out(&mut self, me: usize, action: &Action) {
+        match *action {
+            Action::Forward { id, server, .. } => self.forward(me, id, server),
+            Action::Cancel { id, forward } => {
+                if let Some(sent) = self.forwards.get_mut(&(me, id)) {
+                    let (server, open) = &mut sent[usize::from(forward)];
+                    let (server, was_open) = (*server, std::mem::replace(open, false));
+                    let (outcome, rtt, actual) = (Outcome::Cancelled, 9.0, 0);
+                    if was_open {
+                        self.later(1, me, Arrival::Forward { id, forward, server, outcome, rtt, actual });
+                    }
+                }
+            }
+            Action::Count { name, add, .. } => self.count(me, name, add),
+            Action::Probe { server } => {
+                let outcome = if self.draws.one_in(4) { Outcome::TimedOut } else { Outcome::Ok };
+                self.later(3, me, Arrival::Probe { server, outcome });
+            }
+            Action::Tell { to: Some(to), ref data } => {
+                let to = to as usize;
+                if !(self.script.linked)(self.second(), me, to) || self.draws.one_in(15) {
+                    return;
+                }
+                let steps = 1 + self.draws.below(4);
+                self.later(steps, to, Arrival::Datagram { from: me as u16, data: data.clone() });
+                if self.draws.one_in(20) {
+                    let steps = 1 + self.draws.below(300);
+                    self.later(steps, to, Arrival::Datagram { from: me as u16, data: data.clone() });
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn forward(&mut self, me: usize, id: u64, server: u32) {
+        let sent = self.forwards.entry((me, id)).or_default();
+        sent.push((server, true));
+        let forward = (sent.len() - 1) as u8;
+        // Server 2 hangs and comes back; server 3 is slow; server 4 fails much.
+        let second = self.second();
+        if server == 2 && second % 6 >= 4 {
+            let (outcome, rtt, actual) = (Outcome::TimedOut, 1500.0, 0);
+            return self.later(300, me, Arrival::Forward { id, forward, server, outcome, rtt, actual });
+        }
+        let rtt = 10.0 + self.draws.below(40) as f64 + if server == 3 { 120.0 } else { 0.0 };
+        let rtt = rtt * self.script.slowness;
+        let failing = if server == 4 { 3 } else { 60 };
+        let outcome = if self.draws.one_in(failing) {
+            let failures = [
+                Outcome::Error,
+                Outcome::Full,
+                Outcome::TimedOut,
+                Outcome::ConnectFailed,
+                Outcome::Reset,
+                Outcome::Moot,
+            ];
+            failures[self.draws.below(6) as usize]
+        } else {
+            Outcome::Ok
+        };
+        let actual = self.draws.below(3) as u16;
+        if self.draws.one_in(30) {
+            self.later(1, me, Arrival::Stream { id, server });
+        }
+        let steps = (rtt / STEP) as u64;
+        self.later(steps, me, Arrival::Forward { id, forward, server, outcome, rtt, actual });
+    }
+
+    fn count(&mut self, me: usize, name: u64, add: f32) {
+        let state = (self.script.counter)(self.second());
+        let (outcome, steps) = match state {
+            Counter::Answers => (Outcome::Ok, 1),
+            Counter::Slow => (Outcome::Ok, 2 + self.draws.below(4)),
+            Counter::Overfull if self.draws.one_in(3) => (Outcome::Full, 1),
+            Counter::Overfull => (Outcome::Ok, 2),
+            Counter::Silent => (Outcome::TimedOut, 6),
+            Counter::Refuses => (Outcome::ConnectFailed, 1),
+        };
+        let adds = outcome == Outcome::Ok || outcome == Outcome::TimedOut && self.draws.one_in(2);
+        let total = self.totals.entry(name).or_default();
+        *total += if adds { add } else { 0.0 };
+        let (total, rtt) = (*total, steps as f64 * STEP);
+        self.later(steps, me, Arrival::Counter { name, outcome, total, rtt });
+    }
+
+    fn arrive(&mut self, me: usize, arrival: Arrival) {
+        match arrival {
+            Arrival::Forward { id, forward, server, outcome, rtt, actual } => {
+                if let Some(sent) = self.forwards.get_mut(&(me, id)) {
+                    let was_open = std::mem::replace(&mut sent[usize::from(forward)].1, false);
+                    if !was_open && outcome != Outcome::Cancelled {
+                        return;
+                    }
+                }
+                let over = outcome == Outcome::Ok || outcome == Outcome::Error && id % 2 == 0;
+                let load = self.load();
+                let used = actual;
+                self.tell(
+                    me,
+                    &Event::ForwardEnded { id, forward, server, outcome, rtt, over, used, actual, load },
+                );
+            }
+            Arrival::Stream { id, server } => {
+                self.tell(me, &Event::StreamStarted { id, forward: 0, server, rtt: 4.0 });
+            }
+            Arrival::Counter { name, outcome, total, rtt } => {
+                self.tell(me, &Event::Counted { name, outcome, total, rtt });
+            }
+            Arrival::Probe { server, outcome } => {
+                let load = self.load();
+                self.tell(me, &Event::Probed { server, outcome, rtt: 3.0, load });
+            }
+            Arrival::Datagram { from, data } => self.tell(me, &Event::PeerSaid { from, data: &data }),
+        }
+    }
+
+    fn load(&mut self) -> Load {
+        let busy = self.draws.below(120) as f32 / 100.0;
+        match self.draws.below(8) {
+            0 => Load::default(),
+            1 if self.draws.one_in(3) => Load { n: 1, values: [9.0, 0.0, 0.0, 0.0] },
+            1 => Load { n: 1, values: [f32::NAN, 0.0, 0.0, 0.0] },
+            2..=4 => Load { n: 1, values: [busy, 0.0, 0.0, 0.0] },
+            _ => Load { n: 2, values: [busy, busy / 2.0, 0.0, 0.0] },
+        }
+    }
+
+    fn members(&self) -> Vec<Member> {
+        let member = |(at, (health, started)): (usize, &(Health, f64))| Member {
+            server: at as u32 + 1,
+            pool: u16::from(at % 7 == 6),
+            health: *health,
+            cell: (at % 3) as u16,
+            zone: (at % 2) as u8,
+            far: if at % 5 == 4 { 1.5 } else { 0.0 },
+            size: if at % 4 == 3 { 2.0 } else { 1.0 },
+            kind: 0,
+            started: *started,
+        };
+        self.health.iter().enumerate().map(member).collect()
+    }
+
+    fn tell_members(&mut self, me: usize, list: ListKind) {
+        let entries = self.members();
+        let version = self.step as u32;
+        self.tell(me, &Event::Members { list, version, entries: &entries });
+    }
+
+    /// A server drains, goes, comes back or starts again.
+    fn change_servers(&mut self) {
+        let at = self.draws.below(self.health.len() as u64) as usize;
+        self.health[at] = match self.health[at].0 {
+            Health::Ready if self.draws.one_in(2) => (Health::Draining, self.health[at].1),
+            Health::Ready => (Health::Ready, self.now()),
+            Health::Draining => (Health::Gone, self.health[at].1),
+            Health::Gone => (Health::Ready, self.now() - self.draws.below(3000) as f64),
+        };
+        let kinds = [ListKind::Delta, ListKind::Full, ListKind::Cached, ListKind::Failed];
+        let list = kinds[self.draws.below(4) as usize];
+        (0..self.limiters.len()).for_each(|me| self.tell_members(me, list));
+    }
+
+    fn query(&mut self, me: usize) {
+        let id = self.next_query;
+        self.next_query += 1;
+        let (groups, plans) = (self.script.settings.groups.len(), self.script.settings.plans.len());
+        // New tenants come and old ones stay away as time goes on.
+        let tenant = self.draws.below(self.script.tenants) + self.second() / 2;
+        let spreads = self.script.spreads;
+        let spread = spreads[(self.second() / 3) as usize % spreads.len()];
+        let new = NewQuery {
+            id,
+            group: self.draws.below(groups as u64) as u16,
+            until: self.now() + 800.0 + self.draws.below(2000) as f64,
+            acct: tenant,
+            // One query in a thousand names a plan that is not there.
+            plan: if id % 1000 == 999 { 99 } else { tenant as u32 % plans as u32 },
+            spread,
+            units: [1.0, 1.0, 2.0, 0.5][self.draws.below(4) as usize],
+            first: (tenant % u64::from(self.script.settings.instances)) as f32,
+            client_repeat: self.draws.one_in(10),
+            write: self.draws.one_in(3),
+            pool: u16::from(self.draws.one_in(12)),
+            zones: if self.draws.one_in(10) { 2 } else { u64::MAX },
+            most: if self.draws.one_in(10) { 1 } else { u8::MAX },
+        };
+        self.tell(me, &Event::Query(new));
+        if self.draws.one_in(40) {
+            self.tell(me, &Event::ClientLeft { id });
+        }
+        // One that is known already.
+        let open = self.forwards.get(&(me, id)).is_some_and(|sent| sent.iter().any(|forward| forward.1));
+        if open && self.draws.one_in(50) {
+            self.tell(me, &Event::Query(new));
+        }
+    }
+
+    fn configure(&mut self) {
+        let mut plans = self.script.settings.plans.clone();
+        plans[0].rate *= 1.5;
+        plans[0].burst *= 2.0;
+        plans.push(Plan { rate: 9.0, burst: 3.0, ..plans[0].clone() });
+        let mut groups = self.script.settings.groups.clone();
+        groups.push(Group { slo: 400.0, ..groups[0].clone() });
+        for limiter in &mut self.limiters {
+            limiter.configure(&groups, &plans);
+            limiter.configure(&groups[..1], &plans[..1]);
+        }
+        (self.script.settings.groups, self.script.settings.plans) = (groups, plans);
+    }
+
+    fn step(&mut self) {
+        self.step += 1;
+        for (me, arrival) in self.due.remove(&self.step).unwrap_or_default() {
+            self.arrive(me, arrival);
+        }
+        for me in 0..self.limiters.len() {
+            if self.draws.one_in(self.script.query_in) {
+                self.query(me);
+            }
+        }
+        if self.draws.one_in(200) {
+            self.change_servers();
+        }
+        if self.draws.one_in(300) {
+            let data: Vec<u8> = (0..self.draws.below(24)).map(|_| self.draws.below(256) as u8).collect();
+            let me = self.draws.below(self.limiters.len() as u64) as usize;
+            let from = self.draws.below(60) as u16;
+            self.tell(me, &Event::PeerSaid { from, data: &data });
+        }
+        (0..self.limiters.len()).for_each(|me| self.tell(me, &Event::Timer { token: 0 }));
+        if self.step.is_multiple_of(SECOND) {
+            self.end_second();
+        }
+    }
+
+    fn end_second(&mut self) {
+        let second = self.second();
+        let Digest { hash, kinds } = std::mem::take(&mut self.digest);
+        let kinds: Vec<String> = kinds.iter().map(u32::to_string).collect();
+        writeln!(self.text, "{second} {} {hash:016x}", kinds.join(" ")).unwrap();
+        if self.script.configured_at == Some(second) {
+            self.configure();
+        }
+        if self.script.killed_every > 0 && second.is_multiple_of(self.script.killed_every) {
+            let me = self.draws.below(self.limiters.len() as u64) as usize;
+            self.limiters[me] = self.start(me);
+            self.forwards.retain(|of, _| of.0 != me);
+            self.due.values_mut().for_each(|due| due.retain(|(of, _)| *of != me));
+            self.tell_members(me, ListKind::Full);
+        }
+    }
+
+    fn play(mut self) -> String {
+        while self.second() < self.script.seconds {
+            self.step();
+        }
+        self.text
+    }
+}
+
+fn group(semantics: Semantics, repeat_group: RepeatGroup, slo: f64, importance: f64) -> Group {
+    Group {
+        slo,
+        limit: 3.0 * slo,
+        semantics,
+        repeat_group,
+        repeat_window: 60.0,
+        importance,
+        late_share: 0.0,
+        stream: false,
+    }
+}
+
+fn plan(rate: f64, burst: f64) -> Plan {
+    Plan {
+        windowed: false,
+        rate,
+        burst,
+        price: 1.0,
+        over_worth: 0.0,
+        over_cost: 1.0,
+        open: 0,
+        ceiling_rate: 0.0,
+        ceiling_burst: 0.0,
+        ceiling_slack: 0.0,
+    }
+}
+
+fn base() -> Settings {
+    let groups = vec![
+        group(Semantics::Repeatable, RepeatGroup::All, 500.0, 1.0),
+        group(Semantics::Keyed, RepeatGroup::Zone, 800.0, 2.0),
+        group(Semantics::Keyed, RepeatGroup::Cell, 300.0, 0.5),
+        group(Semantics::Mutating, RepeatGroup::All, 600.0, 1.5),
+    ];
+    let ceiling = Plan { ceiling_rate: 9.0, ceiling_burst: 18.0, ..plan(4.0, 8.0) };
+    let overdraft =
+        Plan { over_worth: 0.8, over_cost: 0.2, ceiling_rate: 60.0, ceiling_burst: 50.0, ..plan(6.0, 6.0) };
+    let limited = Plan { open: 5, price: 2.0, ..plan(20.0, 40.0) };
+    let windowed = Plan { windowed: true, ..plan(8.0, 8.0) };
+    Settings {
+        groups,
+        plans: vec![plan(5.0, 10.0), ceiling, overdraft, limited, windowed, plan(0.0, 0.0), plan(0.5, 1.5)],
+        cross_zone_price: 0.02,
+        units_top: 2.0,
+        max_retry_after: 900.0,
+        ..common::settings(Semantics::Repeatable, RepeatGroup::All)
+    }
+}
+
+/// Answers, then each fault in turn, then answers again.
+fn troubled(second: u64) -> Counter {
+    match second {
+        0..=7 => Counter::Answers,
+        8..=11 => Counter::Slow,
+        12..=16 => Counter::Overfull,
+        17..=21 => Counter::Silent,
+        22..=26 => Counter::Answers,
+        27..=31 => Counter::Refuses,
+        _ => Counter::Answers,
+    }
+}
+
+fn small_fleet() -> Script {
+    Script {
+        settings: Settings { instances: 3, cost_after: true, ..base() },
+        seconds: 45,
+        servers: 40,
+        slowness: 1.0,
+        query_in: 2,
+        tenants: 23,
+        counter: troubled,
+        linked: |_, _, _| true,
+        configured_at: Some(36),
+        killed_every: 13,
+        spreads: &[3.0, 2.0, 1.0],
+    }
+}
+
+/// One limiter of a large fleet's settings, driven hard: without a counter, with reports by probes, no advice and no
+/// cancels.
+fn no_counter() -> Script {
+    let settings = Settings {
+        instances: 1,
+        counter: false,
+        counter_wait: 0.0,
+        may_cancel: false,
+        retry_after: false,
+        reports: ReportsVia::Probes,
+        discovery_asks: true,
+        send_cap: 2,
+        cold_time: 4000.0,
+        ..base()
+    };
+    Script {
+        settings,
+        seconds: 30,
+        servers: 24,
+        slowness: 1.0,
+        query_in: 1,
+        tenants: 40,
+        counter: |_| Counter::Answers,
+        linked: |_, _, _| true,
+        configured_at: None,
+        killed_every: 0,
+        spreads: &[1.0],
+    }
+}
+
+/// Two limiters whose servers are slow and busy, with more queries than they can take, many beyond their quota.
+fn overload() -> Script {
+    Script {
+        settings: Settings { cold_time: 4000.0, fall_multiple: 2.0, send_cap: 3, ..base() },
+        seconds: 30,
+        servers: 30,
+        slowness: 5.0,
+        query_in: 1,
+        tenants: 9,
+        counter: |_| Counter::Answers,
+        linked: |_, _, _| true,
+        configured_at: None,
+        killed_every: 0,
+        spreads: &[2.0],
+    }
+}
+
+/// Instances that speak to each other: the owner of a tenant's quota is asked, units are lent, links are cut.
+fn large_fleet(counter: fn(u64) -> Counter) -> Script {
+    let settings = Settings {
+        instances: 40,
+        may_tell: true,
+        load_values: vec![LoadValue::Unknown, LoadValue::CpuShare],
+        peer_in_per_s: 60.0,
+        ..base()
+    };
+    Script {
+        settings,
+        seconds: 40,
+        servers: 60,
+        slowness: 1.0,
+        query_in: 8,
+        tenants: 30,
+        counter,
+        linked: |second, a, b| match second {
+            0..=9 => true,
+            10..=15 => a / 20 == b / 20,
+            16..=20 => b >= 6,
+            21..=25 => a >= 6,
+            _ => true,
+        },
+        configured_at: Some(33),
+        killed_every: 3,
+        spreads: &[40.0, 38.0],
+    }
+}
+
+#[test_case("small_fleet", small_fleet ; "small fleet with a counter in trouble")]
+#[test_case("no_counter", no_counter ; "one instance without a counter")]
+#[test_case("overload", overload ; "overload")]
+#[test_case("large_fleet", || large_fleet(troubled) ; "large fleet with a counter in trouble")]
+#[test_case("large_fleet_alone", || large_fleet(|_| Counter::Silent) ; "large fleet whose counter never answers")]
+fn a_drawn_run_decides_as_recorded(name: &str, script: fn() -> Script) {
+    let fixture = include_str!("fixtures/recorded_runs.txt");
+    let mut recorded = fixture.split("\n\n").filter_map(|run| run.strip_prefix(&format!("{name}\n")));
+    let recorded = recorded.next().unwrap_or("").trim_end();
+    let played = World::new(script(), 0x5eed).play();
+    let differs = played.lines().zip(recorded.lines()).find(|(a, b)| a != b);
+    assert!(played.trim_end() == recorded, "{name} differs first at {differs:?}; it plays\n{name}\n{played}");
+}
--- /dev/null
+++ b/crates/aspendrum-core/tests/settings.rs
@@ -0,0 +1,214 @@
+//! Each key of the settings, as `fixtures/settings.txt` gives it one value, and what is read from it.
+
+use aspendrum_core::api::{Group, LoadValue, Plan, RepeatGroup, ReportsVia, Semantics, Settings};
+use aspendrum_core::settings::read;
+use test_case::test_case;
+
+const SETTINGS: &str = include_str!("fixtures/settings.txt");
+
+fn groups() -> Vec<Group> {
+    vec![
+        Group {
+            slo: 500.0,
+            limit: 1500.0,
+            semantics: Semantics::Repeatable,
+            repeat_group: RepeatGroup::All,
+            repeat_window: 0.0,
+            importance: 1.25,
+            late_share: 0.1,
+            stream: false,
+        },
+        Group {
+            slo: 750.0,
+            limit: 2250.0,
+            semantics: Semantics::Keyed,
+            repeat_group: RepeatGroup::Zone,
+            repeat_window: 600.0,
+            importance: 2.5,
+            late_share: 0.2,
+            stream: true,
+        },
+        Group {
+            slo: 250.0,
+            limit: 375.0,
+            semantics: Semantics::Mutating,
+            repeat_group: RepeatGroup::All,
+            repeat_window: 0.0,
+            importance: 3.5,
+            late_share: 0.3,
+            stream: false,
+        },
+    ]
+}
+
+fn plans() -> Vec<Plan> {
+    vec![
+        Plan {
+            windowed: false,
+            rate: 0.625,
+            burst: 2.5,
+            price: 0.875,
+            over_worth: 0.4,
+            over_cost: 0.3,
+            open: 11,
+            ceiling_rate: 1.125,
+            ceiling_burst: 4.5,
+            ceiling_slack: 0.15,
+        },
+        Plan {
+            windowed: false,
+            rate: 16.0,
+            burst: 32.0,
+            price: 1.0,
+            over_worth: 0.0,
+            over_cost: 0.0,
+            open: 0,
+            ceiling_rate: 0.0,
+            ceiling_burst: 0.0,
+            ceiling_slack: 0.0,
+        },
+    ]
+}
+
+fn expected() -> Settings {
+    Settings {
+        me: 3,
+        instances: 7,
+        zone: 2,
+        tick: 4.0,
+        groups: groups(),
+        plans: plans(),
+        load_values: vec![
+            LoadValue::InHand,
+            LoadValue::Waiting,
+            LoadValue::CpuShare,
+            LoadValue::ServiceMs,
+            LoadValue::AnsweredPerS,
+            LoadValue::DroppedPerS,
+            LoadValue::Unknown,
+        ],
+        reports: ReportsVia::Probes,
+        discovery_asks: true,
+        must_ask_in: 25.0,
+        drain_grace: 125.0,
+        fall_multiple: 4.0,
+        fall_window: 3000.0,
+        cold_share: 0.24,
+        cold_time: 14_000.0,
+        answer_grace: 16.0,
+        may_cancel: true,
+        may_probe: false,
+        may_tell: true,
+        second_copies: false,
+        send_cap: 5,
+        retry_after: true,
+        max_retry_after: 700.0,
+        counter: true,
+        counter_wait: 50.0,
+        counter_price: 0.01,
+        probe_price: 0.02,
+        cross_zone_price: 0.03,
+        units_top: 6.0,
+        cost_after: true,
+        meter: 8000.0,
+        peer_in_per_s: 60.0,
+    }
+}
+
+#[test]
+fn each_key_is_read_into_its_setting() {
+    assert_eq!(read(SETTINGS), Ok(expected()));
+}
+
+fn without(key: &str) -> String {
+    let prefix = format!("{key}=");
+    let lines: Vec<&str> = SETTINGS.lines().filter(|line| !line.starts_with(&prefix)).collect();
+    assert_eq!(lines.len() + 1, SETTINGS.lines().count(), "{key} stands in the fixture once");
+    lines.join("\n")
+}
+
+/// Each key of the fixture that may be left out, and what is read then.
+#[test_case("Zone", |s| s.zone = 0)]
+#[test_case("Profiles.0.LateShare", |s| s.groups[0].late_share = 0.0)]
+#[test_case("Profiles.2.Group", |_| ())]
+#[test_case("Profiles.2.RepeatWindowS", |_| ())]
+#[test_case("TiersOfService.0.ExtraWorth", |s| s.plans[0].over_worth = 0.0)]
+#[test_case("TiersOfService.0.BeyondCosts", |s| s.plans[0].over_cost = 0.0)]
+#[test_case("Feedback.Names", |s| s.load_values.clear())]
+#[test_case("Invariants.MustAskInS", |s| s.must_ask_in = 0.0)]
+#[test_case("Limits.MaxRetryAfterS", |s| s.max_retry_after = 0.0)]
+#[test_case("Specifics.CounterPrice", |s| s.counter_price = 0.0)]
+#[test_case("Specifics.MeteringS", |s| s.meter = 0.0)]
+#[test_case("Specifics.PeerInPerS", |s| s.peer_in_per_s = 0.0)]
+#[test_case("Deductions.Probe", |s| s.probe_price = 0.0)]
+#[test_case("Deductions.CrossZone", |s| s.cross_zone_price = 0.0)]
+#[test_case("Something.New", |_| ())]
+fn a_key_that_may_be_left_out_has_its_default(key: &str, change: fn(&mut Settings)) {
+    let mut settings = expected();
+    change(&mut settings);
+    assert_eq!(read(&without(key)), Ok(settings));
+}
+
+#[test_case("Me")]
+#[test_case("Instances")]
+#[test_case("TickS")]
+#[test_case("Profiles.count")]
+#[test_case("Profiles.0.AimS")]
+#[test_case("Profiles.0.HardLimitS")]
+#[test_case("Profiles.0.Semantics")]
+#[test_case("Profiles.0.Credit")]
+#[test_case("Profiles.0.Stream")]
+#[test_case("Profiles.1.Group")]
+#[test_case("Profiles.1.RepeatWindowS")]
+#[test_case("TiersOfService.count")]
+#[test_case("TiersOfService.0.PerSecond")]
+#[test_case("TiersOfService.0.Depth")]
+#[test_case("TiersOfService.0.WorthFactor")]
+#[test_case("TiersOfService.0.Concurrency")]
+#[test_case("TiersOfService.0.NeverOverRate")]
+#[test_case("TiersOfService.0.NeverOverDepth")]
+#[test_case("TiersOfService.0.CapSlack")]
+#[test_case("Feedback.Via")]
+#[test_case("Discovery")]
+#[test_case("Invariants.DrainGraceS")]
+#[test_case("Invariants.FallMultiple")]
+#[test_case("Invariants.FallS")]
+#[test_case("Invariants.StartCapacity")]
+#[test_case("Invariants.RampTimeS")]
+#[test_case("Invariants.GraceToAnswerS")]
+#[test_case("Limits.Cancelling")]
+#[test_case("Limits.Probes")]
+#[test_case("Limits.MayTell")]
+#[test_case("Limits.SecondCopies")]
+#[test_case("Limits.SendCap")]
+#[test_case("Limits.RetryAfter")]
+#[test_case("Specifics.Counter")]
+#[test_case("Specifics.CountWaitS")]
+#[test_case("Specifics.UnitsTop")]
+#[test_case("Specifics.CostAfter")]
+fn a_key_that_is_needed_is_asked_for_by_name(key: &str) {
+    let error = read(&without(key)).unwrap_err();
+    assert_eq!(error.to_string(), format!("setting {key} is missing"));
+}
+
+#[test]
+fn the_counters_wait_is_not_needed_without_a_counter() {
+    let text = without("Specifics.CountWaitS").replace("Specifics.Counter=true", "Specifics.Counter=false");
+    assert_eq!(read(&text), Ok(Settings { counter: false, counter_wait: 0.0, ..expected() }));
+}
+
+#[test_case("Me=3", "Me=3.5", "setting Me is absurd: 3.5" ; "fraction")]
+#[test_case("Me=3", "Me=100001", "setting Me is absurd: 100001" ; "beyond the top")]
+#[test_case("Me=3", "Me=-1", "setting Me is absurd: -1" ; "negative")]
+#[test_case("TickS=0.004", "TickS=inf", "setting TickS is absurd: inf" ; "infinite")]
+#[test_case("TickS=0.004", "TickS=NaN", "setting TickS is absurd: NaN" ; "not a number")]
+#[test_case("Profiles.count=3", "Profiles.count=0", "setting Profiles.count is absurd: 0" ; "no profiles")]
+#[test_case("Zone=2", "Zone=x", "setting Zone is absurd: x" ; "optional but absurd")]
+#[test_case("Discovery=ask", "Discovery=pull", "setting Discovery is absurd: pull" ; "unknown word")]
+#[test_case("Limits.Probes=false", "Limits.Probes=no", "setting Limits.Probes is absurd: no" ; "neither true nor false")]
+#[test_case("Instances=7", "Instances=0", "setting Instances is absurd: 0" ; "no instances")]
+fn an_absurd_value_is_refused_by_name(from: &str, to: &str, text: &str) {
+    let line = |line: &str| if line == from { to.to_string() } else { line.to_string() };
+    let changed: Vec<String> = SETTINGS.lines().map(line).collect();
+    assert_eq!(read(&changed.join("\n")).unwrap_err().to_string(), text);
+}
--- /dev/null
+++ b/crates/aspendrum-wirehost/tests/frames.rs
@@ -0,0 +1,246 @@
+//! Each record of the simulator's frames, as `fixtures/frames.txt` pins its bytes.
+
+use aspendrum_core::api::{Action, Event, Health, ListKind, Load, Member, NewQuery, Outcome};
+use aspendrum_wirehost::frame::{Batch, Reply, WireEvent};
+use test_case::test_case;
+
+const EVENT: usize = 48;
+const ACTION: usize = 24;
+const CLOCK_S: f64 = 8.412_25;
+const ID: u64 = 0x1122_3344_5566_7788;
+const NUMBER: u32 = 0x1122_3344;
+const SETTINGS: &str = include_str!("../../aspendrum-core/tests/fixtures/settings.txt");
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits: Vec<u8> = hex.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
+    digits.chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap()).collect()
+}
+
+/// A record of the fixture, filled up to its size, and its tail.
+fn fixture(name: &str, size: usize) -> (Vec<u8>, Vec<u8>) {
+    let text = include_str!("fixtures/frames.txt");
+    let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(" = "));
+    let line = line.unwrap_or_else(|| panic!("no fixture {name}"));
+    let line = line.replace("SIZE", &format!("{:08x}", SETTINGS.len()));
+    let (record, tail) = line.split_once('|').unwrap();
+    let tail = if tail.trim() == "SETTINGS" { SETTINGS.into() } else { bytes(tail) };
+    let mut record = bytes(record);
+    record.resize(size, 0);
+    (record, tail)
+}
+
+fn frame(name: &str) -> Vec<u8> {
+    let (record, tail) = fixture(name, EVENT);
+    let mut out = 1_u32.to_be_bytes().to_vec();
+    out.extend(((16 + record.len() + tail.len()) as u32).to_be_bytes());
+    out.extend(CLOCK_S.to_be_bytes());
+    out.extend(record);
+    out.extend(tail);
+    out
+}
+
+const LOAD_OF_FOUR: Load = Load { n: 4, values: [0.5, 0.25, 0.125, 0.0625] };
+const LOAD_OF_TWO: Load = Load { n: 2, values: [0.5, 0.25, 0.0, 0.0] };
+
+fn query() -> NewQuery {
+    NewQuery {
+        id: ID,
+        group: 0x102,
+        until: 8652.25,
+        acct: 0x99aa_bbcc,
+        plan: NUMBER,
+        spread: 3.0,
+        units: 1.5,
+        first: 5.0,
+        client_repeat: true,
+        write: true,
+        pool: 0,
+        zones: u64::MAX,
+        most: u8::MAX,
+    }
+}
+
+fn ended() -> Event<'static> {
+    Event::ForwardEnded {
+        id: ID,
+        forward: 9,
+        server: NUMBER,
+        outcome: Outcome::Cancelled,
+        rtt: 18.5,
+        over: true,
+        used: 0x102,
+        actual: 0x304,
+        load: LOAD_OF_TWO,
+    }
+}
+
+fn members() -> [Member; 3] {
+    let common = Member {
+        server: 1,
+        pool: 0,
+        health: Health::Gone,
+        cell: 0x102,
+        zone: 3,
+        far: 0.0,
+        size: 1.5,
+        kind: 4,
+        started: 6100.0,
+    };
+    [
+        common,
+        Member {
+            server: 2,
+            health: Health::Ready,
+            cell: 0x506,
+            zone: 7,
+            size: 0.5,
+            kind: 8,
+            started: 0.0,
+            ..common
+        },
+        Member {
+            server: 3,
+            health: Health::Draining,
+            cell: 0x90a,
+            zone: 11,
+            size: 2.0,
+            kind: 12,
+            started: 1000.0,
+            ..common
+        },
+    ]
+}
+
+#[test_case("probed", Event::Probed { server: NUMBER, outcome: Outcome::TimedOut, rtt: 1.0, load: LOAD_OF_FOUR } ; "probed")]
+#[test_case("timer", Event::Timer { token: NUMBER } ; "timer")]
+#[test_case("members", Event::Members { list: ListKind::Full, version: NUMBER, entries: &members() } ; "members")]
+#[test_case("client_left", Event::ClientLeft { id: ID } ; "client left")]
+#[test_case("counted", Event::Counted { name: ID, outcome: Outcome::Full, total: 38.0, rtt: 2.15 } ; "counted")]
+#[test_case("query", Event::Query(query()) ; "query")]
+#[test_case("peer", Event::PeerSaid { from: 0x102, data: &[1, 2, 3] } ; "peer")]
+#[test_case("ended", ended() ; "forward ended")]
+#[test_case("stream", Event::StreamStarted { id: ID, forward: 9, server: NUMBER, rtt: 18.5 } ; "stream started")]
+fn each_event_is_read_from_these_bytes(name: &str, expected: Event<'_>) {
+    let frame = frame(name);
+    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    assert_eq!((batch.now(), batch.count()), (8412.25, 1));
+    let WireEvent::Told(event) = batch.event(0, &mut members).unwrap() else { panic!("not an event") };
+    assert_eq!(event, expected);
+}
+
+#[test]
+fn the_instance_that_events_are_for_is_read_from_these_bytes() {
+    let frame = frame("on");
+    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    assert!(matches!(batch.event(0, &mut members), Ok(WireEvent::On(NUMBER))));
+}
+
+#[test]
+fn a_start_carries_the_seed_and_the_settings() {
+    let frame = frame("begin");
+    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    let Ok(WireEvent::Begin(seed, settings)) = batch.event(0, &mut members) else { panic!("not a start") };
+    assert_eq!(seed, ID);
+    assert_eq!(Ok(*settings), aspendrum_core::settings::read(SETTINGS));
+}
+
+#[test]
+fn a_stop_is_read_from_these_bytes() {
+    let frame = frame("stop");
+    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    assert!(matches!(batch.event(0, &mut members), Ok(WireEvent::Stop)));
+}
+
+#[test_case(0, Outcome::Error)]
+#[test_case(1, Outcome::Ok)]
+#[test_case(2, Outcome::Full)]
+#[test_case(3, Outcome::TimedOut)]
+#[test_case(4, Outcome::ConnectFailed)]
+#[test_case(5, Outcome::Reset)]
+#[test_case(6, Outcome::Cancelled)]
+#[test_case(7, Outcome::Moot)]
+fn each_outcome_has_its_number(number: u8, expected: Outcome) {
+    let mut frame = frame("counted");
+    frame[16 + 10] = number;
+    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    let Ok(WireEvent::Told(Event::Counted { outcome, .. })) = batch.event(0, &mut members) else {
+        panic!("not counted")
+    };
+    assert_eq!(outcome, expected);
+}
+
+#[test_case(0, ListKind::Delta)]
+#[test_case(1, ListKind::Full)]
+#[test_case(2, ListKind::Cached)]
+#[test_case(3, ListKind::Failed)]
+fn each_kind_of_list_has_its_number(number: u8, expected: ListKind) {
+    let mut frame = frame("members");
+    frame[16 + 1] = number;
+    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    let Ok(WireEvent::Told(Event::Members { list, .. })) = batch.event(0, &mut members) else {
+        panic!("not a list")
+    };
+    assert_eq!(list, expected);
+}
+
+#[test_case(0, false, false)]
+#[test_case(1, false, false)]
+#[test_case(2, true, false)]
+#[test_case(4, false, true)]
+fn flags_of_a_query_are_bits(flags: u8, repeat: bool, writes: bool) {
+    let mut frame = frame("query");
+    frame[16 + 43] = flags;
+    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    let Ok(WireEvent::Told(Event::Query(new))) = batch.event(0, &mut members) else { panic!("not a query") };
+    assert_eq!((new.client_repeat, new.write), (repeat, writes));
+}
+
+#[test_case("tell", Action::Tell { to: Some(0x5566_7788), data: vec![1, 2, 3] } ; "tell")]
+#[test_case("tell_all", Action::Tell { to: None, data: vec![4, 5] } ; "tell all")]
+#[test_case("cancel", Action::Cancel { id: ID, forward: 9 } ; "cancel")]
+#[test_case("forward", Action::Forward { id: ID, server: 0x5566_7788, timeout: 80.0 } ; "forward")]
+#[test_case("count", Action::Count { name: ID, add: 4.0, ttl: 3000.0 } ; "count")]
+#[test_case("close", Action::Close { server: NUMBER } ; "close")]
+#[test_case("fetch", Action::Fetch ; "fetch")]
+#[test_case("defer", Action::Timer { token: NUMBER, wait: 500.0 } ; "timer")]
+#[test_case("probe", Action::Probe { server: NUMBER } ; "probe")]
+#[test_case("fault", Action::Fault("fault".into()) ; "fault")]
+#[test_case("drop", Action::Drop { id: ID } ; "drop")]
+#[test_case("shed", Action::Shed { id: ID, retry_after: 500.0, beyond: true } ; "shed")]
+#[test_case("watch", Action::Watch { on: true } ; "watch")]
+#[test_case("unwatch", Action::Watch { on: false } ; "watch no more")]
+#[test_case("log", Action::Log("log".into()) ; "log")]
+fn each_action_is_written_as_these_bytes(name: &str, action: Action) {
+    let mut out = Vec::new();
+    let mut reply = Reply::begin(&mut out);
+    reply.write(NUMBER, &mut vec![action]);
+    reply.finish().unwrap();
+    let (instance, _) = fixture("instance", ACTION);
+    let (record, tail) = fixture(name, ACTION);
+    let mut expected = 2_u32.to_be_bytes().to_vec();
+    expected.extend(((8 + 2 * ACTION + tail.len()) as u32).to_be_bytes());
+    expected.extend(instance);
+    expected.extend(record);
+    expected.extend(tail);
+    assert_eq!(out, expected);
+}
+
+/// The instance is named once for actions in a row, and tails stand behind all records.
+#[test]
+fn actions_of_two_instances_share_a_reply() {
+    let mut out = Vec::new();
+    let mut reply = Reply::begin(&mut out);
+    reply.write(1, &mut vec![Action::Log("ab".into()), Action::Fetch]);
+    reply.write(1, &mut vec![Action::Log("c".into())]);
+    reply.write(2, &mut vec![Action::Fetch]);
+    reply.finish().unwrap();
+    let records = ["4e 00000001", "4d 00000000 00000002", "46", "4d 00000002 00000001", "4e 00000002", "46"];
+    let mut expected = bytes("00000006 0000009b");
+    for record in records {
+        let mut record = bytes(record);
+        record.resize(ACTION, 0);
+        expected.extend(record);
+    }
+    expected.extend(b"abc");
+    assert_eq!(out, expected);
+}
