--- a/crates/aspendrum-agent/src/control.rs
+++ b/crates/aspendrum-agent/src/control.rs
@@ -5,7 +5,7 @@
 use aspendrum_model::news::{ControlAddress, Down};
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
-use aspendrum_net::mail::Post;
+use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::workers::{lock, spawn};
 use std::io::BufReader;
 use std::net::Ipv4Addr;
@@ -91,7 +91,7 @@
 }
 
 /// Keeps one link for as long as the process runs; the desk ends one that is of no use.
-pub fn hold(route: &Route, settings: &Settings, notes: &Arc<Post<Note>>) -> std::io::Result<()> {
+pub fn hold(route: &Route, settings: &Settings, notes: &Arc<MailboxSender<Note>>) -> std::io::Result<()> {
     let (route, settings, notes) = (route.clone(), settings.clone(), notes.clone());
     spawn("control", STACK, move || {
         let (mut n, mut id) = (0, 0);
--- a/crates/aspendrum-agent/src/desk.rs
+++ b/crates/aspendrum-agent/src/desk.rs
@@ -11,7 +11,7 @@
 use aspendrum_model::servers::Roster;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
-use aspendrum_net::mail::Inbox;
+use aspendrum_net::mailbox::MailboxReceiver;
 use aspendrum_reconcile::{edition, Bounds, Mending, Section, Standing, Step, Verdict, Word};
 use crossbeam_channel::Sender;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -128,11 +128,11 @@
         self.begun.elapsed().as_secs_f64() * 1000.0
     }
 
-    pub fn run(mut self, notes: &Inbox<Note>) {
+    pub fn run(mut self, notes: &MailboxReceiver<Note>) {
         loop {
             let every = if self.as_of.is_some() { BEAT } else { FIRST };
             let due = self.begun + Duration::from_secs_f64((self.beat_at.max(0.0) + every) / 1000.0);
-            match notes.next(Some(due)) {
+            match notes.recv_deadline(Some(due)) {
                 Ok(note) => self.hear(note),
                 Err(_) => self.beat(),
             }
--- a/crates/aspendrum-agent/src/lend.rs
+++ b/crates/aspendrum-agent/src/lend.rs
@@ -5,7 +5,7 @@
 use aspendrum_model::news::Down;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
-use aspendrum_net::mail::Post;
+use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::workers::spawn;
 use crossbeam_channel::bounded;
 use std::io::{BufReader, Write};
@@ -25,12 +25,12 @@
 pub struct Lender {
     socket: Arc<UdpSocket>,
     settings: Settings,
-    notes: Arc<Post<Note>>,
+    notes: Arc<MailboxSender<Note>>,
 }
 
 impl Lender {
     /// Listens for neighbours for as long as the process runs.
-    pub fn open(settings: &Settings, notes: &Arc<Post<Note>>) -> std::io::Result<Lender> {
+    pub fn open(settings: &Settings, notes: &Arc<MailboxSender<Note>>) -> std::io::Result<Lender> {
         let [words, snapshots] = settings.lend_ports();
         let socket = Arc::new(UdpSocket::bind(SocketAddrV4::new(settings.ip, words))?);
         let listener = TcpListener::bind(SocketAddrV4::new(settings.ip, snapshots))?;
@@ -80,7 +80,7 @@
     }
 }
 
-fn hear(socket: &UdpSocket, notes: &Post<Note>) {
+fn hear(socket: &UdpSocket, notes: &MailboxSender<Note>) {
     let mut space = [0; LONGEST];
     loop {
         let Ok((n, from)) = socket.recv_from(&mut space) else { continue };
--- a/crates/aspendrum-agent/src/main.rs
+++ b/crates/aspendrum-agent/src/main.rs
@@ -9,7 +9,7 @@
 
 use aspendrum_model::settings::{Settings, VARIABLE};
 use aspendrum_net::daemon::{self, Told};
-use aspendrum_net::mail;
+use aspendrum_net::mailbox;
 use aspendrum_net::workers::spawn;
 use crossbeam_channel::bounded;
 use desk::Desk;
@@ -39,7 +39,7 @@
             }
         })
     };
-    let notes = Arc::new(mail::with(NOTES, start).map_err(failed("desk"))?);
+    let notes = Arc::new(mailbox::spawn_receiver(NOTES, start).map_err(failed("desk"))?);
     let route = control::Route::new(&settings);
     control::hold(&route, &settings, &notes).map_err(failed("control"))?;
     proxy::listen(settings.agent_at(), &notes).map_err(failed("agent port"))?;
--- a/crates/aspendrum-agent/src/proxy.rs
+++ b/crates/aspendrum-agent/src/proxy.rs
@@ -3,7 +3,7 @@
 use crate::notes::Note;
 use aspendrum_model::news::Up;
 use aspendrum_net::frames::{self, Link};
-use aspendrum_net::mail::Post;
+use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::workers::spawn;
 use std::io::BufReader;
 use std::net::{SocketAddrV4, TcpListener};
@@ -15,7 +15,7 @@
 const SILENCE: Duration = Duration::from_secs(5);
 const ROOM: usize = 64;
 
-pub fn listen(at: SocketAddrV4, notes: &Arc<Post<Note>>) -> std::io::Result<()> {
+pub fn listen(at: SocketAddrV4, notes: &Arc<MailboxSender<Note>>) -> std::io::Result<()> {
     let listener = TcpListener::bind(at)?;
     let notes = notes.clone();
     spawn("proxy", STACK, move || {
--- a/crates/aspendrum-capacity/src/cores/proxy.rs
+++ b/crates/aspendrum-capacity/src/cores/proxy.rs
@@ -10,7 +10,7 @@
 use aspendrum_model::packed::pack;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardHandle, Kind};
-use aspendrum_net::mail;
+use aspendrum_net::mailbox;
 use aspendrum_proxy::counts::{Calls, Leave, Ledger, Quota};
 use aspendrum_proxy::desk::{Ask, Desk, Order, BEAT_MS};
 use std::net::{Ipv4Addr, UdpSocket};
@@ -116,7 +116,7 @@
         let route = n % view.config.routes.len();
         let service = view.config.routes[route].service(0.1);
         let Some(pool) = view.pools.get(service).copied() else { continue };
-        let (orders, inbox) = mail::here(8);
+        let (orders, inbox) = mailbox::for_current_thread(8);
         let until = Instant::now() + Duration::from_secs(2);
         let ask = Ask {
             route,
@@ -130,7 +130,7 @@
         let before = cpu_ms();
         let id = desk.ask(&view, ask);
         decided.push(cpu_ms() - before);
-        let Ok(Order::Forward { forward, server }) = inbox.next(Some(Instant::now())) else {
+        let Ok(Order::Forward { forward, server }) = inbox.recv_deadline(Some(Instant::now())) else {
             desk.quit(id);
             lost += 1;
             continue;
@@ -160,12 +160,12 @@
     let mut at_once = 0;
     for n in 0..size.tenants.min(QUERIES) {
         let Some(service) = view.pools.get(view.config.routes[0].service(0.1)).copied() else { return };
-        let (orders, inbox) = mail::here(8);
+        let (orders, inbox) = mailbox::for_current_thread(8);
         let until = Instant::now() + Duration::from_secs(2);
         let ask =
             Ask { route: 0, service, tenant: Some(n), zones: u64::MAX, until, orders, forward: handle() };
         let id = desk.ask(&view, ask);
-        at_once += usize::from(inbox.next(Some(Instant::now())).is_ok());
+        at_once += usize::from(inbox.recv_deadline(Some(Instant::now())).is_ok());
         desk.quit(id);
     }
     let mut calls = Calls::default();
@@ -198,7 +198,7 @@
         let mut waiting = Vec::new();
         for (service, tries) in [(dead, 20), (other, 20)] {
             for n in 0..tries {
-                let (orders, inbox) = mail::here(8);
+                let (orders, inbox) = mailbox::for_current_thread(8);
                 let route = view
                     .config
                     .routes
@@ -216,7 +216,7 @@
                     forward: handle(),
                 };
                 let id = desk.ask(&view, ask);
-                match inbox.next(Some(Instant::now())) {
+                match inbox.recv_deadline(Some(Instant::now())) {
                     Ok(Order::Forward { forward, server }) => {
                         sent += usize::from(service == other);
                         desk.ended(id, forward, server, (Outcome::Ok, 5.0, Load::default()), true);
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
 use aspendrum_model::packed::{pack, unpack};
-use aspendrum_net::mail::Post;
+use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::matcher::{argument, find, Found, Node};
 use aspendrum_net::message::Request;
 use aspendrum_net::reception::Reply;
@@ -52,7 +52,7 @@
 
 /// What answers the operator.
 pub struct Orders {
-    pub events: Arc<Post<Event>>,
+    pub events: Arc<MailboxSender<Event>>,
     pub zones: BTreeMap<String, String>,
 }
 
@@ -97,7 +97,7 @@
 
     fn told(&self, of: Option<(String, String)>) -> Reply {
         let (answer, told) = bounded(1);
-        if self.events.offer(Event::Report { of, answer }).is_err() {
+        if self.events.try_send(Event::Report { of, answer }).is_err() {
             return Reply::plain(503);
         }
         told.recv_timeout(WAIT)
@@ -108,7 +108,7 @@
     fn order(&self, order: Order, done: impl Fn(&aspendrum_consensus::Holdings) -> Reply) -> Reply {
         let (answer, outcome) = bounded(1);
         let taken = Instant::now();
-        if self.events.offer(Event::Order { order, taken, answer }).is_err() {
+        if self.events.try_send(Event::Order { order, taken, answer }).is_err() {
             return Reply::plain(503);
         }
         match outcome.recv_timeout(WAIT) {
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -20,7 +20,7 @@
 use aspendrum_model::settings::{Settings, VARIABLE};
 use aspendrum_net::caller::Caller;
 use aspendrum_net::daemon::{self, Told};
-use aspendrum_net::mail::{self, Post};
+use aspendrum_net::mailbox::{self, MailboxSender};
 use aspendrum_net::message::Bounds;
 use aspendrum_net::reception::{self, Terms};
 use aspendrum_net::workers::spawn;
@@ -82,7 +82,7 @@
     settings: &Settings,
     directory: &Arc<RwLock<Directory>>,
     begun: Instant,
-) -> Result<Arc<Post<Event>>, String> {
+) -> Result<Arc<MailboxSender<Event>>, String> {
     let folder = settings.datadir.as_ref().map(|d| Path::new(d).to_path_buf());
     let store = folder.as_ref().map(|f| Store::open(f)).transpose()?;
     let held = store.as_ref().map_or(Ok(None), Store::read)?;
@@ -109,7 +109,7 @@
             }
         })
     };
-    let events = Arc::new(mail::with(EVENTS, start).map_err(failed("server"))?);
+    let events = Arc::new(mailbox::spawn_receiver(EVENTS, start).map_err(failed("server"))?);
     let storage = Storage::start(folder, store, held, &events).map_err(failed("disk"))?;
     let server = Server::new(Start {
         begun,
@@ -129,7 +129,7 @@
 }
 
 /// Reads the platform's list whenever it is asked to.
-fn poll_platform(polls: &Receiver<SocketAddrV4>, events: &Post<Event>) {
+fn poll_platform(polls: &Receiver<SocketAddrV4>, events: &MailboxSender<Event>) {
     let mut platform = None;
     while let Ok(addr) = polls.recv() {
         let asked = Instant::now();
@@ -145,7 +145,7 @@
 fn open_calls(
     settings: &Settings,
     directory: &Arc<RwLock<Directory>>,
-    events: &Arc<Post<Event>>,
+    events: &Arc<MailboxSender<Event>>,
     begun: Instant,
 ) -> Result<(), String> {
     let terms = |stack, bounds| Terms {
--- a/crates/aspendrum-control/src/links.rs
+++ b/crates/aspendrum-control/src/links.rs
@@ -5,7 +5,7 @@
 use aspendrum_consensus::Place;
 use aspendrum_model::news;
 use aspendrum_net::frames::{self, Link};
-use aspendrum_net::mail::Post;
+use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::workers::spawn;
 use std::io::Read;
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
@@ -34,7 +34,7 @@
     addr: SocketAddrV4,
     silence: Duration,
     wanted: Arc<AtomicBool>,
-    events: &Arc<Post<Event>>,
+    events: &Arc<MailboxSender<Event>>,
 ) -> std::io::Result<()> {
     let events = events.clone();
     spawn("peer", STACK, move || {
@@ -54,7 +54,11 @@
 }
 
 /// Takes connections of control and of agents in.
-pub fn listen(at: SocketAddrV4, silence: Duration, events: &Arc<Post<Event>>) -> std::io::Result<()> {
+pub fn listen(
+    at: SocketAddrV4,
+    silence: Duration,
+    events: &Arc<MailboxSender<Event>>,
+) -> std::io::Result<()> {
     let listener = TcpListener::bind(at)?;
     let events = events.clone();
     spawn("listen", STACK, move || {
@@ -77,7 +81,7 @@
     Ok(())
 }
 
-fn read(id: u64, stream: Arc<TcpStream>, silence: Duration, events: &Post<Event>) {
+fn read(id: u64, stream: Arc<TcpStream>, silence: Duration, events: &MailboxSender<Event>) {
     // Whoever says nothing for so long has lost its link, or power.
     let _ = stream.set_read_timeout(Some(4 * silence));
     let mut from = std::io::BufReader::with_capacity(2 << 10, &*stream);
--- a/crates/aspendrum-control/src/server.rs
+++ b/crates/aspendrum-control/src/server.rs
@@ -18,7 +18,7 @@
 use aspendrum_model::news::Edition;
 use aspendrum_model::packed::unpack;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::mail::{Inbox, Post};
+use aspendrum_net::mailbox::{MailboxReceiver, MailboxSender};
 use aspendrum_reconcile::{edition, Bounds};
 use crossbeam_channel::Sender;
 use std::collections::{HashMap, VecDeque};
@@ -51,7 +51,7 @@
     pub settings: Settings,
     pub replica: Replica,
     pub storage: Storage,
-    pub events: Arc<Post<Event>>,
+    pub events: Arc<MailboxSender<Event>>,
     pub poll: Sender<SocketAddrV4>,
     pub directory: Arc<RwLock<Directory>>,
 }
@@ -68,7 +68,7 @@
     pub(crate) bounds: Bounds,
     pub(crate) me: Place,
     begun: Instant,
-    pub(crate) events: Arc<Post<Event>>,
+    pub(crate) events: Arc<MailboxSender<Event>>,
     pub(crate) peers: Peers,
     pub(crate) agents: Agents,
     pub(crate) servers: Servers,
@@ -132,12 +132,12 @@
         moment.saturating_duration_since(self.begun).as_secs_f64() * 1000.0
     }
 
-    pub fn run(mut self, events: &Inbox<Event>, first: Vec<Effect>) {
+    pub fn run(mut self, events: &MailboxReceiver<Event>, first: Vec<Effect>) {
         self.carry_out(first);
         self.connect_peers();
         let mut due = Instant::now();
         loop {
-            match events.next(Some(due)) {
+            match events.recv_deadline(Some(due)) {
                 Ok(event) => self.handle(event),
                 Err(_) => {
                     due = Instant::now() + BEAT;
--- a/crates/aspendrum-control/src/storage.rs
+++ b/crates/aspendrum-control/src/storage.rs
@@ -4,7 +4,7 @@
 use crate::event::Event;
 use crate::store::Store;
 use aspendrum_consensus::{Effect, State};
-use aspendrum_net::mail::Post;
+use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::workers::spawn;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use std::collections::VecDeque;
@@ -65,7 +65,7 @@
         folder: Option<PathBuf>,
         store: Option<Store>,
         held: Option<State>,
-        events: &Arc<Post<Event>>,
+        events: &Arc<MailboxSender<Event>>,
     ) -> std::io::Result<Storage> {
         let writer = match (folder, store) {
             (Some(folder), Some(store)) => {
@@ -168,7 +168,7 @@
 
 /// The disk's thread: writes one state after another. After a failure the file is opened anew: what was synced before
 /// is still there.
-fn write(folder: &std::path::Path, store: Store, states: &Receiver<State>, events: &Post<Event>) {
+fn write(folder: &std::path::Path, store: Store, states: &Receiver<State>, events: &MailboxSender<Event>) {
     let mut store = Some(store);
     while let Ok(state) = states.recv() {
         let opened = store.take().map_or_else(|| Store::open(folder), Ok);
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -9,7 +9,7 @@
 use aspendrum_model::config::Config;
 use aspendrum_model::news::{Edition, Front, Mark, Readiness};
 use aspendrum_model::packed::pack;
-use aspendrum_net::mail;
+use aspendrum_net::mailbox;
 use aspendrum_net::message::Request;
 use aspendrum_net::reception::Reply;
 use aspendrum_reconcile::Standing;
@@ -43,9 +43,9 @@
 fn answer(outcome: &Outcome, request: &Request) -> (String, Vec<Order>) {
     let (given, taken) = crossbeam_channel::unbounded();
     let outcome = outcome.clone();
-    let start = |inbox: mail::Inbox<Event>| {
+    let start = |inbox: mailbox::MailboxReceiver<Event>| {
         thread::Builder::new().spawn(move || {
-            while let Ok(event) = inbox.next(None) {
+            while let Ok(event) = inbox.recv_deadline(None) {
                 match event {
                     Event::Order { order, answer, .. } => {
                         given.send(order).unwrap();
@@ -59,7 +59,7 @@
             }
         })
     };
-    let events = Arc::new(mail::with(8, start).unwrap());
+    let events = Arc::new(mailbox::spawn_receiver(8, start).unwrap());
     let zones = [("z1".to_string(), "g".to_string())].into();
     let reply = Orders { events: events.clone(), zones }.answer(&orders(), request);
     Arc::into_inner(events).unwrap().close();
--- a/crates/aspendrum-net/src/frames.rs
+++ b/crates/aspendrum-net/src/frames.rs
@@ -1,6 +1,6 @@
 //! Held connections between our own processes: frames of postcard behind a length of four bytes.
 
-use crate::mail::{self, Post};
+use crate::mailbox::{self, MailboxSender};
 use crate::workers::spawn;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -42,7 +42,7 @@
 /// The writing side of a held connection. Whoever says something never waits: a peer that does not read loses
 /// the link.
 pub struct Link {
-    post: Post<Vec<u8>>,
+    post: MailboxSender<Vec<u8>>,
     stream: Arc<TcpStream>,
     /// The writing side ends it, behind what is still to be written.
     finished: AtomicBool,
@@ -54,9 +54,9 @@
         stream.set_nodelay(true)?;
         let _ = SockRef::from(&*stream).set_tcp_user_timeout(Some(silence));
         let own = stream.clone();
-        let post = mail::with(room, move |inbox: mail::Inbox<Vec<u8>>| {
+        let post = mailbox::spawn_receiver(room, move |inbox: mailbox::MailboxReceiver<Vec<u8>>| {
             spawn("link", STACK, move || {
-                while let Ok(bytes) = inbox.next(None) {
+                while let Ok(bytes) = inbox.recv_deadline(None) {
                     if bytes.is_empty() || (&*own).write_all(&bytes).is_err() {
                         break;
                     }
@@ -72,14 +72,14 @@
     }
 
     pub fn say<T: Serialize>(&self, word: &T) {
-        if self.post.offer(frame(word)).is_err() {
+        if self.post.try_send(frame(word)).is_err() {
             self.end();
         }
     }
 
     /// Ends the connection behind all that was said.
     pub fn finish(&self) {
-        if self.post.offer(Vec::new()).is_ok() {
+        if self.post.try_send(Vec::new()).is_ok() {
             self.finished.store(true, Ordering::Release);
         } else {
             self.end();
--- a/crates/aspendrum-net/src/lib.rs
+++ b/crates/aspendrum-net/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod departures;
 pub mod forward;
 pub mod frames;
-pub mod mail;
+pub mod mailbox;
 pub mod matcher;
 pub mod message;
 pub mod pool;
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -11,7 +11,7 @@
 use aspendrum_model::packed::unpack;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardHandle, Kind, Progress, Stage};
-use aspendrum_net::mail::Post;
+use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::workers::lock;
 use aspendrum_reconcile::edition;
 use std::collections::HashMap;
@@ -65,7 +65,7 @@
     pub tenant: Option<usize>,
     pub zones: u64,
     pub until: Instant,
-    pub orders: Post<Order>,
+    pub orders: MailboxSender<Order>,
     pub forward: Arc<ForwardHandle>,
 }
 
@@ -82,7 +82,7 @@
 }
 
 struct Seat {
-    orders: Post<Order>,
+    orders: MailboxSender<Order>,
     forward: Arc<ForwardHandle>,
     pool: u16,
     forwards: u8,
@@ -567,7 +567,7 @@
     fn say(&mut self, id: QueryId, order: Order) {
         if let Some(seat) = self.seats.get(&id) {
             // A full letter box means that nobody reads orders there any more.
-            let _ = seat.orders.offer(order);
+            let _ = seat.orders.try_send(order);
         }
     }
 
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -9,7 +9,7 @@
 use crate::Shop;
 use aspendrum_core::api::{Load, Ms, Outcome, QueryId, ServerId};
 use aspendrum_net::forward::{ForwardHandle, Kind, Stage};
-use aspendrum_net::mail;
+use aspendrum_net::mailbox;
 use aspendrum_net::message::{self, Bounds, Request, Response};
 use aspendrum_net::pool::Conn;
 use std::net::TcpStream;
@@ -108,7 +108,7 @@
 
 impl Query<'_> {
     fn run(&mut self, view: &View, route: usize, service: u16, tenant: Option<usize>, zones: u64) -> Answer {
-        let (post, orders) = mail::here(ORDERS);
+        let (post, orders) = mailbox::for_current_thread(ORDERS);
         let until = self.until;
         let forward = self.forward.clone();
         let ask = Ask { route, service, tenant, zones, until, orders: post, forward };
@@ -120,7 +120,7 @@
         loop {
             // A query that no server can take now is better asked of another proxy, while its aim can be met.
             let held = Instant::now() + Duration::from_secs_f64(goal * HELD_SHARE / 1000.0);
-            match orders.next(Some(held.min(until + DESK_LATE))).ok() {
+            match orders.recv_deadline(Some(held.min(until + DESK_LATE))).ok() {
                 Some(Order::Forward { forward, server }) if !self.decided(view, route) => {
                     self.moot(id, forward, server);
                     self.shop.desk.quit(id);
@@ -151,7 +151,9 @@
                 None => {
                     self.shop.desk.quit(id);
                     // An order that came in the same moment is not carried out.
-                    while let Ok(Order::Forward { forward, server }) = orders.next(Some(Instant::now())) {
+                    while let Ok(Order::Forward { forward, server }) =
+                        orders.recv_deadline(Some(Instant::now()))
+                    {
                         self.moot(id, forward, server);
                     }
                     return if self.may_have_run { self.give_up() } else { self.refuse(503, AGAIN_MS) };
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::as_ms;
 use crate::limits::Limits;
-use crate::mail::{self, Post};
+use crate::mailbox::{self, MailboxSender};
 use crate::notes::{Door, Note};
 use crate::resp::{self, Parsed, Reply};
 use crate::ring::Ring;
@@ -66,7 +66,7 @@
     lanes: Vec<Arc<Lane>>,
     /// Lanes to where the counter was before, until their last call is answered or over.
     retired: Vec<Arc<Lane>>,
-    opener: Post<Arc<Lane>>,
+    opener: MailboxSender<Arc<Lane>>,
     door: Arc<Door>,
     limits: Arc<Limits>,
 }
@@ -74,13 +74,14 @@
 impl Counter {
     pub fn start(addr: SocketAddr, door: &Arc<Door>, limits: &Arc<Limits>) -> std::io::Result<Counter> {
         // Room for the lanes of two places: a move may find the old ones still waiting to be opened.
-        let opener = mail::with(2 * limits.lanes, |lanes: mail::Inbox<Arc<Lane>>| {
-            spawn("counter", limits.stack, move || {
-                while let Ok(lane) = lanes.next(None) {
-                    lane.open();
-                }
-            })
-        })?;
+        let opener =
+            mailbox::spawn_receiver(2 * limits.lanes, |lanes: mailbox::MailboxReceiver<Arc<Lane>>| {
+                spawn("counter", limits.stack, move || {
+                    while let Ok(lane) = lanes.recv_deadline(None) {
+                        lane.open();
+                    }
+                })
+            })?;
         let (retired, door, limits) = (Vec::new(), door.clone(), limits.clone());
         let mut counter = Counter { addr, lanes: Vec::new(), retired, opener, door, limits };
         counter.lanes = counter.lanes_to(addr);
@@ -121,7 +122,7 @@
 
     fn open(&self, lane: &Arc<Lane>, state: &mut State) {
         if !state.opening {
-            state.opening = self.opener.offer(lane.clone()).is_ok();
+            state.opening = self.opener.try_send(lane.clone()).is_ok();
         }
         if !state.opening || state.queued.len() > lane.limits.lane_queue {
             lane.unsent(state);
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -3,7 +3,7 @@
 //! for anybody.
 
 use crate::counter::Counter;
-use crate::mail::{Inbox, Nothing, Post};
+use crate::mailbox::{MailboxReceiver, MailboxSender, RecvError};
 use crate::notes::{Note, Order, Wish};
 use crate::peers::Peers;
 use crate::query;
@@ -24,7 +24,7 @@
 
 /// A query in hand, as the desk sees it.
 struct Seat {
-    orders: Post<Order>,
+    orders: MailboxSender<Order>,
     line: Arc<ForwardHandle>,
     forwards: u8,
     /// The forward that is out.
@@ -75,15 +75,15 @@
         }
     }
 
-    pub fn run(mut self, notes: &Inbox<Note>) {
+    pub fn run(mut self, notes: &MailboxReceiver<Note>) {
         self.act();
         loop {
             let clock = self.shop.door.clock;
             let due = self.timers.peek().map(|Reverse((at, _))| clock.instant(*at as f64 / 1000.0));
-            match notes.next(due) {
-                Ok(Note::Stop) | Err(Nothing::Ever) => return,
+            match notes.recv_deadline(due) {
+                Ok(Note::Stop) | Err(RecvError::Disconnected) => return,
                 Ok(note) => self.hear(note),
-                Err(Nothing::Yet) => {}
+                Err(RecvError::TimedOut) => {}
             }
             while let Some(note) = self.later.pop() {
                 self.hear(note);
@@ -156,7 +156,7 @@
                 if let Some(seat) = self.seats.get_mut(&id).filter(|s| !s.over) {
                     seat.over = true;
                     // Behind a forward that is out it is read once that has ended.
-                    let _ = seat.orders.offer(Order::Gone);
+                    let _ = seat.orders.try_send(Order::Gone);
                     self.tell(&Event::ClientLeft { id });
                     self.leave(id);
                 }
@@ -230,7 +230,7 @@
                 let forward = seat.forwards;
                 seat.forwards += 1;
                 seat.out = Some((forward, server));
-                if seat.orders.offer(Order::Forward { forward, server, timeout }).is_err() {
+                if seat.orders.try_send(Order::Forward { forward, server, timeout }).is_err() {
                     self.later.push(Note::Quit { id });
                 }
             }
@@ -268,7 +268,7 @@
         let Some(seat) = self.seats.get_mut(&id) else { return };
         seat.over = true;
         // A full channel means that the query answers nobody's orders: it ends by its own time.
-        let _ = seat.orders.offer(order);
+        let _ = seat.orders.try_send(order);
         if let Some((forward, _)) = seat.out {
             // The answer is given now, and nobody is left to read what the server still sends.
             seat.line.cancel(forward);
--- a/crates/aspendrum/src/lib.rs
+++ b/crates/aspendrum/src/lib.rs
@@ -22,7 +22,7 @@
 use aspendrum_net::departure_figures::DepartureFigures;
 use aspendrum_net::departures::Watch;
 pub(crate) use aspendrum_net::workers;
-pub use aspendrum_net::{mail, pool, ring};
+pub use aspendrum_net::{mailbox, pool, ring};
 use backoff::Backoff;
 use clients::Clients;
 use clock::Clock;
@@ -111,7 +111,7 @@
                 std::mem::forget(guard);
             })
         };
-        let notes = mail::with(limits.desk_queue, start).map_err(failed("desk"))?;
+        let notes = mailbox::spawn_receiver(limits.desk_queue, start).map_err(failed("desk"))?;
         let door = Arc::new(Door::new(notes, Clock::start()));
         let shop = Arc::new(Shop {
             lanes: Lanes {
--- a/crates/aspendrum/src/notes.rs
+++ b/crates/aspendrum/src/notes.rs
@@ -1,7 +1,7 @@
 //! The words between the desk and all others: what it is told, what it orders and wishes.
 
 use crate::clock::Clock;
-use crate::mail::Post;
+use crate::mailbox::MailboxSender;
 use aspendrum_core::api::*;
 use aspendrum_net::forward::ForwardHandle;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 pub enum Note {
     Query {
         new: NewQuery,
-        orders: Post<Order>,
+        orders: MailboxSender<Order>,
         line: Arc<ForwardHandle>,
     },
     /// The client went away while its query was in hand.
@@ -76,13 +76,13 @@
 
 /// How others reach the desk.
 pub struct Door {
-    notes: Post<Note>,
+    notes: MailboxSender<Note>,
     pub clock: Clock,
     ids: AtomicU64,
 }
 
 impl Door {
-    pub fn new(notes: Post<Note>, clock: Clock) -> Door {
+    pub fn new(notes: MailboxSender<Note>, clock: Clock) -> Door {
         Door { notes, clock, ids: AtomicU64::new(1) }
     }
 
@@ -92,7 +92,7 @@
 
     /// For whoever must not wait for the desk, the desk itself among them.
     pub fn offer(&self, note: Note) -> Result<(), Note> {
-        self.notes.offer(note)
+        self.notes.try_send(note)
     }
 
     /// Waits for room: the desk always drains its channel. False: there is no desk any more.
--- a/crates/aspendrum/src/query.rs
+++ b/crates/aspendrum/src/query.rs
@@ -4,7 +4,7 @@
 use crate::client::Client;
 use crate::clock::{as_ms, ms};
 use crate::http::{self, Answer, Asked};
-use crate::mail;
+use crate::mailbox;
 use crate::notes::{Note, Order};
 use crate::Shop;
 use aspendrum_core::api::*;
@@ -19,7 +19,7 @@
     let until = at + ms(asked.wait);
 
     // The desk hears of it, and the module decides when it may go on and where.
-    let (desk, orders) = mail::here(limits.orders);
+    let (desk, orders) = mailbox::for_current_thread(limits.orders);
     let repeatable = shop.lanes.semantics.get(usize::from(asked.group)) == Some(&Semantics::Repeatable);
     let line = Arc::new(ForwardHandle::new(if repeatable { Kind::Repeatable } else { Kind::OnceOnly }));
     client.presence.begin(id, &shop.watch);
@@ -50,7 +50,7 @@
     // does not leave the query without an answer, and one that may have run is not called shed.
     let mut may_have_run = false;
     loop {
-        let order = if taken { orders.next(Some(last)).ok() } else { None };
+        let order = if taken { orders.recv_deadline(Some(last)).ok() } else { None };
         match order {
             Some(Order::Forward { forward, server, timeout }) => {
                 let wait = if timeout > 0.0 { (Instant::now() + ms(timeout)).min(until) } else { until };
--- a/crates/aspendrum/tests/suite/pieces.rs
+++ b/crates/aspendrum/tests/suite/pieces.rs
@@ -7,7 +7,7 @@
 use aspendrum::counter::Counter;
 use aspendrum::http::{self, Lanes};
 use aspendrum::limits::Limits;
-use aspendrum::mail::{self, Inbox};
+use aspendrum::mailbox::{self, MailboxReceiver};
 use aspendrum::notes::{Door, Note};
 use aspendrum::resp::{self, Parsed, Reply};
 use aspendrum::ring::Ring;
@@ -144,22 +144,22 @@
     assert!(!line.enter(1, &stream));
 }
 
-fn calls(counter: SocketAddr, wait_s: f64) -> (Counter, Inbox<Note>) {
+fn calls(counter: SocketAddr, wait_s: f64) -> (Counter, MailboxReceiver<Note>) {
     let mut config = config(&[], counter, counter);
     config["settings"]["Specifics"]["CountWaitS"] = json!(wait_s);
     let config = Config::read(&config.to_string()).unwrap();
-    let (notes, told) = mail::here(100);
+    let (notes, told) = mailbox::for_current_thread(100);
     let door = Arc::new(Door::new(notes, Clock::start()));
     (Counter::start(counter, &door, &Arc::new(Limits::of(&config))).unwrap(), told)
 }
 
 /// Looks in as the desk does, with each beat.
-fn counted(counter: &mut Counter, told: &Inbox<Note>) -> (u64, Outcome, f32) {
+fn counted(counter: &mut Counter, told: &MailboxReceiver<Note>) -> (u64, Outcome, f32) {
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_secs(6) {
         counter.expire();
         if let Ok(Note::Told(Event::Counted { name, outcome, total, .. })) =
-            told.next(Some(Instant::now() + Duration::from_millis(5)))
+            told.recv_deadline(Some(Instant::now() + Duration::from_millis(5)))
         {
             return (name, outcome, total);
         }
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -9,7 +9,7 @@
 use aspendrum::config::Config;
 use aspendrum::http::{self, Call, Lanes};
 use aspendrum::limits::Limits;
-use aspendrum::mail;
+use aspendrum::mailbox;
 use aspendrum::notes::{Door, Note};
 use aspendrum::peers::Peers;
 use aspendrum::resp::{self, Parsed, Reply};
@@ -274,14 +274,14 @@
     let there = other.local_addr().unwrap();
     // No other test binds a port of this loopback address between the drop and the start.
     let listen = UdpSocket::bind("127.61.7.3:0").unwrap().local_addr().unwrap();
-    let (notes, told) = mail::here(8);
+    let (notes, told) = mailbox::for_current_thread(8);
     let door = Arc::new(Door::new(notes, Clock::start()));
     let unknown = "127.0.0.1:9".parse().unwrap();
     let peers = Peers::start(listen, vec![unknown, there], Some(there), &door, 128 << 10).unwrap();
     let longest: Vec<u8> = (0..=255).collect();
     other.send_to(&[0; 257], listen).unwrap();
     other.send_to(&longest, listen).unwrap();
-    match told.next(Some(Instant::now() + Duration::from_secs(5))) {
+    match told.recv_deadline(Some(Instant::now() + Duration::from_secs(5))) {
         Ok(Note::Peer { from, data }) => assert_eq!((from, &data), (1, &longest)),
         _ => panic!("no datagram came"),
     }
