--- a/crates/aspendrum-capacity/src/hollow/platform.rs
+++ b/crates/aspendrum-capacity/src/hollow/platform.rs
@@ -4,9 +4,9 @@
 use crate::cores::PAGE;
 use crate::sizes::page;
 use aspendrum_model::servers::Server;
-use aspendrum_net::matcher::argument;
-use aspendrum_net::message::{Bounds, Request};
-use aspendrum_net::reception::{self, Reply, Terms};
+use aspendrum_net::http1::{Bounds, Request};
+use aspendrum_net::http_server::{self, Reply, Terms};
+use aspendrum_net::path_matcher::argument;
 use aspendrum_net::workers::lock;
 use std::net::SocketAddrV4;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -44,7 +44,7 @@
         let (bounds, idle) = (Bounds { head: 8 << 10, body: 1 << 10 }, Duration::from_secs(10));
         let serving = own.clone();
         let terms = Terms { stack: 128 << 10, bounds, idle, workers: idle };
-        reception::open(at, terms, move |request| serving.answer(&request))?;
+        http_server::open(at, terms, move |request| serving.answer(&request))?;
         Ok(own)
     }
 
--- a/crates/aspendrum-capacity/src/hollow/traffic.rs
+++ b/crates/aspendrum-capacity/src/hollow/traffic.rs
@@ -4,8 +4,8 @@
 use crate::measure::{Line, Samples};
 use crate::sizes::SERVERS_PORT;
 use aspendrum_model::config::Config;
-use aspendrum_net::message::{self, answer, only, Bounds, Parsed};
-use aspendrum_net::ring::Ring;
+use aspendrum_net::http1::{self, answer, only, Bounds, Parsed};
+use aspendrum_net::ring_buffer::Ring;
 use aspendrum_net::workers::{lock, spawn};
 use std::io::{self, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -43,7 +43,7 @@
     let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(Duration::from_secs(20))));
     let mut ring = Ring::new(1 << 10, 1 << 20);
     loop {
-        match message::request(&mut ring, &BOUNDS) {
+        match http1::request(&mut ring, &BOUNDS) {
             Parsed::More => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => {}
                 _ => return,
@@ -76,7 +76,7 @@
         };
         (&stream).write_all(request).ok()?;
         loop {
-            match message::response(&mut ring, &BOUNDS) {
+            match http1::response(&mut ring, &BOUNDS) {
                 Parsed::More => match ring.fill(&mut &stream) {
                     Ok(n) if n > 0 => {}
                     _ => return None,
--- a/crates/aspendrum-client/src/control.rs
+++ b/crates/aspendrum-client/src/control.rs
@@ -1,7 +1,7 @@
 //! Calls to control: to one machine after another until one answers.
 
-use aspendrum_net::caller::Caller;
-use aspendrum_net::message::Bounds;
+use aspendrum_net::http1::Bounds;
+use aspendrum_net::http_client::Caller;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/aspendrum-client/tests/transcripts.rs
+++ b/crates/aspendrum-client/tests/transcripts.rs
@@ -1,7 +1,7 @@
 //! What an operator types and what comes back, against a stand-in for control that knows two machines of it.
 
-use aspendrum_net::message::{Bounds, Request};
-use aspendrum_net::reception::{open, Reply, Terms};
+use aspendrum_net::http1::{Bounds, Request};
+use aspendrum_net::http_server::{open, Reply, Terms};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -18,11 +18,11 @@
 
 use aspendrum_consensus::Replica;
 use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::caller::Caller;
 use aspendrum_net::daemon::{self, Told};
+use aspendrum_net::http1::Bounds;
+use aspendrum_net::http_client::Caller;
+use aspendrum_net::http_server::{self, Terms};
 use aspendrum_net::mailbox::{self, MailboxSender};
-use aspendrum_net::message::Bounds;
-use aspendrum_net::reception::{self, Terms};
 use aspendrum_net::workers::spawn;
 use crossbeam_channel::{bounded, Receiver};
 use directory::Directory;
@@ -158,7 +158,7 @@
         let orders = api::Orders { events: events.clone(), zones: settings.zones.clone() };
         let tree = api::orders();
         let serve = move |request| orders.answer(&tree, &request);
-        reception::open(ctl, terms(ORDERS_STACK, ORDERS), serve).map_err(failed("ctl"))?;
+        http_server::open(ctl, terms(ORDERS_STACK, ORDERS), serve).map_err(failed("ctl"))?;
     }
     if let Some(dir) = settings.dir {
         // As long as the terms let it count: a query waits for each look-up, and clients pass over addresses
@@ -166,7 +166,7 @@
         let (tree, ttl, directory) = (api::look_ups(), settings.ttl_max_s, directory.clone());
         let now = move || begun.elapsed().as_secs_f64() * 1000.0;
         let serve = move |request| api::look_up(&directory, &tree, &request, now(), ttl);
-        reception::open(dir, terms(STACK, LOOK_UPS), serve).map_err(failed("dir"))?;
+        http_server::open(dir, terms(STACK, LOOK_UPS), serve).map_err(failed("dir"))?;
     }
     Ok(())
 }
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -1,8 +1,8 @@
 //! Reads the platform's list of servers, page after page.
 
 use aspendrum_model::servers::{self, Server};
-use aspendrum_net::caller::Caller;
-use aspendrum_net::message::Bounds;
+use aspendrum_net::http1::Bounds;
+use aspendrum_net::http_client::Caller;
 use std::time::{Duration, Instant};
 
 pub const BOUNDS: Bounds = Bounds { head: 8 << 10, body: 4 << 20 };
--- a/crates/aspendrum-net/src/message.rs
+++ b/crates/aspendrum-net/src/http1.rs
@@ -1,6 +1,6 @@
 //! What all our HTTP/1.1 codecs share: the framing of bodies, headers, and whole messages (RFC 9112).
 
-use crate::ring::Ring;
+use crate::ring_buffer::Ring;
 
 /// What stands in a buffer so far.
 pub enum Parsed<T> {
--- a/crates/aspendrum-net/src/caller.rs
+++ b/crates/aspendrum-net/src/http_client.rs
@@ -1,6 +1,6 @@
 //! Calls to the platform and to control, one after another on a connection that is kept while it lasts.
 
-use crate::message::{self, Bounds, Response};
+use crate::http1::{self, Bounds, Response};
 use crate::pool::{Conn, Lines};
 use std::io::Write;
 use std::net::SocketAddrV4;
@@ -66,7 +66,7 @@
             .map_err(|e| e.to_string())?;
         conn.send().map_err(|e| format!("{e:?}"))?;
         let bounds = self.bounds;
-        let answer = conn.receive(until, &self.lines, |ring| message::response(ring, &bounds));
+        let answer = conn.receive(until, &self.lines, |ring| http1::response(ring, &bounds));
         let answer = answer.map_err(|e| format!("{e:?}"))?;
         if !answer.close {
             self.conn = Some(conn);
--- a/crates/aspendrum-net/src/reception.rs
+++ b/crates/aspendrum-net/src/http_server.rs
@@ -1,9 +1,9 @@
 //! A listener for short calls of servers, operators and the platform: each request is answered by one
 //! function, on a thread that is kept for the next connection.
 
-use crate::departures::has_hung_up;
-use crate::message::{self, Bounds, Parsed, Request};
-use crate::ring::Ring;
+use crate::disconnects::has_hung_up;
+use crate::http1::{self, Bounds, Parsed, Request};
+use crate::ring_buffer::Ring;
 use crate::workers::{spawn, WorkerPool};
 use std::io::Write;
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
@@ -70,7 +70,7 @@
         return;
     }
     loop {
-        let (reply, close) = match message::request(&mut ring, &terms.bounds) {
+        let (reply, close) = match http1::request(&mut ring, &terms.bounds) {
             Parsed::More => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => continue,
                 _ => return,
@@ -85,7 +85,7 @@
             }
         };
         let headers: Vec<(&str, &str)> = reply.headers.iter().map(|h| (h.0, h.1.as_str())).collect();
-        let bytes = message::answer(reply.status, &headers, close, &reply.body);
+        let bytes = http1::answer(reply.status, &headers, close, &reply.body);
         if (&*stream).write_all(&bytes).is_err() {
             return;
         }
--- a/crates/aspendrum-net/src/lib.rs
+++ b/crates/aspendrum-net/src/lib.rs
@@ -1,16 +1,16 @@
 //! The plumbing that old and new programs share: rings, threads, letter boxes, connections to servers, HTTP
 //! framing, frames between own processes. Nothing here decides.
 
-pub mod caller;
 pub mod daemon;
-pub mod departure_figures;
-pub mod departures;
+pub mod disconnect_metrics;
+pub mod disconnects;
 pub mod forward;
 pub mod frames;
+pub mod http1;
+pub mod http_client;
+pub mod http_server;
 pub mod mailbox;
-pub mod matcher;
-pub mod message;
+pub mod path_matcher;
 pub mod pool;
-pub mod reception;
-pub mod ring;
+pub mod ring_buffer;
 pub mod workers;
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -1,8 +1,8 @@
 //! Connections to servers: opened when none is idle, kept between forwards, the newest used first, closed
 //! well before a server would close them, and bounded in number. Nothing is ever sent twice from here.
 
-use crate::message::Parsed;
-use crate::ring::{waited, Ring};
+use crate::http1::Parsed;
+use crate::ring_buffer::{waited, Ring};
 use crate::workers::lock;
 use aspendrum_core::api::{Outcome, ServerId};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
--- a/crates/aspendrum-net/tests/departures.rs
+++ b/crates/aspendrum-net/tests/disconnects.rs
@@ -1,10 +1,10 @@
 //! Clients that leave, as one look over all connections hears them, and what that does to a request on its way.
 
-use aspendrum_net::departure_figures::{DepartureFigures, Report, BOUND};
-use aspendrum_net::departures::{Presence, Watch, WAITED};
+use aspendrum_net::disconnect_metrics::{DepartureFigures, Report, BOUND};
+use aspendrum_net::disconnects::{Presence, Watch, WAITED};
 use aspendrum_net::forward::{ForwardHandle, Kind, Stage};
-use aspendrum_net::message::{Bounds, Request};
-use aspendrum_net::reception::{self, Reply, Terms};
+use aspendrum_net::http1::{Bounds, Request};
+use aspendrum_net::http_server::{self, Reply, Terms};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::channel;
@@ -237,7 +237,7 @@
     };
     let bounds = Bounds { head: 1 << 10, body: 1 << 10 };
     let (idle, workers) = (PATIENCE, PATIENCE);
-    reception::open(at, Terms { stack: 128 << 10, bounds, idle, workers }, serve).unwrap();
+    http_server::open(at, Terms { stack: 128 << 10, bounds, idle, workers }, serve).unwrap();
     let call = |method: &str, path: &str| {
         format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").into_bytes()
     };
--- a/crates/aspendrum-net/tests/wire_bytes.rs
+++ b/crates/aspendrum-net/tests/wire_bytes.rs
@@ -1,13 +1,13 @@
 //! What is written to connections, byte by byte, and what is read from them: it stays, whatever a type is called.
 
-use aspendrum_net::caller::Caller;
-use aspendrum_net::departure_figures::{DepartureFigures, BOUND};
+use aspendrum_net::disconnect_metrics::{DepartureFigures, BOUND};
 use aspendrum_net::forward::{Kind, Stage};
 use aspendrum_net::frames::{frame, read, Link};
-use aspendrum_net::matcher::{argument, find, Found, Node};
-use aspendrum_net::message::{self, Bounds, Parsed, Request, Response};
-use aspendrum_net::reception::{self, Reply, Terms};
-use aspendrum_net::ring::Ring;
+use aspendrum_net::http1::{self, Bounds, Parsed, Request, Response};
+use aspendrum_net::http_client::Caller;
+use aspendrum_net::http_server::{self, Reply, Terms};
+use aspendrum_net::path_matcher::{argument, find, Found, Node};
+use aspendrum_net::ring_buffer::Ring;
 use serde::{Deserialize, Serialize};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
@@ -79,9 +79,9 @@
 #[test]
 fn answers_are_written_alike() {
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    assert_eq!(text(message::answer(200, &[], false, b"")), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(text(http1::answer(200, &[], false, b"")), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(
-        text(message::answer(429, &[("Retry-After", "1"), ("X", "y")], true, b"body")),
+        text(http1::answer(429, &[("Retry-After", "1"), ("X", "y")], true, b"body")),
         "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 4\r\nRetry-After: 1\r\nX: y\r\nConnection: close\r\n\r\nbody"
     );
 }
@@ -108,7 +108,7 @@
         (299, "Answer"),
     ];
     for (status, reason) in reasons {
-        assert_eq!(message::reason(status), reason);
+        assert_eq!(http1::reason(status), reason);
     }
 }
 
@@ -124,13 +124,13 @@
         b"POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody\
           GET / HTTP/1.1\r\nConnection: close\r\n\r\n",
     );
-    let Parsed::Whole(first) = message::request(&mut ring, &BOUNDS) else { panic!("the first") };
+    let Parsed::Whole(first) = http1::request(&mut ring, &BOUNDS) else { panic!("the first") };
     let headers = vec![("Host".to_string(), b"h".to_vec()), ("Content-Length".to_string(), b"4".to_vec())];
     let (method, path, body) = ("POST".to_string(), "/a?b=c".to_string(), b"body".to_vec());
     assert_eq!(first, Request { method, path, headers, body, close: false });
-    let Parsed::Whole(second) = message::request(&mut ring, &BOUNDS) else { panic!("the second") };
+    let Parsed::Whole(second) = http1::request(&mut ring, &BOUNDS) else { panic!("the second") };
     assert!(second.method == "GET" && second.close && second.body.is_empty());
-    assert!(matches!(message::request(&mut ring, &BOUNDS), Parsed::More));
+    assert!(matches!(http1::request(&mut ring, &BOUNDS), Parsed::More));
 }
 
 #[test]
@@ -148,7 +148,7 @@
         (head_of_300, 431),
     ];
     for (text, status) in cases {
-        let Parsed::Bad(found) = message::request(&mut ring(text.as_bytes()), &BOUNDS) else {
+        let Parsed::Bad(found) = http1::request(&mut ring(text.as_bytes()), &BOUNDS) else {
             panic!("{text}")
         };
         assert_eq!(found, status, "{text}");
@@ -162,11 +162,11 @@
           HTTP/1.1 200 Fine\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nTrailer: t\r\n\r\n\
           HTTP/1.0 204 None\r\n\r\n",
     );
-    let Parsed::Whole(first) = message::response(&mut ring, &BOUNDS) else { panic!("the first") };
+    let Parsed::Whole(first) = http1::response(&mut ring, &BOUNDS) else { panic!("the first") };
     let headers = vec![("Transfer-Encoding".to_string(), b"chunked".to_vec())];
     let (reason, body) = ("Fine".to_string(), b"abcd".to_vec());
     assert_eq!(first, Response { status: 200, reason, headers, body, close: false });
-    let Parsed::Whole(second) = message::response(&mut ring, &BOUNDS) else { panic!("the second") };
+    let Parsed::Whole(second) = http1::response(&mut ring, &BOUNDS) else { panic!("the second") };
     assert!(second.status == 204 && second.close, "HTTP/1.0 closes");
     assert!(ring.is_empty());
 }
@@ -178,7 +178,7 @@
         "HTTP/1.1 101 Upgrade\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n",
     ] {
-        assert!(matches!(message::response(&mut ring(text.as_bytes()), &BOUNDS), Parsed::Bad(502)), "{text}");
+        assert!(matches!(http1::response(&mut ring(text.as_bytes()), &BOUNDS), Parsed::Bad(502)), "{text}");
     }
 }
 
@@ -187,12 +187,9 @@
     let headers = vec![("Connection".to_string(), b"close, X-Own".to_vec())];
     let always = "connection keep-alive te trailer transfer-encoding upgrade proxy-connection content-length expect x-own";
     for name in always.split(' ') {
-        assert!(
-            message::one_hop(&headers, name) && message::one_hop(&headers, &name.to_uppercase()),
-            "{name}"
-        );
+        assert!(http1::one_hop(&headers, name) && http1::one_hop(&headers, &name.to_uppercase()), "{name}");
     }
-    assert!(!message::one_hop(&headers, "Host") && !message::one_hop(&Vec::new(), "X-Own"));
+    assert!(!http1::one_hop(&headers, "Host") && !http1::one_hop(&Vec::new(), "X-Own"));
 }
 
 /// A server's address, and everything that it is sent on its connections, one after another; it answers each with the
@@ -269,7 +266,7 @@
     };
     let terms = Terms { stack: 128 << 10, bounds: BOUNDS, idle: PATIENCE, workers: PATIENCE };
     let at = |port| SocketAddrV4::new(Ipv4Addr::new(127, 0, 8, 1), port);
-    let port = (20_000..30_000).find(|port| reception::open(at(*port), terms.clone(), serve).is_ok());
+    let port = (20_000..30_000).find(|port| http_server::open(at(*port), terms.clone(), serve).is_ok());
     let address = at(port.expect("a port is free"));
     let calls = [
         (
--- a/crates/aspendrum-proxy/src/answer.rs
+++ b/crates/aspendrum-proxy/src/answer.rs
@@ -2,7 +2,7 @@
 
 use crate::wire;
 use aspendrum_core::api::Ms;
-use aspendrum_net::message::Response;
+use aspendrum_net::http1::Response;
 
 /// Whether a connection ends behind an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/aspendrum-proxy/src/departures.rs
+++ b/crates/aspendrum-proxy/src/departures.rs
@@ -3,7 +3,7 @@
 use crate::door::Client;
 use crate::Shop;
 use aspendrum_core::api::QueryId;
-use aspendrum_net::departure_figures::BOUND;
+use aspendrum_net::disconnect_metrics::BOUND;
 use aspendrum_net::forward::{Kind, Progress, Stage};
 use std::time::Duration;
 
--- a/crates/aspendrum-proxy/src/door.rs
+++ b/crates/aspendrum-proxy/src/door.rs
@@ -3,10 +3,10 @@
 
 use crate::query;
 use crate::Shop;
-use aspendrum_net::departures::Presence;
-use aspendrum_net::message::{self, Bounds, Parsed};
+use aspendrum_net::disconnects::Presence;
+use aspendrum_net::http1::{self, Bounds, Parsed};
 use aspendrum_net::pool::linger;
-use aspendrum_net::ring::{waited, Ring};
+use aspendrum_net::ring_buffer::{waited, Ring};
 use aspendrum_net::workers::lock;
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -119,7 +119,7 @@
         let caps = view.config.caps;
         let bounds = Bounds { head: caps.hdr_bytes as usize, body: caps.body_bytes as usize };
         let ring = ring.get_or_insert_with(|| Ring::new(RING, bounds.head + bounds.body + 1024));
-        match message::request(ring, &bounds) {
+        match http1::request(ring, &bounds) {
             Parsed::Whole(request) => {
                 client.busy.store(true, Ordering::Release);
                 begun = None;
@@ -139,7 +139,7 @@
                 }
             }
             Parsed::Bad(status) => {
-                let bytes = message::answer(status, &[], true, b"");
+                let bytes = http1::answer(status, &[], true, b"");
                 let _ = (&**stream).write_all(&bytes);
                 return linger(stream, LINGER, LINGER_BYTES);
             }
@@ -160,7 +160,7 @@
                     }
                     Err(e) if waited(&e) && idle => return,
                     Err(e) if waited(&e) => {
-                        let bytes = message::answer(408, &[], true, b"");
+                        let bytes = http1::answer(408, &[], true, b"");
                         let _ = (&**stream).write_all(&bytes);
                         return linger(stream, LINGER, LINGER_BYTES);
                     }
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -18,11 +18,11 @@
 use aspendrum_model::news::{Edition, Readiness};
 use aspendrum_model::settings::{Settings, VARIABLE};
 use aspendrum_net::daemon::Told;
-use aspendrum_net::departure_figures::{DepartureFigures, Report};
-use aspendrum_net::departures::Watch;
-use aspendrum_net::message::Bounds;
+use aspendrum_net::disconnect_metrics::{DepartureFigures, Report};
+use aspendrum_net::disconnects::Watch;
+use aspendrum_net::http1::Bounds;
+use aspendrum_net::http_server::{self, Reply, Terms};
 use aspendrum_net::pool::{Lines, Pool};
-use aspendrum_net::reception::{self, Reply, Terms};
 use aspendrum_net::workers::{lock, spawn, WorkerPool};
 use aspendrum_reconcile::{Standing, Word};
 use desk::{Desk, BEAT_MS};
@@ -198,19 +198,19 @@
     let shop = Arc::new(Shop::new(&settings, socket));
     if let Some(at) = settings.readyz {
         let own = shop.clone();
-        let serve = move |request: aspendrum_net::message::Request| match request.path.as_str() {
+        let serve = move |request: aspendrum_net::http1::Request| match request.path.as_str() {
             "/api/readyz" => Reply::plain(if own.ready() { 200 } else { 503 }),
             _ => Reply::plain(404),
         };
-        reception::open(at, terms(), serve).map_err(failed("readyz"))?;
+        http_server::open(at, terms(), serve).map_err(failed("readyz"))?;
     }
     let own = shop.clone();
-    let figures = move |request: aspendrum_net::message::Request| match request.path.as_str() {
+    let figures = move |request: aspendrum_net::http1::Request| match request.path.as_str() {
         "/metrics" => Reply::text(own.departures.text()),
         _ => Reply::plain(404),
     };
     let at = SocketAddrV4::new(settings.ip, settings.metrics_port());
-    if let Err(e) = reception::open(at, terms(), figures) {
+    if let Err(e) = http_server::open(at, terms(), figures) {
         // Requests are served without anybody looking on.
         log::warn!("event=metrics_not_bound at={at} why=\"{e}\"");
     }
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -9,8 +9,8 @@
 use crate::Shop;
 use aspendrum_core::api::{Load, Ms, Outcome, QueryId, ServerId};
 use aspendrum_net::forward::{ForwardHandle, Kind, Stage};
+use aspendrum_net::http1::{self, Bounds, Request, Response};
 use aspendrum_net::mailbox;
-use aspendrum_net::message::{self, Bounds, Request, Response};
 use aspendrum_net::pool::Conn;
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -292,7 +292,7 @@
         conn.send()?;
         self.forward.reach(forward, Stage::AtServer);
         for _ in 0..=STRANGERS {
-            let got = conn.receive(until, shop.pool.lines(), |ring| message::response(ring, &SERVER_BOUNDS));
+            let got = conn.receive(until, shop.pool.lines(), |ring| http1::response(ring, &SERVER_BOUNDS));
             let response = match got {
                 Ok(response) => response,
                 Err(outcome) => {
@@ -334,8 +334,7 @@
         let mut conn = shop.pool.take(server, shop.connect_wait, Duration::MAX, |_| true)?;
         conn.outward.put(&wire::probe(&path, &addr.to_string()));
         conn.send()?;
-        let answer =
-            conn.receive(until, shop.pool.lines(), |ring| message::response(ring, &SERVER_BOUNDS))?;
+        let answer = conn.receive(until, shop.pool.lines(), |ring| http1::response(ring, &SERVER_BOUNDS))?;
         let (load, left) = (wire::load(&answer), wire::warm_left(&answer));
         let well = answer.status == 200 && wire::server(&answer) == Some(uid.as_str());
         if !answer.close {
--- a/crates/aspendrum-proxy/src/wire.rs
+++ b/crates/aspendrum-proxy/src/wire.rs
@@ -2,7 +2,7 @@
 //! name stands anywhere else.
 
 use aspendrum_core::api::Load;
-use aspendrum_net::message::{answer, has, one_hop, only, reason, Request, Response};
+use aspendrum_net::http1::{answer, has, one_hop, only, reason, Request, Response};
 use std::io::Write;
 
 const TRY: &str = "Try-Id";
--- a/crates/aspendrum-proxy/tests/departures.rs
+++ b/crates/aspendrum-proxy/tests/departures.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use aspendrum_net::message::{request, Parsed, Request};
-use aspendrum_net::ring::Ring;
+use aspendrum_net::http1::{request, Parsed, Request};
+use aspendrum_net::ring_buffer::Ring;
 use aspendrum_proxy::{door, Shop};
 use common::{proxy, BOUNDS, CONFIG, READ, SEND};
 use socket2::SockRef;
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -5,8 +5,8 @@
 
 use aspendrum_core::api::Load;
 use aspendrum_net::forward::{Kind, Stage as ForwardStage};
-use aspendrum_net::message::{request, response, Parsed, Request, Response};
-use aspendrum_net::ring::Ring;
+use aspendrum_net::http1::{request, response, Parsed, Request, Response};
+use aspendrum_net::ring_buffer::Ring;
 use aspendrum_proxy::answer::{Answer, Then};
 use aspendrum_proxy::wire::{self, Taken};
 use aspendrum_proxy::{door, query};
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -8,7 +8,7 @@
 use crate::mailbox::{self, MailboxSender};
 use crate::notes::{Door, Note};
 use crate::resp::{self, Parsed, Reply};
-use crate::ring::Ring;
+use crate::ring_buffer::Ring;
 use crate::workers::{lock, spawn};
 use aspendrum_core::api::{Event, Ms, Outcome};
 use std::collections::VecDeque;
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -3,12 +3,12 @@
 
 use crate::limits::{Limits, HEADERS};
 use crate::pool::Conn;
-use crate::ring::Ring;
+use crate::ring_buffer::Ring;
 use crate::Shop;
 use aspendrum_core::api::{Load, LoadValue, Ms, Outcome, Semantics};
 use aspendrum_core::settings::MS;
-pub use aspendrum_net::message::Parsed;
-use aspendrum_net::message::{chunks, closes, header, length, raw, Length};
+pub use aspendrum_net::http1::Parsed;
+use aspendrum_net::http1::{chunks, closes, header, length, raw, Length};
 use std::collections::HashMap;
 use std::io::Write;
 use std::time::Instant;
--- a/crates/aspendrum/src/lib.rs
+++ b/crates/aspendrum/src/lib.rs
@@ -19,10 +19,10 @@
 pub mod shutdown;
 
 use aspendrum_core::api::ListKind;
-use aspendrum_net::departure_figures::DepartureFigures;
-use aspendrum_net::departures::Watch;
+use aspendrum_net::disconnect_metrics::DepartureFigures;
+use aspendrum_net::disconnects::Watch;
 pub(crate) use aspendrum_net::workers;
-pub use aspendrum_net::{mailbox, pool, ring};
+pub use aspendrum_net::{mailbox, pool, ring_buffer};
 use backoff::Backoff;
 use clients::Clients;
 use clock::Clock;
--- a/crates/aspendrum/src/resp.rs
+++ b/crates/aspendrum/src/resp.rs
@@ -1,6 +1,6 @@
 //! The counter's protocol, RESP2: calls out, replies in.
 
-use crate::ring::Ring;
+use crate::ring_buffer::Ring;
 use aspendrum_core::api::Ms;
 use std::io::Write;
 
--- a/crates/aspendrum/tests/suite/pieces.rs
+++ b/crates/aspendrum/tests/suite/pieces.rs
@@ -10,7 +10,7 @@
 use aspendrum::mailbox::{self, MailboxReceiver};
 use aspendrum::notes::{Door, Note};
 use aspendrum::resp::{self, Parsed, Reply};
-use aspendrum::ring::Ring;
+use aspendrum::ring_buffer::Ring;
 use aspendrum::roster::{Names, Roster};
 use aspendrum_core::api::{Event, Health, LoadValue, Outcome};
 use aspendrum_net::forward::{ForwardHandle, Kind};
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -13,7 +13,7 @@
 use aspendrum::notes::{Door, Note};
 use aspendrum::peers::Peers;
 use aspendrum::resp::{self, Parsed, Reply};
-use aspendrum::ring::Ring;
+use aspendrum::ring_buffer::Ring;
 use aspendrum::roster::{Names, Roster};
 use aspendrum_core::api::{Health, Load, LoadValue, Semantics};
 use serde_json::{json, Value};
