--- a/crates/aspendrum-agent/src/main.rs
+++ b/crates/aspendrum-agent/src/main.rs
@@ -8,7 +8,7 @@
 mod proxy;
 
 use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::{self, Told};
+use aspendrum_net::daemon::{self, ProcessSignals};
 use aspendrum_net::mailbox;
 use aspendrum_net::workers::spawn;
 use crossbeam_channel::bounded;
@@ -27,7 +27,7 @@
     daemon::run("aspendrum-agent", about, || Settings::load().map(|s| s.host), serve)
 }
 
-fn serve(told: Told) -> Result<(), String> {
+fn serve(told: ProcessSignals) -> Result<(), String> {
     let settings = Settings::load()?;
     let failed = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
     let (give, take) = bounded::<Desk>(1);
--- a/crates/aspendrum-capacity/src/hollow/mod.rs
+++ b/crates/aspendrum-capacity/src/hollow/mod.rs
@@ -10,8 +10,8 @@
 use crate::sizes::{self, Size};
 use agent::{Agent, Counts, BEATS};
 use aspendrum_model::config::Config;
-use aspendrum_net::http1::Bounds;
-use aspendrum_net::http_client::Caller;
+use aspendrum_net::http1::MessageLimits;
+use aspendrum_net::http_client::HttpClient;
 use bpaf::Bpaf;
 use fleet::{ctl, dir, Fleet};
 use platform::Platform;
@@ -74,7 +74,7 @@
 const LOOK: Duration = Duration::from_millis(2);
 /// Threads of control that are let be: the machine has 32,768 for all that runs on it.
 const THREADS: u64 = 10_000;
-const BOUNDS: Bounds = Bounds { head: 8 << 10, body: 32 << 20 };
+const BOUNDS: MessageLimits = MessageLimits { head: 8 << 10, body: 32 << 20 };
 
 pub fn play(plan: &Plan) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().worker_threads(2).build();
@@ -231,8 +231,12 @@
             let at = ctl((calls + self.version as usize) % self.plan.controls);
             calls += 1;
             let sent = Instant::now();
-            let answer =
-                Caller::new(at, BOUNDS).call("POST", "/api/Cfg.Set", text.as_bytes(), Duration::from_secs(3));
+            let answer = HttpClient::new(at, BOUNDS).call(
+                "POST",
+                "/api/Cfg.Set",
+                text.as_bytes(),
+                Duration::from_secs(3),
+            );
             if answer.is_ok_and(|a| a.status == 200) {
                 return Some((begun.elapsed().as_secs_f64(), sent.elapsed().as_secs_f64(), calls));
             }
@@ -339,7 +343,7 @@
 
     fn look_ups(&self) {
         let before = self.snapshot();
-        let (mut took, mut ok, mut caller) = (Vec::new(), 0, Caller::new(dir(0), BOUNDS));
+        let (mut took, mut ok, mut caller) = (Vec::new(), 0, HttpClient::new(dir(0), BOUNDS));
         for n in 0..500 {
             let path = format!("/api/lookup?name=a.example&geo={}&az={}", sizes::region(n), sizes::zone(n));
             let asked = Instant::now();
--- a/crates/aspendrum-capacity/src/hollow/platform.rs
+++ b/crates/aspendrum-capacity/src/hollow/platform.rs
@@ -4,8 +4,8 @@
 use crate::cores::PAGE;
 use crate::sizes::page;
 use aspendrum_model::servers::Server;
-use aspendrum_net::http1::{Bounds, Request};
-use aspendrum_net::http_server::{self, Reply, Terms};
+use aspendrum_net::http1::{MessageLimits, Request};
+use aspendrum_net::http_server::{self, Reply, ServerOptions};
 use aspendrum_net::path_matcher::argument;
 use aspendrum_net::workers::lock;
 use std::net::SocketAddrV4;
@@ -41,10 +41,10 @@
         let left = Mutex::new((rate, Instant::now()));
         let (pages, servers) = (Mutex::new(pages(&servers)), Mutex::new(servers));
         let own = Arc::new(Platform { pages, servers, left, rate, slow, calls, refused, bytes, lists });
-        let (bounds, idle) = (Bounds { head: 8 << 10, body: 1 << 10 }, Duration::from_secs(10));
+        let (bounds, idle) = (MessageLimits { head: 8 << 10, body: 1 << 10 }, Duration::from_secs(10));
         let serving = own.clone();
-        let terms = Terms { stack: 128 << 10, bounds, idle, workers: idle };
-        http_server::open(at, terms, move |request| serving.answer(&request))?;
+        let terms = ServerOptions { stack: 128 << 10, bounds, idle, workers: idle };
+        http_server::listen(at, terms, move |request| serving.answer(&request))?;
         Ok(own)
     }
 
--- a/crates/aspendrum-capacity/src/hollow/traffic.rs
+++ b/crates/aspendrum-capacity/src/hollow/traffic.rs
@@ -4,8 +4,8 @@
 use crate::measure::{Line, Samples};
 use crate::sizes::SERVERS_PORT;
 use aspendrum_model::config::Config;
-use aspendrum_net::http1::{self, answer, only, Bounds, Parsed};
-use aspendrum_net::ring_buffer::Ring;
+use aspendrum_net::http1::{self, answer, only, MessageLimits, Parsed};
+use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_net::workers::{lock, spawn};
 use std::io::{self, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 const STACK: usize = 128 << 10;
-const BOUNDS: Bounds = Bounds { head: 8 << 10, body: 1 << 20 };
+const BOUNDS: MessageLimits = MessageLimits { head: 8 << 10, body: 1 << 20 };
 const WAIT: Duration = Duration::from_secs(2);
 const BODY: [u8; 1500] = [b'x'; 1500];
 /// Clients, each with a connection that it keeps.
@@ -41,15 +41,15 @@
 
 fn attend(stream: &TcpStream) {
     let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(Duration::from_secs(20))));
-    let mut ring = Ring::new(1 << 10, 1 << 20);
+    let mut ring = RingBuffer::new(1 << 10, 1 << 20);
     loop {
         match http1::request(&mut ring, &BOUNDS) {
-            Parsed::More => match ring.fill(&mut &*stream) {
+            Parsed::Incomplete => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => {}
                 _ => return,
             },
-            Parsed::Bad(_) => return,
-            Parsed::Whole(asked) => {
+            Parsed::Invalid(_) => return,
+            Parsed::Complete(asked) => {
                 let id = only(&asked.headers, "Try-Id").unwrap_or("");
                 let headers = [("Try-Id", id), ("Seal", "hollow"), ("Server-Load", "0,0,2")];
                 if (&*stream).write_all(&answer(200, &headers, false, &BODY)).is_err() {
@@ -61,7 +61,7 @@
 }
 
 /// One kept connection of a client.
-struct Client(Option<(TcpStream, Ring)>);
+struct Client(Option<(TcpStream, RingBuffer)>);
 
 impl Client {
     /// The status of the answer, if one came.
@@ -71,18 +71,18 @@
             None => {
                 let stream = TcpStream::connect_timeout(&to, WAIT).ok()?;
                 stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(WAIT))).ok()?;
-                (stream, Ring::new(4 << 10, 1 << 20))
+                (stream, RingBuffer::new(4 << 10, 1 << 20))
             }
         };
         (&stream).write_all(request).ok()?;
         loop {
             match http1::response(&mut ring, &BOUNDS) {
-                Parsed::More => match ring.fill(&mut &stream) {
+                Parsed::Incomplete => match ring.fill(&mut &stream) {
                     Ok(n) if n > 0 => {}
                     _ => return None,
                 },
-                Parsed::Bad(_) => return None,
-                Parsed::Whole(got) => {
+                Parsed::Invalid(_) => return None,
+                Parsed::Complete(got) => {
                     self.0 = (!got.close).then_some((stream, ring));
                     return Some(got.status);
                 }
--- a/crates/aspendrum-client/src/control.rs
+++ b/crates/aspendrum-client/src/control.rs
@@ -1,13 +1,13 @@
 //! Calls to control: to one machine after another until one answers.
 
-use aspendrum_net::http1::Bounds;
-use aspendrum_net::http_client::Caller;
+use aspendrum_net::http1::MessageLimits;
+use aspendrum_net::http_client::HttpClient;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::{Duration, Instant};
 
-const BOUNDS: Bounds = Bounds { head: 16 << 10, body: 64 << 20 };
+const BOUNDS: MessageLimits = MessageLimits { head: 16 << 10, body: 64 << 20 };
 /// A machine without a majority says so within a second; a large configuration takes longer on its way.
 const CALL: Duration = Duration::from_millis(1500);
 /// An order that nobody can acknowledge is given up then; it may come to be held all the same.
@@ -27,7 +27,7 @@
         let (begun, mut last) = (Instant::now(), String::new());
         while begun.elapsed() < ORDER {
             for at in &self.at {
-                match Caller::new(*at, BOUNDS).call(method, path, body, CALL) {
+                match HttpClient::new(*at, BOUNDS).call(method, path, body, CALL) {
                     Ok(answer) if answer.status < 500 && answer.status != 429 && answer.status != 408 => {
                         return Ok((answer.status, String::from_utf8_lossy(&answer.body).into_owned()));
                     }
@@ -52,7 +52,7 @@
 
     fn ask(at: SocketAddrV4, path: &str) -> Result<Value, String> {
         let answer =
-            Caller::new(at, BOUNDS).call("GET", path, b"", CALL).map_err(|e| format!("{at}: {e}"))?;
+            HttpClient::new(at, BOUNDS).call("GET", path, b"", CALL).map_err(|e| format!("{at}: {e}"))?;
         match answer.status {
             200 => serde_json::from_slice(&answer.body).map_err(|e| format!("{at}: {e}")),
             status => Err(format!("{at} answered {status}")),
--- a/crates/aspendrum-client/tests/transcripts.rs
+++ b/crates/aspendrum-client/tests/transcripts.rs
@@ -1,7 +1,7 @@
 //! What an operator types and what comes back, against a stand-in for control that knows two machines of it.
 
-use aspendrum_net::http1::{Bounds, Request};
-use aspendrum_net::http_server::{open, Reply, Terms};
+use aspendrum_net::http1::{MessageLimits, Request};
+use aspendrum_net::http_server::{listen, Reply, ServerOptions};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -44,16 +44,16 @@
 
 /// Both machines, at ports that are alike.
 fn control() -> u16 {
-    let terms = Terms {
+    let terms = ServerOptions {
         stack: 128 << 10,
-        bounds: Bounds { head: 8 << 10, body: 1 << 20 },
+        bounds: MessageLimits { head: 8 << 10, body: 1 << 20 },
         idle: Duration::from_secs(5),
         workers: Duration::from_secs(1),
     };
     let port = (20_000..30_000).find(|port| {
         let at = |n: u8| SocketAddrV4::new(Ipv4Addr::new(127, 0, 7, n), *port);
-        open(at(1), terms.clone(), |r| answer(0, &r)).is_ok()
-            && open(at(2), terms.clone(), |r| answer(1, &r)).is_ok()
+        listen(at(1), terms.clone(), |r| answer(0, &r)).is_ok()
+            && listen(at(2), terms.clone(), |r| answer(1, &r)).is_ok()
     });
     port.expect("a port is free")
 }
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -18,10 +18,10 @@
 
 use aspendrum_consensus::Replica;
 use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::{self, Told};
-use aspendrum_net::http1::Bounds;
-use aspendrum_net::http_client::Caller;
-use aspendrum_net::http_server::{self, Terms};
+use aspendrum_net::daemon::{self, ProcessSignals};
+use aspendrum_net::http1::MessageLimits;
+use aspendrum_net::http_client::HttpClient;
+use aspendrum_net::http_server::{self, ServerOptions};
 use aspendrum_net::mailbox::{self, MailboxSender};
 use aspendrum_net::workers::spawn;
 use crossbeam_channel::{bounded, Receiver};
@@ -45,8 +45,8 @@
 /// Signs of life are missed for so long before a connection counts as gone.
 const PEER_SILENT: Duration = Duration::from_millis(1600);
 /// A configuration of thousands of routes takes a few megabytes.
-const ORDERS: Bounds = Bounds { head: 16 << 10, body: 16 << 20 };
-const LOOK_UPS: Bounds = Bounds { head: 16 << 10, body: 1 << 10 };
+const ORDERS: MessageLimits = MessageLimits { head: 16 << 10, body: 16 << 20 };
+const LOOK_UPS: MessageLimits = MessageLimits { head: 16 << 10, body: 1 << 10 };
 
 /// Does what the command line says.
 pub fn main() -> ExitCode {
@@ -58,7 +58,7 @@
     move |e| format!("{what}: {e}")
 }
 
-fn serve(told: Told) -> Result<(), String> {
+fn serve(told: ProcessSignals) -> Result<(), String> {
     let settings = Settings::load()?;
     let begun = Instant::now();
     let directory = Arc::new(RwLock::new(Directory::new(0.0, &settings.zones)));
@@ -133,8 +133,8 @@
     let mut platform = None;
     while let Ok(addr) = polls.recv() {
         let asked = Instant::now();
-        let known = platform.take().filter(|p: &Caller| p.to() == addr);
-        let mut caller = known.unwrap_or_else(|| Caller::new(addr, platform::BOUNDS));
+        let known = platform.take().filter(|p: &HttpClient| p.to() == addr);
+        let mut caller = known.unwrap_or_else(|| HttpClient::new(addr, platform::BOUNDS));
         let list = platform::list(&mut caller);
         platform = list.is_ok().then_some(caller);
         events.send(Event::Polled { asked, list }, None);
@@ -148,7 +148,7 @@
     events: &Arc<MailboxSender<Event>>,
     begun: Instant,
 ) -> Result<(), String> {
-    let terms = |stack, bounds| Terms {
+    let terms = |stack, bounds| ServerOptions {
         stack,
         bounds,
         idle: Duration::from_secs(10),
@@ -158,7 +158,7 @@
         let orders = api::Orders { events: events.clone(), zones: settings.zones.clone() };
         let tree = api::orders();
         let serve = move |request| orders.answer(&tree, &request);
-        http_server::open(ctl, terms(ORDERS_STACK, ORDERS), serve).map_err(failed("ctl"))?;
+        http_server::listen(ctl, terms(ORDERS_STACK, ORDERS), serve).map_err(failed("ctl"))?;
     }
     if let Some(dir) = settings.dir {
         // As long as the terms let it count: a query waits for each look-up, and clients pass over addresses
@@ -166,7 +166,7 @@
         let (tree, ttl, directory) = (api::look_ups(), settings.ttl_max_s, directory.clone());
         let now = move || begun.elapsed().as_secs_f64() * 1000.0;
         let serve = move |request| api::look_up(&directory, &tree, &request, now(), ttl);
-        http_server::open(dir, terms(STACK, LOOK_UPS), serve).map_err(failed("dir"))?;
+        http_server::listen(dir, terms(STACK, LOOK_UPS), serve).map_err(failed("dir"))?;
     }
     Ok(())
 }
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -1,16 +1,16 @@
 //! Reads the platform's list of servers, page after page.
 
 use aspendrum_model::servers::{self, Server};
-use aspendrum_net::http1::Bounds;
-use aspendrum_net::http_client::Caller;
+use aspendrum_net::http1::MessageLimits;
+use aspendrum_net::http_client::HttpClient;
 use std::time::{Duration, Instant};
 
-pub const BOUNDS: Bounds = Bounds { head: 8 << 10, body: 4 << 20 };
+pub const BOUNDS: MessageLimits = MessageLimits { head: 8 << 10, body: 4 << 20 };
 /// For a whole list: a page is answered in a round trip, and a list that takes longer is read anew.
 const WAIT: Duration = Duration::from_millis(1500);
 
 /// The whole list, or why there is none.
-pub fn list(platform: &mut Caller) -> Result<Vec<Server>, String> {
+pub fn list(platform: &mut HttpClient) -> Result<Vec<Server>, String> {
     let until = Instant::now() + WAIT;
     let (mut all, mut token) = (Vec::new(), None::<String>);
     loop {
--- a/crates/aspendrum-net/src/daemon.rs
+++ b/crates/aspendrum-net/src/daemon.rs
@@ -14,7 +14,7 @@
 /// The command line of each program of the system.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
-enum Line {
+enum Command {
     /// Runs in the foreground until SIGTERM; SIGHUP reads the settings again
     #[bpaf(command)]
     Serve,
@@ -25,7 +25,7 @@
 
 /// What the platform or an operator wants.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Wanted {
+enum Request {
     End,
     Reload,
 }
@@ -35,14 +35,14 @@
     program: &str,
     about: &'static str,
     check: fn() -> Result<String, String>,
-    serve: fn(Told) -> Result<(), String>,
+    serve: fn(ProcessSignals) -> Result<(), String>,
 ) -> ExitCode {
     // Before anything else: a signal that nobody has asked for ends the program with all that it holds.
-    let told = Told::expect();
-    let line = line().descr(about).run();
+    let told = ProcessSignals::expect();
+    let line = command().descr(about).run();
     let done = log(LevelFilter::Info).and_then(|()| match line {
-        Line::Serve => serve(told.map_err(|e| format!("signals: {e}"))?),
-        Line::CheckSettings => check().map(|host| println!("{host}: well-formed")),
+        Command::Serve => serve(told.map_err(|e| format!("signals: {e}"))?),
+        Command::CheckSettings => check().map(|host| println!("{host}: well-formed")),
     });
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -54,11 +54,11 @@
 }
 
 /// The signals, expected from the process' start on.
-pub struct Told(Signals);
+pub struct ProcessSignals(Signals);
 
-impl Told {
-    fn expect() -> std::io::Result<Told> {
-        Signals::new([SIGTERM, SIGINT, SIGHUP]).map(Told)
+impl ProcessSignals {
+    fn expect() -> std::io::Result<ProcessSignals> {
+        Signals::new([SIGTERM, SIGINT, SIGHUP]).map(ProcessSignals)
     }
 
     /// Returns when the process is to end. `reload` is called when the settings in that file may have changed: an error
@@ -74,7 +74,7 @@
             let _ = tell.send(w);
         };
         watch(self.0, file, SETTINGS_EVERY, told).map_err(|e| format!("signals: {e}"))?;
-        while let Ok(Wanted::Reload) = wanted.recv() {
+        while let Ok(Request::Reload) = wanted.recv() {
             if let Err(why) = reload() {
                 log::error!("event=settings_not_read why=\"{why}\"");
             }
@@ -101,12 +101,12 @@
     mut signals: Signals,
     file: String,
     every: Duration,
-    told: impl Fn(Wanted) + Send + Sync + Clone + 'static,
+    told: impl Fn(Request) + Send + Sync + Clone + 'static,
 ) -> std::io::Result<()> {
     let own = told.clone();
     spawn("signals", 64 << 10, move || {
         for signal in signals.forever() {
-            own(if signal == SIGHUP { Wanted::Reload } else { Wanted::End });
+            own(if signal == SIGHUP { Request::Reload } else { Request::End });
         }
     })?;
     spawn("settings", 64 << 10, move || {
@@ -116,7 +116,7 @@
             let now = changed(&file);
             if now != last {
                 last = now;
-                told(Wanted::Reload);
+                told(Request::Reload);
             }
         }
     })?;
--- a/crates/aspendrum-net/src/disconnect_metrics.rs
+++ b/crates/aspendrum-net/src/disconnect_metrics.rs
@@ -26,7 +26,7 @@
 
 /// All of one process.
 #[derive(Default)]
-pub struct DepartureFigures {
+pub struct DisconnectMetrics {
     heard: Counters,
     overdue: Counters,
     /// Broken off in time, and their servers have not dropped them by [`BOUND`].
@@ -34,7 +34,7 @@
     sent_late: [AtomicU64; KINDS.len()],
 }
 
-impl DepartureFigures {
+impl DisconnectMetrics {
     /// A client has left while its request was at that stage.
     pub fn heard(&self, kind: Kind, stage: Stage) {
         self.heard[kind as usize][stage as usize].fetch_add(1, Relaxed);
@@ -110,7 +110,7 @@
 
 impl Report {
     /// The line, where there is something new and the last one is long enough ago.
-    pub fn line(&mut self, figures: &DepartureFigures) -> Option<String> {
+    pub fn line(&mut self, figures: &DisconnectMetrics) -> Option<String> {
         let (departures, violations) = (figures.departures(), figures.violations());
         let news = departures > self.departures || violations > self.violations;
         if !news || self.told_at.is_some_and(|at| at.elapsed() < REPORT_EVERY) {
--- a/crates/aspendrum-net/src/disconnects.rs
+++ b/crates/aspendrum-net/src/disconnects.rs
@@ -25,7 +25,7 @@
 const NONE: u64 = 0;
 
 /// One connection of a client, and the request on it that is in hand.
-pub struct Presence {
+pub struct ClientConnection {
     stream: Arc<TcpStream>,
     /// The number of the request in hand, and when it was read by the watch's clock.
     request: AtomicU64,
@@ -37,15 +37,15 @@
     overdue: AtomicBool,
 }
 
-impl Presence {
-    pub fn new(stream: Arc<TcpStream>) -> Presence {
+impl ClientConnection {
+    pub fn new(stream: Arc<TcpStream>) -> ClientConnection {
         let [request, since, left_at] = [NONE; 3].map(AtomicU64::new);
         let [ended_here, overdue] = [false; 2].map(AtomicBool::new);
-        Presence { stream, request, since, left_at, ended_here, overdue }
+        ClientConnection { stream, request, since, left_at, ended_here, overdue }
     }
 
     /// A request is in hand, under a number that is not 0. False: its client has left, and nothing may be sent on for it.
-    pub fn begin(&self, request: u64, watch: &Watch) -> bool {
+    pub fn begin(&self, request: u64, watch: &DisconnectWatcher) -> bool {
         self.since.store(watch.clock(), Ordering::Relaxed);
         self.request.store(request, Ordering::SeqCst);
         if watch.is_behind() && self.has_hung_up() {
@@ -70,7 +70,7 @@
     }
 
     /// How long ago the client's close was heard.
-    pub fn left_for(&self, watch: &Watch) -> Option<Duration> {
+    pub fn left_for(&self, watch: &DisconnectWatcher) -> Option<Duration> {
         let at = self.left_at.load(Ordering::SeqCst);
         (at != NONE).then(|| Duration::from_millis(watch.clock().saturating_sub(at)))
     }
@@ -90,7 +90,7 @@
         let _ = self.stream.shutdown(Shutdown::Read);
     }
 
-    fn leave(&self, watch: &Watch) -> bool {
+    fn leave(&self, watch: &DisconnectWatcher) -> bool {
         self.left_at.compare_exchange(NONE, watch.clock(), Ordering::SeqCst, Ordering::SeqCst).is_ok()
     }
 
@@ -113,7 +113,7 @@
 }
 
 /// The clock and the looks of one process.
-pub struct Watch {
+pub struct DisconnectWatcher {
     begun: Instant,
     looked_at: AtomicU64,
     behind_until: AtomicU64,
@@ -121,16 +121,21 @@
     late: AtomicBool,
 }
 
-impl Default for Watch {
-    fn default() -> Watch {
+impl Default for DisconnectWatcher {
+    fn default() -> DisconnectWatcher {
         let [looked_at, behind_until] = [0; 2].map(AtomicU64::new);
-        let watch = Watch { begun: Instant::now(), looked_at, behind_until, late: AtomicBool::new(false) };
+        let watch = DisconnectWatcher {
+            begun: Instant::now(),
+            looked_at,
+            behind_until,
+            late: AtomicBool::new(false),
+        };
         watch.looked_at.store(watch.clock(), Ordering::Relaxed);
         watch
     }
 }
 
-impl Watch {
+impl DisconnectWatcher {
     /// Milliseconds, never [`NONE`].
     fn clock(&self) -> u64 {
         self.begun.elapsed().as_millis() as u64 + 1
@@ -159,7 +164,7 @@
     }
 
     /// Looks after connections: those whose clients are found to have left, each once.
-    pub fn look<C: AsRef<Presence>>(&self, connections: &[Arc<C>]) -> Vec<Arc<C>> {
+    pub fn look<C: AsRef<ClientConnection>>(&self, connections: &[Arc<C>]) -> Vec<Arc<C>> {
         self.late.store(self.since_look() > LOOK_EVERY + LATE, Ordering::Relaxed);
         self.is_behind();
         let now = self.clock();
--- a/crates/aspendrum-net/src/http1.rs
+++ b/crates/aspendrum-net/src/http1.rs
@@ -1,16 +1,16 @@
 //! What all our HTTP/1.1 codecs share: the framing of bodies, headers, and whole messages (RFC 9112).
 
-use crate::ring_buffer::Ring;
+use crate::ring_buffer::RingBuffer;
 
 /// What stands in a buffer so far.
 pub enum Parsed<T> {
-    More,
-    Whole(T),
-    Bad(u16),
+    Incomplete,
+    Complete(T),
+    Invalid(u16),
 }
 
 /// How a body ends.
-pub enum Length {
+pub enum BodyLength {
     Known(usize),
     Chunked,
     Unknown,
@@ -18,30 +18,34 @@
 
 /// A message whose framing is in doubt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Doubt;
+pub struct FramingError;
 
 /// Two lengths, or a length beside chunks, are the door to smuggled queries.
-pub fn length(headers: &[httparse::Header]) -> Result<Length, Doubt> {
-    let mut found = Length::Unknown;
+pub fn length(headers: &[httparse::Header]) -> Result<BodyLength, FramingError> {
+    let mut found = BodyLength::Unknown;
     for h in headers {
         // Of the others none matters here: a good answer may bring a report that cannot be read.
         let known = h.name.eq_ignore_ascii_case("content-length");
         if !known && !h.name.eq_ignore_ascii_case("transfer-encoding") {
             continue;
         }
-        let value = std::str::from_utf8(h.value).map_err(|_| Doubt)?.trim();
+        let value = std::str::from_utf8(h.value).map_err(|_| FramingError)?.trim();
         let next = if known {
             let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-            Length::Known(if digits { value.parse().unwrap_or(usize::MAX) } else { return Err(Doubt) })
+            BodyLength::Known(if digits {
+                value.parse().unwrap_or(usize::MAX)
+            } else {
+                return Err(FramingError);
+            })
         } else if value.eq_ignore_ascii_case("chunked") {
-            Length::Chunked
+            BodyLength::Chunked
         } else {
-            return Err(Doubt);
+            return Err(FramingError);
         };
         match (&found, &next) {
-            (Length::Unknown, _) => found = next,
-            (Length::Known(a), Length::Known(b)) if a == b => {}
-            _ => return Err(Doubt),
+            (BodyLength::Unknown, _) => found = next,
+            (BodyLength::Known(a), BodyLength::Known(b)) if a == b => {}
+            _ => return Err(FramingError),
         }
     }
     Ok(found)
@@ -52,26 +56,26 @@
     loop {
         let (skip, size) = match httparse::parse_chunk_size(&bytes[at..]) {
             Ok(httparse::Status::Complete((skip, size))) => (skip, size),
-            Ok(httparse::Status::Partial) if bytes.len() - at < 64 => return Parsed::More,
-            _ => return Parsed::Bad(502),
+            Ok(httparse::Status::Partial) if bytes.len() - at < 64 => return Parsed::Incomplete,
+            _ => return Parsed::Invalid(502),
         };
         if size > (most - body.len()) as u64 {
-            return Parsed::Bad(502);
+            return Parsed::Invalid(502);
         }
         let (from, to) = (at + skip, at + skip + size as usize);
         if size == 0 {
             // Trailers are read over, up to the empty line.
             return match (bytes[from..].starts_with(b"\r\n"), find(&bytes[from..], b"\r\n\r\n")) {
-                (true, _) => Parsed::Whole((from + 2, body)),
-                (_, Some(end)) => Parsed::Whole((from + end + 4, body)),
-                _ => Parsed::More,
+                (true, _) => Parsed::Complete((from + 2, body)),
+                (_, Some(end)) => Parsed::Complete((from + end + 4, body)),
+                _ => Parsed::Incomplete,
             };
         }
         if bytes.len() < to + 2 {
-            return Parsed::More;
+            return Parsed::Incomplete;
         }
         if &bytes[to..to + 2] != b"\r\n" {
-            return Parsed::Bad(502);
+            return Parsed::Invalid(502);
         }
         body.extend_from_slice(&bytes[from..to]);
         at = to + 2;
@@ -101,7 +105,7 @@
 
 /// The most bytes that a message's head and its body may have.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct MessageLimits {
     pub head: usize,
     pub body: usize,
 }
@@ -168,38 +172,43 @@
 }
 
 /// The body behind a head of that many bytes, and how many bytes it takes up.
-fn body(bytes: &[u8], at: usize, length: Result<Length, Doubt>, most: usize) -> Parsed<(usize, Vec<u8>)> {
+fn body(
+    bytes: &[u8],
+    at: usize,
+    length: Result<BodyLength, FramingError>,
+    most: usize,
+) -> Parsed<(usize, Vec<u8>)> {
     match length {
-        Ok(Length::Known(n)) if n > most => Parsed::Bad(413),
-        Ok(Length::Known(n)) if bytes.len() < at + n => Parsed::More,
-        Ok(Length::Known(n)) => Parsed::Whole((at + n, bytes[at..at + n].to_vec())),
-        Ok(Length::Chunked) => match chunks(&bytes[at..], most) {
-            Parsed::Whole((size, body)) => Parsed::Whole((at + size, body)),
-            Parsed::More => Parsed::More,
-            Parsed::Bad(_) => Parsed::Bad(400),
+        Ok(BodyLength::Known(n)) if n > most => Parsed::Invalid(413),
+        Ok(BodyLength::Known(n)) if bytes.len() < at + n => Parsed::Incomplete,
+        Ok(BodyLength::Known(n)) => Parsed::Complete((at + n, bytes[at..at + n].to_vec())),
+        Ok(BodyLength::Chunked) => match chunks(&bytes[at..], most) {
+            Parsed::Complete((size, body)) => Parsed::Complete((at + size, body)),
+            Parsed::Incomplete => Parsed::Incomplete,
+            Parsed::Invalid(_) => Parsed::Invalid(400),
         },
-        Ok(Length::Unknown) => Parsed::Whole((at, Vec::new())),
-        Err(Doubt) => Parsed::Bad(400),
+        Ok(BodyLength::Unknown) => Parsed::Complete((at, Vec::new())),
+        Err(Doubt) => Parsed::Invalid(400),
     }
 }
 
 /// Takes one request off the ring once it is whole. `Bad`: the status that its sender is told.
-pub fn request(ring: &mut Ring, bounds: &Bounds) -> Parsed<Request> {
+pub fn request(ring: &mut RingBuffer, bounds: &MessageLimits) -> Parsed<Request> {
     let mut space = [httparse::EMPTY_HEADER; HEADERS];
     let mut head = httparse::Request::new(&mut space);
     let bytes = ring.whole();
     let at = match head.parse(bytes) {
         Ok(httparse::Status::Complete(at)) if at <= bounds.head => at,
-        Ok(httparse::Status::Partial) if bytes.len() < bounds.head => return Parsed::More,
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Parsed::Bad(431),
-        Err(_) => return Parsed::Bad(400),
+        Ok(httparse::Status::Partial) if bytes.len() < bounds.head => return Parsed::Incomplete,
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Parsed::Invalid(431),
+        Err(_) => return Parsed::Invalid(400),
     };
     let (taken, body) = match body(bytes, at, length(head.headers), bounds.body) {
-        Parsed::Whole(found) => found,
-        Parsed::More => return Parsed::More,
-        Parsed::Bad(status) => return Parsed::Bad(status),
+        Parsed::Complete(found) => found,
+        Parsed::Incomplete => return Parsed::Incomplete,
+        Parsed::Invalid(status) => return Parsed::Invalid(status),
     };
-    let (Some(method), Some(path)) = (head.method, head.path) else { return Parsed::Bad(400) };
+    let (Some(method), Some(path)) = (head.method, head.path) else { return Parsed::Invalid(400) };
     let request = Request {
         method: method.to_string(),
         path: path.to_string(),
@@ -208,38 +217,38 @@
         body,
     };
     ring.take(taken);
-    Parsed::Whole(request)
+    Parsed::Complete(request)
 }
 
 /// Takes one answer off the ring once it is whole; answers of 1xx are read over. One that only the end of the
 /// connection delimits cannot be told from one that was cut off, so it is never whole.
-pub fn response(ring: &mut Ring, bounds: &Bounds) -> Parsed<Response> {
+pub fn response(ring: &mut RingBuffer, bounds: &MessageLimits) -> Parsed<Response> {
     loop {
         let mut space = [httparse::EMPTY_HEADER; HEADERS];
         let mut head = httparse::Response::new(&mut space);
         let bytes = ring.whole();
         let at = match head.parse(bytes) {
             Ok(httparse::Status::Complete(at)) if at <= bounds.head => at,
-            Ok(httparse::Status::Partial) if bytes.len() < bounds.head => return Parsed::More,
-            _ => return Parsed::Bad(502),
+            Ok(httparse::Status::Partial) if bytes.len() < bounds.head => return Parsed::Incomplete,
+            _ => return Parsed::Invalid(502),
         };
         let status = head.code.unwrap_or(0);
         if status == 101 || status < 100 {
-            return Parsed::Bad(502);
+            return Parsed::Invalid(502);
         }
         if status < 200 {
             ring.take(at);
             continue;
         }
         let length = match length(head.headers) {
-            _ if status == 204 || status == 304 => Ok(Length::Known(0)),
-            Ok(Length::Unknown) => return Parsed::Bad(502),
+            _ if status == 204 || status == 304 => Ok(BodyLength::Known(0)),
+            Ok(BodyLength::Unknown) => return Parsed::Invalid(502),
             length => length,
         };
         let (taken, body) = match body(bytes, at, length, bounds.body) {
-            Parsed::Whole(found) => found,
-            Parsed::More => return Parsed::More,
-            Parsed::Bad(_) => return Parsed::Bad(502),
+            Parsed::Complete(found) => found,
+            Parsed::Incomplete => return Parsed::Incomplete,
+            Parsed::Invalid(_) => return Parsed::Invalid(502),
         };
         let response = Response {
             status,
@@ -249,7 +258,7 @@
             body,
         };
         ring.take(taken);
-        return Parsed::Whole(response);
+        return Parsed::Complete(response);
     }
 }
 
--- a/crates/aspendrum-net/src/http_client.rs
+++ b/crates/aspendrum-net/src/http_client.rs
@@ -1,21 +1,21 @@
 //! Calls to the platform and to control, one after another on a connection that is kept while it lasts.
 
-use crate::http1::{self, Bounds, Response};
-use crate::pool::{Conn, Lines};
+use crate::http1::{self, MessageLimits, Response};
+use crate::pool::{Connection, PoolLimits};
 use std::io::Write;
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-pub struct Caller {
+pub struct HttpClient {
     to: SocketAddrV4,
-    bounds: Bounds,
-    lines: Lines,
-    conn: Option<Conn>,
+    bounds: MessageLimits,
+    lines: PoolLimits,
+    conn: Option<Connection>,
 }
 
-impl Caller {
-    pub fn new(to: SocketAddrV4, bounds: Bounds) -> Caller {
-        let lines = Lines {
+impl HttpClient {
+    pub fn new(to: SocketAddrV4, bounds: MessageLimits) -> HttpClient {
+        let lines = PoolLimits {
             sockets: 4,
             ring: 4 << 10,
             ring_top: bounds.head + bounds.body,
@@ -25,7 +25,7 @@
             idle: Duration::from_secs(3),
             rest: Duration::ZERO,
         };
-        Caller { to, bounds, lines, conn: None }
+        HttpClient { to, bounds, lines, conn: None }
     }
 
     pub fn to(&self) -> SocketAddrV4 {
@@ -53,7 +53,7 @@
             Some(conn) => conn,
             None => {
                 let left = until.saturating_duration_since(Instant::now());
-                Conn::apart(self.to.into(), left, &self.lines).map_err(|e| e.to_string())?
+                Connection::apart(self.to.into(), left, &self.lines).map_err(|e| e.to_string())?
             }
         };
         let length = if body.is_empty() && method == "GET" {
--- a/crates/aspendrum-net/src/http_server.rs
+++ b/crates/aspendrum-net/src/http_server.rs
@@ -2,8 +2,8 @@
 //! function, on a thread that is kept for the next connection.
 
 use crate::disconnects::has_hung_up;
-use crate::http1::{self, Bounds, Parsed, Request};
-use crate::ring_buffer::Ring;
+use crate::http1::{self, MessageLimits, Parsed, Request};
+use crate::ring_buffer::RingBuffer;
 use crate::workers::{spawn, WorkerPool};
 use std::io::Write;
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ServerOptions {
     pub stack: usize,
-    pub bounds: Bounds,
+    pub bounds: MessageLimits,
     /// A connection on which nothing comes for so long is closed.
     pub idle: Duration,
     pub workers: Duration,
@@ -42,9 +42,9 @@
 }
 
 /// Listens there and answers until the process ends.
-pub fn open(
+pub fn listen(
     at: SocketAddrV4,
-    terms: Terms,
+    terms: ServerOptions,
     serve: impl Fn(Request) -> Reply + Send + Sync + 'static,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind(at)?;
@@ -63,23 +63,23 @@
     Ok(())
 }
 
-fn attend(stream: &TcpStream, terms: &Terms, serve: &dyn Fn(Request) -> Reply) {
-    let mut ring = Ring::new(1 << 10, terms.bounds.head + terms.bounds.body + 1024);
+fn attend(stream: &TcpStream, terms: &ServerOptions, serve: &dyn Fn(Request) -> Reply) {
+    let mut ring = RingBuffer::new(1 << 10, terms.bounds.head + terms.bounds.body + 1024);
     let set = stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(terms.idle)));
     if set.and_then(|()| stream.set_write_timeout(Some(terms.idle))).is_err() {
         return;
     }
     loop {
         let (reply, close) = match http1::request(&mut ring, &terms.bounds) {
-            Parsed::More => match ring.fill(&mut &*stream) {
+            Parsed::Incomplete => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => continue,
                 _ => return,
             },
-            Parsed::Bad(status) => (Reply::plain(status), true),
+            Parsed::Invalid(status) => (Reply::plain(status), true),
             // An order that lay in the socket of a machine that stood still, and whose caller has gone: he may have
             // given the opposite one elsewhere since. What only asks does no harm (RFC 9110, 9.2.1).
-            Parsed::Whole(request) if request.method != "GET" && has_hung_up(stream) => return,
-            Parsed::Whole(request) => {
+            Parsed::Complete(request) if request.method != "GET" && has_hung_up(stream) => return,
+            Parsed::Complete(request) => {
                 let close = request.close;
                 (serve(request), close)
             }
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -2,7 +2,7 @@
 //! well before a server would close them, and bounded in number. Nothing is ever sent twice from here.
 
 use crate::http1::Parsed;
-use crate::ring_buffer::{waited, Ring};
+use crate::ring_buffer::{waited, RingBuffer};
 use crate::workers::lock;
 use aspendrum_core::api::{Outcome, ServerId};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -15,7 +15,7 @@
 
 /// Sizes, counts and times of connections to servers.
 #[derive(Clone, Debug)]
-pub struct Lines {
+pub struct PoolLimits {
     /// Descriptors that servers may hold.
     pub sockets: usize,
     /// A ring's size at the start, and at the most.
@@ -34,10 +34,10 @@
 }
 
 /// A connection that carries one call at a time.
-pub struct Conn {
+pub struct Connection {
     pub stream: Arc<TcpStream>,
-    inward: Ring,
-    pub outward: Ring,
+    inward: RingBuffer,
+    pub outward: RingBuffer,
     idle_since: Instant,
     rested: Duration,
     /// How long it may stay idle.
@@ -45,28 +45,28 @@
     pub dial: SocketAddr,
     /// The time a read may take, as last set: setting it anew for each forward would cost a system call.
     read_wait: Duration,
-    _place: Place,
+    _place: DescriptorPermit,
 }
 
 /// One of the descriptors that servers may hold.
-struct Place(Arc<AtomicUsize>);
+struct DescriptorPermit(Arc<AtomicUsize>);
 
-impl Drop for Place {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Conn {
+impl Connection {
     /// `shown` sees the socket before it is connected, so that whoever waits can be freed by shutting it; it
     /// says whether to go on.
     fn open(
         addr: SocketAddr,
         wait: Duration,
-        lines: &Lines,
-        place: Place,
+        lines: &PoolLimits,
+        place: DescriptorPermit,
         shown: impl FnOnce(&Arc<TcpStream>) -> bool,
-    ) -> io::Result<Conn> {
+    ) -> io::Result<Connection> {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
         let stream = Arc::new(TcpStream::from(socket));
         if !shown(&stream) {
@@ -75,16 +75,26 @@
         SockRef::from(&*stream).connect_timeout(&addr.into(), wait.max(lines.shortest))?;
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(lines.write))?;
-        let ring = || Ring::new(lines.ring, lines.ring_top);
+        let ring = || RingBuffer::new(lines.ring, lines.ring_top);
         let (inward, outward, idle_since) = (ring(), ring(), Instant::now());
         let (dial, read_wait, good_for) = (addr, Duration::ZERO, lines.idle);
         let rested = Duration::ZERO;
-        Ok(Conn { stream, inward, outward, idle_since, rested, good_for, dial, read_wait, _place: place })
+        Ok(Connection {
+            stream,
+            inward,
+            outward,
+            idle_since,
+            rested,
+            good_for,
+            dial,
+            read_wait,
+            _place: place,
+        })
     }
 
     /// A connection outside the pool's count, for discovery.
-    pub fn apart(addr: SocketAddr, wait: Duration, lines: &Lines) -> io::Result<Conn> {
-        Conn::open(addr, wait, lines, Place(Arc::new(AtomicUsize::new(1))), |_| true)
+    pub fn apart(addr: SocketAddr, wait: Duration, lines: &PoolLimits) -> io::Result<Connection> {
+        Connection::open(addr, wait, lines, DescriptorPermit(Arc::new(AtomicUsize::new(1))), |_| true)
     }
 
     /// How long it had rested when it was taken; nothing for a new one.
@@ -115,15 +125,15 @@
     pub fn receive<T>(
         &mut self,
         until: Instant,
-        lines: &Lines,
-        mut codec: impl FnMut(&mut Ring) -> Parsed<T>,
+        lines: &PoolLimits,
+        mut codec: impl FnMut(&mut RingBuffer) -> Parsed<T>,
     ) -> Result<T, Outcome> {
         let mut from = &*self.stream;
         loop {
             match codec(&mut self.inward) {
-                Parsed::Whole(answer) => return Ok(answer),
-                Parsed::Bad(_) => return Err(Outcome::Error),
-                Parsed::More => {}
+                Parsed::Complete(answer) => return Ok(answer),
+                Parsed::Invalid(_) => return Err(Outcome::Error),
+                Parsed::Incomplete => {}
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
@@ -145,27 +155,27 @@
 }
 
 #[derive(Default)]
-struct Shelf {
+struct IdleConnections {
     dial: Option<SocketAddr>,
-    idle: Vec<Conn>,
+    idle: Vec<Connection>,
 }
 
 pub struct Pool {
-    shelves: Mutex<HashMap<ServerId, Shelf>>,
+    shelves: Mutex<HashMap<ServerId, IdleConnections>>,
     open: Arc<AtomicUsize>,
-    lines: Lines,
+    lines: PoolLimits,
 }
 
 impl Pool {
-    pub fn new(lines: Lines) -> Pool {
+    pub fn new(lines: PoolLimits) -> Pool {
         Pool { shelves: Mutex::default(), open: Arc::default(), lines }
     }
 
-    pub fn lines(&self) -> &Lines {
+    pub fn lines(&self) -> &PoolLimits {
         &self.lines
     }
 
-    fn shelves(&self) -> MutexGuard<'_, HashMap<ServerId, Shelf>> {
+    fn shelves(&self) -> MutexGuard<'_, HashMap<ServerId, IdleConnections>> {
         lock(&self.shelves)
     }
 
@@ -174,7 +184,7 @@
         let mut shelves = self.shelves();
         let shelf = shelves.entry(server).or_default();
         if shelf.dial != Some(dial) {
-            *shelf = Shelf { dial: Some(dial), idle: Vec::new() };
+            *shelf = IdleConnections { dial: Some(dial), idle: Vec::new() };
         }
     }
 
@@ -203,7 +213,7 @@
         wait: Duration,
         most: Duration,
         shown: impl FnOnce(&Arc<TcpStream>) -> bool,
-    ) -> Result<Conn, Outcome> {
+    ) -> Result<Connection, Outcome> {
         loop {
             let (dial, conn) = {
                 let mut shelves = self.shelves();
@@ -220,7 +230,7 @@
                 Some(_) => {}
                 None => {
                     let place = self.seat().ok_or(Outcome::Moot)?;
-                    let opened = Conn::open(dial, wait, &self.lines, place, shown);
+                    let opened = Connection::open(dial, wait, &self.lines, place, shown);
                     return opened.map_err(|_| Outcome::ConnectFailed);
                 }
             }
@@ -228,7 +238,7 @@
     }
 
     /// Keeps it for the next forward, unless more has come than the answer.
-    pub fn give_back(&self, server: ServerId, mut conn: Conn) {
+    pub fn give_back(&self, server: ServerId, mut conn: Connection) {
         if !conn.inward.is_empty() {
             return;
         }
@@ -241,7 +251,7 @@
     }
 
     /// A place among the descriptors; when all are taken, the longest idle connection makes room.
-    fn seat(&self) -> Option<Place> {
+    fn seat(&self) -> Option<DescriptorPermit> {
         if self.open.load(Ordering::Relaxed) >= self.lines.sockets {
             let mut shelves = self.shelves();
             let oldest = shelves.values_mut().filter(|s| !s.idle.is_empty());
@@ -249,7 +259,7 @@
             drop(oldest.idle.remove(0));
         }
         self.open.fetch_add(1, Ordering::Relaxed);
-        Some(Place(self.open.clone()))
+        Some(DescriptorPermit(self.open.clone()))
     }
 
     /// Closes what has been idle for long.
--- a/crates/aspendrum-net/src/ring_buffer.rs
+++ b/crates/aspendrum-net/src/ring_buffer.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, Read, Write};
 
-pub struct Ring {
+pub struct RingBuffer {
     buf: Vec<u8>,
     start: usize,
     len: usize,
@@ -10,9 +10,9 @@
     top: usize,
 }
 
-impl Ring {
-    pub fn new(small: usize, top: usize) -> Ring {
-        Ring { buf: Vec::new(), start: 0, len: 0, small: small.min(top), top }
+impl RingBuffer {
+    pub fn new(small: usize, top: usize) -> RingBuffer {
+        RingBuffer { buf: Vec::new(), start: 0, len: 0, small: small.min(top), top }
     }
 
     pub fn is_empty(&self) -> bool {
@@ -97,7 +97,7 @@
     matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
 }
 
-impl Write for Ring {
+impl Write for RingBuffer {
     fn write(&mut self, data: &[u8]) -> io::Result<usize> {
         if self.put(data) {
             Ok(data.len())
--- a/crates/aspendrum-net/tests/disconnects.rs
+++ b/crates/aspendrum-net/tests/disconnects.rs
@@ -1,10 +1,10 @@
 //! Clients that leave, as one look over all connections hears them, and what that does to a request on its way.
 
-use aspendrum_net::disconnect_metrics::{DepartureFigures, Report, BOUND};
-use aspendrum_net::disconnects::{Presence, Watch, WAITED};
+use aspendrum_net::disconnect_metrics::{DisconnectMetrics, Report, BOUND};
+use aspendrum_net::disconnects::{ClientConnection, DisconnectWatcher, WAITED};
 use aspendrum_net::forward::{ForwardHandle, Kind, Stage};
-use aspendrum_net::http1::{Bounds, Request};
-use aspendrum_net::http_server::{self, Reply, Terms};
+use aspendrum_net::http1::{MessageLimits, Request};
+use aspendrum_net::http_server::{self, Reply, ServerOptions};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::channel;
@@ -14,10 +14,10 @@
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
-struct Connection(Presence);
+struct Connection(ClientConnection);
 
-impl AsRef<Presence> for Connection {
-    fn as_ref(&self) -> &Presence {
+impl AsRef<ClientConnection> for Connection {
+    fn as_ref(&self) -> &ClientConnection {
         &self.0
     }
 }
@@ -34,11 +34,11 @@
 
 fn watched() -> (TcpStream, Arc<Connection>) {
     let (client, own) = pair();
-    (client, Arc::new(Connection(Presence::new(own))))
+    (client, Arc::new(Connection(ClientConnection::new(own))))
 }
 
 /// Looks until a client is found to have left.
-fn left(watch: &Watch, connections: &[Arc<Connection>]) -> Vec<Arc<Connection>> {
+fn left(watch: &DisconnectWatcher, connections: &[Arc<Connection>]) -> Vec<Arc<Connection>> {
     let until = Instant::now() + PATIENCE;
     loop {
         let found = watch.look(connections);
@@ -51,7 +51,7 @@
 
 #[test]
 fn only_clients_that_have_left_are_found_and_each_once() {
-    let watch = Watch::default();
+    let watch = DisconnectWatcher::default();
     let (leaver, one) = watched();
     let (mut stayer, other) = watched();
     assert!(one.0.begin(7, &watch) && other.0.begin(8, &watch));
@@ -72,7 +72,7 @@
 
 #[test]
 fn nothing_is_looked_after_between_requests() {
-    let watch = Watch::default();
+    let watch = DisconnectWatcher::default();
     let ((idle, one), (leaver, other)) = (watched(), watched());
     assert!(one.0.begin(1, &watch) && other.0.begin(2, &watch));
     one.0.end();
@@ -84,7 +84,7 @@
 /// Danger: the end of our own reading side looks as a client's close does, and its request would be given up.
 #[test]
 fn a_connection_that_is_ended_here_is_not_left() {
-    let watch = Watch::default();
+    let watch = DisconnectWatcher::default();
     let ((mut client, one), (leaver, other)) = (watched(), watched());
     one.0.end_idle();
     client.write_all(b"a request that crosses it").unwrap();
@@ -98,7 +98,7 @@
 #[test]
 fn a_connection_that_holds_a_request_is_not_ended() {
     let (mut client, own) = pair();
-    let presence = Presence::new(own.clone());
+    let presence = ClientConnection::new(own.clone());
     client.write_all(b"request").unwrap();
     let mut first = [0];
     own.peek(&mut first).unwrap();
@@ -191,7 +191,7 @@
 
 #[test]
 fn violations_are_counted_by_kind_and_stage_and_told_once() {
-    let figures = DepartureFigures::default();
+    let figures = DisconnectMetrics::default();
     let mut report = Report::default();
     assert_eq!(report.line(&figures), None);
     figures.heard(Kind::Repeatable, Stage::AtServer);
@@ -235,9 +235,9 @@
         }
         Reply::plain(200)
     };
-    let bounds = Bounds { head: 1 << 10, body: 1 << 10 };
+    let bounds = MessageLimits { head: 1 << 10, body: 1 << 10 };
     let (idle, workers) = (PATIENCE, PATIENCE);
-    http_server::open(at, Terms { stack: 128 << 10, bounds, idle, workers }, serve).unwrap();
+    http_server::listen(at, ServerOptions { stack: 128 << 10, bounds, idle, workers }, serve).unwrap();
     let call = |method: &str, path: &str| {
         format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").into_bytes()
     };
--- a/crates/aspendrum-net/tests/wire_bytes.rs
+++ b/crates/aspendrum-net/tests/wire_bytes.rs
@@ -1,13 +1,13 @@
 //! What is written to connections, byte by byte, and what is read from them: it stays, whatever a type is called.
 
-use aspendrum_net::disconnect_metrics::{DepartureFigures, BOUND};
+use aspendrum_net::disconnect_metrics::{DisconnectMetrics, BOUND};
 use aspendrum_net::forward::{Kind, Stage};
 use aspendrum_net::frames::{frame, read, Link};
-use aspendrum_net::http1::{self, Bounds, Parsed, Request, Response};
-use aspendrum_net::http_client::Caller;
-use aspendrum_net::http_server::{self, Reply, Terms};
+use aspendrum_net::http1::{self, MessageLimits, Parsed, Request, Response};
+use aspendrum_net::http_client::HttpClient;
+use aspendrum_net::http_server::{self, Reply, ServerOptions};
 use aspendrum_net::path_matcher::{argument, find, Found, Node};
-use aspendrum_net::ring_buffer::Ring;
+use aspendrum_net::ring_buffer::RingBuffer;
 use serde::{Deserialize, Serialize};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 const PATIENCE: Duration = Duration::from_secs(20);
-const BOUNDS: Bounds = Bounds { head: 256, body: 64 };
+const BOUNDS: MessageLimits = MessageLimits { head: 256, body: 64 };
 
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 enum Sample {
@@ -112,8 +112,8 @@
     }
 }
 
-fn ring(bytes: &[u8]) -> Ring {
-    let mut ring = Ring::new(64, 1024);
+fn ring(bytes: &[u8]) -> RingBuffer {
+    let mut ring = RingBuffer::new(64, 1024);
     assert!(ring.put(bytes));
     ring
 }
@@ -124,13 +124,13 @@
         b"POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody\
           GET / HTTP/1.1\r\nConnection: close\r\n\r\n",
     );
-    let Parsed::Whole(first) = http1::request(&mut ring, &BOUNDS) else { panic!("the first") };
+    let Parsed::Complete(first) = http1::request(&mut ring, &BOUNDS) else { panic!("the first") };
     let headers = vec![("Host".to_string(), b"h".to_vec()), ("Content-Length".to_string(), b"4".to_vec())];
     let (method, path, body) = ("POST".to_string(), "/a?b=c".to_string(), b"body".to_vec());
     assert_eq!(first, Request { method, path, headers, body, close: false });
-    let Parsed::Whole(second) = http1::request(&mut ring, &BOUNDS) else { panic!("the second") };
+    let Parsed::Complete(second) = http1::request(&mut ring, &BOUNDS) else { panic!("the second") };
     assert!(second.method == "GET" && second.close && second.body.is_empty());
-    assert!(matches!(http1::request(&mut ring, &BOUNDS), Parsed::More));
+    assert!(matches!(http1::request(&mut ring, &BOUNDS), Parsed::Incomplete));
 }
 
 #[test]
@@ -148,7 +148,7 @@
         (head_of_300, 431),
     ];
     for (text, status) in cases {
-        let Parsed::Bad(found) = http1::request(&mut ring(text.as_bytes()), &BOUNDS) else {
+        let Parsed::Invalid(found) = http1::request(&mut ring(text.as_bytes()), &BOUNDS) else {
             panic!("{text}")
         };
         assert_eq!(found, status, "{text}");
@@ -162,11 +162,11 @@
           HTTP/1.1 200 Fine\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nTrailer: t\r\n\r\n\
           HTTP/1.0 204 None\r\n\r\n",
     );
-    let Parsed::Whole(first) = http1::response(&mut ring, &BOUNDS) else { panic!("the first") };
+    let Parsed::Complete(first) = http1::response(&mut ring, &BOUNDS) else { panic!("the first") };
     let headers = vec![("Transfer-Encoding".to_string(), b"chunked".to_vec())];
     let (reason, body) = ("Fine".to_string(), b"abcd".to_vec());
     assert_eq!(first, Response { status: 200, reason, headers, body, close: false });
-    let Parsed::Whole(second) = http1::response(&mut ring, &BOUNDS) else { panic!("the second") };
+    let Parsed::Complete(second) = http1::response(&mut ring, &BOUNDS) else { panic!("the second") };
     assert!(second.status == 204 && second.close, "HTTP/1.0 closes");
     assert!(ring.is_empty());
 }
@@ -178,7 +178,10 @@
         "HTTP/1.1 101 Upgrade\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n",
     ] {
-        assert!(matches!(http1::response(&mut ring(text.as_bytes()), &BOUNDS), Parsed::Bad(502)), "{text}");
+        assert!(
+            matches!(http1::response(&mut ring(text.as_bytes()), &BOUNDS), Parsed::Invalid(502)),
+            "{text}"
+        );
     }
 }
 
@@ -218,7 +221,7 @@
 fn calls_are_written_alike_and_keep_their_connection() {
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let (to, requests) = server(vec![answer, answer, answer]);
-    let mut caller = Caller::new(to, BOUNDS);
+    let mut caller = HttpClient::new(to, BOUNDS);
     assert_eq!(caller.call("GET", "/a", b"", PATIENCE).unwrap().body, b"ok");
     assert_eq!(caller.call("POST", "/b", b"body", PATIENCE).unwrap().status, 200);
     assert_eq!(caller.call("POST", "/c", b"", PATIENCE).unwrap().reason, "OK");
@@ -236,7 +239,8 @@
 /// Operators read these texts behind the address.
 #[test]
 fn a_call_without_an_answer_says_why() {
-    let call = |to| Caller::new(to, BOUNDS).call("GET", "/", b"", PATIENCE).map_err(|why| why.to_string());
+    let call =
+        |to| HttpClient::new(to, BOUNDS).call("GET", "/", b"", PATIENCE).map_err(|why| why.to_string());
     let (to, requests) = server(vec![b""]);
     assert_eq!(call(to).unwrap_err(), "Reset");
     requests.join().unwrap();
@@ -250,7 +254,7 @@
     assert_eq!(call(to).unwrap_err(), "Connection refused (os error 111)");
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = silent.local_addr().unwrap().to_string().parse().unwrap();
-    let late = Caller::new(to, BOUNDS).call("GET", "/", b"", Duration::from_millis(5));
+    let late = HttpClient::new(to, BOUNDS).call("GET", "/", b"", Duration::from_millis(5));
     assert_eq!(late.map_err(|why| why.to_string()).unwrap_err(), "TimedOut");
 }
 
@@ -264,9 +268,9 @@
         }
         _ => Reply::plain(404),
     };
-    let terms = Terms { stack: 128 << 10, bounds: BOUNDS, idle: PATIENCE, workers: PATIENCE };
+    let terms = ServerOptions { stack: 128 << 10, bounds: BOUNDS, idle: PATIENCE, workers: PATIENCE };
     let at = |port| SocketAddrV4::new(Ipv4Addr::new(127, 0, 8, 1), port);
-    let port = (20_000..30_000).find(|port| http_server::open(at(*port), terms.clone(), serve).is_ok());
+    let port = (20_000..30_000).find(|port| http_server::listen(at(*port), terms.clone(), serve).is_ok());
     let address = at(port.expect("a port is free"));
     let calls = [
         (
@@ -298,7 +302,7 @@
 
 #[test]
 fn figures_keep_their_names_and_labels() {
-    let figures = DepartureFigures::default();
+    let figures = DisconnectMetrics::default();
     let kinds = [Kind::Repeatable, Kind::OnceOnly];
     for kind in kinds {
         for stage in [Stage::Waiting, Stage::Dialling, Stage::Sending, Stage::AtServer] {
--- a/crates/aspendrum-proxy/src/door.rs
+++ b/crates/aspendrum-proxy/src/door.rs
@@ -3,10 +3,10 @@
 
 use crate::query;
 use crate::Shop;
-use aspendrum_net::disconnects::Presence;
-use aspendrum_net::http1::{self, Bounds, Parsed};
+use aspendrum_net::disconnects::ClientConnection;
+use aspendrum_net::http1::{self, MessageLimits, Parsed};
 use aspendrum_net::pool::linger;
-use aspendrum_net::ring_buffer::{waited, Ring};
+use aspendrum_net::ring_buffer::{waited, RingBuffer};
 use aspendrum_net::workers::lock;
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -30,20 +30,20 @@
 /// A connection that can be told to end while it waits for a query.
 pub struct Client {
     stream: Arc<TcpStream>,
-    pub presence: Presence,
+    pub presence: ClientConnection,
     busy: AtomicBool,
 }
 
 impl Client {
     pub fn new(stream: TcpStream) -> Client {
         let stream = Arc::new(stream);
-        let presence = Presence::new(stream.clone());
+        let presence = ClientConnection::new(stream.clone());
         Client { stream, presence, busy: AtomicBool::new(false) }
     }
 }
 
-impl AsRef<Presence> for Client {
-    fn as_ref(&self) -> &Presence {
+impl AsRef<ClientConnection> for Client {
+    fn as_ref(&self) -> &ClientConnection {
         &self.presence
     }
 }
@@ -111,16 +111,16 @@
     if stream.set_nodelay(true).and_then(|()| stream.set_write_timeout(Some(WRITE_WAIT))).is_err() {
         return;
     }
-    let mut ring: Option<Ring> = None;
+    let mut ring: Option<RingBuffer> = None;
     let mut limited = Duration::ZERO;
     let mut begun: Option<Instant> = None;
     loop {
         let Some(view) = shop.desk.view() else { return };
         let caps = view.config.caps;
-        let bounds = Bounds { head: caps.hdr_bytes as usize, body: caps.body_bytes as usize };
-        let ring = ring.get_or_insert_with(|| Ring::new(RING, bounds.head + bounds.body + 1024));
+        let bounds = MessageLimits { head: caps.hdr_bytes as usize, body: caps.body_bytes as usize };
+        let ring = ring.get_or_insert_with(|| RingBuffer::new(RING, bounds.head + bounds.body + 1024));
         match http1::request(ring, &bounds) {
-            Parsed::Whole(request) => {
+            Parsed::Complete(request) => {
                 client.busy.store(true, Ordering::Release);
                 begun = None;
                 let answer = if shop.takes_requests() {
@@ -138,12 +138,12 @@
                     return linger(stream, LINGER, LINGER_BYTES);
                 }
             }
-            Parsed::Bad(status) => {
+            Parsed::Invalid(status) => {
                 let bytes = http1::answer(status, &[], true, b"");
                 let _ = (&**stream).write_all(&bytes);
                 return linger(stream, LINGER, LINGER_BYTES);
             }
-            Parsed::More => {
+            Parsed::Incomplete => {
                 let idle = ring.is_empty();
                 // A request that has begun to arrive is awaited, also by a proxy that ends.
                 client.busy.store(!idle, Ordering::Release);
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -17,12 +17,12 @@
 use agent::Agent;
 use aspendrum_model::news::{Edition, Readiness};
 use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::Told;
-use aspendrum_net::disconnect_metrics::{DepartureFigures, Report};
-use aspendrum_net::disconnects::Watch;
-use aspendrum_net::http1::Bounds;
-use aspendrum_net::http_server::{self, Reply, Terms};
-use aspendrum_net::pool::{Lines, Pool};
+use aspendrum_net::daemon::ProcessSignals;
+use aspendrum_net::disconnect_metrics::{DisconnectMetrics, Report};
+use aspendrum_net::disconnects::DisconnectWatcher;
+use aspendrum_net::http1::MessageLimits;
+use aspendrum_net::http_server::{self, Reply, ServerOptions};
+use aspendrum_net::pool::{Pool, PoolLimits};
 use aspendrum_net::workers::{lock, spawn, WorkerPool};
 use aspendrum_reconcile::{Standing, Word};
 use desk::{Desk, BEAT_MS};
@@ -65,8 +65,8 @@
     pub workers: WorkerPool,
     pub stand: Stand,
     /// Whether clients are still there, and what became of requests whose clients are not.
-    pub watch: Watch,
-    pub departures: DepartureFigures,
+    pub watch: DisconnectWatcher,
+    pub departures: DisconnectMetrics,
     trust: Mutex<Trust>,
     pub connect_wait: Duration,
     begun: Instant,
@@ -91,8 +91,8 @@
             agent: Agent::default(),
             workers: WorkerPool::new(STACK, Duration::from_secs(5)),
             trust: Mutex::default(),
-            watch: Watch::default(),
-            departures: DepartureFigures::default(),
+            watch: DisconnectWatcher::default(),
+            departures: DisconnectMetrics::default(),
             stand: Stand::new(settings.apply_ms, settings.stretch_ms),
             connect_wait: CONNECT_WAIT,
             begun: Instant::now(),
@@ -188,7 +188,7 @@
 }
 
 /// Runs the proxy until it is told to end.
-pub fn serve(told: Told) -> Result<(), String> {
+pub fn serve(told: ProcessSignals) -> Result<(), String> {
     let settings = Settings::load()?;
     let failed = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
     let front = settings.front.ok_or("net.binds.front is missing")?;
@@ -202,7 +202,7 @@
             "/api/readyz" => Reply::plain(if own.ready() { 200 } else { 503 }),
             _ => Reply::plain(404),
         };
-        http_server::open(at, terms(), serve).map_err(failed("readyz"))?;
+        http_server::listen(at, terms(), serve).map_err(failed("readyz"))?;
     }
     let own = shop.clone();
     let figures = move |request: aspendrum_net::http1::Request| match request.path.as_str() {
@@ -210,7 +210,7 @@
         _ => Reply::plain(404),
     };
     let at = SocketAddrV4::new(settings.ip, settings.metrics_port());
-    if let Err(e) = http_server::open(at, terms(), figures) {
+    if let Err(e) = http_server::listen(at, terms(), figures) {
         // Requests are served without anybody looking on.
         log::warn!("event=metrics_not_bound at={at} why=\"{e}\"");
     }
@@ -232,14 +232,14 @@
 }
 
 /// Of short calls by the platform.
-fn terms() -> Terms {
-    let bounds = Bounds { head: 8 << 10, body: 1 << 10 };
+fn terms() -> ServerOptions {
+    let bounds = MessageLimits { head: 8 << 10, body: 1 << 10 };
     let (idle, workers) = (Duration::from_secs(10), Duration::from_secs(5));
-    Terms { stack: STACK, bounds, idle, workers }
+    ServerOptions { stack: STACK, bounds, idle, workers }
 }
 
-fn lines(settings: &Settings) -> Lines {
-    Lines {
+fn lines(settings: &Settings) -> PoolLimits {
+    PoolLimits {
         sockets: settings.nofile as usize / 3,
         ring: 4 << 10,
         ring_top: 128 << 20,
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -9,9 +9,9 @@
 use crate::Shop;
 use aspendrum_core::api::{Load, Ms, Outcome, QueryId, ServerId};
 use aspendrum_net::forward::{ForwardHandle, Kind, Stage};
-use aspendrum_net::http1::{self, Bounds, Request, Response};
+use aspendrum_net::http1::{self, MessageLimits, Request, Response};
 use aspendrum_net::mailbox;
-use aspendrum_net::pool::Conn;
+use aspendrum_net::pool::Connection;
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -276,7 +276,7 @@
     /// Sends the request on that connection and reads its answer, over those to other tries.
     fn exchange(
         &self,
-        conn: &mut Conn,
+        conn: &mut Connection,
         forward: u8,
         server: &str,
         until: Instant,
@@ -318,7 +318,7 @@
 }
 
 /// Servers' answers are as large as the service makes them.
-pub const SERVER_BOUNDS: Bounds = Bounds { head: 32 << 10, body: 64 << 20 };
+pub const SERVER_BOUNDS: MessageLimits = MessageLimits { head: 32 << 10, body: 64 << 20 };
 /// Of the time that a server keeps an idle connection, how long we use it: a request on a connection that is
 /// being closed may or may not have run.
 const KEPT_SHARE: f64 = 0.6;
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -6,8 +6,8 @@
 use aspendrum_model::packed::pack;
 use aspendrum_model::servers::Server;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::http1::{request, Bounds, Parsed, Request};
-use aspendrum_net::ring_buffer::Ring;
+use aspendrum_net::http1::{request, MessageLimits, Parsed, Request};
+use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_proxy::door::Client;
 use aspendrum_proxy::{beat, query, Shop};
 use aspendrum_reconcile::Word;
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::Instant;
 
-pub const BOUNDS: Bounds = Bounds { head: 16 << 10, body: 1 << 20 };
+pub const BOUNDS: MessageLimits = MessageLimits { head: 16 << 10, body: 1 << 20 };
 pub const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":65536,"hdr-ms":3000,"idle-ms":15000},
 "tenants":[{"name":"ann","keys":["k1"],"prio":0,"rate-s":0}],
 "ports":[{"vhost":"a.example","rules":[
@@ -110,21 +110,21 @@
     ran: &Mutex<HashMap<String, u32>>,
     count: &Mutex<usize>,
 ) {
-    let mut ring = Ring::new(1024, 1 << 20);
+    let mut ring = RingBuffer::new(1024, 1 << 20);
     loop {
         match request(&mut ring, &BOUNDS) {
-            Parsed::More => match ring.fill(&mut &*stream) {
+            Parsed::Incomplete => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => {}
                 _ => return,
             },
-            Parsed::Bad(status) => panic!("{status}"),
-            Parsed::Whole(asked) if asked.path == "/healthz" => {
+            Parsed::Invalid(status) => panic!("{status}"),
+            Parsed::Complete(asked) if asked.path == "/healthz" => {
                 let well = format!("HTTP/1.1 200 OK\r\nServer-Id: i-{server}\r\nContent-Length: 0\r\n\r\n");
                 if (&mut &*stream).write_all(well.as_bytes()).is_err() {
                     return;
                 }
             }
-            Parsed::Whole(asked) => {
+            Parsed::Complete(asked) => {
                 let n = {
                     let mut count = count.lock().unwrap();
                     *count += 1;
@@ -164,9 +164,9 @@
 
 impl Stage {
     pub fn ask(&self, text: &str) -> String {
-        let mut ring = Ring::new(1024, 1 << 20);
+        let mut ring = RingBuffer::new(1024, 1 << 20);
         ring.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
-        let Parsed::Whole(asked) = request(&mut ring, &BOUNDS) else { panic!("{text}") };
+        let Parsed::Complete(asked) = request(&mut ring, &BOUNDS) else { panic!("{text}") };
         let client = Client::new(self.connection.try_clone().unwrap());
         let answer = query::serve(&self.shop, &client, &asked, Instant::now());
         String::from_utf8(answer.bytes(answer.closes(false, false))).unwrap().replace("\r\n", "\n")
--- a/crates/aspendrum-proxy/tests/departures.rs
+++ b/crates/aspendrum-proxy/tests/departures.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use aspendrum_net::http1::{request, Parsed, Request};
-use aspendrum_net::ring_buffer::Ring;
+use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_proxy::{door, Shop};
 use common::{proxy, BOUNDS, CONFIG, READ, SEND};
 use socket2::SockRef;
@@ -91,12 +91,12 @@
 }
 
 fn hold(stream: &TcpStream, run: Duration, tell: &Sender<Seen>, drops: &Gate) {
-    let mut ring = Ring::new(1024, 1 << 20);
+    let mut ring = RingBuffer::new(1024, 1 << 20);
     loop {
         let asked = match request(&mut ring, &BOUNDS) {
-            Parsed::Whole(asked) => asked,
-            Parsed::Bad(status) => panic!("{status}"),
-            Parsed::More => match ring.fill(&mut &*stream) {
+            Parsed::Complete(asked) => asked,
+            Parsed::Invalid(status) => panic!("{status}"),
+            Parsed::Incomplete => match ring.fill(&mut &*stream) {
                 Ok(size) if size > 0 => continue,
                 _ => return,
             },
--- a/crates/aspendrum-proxy/tests/trust.rs
+++ b/crates/aspendrum-proxy/tests/trust.rs
@@ -1,6 +1,6 @@
 //! Connections that a server may have forgotten: what goes over them, and for how long that is remembered.
 
-use aspendrum_net::pool::{Lines, Pool};
+use aspendrum_net::pool::{Pool, PoolLimits};
 use aspendrum_proxy::trust::Trust;
 use std::net::TcpListener;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 fn a_connection_that_rested_too_long_is_left_for_others() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let second = Duration::from_secs(1);
-    let pool = Pool::new(Lines {
+    let pool = Pool::new(PoolLimits {
         sockets: 8,
         ring: 1 << 10,
         ring_top: 1 << 12,
@@ -36,7 +36,7 @@
     });
     pool.place(1, listener.local_addr().unwrap());
     let take = |most| pool.take(1, second, most, |_| true).unwrap();
-    let own = |conn: &aspendrum_net::pool::Conn| conn.stream.local_addr().unwrap().port();
+    let own = |conn: &aspendrum_net::pool::Connection| conn.stream.local_addr().unwrap().port();
     let first = take(Duration::MAX);
     let port = own(&first);
     assert!(first.rested().is_zero() && first.unread());
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -6,7 +6,7 @@
 use aspendrum_core::api::Load;
 use aspendrum_net::forward::{Kind, Stage as ForwardStage};
 use aspendrum_net::http1::{request, response, Parsed, Request, Response};
-use aspendrum_net::ring_buffer::Ring;
+use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_proxy::answer::{Answer, Then};
 use aspendrum_proxy::wire::{self, Taken};
 use aspendrum_proxy::{door, query};
@@ -23,16 +23,16 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 fn parse_request(text: &str) -> Request {
-    let mut ring = Ring::new(1024, 1 << 20);
+    let mut ring = RingBuffer::new(1024, 1 << 20);
     ring.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
-    let Parsed::Whole(request) = request(&mut ring, &BOUNDS) else { panic!("{text}") };
+    let Parsed::Complete(request) = request(&mut ring, &BOUNDS) else { panic!("{text}") };
     request
 }
 
 fn parse_response(text: &str) -> Response {
-    let mut ring = Ring::new(1024, 1 << 20);
+    let mut ring = RingBuffer::new(1024, 1 << 20);
     ring.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
-    let Parsed::Whole(response) = response(&mut ring, &BOUNDS) else { panic!("{text}") };
+    let Parsed::Complete(response) = response(&mut ring, &BOUNDS) else { panic!("{text}") };
     response
 }
 
--- a/crates/aspendrum/src/client.rs
+++ b/crates/aspendrum/src/client.rs
@@ -1,11 +1,11 @@
 //! One connection of a client, and the answers that go out on it.
 
 use crate::http;
-use crate::ring_buffer::Ring;
+use crate::ring_buffer::RingBuffer;
 use crate::workers::lock;
 use crate::Shop;
 use aspendrum_core::api::Ms;
-use aspendrum_net::disconnects::Presence;
+use aspendrum_net::disconnects::ClientConnection;
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
@@ -27,8 +27,8 @@
     /// push out those of the usual clients.
     pub known: AtomicBool,
     /// The query in hand, and whether its client is still there.
-    pub presence: Presence,
-    pub out: Mutex<Ring>,
+    pub presence: ClientConnection,
+    pub out: Mutex<RingBuffer>,
 }
 
 impl Client {
@@ -65,8 +65,8 @@
     }
 }
 
-impl AsRef<Presence> for Client {
-    fn as_ref(&self) -> &Presence {
+impl AsRef<ClientConnection> for Client {
+    fn as_ref(&self) -> &ClientConnection {
         &self.presence
     }
 }
--- a/crates/aspendrum/src/clients.rs
+++ b/crates/aspendrum/src/clients.rs
@@ -6,10 +6,10 @@
 use crate::notes::Note;
 use crate::pool::linger;
 use crate::query;
-use crate::ring_buffer::{waited, Ring};
+use crate::ring_buffer::{waited, RingBuffer};
 use crate::workers::{lock, spawn};
 use crate::Shop;
-use aspendrum_net::disconnects::Presence;
+use aspendrum_net::disconnects::ClientConnection;
 use crossbeam_channel::{bounded, Receiver};
 use std::collections::{HashMap, HashSet};
 use std::io::{self, ErrorKind};
@@ -158,13 +158,13 @@
     let _ = stream.set_write_timeout(Some(limits.slow_client));
     let stream = Arc::new(stream);
     let client = Arc::new(Client {
-        presence: Presence::new(stream.clone()),
+        presence: ClientConnection::new(stream.clone()),
         stream,
         state: AtomicU8::new(IDLE),
         opened: shop.age(),
         used: AtomicU64::new(shop.age()),
         known: AtomicBool::new(false),
-        out: Mutex::new(Ring::new(limits.ring, limits.ring_top)),
+        out: Mutex::new(RingBuffer::new(limits.ring, limits.ring_top)),
     });
     shop.clients.open().insert(key, client.clone());
     let (own, theirs) = (shop.clone(), client.clone());
@@ -195,15 +195,15 @@
 fn turn_away(shop: &Arc<Shop>, streams: &Receiver<TcpStream>) {
     for stream in streams {
         let limits = &shop.limits;
-        let mut ring = Ring::new(limits.ring, limits.ring_top);
-        let mut out = Ring::new(limits.ring, limits.head);
+        let mut ring = RingBuffer::new(limits.ring, limits.ring_top);
+        let mut out = RingBuffer::new(limits.ring, limits.head);
         let until = Instant::now() + limits.linger;
         let mut status = 408;
         while let Some(left) = until.checked_duration_since(Instant::now()).filter(|d| !d.is_zero()) {
             match http::call(&mut ring, &shop.lanes, limits) {
-                Parsed::Whole(_) => status = 503,
-                Parsed::Bad(bad) => status = bad,
-                Parsed::More => {
+                Parsed::Complete(_) => status = 503,
+                Parsed::Invalid(bad) => status = bad,
+                Parsed::Incomplete => {
                     let limited = stream.set_read_timeout(Some(left));
                     match limited.and_then(|()| ring.fill(&mut &stream)) {
                         Ok(n) if n > 0 => continue,
@@ -224,11 +224,11 @@
 /// Reads a connection's queries one after another.
 fn attend(shop: &Arc<Shop>, client: &Arc<Client>) {
     let limits = &shop.limits;
-    let mut ring = Ring::new(limits.ring, limits.ring_top);
+    let mut ring = RingBuffer::new(limits.ring, limits.ring_top);
     let mut patience = Patience { begun: Some(Instant::now()), set: Duration::ZERO };
     loop {
         match http::call(&mut ring, &shop.lanes, limits) {
-            Parsed::More => match patience.more(&mut ring, client, shop) {
+            Parsed::Incomplete => match patience.more(&mut ring, client, shop) {
                 Ok(true) => client.used.store(shop.age(), Ordering::Relaxed),
                 Ok(false) if !ring.is_empty() => return reject(shop, client, 408),
                 // One that says nothing more is closed, and is owed no answer.
@@ -237,15 +237,15 @@
                     return;
                 }
             },
-            Parsed::Bad(status) => return reject(shop, client, status),
-            Parsed::Whole(Call::Ready { close }) => {
+            Parsed::Invalid(status) => return reject(shop, client, status),
+            Parsed::Complete(Call::Ready { close }) => {
                 patience.begun = None;
                 let status = if shop.draining() { 503 } else { 200 };
                 if !client.answer(shop, status, 0.0, close, b"", b"") {
                     return;
                 }
             }
-            Parsed::Whole(Call::Query(asked)) => {
+            Parsed::Complete(Call::Query(asked)) => {
                 patience.begun = None;
                 let Some(claim) = Claim::of(shop, &asked.txn) else { return reject(shop, client, 409) };
                 client.known.store(true, Ordering::Relaxed);
@@ -268,7 +268,7 @@
 
 impl Patience {
     /// Waits for more of a query. False: it has taken too long.
-    fn more(&mut self, ring: &mut Ring, client: &Client, shop: &Shop) -> io::Result<bool> {
+    fn more(&mut self, ring: &mut RingBuffer, client: &Client, shop: &Shop) -> io::Result<bool> {
         let limits = &shop.limits;
         if !ring.is_empty() {
             self.begun.get_or_insert_with(Instant::now);
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -8,7 +8,7 @@
 use crate::mailbox::{self, MailboxSender};
 use crate::notes::{Door, Note};
 use crate::resp::{self, Parsed, Reply};
-use crate::ring_buffer::Ring;
+use crate::ring_buffer::RingBuffer;
 use crate::workers::{lock, spawn};
 use aspendrum_core::api::{Event, Ms, Outcome};
 use std::collections::VecDeque;
@@ -34,7 +34,7 @@
 
 struct Link {
     stream: Arc<TcpStream>,
-    outward: Ring,
+    outward: RingBuffer,
     pending: VecDeque<Pending>,
     /// When something was last written or read, and when something was last read.
     used: Instant,
@@ -266,7 +266,7 @@
             return self.unsent(&mut state);
         }
         let (now, pending) = (Instant::now(), VecDeque::new());
-        let outward = Ring::new(self.limits.ring, self.limits.head);
+        let outward = RingBuffer::new(self.limits.ring, self.limits.head);
         state.link = Some(Link { stream, outward, pending, used: now, heard: now });
         while let Some(call) = state.queued.pop_front() {
             if state.link.is_none() {
@@ -278,7 +278,7 @@
     }
 
     fn read(&self, stream: &Arc<TcpStream>) {
-        let mut ring = Ring::new(self.limits.ring, self.limits.head);
+        let mut ring = RingBuffer::new(self.limits.ring, self.limits.head);
         loop {
             match ring.fill(&mut &**stream) {
                 Ok(n) if n > 0 => {}
@@ -293,7 +293,7 @@
     }
 
     /// False: this connection is at its end.
-    fn replies(&self, stream: &Arc<TcpStream>, ring: &mut Ring) -> bool {
+    fn replies(&self, stream: &Arc<TcpStream>, ring: &mut RingBuffer) -> bool {
         let mut place = self.state();
         let state = &mut *place;
         let Some(link) = state.link.as_mut().filter(|l| Arc::ptr_eq(&l.stream, stream)) else { return false };
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -11,7 +11,7 @@
 use aspendrum_core::api::*;
 use aspendrum_core::control::Control;
 use aspendrum_net::disconnect_metrics::{Report, BOUND};
-use aspendrum_net::disconnects::Presence;
+use aspendrum_net::disconnects::ClientConnection;
 use aspendrum_net::forward::{ForwardHandle, Progress, Stage};
 use crossbeam_channel::Sender;
 use std::cmp::Reverse;
@@ -134,7 +134,7 @@
     }
 
     /// The invariant: what has not left whole a while after a departure never leaves.
-    fn hold_to_bound(&self, presence: &Presence) {
+    fn hold_to_bound(&self, presence: &ClientConnection) {
         let watch = &self.shop.watch;
         let left_for = presence.left_for(watch).filter(|left_for| !watch.is_late() && *left_for > BOUND);
         let seat = presence.request().filter(|_| left_for.is_some()).and_then(|id| self.seats.get(&id));
--- a/crates/aspendrum/src/discovery.rs
+++ b/crates/aspendrum/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::backoff::Backoff;
 use crate::http;
 use crate::notes::{Note, Wish};
-use crate::pool::Conn;
+use crate::pool::Connection;
 use crate::roster::{Names, Roster};
 use crate::workers::lock;
 use crate::Shop;
@@ -55,7 +55,7 @@
     }
 
     /// False: it has moved meanwhile, and this connection is of no use.
-    fn reached(&self, conn: &Conn) -> bool {
+    fn reached(&self, conn: &Connection) -> bool {
         let mut place = lock(&self.0);
         place.stream = (place.addr == conn.dial).then(|| conn.stream.clone());
         place.stream.is_some()
@@ -145,11 +145,11 @@
         }
     }
 
-    fn ask(&self, held: &mut Option<Conn>, watch: bool) -> Result<Roster, String> {
+    fn ask(&self, held: &mut Option<Connection>, watch: bool) -> Result<Roster, String> {
         let limits = &self.shop.limits;
         let mut conn = match held.take() {
             Some(conn) => conn,
-            None => Conn::apart(self.agent.addr(), limits.connect_wait, self.shop.pool.lines())
+            None => Connection::apart(self.agent.addr(), limits.connect_wait, self.shop.pool.lines())
                 .map_err(|e| e.to_string())?,
         };
         if !self.agent.reached(&conn) {
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -2,13 +2,13 @@
 //! here.
 
 use crate::limits::{Limits, HEADERS};
-use crate::pool::Conn;
-use crate::ring_buffer::Ring;
+use crate::pool::Connection;
+use crate::ring_buffer::RingBuffer;
 use crate::Shop;
 use aspendrum_core::api::{Load, LoadValue, Ms, Outcome, Semantics};
 use aspendrum_core::settings::MS;
 pub use aspendrum_net::http1::Parsed;
-use aspendrum_net::http1::{chunks, closes, header, length, raw, Length};
+use aspendrum_net::http1::{chunks, closes, header, length, raw, BodyLength};
 use std::collections::HashMap;
 use std::io::Write;
 use std::time::Instant;
@@ -90,25 +90,25 @@
 }
 
 /// Takes one call off the ring once it is whole.
-pub fn call(ring: &mut Ring, lanes: &Lanes, limits: &Limits) -> Parsed<Call> {
+pub fn call(ring: &mut RingBuffer, lanes: &Lanes, limits: &Limits) -> Parsed<Call> {
     let mut space = [httparse::EMPTY_HEADER; HEADERS];
     let mut head = httparse::Request::new(&mut space);
     let bytes = ring.whole();
     let at = match head.parse(bytes) {
         Ok(httparse::Status::Complete(at)) if at <= limits.head => at,
-        Ok(httparse::Status::Partial) if bytes.len() < limits.head => return Parsed::More,
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Parsed::Bad(431),
-        Err(_) => return Parsed::Bad(400),
+        Ok(httparse::Status::Partial) if bytes.len() < limits.head => return Parsed::Incomplete,
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Parsed::Invalid(431),
+        Err(_) => return Parsed::Invalid(400),
     };
     let length = match length(head.headers) {
-        Ok(Length::Known(n)) if n > limits.body => return Parsed::Bad(413),
-        Ok(Length::Known(n)) => n,
-        Ok(Length::Chunked) => return Parsed::Bad(411),
-        Ok(Length::Unknown) => 0,
-        Err(_) => return Parsed::Bad(400),
+        Ok(BodyLength::Known(n)) if n > limits.body => return Parsed::Invalid(413),
+        Ok(BodyLength::Known(n)) => n,
+        Ok(BodyLength::Chunked) => return Parsed::Invalid(411),
+        Ok(BodyLength::Unknown) => 0,
+        Err(_) => return Parsed::Invalid(400),
     };
     if bytes.len() < at + length {
-        return Parsed::More;
+        return Parsed::Incomplete;
     }
     let parsed = match (head.method, head.path) {
         (Some("GET"), Some(READY)) => Ok(Call::Ready { close: closes(head.headers, head.version) }),
@@ -120,7 +120,7 @@
         _ => Err(400),
     };
     ring.take(at + length);
-    parsed.map_or_else(Parsed::Bad, Parsed::Whole)
+    parsed.map_or_else(Parsed::Invalid, Parsed::Complete)
 }
 
 /// Whatever is out of order is refused here, before the module hears of it: it may come in the name of a
@@ -188,7 +188,7 @@
 
 impl Asked {
     /// Writes a forward that waits that long.
-    pub fn forward(&self, wait: Ms, out: &mut Ring) -> bool {
+    pub fn forward(&self, wait: Ms, out: &mut RingBuffer) -> bool {
         let (us, body) = ((wait * 1000.0).max(1.0) as u64, self.body.len());
         out.put(&self.head)
             && write!(out, "{REMAINING}: {us}u\r\n").is_ok()
@@ -210,26 +210,26 @@
 }
 
 /// Reads one whole answer from a server, or from discovery.
-pub fn receive(conn: &mut Conn, until: Instant, shop: &Shop) -> Result<Answer, Outcome> {
+pub fn receive(conn: &mut Connection, until: Instant, shop: &Shop) -> Result<Answer, Outcome> {
     conn.receive(until, shop.pool.lines(), |ring| answer(ring, &shop.lanes, &shop.limits))
 }
 
 /// Takes one answer off the ring once it is whole. An answer that only the end of the connection delimits
 /// cannot be told from one that was cut off, so it is never whole.
-pub fn answer(ring: &mut Ring, lanes: &Lanes, limits: &Limits) -> Parsed<Answer> {
+pub fn answer(ring: &mut RingBuffer, lanes: &Lanes, limits: &Limits) -> Parsed<Answer> {
     loop {
         let mut space = [httparse::EMPTY_HEADER; HEADERS];
         let mut head = httparse::Response::new(&mut space);
         let bytes = ring.whole();
         let at = match head.parse(bytes) {
             Ok(httparse::Status::Complete(at)) if at <= limits.head => at,
-            Ok(httparse::Status::Partial) if bytes.len() < limits.head => return Parsed::More,
-            _ => return Parsed::Bad(502),
+            Ok(httparse::Status::Partial) if bytes.len() < limits.head => return Parsed::Incomplete,
+            _ => return Parsed::Invalid(502),
         };
         let status = head.code.unwrap_or(0);
         // Nobody asked for another protocol; what follows then is not to be read as HTTP.
         if status == 101 {
-            return Parsed::Bad(502);
+            return Parsed::Invalid(502);
         }
         if (100..200).contains(&status) {
             ring.take(at);
@@ -237,15 +237,15 @@
         }
         let (taken, body) = match length(head.headers) {
             _ if status == 204 || status == 304 => (at, Vec::new()),
-            Ok(Length::Known(n)) if n > limits.body => return Parsed::Bad(502),
-            Ok(Length::Known(n)) if bytes.len() < at + n => return Parsed::More,
-            Ok(Length::Known(n)) => (at + n, bytes[at..at + n].to_vec()),
-            Ok(Length::Chunked) => match chunks(&bytes[at..], limits.body) {
-                Parsed::Whole((size, body)) => (at + size, body),
-                Parsed::More => return Parsed::More,
-                Parsed::Bad(status) => return Parsed::Bad(status),
+            Ok(BodyLength::Known(n)) if n > limits.body => return Parsed::Invalid(502),
+            Ok(BodyLength::Known(n)) if bytes.len() < at + n => return Parsed::Incomplete,
+            Ok(BodyLength::Known(n)) => (at + n, bytes[at..at + n].to_vec()),
+            Ok(BodyLength::Chunked) => match chunks(&bytes[at..], limits.body) {
+                Parsed::Complete((size, body)) => (at + size, body),
+                Parsed::Incomplete => return Parsed::Incomplete,
+                Parsed::Invalid(status) => return Parsed::Invalid(status),
             },
-            _ => return Parsed::Bad(502),
+            _ => return Parsed::Invalid(502),
         };
         let told = header(head.headers, PRESSURE).unwrap_or("");
         let answer = Answer {
@@ -262,7 +262,7 @@
             body,
         };
         ring.take(taken);
-        return Parsed::Whole(answer);
+        return Parsed::Complete(answer);
     }
 }
 
@@ -301,7 +301,14 @@
 }
 
 /// A whole answer of the limiter.
-pub fn reply(out: &mut Ring, status: u16, advice: Ms, close: bool, content_type: &[u8], body: &[u8]) -> bool {
+pub fn reply(
+    out: &mut RingBuffer,
+    status: u16,
+    advice: Ms,
+    close: bool,
+    content_type: &[u8],
+    body: &[u8],
+) -> bool {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -325,7 +332,7 @@
 }
 
 /// A probe, or any other call without a body.
-pub fn get(out: &mut Ring, path: &str) -> bool {
+pub fn get(out: &mut RingBuffer, path: &str) -> bool {
     write!(out, "GET {path} HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n").is_ok()
 }
 
--- a/crates/aspendrum/src/lib.rs
+++ b/crates/aspendrum/src/lib.rs
@@ -19,8 +19,8 @@
 pub mod shutdown;
 
 use aspendrum_core::api::ListKind;
-use aspendrum_net::disconnect_metrics::DepartureFigures;
-use aspendrum_net::disconnects::Watch;
+use aspendrum_net::disconnect_metrics::DisconnectMetrics;
+use aspendrum_net::disconnects::DisconnectWatcher;
 pub(crate) use aspendrum_net::workers;
 pub use aspendrum_net::{mailbox, pool, ring_buffer};
 use backoff::Backoff;
@@ -51,8 +51,8 @@
     pub pool: Arc<Pool>,
     pub clients: Clients,
     /// Whether clients are still there, and what became of queries whose clients are not.
-    pub watch: Watch,
-    pub departures: DepartureFigures,
+    pub watch: DisconnectWatcher,
+    pub departures: DisconnectMetrics,
     workers: WorkerPool,
     started: Instant,
     /// When a connection was last taken in, as `age` tells it.
@@ -125,8 +125,8 @@
             door: door.clone(),
             pool: Arc::new(Pool::new(limits.lines())),
             clients: Clients::default(),
-            watch: Watch::default(),
-            departures: DepartureFigures::default(),
+            watch: DisconnectWatcher::default(),
+            departures: DisconnectMetrics::default(),
             workers: WorkerPool::new(limits.stack, limits.idle_workers),
             started: Instant::now(),
             accepted: AtomicU64::new(0),
--- a/crates/aspendrum/src/limits.rs
+++ b/crates/aspendrum/src/limits.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::ms;
 use crate::config::Config;
-use aspendrum_net::pool::Lines;
+use aspendrum_net::pool::PoolLimits;
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
@@ -83,8 +83,8 @@
 
 impl Limits {
     /// What the pool of connections to servers needs of them.
-    pub fn lines(&self) -> Lines {
-        Lines {
+    pub fn lines(&self) -> PoolLimits {
+        PoolLimits {
             sockets: self.server_sockets,
             ring: self.ring,
             ring_top: self.ring_top,
--- a/crates/aspendrum/src/resp.rs
+++ b/crates/aspendrum/src/resp.rs
@@ -1,6 +1,6 @@
 //! The counter's protocol, RESP2: calls out, replies in.
 
-use crate::ring_buffer::Ring;
+use crate::ring_buffer::RingBuffer;
 use aspendrum_core::api::Ms;
 use std::io::Write;
 
@@ -33,7 +33,7 @@
     }
 }
 
-pub fn reply(ring: &mut Ring) -> Parsed {
+pub fn reply(ring: &mut RingBuffer) -> Parsed {
     let bytes = ring.whole();
     let Some((first, line)) = bytes.split_first() else { return Parsed::More };
     let Some(end) = line.windows(2).position(|w| w == b"\r\n") else {
--- a/crates/aspendrum/tests/suite/pieces.rs
+++ b/crates/aspendrum/tests/suite/pieces.rs
@@ -10,7 +10,7 @@
 use aspendrum::mailbox::{self, MailboxReceiver};
 use aspendrum::notes::{Door, Note};
 use aspendrum::resp::{self, Parsed, Reply};
-use aspendrum::ring_buffer::Ring;
+use aspendrum::ring_buffer::RingBuffer;
 use aspendrum::roster::{Names, Roster};
 use aspendrum_core::api::{Event, Health, LoadValue, Outcome};
 use aspendrum_net::forward::{ForwardHandle, Kind};
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_ring_turns_round_grows_to_its_limit_and_shrinks() {
-    let mut ring = Ring::new(4, 16);
+    let mut ring = RingBuffer::new(4, 16);
     for round in 0..20u8 {
         assert!(ring.put(&[round, 1, 2]));
         assert_eq!(ring.whole(), [round, 1, 2]);
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_ring_that_could_not_be_written_keeps_what_is_left() {
-    let mut ring = Ring::new(4, 16);
+    let mut ring = RingBuffer::new(4, 16);
     ring.put(b"hello you");
     assert!(ring.drain(&mut Breaks(5)).is_err());
     assert_eq!(ring.whole(), b" you");
@@ -82,7 +82,7 @@
 #[test_case("$1\r\n123456", Parsed::Nonsense ; "longer than it says")]
 #[test_case("HTTP/1.1 200 OK\r\n", Parsed::Nonsense ; "another protocol")]
 fn replies(text: &str, expected: Parsed) {
-    let mut ring = Ring::new(8, 512);
+    let mut ring = RingBuffer::new(8, 512);
     assert!(ring.put(text.as_bytes()));
     assert_eq!(resp::reply(&mut ring), expected);
 }
@@ -267,10 +267,10 @@
     let load_values = vec![LoadValue::CpuShare, LoadValue::Waiting];
     let (groups, plans, semantics) = Default::default();
     let lanes = Lanes { groups, plans, semantics, instances: 1.0, units_top: 1.0, load_values };
-    let mut ring = Ring::new(8, 512);
+    let mut ring = RingBuffer::new(8, 512);
     assert!(ring.put(bytes));
     let got = match http::answer(&mut ring, &lanes, &limits) {
-        http::Parsed::Whole(answer) => Some((answer.load.n, answer.charged)),
+        http::Parsed::Complete(answer) => Some((answer.load.n, answer.charged)),
         _ => None,
     };
     assert_eq!(got, expected);
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -13,7 +13,7 @@
 use aspendrum::notes::{Door, Note};
 use aspendrum::peers::Peers;
 use aspendrum::resp::{self, Parsed, Reply};
-use aspendrum::ring_buffer::Ring;
+use aspendrum::ring_buffer::RingBuffer;
 use aspendrum::roster::{Names, Roster};
 use aspendrum_core::api::{Health, Load, LoadValue, Semantics};
 use serde_json::{json, Value};
@@ -63,14 +63,14 @@
     messages(fixture).into_iter().find(|m| m.0 == name).unwrap().1
 }
 
-fn ring(bytes: &[u8]) -> Ring {
-    let mut ring = Ring::new(8, 1 << 16);
+fn ring(bytes: &[u8]) -> RingBuffer {
+    let mut ring = RingBuffer::new(8, 1 << 16);
     assert!(ring.put(bytes));
     ring
 }
 
-fn written(write: impl FnOnce(&mut Ring) -> bool) -> Vec<u8> {
-    let mut ring = Ring::new(8, 1 << 16);
+fn written(write: impl FnOnce(&mut RingBuffer) -> bool) -> Vec<u8> {
+    let mut ring = RingBuffer::new(8, 1 << 16);
     assert!(write(&mut ring));
     ring.whole().to_vec()
 }
@@ -152,7 +152,8 @@
 fn requests_read_and_sent_on() {
     let forwarded = |name: &str| {
         let mut incoming = ring(&bytes(REQUESTS, name));
-        let http::Parsed::Whole(Call::Query(query)) = http::call(&mut incoming, &lanes(), &limits()) else {
+        let http::Parsed::Complete(Call::Query(query)) = http::call(&mut incoming, &lanes(), &limits())
+        else {
             panic!("{name} was not read")
         };
         assert!(incoming.is_empty());
@@ -175,7 +176,7 @@
 fn the_readiness_question() {
     let mut incoming = ring(&bytes(REQUESTS, "readiness"));
     let read = http::call(&mut incoming, &lanes(), &limits());
-    assert!(matches!(read, http::Parsed::Whole(Call::Ready { close: false })));
+    assert!(matches!(read, http::Parsed::Complete(Call::Ready { close: false })));
 }
 
 #[test]
@@ -196,7 +197,7 @@
     let read = |name| {
         let mut incoming = ring(&bytes(SERVER_ANSWERS, name));
         match http::answer(&mut incoming, &lanes(), &limits()) {
-            http::Parsed::Whole(answer) => answer,
+            http::Parsed::Complete(answer) => answer,
             _ => panic!("{name} was not read"),
         }
     };
