--- a/crates/aspendrum-agent/src/control.rs
+++ b/crates/aspendrum-agent/src/control.rs
@@ -102,12 +102,12 @@
             };
             n += 1;
             if let Ok(stream) = Link::dial(settings.control_at(ip), DIAL_WAIT) {
-                if let Ok(link) = Link::over(stream.clone(), SILENCE, ROOM) {
+                if let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) {
                     id += 1;
                     let since = Instant::now();
                     notes.send(Note::Control { id, ip, link }, None);
                     let mut from = BufReader::with_capacity(4 << 10, &*stream);
-                    while let Ok(said) = frames::read::<Down>(&mut from) {
+                    while let Ok(said) = frames::read_frame::<Down>(&mut from) {
                         notes.send(Note::Said { id, said }, None);
                     }
                     notes.send(Note::ControlLost { id }, None);
--- a/crates/aspendrum-agent/src/desk.rs
+++ b/crates/aspendrum-agent/src/desk.rs
@@ -53,7 +53,7 @@
 impl Control {
     /// Ends the connection for another one: until the agent is heard there, its proxy stays where it is known.
     fn leave(&self) {
-        self.link.say(&up(Up::Moving));
+        self.link.send(&up(Up::Moving));
         self.link.finish();
     }
 }
@@ -194,7 +194,8 @@
             }
             Note::Borrower(answer) => {
                 let parts = (0..KINDS).filter_map(|kind| self.told(kind));
-                let news = (1..).zip(parts).map(|(number, part)| frames::frame(&Down::News { number, part }));
+                let news =
+                    (1..).zip(parts).map(|(number, part)| frames::encode_frame(&Down::News { number, part }));
                 let _ = answer.try_send(news.flatten().collect());
             }
             Note::Lent(part) => {
@@ -287,7 +288,7 @@
             }
             Step::Snapshot => (0..KINDS).for_each(|kind| self.feed(kind)),
             Step::Anew => {
-                proxy.link.say(&Down::Anew);
+                proxy.link.send(&Down::Anew);
                 (0..KINDS).for_each(|kind| self.feed(kind));
             }
             Step::Tell => {}
@@ -378,7 +379,7 @@
         let Some(part) = self.told(kind) else { return };
         if let Some(proxy) = self.proxy.as_mut().filter(|p| p.front.is_some()) {
             proxy.said += 1;
-            proxy.link.say(&Down::News { number: proxy.said, part });
+            proxy.link.send(&Down::News { number: proxy.said, part });
         }
     }
 
@@ -396,7 +397,7 @@
                 self.beat();
             }
             Up::Beat { stamp, readiness, applied } => {
-                proxy.link.say(&Down::Beat { stamp, age, of, heard, deserted });
+                proxy.link.send(&Down::Beat { stamp, age, of, heard, deserted });
                 let turned = proxy.readiness != readiness;
                 (proxy.readiness, proxy.applied) = (readiness, applied);
                 if turned {
@@ -407,7 +408,7 @@
             // All that the proxy was told is in force there, and so is all that control told us.
             Up::Applied { number } if number == proxy.said => {
                 if let Some(control) = &self.control {
-                    control.link.say(&up(Up::Applied { number: self.last }));
+                    control.link.send(&up(Up::Applied { number: self.last }));
                 }
             }
             // Proxies have one agent.
@@ -455,12 +456,12 @@
         let Some(proxy) = &self.proxy else { return };
         if let Some(front) = proxy.front.filter(|f| control.told != Some(*f)) {
             control.told = Some(front);
-            control.link.say(&up(Up::Hello { host: proxy.host.clone(), front, zone }));
+            control.link.send(&up(Up::Hello { host: proxy.host.clone(), front, zone }));
         }
         if proxy.front.is_some() {
             let heard = now - proxy.heard <= PROXY_SILENT;
             let readiness = if heard { proxy.readiness } else { Readiness::Closed };
-            control.link.say(&up(Up::Beat { stamp: now as u64, readiness, applied: proxy.applied }));
+            control.link.send(&up(Up::Beat { stamp: now as u64, readiness, applied: proxy.applied }));
         }
     }
 }
--- a/crates/aspendrum-agent/src/lend.rs
+++ b/crates/aspendrum-agent/src/lend.rs
@@ -70,7 +70,7 @@
             let Ok(stream) = Link::dial(at, DIAL_WAIT) else { return };
             let _ = stream.set_read_timeout(Some(SILENCE));
             let mut from = BufReader::with_capacity(4 << 10, &*stream);
-            while let Ok(Down::News { part, .. }) = frames::read::<Down>(&mut from) {
+            while let Ok(Down::News { part, .. }) = frames::read_frame::<Down>(&mut from) {
                 notes.send(Note::Lent(part), None);
             }
         };
--- a/crates/aspendrum-agent/src/main.rs
+++ b/crates/aspendrum-agent/src/main.rs
@@ -53,7 +53,7 @@
         notes.send(Note::Settings(settings), None);
         Ok(())
     };
-    told.until_told(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
+    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
     // A proxy that ends finishes what it has in hand, and needs to hear of servers and orders meanwhile.
     let (done, left) = bounded(1);
     notes.send(Note::Leave { done }, None);
--- a/crates/aspendrum-agent/src/proxy.rs
+++ b/crates/aspendrum-agent/src/proxy.rs
@@ -27,12 +27,12 @@
             };
             id += 1;
             let stream = Arc::new(stream);
-            let Ok(link) = Link::over(stream.clone(), SILENCE, ROOM) else { continue };
+            let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) else { continue };
             let own = notes.clone();
             notes.send(Note::Proxy { id, link }, None);
             let started = spawn("reader", STACK, move || {
                 let mut from = BufReader::with_capacity(1 << 10, &*stream);
-                while let Ok(said) = frames::read::<Up>(&mut from) {
+                while let Ok(said) = frames::read_frame::<Up>(&mut from) {
                     own.send(Note::ProxySaid { id, said }, None);
                 }
                 own.send(Note::ProxyLost { id }, None);
--- a/crates/aspendrum-agent/tests/wire_bytes.rs
+++ b/crates/aspendrum-agent/tests/wire_bytes.rs
@@ -93,12 +93,12 @@
 fn messages_keep_their_bytes() {
     let mut written = String::new();
     for (name, message) in downward() {
-        written += &format!("down {name} {}\n", hex(&frames::frame(&message)));
+        written += &format!("down {name} {}\n", hex(&frames::encode_frame(&message)));
     }
     for (name, message) in upward() {
-        written += &format!("to_agent {name} {}\n", hex(&frames::frame(&message)));
+        written += &format!("to_agent {name} {}\n", hex(&frames::encode_frame(&message)));
         let enveloped: Word = Word::Up(message);
-        written += &format!("to_control {name} {}\n", hex(&frames::frame(&enveloped)));
+        written += &format!("to_control {name} {}\n", hex(&frames::encode_frame(&enveloped)));
     }
     for (name, message) in datagrams() {
         written += &format!("datagram {name} {}\n", hex(&postcard::to_allocvec(&message).unwrap()));
@@ -113,16 +113,17 @@
         let own = parts.filter(|parts| parts[0] == channel);
         own.map(|parts| (parts[1].to_string(), bytes_of(parts[2]))).collect()
     };
-    let read =
-        lines("down").into_iter().map(|(name, bytes)| (name, frames::read::<Down>(&mut &bytes[..]).unwrap()));
+    let read = lines("down")
+        .into_iter()
+        .map(|(name, bytes)| (name, frames::read_frame::<Down>(&mut &bytes[..]).unwrap()));
     assert!(read.eq(downward().into_iter().map(|(name, message)| (name.to_string(), message))));
     let read = lines("to_agent")
         .into_iter()
-        .map(|(name, bytes)| (name, frames::read::<Up>(&mut &bytes[..]).unwrap()));
+        .map(|(name, bytes)| (name, frames::read_frame::<Up>(&mut &bytes[..]).unwrap()));
     assert!(read.eq(upward().into_iter().map(|(name, message)| (name.to_string(), message))));
     let read = lines("to_control")
         .into_iter()
-        .map(|(name, bytes)| (name, frames::read::<Word>(&mut &bytes[..]).unwrap()));
+        .map(|(name, bytes)| (name, frames::read_frame::<Word>(&mut &bytes[..]).unwrap()));
     assert!(read.eq(upward().into_iter().map(|(name, message)| (name.to_string(), Word::Up(message)))));
     let read =
         lines("datagram").into_iter().map(|(name, bytes)| (name, postcard::from_bytes(&bytes).unwrap()));
@@ -133,10 +134,10 @@
 #[test]
 fn a_snapshot_is_read_frame_by_frame() {
     let updates: Vec<Down> = downward().into_iter().take(5).map(|(_, message)| message).collect();
-    let snapshot: Vec<u8> = updates.iter().flat_map(frames::frame).collect();
+    let snapshot: Vec<u8> = updates.iter().flat_map(frames::encode_frame).collect();
     let mut from = &snapshot[..];
     for update in updates {
-        assert_eq!(frames::read::<Down>(&mut from).unwrap(), update);
+        assert_eq!(frames::read_frame::<Down>(&mut from).unwrap(), update);
     }
-    assert!(frames::read::<Down>(&mut from).is_err());
+    assert!(frames::read_frame::<Down>(&mut from).is_err());
 }
--- a/crates/aspendrum-capacity/src/cores/model.rs
+++ b/crates/aspendrum-capacity/src/cores/model.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::news::{Down, Edition, Part, Readiness, Up, Word};
 use aspendrum_model::packed::{pack, unpack};
 use aspendrum_model::servers::{page, Roster, Server};
-use aspendrum_net::frames::frame;
+use aspendrum_net::frames::encode_frame;
 use aspendrum_reconcile::edition;
 
 /// Servers on a page of the platform's list, as the pages' deployments have it.
@@ -30,7 +30,7 @@
         let line = |name| Line::of(name).with("routes", routes).with("tenants", tenants).with("hosts", hosts);
         let text = sizes::config(&size, hosts, 1);
         let packed = pack(text.as_bytes());
-        let whole = frame(&Down::News { number: 1, part: Part::config(1, packed.clone()) });
+        let whole = encode_frame(&Down::News { number: 1, part: Part::config(1, packed.clone()) });
         let bytes = line("model.config.bytes").with("text", text.len()).with("packed", packed.len());
         bytes.with("frame", whole.len()).tell();
         let repeats = if tenants > 5_000 { 5 } else { 15 };
@@ -51,7 +51,8 @@
         let line = |name| Line::of(name).with("servers", size.servers).with("services", size.services);
         let pages: Vec<String> = list.chunks(PAGE).map(|p| sizes::page(p, Some("p-50".into()))).collect();
         let bytes: usize = pages.iter().map(String::len).sum();
-        let told = frame(&Down::News { number: 1, part: Part::Servers { age: 0, list: list.clone() } });
+        let told =
+            encode_frame(&Down::News { number: 1, part: Part::Servers { age: 0, list: list.clone() } });
         line("lists.bytes").with("pages", pages.len()).with("json", bytes).with("frame", told.len()).tell();
         let read = || pages.iter().filter_map(|p| page(p.as_bytes()).ok()).map(|p| p.0.len()).sum::<usize>();
         line("lists.pages.read").ms("cpu", &each(15, |_| read())).tell();
@@ -70,15 +71,18 @@
     }
     for size in GRADES {
         let fronts = sizes::fronts(size.limiters);
-        let told = frame(&Down::News { number: 1, part: Part::Fronts(fronts) });
+        let told = encode_frame(&Down::News { number: 1, part: Part::Fronts(fronts) });
         Line::of("lists.fronts.bytes").with("limiters", size.limiters).with("frame", told.len()).tell();
     }
     let edition = Edition { digests: [u64::MAX; 4], ..Edition::default() };
-    let up =
-        frame(&Word::<()>::Up(Up::Beat { stamp: 86_400_000, readiness: Readiness::Ready, applied: edition }));
+    let up = encode_frame(&Word::<()>::Up(Up::Beat {
+        stamp: 86_400_000,
+        readiness: Readiness::Ready,
+        applied: edition,
+    }));
     let age = Some(400);
     let beat = Down::Beat { stamp: 86_400_000, age, of: edition, heard: true, deserted: false };
-    Line::of("lists.beat.bytes").with("up", up.len()).with("down", frame(&beat).len()).tell();
-    let framed = batches(9, 1000, |_| frame(&beat));
+    Line::of("lists.beat.bytes").with("up", up.len()).with("down", encode_frame(&beat).len()).tell();
+    let framed = batches(9, 1000, |_| encode_frame(&beat));
     Line::of("lists.beat.frame").ms("cpu", &framed).tell();
 }
--- a/crates/aspendrum-capacity/src/hollow/agent.rs
+++ b/crates/aspendrum-capacity/src/hollow/agent.rs
@@ -106,7 +106,7 @@
 
     fn say(&self, counts: &Counts, up: Up) {
         let stream = lock(&self.state).stream.clone();
-        let bytes = frames::frame(&Word::<()>::Up(up));
+        let bytes = frames::encode_frame(&Word::<()>::Up(up));
         if let Some(stream) = stream {
             if (&*stream).write_all(&bytes).is_ok() {
                 counts.up.fetch_add(bytes.len() as u64, Relaxed);
@@ -141,7 +141,7 @@
         let mut from = Counting { from: BufReader::with_capacity(4 << 10, &*stream), read: 0 };
         loop {
             let before = from.read;
-            let Ok(down) = frames::read::<Down>(&mut from) else { break };
+            let Ok(down) = frames::read_frame::<Down>(&mut from) else { break };
             self.hear(counts, down, from.read - before);
         }
         let _ = stream.shutdown(Shutdown::Both);
--- a/crates/aspendrum-capacity/src/hollow/traffic.rs
+++ b/crates/aspendrum-capacity/src/hollow/traffic.rs
@@ -4,7 +4,7 @@
 use crate::measure::{Line, Samples};
 use crate::sizes::SERVERS_PORT;
 use aspendrum_model::config::Config;
-use aspendrum_net::http1::{self, answer, only, MessageLimits, Parsed};
+use aspendrum_net::http1::{self, encode_response, single_header, MessageLimits, Parsed};
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_net::workers::{lock, spawn};
 use std::io::{self, Write};
@@ -43,16 +43,16 @@
     let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(Duration::from_secs(20))));
     let mut ring = RingBuffer::new(1 << 10, 1 << 20);
     loop {
-        match http1::request(&mut ring, &BOUNDS) {
+        match http1::parse_request(&mut ring, &BOUNDS) {
             Parsed::Incomplete => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => {}
                 _ => return,
             },
             Parsed::Invalid(_) => return,
             Parsed::Complete(asked) => {
-                let id = only(&asked.headers, "Try-Id").unwrap_or("");
+                let id = single_header(&asked.headers, "Try-Id").unwrap_or("");
                 let headers = [("Try-Id", id), ("Seal", "hollow"), ("Server-Load", "0,0,2")];
-                if (&*stream).write_all(&answer(200, &headers, false, &BODY)).is_err() {
+                if (&*stream).write_all(&encode_response(200, &headers, false, &BODY)).is_err() {
                     return;
                 }
             }
@@ -76,7 +76,7 @@
         };
         (&stream).write_all(request).ok()?;
         loop {
-            match http1::response(&mut ring, &BOUNDS) {
+            match http1::parse_response(&mut ring, &BOUNDS) {
                 Parsed::Incomplete => match ring.fill(&mut &stream) {
                     Ok(n) if n > 0 => {}
                     _ => return None,
--- a/crates/aspendrum-capacity/tests/agents.rs
+++ b/crates/aspendrum-capacity/tests/agents.rs
@@ -12,7 +12,7 @@
 const LIMIT: Duration = Duration::from_secs(20);
 
 fn next(link: &mut TcpStream) -> Up {
-    match frames::read::<Word>(link).unwrap() {
+    match frames::read_frame::<Word>(link).unwrap() {
         Word::Up(up) => up,
         Word::Between(()) => panic!("no agent's word"),
     }
@@ -37,7 +37,7 @@
     agents[0].run(true);
     let mut link = taken(&listener);
     assert!(matches!(next(&mut link), Up::Hello { host, .. } if host == "edge-0"));
-    let say = |mut link: &TcpStream, down: Down| link.write_all(&frames::frame(&down)).unwrap();
+    let say = |mut link: &TcpStream, down: Down| link.write_all(&frames::encode_frame(&down)).unwrap();
     say(&link, Down::News { number: 4, part: Part::config(7, vec![1, 2, 3]) });
     let stamp = loop {
         if let Up::Beat { stamp, readiness: Readiness::Ready, .. } = next(&mut link) {
@@ -59,7 +59,7 @@
     assert_eq!(counts.frames[0].load(Relaxed), 1);
     // Something newer was decided, and never told: it ends the link and begins anew.
     say(&link, beat(stamp, 8));
-    while frames::read::<Word>(&mut link).is_ok() {}
+    while frames::read_frame::<Word>(&mut link).is_ok() {}
     let mut link = taken(&listener);
     assert!(matches!(next(&mut link), Up::Hello { .. }));
     assert_eq!((counts.missed.load(Relaxed), counts.links.load(Relaxed)), (1, 2));
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -63,7 +63,7 @@
                 continue;
             }
             self.said += 1;
-            self.link.say(&Down::News { number: self.said, part: part.clone() });
+            self.link.send(&Down::News { number: self.said, part: part.clone() });
             *told = Some(part.clone());
         }
     }
@@ -129,7 +129,7 @@
         let age = self.replica.as_of().map(|at| (now - at).max(0.0).ceil() as u32);
         let (of, deserted) = (self.decided, false);
         let Some(session) = self.agents.sessions.get_mut(&id) else { return };
-        session.link.say(&Down::Beat { stamp, age, of, heard: true, deserted });
+        session.link.send(&Down::Beat { stamp, age, of, heard: true, deserted });
         session.edition = applied;
         // Without a majority this machine may be the one that is behind.
         if age.is_some_and(|age| Ms::from(age) <= SURE) {
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -69,7 +69,7 @@
         events.send(Event::Settings(settings), None);
         Ok(())
     };
-    told.until_told(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
+    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
     // All that was acknowledged is on disks; what is left is a vote that another machine may take.
     let (done, left) = bounded(1);
     events.send(Event::Leave { done }, None);
--- a/crates/aspendrum-control/src/links.rs
+++ b/crates/aspendrum-control/src/links.rs
@@ -40,7 +40,7 @@
     spawn("peer", STACK, move || {
         while wanted.load(Ordering::Acquire) {
             if let Ok(stream) = Link::dial(addr, DIAL_WAIT) {
-                if let Ok(link) = Link::over(stream.clone(), silence, ROOM) {
+                if let Ok(link) = Link::from_stream(stream.clone(), silence, ROOM) {
                     events.send(Event::PeerLink { place: to, link: Some(link) }, None);
                     // The other side never says anything here: the read ends with the connection.
                     let _ = (&*stream).read(&mut [0]);
@@ -86,7 +86,7 @@
     let _ = stream.set_read_timeout(Some(4 * silence));
     let mut from = std::io::BufReader::with_capacity(2 << 10, &*stream);
     let (mut place, mut agent) = (None, false);
-    while let Ok(word) = frames::read::<Word>(&mut from) {
+    while let Ok(word) = frames::read_frame::<Word>(&mut from) {
         let event = match word {
             Word::Between(message) => {
                 if let PeerMessage::Hello(hello) = &message {
@@ -97,7 +97,7 @@
             }
             Word::Up(message) => {
                 if !agent {
-                    let Ok(link) = Link::over(stream.clone(), silence, ROOM) else { return };
+                    let Ok(link) = Link::from_stream(stream.clone(), silence, ROOM) else { return };
                     events.send(Event::AgentConnected { id, link }, None);
                     agent = true;
                 }
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -137,13 +137,13 @@
 
     pub(crate) fn say(&self, to: Place, message: &PeerMessage) {
         if let Some(link) = self.peers.0.get(&to).and_then(|p| p.link.as_ref()) {
-            link.say(&links::between(message));
+            link.send(&links::between(message));
         }
     }
 
     pub(crate) fn say_all(&self, message: &PeerMessage) {
         for link in self.peers.0.values().filter_map(|p| p.link.as_ref()) {
-            link.say(&links::between(message));
+            link.send(&links::between(message));
         }
     }
 
--- a/crates/aspendrum-control/tests/processes.rs
+++ b/crates/aspendrum-control/tests/processes.rs
@@ -216,7 +216,7 @@
 fn told(link: &mut TcpStream, ends: impl Fn(&Down) -> bool) -> Vec<Down> {
     let mut all = Vec::new();
     loop {
-        let down: Down = frames::read(link).unwrap();
+        let down: Down = frames::read_frame(link).unwrap();
         let over = ends(&down);
         all.push(down);
         if over {
@@ -239,7 +239,8 @@
     control.done(0, "POST", "/api/Cfg.Set", &config(4));
     let mut link = TcpStream::connect((control.ip(1), control.ports[0])).unwrap();
     link.set_read_timeout(Some(LIMIT)).unwrap();
-    let say = |mut link: &TcpStream, up: Up| link.write_all(&frames::frame(&Word::<()>::Up(up))).unwrap();
+    let say =
+        |mut link: &TcpStream, up: Up| link.write_all(&frames::encode_frame(&Word::<()>::Up(up))).unwrap();
     let front = "10.0.0.9:80".parse().unwrap();
     say(&link, Up::Hello { host: "e1".into(), front, zone: "a".into() });
     let mut all = told(&mut link, |d| version(d) == Some(4));
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -41,9 +41,9 @@
 
 /// A frame as one machine of control writes it to another, read by that one.
 fn peer_message(pinned: &mut Pinned, name: &str, message: &PeerMessage) {
-    let frame = frames::frame(&links::between(message));
+    let frame = frames::encode_frame(&links::between(message));
     pinned.same_bytes(name, &frame);
-    let read: Word<PeerMessage> = frames::read(&mut frame.as_slice()).unwrap();
+    let read: Word<PeerMessage> = frames::read_frame(&mut frame.as_slice()).unwrap();
     let Word::Between(read) = read else { panic!("{name}: {read:?}") };
     assert_eq!(format!("{read:?}"), format!("{message:?}"), "{name}");
 }
@@ -86,9 +86,9 @@
     let list = vec![server(false, 0), server(true, 2500)];
     peer_message(&mut pinned, "servers", &PeerMessage::Servers { age: 1200, list });
     // What an agent says comes over the same port, told apart by the first byte.
-    let agent = frames::frame(&Word::<PeerMessage>::Up(Up::Moving));
+    let agent = frames::encode_frame(&Word::<PeerMessage>::Up(Up::Moving));
     pinned.same_bytes("agent", &agent);
-    let read: Word<PeerMessage> = frames::read(&mut agent.as_slice()).unwrap();
+    let read: Word<PeerMessage> = frames::read_frame(&mut agent.as_slice()).unwrap();
     assert!(matches!(read, Word::Up(Up::Moving)), "{read:?}");
     pinned.complete();
 }
--- a/crates/aspendrum-net/src/daemon.rs
+++ b/crates/aspendrum-net/src/daemon.rs
@@ -63,7 +63,7 @@
 
     /// Returns when the process is to end. `reload` is called when the settings in that file may have changed: an error
     /// leaves everything as it was.
-    pub fn until_told(
+    pub fn wait_for_shutdown(
         self,
         file: String,
         mut reload: impl FnMut() -> Result<(), String>,
--- a/crates/aspendrum-net/src/frames.rs
+++ b/crates/aspendrum-net/src/frames.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 /// No frame is longer: a sender of nonsense must not make a reader take memory without end.
-pub const LONGEST: usize = 32 << 20;
+pub const MAX_FRAME_BYTES: usize = 32 << 20;
 const STACK: usize = 96 << 10;
 
 /// A frame's bytes. What cannot be written as one is empty, and a link ends on it.
-pub fn frame<T: Serialize>(word: &T) -> Vec<u8> {
+pub fn encode_frame<T: Serialize>(word: &T) -> Vec<u8> {
     let body = postcard::to_allocvec(word).unwrap_or_default();
     let mut out = (body.len() as u32).to_le_bytes().to_vec();
     out.extend_from_slice(&body);
@@ -24,11 +24,11 @@
 }
 
 /// Reads one frame. `InvalidData`: it is too long, or no word of ours.
-pub fn read<T: DeserializeOwned>(from: &mut impl Read) -> io::Result<T> {
+pub fn read_frame<T: DeserializeOwned>(from: &mut impl Read) -> io::Result<T> {
     let mut length = [0; 4];
     from.read_exact(&mut length)?;
     let length = u32::from_le_bytes(length) as usize;
-    if length > LONGEST {
+    if length > MAX_FRAME_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut body = Vec::new();
@@ -50,7 +50,7 @@
 
 impl Link {
     /// `silence`: so long may bytes stay without the peer's acknowledgement.
-    pub fn over(stream: Arc<TcpStream>, silence: Duration, room: usize) -> io::Result<Link> {
+    pub fn from_stream(stream: Arc<TcpStream>, silence: Duration, room: usize) -> io::Result<Link> {
         stream.set_nodelay(true)?;
         let _ = SockRef::from(&*stream).set_tcp_user_timeout(Some(silence));
         let own = stream.clone();
@@ -71,8 +71,8 @@
         TcpStream::connect_timeout(&to.into(), wait).map(Arc::new)
     }
 
-    pub fn say<T: Serialize>(&self, word: &T) {
-        if self.post.try_send(frame(word)).is_err() {
+    pub fn send<T: Serialize>(&self, word: &T) {
+        if self.post.try_send(encode_frame(word)).is_err() {
             self.end();
         }
     }
--- a/crates/aspendrum-net/src/http1.rs
+++ b/crates/aspendrum-net/src/http1.rs
@@ -21,7 +21,7 @@
 pub struct FramingError;
 
 /// Two lengths, or a length beside chunks, are the door to smuggled queries.
-pub fn length(headers: &[httparse::Header]) -> Result<BodyLength, FramingError> {
+pub fn body_length(headers: &[httparse::Header]) -> Result<BodyLength, FramingError> {
     let mut found = BodyLength::Unknown;
     for h in headers {
         // Of the others none matters here: a good answer may bring a report that cannot be read.
@@ -51,7 +51,7 @@
     Ok(found)
 }
 
-pub fn chunks(bytes: &[u8], most: usize) -> Parsed<(usize, Vec<u8>)> {
+pub fn parse_chunked(bytes: &[u8], most: usize) -> Parsed<(usize, Vec<u8>)> {
     let (mut at, mut body) = (0, Vec::new());
     loop {
         let (skip, size) = match httparse::parse_chunk_size(&bytes[at..]) {
@@ -86,15 +86,15 @@
     bytes.windows(what.len()).position(|w| w == what)
 }
 
-pub fn raw<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a [u8]> {
+pub fn raw_header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a [u8]> {
     headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
 }
 
 pub fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
-    std::str::from_utf8(raw(headers, name)?).ok().map(str::trim)
+    std::str::from_utf8(raw_header(headers, name)?).ok().map(str::trim)
 }
 
-pub fn closes(headers: &[httparse::Header], version: Option<u8>) -> bool {
+pub fn wants_close(headers: &[httparse::Header], version: Option<u8>) -> bool {
     let told = header(headers, "Connection").unwrap_or("");
     let says = |word: &str| told.split(',').any(|t| t.trim().eq_ignore_ascii_case(word));
     says("close") || version == Some(0) && !says("keep-alive")
@@ -136,18 +136,18 @@
 }
 
 /// The one value of a header; none if it is absent, comes twice or is no text.
-pub fn only<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
+pub fn single_header<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     let mut found = headers.iter().filter(|h| h.0.eq_ignore_ascii_case(name));
     let value = found.next().filter(|_| found.next().is_none())?;
     std::str::from_utf8(&value.1).ok().map(str::trim)
 }
 
-pub fn has(headers: &Headers, name: &str) -> bool {
+pub fn has_header(headers: &Headers, name: &str) -> bool {
     headers.iter().any(|h| h.0.eq_ignore_ascii_case(name))
 }
 
 /// Headers that concern one connection only: these, and those that `Connection` names (RFC 9110, 7.6.1).
-pub fn one_hop(headers: &Headers, name: &str) -> bool {
+pub fn is_hop_by_hop(headers: &Headers, name: &str) -> bool {
     const ALWAYS: [&str; 9] = [
         "connection",
         "keep-alive",
@@ -182,7 +182,7 @@
         Ok(BodyLength::Known(n)) if n > most => Parsed::Invalid(413),
         Ok(BodyLength::Known(n)) if bytes.len() < at + n => Parsed::Incomplete,
         Ok(BodyLength::Known(n)) => Parsed::Complete((at + n, bytes[at..at + n].to_vec())),
-        Ok(BodyLength::Chunked) => match chunks(&bytes[at..], most) {
+        Ok(BodyLength::Chunked) => match parse_chunked(&bytes[at..], most) {
             Parsed::Complete((size, body)) => Parsed::Complete((at + size, body)),
             Parsed::Incomplete => Parsed::Incomplete,
             Parsed::Invalid(_) => Parsed::Invalid(400),
@@ -193,17 +193,17 @@
 }
 
 /// Takes one request off the ring once it is whole. `Bad`: the status that its sender is told.
-pub fn request(ring: &mut RingBuffer, bounds: &MessageLimits) -> Parsed<Request> {
+pub fn parse_request(ring: &mut RingBuffer, bounds: &MessageLimits) -> Parsed<Request> {
     let mut space = [httparse::EMPTY_HEADER; HEADERS];
     let mut head = httparse::Request::new(&mut space);
-    let bytes = ring.whole();
+    let bytes = ring.contiguous();
     let at = match head.parse(bytes) {
         Ok(httparse::Status::Complete(at)) if at <= bounds.head => at,
         Ok(httparse::Status::Partial) if bytes.len() < bounds.head => return Parsed::Incomplete,
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Parsed::Invalid(431),
         Err(_) => return Parsed::Invalid(400),
     };
-    let (taken, body) = match body(bytes, at, length(head.headers), bounds.body) {
+    let (taken, body) = match body(bytes, at, body_length(head.headers), bounds.body) {
         Parsed::Complete(found) => found,
         Parsed::Incomplete => return Parsed::Incomplete,
         Parsed::Invalid(status) => return Parsed::Invalid(status),
@@ -212,21 +212,21 @@
     let request = Request {
         method: method.to_string(),
         path: path.to_string(),
-        close: closes(head.headers, head.version),
+        close: wants_close(head.headers, head.version),
         headers: owned(head.headers),
         body,
     };
-    ring.take(taken);
+    ring.consume(taken);
     Parsed::Complete(request)
 }
 
 /// Takes one answer off the ring once it is whole; answers of 1xx are read over. One that only the end of the
 /// connection delimits cannot be told from one that was cut off, so it is never whole.
-pub fn response(ring: &mut RingBuffer, bounds: &MessageLimits) -> Parsed<Response> {
+pub fn parse_response(ring: &mut RingBuffer, bounds: &MessageLimits) -> Parsed<Response> {
     loop {
         let mut space = [httparse::EMPTY_HEADER; HEADERS];
         let mut head = httparse::Response::new(&mut space);
-        let bytes = ring.whole();
+        let bytes = ring.contiguous();
         let at = match head.parse(bytes) {
             Ok(httparse::Status::Complete(at)) if at <= bounds.head => at,
             Ok(httparse::Status::Partial) if bytes.len() < bounds.head => return Parsed::Incomplete,
@@ -237,10 +237,10 @@
             return Parsed::Invalid(502);
         }
         if status < 200 {
-            ring.take(at);
+            ring.consume(at);
             continue;
         }
-        let length = match length(head.headers) {
+        let length = match body_length(head.headers) {
             _ if status == 204 || status == 304 => Ok(BodyLength::Known(0)),
             Ok(BodyLength::Unknown) => return Parsed::Invalid(502),
             length => length,
@@ -253,17 +253,17 @@
         let response = Response {
             status,
             reason: head.reason.unwrap_or("").to_string(),
-            close: closes(head.headers, head.version),
+            close: wants_close(head.headers, head.version),
             headers: owned(head.headers),
             body,
         };
-        ring.take(taken);
+        ring.consume(taken);
         return Parsed::Complete(response);
     }
 }
 
 /// The usual words behind a status (RFC 9110, 15).
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         307 => "Temporary Redirect",
@@ -286,8 +286,9 @@
 }
 
 /// An answer of our own, whole.
-pub fn answer(status: u16, headers: &[(&str, &str)], close: bool, body: &[u8]) -> Vec<u8> {
-    let mut out = format!("HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason(status), body.len());
+pub fn encode_response(status: u16, headers: &[(&str, &str)], close: bool, body: &[u8]) -> Vec<u8> {
+    let mut out =
+        format!("HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason_phrase(status), body.len());
     for (name, value) in headers {
         out += &format!("{name}: {value}\r\n");
     }
--- a/crates/aspendrum-net/src/http_client.rs
+++ b/crates/aspendrum-net/src/http_client.rs
@@ -66,7 +66,7 @@
             .map_err(|e| e.to_string())?;
         conn.send().map_err(|e| format!("{e:?}"))?;
         let bounds = self.bounds;
-        let answer = conn.receive(until, &self.lines, |ring| http1::response(ring, &bounds));
+        let answer = conn.receive(until, &self.lines, |ring| http1::parse_response(ring, &bounds));
         let answer = answer.map_err(|e| format!("{e:?}"))?;
         if !answer.close {
             self.conn = Some(conn);
--- a/crates/aspendrum-net/src/http_server.rs
+++ b/crates/aspendrum-net/src/http_server.rs
@@ -70,7 +70,7 @@
         return;
     }
     loop {
-        let (reply, close) = match http1::request(&mut ring, &terms.bounds) {
+        let (reply, close) = match http1::parse_request(&mut ring, &terms.bounds) {
             Parsed::Incomplete => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => continue,
                 _ => return,
@@ -85,7 +85,7 @@
             }
         };
         let headers: Vec<(&str, &str)> = reply.headers.iter().map(|h| (h.0, h.1.as_str())).collect();
-        let bytes = http1::answer(reply.status, &headers, close, &reply.body);
+        let bytes = http1::encode_response(reply.status, &headers, close, &reply.body);
         if (&*stream).write_all(&bytes).is_err() {
             return;
         }
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -2,7 +2,7 @@
 //! well before a server would close them, and bounded in number. Nothing is ever sent twice from here.
 
 use crate::http1::Parsed;
-use crate::ring_buffer::{waited, RingBuffer};
+use crate::ring_buffer::{is_timeout, RingBuffer};
 use crate::workers::lock;
 use aspendrum_core::api::{Outcome, ServerId};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -146,7 +146,7 @@
             match limited.and_then(|()| self.inward.fill(&mut from)) {
                 Ok(0) => return Err(Outcome::Reset),
                 Ok(_) => {}
-                Err(e) if waited(&e) => {}
+                Err(e) if is_timeout(&e) => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return Err(Outcome::Reset),
             }
--- a/crates/aspendrum-net/src/ring_buffer.rs
+++ b/crates/aspendrum-net/src/ring_buffer.rs
@@ -34,7 +34,7 @@
     }
 
     /// Puts all of it in; false, with nothing put, if it would pass the limit.
-    pub fn put(&mut self, data: &[u8]) -> bool {
+    pub fn append(&mut self, data: &[u8]) -> bool {
         if self.len + data.len() > self.top {
             return false;
         }
@@ -49,7 +49,7 @@
     }
 
     /// All that it holds, in one piece.
-    pub fn whole(&mut self) -> &[u8] {
+    pub fn contiguous(&mut self) -> &[u8] {
         if self.start + self.len > self.buf.len() {
             self.buf.rotate_left(self.start);
             self.start = 0;
@@ -57,7 +57,7 @@
         &self.buf[self.start..self.start + self.len]
     }
 
-    pub fn take(&mut self, n: usize) {
+    pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
         self.start = if self.len == 0 { 0 } else { (self.start + n) % self.buf.len() };
@@ -69,9 +69,9 @@
     /// Writes all it holds. On a failure it keeps what did not go out.
     pub fn drain(&mut self, to: &mut impl Write) -> io::Result<()> {
         while self.len > 0 {
-            match to.write(self.whole()) {
+            match to.write(self.contiguous()) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(n) => self.take(n),
+                Ok(n) => self.consume(n),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
@@ -93,13 +93,13 @@
 }
 
 /// The read ended with its time, not with the connection.
-pub fn waited(e: &io::Error) -> bool {
+pub fn is_timeout(e: &io::Error) -> bool {
     matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
 }
 
 impl Write for RingBuffer {
     fn write(&mut self, data: &[u8]) -> io::Result<usize> {
-        if self.put(data) {
+        if self.append(data) {
             Ok(data.len())
         } else {
             Err(io::ErrorKind::OutOfMemory.into())
--- a/crates/aspendrum-net/tests/wire_bytes.rs
+++ b/crates/aspendrum-net/tests/wire_bytes.rs
@@ -2,7 +2,7 @@
 
 use aspendrum_net::disconnect_metrics::{DisconnectMetrics, BOUND};
 use aspendrum_net::forward::{Kind, Stage};
-use aspendrum_net::frames::{frame, read, Link};
+use aspendrum_net::frames::{encode_frame, read_frame, Link};
 use aspendrum_net::http1::{self, MessageLimits, Parsed, Request, Response};
 use aspendrum_net::http_client::HttpClient;
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
@@ -32,18 +32,18 @@
 
 #[test]
 fn a_frame_is_its_length_in_four_bytes_and_postcard() {
-    assert_eq!(frame(&sample()), SAMPLE_FRAME);
-    assert_eq!(frame(&Sample::Empty), b"\x01\x00\x00\x00\x00");
-    assert_eq!(frame(&()), b"\x00\x00\x00\x00");
+    assert_eq!(encode_frame(&sample()), SAMPLE_FRAME);
+    assert_eq!(encode_frame(&Sample::Empty), b"\x01\x00\x00\x00\x00");
+    assert_eq!(encode_frame(&()), b"\x00\x00\x00\x00");
     let mut two: &[u8] = &[SAMPLE_FRAME, b"\x01\x00\x00\x00\x00"].concat();
-    assert_eq!(read::<Sample>(&mut two).unwrap(), sample());
-    assert_eq!(read::<Sample>(&mut two).unwrap(), Sample::Empty);
-    assert_eq!(read::<Sample>(&mut two).unwrap_err().kind(), ErrorKind::UnexpectedEof);
+    assert_eq!(read_frame::<Sample>(&mut two).unwrap(), sample());
+    assert_eq!(read_frame::<Sample>(&mut two).unwrap(), Sample::Empty);
+    assert_eq!(read_frame::<Sample>(&mut two).unwrap_err().kind(), ErrorKind::UnexpectedEof);
 }
 
 #[test]
 fn what_is_no_frame_is_refused() {
-    let refusal = |mut bytes: &[u8]| read::<Sample>(&mut bytes).unwrap_err().kind();
+    let refusal = |mut bytes: &[u8]| read_frame::<Sample>(&mut bytes).unwrap_err().kind();
     assert_eq!(refusal(&SAMPLE_FRAME[..5]), ErrorKind::UnexpectedEof, "cut short");
     assert_eq!(refusal(b"\x01\x00\x00\x00\x02"), ErrorKind::InvalidData, "an unknown variant");
     assert_eq!(refusal(b"\x01\x00\x00\x02"), ErrorKind::InvalidData, "longer than 32 MiB");
@@ -68,9 +68,9 @@
 #[test]
 fn a_link_writes_frames_in_their_order_and_ends_behind_the_last() {
     let (peer, own) = pair();
-    let link = Link::over(Arc::new(own), PATIENCE, 8).unwrap();
-    link.say(&sample());
-    link.say(&Sample::Empty);
+    let link = Link::from_stream(Arc::new(own), PATIENCE, 8).unwrap();
+    link.send(&sample());
+    link.send(&Sample::Empty);
     link.finish();
     drop(link);
     assert_eq!(until_end(&peer), [SAMPLE_FRAME, b"\x01\x00\x00\x00\x00"].concat());
@@ -79,9 +79,12 @@
 #[test]
 fn answers_are_written_alike() {
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    assert_eq!(text(http1::answer(200, &[], false, b"")), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(
-        text(http1::answer(429, &[("Retry-After", "1"), ("X", "y")], true, b"body")),
+        text(http1::encode_response(200, &[], false, b"")),
+        "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+    );
+    assert_eq!(
+        text(http1::encode_response(429, &[("Retry-After", "1"), ("X", "y")], true, b"body")),
         "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 4\r\nRetry-After: 1\r\nX: y\r\nConnection: close\r\n\r\nbody"
     );
 }
@@ -108,13 +111,13 @@
         (299, "Answer"),
     ];
     for (status, reason) in reasons {
-        assert_eq!(http1::reason(status), reason);
+        assert_eq!(http1::reason_phrase(status), reason);
     }
 }
 
 fn ring(bytes: &[u8]) -> RingBuffer {
     let mut ring = RingBuffer::new(64, 1024);
-    assert!(ring.put(bytes));
+    assert!(ring.append(bytes));
     ring
 }
 
@@ -124,13 +127,13 @@
         b"POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody\
           GET / HTTP/1.1\r\nConnection: close\r\n\r\n",
     );
-    let Parsed::Complete(first) = http1::request(&mut ring, &BOUNDS) else { panic!("the first") };
+    let Parsed::Complete(first) = http1::parse_request(&mut ring, &BOUNDS) else { panic!("the first") };
     let headers = vec![("Host".to_string(), b"h".to_vec()), ("Content-Length".to_string(), b"4".to_vec())];
     let (method, path, body) = ("POST".to_string(), "/a?b=c".to_string(), b"body".to_vec());
     assert_eq!(first, Request { method, path, headers, body, close: false });
-    let Parsed::Complete(second) = http1::request(&mut ring, &BOUNDS) else { panic!("the second") };
+    let Parsed::Complete(second) = http1::parse_request(&mut ring, &BOUNDS) else { panic!("the second") };
     assert!(second.method == "GET" && second.close && second.body.is_empty());
-    assert!(matches!(http1::request(&mut ring, &BOUNDS), Parsed::Incomplete));
+    assert!(matches!(http1::parse_request(&mut ring, &BOUNDS), Parsed::Incomplete));
 }
 
 #[test]
@@ -148,7 +151,7 @@
         (head_of_300, 431),
     ];
     for (text, status) in cases {
-        let Parsed::Invalid(found) = http1::request(&mut ring(text.as_bytes()), &BOUNDS) else {
+        let Parsed::Invalid(found) = http1::parse_request(&mut ring(text.as_bytes()), &BOUNDS) else {
             panic!("{text}")
         };
         assert_eq!(found, status, "{text}");
@@ -162,11 +165,11 @@
           HTTP/1.1 200 Fine\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nTrailer: t\r\n\r\n\
           HTTP/1.0 204 None\r\n\r\n",
     );
-    let Parsed::Complete(first) = http1::response(&mut ring, &BOUNDS) else { panic!("the first") };
+    let Parsed::Complete(first) = http1::parse_response(&mut ring, &BOUNDS) else { panic!("the first") };
     let headers = vec![("Transfer-Encoding".to_string(), b"chunked".to_vec())];
     let (reason, body) = ("Fine".to_string(), b"abcd".to_vec());
     assert_eq!(first, Response { status: 200, reason, headers, body, close: false });
-    let Parsed::Complete(second) = http1::response(&mut ring, &BOUNDS) else { panic!("the second") };
+    let Parsed::Complete(second) = http1::parse_response(&mut ring, &BOUNDS) else { panic!("the second") };
     assert!(second.status == 204 && second.close, "HTTP/1.0 closes");
     assert!(ring.is_empty());
 }
@@ -179,7 +182,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n",
     ] {
         assert!(
-            matches!(http1::response(&mut ring(text.as_bytes()), &BOUNDS), Parsed::Invalid(502)),
+            matches!(http1::parse_response(&mut ring(text.as_bytes()), &BOUNDS), Parsed::Invalid(502)),
             "{text}"
         );
     }
@@ -190,9 +193,12 @@
     let headers = vec![("Connection".to_string(), b"close, X-Own".to_vec())];
     let always = "connection keep-alive te trailer transfer-encoding upgrade proxy-connection content-length expect x-own";
     for name in always.split(' ') {
-        assert!(http1::one_hop(&headers, name) && http1::one_hop(&headers, &name.to_uppercase()), "{name}");
+        assert!(
+            http1::is_hop_by_hop(&headers, name) && http1::is_hop_by_hop(&headers, &name.to_uppercase()),
+            "{name}"
+        );
     }
-    assert!(!http1::one_hop(&headers, "Host") && !http1::one_hop(&Vec::new(), "X-Own"));
+    assert!(!http1::is_hop_by_hop(&headers, "Host") && !http1::is_hop_by_hop(&Vec::new(), "X-Own"));
 }
 
 /// A server's address, and everything that it is sent on its connections, one after another; it answers each with the
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -25,7 +25,7 @@
     pub fn beat(&self, stamp: u64, readiness: Readiness, applied: Edition) {
         let link = lock(&self.0).clone();
         if let Some(link) = link {
-            link.say(&Up::Beat { stamp, readiness, applied });
+            link.send(&Up::Beat { stamp, readiness, applied });
         }
     }
 }
@@ -36,12 +36,12 @@
     let (host, zone) = (settings.host.clone(), settings.zone.clone());
     spawn("agent", STACK, move || loop {
         if let Ok(stream) = Link::dial(at, SILENCE) {
-            if let Ok(link) = Link::over(stream.clone(), SILENCE, ROOM) {
+            if let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) {
                 let link = Arc::new(link);
-                link.say(&Up::Hello { host: host.clone(), front, zone: zone.clone() });
+                link.send(&Up::Hello { host: host.clone(), front, zone: zone.clone() });
                 *lock(&shop.agent.0) = Some(link.clone());
                 let mut from = BufReader::with_capacity(4 << 10, &*stream);
-                while let Ok(said) = frames::read::<Down>(&mut from) {
+                while let Ok(said) = frames::read_frame::<Down>(&mut from) {
                     match said {
                         Down::News { number, part } => {
                             let orders = matches!(part, Part::Config { .. } | Part::Evacuated { .. });
@@ -49,7 +49,7 @@
                             if orders {
                                 shop.collate();
                             }
-                            link.say(&Up::Applied { number });
+                            link.send(&Up::Applied { number });
                         }
                         Down::Anew => shop.desk.anew(),
                         Down::Beat { stamp, age, of, heard, deserted } => {
--- a/crates/aspendrum-proxy/src/door.rs
+++ b/crates/aspendrum-proxy/src/door.rs
@@ -6,7 +6,7 @@
 use aspendrum_net::disconnects::ClientConnection;
 use aspendrum_net::http1::{self, MessageLimits, Parsed};
 use aspendrum_net::pool::linger;
-use aspendrum_net::ring_buffer::{waited, RingBuffer};
+use aspendrum_net::ring_buffer::{is_timeout, RingBuffer};
 use aspendrum_net::workers::lock;
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -119,7 +119,7 @@
         let caps = view.config.caps;
         let bounds = MessageLimits { head: caps.hdr_bytes as usize, body: caps.body_bytes as usize };
         let ring = ring.get_or_insert_with(|| RingBuffer::new(RING, bounds.head + bounds.body + 1024));
-        match http1::request(ring, &bounds) {
+        match http1::parse_request(ring, &bounds) {
             Parsed::Complete(request) => {
                 client.busy.store(true, Ordering::Release);
                 begun = None;
@@ -139,7 +139,7 @@
                 }
             }
             Parsed::Invalid(status) => {
-                let bytes = http1::answer(status, &[], true, b"");
+                let bytes = http1::encode_response(status, &[], true, b"");
                 let _ = (&**stream).write_all(&bytes);
                 return linger(stream, LINGER, LINGER_BYTES);
             }
@@ -158,9 +158,9 @@
                     Ok(_) => {
                         begun.get_or_insert_with(Instant::now);
                     }
-                    Err(e) if waited(&e) && idle => return,
-                    Err(e) if waited(&e) => {
-                        let bytes = http1::answer(408, &[], true, b"");
+                    Err(e) if is_timeout(&e) && idle => return,
+                    Err(e) if is_timeout(&e) => {
+                        let bytes = http1::encode_response(408, &[], true, b"");
                         let _ = (&**stream).write_all(&bytes);
                         return linger(stream, LINGER, LINGER_BYTES);
                     }
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -225,7 +225,7 @@
 
     // Nothing in the settings that a proxy uses may change while it runs: seeds are its agent's.
     let reload = || Settings::load().map(|s| log::info!("event=settings_read host={}", s.host));
-    told.until_told(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
+    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
     drain(&shop, front, Duration::from_secs_f64(settings.grace_s));
     log::info!("event=ended");
     Ok(())
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -285,14 +285,15 @@
         let budget = (until.saturating_duration_since(Instant::now()).as_millis() as u64).max(1);
         let request = wire::forward(self.request, server, self.tenant, budget);
         let left_for = self.client.presence.left_for(&shop.watch);
-        if !conn.outward.put(&request) || !self.forward.reach(forward, Stage::Sending) {
+        if !conn.outward.append(&request) || !self.forward.reach(forward, Stage::Sending) {
             return Err(Outcome::Moot);
         }
         left_for.iter().for_each(|left_for| shop.departures.sent(self.forward.kind, *left_for));
         conn.send()?;
         self.forward.reach(forward, Stage::AtServer);
         for _ in 0..=STRANGERS {
-            let got = conn.receive(until, shop.pool.lines(), |ring| http1::response(ring, &SERVER_BOUNDS));
+            let got =
+                conn.receive(until, shop.pool.lines(), |ring| http1::parse_response(ring, &SERVER_BOUNDS));
             let response = match got {
                 Ok(response) => response,
                 Err(outcome) => {
@@ -332,9 +333,10 @@
         let (addr, uid, path) = shop.desk.check(server).ok_or(Outcome::Moot)?;
         shop.pool.place(server, addr.into());
         let mut conn = shop.pool.take(server, shop.connect_wait, Duration::MAX, |_| true)?;
-        conn.outward.put(&wire::probe(&path, &addr.to_string()));
+        conn.outward.append(&wire::probe(&path, &addr.to_string()));
         conn.send()?;
-        let answer = conn.receive(until, shop.pool.lines(), |ring| http1::response(ring, &SERVER_BOUNDS))?;
+        let answer =
+            conn.receive(until, shop.pool.lines(), |ring| http1::parse_response(ring, &SERVER_BOUNDS))?;
         let (load, left) = (wire::load(&answer), wire::warm_left(&answer));
         let well = answer.status == 200 && wire::server(&answer) == Some(uid.as_str());
         if !answer.close {
--- a/crates/aspendrum-proxy/src/wire.rs
+++ b/crates/aspendrum-proxy/src/wire.rs
@@ -2,7 +2,9 @@
 //! name stands anywhere else.
 
 use aspendrum_core::api::Load;
-use aspendrum_net::http1::{answer, has, one_hop, only, reason, Request, Response};
+use aspendrum_net::http1::{
+    encode_response, has_header, is_hop_by_hop, reason_phrase, single_header, Request, Response,
+};
 use std::io::Write;
 
 const TRY: &str = "Try-Id";
@@ -31,13 +33,14 @@
 /// None: a header that decides is missing, comes twice or cannot be read.
 pub fn asked(request: &Request) -> Option<Asked<'_>> {
     let headers = &request.headers;
-    let once = |name| if has(headers, name) { only(headers, name).map(Some) } else { Some(None) };
+    let once =
+        |name| if has_header(headers, name) { single_header(headers, name).map(Some) } else { Some(None) };
     let budget = match once(BUDGET)? {
         Some(text) => Some(text.parse::<f64>().ok().filter(|b| b.is_finite() && *b >= 0.0)?),
         None => None,
     };
-    let id = only(headers, TRY).filter(|id| !id.is_empty())?;
-    Some(Asked { host: only(headers, "Host")?, id, budget, key: once(KEY)? })
+    let id = single_header(headers, TRY).filter(|id| !id.is_empty())?;
+    Some(Asked { host: single_header(headers, "Host")?, id, budget, key: once(KEY)? })
 }
 
 /// A forward's bytes.
@@ -46,7 +49,7 @@
     let _ = write!(out, "{} {} HTTP/1.1\r\n", request.method, request.path);
     for (name, value) in &request.headers {
         let own = OURS.iter().any(|o| o.eq_ignore_ascii_case(name));
-        if !own && !one_hop(&request.headers, name) {
+        if !own && !is_hop_by_hop(&request.headers, name) {
             let _ = write!(out, "{name}: ");
             out.extend_from_slice(value);
             out.extend_from_slice(b"\r\n");
@@ -87,21 +90,23 @@
 
 /// Whether the answer is one to this try. Another's may come first, late.
 pub fn answers(response: &Response, id: &str) -> bool {
-    only(&response.headers, TRY) == Some(id)
+    single_header(&response.headers, TRY) == Some(id)
 }
 
 /// Whether it names no try at all: a server that turns a request away unread may not know it.
 pub fn nameless(response: &Response) -> bool {
-    !has(&response.headers, TRY)
+    !has_header(&response.headers, TRY)
 }
 
 pub fn taken(response: &Response) -> Taken {
-    let not_run = has(&response.headers, NOT_RUN);
+    let not_run = has_header(&response.headers, NOT_RUN);
     match response.status {
         421 => Taken::Misdirected,
         400 if not_run => Taken::Final,
         _ if not_run => Taken::Full,
-        200..=299 if has(&response.headers, SEAL) && !has(&response.headers, ENCODING) => Taken::Final,
+        200..=299 if has_header(&response.headers, SEAL) && !has_header(&response.headers, ENCODING) => {
+            Taken::Final
+        }
         200..=299 => Taken::Spoilt,
         500..=599 | 408 | 429 => Taken::Failed,
         _ => Taken::Final,
@@ -109,13 +114,14 @@
 }
 
 pub fn server(response: &Response) -> Option<&str> {
-    only(&response.headers, SERVER)
+    single_header(&response.headers, SERVER)
 }
 
 /// Running, waiting and slots as a share of the slots; nothing if it cannot be read.
 pub fn load(response: &Response) -> Load {
     let read = || {
-        let mut parts = only(&response.headers, LOAD)?.split(',').map(|p| p.trim().parse::<f32>().ok());
+        let mut parts =
+            single_header(&response.headers, LOAD)?.split(',').map(|p| p.trim().parse::<f32>().ok());
         let (running, waiting, slots) = (parts.next()??, parts.next()??, parts.next()??);
         Some((running + waiting) / slots).filter(|l| l.is_finite() && *l >= 0.0)
     };
@@ -124,12 +130,12 @@
 
 /// For how long the server is still cold.
 pub fn warm_left(response: &Response) -> Option<f64> {
-    only(&response.headers, WARM)?.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms >= 0.0)
+    single_header(&response.headers, WARM)?.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms >= 0.0)
 }
 
 /// For how long the server keeps an idle connection, in seconds.
 pub fn keeps_for(response: &Response) -> Option<f64> {
-    let told = only(&response.headers, "Keep-Alive")?;
+    let told = single_header(&response.headers, "Keep-Alive")?;
     let seconds = told.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
     seconds.trim().parse::<f64>().ok().filter(|s| *s >= 0.0)
 }
@@ -140,13 +146,13 @@
     let text = if status == response.status && !response.reason.is_empty() {
         response.reason.as_str()
     } else {
-        reason(status)
+        reason_phrase(status)
     };
     let mut out = Vec::with_capacity(256 + response.body.len());
     let _ = write!(out, "HTTP/1.1 {status} {text}\r\n");
     for (name, value) in &response.headers {
         let ours = [LOAD, WARM, SERVER].iter().any(|o| o.eq_ignore_ascii_case(name));
-        if !ours && !one_hop(&response.headers, name) {
+        if !ours && !is_hop_by_hop(&response.headers, name) {
             let _ = write!(out, "{name}: ");
             out.extend_from_slice(value);
             out.extend_from_slice(b"\r\n");
@@ -168,5 +174,5 @@
     if let Some(again) = &again {
         headers.push(("Retry-After", again));
     }
-    answer(status, &headers, close, b"")
+    encode_response(status, &headers, close, b"")
 }
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::packed::pack;
 use aspendrum_model::servers::Server;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::http1::{request, MessageLimits, Parsed, Request};
+use aspendrum_net::http1::{parse_request, MessageLimits, Parsed, Request};
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_proxy::door::Client;
 use aspendrum_proxy::{beat, query, Shop};
@@ -112,7 +112,7 @@
 ) {
     let mut ring = RingBuffer::new(1024, 1 << 20);
     loop {
-        match request(&mut ring, &BOUNDS) {
+        match parse_request(&mut ring, &BOUNDS) {
             Parsed::Incomplete => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => {}
                 _ => return,
@@ -166,7 +166,7 @@
     pub fn ask(&self, text: &str) -> String {
         let mut ring = RingBuffer::new(1024, 1 << 20);
         ring.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
-        let Parsed::Complete(asked) = request(&mut ring, &BOUNDS) else { panic!("{text}") };
+        let Parsed::Complete(asked) = parse_request(&mut ring, &BOUNDS) else { panic!("{text}") };
         let client = Client::new(self.connection.try_clone().unwrap());
         let answer = query::serve(&self.shop, &client, &asked, Instant::now());
         String::from_utf8(answer.bytes(answer.closes(false, false))).unwrap().replace("\r\n", "\n")
--- a/crates/aspendrum-proxy/tests/departures.rs
+++ b/crates/aspendrum-proxy/tests/departures.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use aspendrum_net::http1::{request, Parsed, Request};
+use aspendrum_net::http1::{parse_request, Parsed, Request};
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_proxy::{door, Shop};
 use common::{proxy, BOUNDS, CONFIG, READ, SEND};
@@ -93,7 +93,7 @@
 fn hold(stream: &TcpStream, run: Duration, tell: &Sender<Seen>, drops: &Gate) {
     let mut ring = RingBuffer::new(1024, 1 << 20);
     loop {
-        let asked = match request(&mut ring, &BOUNDS) {
+        let asked = match parse_request(&mut ring, &BOUNDS) {
             Parsed::Complete(asked) => asked,
             Parsed::Invalid(status) => panic!("{status}"),
             Parsed::Incomplete => match ring.fill(&mut &*stream) {
--- a/crates/aspendrum-proxy/tests/process.rs
+++ b/crates/aspendrum-proxy/tests/process.rs
@@ -4,7 +4,7 @@
 use aspendrum_model::news::{Down, Front, Part, Readiness, Up};
 use aspendrum_model::packed::pack;
 use aspendrum_model::servers::Server;
-use aspendrum_net::frames::{self, frame};
+use aspendrum_net::frames::{self, encode_frame};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -113,17 +113,17 @@
     agent.set_read_timeout(Some(PATIENCE)).unwrap();
     let front = SocketAddrV4::new(IP, FRONT_PORT);
     let hello = Up::Hello { host: "edge-1".into(), front, zone: "poa-a".into() };
-    assert_eq!(frames::read::<Up>(&mut agent).unwrap(), hello);
-    let Up::Beat { readiness, applied, .. } = frames::read::<Up>(&mut agent).unwrap() else {
+    assert_eq!(frames::read_frame::<Up>(&mut agent).unwrap(), hello);
+    let Up::Beat { readiness, applied, .. } = frames::read_frame::<Up>(&mut agent).unwrap() else {
         panic!("a heartbeat follows")
     };
     assert_eq!((readiness, applied.mark.config), (Readiness::Closed, 0));
     let mut applied_in_order = Vec::new();
     for (number, part) in (1..).zip(updates(front)) {
-        agent.write_all(&frame(&Down::News { number, part })).unwrap();
+        agent.write_all(&encode_frame(&Down::News { number, part })).unwrap();
     }
     loop {
-        match frames::read::<Up>(&mut agent).unwrap() {
+        match frames::read_frame::<Up>(&mut agent).unwrap() {
             Up::Applied { number } => applied_in_order.push(number),
             Up::Beat { readiness: Readiness::Ready, applied, .. } if applied.mark.config == 1 => break,
             _ => {}
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -5,7 +5,7 @@
 
 use aspendrum_core::api::Load;
 use aspendrum_net::forward::{Kind, Stage as ForwardStage};
-use aspendrum_net::http1::{request, response, Parsed, Request, Response};
+use aspendrum_net::http1::{parse_request, parse_response, Parsed, Request, Response};
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_proxy::answer::{Answer, Then};
 use aspendrum_proxy::wire::{self, Taken};
@@ -22,17 +22,17 @@
 /// Whatever a test waits for has come by then.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-fn parse_request(text: &str) -> Request {
+fn parse_whole_request(text: &str) -> Request {
     let mut ring = RingBuffer::new(1024, 1 << 20);
     ring.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
-    let Parsed::Complete(request) = request(&mut ring, &BOUNDS) else { panic!("{text}") };
+    let Parsed::Complete(request) = parse_request(&mut ring, &BOUNDS) else { panic!("{text}") };
     request
 }
 
-fn parse_response(text: &str) -> Response {
+fn parse_whole_response(text: &str) -> Response {
     let mut ring = RingBuffer::new(1024, 1 << 20);
     ring.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
-    let Parsed::Complete(response) = response(&mut ring, &BOUNDS) else { panic!("{text}") };
+    let Parsed::Complete(response) = parse_response(&mut ring, &BOUNDS) else { panic!("{text}") };
     response
 }
 
@@ -50,12 +50,12 @@
 
 /// Messages to servers.
 fn to_servers() -> Vec<(&'static str, Vec<u8>)> {
-    let (read, send) = (parse_request(READ), parse_request(SEND));
-    let delete = parse_request(
+    let (read, send) = (parse_whole_request(READ), parse_whole_request(SEND));
+    let delete = parse_whole_request(
         "DELETE /read/1 HTTP/1.1\nHost: a.example\nTry-Id: t3\nTransfer-Encoding: chunked\nTE: trailers\n\
         Upgrade: h2c\nTrailer: x\nProxy-Connection: close\nExpect: 100-continue\nContent-Encoding: gzip\n\n0\n\n",
     );
-    let empty_post = parse_request("POST /send/2 HTTP/1.1\nHost: a.example\nTry-Id: t4\n\n");
+    let empty_post = parse_whole_request("POST /send/2 HTTP/1.1\nHost: a.example\nTry-Id: t4\n\n");
     vec![
         ("forward of a GET", wire::forward(&read, "i-1", Some("ann"), 1988)),
         ("forward of a POST with a body", wire::forward(&send, "i-2", Some("ann"), 1)),
@@ -67,8 +67,8 @@
 
 /// Answers to clients.
 fn to_clients() -> Vec<(&'static str, Vec<u8>)> {
-    let answered = parse_response(SERVER_ANSWER);
-    let unnamed = parse_response("HTTP/1.1 500\nTry-Id: t1\nContent-Length: 0\n\n");
+    let answered = parse_whole_response(SERVER_ANSWER);
+    let unnamed = parse_whole_response("HTTP/1.1 500\nTry-Id: t1\nContent-Length: 0\n\n");
     let own = |status, id, again| Answer::own(status, id, again, Then::KeepsOn);
     vec![
         ("server's answer", wire::reply(&answered, 200, false)),
@@ -85,10 +85,10 @@
         ("own answer that sends elsewhere", own(503, "t1", Some(150.0)).bytes(true)),
         ("answer passed on", Answer::passed_on(answered, 200, Then::KeepsOn).bytes(true)),
         ("answer to nobody", Answer::nothing().bytes(true)),
-        ("rejection while draining", query::turn_away(&parse_request(READ)).bytes(true)),
+        ("rejection while draining", query::turn_away(&parse_whole_request(READ)).bytes(true)),
         (
             "rejection of an unreadable head",
-            query::turn_away(&parse_request("GET / HTTP/1.1\n\n")).bytes(true),
+            query::turn_away(&parse_whole_request("GET / HTTP/1.1\n\n")).bytes(true),
         ),
     ]
 }
@@ -102,10 +102,10 @@
 
 #[test]
 fn request_heads_are_read_by_their_names_on_the_wire() {
-    let request = parse_request(READ);
+    let request = parse_whole_request(READ);
     let head = wire::asked(&request).unwrap();
     assert_eq!((head.host, head.id, head.budget, head.key), ("a.example", "t1", Some(2000.0), Some("k1")));
-    let bare = parse_request("GET / HTTP/1.1\nHost: a.example\ntry-id: t1\n\n");
+    let bare = parse_whole_request("GET / HTTP/1.1\nHost: a.example\ntry-id: t1\n\n");
     let head = wire::asked(&bare).unwrap();
     assert_eq!((head.host, head.id, head.budget, head.key), ("a.example", "t1", None, None));
     for refused in [
@@ -119,7 +119,7 @@
         "GET / HTTP/1.1\nHost: a.example\nTry-Id: t1\nBudget-Ms: inf\n\n",
         "GET / HTTP/1.1\nHost: a.example\nTry-Id: t1\nCredential: k1\nCredential: k1\n\n",
     ] {
-        assert!(wire::asked(&parse_request(refused)).is_none(), "{refused}");
+        assert!(wire::asked(&parse_whole_request(refused)).is_none(), "{refused}");
     }
 }
 
@@ -146,24 +146,24 @@
         (421, "Not-Run: 1\n", Taken::Misdirected),
     ] {
         let text = format!("HTTP/1.1 {status} X\n{headers}Content-Length: 0\n\n");
-        assert_eq!(wire::taken(&parse_response(&text)), expected, "{text}");
+        assert_eq!(wire::taken(&parse_whole_response(&text)), expected, "{text}");
     }
 }
 
 #[test]
 fn servers_headers_are_read_by_their_names_on_the_wire() {
-    let answer = parse_response(SERVER_ANSWER);
+    let answer = parse_whole_response(SERVER_ANSWER);
     assert!(wire::answers(&answer, "t1") && !wire::answers(&answer, "t2") && !wire::nameless(&answer));
     assert_eq!(wire::server(&answer), Some("i-1"));
     assert_eq!(wire::load(&answer), Load { n: 1, values: [0.75, 0.0, 0.0, 0.0] });
     assert_eq!((wire::warm_left(&answer), wire::keeps_for(&answer)), (Some(1500.0), Some(5.0)));
-    let bare = parse_response("HTTP/1.1 200 OK\nContent-Length: 0\n\n");
+    let bare = parse_whole_response("HTTP/1.1 200 OK\nContent-Length: 0\n\n");
     assert!(wire::nameless(&bare) && !wire::answers(&bare, ""));
     assert_eq!((wire::server(&bare), wire::load(&bare)), (None, Load::default()));
     assert_eq!((wire::warm_left(&bare), wire::keeps_for(&bare)), (None, None));
     for unreadable in ["1,2", "1,2,x", "1,2,0", "-9,1,2"] {
         let text = format!("HTTP/1.1 200 OK\nServer-Load: {unreadable}\nContent-Length: 0\n\n");
-        assert_eq!(wire::load(&parse_response(&text)), Load::default(), "{unreadable}");
+        assert_eq!(wire::load(&parse_whole_response(&text)), Load::default(), "{unreadable}");
     }
 }
 
--- a/crates/aspendrum-rig/src/system/tamper.rs
+++ b/crates/aspendrum-rig/src/system/tamper.rs
@@ -117,7 +117,7 @@
                 },
             };
             let how = *lock(how);
-            let config = frames::read::<Down>(&mut &frame[..]).ok().filter(is_config);
+            let config = frames::read_frame::<Down>(&mut &frame[..]).ok().filter(is_config);
             match (config, how) {
                 (Some(_), Some(How::Drop)) => {}
                 (Some(_), Some(How::Delay)) => {
@@ -128,7 +128,9 @@
                     });
                 }
                 (Some(_), Some(How::Reorder)) if held.is_none() => held = Some(frame),
-                (Some(news), Some(How::Torn)) => to.write_all(&frames::frame(&torn(news, services))).await?,
+                (Some(news), Some(How::Torn)) => {
+                    to.write_all(&frames::encode_frame(&torn(news, services))).await?
+                }
                 (Some(_), _) => {
                     to.write_all(&frame).await?;
                     if let Some(before) = held.take() {
--- a/crates/aspendrum/src/clients.rs
+++ b/crates/aspendrum/src/clients.rs
@@ -6,7 +6,7 @@
 use crate::notes::Note;
 use crate::pool::linger;
 use crate::query;
-use crate::ring_buffer::{waited, RingBuffer};
+use crate::ring_buffer::{is_timeout, RingBuffer};
 use crate::workers::{lock, spawn};
 use crate::Shop;
 use aspendrum_net::disconnects::ClientConnection;
@@ -291,7 +291,7 @@
         match ring.fill(&mut &*client.stream) {
             Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
             Ok(_) => Ok(true),
-            Err(e) if waited(&e) => Ok(false),
+            Err(e) if is_timeout(&e) => Ok(false),
             Err(e) if e.kind() == ErrorKind::Interrupted => Ok(true),
             Err(e) => Err(e),
         }
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -8,7 +8,7 @@
 use aspendrum_core::api::{Load, LoadValue, Ms, Outcome, Semantics};
 use aspendrum_core::settings::MS;
 pub use aspendrum_net::http1::Parsed;
-use aspendrum_net::http1::{chunks, closes, header, length, raw, BodyLength};
+use aspendrum_net::http1::{body_length, header, parse_chunked, raw_header, wants_close, BodyLength};
 use std::collections::HashMap;
 use std::io::Write;
 use std::time::Instant;
@@ -93,14 +93,14 @@
 pub fn call(ring: &mut RingBuffer, lanes: &Lanes, limits: &Limits) -> Parsed<Call> {
     let mut space = [httparse::EMPTY_HEADER; HEADERS];
     let mut head = httparse::Request::new(&mut space);
-    let bytes = ring.whole();
+    let bytes = ring.contiguous();
     let at = match head.parse(bytes) {
         Ok(httparse::Status::Complete(at)) if at <= limits.head => at,
         Ok(httparse::Status::Partial) if bytes.len() < limits.head => return Parsed::Incomplete,
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Parsed::Invalid(431),
         Err(_) => return Parsed::Invalid(400),
     };
-    let length = match length(head.headers) {
+    let length = match body_length(head.headers) {
         Ok(BodyLength::Known(n)) if n > limits.body => return Parsed::Invalid(413),
         Ok(BodyLength::Known(n)) => n,
         Ok(BodyLength::Chunked) => return Parsed::Invalid(411),
@@ -111,7 +111,7 @@
         return Parsed::Incomplete;
     }
     let parsed = match (head.method, head.path) {
-        (Some("GET"), Some(READY)) => Ok(Call::Ready { close: closes(head.headers, head.version) }),
+        (Some("GET"), Some(READY)) => Ok(Call::Ready { close: wants_close(head.headers, head.version) }),
         (Some(method), Some(_)) if !METHODS.contains(&method) => Err(405),
         (Some(_), Some(_)) => {
             let query = asked(&head, &bytes[at..at + length], lanes);
@@ -119,7 +119,7 @@
         }
         _ => Err(400),
     };
-    ring.take(at + length);
+    ring.consume(at + length);
     parsed.map_or_else(Parsed::Invalid, Parsed::Complete)
 }
 
@@ -135,7 +135,7 @@
     let group = *lanes.groups.get(lane)?;
     let plan = *lanes.plans.get(header(headers, PLAN)?)?;
     let semantics = *lanes.semantics.get(usize::from(group))?;
-    let txn = raw(headers, TXN).filter(|id| !id.trim_ascii().is_empty())?;
+    let txn = raw_header(headers, TXN).filter(|id| !id.trim_ascii().is_empty())?;
     // The group fixes the path's first part and the method; sent on with another, a query that may run only
     // once could pass for one that may be repeated. Without its key nothing would drop a keyed one's repeat.
     let fits = match semantics {
@@ -179,7 +179,7 @@
         first: first as f32,
         client_repeat: header(headers, RESENT) == Some("1"),
         write: method != "GET",
-        close: closes(headers, head.version),
+        close: wants_close(headers, head.version),
         txn: txn.to_vec(),
         head: out,
         body: body.to_vec(),
@@ -190,11 +190,11 @@
     /// Writes a forward that waits that long.
     pub fn forward(&self, wait: Ms, out: &mut RingBuffer) -> bool {
         let (us, body) = ((wait * 1000.0).max(1.0) as u64, self.body.len());
-        out.put(&self.head)
+        out.append(&self.head)
             && write!(out, "{REMAINING}: {us}u\r\n").is_ok()
             && (body == 0 && !self.write || write!(out, "Content-Length: {body}\r\n").is_ok())
-            && out.put(b"\r\n")
-            && out.put(&self.body)
+            && out.append(b"\r\n")
+            && out.append(&self.body)
     }
 }
 
@@ -220,7 +220,7 @@
     loop {
         let mut space = [httparse::EMPTY_HEADER; HEADERS];
         let mut head = httparse::Response::new(&mut space);
-        let bytes = ring.whole();
+        let bytes = ring.contiguous();
         let at = match head.parse(bytes) {
             Ok(httparse::Status::Complete(at)) if at <= limits.head => at,
             Ok(httparse::Status::Partial) if bytes.len() < limits.head => return Parsed::Incomplete,
@@ -232,15 +232,15 @@
             return Parsed::Invalid(502);
         }
         if (100..200).contains(&status) {
-            ring.take(at);
+            ring.consume(at);
             continue;
         }
-        let (taken, body) = match length(head.headers) {
+        let (taken, body) = match body_length(head.headers) {
             _ if status == 204 || status == 304 => (at, Vec::new()),
             Ok(BodyLength::Known(n)) if n > limits.body => return Parsed::Invalid(502),
             Ok(BodyLength::Known(n)) if bytes.len() < at + n => return Parsed::Incomplete,
             Ok(BodyLength::Known(n)) => (at + n, bytes[at..at + n].to_vec()),
-            Ok(BodyLength::Chunked) => match chunks(&bytes[at..], limits.body) {
+            Ok(BodyLength::Chunked) => match parse_chunked(&bytes[at..], limits.body) {
                 Parsed::Complete((size, body)) => (at + size, body),
                 Parsed::Incomplete => return Parsed::Incomplete,
                 Parsed::Invalid(status) => return Parsed::Invalid(status),
@@ -251,17 +251,17 @@
         let answer = Answer {
             status,
             turned_away: header(head.headers, TURNED_AWAY) == Some("1"),
-            close: closes(head.headers, head.version),
+            close: wants_close(head.headers, head.version),
             // A figure that cannot be read, or cannot be, costs itself and not the answer.
             charged: header(head.headers, CHARGED)
                 .and_then(number)
                 .filter(|n| *n <= lanes.units_top)
                 .map(|n| n as f32),
             load: load(told, &lanes.load_values),
-            content_type: raw(head.headers, "Content-Type").map_or(Vec::new(), <[u8]>::to_vec),
+            content_type: raw_header(head.headers, "Content-Type").map_or(Vec::new(), <[u8]>::to_vec),
             body,
         };
-        ring.take(taken);
+        ring.consume(taken);
         return Parsed::Complete(answer);
     }
 }
@@ -324,11 +324,11 @@
     };
     write!(out, "HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n", body.len()).is_ok()
         && (advice <= 0.0 || write!(out, "Retry-After: {:.3}\r\n", advice / MS).is_ok())
-        && (!close || out.put(b"Connection: close\r\n"))
+        && (!close || out.append(b"Connection: close\r\n"))
         && (content_type.is_empty()
-            || out.put(b"Content-Type: ") && out.put(content_type) && out.put(b"\r\n"))
-        && out.put(b"\r\n")
-        && out.put(body)
+            || out.append(b"Content-Type: ") && out.append(content_type) && out.append(b"\r\n"))
+        && out.append(b"\r\n")
+        && out.append(body)
 }
 
 /// A probe, or any other call without a body.
--- a/crates/aspendrum/src/resp.rs
+++ b/crates/aspendrum/src/resp.rs
@@ -34,7 +34,7 @@
 }
 
 pub fn reply(ring: &mut RingBuffer) -> Parsed {
-    let bytes = ring.whole();
+    let bytes = ring.contiguous();
     let Some((first, line)) = bytes.split_first() else { return Parsed::More };
     let Some(end) = line.windows(2).position(|w| w == b"\r\n") else {
         return if bytes.len() > LONGEST { Parsed::Nonsense } else { Parsed::More };
@@ -63,7 +63,7 @@
         }
         _ => return Parsed::Nonsense,
     };
-    ring.take(taken);
+    ring.consume(taken);
     Parsed::Whole(reply)
 }
 
--- a/crates/aspendrum/tests/suite/pieces.rs
+++ b/crates/aspendrum/tests/suite/pieces.rs
@@ -26,15 +26,15 @@
 fn a_ring_turns_round_grows_to_its_limit_and_shrinks() {
     let mut ring = RingBuffer::new(4, 16);
     for round in 0..20u8 {
-        assert!(ring.put(&[round, 1, 2]));
-        assert_eq!(ring.whole(), [round, 1, 2]);
-        ring.take(2);
-        assert!(ring.put(&[3, 4]));
-        assert_eq!(ring.whole(), [2, 3, 4]);
-        ring.take(3);
+        assert!(ring.append(&[round, 1, 2]));
+        assert_eq!(ring.contiguous(), [round, 1, 2]);
+        ring.consume(2);
+        assert!(ring.append(&[3, 4]));
+        assert_eq!(ring.contiguous(), [2, 3, 4]);
+        ring.consume(3);
         assert!(ring.is_empty());
     }
-    assert!(ring.put(&[7; 10]) && !ring.put(&[8; 7]) && ring.put(&[8; 6]));
+    assert!(ring.append(&[7; 10]) && !ring.append(&[8; 7]) && ring.append(&[8; 6]));
     assert_eq!(ring.fill(&mut &[9u8][..]).unwrap_err().kind(), std::io::ErrorKind::OutOfMemory);
     let mut out = Vec::new();
     ring.drain(&mut out).unwrap();
@@ -62,9 +62,9 @@
 #[test]
 fn a_ring_that_could_not_be_written_keeps_what_is_left() {
     let mut ring = RingBuffer::new(4, 16);
-    ring.put(b"hello you");
+    ring.append(b"hello you");
     assert!(ring.drain(&mut Breaks(5)).is_err());
-    assert_eq!(ring.whole(), b" you");
+    assert_eq!(ring.contiguous(), b" you");
 }
 
 #[test_case("$4\r\n12.5\r\n", Parsed::Whole(Reply::Total(12.5)) ; "a total")]
@@ -83,7 +83,7 @@
 #[test_case("HTTP/1.1 200 OK\r\n", Parsed::Nonsense ; "another protocol")]
 fn replies(text: &str, expected: Parsed) {
     let mut ring = RingBuffer::new(8, 512);
-    assert!(ring.put(text.as_bytes()));
+    assert!(ring.append(text.as_bytes()));
     assert_eq!(resp::reply(&mut ring), expected);
 }
 
@@ -268,7 +268,7 @@
     let (groups, plans, semantics) = Default::default();
     let lanes = Lanes { groups, plans, semantics, instances: 1.0, units_top: 1.0, load_values };
     let mut ring = RingBuffer::new(8, 512);
-    assert!(ring.put(bytes));
+    assert!(ring.append(bytes));
     let got = match http::answer(&mut ring, &lanes, &limits) {
         http::Parsed::Complete(answer) => Some((answer.load.n, answer.charged)),
         _ => None,
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -65,14 +65,14 @@
 
 fn ring(bytes: &[u8]) -> RingBuffer {
     let mut ring = RingBuffer::new(8, 1 << 16);
-    assert!(ring.put(bytes));
+    assert!(ring.append(bytes));
     ring
 }
 
 fn written(write: impl FnOnce(&mut RingBuffer) -> bool) -> Vec<u8> {
     let mut ring = RingBuffer::new(8, 1 << 16);
     assert!(write(&mut ring));
-    ring.whole().to_vec()
+    ring.contiguous().to_vec()
 }
 
 fn limits() -> Limits {
