--- a/crates/aspendrum-capacity/src/cores/proxy.rs
+++ b/crates/aspendrum-capacity/src/cores/proxy.rs
@@ -9,7 +9,7 @@
 use aspendrum_model::news::{Front, Part, Readiness};
 use aspendrum_model::packed::pack;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::forward::{ForwardHandle, Kind};
+use aspendrum_net::forward::{ForwardHandle, RequestKind};
 use aspendrum_net::mailbox;
 use aspendrum_proxy::counts::{Calls, Leave, Ledger, Quota};
 use aspendrum_proxy::desk::{Ask, Desk, Order, BEAT_MS};
@@ -278,5 +278,5 @@
 
 /// Of a request that nobody breaks off.
 fn handle() -> Arc<ForwardHandle> {
-    Arc::new(ForwardHandle::new(Kind::Repeatable))
+    Arc::new(ForwardHandle::new(RequestKind::Idempotent))
 }
--- a/crates/aspendrum-net/src/disconnect_metrics.rs
+++ b/crates/aspendrum-net/src/disconnect_metrics.rs
@@ -2,7 +2,7 @@
 //! was heard nothing is sent on for it, nothing waits to be, and no run that may be repeated is still under way because
 //! nobody broke it off.
 
-use crate::forward::{Kind, Stage};
+use crate::forward::{ForwardStage, RequestKind};
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
@@ -13,12 +13,13 @@
 /// Between two lines in the log.
 const REPORT_EVERY: Duration = Duration::from_millis(1000);
 
-const KINDS: [(Kind, &str); 2] = [(Kind::Repeatable, "repeatable"), (Kind::OnceOnly, "once_only")];
-const STAGES: [(Stage, &str); 4] = [
-    (Stage::Waiting, "waiting"),
-    (Stage::Dialling, "dialling"),
-    (Stage::Sending, "sending"),
-    (Stage::AtServer, "at_server"),
+const KINDS: [(RequestKind, &str); 2] =
+    [(RequestKind::Idempotent, "repeatable"), (RequestKind::OnceOnly, "once_only")];
+const STAGES: [(ForwardStage, &str); 4] = [
+    (ForwardStage::Waiting, "waiting"),
+    (ForwardStage::Dialling, "dialling"),
+    (ForwardStage::Sending, "sending"),
+    (ForwardStage::AtServer, "at_server"),
 ];
 
 /// Counters by kind, then by stage.
@@ -36,19 +37,19 @@
 
 impl DisconnectMetrics {
     /// A client has left while its request was at that stage.
-    pub fn heard(&self, kind: Kind, stage: Stage) {
+    pub fn record_disconnect(&self, kind: RequestKind, stage: ForwardStage) {
         self.heard[kind as usize][stage as usize].fetch_add(1, Relaxed);
     }
 
     /// [`BOUND`] after the departure the request is still at that stage: a violation, unless it is broken off there and
     /// its server works on.
-    pub fn outlasted(&self, kind: Kind, stage: Stage, broken_off: bool) {
+    pub fn record_overdue(&self, kind: RequestKind, stage: ForwardStage, broken_off: bool) {
         let counters = if broken_off { &self.kept_on } else { &self.overdue };
         counters[kind as usize][stage as usize].fetch_add(1, Relaxed);
     }
 
     /// A request is written to a server so long after its client's departure: a violation behind [`BOUND`].
-    pub fn sent(&self, kind: Kind, left_for: Duration) {
+    pub fn record_sent_late(&self, kind: RequestKind, left_for: Duration) {
         if left_for > BOUND {
             self.sent_late[kind as usize].fetch_add(1, Relaxed);
         }
@@ -102,13 +103,13 @@
 
 /// One line in the log for all departures of a while.
 #[derive(Default)]
-pub struct Report {
+pub struct DisconnectReporter {
     told_at: Option<Instant>,
     departures: u64,
     violations: u64,
 }
 
-impl Report {
+impl DisconnectReporter {
     /// The line, where there is something new and the last one is long enough ago.
     pub fn line(&mut self, figures: &DisconnectMetrics) -> Option<String> {
         let (departures, violations) = (figures.departures(), figures.violations());
@@ -116,7 +117,7 @@
         if !news || self.told_at.is_some_and(|at| at.elapsed() < REPORT_EVERY) {
             return None;
         }
-        *self = Report { told_at: Some(Instant::now()), departures, violations };
+        *self = DisconnectReporter { told_at: Some(Instant::now()), departures, violations };
         let text = figures.text().replace('"', "").replace('\n', " ");
         Some(format!("event=clients_left departures={departures} violations={violations} {text}"))
     }
--- a/crates/aspendrum-net/src/disconnects.rs
+++ b/crates/aspendrum-net/src/disconnects.rs
@@ -51,7 +51,7 @@
         if watch.is_behind() && self.has_hung_up() {
             self.leave(watch);
         }
-        !self.left()
+        !self.has_disconnected()
     }
 
     /// The request in hand has its answer, or needs none.
@@ -65,12 +65,12 @@
     }
 
     /// The client has closed its connection, or its sending side.
-    pub fn left(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         self.left_at.load(Ordering::SeqCst) != NONE
     }
 
     /// How long ago the client's close was heard.
-    pub fn left_for(&self, watch: &DisconnectWatcher) -> Option<Duration> {
+    pub fn time_since_disconnect(&self, watch: &DisconnectWatcher) -> Option<Duration> {
         let at = self.left_at.load(Ordering::SeqCst);
         (at != NONE).then(|| Duration::from_millis(watch.clock().saturating_sub(at)))
     }
@@ -106,7 +106,7 @@
     fn waits(&self, now: u64) -> bool {
         let since = self.since.load(Ordering::Relaxed);
         self.request().is_some()
-            && !self.left()
+            && !self.has_disconnected()
             && !self.ended_here.load(Ordering::SeqCst)
             && now.saturating_sub(since) >= WAITED.as_millis() as u64
     }
@@ -142,7 +142,7 @@
     }
 
     /// A look is due.
-    pub fn due(&self) -> bool {
+    pub fn is_due(&self) -> bool {
         self.since_look() >= LOOK_EVERY
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Looks after connections: those whose clients are found to have left, each once.
-    pub fn look<C: AsRef<ClientConnection>>(&self, connections: &[Arc<C>]) -> Vec<Arc<C>> {
+    pub fn poll_disconnects<C: AsRef<ClientConnection>>(&self, connections: &[Arc<C>]) -> Vec<Arc<C>> {
         self.late.store(self.since_look() > LOOK_EVERY + LATE, Ordering::Relaxed);
         self.is_behind();
         let now = self.clock();
--- a/crates/aspendrum-net/src/forward.rs
+++ b/crates/aspendrum-net/src/forward.rs
@@ -7,7 +7,7 @@
 
 /// How far a request is on its way to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum ForwardStage {
     /// It waits for a place at a server, for the word of a counter, or for its turn to go to a further one.
     Waiting,
     /// A connection to a server is being taken or opened.
@@ -20,15 +20,15 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Repeatable,
+pub enum RequestKind {
+    Idempotent,
     OnceOnly,
 }
 
 /// How far a request has come, as others see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    pub stage: Stage,
+    pub stage: ForwardStage,
     /// It is broken off at that stage.
     pub broken_off: bool,
     /// How long ago its last forward came back, where that was behind its client's departure: it is about to end.
@@ -37,7 +37,7 @@
 
 /// A request's forwards, one after another. Their numbers begin at 0.
 pub struct ForwardHandle {
-    pub kind: Kind,
+    pub kind: RequestKind,
     state: Mutex<State>,
 }
 
@@ -55,7 +55,7 @@
 struct Out {
     forward: u8,
     stream: Arc<TcpStream>,
-    stage: Stage,
+    stage: ForwardStage,
     broken_off: bool,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl ForwardHandle {
-    pub fn new(kind: Kind) -> ForwardHandle {
+    pub fn new(kind: RequestKind) -> ForwardHandle {
         ForwardHandle { kind, state: Mutex::default() }
     }
 
@@ -79,14 +79,14 @@
         let mut state = self.state();
         let open = state.open(forward);
         if open {
-            let (stage, broken_off) = (Stage::Dialling, false);
+            let (stage, broken_off) = (ForwardStage::Dialling, false);
             state.out = Some(Out { forward, stream: stream.clone(), stage, broken_off });
         }
         open
     }
 
     /// The request is about to be written, or has been written whole. False: it was called off before.
-    pub fn reach(&self, forward: u8, stage: Stage) -> bool {
+    pub fn reach(&self, forward: u8, stage: ForwardStage) -> bool {
         let mut state = self.state();
         if let Some(out) = state.out.as_mut().filter(|o| o.forward == forward) {
             out.stage = stage;
@@ -116,11 +116,11 @@
 
     /// The client has left. Nothing more is sent for it, and what has not left whole is broken off: no server runs it
     /// (RFC 9112, 8). What is at a server may still end by itself. Returns how far the request had come.
-    pub fn depart(&self) -> Stage {
+    pub fn depart(&self) -> ForwardStage {
         let mut state = self.state();
         state.departed = true;
-        let Some(out) = &mut state.out else { return Stage::Waiting };
-        if out.stage != Stage::AtServer {
+        let Some(out) = &mut state.out else { return ForwardStage::Waiting };
+        if out.stage != ForwardStage::AtServer {
             out.broken_off = true;
             let _ = out.stream.shutdown(Shutdown::Both);
         }
@@ -132,7 +132,7 @@
     pub fn break_off(&self) {
         let mut state = self.state();
         let Some(out) = &mut state.out else { return };
-        if self.kind == Kind::Repeatable && !out.broken_off {
+        if self.kind == RequestKind::Idempotent && !out.broken_off {
             out.broken_off = true;
             let _ = out.stream.shutdown(Shutdown::Write);
         }
@@ -142,7 +142,7 @@
     pub fn progress(&self) -> Progress {
         let state = self.state();
         let (stage, broken_off) =
-            state.out.as_ref().map_or((Stage::Waiting, false), |out| (out.stage, out.broken_off));
+            state.out.as_ref().map_or((ForwardStage::Waiting, false), |out| (out.stage, out.broken_off));
         Progress { stage, broken_off, returned_for: state.returned.map(|at| at.elapsed()) }
     }
 }
--- a/crates/aspendrum-net/src/http_client.rs
+++ b/crates/aspendrum-net/src/http_client.rs
@@ -53,7 +53,7 @@
             Some(conn) => conn,
             None => {
                 let left = until.saturating_duration_since(Instant::now());
-                Connection::apart(self.to.into(), left, &self.lines).map_err(|e| e.to_string())?
+                Connection::open_unpooled(self.to.into(), left, &self.lines).map_err(|e| e.to_string())?
             }
         };
         let length = if body.is_empty() && method == "GET" {
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -93,17 +93,17 @@
     }
 
     /// A connection outside the pool's count, for discovery.
-    pub fn apart(addr: SocketAddr, wait: Duration, lines: &PoolLimits) -> io::Result<Connection> {
+    pub fn open_unpooled(addr: SocketAddr, wait: Duration, lines: &PoolLimits) -> io::Result<Connection> {
         Connection::open(addr, wait, lines, DescriptorPermit(Arc::new(AtomicUsize::new(1))), |_| true)
     }
 
     /// How long it had rested when it was taken; nothing for a new one.
-    pub fn rested(&self) -> Duration {
+    pub fn idle_time(&self) -> Duration {
         self.rested
     }
 
     /// No byte of an answer has come.
-    pub fn unread(&self) -> bool {
+    pub fn nothing_received(&self) -> bool {
         self.inward.is_empty()
     }
 
@@ -171,7 +171,7 @@
         Pool { shelves: Mutex::default(), open: Arc::default(), lines }
     }
 
-    pub fn lines(&self) -> &PoolLimits {
+    pub fn limits(&self) -> &PoolLimits {
         &self.lines
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// What discovery says of a server's address. One that moved keeps no connection to its old place.
-    pub fn place(&self, server: ServerId, dial: SocketAddr) {
+    pub fn set_address(&self, server: ServerId, dial: SocketAddr) {
         let mut shelves = self.shelves();
         let shelf = shelves.entry(server).or_default();
         if shelf.dial != Some(dial) {
@@ -189,7 +189,7 @@
     }
 
     /// Closes what is idle to a server.
-    pub fn close(&self, server: ServerId) {
+    pub fn close_idle(&self, server: ServerId) {
         if let Some(shelf) = self.shelves().get_mut(&server) {
             shelf.idle.clear();
         }
@@ -201,13 +201,13 @@
     }
 
     /// Forgets all but these.
-    pub fn keep(&self, named: &HashSet<ServerId>) {
+    pub fn retain(&self, named: &HashSet<ServerId>) {
         self.shelves().retain(|server, _| named.contains(server));
     }
 
     /// An idle connection that has rested, at `most` so long, or a new one; `shown` sees its socket first. Without
     /// one nothing ran. `ConnectFailed`: the server cannot be reached. `Moot`: that is not the server's doing.
-    pub fn take(
+    pub fn acquire(
         &self,
         server: ServerId,
         wait: Duration,
@@ -238,7 +238,7 @@
     }
 
     /// Keeps it for the next forward, unless more has come than the answer.
-    pub fn give_back(&self, server: ServerId, mut conn: Connection) {
+    pub fn release(&self, server: ServerId, mut conn: Connection) {
         if !conn.inward.is_empty() {
             return;
         }
@@ -263,7 +263,7 @@
     }
 
     /// Closes what has been idle for long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         for shelf in self.shelves().values_mut() {
             shelf.idle.retain(|c| c.idle_since.elapsed() < c.good_for);
         }
--- a/crates/aspendrum-net/tests/disconnects.rs
+++ b/crates/aspendrum-net/tests/disconnects.rs
@@ -1,8 +1,8 @@
 //! Clients that leave, as one look over all connections hears them, and what that does to a request on its way.
 
-use aspendrum_net::disconnect_metrics::{DisconnectMetrics, Report, BOUND};
+use aspendrum_net::disconnect_metrics::{DisconnectMetrics, DisconnectReporter, BOUND};
 use aspendrum_net::disconnects::{ClientConnection, DisconnectWatcher, WAITED};
-use aspendrum_net::forward::{ForwardHandle, Kind, Stage};
+use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
 use aspendrum_net::http1::{MessageLimits, Request};
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
 use std::io::{Read, Write};
@@ -41,7 +41,7 @@
 fn left(watch: &DisconnectWatcher, connections: &[Arc<Connection>]) -> Vec<Arc<Connection>> {
     let until = Instant::now() + PATIENCE;
     loop {
-        let found = watch.look(connections);
+        let found = watch.poll_disconnects(connections);
         if !found.is_empty() || Instant::now() > until {
             return found;
         }
@@ -62,9 +62,9 @@
     let found = left(&watch, &connections);
     assert!(begun.elapsed() >= WAITED - Duration::from_millis(2), "a request that ends soon costs no call");
     assert!(found.len() == 1 && found[0].0.request() == Some(7));
-    assert!(one.0.left() && !other.0.left());
-    assert!(watch.look(&connections).is_empty());
-    assert!(one.0.left_for(&watch).is_some() && other.0.left_for(&watch).is_none());
+    assert!(one.0.has_disconnected() && !other.0.has_disconnected());
+    assert!(watch.poll_disconnects(&connections).is_empty());
+    assert!(one.0.time_since_disconnect(&watch).is_some() && other.0.time_since_disconnect(&watch).is_none());
     // Whatever else would be read on that connection has nobody to answer.
     assert!(!one.0.begin(9, &watch));
     assert!(one.0.becomes_overdue() && !one.0.becomes_overdue());
@@ -78,7 +78,7 @@
     one.0.end();
     drop((idle, leaver));
     let found = left(&watch, &[one.clone(), other]);
-    assert!(found.len() == 1 && found[0].0.request() == Some(2) && !one.0.left());
+    assert!(found.len() == 1 && found[0].0.request() == Some(2) && !one.0.has_disconnected());
 }
 
 /// Danger: the end of our own reading side looks as a client's close does, and its request would be given up.
@@ -91,7 +91,7 @@
     assert!(one.0.begin(1, &watch) && other.0.begin(2, &watch));
     drop(leaver);
     let found = left(&watch, &[one.clone(), other]);
-    assert!(found.len() == 1 && !one.0.left());
+    assert!(found.len() == 1 && !one.0.has_disconnected());
 }
 
 /// Danger: a request that has come is lost with its connection.
@@ -111,41 +111,43 @@
     assert_eq!((&*own).read(&mut came).unwrap(), 0);
 }
 
-fn stage(forward: &ForwardHandle) -> (Stage, bool) {
+fn stage(forward: &ForwardHandle) -> (ForwardStage, bool) {
     let progress = forward.progress();
     (progress.stage, progress.broken_off)
 }
 
 #[test]
 fn a_departed_request_is_never_sent() {
-    for kind in [Kind::Repeatable, Kind::OnceOnly] {
+    for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
         let (mut server, own) = pair();
         let forward = ForwardHandle::new(kind);
         assert!(forward.enter(0, &own));
-        assert_eq!(forward.depart(), Stage::Dialling);
+        assert_eq!(forward.depart(), ForwardStage::Dialling);
         // What the socket carried would be half a request.
         assert_eq!(server.read(&mut [0]).unwrap(), 0);
-        assert!(!forward.reach(0, Stage::Sending) && forward.leave(0));
+        assert!(!forward.reach(0, ForwardStage::Sending) && forward.leave(0));
         assert!(!forward.enter(1, &own) && forward.leave(1), "a further try");
-        assert_eq!(stage(&forward), (Stage::Waiting, false));
+        assert_eq!(stage(&forward), (ForwardStage::Waiting, false));
     }
 }
 
 #[test]
 fn a_run_is_broken_off_if_it_may_be_repeated_and_is_let_finish_otherwise() {
-    for kind in [Kind::Repeatable, Kind::OnceOnly] {
+    for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
         let (mut server, own) = pair();
         let begun = Instant::now();
         let forward = ForwardHandle::new(kind);
         assert!(
-            forward.enter(0, &own) && forward.reach(0, Stage::Sending) && forward.reach(0, Stage::AtServer)
+            forward.enter(0, &own)
+                && forward.reach(0, ForwardStage::Sending)
+                && forward.reach(0, ForwardStage::AtServer)
         );
-        assert_eq!(forward.depart(), Stage::AtServer);
-        assert_eq!(stage(&forward), (Stage::AtServer, false), "it may end by itself");
+        assert_eq!(forward.depart(), ForwardStage::AtServer);
+        assert_eq!(stage(&forward), (ForwardStage::AtServer, false), "it may end by itself");
         assert_eq!(forward.progress().returned_for, None);
         forward.break_off();
-        let broken_off = kind == Kind::Repeatable;
-        assert_eq!(stage(&forward), (Stage::AtServer, broken_off));
+        let broken_off = kind == RequestKind::Idempotent;
+        assert_eq!(stage(&forward), (ForwardStage::AtServer, broken_off));
         if broken_off {
             assert_eq!(server.read(&mut [0]).unwrap(), 0);
         }
@@ -173,7 +175,7 @@
         std::iter::from_fn(|| TcpStream::connect_timeout(&at, short).ok()).collect();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let stream = Arc::new(TcpStream::from(socket));
-    let forward = Arc::new(ForwardHandle::new(Kind::OnceOnly));
+    let forward = Arc::new(ForwardHandle::new(RequestKind::OnceOnly));
     assert!(forward.enter(0, &stream));
     let begun = Instant::now();
     let own = stream.clone();
@@ -192,14 +194,14 @@
 #[test]
 fn violations_are_counted_by_kind_and_stage_and_told_once() {
     let figures = DisconnectMetrics::default();
-    let mut report = Report::default();
+    let mut report = DisconnectReporter::default();
     assert_eq!(report.line(&figures), None);
-    figures.heard(Kind::Repeatable, Stage::AtServer);
-    figures.sent(Kind::OnceOnly, BOUND);
-    figures.outlasted(Kind::Repeatable, Stage::AtServer, true);
+    figures.record_disconnect(RequestKind::Idempotent, ForwardStage::AtServer);
+    figures.record_sent_late(RequestKind::OnceOnly, BOUND);
+    figures.record_overdue(RequestKind::Idempotent, ForwardStage::AtServer, true);
     assert_eq!((figures.departures(), figures.violations()), (1, 0));
-    figures.outlasted(Kind::OnceOnly, Stage::Waiting, false);
-    figures.sent(Kind::OnceOnly, BOUND + Duration::from_millis(1));
+    figures.record_overdue(RequestKind::OnceOnly, ForwardStage::Waiting, false);
+    figures.record_sent_late(RequestKind::OnceOnly, BOUND + Duration::from_millis(1));
     assert_eq!(figures.violations(), 2);
     assert_eq!(
         figures.text(),
--- a/crates/aspendrum-net/tests/wire_bytes.rs
+++ b/crates/aspendrum-net/tests/wire_bytes.rs
@@ -1,7 +1,7 @@
 //! What is written to connections, byte by byte, and what is read from them: it stays, whatever a type is called.
 
 use aspendrum_net::disconnect_metrics::{DisconnectMetrics, BOUND};
-use aspendrum_net::forward::{Kind, Stage};
+use aspendrum_net::forward::{ForwardStage, RequestKind};
 use aspendrum_net::frames::{encode_frame, read_frame, Link};
 use aspendrum_net::http1::{self, MessageLimits, Parsed, Request, Response};
 use aspendrum_net::http_client::HttpClient;
@@ -309,14 +309,16 @@
 #[test]
 fn figures_keep_their_names_and_labels() {
     let figures = DisconnectMetrics::default();
-    let kinds = [Kind::Repeatable, Kind::OnceOnly];
+    let kinds = [RequestKind::Idempotent, RequestKind::OnceOnly];
     for kind in kinds {
-        for stage in [Stage::Waiting, Stage::Dialling, Stage::Sending, Stage::AtServer] {
-            figures.heard(kind, stage);
-            figures.outlasted(kind, stage, false);
-            figures.outlasted(kind, stage, true);
+        for stage in
+            [ForwardStage::Waiting, ForwardStage::Dialling, ForwardStage::Sending, ForwardStage::AtServer]
+        {
+            figures.record_disconnect(kind, stage);
+            figures.record_overdue(kind, stage, false);
+            figures.record_overdue(kind, stage, true);
         }
-        figures.sent(kind, BOUND * 2);
+        figures.record_sent_late(kind, BOUND * 2);
     }
     assert_eq!(figures.text(), include_str!("fixtures/disconnect_figures.txt"));
 }
--- a/crates/aspendrum-proxy/src/departures.rs
+++ b/crates/aspendrum-proxy/src/departures.rs
@@ -4,7 +4,7 @@
 use crate::Shop;
 use aspendrum_core::api::QueryId;
 use aspendrum_net::disconnect_metrics::BOUND;
-use aspendrum_net::forward::{Kind, Progress, Stage};
+use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
 use std::time::Duration;
 
 /// A run goes on for so long after its client's departure was heard: most end within that, and their connections are
@@ -14,13 +14,13 @@
 /// Looks after all clients with a request in hand, and gives up what is done for those that have left.
 pub fn look(shop: &Shop) {
     let clients = shop.clients.in_hand();
-    for client in shop.watch.look(&clients) {
+    for client in shop.watch.poll_disconnects(&clients) {
         if let Some(request) = client.presence.request() {
             depart(shop, request);
         }
     }
     for client in &clients {
-        let left_for = client.presence.left_for(&shop.watch);
+        let left_for = client.presence.time_since_disconnect(&shop.watch);
         if let (Some(left_for), Some(request)) = (left_for, client.presence.request()) {
             follow_up(shop, client, request, left_for);
         }
@@ -30,7 +30,7 @@
 /// A request's client has left.
 pub fn depart(shop: &Shop, request: QueryId) {
     if let Some((kind, stage)) = shop.desk.depart(request) {
-        shop.departures.heard(kind, stage);
+        shop.departures.record_disconnect(kind, stage);
     }
 }
 
@@ -43,10 +43,10 @@
         return;
     };
     let Progress { stage, broken_off, returned_for } = progress;
-    let let_finish = (kind, stage) == (Kind::OnceOnly, Stage::AtServer);
+    let let_finish = (kind, stage) == (RequestKind::OnceOnly, ForwardStage::AtServer);
     // A run that was let finish, and has just come back, ends a moment later.
     let due_for = returned_for.map_or(left_for, |returned_for| returned_for.min(left_for));
     if due_for > BOUND && !let_finish && client.presence.becomes_overdue() {
-        shop.departures.outlasted(kind, stage, broken_off);
+        shop.departures.record_overdue(kind, stage, broken_off);
     }
 }
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -10,7 +10,7 @@
 use aspendrum_model::news::{Edition, Front, Part};
 use aspendrum_model::packed::unpack;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::forward::{ForwardHandle, Kind, Progress, Stage};
+use aspendrum_net::forward::{ForwardHandle, ForwardStage, Progress, RequestKind};
 use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::workers::lock;
 use aspendrum_reconcile::edition;
@@ -236,7 +236,7 @@
     }
 
     /// The query's client has left: nothing more is sent for it. Says how far it had come; `None`: it is over.
-    pub fn depart(&self, id: QueryId) -> Option<(Kind, Stage)> {
+    pub fn depart(&self, id: QueryId) -> Option<(RequestKind, ForwardStage)> {
         let now = self.now();
         let mut inner = lock(&self.inner);
         let seat = inner.seats.get(&id)?;
@@ -254,7 +254,7 @@
     }
 
     /// How far a query has come. `None`: it is over.
-    pub fn progress(&self, id: QueryId) -> Option<(Kind, Progress)> {
+    pub fn progress(&self, id: QueryId) -> Option<(RequestKind, Progress)> {
         let inner = lock(&self.inner);
         inner.seats.get(&id).map(|seat| (seat.forward.kind, seat.forward.progress()))
     }
--- a/crates/aspendrum-proxy/src/door.rs
+++ b/crates/aspendrum-proxy/src/door.rs
@@ -131,7 +131,7 @@
                 let close = answer.closes(shop.draining() || shop.clients.crowded(), !ring.is_empty());
                 // Whoever closed only its sending side still reads what a once-only run came to.
                 let written = (&**stream).write_all(&answer.bytes(close)).is_ok();
-                if client.presence.left() {
+                if client.presence.has_disconnected() {
                     return;
                 }
                 if !written || close {
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -18,7 +18,7 @@
 use aspendrum_model::news::{Edition, Readiness};
 use aspendrum_model::settings::{Settings, VARIABLE};
 use aspendrum_net::daemon::ProcessSignals;
-use aspendrum_net::disconnect_metrics::{DisconnectMetrics, Report};
+use aspendrum_net::disconnect_metrics::{DisconnectMetrics, DisconnectReporter};
 use aspendrum_net::disconnects::DisconnectWatcher;
 use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
@@ -285,10 +285,10 @@
     let every = Duration::from_secs_f64(BEAT_MS / 1000.0);
     let (mut told, mut swept, mut last) = (Instant::now(), Instant::now(), Readiness::Closed);
     let mut collated = Instant::now();
-    let mut report = Report::default();
+    let mut report = DisconnectReporter::default();
     loop {
         sleep(every);
-        if shop.watch.due() {
+        if shop.watch.is_due() {
             departures::look(shop);
             report.line(&shop.departures).iter().for_each(|line| log::info!("{line}"));
         }
@@ -310,7 +310,7 @@
         }
         if swept.elapsed() >= SWEEP_EVERY {
             swept = Instant::now();
-            shop.pool.sweep();
+            shop.pool.close_expired();
         }
     }
 }
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -8,7 +8,7 @@
 use crate::wire::{self, Taken};
 use crate::Shop;
 use aspendrum_core::api::{Load, Ms, Outcome, QueryId, ServerId};
-use aspendrum_net::forward::{ForwardHandle, Kind, Stage};
+use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
 use aspendrum_net::http1::{self, MessageLimits, Request, Response};
 use aspendrum_net::mailbox;
 use aspendrum_net::pool::Connection;
@@ -85,7 +85,7 @@
     let Some(pool) = view.pools.get(service).copied() else { return own(404, asked.id) };
     let wait = asked.budget.unwrap_or(rule.limit_ms).min(rule.limit_ms).clamp(0.0, 3_600_000.0);
     let until = at + Duration::from_secs_f64(wait / 1000.0);
-    let kind = if rule.repeatable { Kind::Repeatable } else { Kind::OnceOnly };
+    let kind = if rule.repeatable { RequestKind::Idempotent } else { RequestKind::OnceOnly };
     let mut query = Query {
         shop,
         client,
@@ -240,10 +240,10 @@
             return (Outcome::Moot, None);
         }
         let Some((addr, uid)) = shop.desk.server(server) else { return (Outcome::Moot, None) };
-        shop.pool.place(server, addr.into());
+        shop.pool.set_address(server, addr.into());
         let most = if self.repeatable { Duration::MAX } else { shop.rest() };
         let shown = |stream: &Arc<TcpStream>| self.forward.enter(forward, stream);
-        let taken = shop.pool.take(server, left.min(shop.connect_wait), most, shown);
+        let taken = shop.pool.acquire(server, left.min(shop.connect_wait), most, shown);
         let mut conn = match taken {
             Ok(conn) => conn,
             Err(_) if self.forward.leave(forward) => return (Outcome::Moot, None),
@@ -256,7 +256,7 @@
                 if !response.close && !broken_off {
                     let kept = wire::keeps_for(&response).map(|s| Duration::from_secs_f64(s * KEPT_SHARE));
                     conn.good_for = kept.map_or(conn.good_for, |k| k.min(MOST_IDLE));
-                    shop.pool.give_back(server, conn);
+                    shop.pool.release(server, conn);
                 }
                 match wire::taken(&response) {
                     Taken::Final => (Outcome::Ok, Some(response)),
@@ -284,22 +284,26 @@
         let shop = self.shop;
         let budget = (until.saturating_duration_since(Instant::now()).as_millis() as u64).max(1);
         let request = wire::forward(self.request, server, self.tenant, budget);
-        let left_for = self.client.presence.left_for(&shop.watch);
-        if !conn.outward.append(&request) || !self.forward.reach(forward, Stage::Sending) {
+        let left_for = self.client.presence.time_since_disconnect(&shop.watch);
+        if !conn.outward.append(&request) || !self.forward.reach(forward, ForwardStage::Sending) {
             return Err(Outcome::Moot);
         }
-        left_for.iter().for_each(|left_for| shop.departures.sent(self.forward.kind, *left_for));
+        left_for.iter().for_each(|left_for| shop.departures.record_sent_late(self.forward.kind, *left_for));
         conn.send()?;
-        self.forward.reach(forward, Stage::AtServer);
+        self.forward.reach(forward, ForwardStage::AtServer);
         for _ in 0..=STRANGERS {
             let got =
-                conn.receive(until, shop.pool.lines(), |ring| http1::parse_response(ring, &SERVER_BOUNDS));
+                conn.receive(until, shop.pool.limits(), |ring| http1::parse_response(ring, &SERVER_BOUNDS));
             let response = match got {
                 Ok(response) => response,
                 Err(outcome) => {
                     let broken_off = self.forward.progress().broken_off;
-                    if outcome == Outcome::Reset && conn.unread() && !conn.rested().is_zero() && !broken_off {
-                        shop.forgotten(conn.rested());
+                    if outcome == Outcome::Reset
+                        && conn.nothing_received()
+                        && !conn.idle_time().is_zero()
+                        && !broken_off
+                    {
+                        shop.forgotten(conn.idle_time());
                     }
                     return Err(outcome);
                 }
@@ -331,16 +335,16 @@
     let until = begun + shop.connect_wait;
     let told = || -> Result<(Outcome, Load, Option<Ms>), Outcome> {
         let (addr, uid, path) = shop.desk.check(server).ok_or(Outcome::Moot)?;
-        shop.pool.place(server, addr.into());
-        let mut conn = shop.pool.take(server, shop.connect_wait, Duration::MAX, |_| true)?;
+        shop.pool.set_address(server, addr.into());
+        let mut conn = shop.pool.acquire(server, shop.connect_wait, Duration::MAX, |_| true)?;
         conn.outward.append(&wire::probe(&path, &addr.to_string()));
         conn.send()?;
         let answer =
-            conn.receive(until, shop.pool.lines(), |ring| http1::parse_response(ring, &SERVER_BOUNDS))?;
+            conn.receive(until, shop.pool.limits(), |ring| http1::parse_response(ring, &SERVER_BOUNDS))?;
         let (load, left) = (wire::load(&answer), wire::warm_left(&answer));
         let well = answer.status == 200 && wire::server(&answer) == Some(uid.as_str());
         if !answer.close {
-            shop.pool.give_back(server, conn);
+            shop.pool.release(server, conn);
         }
         Ok((if well { Outcome::Ok } else { Outcome::Error }, load, left))
     };
--- a/crates/aspendrum-proxy/tests/trust.rs
+++ b/crates/aspendrum-proxy/tests/trust.rs
@@ -34,15 +34,15 @@
         idle: 60 * second,
         rest: Duration::ZERO,
     });
-    pool.place(1, listener.local_addr().unwrap());
-    let take = |most| pool.take(1, second, most, |_| true).unwrap();
+    pool.set_address(1, listener.local_addr().unwrap());
+    let take = |most| pool.acquire(1, second, most, |_| true).unwrap();
     let own = |conn: &aspendrum_net::pool::Connection| conn.stream.local_addr().unwrap().port();
     let first = take(Duration::MAX);
     let port = own(&first);
-    assert!(first.rested().is_zero() && first.unread());
-    pool.give_back(1, first);
+    assert!(first.idle_time().is_zero() && first.nothing_received());
+    pool.release(1, first);
     let fresh = take(Duration::ZERO);
-    assert!(own(&fresh) != port && fresh.rested().is_zero(), "a rest of any length is too long");
+    assert!(own(&fresh) != port && fresh.idle_time().is_zero(), "a rest of any length is too long");
     let kept = take(Duration::MAX);
-    assert!(own(&kept) == port && !kept.rested().is_zero(), "it is there for whoever may repeat");
+    assert!(own(&kept) == port && !kept.idle_time().is_zero(), "it is there for whoever may repeat");
 }
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use aspendrum_core::api::Load;
-use aspendrum_net::forward::{Kind, Stage as ForwardStage};
+use aspendrum_net::forward::{ForwardStage, RequestKind};
 use aspendrum_net::http1::{parse_request, parse_response, Parsed, Request, Response};
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_proxy::answer::{Answer, Then};
@@ -259,15 +259,15 @@
     let stages =
         [ForwardStage::Waiting, ForwardStage::Dialling, ForwardStage::Sending, ForwardStage::AtServer];
     let mut events = 0;
-    for kind in [Kind::Repeatable, Kind::OnceOnly] {
+    for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
         for stage in stages {
             events += 1;
-            (0..events).for_each(|_| shop.departures.heard(kind, stage));
-            shop.departures.outlasted(kind, stage, false);
-            shop.departures.outlasted(kind, stage, true);
+            (0..events).for_each(|_| shop.departures.record_disconnect(kind, stage));
+            shop.departures.record_overdue(kind, stage, false);
+            shop.departures.record_overdue(kind, stage, true);
         }
-        shop.departures.sent(kind, Duration::from_millis(501));
-        shop.departures.sent(kind, Duration::from_millis(500));
+        shop.departures.record_sent_late(kind, Duration::from_millis(501));
+        shop.departures.record_sent_late(kind, Duration::from_millis(500));
     }
     assert_eq!(shop.departures.text(), METRICS);
     assert_eq!((shop.departures.departures(), shop.departures.violations()), (36, 10));
--- a/crates/aspendrum/src/clients.rs
+++ b/crates/aspendrum/src/clients.rs
@@ -314,7 +314,7 @@
     });
     client.presence.end();
     drop(claim);
-    let stays = stays && !client.presence.left();
+    let stays = stays && !client.presence.has_disconnected();
     client.used.store(shop.age(), Ordering::Relaxed);
     client.turn(BUSY, if stays { IDLE } else { CLOSED });
     stays
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -10,9 +10,9 @@
 use crate::Shop;
 use aspendrum_core::api::*;
 use aspendrum_core::control::Control;
-use aspendrum_net::disconnect_metrics::{Report, BOUND};
+use aspendrum_net::disconnect_metrics::{DisconnectReporter, BOUND};
 use aspendrum_net::disconnects::ClientConnection;
-use aspendrum_net::forward::{ForwardHandle, Progress, Stage};
+use aspendrum_net::forward::{ForwardHandle, ForwardStage, Progress};
 use crossbeam_channel::Sender;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -45,7 +45,7 @@
     /// What carrying out an action led to: the module hears it once the action's event is through.
     later: Vec<Note>,
     swept: Instant,
-    report: Report,
+    report: DisconnectReporter,
 }
 
 impl Desk {
@@ -71,7 +71,7 @@
             actions,
             later: Vec::new(),
             swept: Instant::now(),
-            report: Report::default(),
+            report: DisconnectReporter::default(),
         }
     }
 
@@ -106,12 +106,12 @@
             }
             self.tell(&Event::Timer { token });
         }
-        if self.shop.watch.due() {
+        if self.shop.watch.is_due() {
             self.look();
         }
         if self.swept.elapsed() >= self.shop.limits.sweep {
             self.swept = Instant::now();
-            self.shop.pool.sweep();
+            self.shop.pool.close_expired();
         }
     }
 
@@ -120,10 +120,10 @@
     fn look(&mut self) {
         let shop = self.shop.clone();
         let clients = shop.clients.in_hand();
-        for client in shop.watch.look(&clients) {
+        for client in shop.watch.poll_disconnects(&clients) {
             let Some(id) = client.presence.request() else { continue };
             if let Some(seat) = self.seats.get(&id) {
-                shop.departures.heard(seat.line.kind, seat.line.depart());
+                shop.departures.record_disconnect(seat.line.kind, seat.line.depart());
             }
             self.hear(Note::Left { id });
         }
@@ -136,13 +136,14 @@
     /// The invariant: what has not left whole a while after a departure never leaves.
     fn hold_to_bound(&self, presence: &ClientConnection) {
         let watch = &self.shop.watch;
-        let left_for = presence.left_for(watch).filter(|left_for| !watch.is_late() && *left_for > BOUND);
+        let left_for =
+            presence.time_since_disconnect(watch).filter(|left_for| !watch.is_late() && *left_for > BOUND);
         let seat = presence.request().filter(|_| left_for.is_some()).and_then(|id| self.seats.get(&id));
         let Some(line) = seat.map(|seat| &seat.line) else { return };
         let Progress { stage, broken_off, returned_for } = line.progress();
         let about_to_end = returned_for.is_some_and(|returned_for| returned_for <= BOUND);
-        if stage != Stage::AtServer && !about_to_end && presence.becomes_overdue() {
-            self.shop.departures.outlasted(line.kind, stage, broken_off);
+        if stage != ForwardStage::AtServer && !about_to_end && presence.becomes_overdue() {
+            self.shop.departures.record_overdue(line.kind, stage, broken_off);
         }
     }
 
@@ -247,7 +248,7 @@
                 }
             }
             Action::Probe { server } => query::probe(&self.shop, server),
-            Action::Close { server } => self.shop.pool.close(server),
+            Action::Close { server } => self.shop.pool.close_idle(server),
             Action::Timer { token, wait } => {
                 let at = (self.shop.door.clock.now() + wait.max(0.0)) * 1000.0;
                 self.timers.push(Reverse((at as u64, token)));
--- a/crates/aspendrum/src/discovery.rs
+++ b/crates/aspendrum/src/discovery.rs
@@ -149,8 +149,10 @@
         let limits = &self.shop.limits;
         let mut conn = match held.take() {
             Some(conn) => conn,
-            None => Connection::apart(self.agent.addr(), limits.connect_wait, self.shop.pool.lines())
-                .map_err(|e| e.to_string())?,
+            None => {
+                Connection::open_unpooled(self.agent.addr(), limits.connect_wait, self.shop.pool.limits())
+                    .map_err(|e| e.to_string())?
+            }
         };
         if !self.agent.reached(&conn) {
             return Err("its address has changed".into());
@@ -192,13 +194,13 @@
     for (member, dial) in &roster.entries {
         if let Some(dial) = dial.filter(|_| member.health != Health::Gone) {
             named.insert(member.server);
-            shop.pool.place(member.server, dial);
+            shop.pool.set_address(member.server, dial);
         } else {
             shop.pool.forget(member.server);
         }
     }
     if roster.whole {
-        shop.pool.keep(&named);
+        shop.pool.retain(&named);
     }
     let entries = roster.entries.into_iter().map(|e| e.0).collect();
     shop.door.tell(Note::Members { list, version: roster.version as u32, entries });
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -211,7 +211,7 @@
 
 /// Reads one whole answer from a server, or from discovery.
 pub fn receive(conn: &mut Connection, until: Instant, shop: &Shop) -> Result<Answer, Outcome> {
-    conn.receive(until, shop.pool.lines(), |ring| answer(ring, &shop.lanes, &shop.limits))
+    conn.receive(until, shop.pool.limits(), |ring| answer(ring, &shop.lanes, &shop.limits))
 }
 
 /// Takes one answer off the ring once it is whole. An answer that only the end of the connection delimits
--- a/crates/aspendrum/src/query.rs
+++ b/crates/aspendrum/src/query.rs
@@ -8,7 +8,7 @@
 use crate::notes::{Note, Order};
 use crate::Shop;
 use aspendrum_core::api::*;
-use aspendrum_net::forward::{ForwardHandle, Kind, Stage};
+use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -21,7 +21,11 @@
     // The desk hears of it, and the module decides when it may go on and where.
     let (desk, orders) = mailbox::for_current_thread(limits.orders);
     let repeatable = shop.lanes.semantics.get(usize::from(asked.group)) == Some(&Semantics::Repeatable);
-    let line = Arc::new(ForwardHandle::new(if repeatable { Kind::Repeatable } else { Kind::OnceOnly }));
+    let line = Arc::new(ForwardHandle::new(if repeatable {
+        RequestKind::Idempotent
+    } else {
+        RequestKind::OnceOnly
+    }));
     client.presence.begin(id, &shop.watch);
     let new = NewQuery {
         id,
@@ -41,8 +45,8 @@
     let last = until + limits.desk_late;
     let taken = shop.door.tell_by(last, Note::Query { new, orders: desk, line: line.clone() });
     // The desk may have heard of the departure before it knew the query.
-    if client.presence.left() {
-        shop.departures.heard(line.kind, line.depart());
+    if client.presence.has_disconnected() {
+        shop.departures.record_disconnect(line.kind, line.depart());
         shop.door.tell(Note::Left { id });
     }
 
@@ -109,16 +113,20 @@
     // The line has the socket before it is connected: a query that is given up meanwhile must not wait for
     // a server that never comes up.
     let wait = left().min(shop.limits.connect_wait);
-    let mut conn = match shop.pool.take(server, wait, Duration::MAX, |stream| line.enter(forward, stream)) {
+    let mut conn = match shop.pool.acquire(server, wait, Duration::MAX, |stream| line.enter(forward, stream))
+    {
         Ok(conn) => conn,
         Err(outcome) => return (if line.leave(forward) { Outcome::Moot } else { outcome }, None),
     };
     let wait = as_ms(left());
-    let left_for = client.presence.left_for(&shop.watch);
-    let written = asked.forward(wait, &mut conn.outward) && line.reach(forward, Stage::Sending);
-    left_for.iter().filter(|_| written).for_each(|left_for| shop.departures.sent(line.kind, *left_for));
+    let left_for = client.presence.time_since_disconnect(&shop.watch);
+    let written = asked.forward(wait, &mut conn.outward) && line.reach(forward, ForwardStage::Sending);
+    left_for
+        .iter()
+        .filter(|_| written)
+        .for_each(|left_for| shop.departures.record_sent_late(line.kind, *left_for));
     let sent = if written { conn.send() } else { Err(Outcome::Moot) };
-    line.reach(forward, Stage::AtServer);
+    line.reach(forward, ForwardStage::AtServer);
     let got = sent.and_then(|()| http::receive(&mut conn, until, shop));
     let cut = line.leave(forward);
     match got {
@@ -126,7 +134,7 @@
         Ok(answer) => {
             let outcome = outcome(&answer);
             if !cut && !answer.close {
-                shop.pool.give_back(server, conn);
+                shop.pool.release(server, conn);
             }
             (outcome, Some(answer))
         }
@@ -169,7 +177,7 @@
 fn ask(shop: &Shop, server: ServerId, until: Instant) -> Result<(Outcome, Load), Outcome> {
     let path = if shop.lanes.load_values.is_empty() { http::LIVE } else { http::STATS };
     let wait = || until.saturating_duration_since(Instant::now());
-    let mut conn = shop.pool.take(server, wait(), Duration::MAX, |_| true)?;
+    let mut conn = shop.pool.acquire(server, wait(), Duration::MAX, |_| true)?;
     http::get(&mut conn.outward, path);
     conn.send()?;
     let answer = http::receive(&mut conn, until, shop)?;
@@ -178,7 +186,7 @@
         _ => answer.load,
     };
     if !answer.close {
-        shop.pool.give_back(server, conn);
+        shop.pool.release(server, conn);
     }
     let outcome = match answer.status {
         200 => Outcome::Ok,
--- a/crates/aspendrum/tests/suite/pieces.rs
+++ b/crates/aspendrum/tests/suite/pieces.rs
@@ -13,7 +13,7 @@
 use aspendrum::ring_buffer::RingBuffer;
 use aspendrum::roster::{Names, Roster};
 use aspendrum_core::api::{Event, Health, LoadValue, Outcome};
-use aspendrum_net::forward::{ForwardHandle, Kind};
+use aspendrum_net::forward::{ForwardHandle, RequestKind};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -132,7 +132,7 @@
 fn a_line_cuts_only_the_forward_that_it_names() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = Arc::new(std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap());
-    let line = ForwardHandle::new(Kind::Repeatable);
+    let line = ForwardHandle::new(RequestKind::Idempotent);
     assert!(line.enter(0, &stream) && !line.leave(0));
     line.cancel(0);
     assert!((&*stream).write(b"x").is_ok());
