--- a/crates/aspendrum-agent/src/control.rs
+++ b/crates/aspendrum-agent/src/control.rs
@@ -2,7 +2,7 @@
 
 use crate::notes::Note;
 use aspendrum_model::hash::{digest, rank};
-use aspendrum_model::news::{ControlAddress, Down};
+use aspendrum_model::message::{ControlAddress, FromControl};
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
@@ -107,7 +107,7 @@
                     let since = Instant::now();
                     notes.send(Note::Control { id, ip, link }, None);
                     let mut from = BufReader::with_capacity(4 << 10, &*stream);
-                    while let Ok(said) = frames::read_frame::<Down>(&mut from) {
+                    while let Ok(said) = frames::read_frame::<FromControl>(&mut from) {
                         notes.send(Note::Said { id, said }, None);
                     }
                     notes.send(Note::ControlLost { id }, None);
--- a/crates/aspendrum-agent/src/desk.rs
+++ b/crates/aspendrum-agent/src/desk.rs
@@ -6,9 +6,9 @@
 use crate::notes::Note;
 use aspendrum_gossip::{Act, Circle};
 use aspendrum_model::config::Config;
-use aspendrum_model::news::{Down, Edition, Part, Readiness, Up, KINDS};
+use aspendrum_model::message::{FromControl, Readiness, StateDigest, StateSection, ToControl, SECTION_KINDS};
 use aspendrum_model::packed::unpack;
-use aspendrum_model::servers::Roster;
+use aspendrum_model::servers::ServerList;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxReceiver;
@@ -53,7 +53,7 @@
 impl Control {
     /// Ends the connection for another one: until the agent is heard there, its proxy stays where it is known.
     fn leave(&self) {
-        self.link.send(&up(Up::Moving));
+        self.link.send(&up(ToControl::Moving));
         self.link.finish();
     }
 }
@@ -66,7 +66,7 @@
     heard: Ms,
     readiness: Readiness,
     /// What is in force there, out of its tables.
-    applied: Edition,
+    applied: StateDigest,
     mending: Mending,
     said: u64,
     /// Its connection has ended.
@@ -80,10 +80,10 @@
     control: Option<Control>,
     proxy: Option<Proxy>,
     /// What is decided, as far as this agent knows: the newest of each kind but the list of servers.
-    held: [Option<Part>; KINDS],
-    roster: Roster,
+    held: [Option<StateSection>; SECTION_KINDS],
+    roster: ServerList,
     /// What is held here, as it would be in force.
-    edition: Edition,
+    edition: StateDigest,
     /// Something else was decided than what is held here, by the last word of control; and when a link was ended
     /// for that.
     missed: Option<Ms>,
@@ -112,8 +112,8 @@
             begun: Instant::now(),
             control: None,
             proxy: None,
-            held: [const { None }; KINDS],
-            roster: Roster::default(),
+            held: [const { None }; SECTION_KINDS],
+            roster: ServerList::default(),
             edition: edition(None, 0, &[]),
             missed: None,
             as_of: None,
@@ -193,15 +193,16 @@
                 self.act(acts);
             }
             Note::Borrower(answer) => {
-                let parts = (0..KINDS).filter_map(|kind| self.told(kind));
-                let news =
-                    (1..).zip(parts).map(|(number, part)| frames::encode_frame(&Down::News { number, part }));
+                let parts = (0..SECTION_KINDS).filter_map(|kind| self.told(kind));
+                let news = (1..)
+                    .zip(parts)
+                    .map(|(number, part)| frames::encode_frame(&FromControl::News { number, part }));
                 let _ = answer.try_send(news.flatten().collect());
             }
             Note::Lent(part) => {
                 // Orders are numbered; what else a neighbour knows counts only for whoever hears nothing better.
-                let ordered = matches!(part, Part::Config { .. } | Part::Evacuated { .. });
-                if ordered || (self.alone(now) && !matches!(part, Part::Control(_))) {
+                let ordered = matches!(part, StateSection::Config { .. } | StateSection::Evacuated { .. });
+                if ordered || (self.alone(now) && !matches!(part, StateSection::Control(_))) {
                     self.take(part, false);
                 }
             }
@@ -212,14 +213,14 @@
         }
     }
 
-    fn said(&mut self, said: Down) {
+    fn said(&mut self, said: FromControl) {
         let now = self.now();
         // Any word is a sign of life: beats' answers wait behind long news.
         if let Some(control) = &mut self.control {
             control.answered = now;
         }
         match said {
-            Down::Beat { stamp, age, of, .. } => {
+            FromControl::Beat { stamp, age, of, .. } => {
                 // Counted from when this was asked: the answer cannot be older than that, however late it
                 // comes.
                 let then = age.map(|age| stamp as Ms - f64::from(age));
@@ -245,23 +246,23 @@
                     }
                 }
             }
-            Down::News { number, part } => {
+            FromControl::News { number, part } => {
                 self.last = number;
                 self.take(part, true);
             }
             // Agents are told that by nobody.
-            Down::Anew => {}
+            FromControl::Anew => {}
         }
     }
 
     /// What is held here, as it would be in force.
     fn collate(&mut self) {
         let config = self.held.iter().flatten().find_map(|part| match part {
-            Part::Config { text, .. } => unpack(text).and_then(|text| Config::read(&text).ok()),
+            StateSection::Config { text, .. } => unpack(text).and_then(|text| Config::read(&text).ok()),
             _ => None,
         });
         let emptied = self.held.iter().flatten().find_map(|part| match part {
-            Part::Evacuated { number, zones } => Some((*number, zones.as_slice())),
+            StateSection::Evacuated { number, zones } => Some((*number, zones.as_slice())),
             _ => None,
         });
         let (number, zones) = emptied.unwrap_or_default();
@@ -286,10 +287,10 @@
                 let others = sections.iter().any(|s| *s != Section::Evacuations);
                 [(CONFIG, others), (EVACUATED, emptied)].iter().filter(|k| k.1).for_each(|k| self.feed(k.0));
             }
-            Step::Snapshot => (0..KINDS).for_each(|kind| self.feed(kind)),
+            Step::Snapshot => (0..SECTION_KINDS).for_each(|kind| self.feed(kind)),
             Step::Anew => {
-                proxy.link.send(&Down::Anew);
-                (0..KINDS).for_each(|kind| self.feed(kind));
+                proxy.link.send(&FromControl::Anew);
+                (0..SECTION_KINDS).for_each(|kind| self.feed(kind));
             }
             Step::Tell => {}
         }
@@ -314,7 +315,7 @@
     }
 
     /// Takes what is newer than what is held. `control`: by its word, which settles two texts under one number.
-    fn take(&mut self, part: Part, control: bool) {
+    fn take(&mut self, part: StateSection, control: bool) {
         let now = self.now();
         let kind = part.kind();
         if !part.whole() {
@@ -324,21 +325,24 @@
         }
         let newer = match (&part, &self.held[kind]) {
             (
-                Part::Config { version: new, seal, .. },
-                Some(Part::Config { version: old, seal: held, .. }),
+                StateSection::Config { version: new, seal, .. },
+                Some(StateSection::Config { version: old, seal: held, .. }),
             ) => new > old || (new == old && control && seal != held),
-            (Part::Evacuated { number: new, .. }, Some(Part::Evacuated { number: old, .. })) => new > old,
-            (Part::Servers { age, list }, _) => {
+            (
+                StateSection::Evacuated { number: new, .. },
+                Some(StateSection::Evacuated { number: old, .. }),
+            ) => new > old,
+            (StateSection::Servers { age, list }, _) => {
                 self.roster.take(now, list.clone(), now - f64::from(*age));
                 true
             }
-            (Part::Fronts(fronts), _) => {
+            (StateSection::Proxies(fronts), _) => {
                 let others: Vec<Ipv4Addr> =
                     fronts.iter().map(|f| *f.addr.ip()).filter(|ip| *ip != self.settings.ip).collect();
                 self.circle.meet(&others);
                 true
             }
-            (Part::Control(control), held) => {
+            (StateSection::Control(control), held) => {
                 let first = held.is_none();
                 self.route.learn(&self.settings, control);
                 // Seeds do not tell their zones: before anything depends on the link it goes to the nearest. And whoever
@@ -355,7 +359,7 @@
         if !newer {
             return;
         }
-        if let Part::Config { version, .. } = &part {
+        if let StateSection::Config { version, .. } = &part {
             log::info!("event=news part=config version={version:08x}");
         }
         self.held[kind] = Some(part);
@@ -366,9 +370,9 @@
     }
 
     /// One kind of what is held, as it is to be told now.
-    fn told(&self, kind: usize) -> Option<Part> {
+    fn told(&self, kind: usize) -> Option<StateSection> {
         let (now, mut part) = (self.now(), self.held[kind].clone()?);
-        if let (Part::Servers { age, list }, Some(polled)) = (&mut part, self.roster.polled) {
+        if let (StateSection::Servers { age, list }, Some(polled)) = (&mut part, self.roster.polled) {
             (*age, *list) = ((now - polled).max(0.0) as u32, self.roster.told(now));
         }
         Some(part)
@@ -379,11 +383,11 @@
         let Some(part) = self.told(kind) else { return };
         if let Some(proxy) = self.proxy.as_mut().filter(|p| p.front.is_some()) {
             proxy.said += 1;
-            proxy.link.send(&Down::News { number: proxy.said, part });
+            proxy.link.send(&FromControl::News { number: proxy.said, part });
         }
     }
 
-    fn proxy_said(&mut self, id: u64, said: Up) {
+    fn proxy_said(&mut self, id: u64, said: ToControl) {
         let now = self.now();
         let age = self.as_of.map(|at| (now - at).max(0.0).ceil() as u32);
         let heard = self.control.as_ref().map_or(self.lost, |c| c.answered);
@@ -391,13 +395,13 @@
         let Some(proxy) = self.proxy.as_mut().filter(|p| p.id == id) else { return };
         proxy.heard = now;
         match said {
-            Up::Hello { host, front, .. } => {
+            ToControl::Hello { host, front, .. } => {
                 (proxy.host, proxy.front) = (host, Some(front));
-                (0..KINDS).for_each(|kind| self.feed(kind));
+                (0..SECTION_KINDS).for_each(|kind| self.feed(kind));
                 self.beat();
             }
-            Up::Beat { stamp, readiness, applied } => {
-                proxy.link.send(&Down::Beat { stamp, age, of, heard, deserted });
+            ToControl::Beat { stamp, readiness, applied } => {
+                proxy.link.send(&FromControl::Beat { stamp, age, of, heard, deserted });
                 let turned = proxy.readiness != readiness;
                 (proxy.readiness, proxy.applied) = (readiness, applied);
                 if turned {
@@ -406,13 +410,13 @@
                 self.mend(now);
             }
             // All that the proxy was told is in force there, and so is all that control told us.
-            Up::Applied { number } if number == proxy.said => {
+            ToControl::Applied { number } if number == proxy.said => {
                 if let Some(control) = &self.control {
-                    control.link.send(&up(Up::Applied { number: self.last }));
+                    control.link.send(&up(ToControl::Applied { number: self.last }));
                 }
             }
             // Proxies have one agent.
-            Up::Applied { .. } | Up::Moving => {}
+            ToControl::Applied { .. } | ToControl::Moving => {}
         }
     }
 
@@ -456,17 +460,17 @@
         let Some(proxy) = &self.proxy else { return };
         if let Some(front) = proxy.front.filter(|f| control.told != Some(*f)) {
             control.told = Some(front);
-            control.link.send(&up(Up::Hello { host: proxy.host.clone(), front, zone }));
+            control.link.send(&up(ToControl::Hello { host: proxy.host.clone(), front, zone }));
         }
         if proxy.front.is_some() {
             let heard = now - proxy.heard <= PROXY_SILENT;
             let readiness = if heard { proxy.readiness } else { Readiness::Closed };
-            control.link.send(&up(Up::Beat { stamp: now as u64, readiness, applied: proxy.applied }));
+            control.link.send(&up(ToControl::Beat { stamp: now as u64, readiness, applied: proxy.applied }));
         }
     }
 }
 
 /// Control tells agents' words from its own machines' by this.
-fn up(said: Up) -> aspendrum_model::news::Word {
-    aspendrum_model::news::Word::Up(said)
+fn up(said: ToControl) -> aspendrum_model::message::Envelope {
+    aspendrum_model::message::Envelope::Up(said)
 }
--- a/crates/aspendrum-agent/src/lend.rs
+++ b/crates/aspendrum-agent/src/lend.rs
@@ -2,7 +2,7 @@
 
 use crate::notes::Note;
 use aspendrum_gossip::Word;
-use aspendrum_model::news::Down;
+use aspendrum_model::message::FromControl;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
@@ -70,7 +70,7 @@
             let Ok(stream) = Link::dial(at, DIAL_WAIT) else { return };
             let _ = stream.set_read_timeout(Some(SILENCE));
             let mut from = BufReader::with_capacity(4 << 10, &*stream);
-            while let Ok(Down::News { part, .. }) = frames::read_frame::<Down>(&mut from) {
+            while let Ok(FromControl::News { part, .. }) = frames::read_frame::<FromControl>(&mut from) {
                 notes.send(Note::Lent(part), None);
             }
         };
--- a/crates/aspendrum-agent/src/notes.rs
+++ b/crates/aspendrum-agent/src/notes.rs
@@ -1,7 +1,7 @@
 //! What the desk is told.
 
 use aspendrum_gossip::Word;
-use aspendrum_model::news::{Down, Part, Up};
+use aspendrum_model::message::{FromControl, StateSection, ToControl};
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::Link;
 use crossbeam_channel::Sender;
@@ -15,7 +15,7 @@
     },
     Said {
         id: u64,
-        said: Down,
+        said: FromControl,
     },
     ControlLost {
         id: u64,
@@ -26,7 +26,7 @@
     },
     ProxySaid {
         id: u64,
-        said: Up,
+        said: ToControl,
     },
     ProxyLost {
         id: u64,
@@ -39,7 +39,7 @@
     /// Another agent wants a snapshot, as frames.
     Borrower(Sender<Vec<u8>>),
     /// Part of a neighbour's snapshot.
-    Lent(Part),
+    Lent(StateSection),
     Settings(Box<Settings>),
     /// The process is told to end; `done` hears when its proxy needs it no more.
     Leave {
--- a/crates/aspendrum-agent/src/proxy.rs
+++ b/crates/aspendrum-agent/src/proxy.rs
@@ -1,7 +1,7 @@
 //! The loopback connection to the proxy on this machine. It dials; there is one at a time.
 
 use crate::notes::Note;
-use aspendrum_model::news::Up;
+use aspendrum_model::message::ToControl;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::workers::spawn;
@@ -32,7 +32,7 @@
             notes.send(Note::Proxy { id, link }, None);
             let started = spawn("reader", STACK, move || {
                 let mut from = BufReader::with_capacity(1 << 10, &*stream);
-                while let Ok(said) = frames::read_frame::<Up>(&mut from) {
+                while let Ok(said) = frames::read_frame::<ToControl>(&mut from) {
                     own.send(Note::ProxySaid { id, said }, None);
                 }
                 own.send(Note::ProxyLost { id }, None);
--- a/crates/aspendrum-agent/tests/wire_bytes.rs
+++ b/crates/aspendrum-agent/tests/wire_bytes.rs
@@ -4,8 +4,11 @@
 
 use aspendrum_gossip::view::Neighbour;
 use aspendrum_gossip::Word as Datagram;
-use aspendrum_model::news::{ControlAddress, Down, Edition, Front, Mark, Part, Readiness, Up, Word};
-use aspendrum_model::servers::Server;
+use aspendrum_model::message::{
+    ControlAddress, Envelope, FromControl, ProxyEndpoint, Readiness, Revision, StateDigest, StateSection,
+    ToControl,
+};
+use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::frames;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -25,13 +28,13 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 9), 8080)
 }
 
-fn edition() -> Edition {
-    Edition { mark: Mark { config: 300, evacuation: 7 }, digests: [1, u64::MAX, 0, 129] }
+fn edition() -> StateDigest {
+    StateDigest { mark: Revision { config: 300, evacuation: 7 }, digests: [1, u64::MAX, 0, 129] }
 }
 
 /// What flows from control to an agent, from an agent to its proxy, and in a snapshot from agent to agent.
-fn downward() -> Vec<(&'static str, Down)> {
-    let server = Server {
+fn downward() -> Vec<(&'static str, FromControl)> {
+    let server = ServerInstance {
         uid: "i-1".into(),
         service: "s1".into(),
         addr: address(),
@@ -40,40 +43,44 @@
         draining: true,
         warm_left_ms: 3000,
     };
-    let front = |readiness, current| Front { addr: address(), zone: "poa-a".into(), readiness, current };
+    let front =
+        |readiness, current| ProxyEndpoint { addr: address(), zone: "poa-a".into(), readiness, current };
     let fronts = vec![
         front(Readiness::Closed, false),
         front(Readiness::Draining, true),
         front(Readiness::Ready, true),
     ];
     let control = ControlAddress { ip: *address().ip(), zone: "poa-a".into(), up: true };
-    let news = |number, part| Down::News { number, part };
-    let beat = |age, heard, deserted| Down::Beat { stamp: 300, age, of: edition(), heard, deserted };
+    let news = |number, part| FromControl::News { number, part };
+    let beat = |age, heard, deserted| FromControl::Beat { stamp: 300, age, of: edition(), heard, deserted };
     vec![
-        ("configuration", news(1, Part::Config { version: 0xabcd, text: vec![1, 2, 255], seal: u64::MAX })),
+        (
+            "configuration",
+            news(1, StateSection::Config { version: 0xabcd, text: vec![1, 2, 255], seal: u64::MAX }),
+        ),
         (
             "evacuated_zones",
-            news(300, Part::Evacuated { number: 7, zones: vec!["poa-a".into(), String::new()] }),
+            news(300, StateSection::Evacuated { number: 7, zones: vec!["poa-a".into(), String::new()] }),
         ),
-        ("servers", news(3, Part::Servers { age: 1500, list: vec![server] })),
-        ("proxies", news(4, Part::Fronts(fronts))),
-        ("control_nodes", news(u64::MAX, Part::Control(vec![control]))),
+        ("servers", news(3, StateSection::Servers { age: 1500, list: vec![server] })),
+        ("proxies", news(4, StateSection::Proxies(fronts))),
+        ("control_nodes", news(u64::MAX, StateSection::Control(vec![control]))),
         ("heartbeat_answer", beat(Some(250), true, false)),
         ("heartbeat_answer_without_age", beat(None, false, true)),
-        ("resync", Down::Anew),
+        ("resync", FromControl::Anew),
     ]
 }
 
 /// What flows from a proxy to its agent and from an agent to control.
-fn upward() -> Vec<(&'static str, Up)> {
-    let beat = |readiness| Up::Beat { stamp: 300, readiness, applied: edition() };
+fn upward() -> Vec<(&'static str, ToControl)> {
+    let beat = |readiness| ToControl::Beat { stamp: 300, readiness, applied: edition() };
     vec![
-        ("hello", Up::Hello { host: "edge-1".into(), front: address(), zone: "poa-a".into() }),
+        ("hello", ToControl::Hello { host: "edge-1".into(), front: address(), zone: "poa-a".into() }),
         ("heartbeat_closed", beat(Readiness::Closed)),
         ("heartbeat_draining", beat(Readiness::Draining)),
         ("heartbeat_ready", beat(Readiness::Ready)),
-        ("disconnecting", Up::Moving),
-        ("applied", Up::Applied { number: 300 }),
+        ("disconnecting", ToControl::Moving),
+        ("applied", ToControl::Applied { number: 300 }),
     ]
 }
 
@@ -97,7 +104,7 @@
     }
     for (name, message) in upward() {
         written += &format!("to_agent {name} {}\n", hex(&frames::encode_frame(&message)));
-        let enveloped: Word = Word::Up(message);
+        let enveloped: Envelope = Envelope::Up(message);
         written += &format!("to_control {name} {}\n", hex(&frames::encode_frame(&enveloped)));
     }
     for (name, message) in datagrams() {
@@ -115,16 +122,16 @@
     };
     let read = lines("down")
         .into_iter()
-        .map(|(name, bytes)| (name, frames::read_frame::<Down>(&mut &bytes[..]).unwrap()));
+        .map(|(name, bytes)| (name, frames::read_frame::<FromControl>(&mut &bytes[..]).unwrap()));
     assert!(read.eq(downward().into_iter().map(|(name, message)| (name.to_string(), message))));
     let read = lines("to_agent")
         .into_iter()
-        .map(|(name, bytes)| (name, frames::read_frame::<Up>(&mut &bytes[..]).unwrap()));
+        .map(|(name, bytes)| (name, frames::read_frame::<ToControl>(&mut &bytes[..]).unwrap()));
     assert!(read.eq(upward().into_iter().map(|(name, message)| (name.to_string(), message))));
     let read = lines("to_control")
         .into_iter()
-        .map(|(name, bytes)| (name, frames::read_frame::<Word>(&mut &bytes[..]).unwrap()));
-    assert!(read.eq(upward().into_iter().map(|(name, message)| (name.to_string(), Word::Up(message)))));
+        .map(|(name, bytes)| (name, frames::read_frame::<Envelope>(&mut &bytes[..]).unwrap()));
+    assert!(read.eq(upward().into_iter().map(|(name, message)| (name.to_string(), Envelope::Up(message)))));
     let read =
         lines("datagram").into_iter().map(|(name, bytes)| (name, postcard::from_bytes(&bytes).unwrap()));
     assert!(read.eq(datagrams().into_iter().map(|(name, message)| (name.to_string(), message))));
@@ -133,11 +140,11 @@
 /// A snapshot between agents is one frame after another, numbered from 1, until the connection ends.
 #[test]
 fn a_snapshot_is_read_frame_by_frame() {
-    let updates: Vec<Down> = downward().into_iter().take(5).map(|(_, message)| message).collect();
+    let updates: Vec<FromControl> = downward().into_iter().take(5).map(|(_, message)| message).collect();
     let snapshot: Vec<u8> = updates.iter().flat_map(frames::encode_frame).collect();
     let mut from = &snapshot[..];
     for update in updates {
-        assert_eq!(frames::read_frame::<Down>(&mut from).unwrap(), update);
+        assert_eq!(frames::read_frame::<FromControl>(&mut from).unwrap(), update);
     }
-    assert!(frames::read_frame::<Down>(&mut from).is_err());
+    assert!(frames::read_frame::<FromControl>(&mut from).is_err());
 }
--- a/crates/aspendrum-capacity/src/cores/finding.rs
+++ b/crates/aspendrum-capacity/src/cores/finding.rs
@@ -3,7 +3,7 @@
 use crate::measure::{batches, each, memory, Line};
 use crate::sizes;
 use aspendrum_control::directory::{union, Directory, KnownFront, HELD};
-use aspendrum_model::news::Front;
+use aspendrum_model::message::ProxyEndpoint;
 
 const LIMITERS: [usize; 5] = [30, 100, 200, 430, 1_000];
 const CONTROL: usize = 4;
@@ -13,7 +13,7 @@
     for limiters in LIMITERS {
         let line = |name| Line::of(name).with("limiters", limiters);
         let fronts = sizes::fronts(limiters);
-        let known = |f: &Front| KnownFront { front: f.clone(), connected: true };
+        let known = |f: &ProxyEndpoint| KnownFront { front: f.clone(), connected: true };
         let tables = fronts.chunks(limiters.div_ceil(CONTROL)).map(|t| t.iter().map(known).collect());
         let tables: Vec<Vec<KnownFront>> = tables.collect();
         line("finding.union").ms("cpu", &each(25, |_| union(tables.iter()))).tell();
--- a/crates/aspendrum-capacity/src/cores/gossip.rs
+++ b/crates/aspendrum-capacity/src/cores/gossip.rs
@@ -3,7 +3,7 @@
 use crate::measure::{cpu_ms, Line};
 use crate::sizes::front_at;
 use aspendrum_gossip::{Act, Circle, Word};
-use aspendrum_model::news::Edition;
+use aspendrum_model::message::StateDigest;
 use std::collections::{HashMap, VecDeque};
 use std::net::Ipv4Addr;
 
@@ -33,7 +33,7 @@
     }
     let is_alone = |n: usize| alone.is_some_and(|of| n.is_multiple_of(of));
     let (mut carried, mut words, before) = (Carried::default(), VecDeque::new(), cpu_ms());
-    let (mut now, held) = (0.0, Edition::default());
+    let (mut now, held) = (0.0, StateDigest::default());
     let as_of = |from: &Ipv4Addr, now: f64| {
         let n = known.iter().position(|ip| ip == from).unwrap_or(0);
         (!is_alone(n)).then_some(now)
--- a/crates/aspendrum-capacity/src/cores/model.rs
+++ b/crates/aspendrum-capacity/src/cores/model.rs
@@ -3,9 +3,9 @@
 use crate::measure::{batches, each, memory, Line};
 use crate::sizes::{self, Size, GRADES};
 use aspendrum_model::config::Config;
-use aspendrum_model::news::{Down, Edition, Part, Readiness, Up, Word};
+use aspendrum_model::message::{Envelope, FromControl, Readiness, StateDigest, StateSection, ToControl};
 use aspendrum_model::packed::{pack, unpack};
-use aspendrum_model::servers::{page, Roster, Server};
+use aspendrum_model::servers::{page, ServerInstance, ServerList};
 use aspendrum_net::frames::encode_frame;
 use aspendrum_reconcile::edition;
 
@@ -30,7 +30,8 @@
         let line = |name| Line::of(name).with("routes", routes).with("tenants", tenants).with("hosts", hosts);
         let text = sizes::config(&size, hosts, 1);
         let packed = pack(text.as_bytes());
-        let whole = encode_frame(&Down::News { number: 1, part: Part::config(1, packed.clone()) });
+        let whole =
+            encode_frame(&FromControl::News { number: 1, part: StateSection::config(1, packed.clone()) });
         let bytes = line("model.config.bytes").with("text", text.len()).with("packed", packed.len());
         bytes.with("frame", whole.len()).tell();
         let repeats = if tenants > 5_000 { 5 } else { 15 };
@@ -51,37 +52,40 @@
         let line = |name| Line::of(name).with("servers", size.servers).with("services", size.services);
         let pages: Vec<String> = list.chunks(PAGE).map(|p| sizes::page(p, Some("p-50".into()))).collect();
         let bytes: usize = pages.iter().map(String::len).sum();
-        let told =
-            encode_frame(&Down::News { number: 1, part: Part::Servers { age: 0, list: list.clone() } });
+        let told = encode_frame(&FromControl::News {
+            number: 1,
+            part: StateSection::Servers { age: 0, list: list.clone() },
+        });
         line("lists.bytes").with("pages", pages.len()).with("json", bytes).with("frame", told.len()).tell();
         let read = || pages.iter().filter_map(|p| page(p.as_bytes()).ok()).map(|p| p.0.len()).sum::<usize>();
         line("lists.pages.read").ms("cpu", &each(15, |_| read())).tell();
         let (_list, held, _) = memory(|| list.clone());
         line("lists.memory").mb("held", held).tell();
-        let mut roster = Roster::default();
+        let mut roster = ServerList::default();
         // One server drains, and is back with the next list.
-        let turned = |n: usize| -> Vec<Server> {
-            let drains = |(k, s): (usize, &Server)| Server { draining: k == n % 2, ..s.clone() };
+        let turned = |n: usize| -> Vec<ServerInstance> {
+            let drains =
+                |(k, s): (usize, &ServerInstance)| ServerInstance { draining: k == n % 2, ..s.clone() };
             list.iter().enumerate().map(drains).collect()
         };
-        let lists: Vec<Vec<Server>> = (0..16).map(turned).collect();
+        let lists: Vec<Vec<ServerInstance>> = (0..16).map(turned).collect();
         let taken = each(16, |n| roster.take(n as f64 * 1000.0, lists[n].clone(), n as f64 * 1000.0));
         line("lists.roster.take").ms("cpu", &taken).tell();
         line("lists.roster.told").ms("cpu", &each(15, |_| roster.told(20_000.0))).tell();
     }
     for size in GRADES {
         let fronts = sizes::fronts(size.limiters);
-        let told = encode_frame(&Down::News { number: 1, part: Part::Fronts(fronts) });
+        let told = encode_frame(&FromControl::News { number: 1, part: StateSection::Proxies(fronts) });
         Line::of("lists.fronts.bytes").with("limiters", size.limiters).with("frame", told.len()).tell();
     }
-    let edition = Edition { digests: [u64::MAX; 4], ..Edition::default() };
-    let up = encode_frame(&Word::<()>::Up(Up::Beat {
+    let edition = StateDigest { digests: [u64::MAX; 4], ..StateDigest::default() };
+    let up = encode_frame(&Envelope::<()>::Up(ToControl::Beat {
         stamp: 86_400_000,
         readiness: Readiness::Ready,
         applied: edition,
     }));
     let age = Some(400);
-    let beat = Down::Beat { stamp: 86_400_000, age, of: edition, heard: true, deserted: false };
+    let beat = FromControl::Beat { stamp: 86_400_000, age, of: edition, heard: true, deserted: false };
     Line::of("lists.beat.bytes").with("up", up.len()).with("down", encode_frame(&beat).len()).tell();
     let framed = batches(9, 1000, |_| encode_frame(&beat));
     Line::of("lists.beat.frame").ms("cpu", &framed).tell();
--- a/crates/aspendrum-capacity/src/cores/proxy.rs
+++ b/crates/aspendrum-capacity/src/cores/proxy.rs
@@ -6,7 +6,7 @@
 use aspendrum_core::api::{Load, Outcome};
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
-use aspendrum_model::news::{Front, Part, Readiness};
+use aspendrum_model::message::{ProxyEndpoint, Readiness, StateSection};
 use aspendrum_model::packed::pack;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardHandle, RequestKind};
@@ -39,12 +39,12 @@
     Desk::new(&settings(), socket)
 }
 
-fn news(text: &str, version: u32) -> Part {
-    Part::config(version, pack(text.as_bytes()))
+fn news(text: &str, version: u32) -> StateSection {
+    StateSection::config(version, pack(text.as_bytes()))
 }
 
 /// Fronts of which one is not ready, another in each list.
-fn turned(limiters: usize, n: usize) -> Vec<Front> {
+fn turned(limiters: usize, n: usize) -> Vec<ProxyEndpoint> {
     let mut fronts = sizes::fronts(limiters);
     if let Some(front) = fronts.get_mut(n % limiters) {
         front.readiness = if n == 0 { Readiness::Ready } else { Readiness::Closed };
@@ -60,7 +60,7 @@
     };
     let desk = desk();
     let texts: Vec<String> = (1..5).map(|version| sizes::config(size, hosts, version)).collect();
-    let parts: Vec<Part> = texts.iter().zip(1..).map(|(text, version)| news(text, version)).collect();
+    let parts: Vec<StateSection> = texts.iter().zip(1..).map(|(text, version)| news(text, version)).collect();
     let list = sizes::servers(size, sizes::apart);
     let ((), held, most) = memory(|| desk.apply(parts[0].clone()));
     line("proxy.config.memory").mb("held", held).mb("most", most).tell();
@@ -68,15 +68,21 @@
     line("proxy.edition").ms("cpu", &each(3, |_| desk.edition())).tell();
     // The desk takes the list; its copy is made outside of the time.
     let mut copies: Vec<Vec<_>> = (0..9).map(|_| list.clone()).collect();
-    let ((), held, _) = memory(|| desk.apply(Part::Servers { age: 0, list: list.clone() }));
+    let ((), held, _) = memory(|| desk.apply(StateSection::Servers { age: 0, list: list.clone() }));
     line("proxy.list.memory").mb("held", held).tell();
     line("proxy.list.apply")
-        .ms("cpu", &each(9, |_| desk.apply(Part::Servers { age: 0, list: copies.pop().unwrap_or_default() })))
+        .ms(
+            "cpu",
+            &each(9, |_| {
+                desk.apply(StateSection::Servers { age: 0, list: copies.pop().unwrap_or_default() })
+            }),
+        )
         .tell();
-    desk.apply(Part::Fronts(turned(size.limiters, 0)));
-    let mut turns: Vec<Part> = (1..10).map(|n| Part::Fronts(turned(size.limiters, n))).collect();
+    desk.apply(StateSection::Proxies(turned(size.limiters, 0)));
+    let mut turns: Vec<StateSection> =
+        (1..10).map(|n| StateSection::Proxies(turned(size.limiters, n))).collect();
     line("proxy.fronts.apply")
-        .ms("cpu", &each(9, |_| desk.apply(turns.pop().unwrap_or(Part::Fronts(Vec::new())))))
+        .ms("cpu", &each(9, |_| desk.apply(turns.pop().unwrap_or(StateSection::Proxies(Vec::new())))))
         .tell();
 }
 
@@ -86,8 +92,8 @@
     desk.apply(news(&sizes::config(&Size { tenants: 50, ..*size }, size.services, 1), 1));
     let mut list = sizes::servers(size, sizes::apart);
     list.iter_mut().take(cold).for_each(|s| s.warm_left_ms = 60_000);
-    desk.apply(Part::Servers { age: 0, list });
-    desk.apply(Part::Fronts(sizes::fronts(size.limiters)));
+    desk.apply(StateSection::Servers { age: 0, list });
+    desk.apply(StateSection::Proxies(sizes::fronts(size.limiters)));
     let (begun, before, mut beats) = (Instant::now(), cpu_ms(), Vec::new());
     while begun.elapsed() < WATCHED {
         sleep(Duration::from_secs_f64(BEAT_MS / 1000.0));
@@ -106,9 +112,9 @@
 fn queries(size: &Size) {
     let desk = desk();
     // The fronts first: a counter that is new to a running proxy has been held nowhere, and needs no fence.
-    desk.apply(Part::Fronts(sizes::fronts(1)));
+    desk.apply(StateSection::Proxies(sizes::fronts(1)));
     desk.apply(news(&sizes::config(size, size.services, 1), 1));
-    desk.apply(Part::Servers { age: 0, list: sizes::servers(size, sizes::apart) });
+    desk.apply(StateSection::Servers { age: 0, list: sizes::servers(size, sizes::apart) });
     desk.beat();
     let Some(view) = desk.view() else { return };
     let (mut decided, mut ended, mut lost) = (Vec::new(), Vec::new(), 0);
@@ -152,9 +158,9 @@
 /// Which queries must wait for another proxy's answer before anything is decided of them.
 fn counted_elsewhere(size: &Size) {
     let desk = desk();
-    desk.apply(Part::Fronts(sizes::fronts(size.limiters)));
+    desk.apply(StateSection::Proxies(sizes::fronts(size.limiters)));
     desk.apply(news(&sizes::config(size, size.services, 1), 1));
-    desk.apply(Part::Servers { age: 0, list: sizes::servers(size, sizes::apart) });
+    desk.apply(StateSection::Servers { age: 0, list: sizes::servers(size, sizes::apart) });
     desk.beat();
     let Some(view) = desk.view() else { return };
     let mut at_once = 0;
@@ -185,11 +191,11 @@
     for (services, dead, asks) in [(60, 0, 59), (250, 0, 64), (250, 0, 65)] {
         let size = Size { services, servers: services * 4, tenants: 50, routes: services, limiters: 1 };
         let desk = desk();
-        desk.apply(Part::Fronts(sizes::fronts(1)));
+        desk.apply(StateSection::Proxies(sizes::fronts(1)));
         desk.apply(news(&sizes::config(&size, services, 1), 1));
         let name = format!("svc{dead:03}a");
         let list = sizes::servers(&size, sizes::apart).into_iter().filter(|s| s.service != name).collect();
-        desk.apply(Part::Servers { age: 0, list });
+        desk.apply(StateSection::Servers { age: 0, list });
         desk.beat();
         let Some(view) = desk.view() else { return };
         let place = |n: usize| view.pools.get(format!("svc{n:03}a").as_str()).copied();
--- a/crates/aspendrum-capacity/src/hollow/agent.rs
+++ b/crates/aspendrum-capacity/src/hollow/agent.rs
@@ -2,7 +2,9 @@
 //! once. Nothing stands behind them: no proxy, no neighbours. They leave a machine of control as agents do.
 
 use crate::sizes::{front_at, zone};
-use aspendrum_model::news::{Down, Edition, Part, Readiness, Up, Word, KINDS};
+use aspendrum_model::message::{
+    Envelope, FromControl, Readiness, StateDigest, StateSection, ToControl, SECTION_KINDS,
+};
 use aspendrum_net::frames;
 use aspendrum_net::workers::{lock, spawn};
 use std::io::{self, BufReader, Read, Write};
@@ -25,7 +27,7 @@
 /// Between two looks at which agents are due.
 const TICK: Duration = Duration::from_millis(5);
 /// Frames that are no news stand behind the kinds of parts.
-pub const BEATS: usize = KINDS;
+pub const BEATS: usize = SECTION_KINDS;
 
 /// What one holds, and when its newest of each came.
 #[derive(Clone, Copy, Default)]
@@ -44,7 +46,7 @@
     as_of: Option<Instant>,
     missed: Option<Instant>,
     beaten: Option<Instant>,
-    applied: Edition,
+    applied: StateDigest,
     held: Held,
 }
 
@@ -61,8 +63,8 @@
 pub struct Counts {
     /// Bytes down by kind of part, then beats; bytes up; links begun; links left for silence, for a stale
     /// word.
-    pub down: [AtomicU64; KINDS + 1],
-    pub frames: [AtomicU64; KINDS + 1],
+    pub down: [AtomicU64; SECTION_KINDS + 1],
+    pub frames: [AtomicU64; SECTION_KINDS + 1],
     pub up: AtomicU64,
     pub links: AtomicU64,
     pub silent: AtomicU32,
@@ -104,9 +106,9 @@
         }
     }
 
-    fn say(&self, counts: &Counts, up: Up) {
+    fn say(&self, counts: &Counts, up: ToControl) {
         let stream = lock(&self.state).stream.clone();
-        let bytes = frames::encode_frame(&Word::<()>::Up(up));
+        let bytes = frames::encode_frame(&Envelope::<()>::Up(up));
         if let Some(stream) = stream {
             if (&*stream).write_all(&bytes).is_ok() {
                 counts.up.fetch_add(bytes.len() as u64, Relaxed);
@@ -137,47 +139,47 @@
             (state.since, state.answered, state.as_of, state.beaten) = (now, now, None, None);
         }
         let (host, front, zone) = (format!("edge-{}", self.n), front_at(self.n), zone(self.n));
-        self.say(counts, Up::Hello { host, front, zone });
+        self.say(counts, ToControl::Hello { host, front, zone });
         let mut from = Counting { from: BufReader::with_capacity(4 << 10, &*stream), read: 0 };
         loop {
             let before = from.read;
-            let Ok(down) = frames::read_frame::<Down>(&mut from) else { break };
+            let Ok(down) = frames::read_frame::<FromControl>(&mut from) else { break };
             self.hear(counts, down, from.read - before);
         }
         let _ = stream.shutdown(Shutdown::Both);
         lock(&self.state).stream = None;
     }
 
-    fn hear(&self, counts: &Counts, down: Down, bytes: u64) {
+    fn hear(&self, counts: &Counts, down: FromControl, bytes: u64) {
         let now = Instant::now();
         let kind = match &down {
-            Down::News { part, .. } => part.kind(),
-            Down::Beat { .. } | Down::Anew => BEATS,
+            FromControl::News { part, .. } => part.kind(),
+            FromControl::Beat { .. } | FromControl::Anew => BEATS,
         };
         counts.down[kind].fetch_add(bytes, Relaxed);
         counts.frames[kind].fetch_add(1, Relaxed);
         let mut state = lock(&self.state);
         state.answered = Some(now);
         match down {
-            Down::News { number, part } => {
+            FromControl::News { number, part } => {
                 match part {
-                    Part::Config { version, .. } if version > state.held.config => {
+                    StateSection::Config { version, .. } if version > state.held.config => {
                         (state.held.config, state.held.at[0]) = (version, Some(now));
                     }
-                    Part::Servers { list, .. } => {
+                    StateSection::Servers { list, .. } => {
                         let draining = list.iter().filter(|s| s.draining).count();
                         (state.held.draining, state.held.at[1]) = (draining, Some(now));
                     }
-                    Part::Fronts(fronts) => {
+                    StateSection::Proxies(fronts) => {
                         let ready = fronts.iter().filter(|f| f.ready()).count();
                         (state.held.ready, state.held.at[2]) = (ready, Some(now));
                     }
                     _ => {}
                 }
                 drop(state);
-                self.say(counts, Up::Applied { number });
+                self.say(counts, ToControl::Applied { number });
             }
-            Down::Beat { stamp, age, of, .. } => {
+            FromControl::Beat { stamp, age, of, .. } => {
                 let asked = self.begun + Duration::from_millis(stamp);
                 let Some(age) = age else { return };
                 if of.mark.config <= state.held.config {
@@ -192,7 +194,7 @@
                     state.stream.as_ref().map(|s| s.shutdown(Shutdown::Both));
                 }
             }
-            Down::Anew => {}
+            FromControl::Anew => {}
         }
     }
 
@@ -218,7 +220,7 @@
             state.beaten = Some(now);
             ((now - self.begun).as_millis() as u64, state.applied)
         };
-        self.say(counts, Up::Beat { stamp, readiness: Readiness::Ready, applied });
+        self.say(counts, ToControl::Beat { stamp, readiness: Readiness::Ready, applied });
     }
 }
 
--- a/crates/aspendrum-capacity/src/hollow/platform.rs
+++ b/crates/aspendrum-capacity/src/hollow/platform.rs
@@ -3,7 +3,7 @@
 
 use crate::cores::PAGE;
 use crate::sizes::page;
-use aspendrum_model::servers::Server;
+use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::http1::{MessageLimits, Request};
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
 use aspendrum_net::path_matcher::argument;
@@ -17,7 +17,7 @@
 pub struct Platform {
     /// Pages as they are told.
     pages: Mutex<Vec<Vec<u8>>>,
-    servers: Mutex<Vec<Server>>,
+    servers: Mutex<Vec<ServerInstance>>,
     /// Calls that are left, as of when.
     left: Mutex<(f64, Instant)>,
     rate: f64,
@@ -33,7 +33,7 @@
     /// `rate`: calls a second. `slow`: between a page's question and its answer.
     pub fn open(
         at: SocketAddrV4,
-        servers: Vec<Server>,
+        servers: Vec<ServerInstance>,
         rate: f64,
         slow: Duration,
     ) -> std::io::Result<Arc<Platform>> {
@@ -80,7 +80,7 @@
     }
 }
 
-fn pages(servers: &[Server]) -> Vec<Vec<u8>> {
+fn pages(servers: &[ServerInstance]) -> Vec<Vec<u8>> {
     let many = servers.len().div_ceil(PAGE);
     let next = |n: usize| (n + 1 < many).then(|| format!("p-{}", (n + 1) * PAGE));
     servers.chunks(PAGE).enumerate().map(|(n, part)| page(part, next(n)).into_bytes()).collect()
--- a/crates/aspendrum-capacity/src/sizes.rs
+++ b/crates/aspendrum-capacity/src/sizes.rs
@@ -1,8 +1,8 @@
 //! Configurations, lists of servers and of proxies, of any size, shaped as the protocol's examples are. The
 //! same numbers give the same texts.
 
-use aspendrum_model::news::{Front, Readiness};
-use aspendrum_model::servers::Server;
+use aspendrum_model::message::{ProxyEndpoint, Readiness};
+use aspendrum_model::servers::ServerInstance;
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -101,8 +101,8 @@
 }
 
 /// Servers, evenly over services and zones. `at`: where each is.
-pub fn servers(size: &Size, at: impl Fn(usize) -> SocketAddrV4) -> Vec<Server> {
-    let of = |n: usize| Server {
+pub fn servers(size: &Size, at: impl Fn(usize) -> SocketAddrV4) -> Vec<ServerInstance> {
+    let of = |n: usize| ServerInstance {
         uid: format!("i-{:08x}", (n as u32).wrapping_mul(0x9e37_79b1)),
         service: service(n % size.services),
         addr: at(n),
@@ -127,14 +127,15 @@
     SocketAddrV4::new(Ipv4Addr::new(127, 60, 10 + (n / 250) as u8, (n % 250 + 1) as u8), 8202)
 }
 
-pub fn fronts(limiters: usize) -> Vec<Front> {
-    let of = |n| Front { addr: front_at(n), zone: zone(n), readiness: Readiness::Ready, current: true };
+pub fn fronts(limiters: usize) -> Vec<ProxyEndpoint> {
+    let of =
+        |n| ProxyEndpoint { addr: front_at(n), zone: zone(n), readiness: Readiness::Ready, current: true };
     (0..limiters).map(of).collect()
 }
 
 /// A platform's answer to a call for a page of these, and the token of the next.
-pub fn page(list: &[Server], next: Option<String>) -> String {
-    let entry = |s: &Server| {
+pub fn page(list: &[ServerInstance], next: Option<String>) -> String {
+    let entry = |s: &ServerInstance| {
         serde_json::json!({"uid": s.uid, "svc": s.service, "addr": s.addr, "az": s.zone, "gen": "v1",
             "slots": s.slots, "phase": if s.draining { "drain" } else { "up" },
             "warm-left-ms": s.warm_left_ms})
--- a/crates/aspendrum-capacity/tests/agents.rs
+++ b/crates/aspendrum-capacity/tests/agents.rs
@@ -1,7 +1,9 @@
 //! Hollow agents before a control of the test's own: they say and heed what agents do.
 
 use aspendrum_capacity::hollow::agent::{self, Counts};
-use aspendrum_model::news::{Down, Edition, Mark, Part, Readiness, Up, Word};
+use aspendrum_model::message::{
+    Envelope, FromControl, Readiness, Revision, StateDigest, StateSection, ToControl,
+};
 use aspendrum_net::frames;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -11,10 +13,10 @@
 
 const LIMIT: Duration = Duration::from_secs(20);
 
-fn next(link: &mut TcpStream) -> Up {
-    match frames::read_frame::<Word>(link).unwrap() {
-        Word::Up(up) => up,
-        Word::Between(()) => panic!("no agent's word"),
+fn next(link: &mut TcpStream) -> ToControl {
+    match frames::read_frame::<Envelope>(link).unwrap() {
+        Envelope::Up(up) => up,
+        Envelope::Between(()) => panic!("no agent's word"),
     }
 }
 
@@ -24,8 +26,8 @@
     link
 }
 
-fn of(config: u32) -> Edition {
-    Edition { mark: Mark { config, evacuation: 0 }, ..Edition::default() }
+fn of(config: u32) -> StateDigest {
+    StateDigest { mark: Revision { config, evacuation: 0 }, ..StateDigest::default() }
 }
 
 /// Danger: hollow agents that take less than real ones do flatter control's figures.
@@ -36,20 +38,25 @@
     let agents = agent::start(1, &[listener.local_addr().unwrap()], &counts).unwrap();
     agents[0].run(true);
     let mut link = taken(&listener);
-    assert!(matches!(next(&mut link), Up::Hello { host, .. } if host == "edge-0"));
-    let say = |mut link: &TcpStream, down: Down| link.write_all(&frames::encode_frame(&down)).unwrap();
-    say(&link, Down::News { number: 4, part: Part::config(7, vec![1, 2, 3]) });
+    assert!(matches!(next(&mut link), ToControl::Hello { host, .. } if host == "edge-0"));
+    let say = |mut link: &TcpStream, down: FromControl| link.write_all(&frames::encode_frame(&down)).unwrap();
+    say(&link, FromControl::News { number: 4, part: StateSection::config(7, vec![1, 2, 3]) });
     let stamp = loop {
-        if let Up::Beat { stamp, readiness: Readiness::Ready, .. } = next(&mut link) {
+        if let ToControl::Beat { stamp, readiness: Readiness::Ready, .. } = next(&mut link) {
             break stamp;
         }
     };
-    let beat =
-        |stamp, config| Down::Beat { stamp, age: Some(1), of: of(config), heard: true, deserted: false };
+    let beat = |stamp, config| FromControl::Beat {
+        stamp,
+        age: Some(1),
+        of: of(config),
+        heard: true,
+        deserted: false,
+    };
     say(&link, beat(stamp, 7));
     // What it says to be in force follows what it was told was decided, once it holds that.
     loop {
-        if let Up::Beat { applied, .. } = next(&mut link) {
+        if let ToControl::Beat { applied, .. } = next(&mut link) {
             if applied == of(7) {
                 break;
             }
@@ -59,9 +66,9 @@
     assert_eq!(counts.frames[0].load(Relaxed), 1);
     // Something newer was decided, and never told: it ends the link and begins anew.
     say(&link, beat(stamp, 8));
-    while frames::read_frame::<Word>(&mut link).is_ok() {}
+    while frames::read_frame::<Envelope>(&mut link).is_ok() {}
     let mut link = taken(&listener);
-    assert!(matches!(next(&mut link), Up::Hello { .. }));
+    assert!(matches!(next(&mut link), ToControl::Hello { .. }));
     assert_eq!((counts.missed.load(Relaxed), counts.links.load(Relaxed)), (1, 2));
 }
 
@@ -74,8 +81,8 @@
     let agents = agent::start(1, &control, &counts).unwrap();
     agents[0].run(true);
     let mut link = taken(&mute);
-    assert!(matches!(next(&mut link), Up::Hello { .. }));
+    assert!(matches!(next(&mut link), ToControl::Hello { .. }));
     let mut link = taken(&other);
-    assert!(matches!(next(&mut link), Up::Hello { .. }));
+    assert!(matches!(next(&mut link), ToControl::Hello { .. }));
     assert!(counts.silent.load(Relaxed) >= 1);
 }
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -5,8 +5,10 @@
 use crate::peer_message::PeerMessage;
 use crate::report::{self, Membership, Node};
 use crate::server::{Ms, Server};
-use aspendrum_model::news::{Down, Edition, Front, Part, Readiness, Up, KINDS};
-use aspendrum_model::servers::Server as Origin;
+use aspendrum_model::message::{
+    FromControl, ProxyEndpoint, Readiness, StateDigest, StateSection, ToControl, SECTION_KINDS,
+};
+use aspendrum_model::servers::ServerInstance as Origin;
 use aspendrum_net::frames::Link;
 use aspendrum_reconcile::{Standing, Verdict, Word};
 use serde_json::Value;
@@ -24,14 +26,14 @@
 struct Session {
     link: Link,
     host: String,
-    front: Option<Front>,
+    front: Option<ProxyEndpoint>,
     heard: Ms,
     /// The number of the last news it was told, the last it has applied, and what it was told of each kind.
     said: u64,
     applied: u64,
-    told: [Option<Part>; KINDS],
+    told: [Option<StateSection>; SECTION_KINDS],
     /// What its proxy has in force, and since when that is not what was decided.
-    edition: Edition,
+    edition: StateDigest,
     standing: Standing,
     off: Option<Ms>,
     /// It has said that it goes to another machine of control.
@@ -47,8 +49,8 @@
             heard: now,
             said: 0,
             applied: 0,
-            told: [const { None }; KINDS],
-            edition: Edition::default(),
+            told: [const { None }; SECTION_KINDS],
+            edition: StateDigest::default(),
             standing: Standing::Behind,
             off: None,
             moving: false,
@@ -56,14 +58,14 @@
     }
 
     /// Tells it what it was not told yet.
-    fn tell(&mut self, wanted: &[Part]) {
+    fn tell(&mut self, wanted: &[StateSection]) {
         for part in wanted {
             let told = &mut self.told[part.kind()];
             if told.as_ref().is_some_and(|told| same(told, part)) {
                 continue;
             }
             self.said += 1;
-            self.link.send(&Down::News { number: self.said, part: part.clone() });
+            self.link.send(&FromControl::News { number: self.said, part: part.clone() });
             *told = Some(part.clone());
         }
     }
@@ -74,8 +76,8 @@
 pub struct Agents {
     sessions: HashMap<u64, Session>,
     /// Proxies whose agents have gone to another machine of control, and until when they are believed to be there.
-    moved: Vec<(Front, Ms)>,
-    all_fronts: Vec<Front>,
+    moved: Vec<(ProxyEndpoint, Ms)>,
+    all_fronts: Vec<ProxyEndpoint>,
 }
 
 impl Agents {
@@ -105,31 +107,31 @@
         self.own_fronts_changed();
     }
 
-    pub(crate) fn agent_said(&mut self, id: u64, message: Up) {
+    pub(crate) fn agent_said(&mut self, id: u64, message: ToControl) {
         let now = self.now();
         let Some(session) = self.agents.sessions.get_mut(&id) else { return };
         session.heard = now;
         match message {
-            Up::Hello { host, front, zone } => {
+            ToControl::Hello { host, front, zone } => {
                 log::info!("event=agent_came host={host} front={front} zone={zone}");
                 session.host = host;
                 let readiness = Readiness::Closed;
-                session.front = Some(Front { addr: front, zone, readiness, current: true });
+                session.front = Some(ProxyEndpoint { addr: front, zone, readiness, current: true });
                 self.own_fronts_changed();
                 self.tell_agents();
             }
-            Up::Beat { stamp, readiness, applied } => self.agent_beat(id, stamp, readiness, applied),
-            Up::Moving => session.moving = true,
-            Up::Applied { number } => session.applied = session.applied.max(number),
+            ToControl::Beat { stamp, readiness, applied } => self.agent_beat(id, stamp, readiness, applied),
+            ToControl::Moving => session.moving = true,
+            ToControl::Applied { number } => session.applied = session.applied.max(number),
         }
     }
 
-    fn agent_beat(&mut self, id: u64, stamp: u64, readiness: Readiness, applied: Edition) {
+    fn agent_beat(&mut self, id: u64, stamp: u64, readiness: Readiness, applied: StateDigest) {
         let now = self.now();
         let age = self.replica.as_of().map(|at| (now - at).max(0.0).ceil() as u32);
         let (of, deserted) = (self.decided, false);
         let Some(session) = self.agents.sessions.get_mut(&id) else { return };
-        session.link.send(&Down::Beat { stamp, age, of, heard: true, deserted });
+        session.link.send(&FromControl::Beat { stamp, age, of, heard: true, deserted });
         session.edition = applied;
         // Without a majority this machine may be the one that is behind.
         if age.is_some_and(|age| Ms::from(age) <= SURE) {
@@ -156,7 +158,7 @@
 
     /// An agent that is not heard of is frozen, cut off or without power, and its proxy with it.
     pub(crate) fn drop_silent_agents(&mut self, now: Ms) {
-        let open = |f: &Front| f.readiness != Readiness::Closed;
+        let open = |f: &ProxyEndpoint| f.readiness != Readiness::Closed;
         let gone = |s: &&mut Session| now - s.heard > AGENT_SILENT && s.front.as_ref().is_some_and(open);
         let moved = self.agents.moved.len();
         self.agents.moved.retain(|m| now < m.1);
@@ -192,25 +194,25 @@
     }
 
     /// What every agent is to know now.
-    fn wanted(&self) -> Vec<Part> {
+    fn wanted(&self) -> Vec<StateSection> {
         let (settled, now) = (self.replica.settled(), self.now());
         let mut wanted = Vec::new();
         // Before a majority was read what is known here may be older than what an agent was told elsewhere.
         if self.replica.as_of().is_some() {
             if settled.config.version > 0 {
                 let config = &settled.config;
-                wanted.push(Part::config(config.version, config.text.clone()));
+                wanted.push(StateSection::config(config.version, config.text.clone()));
             }
             let (number, zones) = settled.evacuated();
-            wanted.push(Part::Evacuated { number, zones });
+            wanted.push(StateSection::Evacuated { number, zones });
         }
         wanted.extend(self.servers.part(now));
         // Without a majority it knows of its own agents only: what others were told of the rest stands.
         let sure = self.gathered() && self.replica.as_of().is_some_and(|at| now - at <= SURE);
         if sure && !self.agents.all_fronts.is_empty() {
-            wanted.push(Part::Fronts(self.agents.all_fronts.clone()));
+            wanted.push(StateSection::Proxies(self.agents.all_fronts.clone()));
         }
-        wanted.push(Part::Control(self.control_addresses()));
+        wanted.push(StateSection::Control(self.control_addresses()));
         wanted
     }
 
@@ -251,12 +253,13 @@
 }
 
 /// Whether an agent that was told the one need not be told the other.
-fn same(told: &Part, now: &Part) -> bool {
+fn same(told: &StateSection, now: &StateSection) -> bool {
     match (told, now) {
-        (Part::Config { version: a, seal: s, .. }, Part::Config { version: b, seal: t, .. }) => {
-            (a, s) == (b, t)
-        }
-        (Part::Servers { list: a, .. }, Part::Servers { list: b, .. }) => {
+        (
+            StateSection::Config { version: a, seal: s, .. },
+            StateSection::Config { version: b, seal: t, .. },
+        ) => (a, s) == (b, t),
+        (StateSection::Servers { list: a, .. }, StateSection::Servers { list: b, .. }) => {
             let alike = |x: &Origin, y: &Origin| {
                 // A cold time that merely runs out is no news; one that begins is.
                 let later = y.warm_left_ms > x.warm_left_ms;
--- a/crates/aspendrum-control/src/directory.rs
+++ b/crates/aspendrum-control/src/directory.rs
@@ -2,7 +2,7 @@
 
 use aspendrum_consensus::Place;
 use aspendrum_model::hash::{digest, rank};
-use aspendrum_model::news::{Front, Readiness};
+use aspendrum_model::message::{ProxyEndpoint, Readiness};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
@@ -22,7 +22,7 @@
 /// A proxy as a machine of control knows it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KnownFront {
-    pub front: Front,
+    pub front: ProxyEndpoint,
     /// Its agent is connected to the machine that says so; if not, it is on its way to another.
     pub connected: bool,
 }
@@ -38,7 +38,7 @@
 /// Who is ready, as look-ups need it.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    fronts: Vec<Front>,
+    fronts: Vec<ProxyEndpoint>,
     regions: BTreeMap<String, String>,
     /// Until when a region without any proxy gets no other region's.
     held_until: BTreeMap<String, Ms>,
@@ -51,13 +51,13 @@
         Directory { fronts: Vec::new(), regions: regions.clone(), held_until }
     }
 
-    fn region_of(&self, front: &Front) -> Option<&String> {
+    fn region_of(&self, front: &ProxyEndpoint) -> Option<&String> {
         self.regions.get(&front.zone)
     }
 
     /// Takes in which proxies there are now.
-    pub fn update(&mut self, now: Ms, fronts: &[Front]) {
-        let takes = |f: &&Front| f.readiness != Readiness::Closed;
+    pub fn update(&mut self, now: Ms, fronts: &[ProxyEndpoint]) {
+        let takes = |f: &&ProxyEndpoint| f.readiness != Readiness::Closed;
         let there: Vec<String> =
             self.fronts.iter().filter(takes).filter_map(|f| self.region_of(f).cloned()).collect();
         for region in there {
@@ -67,8 +67,8 @@
     }
 
     /// Those that fit, without the ones that have not applied what was decided, where enough others are.
-    fn named(&self, fits: impl Fn(&Front) -> bool) -> Vec<SocketAddrV4> {
-        let there: Vec<&Front> = self.fronts.iter().filter(|f| fits(f)).collect();
+    fn named(&self, fits: impl Fn(&ProxyEndpoint) -> bool) -> Vec<SocketAddrV4> {
+        let there: Vec<&ProxyEndpoint> = self.fronts.iter().filter(|f| fits(f)).collect();
         let enough = there.iter().filter(|f| f.current).count() >= ENOUGH;
         there.iter().filter(|f| f.current || !enough).map(|f| f.addr).take(MOST).collect()
     }
@@ -77,7 +77,7 @@
     /// region that end and still take requests. Those of other regions only if its own has had none for a while: what
     /// has its home in a region must not be carried through others.
     pub fn look_up(&self, now: Ms, region: &str, zone: &str, ttl_s: f64) -> Answer {
-        let at_home = |f: &Front| self.region_of(f).is_some_and(|r| r == region);
+        let at_home = |f: &ProxyEndpoint| self.region_of(f).is_some_and(|r| r == region);
         let of_zone = self.named(|f| f.ready() && f.zone == zone);
         if of_zone.len() >= ENOUGH {
             return Answer { addresses: of_zone, ttl_s };
@@ -92,13 +92,13 @@
         if !ending.is_empty() || held {
             return Answer { addresses: ending, ttl_s: away };
         }
-        Answer { addresses: self.named(Front::ready), ttl_s: away }
+        Answer { addresses: self.named(ProxyEndpoint::ready), ttl_s: away }
     }
 }
 
 /// All proxies that any machine of control knows of. Whoever holds the connection to an agent knows better than who
 /// held it last; of two who hold one, the better word counts: an agent that moves is heard of twice for a moment.
-pub fn union<'a>(tables: impl Iterator<Item = &'a Vec<KnownFront>>) -> Vec<Front> {
+pub fn union<'a>(tables: impl Iterator<Item = &'a Vec<KnownFront>>) -> Vec<ProxyEndpoint> {
     let mut all: HashMap<SocketAddrV4, KnownFront> = HashMap::new();
     for known in tables.flatten() {
         let entry = all.entry(known.front.addr).or_insert_with(|| known.clone());
@@ -109,7 +109,7 @@
             entry.front.current |= known.front.current;
         }
     }
-    let mut all: Vec<Front> = all.into_values().map(|known| known.front).collect();
+    let mut all: Vec<ProxyEndpoint> = all.into_values().map(|known| known.front).collect();
     all.sort();
     all
 }
--- a/crates/aspendrum-control/src/event.rs
+++ b/crates/aspendrum-control/src/event.rs
@@ -3,8 +3,8 @@
 use crate::peer_message::PeerMessage;
 use crate::storage::Stored;
 use aspendrum_consensus::{Order, Outcome, Place};
-use aspendrum_model::news::Up;
-use aspendrum_model::servers::Server;
+use aspendrum_model::message::ToControl;
+use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::Link;
 use crossbeam_channel::Sender;
@@ -27,7 +27,7 @@
     },
     AgentSaid {
         id: u64,
-        message: Up,
+        message: ToControl,
     },
     AgentGone {
         id: u64,
@@ -45,7 +45,7 @@
     },
     Polled {
         asked: Instant,
-        list: Result<Vec<Server>, String>,
+        list: Result<Vec<ServerInstance>, String>,
     },
     Stored(Stored),
     Settings(Box<Settings>),
--- a/crates/aspendrum-control/src/links.rs
+++ b/crates/aspendrum-control/src/links.rs
@@ -3,7 +3,7 @@
 use crate::event::Event;
 use crate::peer_message::PeerMessage;
 use aspendrum_consensus::Place;
-use aspendrum_model::news;
+use aspendrum_model::message;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::workers::spawn;
@@ -14,7 +14,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-type Word = news::Word<PeerMessage>;
+type Word = message::Envelope<PeerMessage>;
 
 const STACK: usize = 96 << 10;
 /// Between two tries to reach a machine.
@@ -24,8 +24,8 @@
 const ROOM: usize = 256;
 
 /// A message to another machine of control, as it goes over a connection.
-pub fn between(message: &PeerMessage) -> news::Word<&PeerMessage> {
-    news::Word::Between(message)
+pub fn between(message: &PeerMessage) -> message::Envelope<&PeerMessage> {
+    message::Envelope::Between(message)
 }
 
 /// Keeps a connection to that machine for as long as it is wanted. The server is told of each new one.
--- a/crates/aspendrum-control/src/peer_message.rs
+++ b/crates/aspendrum-control/src/peer_message.rs
@@ -3,7 +3,7 @@
 use crate::directory::KnownFront;
 use aspendrum_consensus::membership::DiskId;
 use aspendrum_consensus::{Epoch, Message, Place};
-use aspendrum_model::servers::Server;
+use aspendrum_model::servers::ServerInstance;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     /// The platform's list, read that many milliseconds ago.
     Servers {
         age: u32,
-        list: Vec<Server>,
+        list: Vec<ServerInstance>,
     },
 }
 
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -8,7 +8,7 @@
 use aspendrum_consensus::membership::DiskId;
 use aspendrum_consensus::reconfigure::Presence;
 use aspendrum_consensus::{Message, Place};
-use aspendrum_model::news::ControlAddress;
+use aspendrum_model::message::ControlAddress;
 use aspendrum_net::frames::Link;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -1,6 +1,6 @@
 //! Reads the platform's list of servers, page after page.
 
-use aspendrum_model::servers::{self, Server};
+use aspendrum_model::servers::{self, ServerInstance};
 use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::http_client::HttpClient;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 const WAIT: Duration = Duration::from_millis(1500);
 
 /// The whole list, or why there is none.
-pub fn list(platform: &mut HttpClient) -> Result<Vec<Server>, String> {
+pub fn list(platform: &mut HttpClient) -> Result<Vec<ServerInstance>, String> {
     let until = Instant::now() + WAIT;
     let (mut all, mut token) = (Vec::new(), None::<String>);
     loop {
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -2,7 +2,7 @@
 //! whose agents hold a link to it, and where the other machines are.
 
 use aspendrum_model::config::{Config, Route};
-use aspendrum_model::news::Edition;
+use aspendrum_model::message::StateDigest;
 use aspendrum_reconcile::{Section, Standing};
 use serde_json::{json, Value};
 
@@ -15,7 +15,7 @@
     pub standing: Standing,
     /// Milliseconds since it was current last, as of now; 0 while it is.
     pub off_ms: u64,
-    pub applied: Edition,
+    pub applied: StateDigest,
     /// Numbered news: told, and acknowledged as in force.
     pub news: (u64, u64),
 }
@@ -24,7 +24,7 @@
     format!("{n:08x}")
 }
 
-fn edition(e: &Edition) -> Value {
+fn edition(e: &StateDigest) -> Value {
     let digests: Vec<String> = e.digests.iter().map(|d| format!("{d:016x}")).collect();
     json!({"gen": version(e.mark.config), "evacuations": e.mark.evacuation, "digests": digests})
 }
@@ -40,7 +40,13 @@
 }
 
 /// `age`: so long ago a majority held nothing newer, in milliseconds.
-pub fn nodes(me: &str, decided: &Edition, age: Option<u64>, nodes: &[Node], members: &Membership) -> Value {
+pub fn nodes(
+    me: &str,
+    decided: &StateDigest,
+    age: Option<u64>,
+    nodes: &[Node],
+    members: &Membership,
+) -> Value {
     let row = |n: &Node| {
         let differs: Vec<String> =
             Section::differing(&n.applied, decided).iter().map(|s| format!("{s:?}").to_lowercase()).collect();
--- a/crates/aspendrum-control/src/server.rs
+++ b/crates/aspendrum-control/src/server.rs
@@ -15,7 +15,7 @@
 use aspendrum_consensus::reconfigure::{next_voters, Reconfigure, Rules};
 use aspendrum_consensus::{Effect, Message, Order, Outcome, Place, Replica, State};
 use aspendrum_model::config::Config;
-use aspendrum_model::news::Edition;
+use aspendrum_model::message::StateDigest;
 use aspendrum_model::packed::unpack;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::mailbox::{MailboxReceiver, MailboxSender};
@@ -62,7 +62,7 @@
     pub(crate) replica: Replica,
     pub(crate) reconfigure: Reconfigure,
     /// What a majority is known to hold, as it is in force where it was applied.
-    pub(crate) decided: Edition,
+    pub(crate) decided: StateDigest,
     /// The last versions that were settled here, the newest first.
     versions: VecDeque<Config>,
     pub(crate) bounds: Bounds,
--- a/crates/aspendrum-control/src/servers.rs
+++ b/crates/aspendrum-control/src/servers.rs
@@ -4,8 +4,8 @@
 use crate::peer_message::PeerMessage;
 use crate::server::{Ms, Server};
 use aspendrum_consensus::Place;
-use aspendrum_model::news::Part;
-use aspendrum_model::servers::{Roster, Server as Origin};
+use aspendrum_model::message::StateSection;
+use aspendrum_model::servers::{ServerInstance as Origin, ServerList};
 use crossbeam_channel::Sender;
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -18,7 +18,7 @@
 const RATE_SHARE: f64 = 0.5;
 
 pub struct Servers {
-    roster: Roster,
+    roster: ServerList,
     /// When the platform's list was last read by anyone, by this clock.
     polled: Option<Ms>,
     polling: bool,
@@ -28,7 +28,7 @@
 
 impl Servers {
     pub fn new(poll: Sender<SocketAddrV4>) -> Servers {
-        Servers { roster: Roster::default(), polled: None, polling: false, poll, failures: 0 }
+        Servers { roster: ServerList::default(), polled: None, polling: false, poll, failures: 0 }
     }
 
     /// How long ago the list was read, milliseconds.
@@ -54,9 +54,9 @@
     }
 
     /// What agents are told of it.
-    pub fn part(&self, now: Ms) -> Option<Part> {
+    pub fn part(&self, now: Ms) -> Option<StateSection> {
         let polled = self.roster.polled?;
-        Some(Part::Servers { age: (now - polled).max(0.0) as u32, list: self.roster.told(now) })
+        Some(StateSection::Servers { age: (now - polled).max(0.0) as u32, list: self.roster.told(now) })
     }
 }
 
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -7,7 +7,7 @@
 use aspendrum_control::event::Event;
 use aspendrum_control::report::{self, Membership, Node};
 use aspendrum_model::config::Config;
-use aspendrum_model::news::{Edition, Front, Mark, Readiness};
+use aspendrum_model::message::{ProxyEndpoint, Readiness, Revision, StateDigest};
 use aspendrum_model::packed::pack;
 use aspendrum_net::http1::Request;
 use aspendrum_net::http_server::Reply;
@@ -119,8 +119,8 @@
     assert_eq!(call("/"), "404 ");
 }
 
-fn edition(config: u32, evacuation: u64, digests: [u64; 4]) -> Edition {
-    Edition { mark: Mark { config, evacuation }, digests }
+fn edition(config: u32, evacuation: u64, digests: [u64; 4]) -> StateDigest {
+    StateDigest { mark: Revision { config, evacuation }, digests }
 }
 
 #[test]
@@ -140,7 +140,7 @@
         node("e1", Standing::Current, 0, decided),
         node("e2", Standing::Behind, 40, edition(0x0106, 2, [1, 9, 3, 9])),
         node("e3", Standing::Differs, 41, edition(0x0107, 3, [9, 2, 9, 4])),
-        node("e4", Standing::Alone, 42, Edition::default()),
+        node("e4", Standing::Alone, 42, StateDigest::default()),
     ];
     let members = Membership {
         epoch: 5,
@@ -151,7 +151,7 @@
     let known = report::nodes("core-1", &decided, Some(120), &nodes, &members).to_string();
     assert_eq!(known + "\n", include_str!("fixtures/nodes.json"));
     let unknown = Membership { epoch: 0, voters: Vec::new(), control: Vec::new(), joined: false };
-    let unknown = report::nodes("core-1", &Edition::default(), None, &[], &unknown).to_string();
+    let unknown = report::nodes("core-1", &StateDigest::default(), None, &[], &unknown).to_string();
     assert_eq!(unknown + "\n", include_str!("fixtures/nodes_unknown.json"));
 }
 
@@ -168,7 +168,7 @@
 #[test]
 fn a_look_up_is_answered_with_addresses_and_their_time() {
     let mut directory = Directory::new(0.0, &[("z1".to_string(), "g".to_string())].into());
-    let front = |n: u8| Front {
+    let front = |n: u8| ProxyEndpoint {
         addr: format!("10.0.0.{n}:80").parse().unwrap(),
         zone: "z1".into(),
         readiness: Readiness::Ready,
--- a/crates/aspendrum-control/tests/directory.rs
+++ b/crates/aspendrum-control/tests/directory.rs
@@ -2,13 +2,18 @@
 
 use aspendrum_consensus::Place;
 use aspendrum_control::directory::{polls, union, Answer, Directory, KnownFront, Ms, HELD};
-use aspendrum_model::news::{Front, Readiness};
+use aspendrum_model::message::{ProxyEndpoint, Readiness};
 
-fn front(n: u8, zone: &str, readiness: Readiness) -> Front {
-    Front { addr: format!("10.0.0.{n}:80").parse().unwrap(), zone: zone.into(), readiness, current: true }
+fn front(n: u8, zone: &str, readiness: Readiness) -> ProxyEndpoint {
+    ProxyEndpoint {
+        addr: format!("10.0.0.{n}:80").parse().unwrap(),
+        zone: zone.into(),
+        readiness,
+        current: true,
+    }
 }
 
-fn ready(n: u8, zone: &str) -> Front {
+fn ready(n: u8, zone: &str) -> ProxyEndpoint {
     front(n, zone, Readiness::Ready)
 }
 
@@ -22,7 +27,7 @@
 }
 
 /// What a client is told long after the start.
-fn told(fronts: &[Front], region: &str, zone: &str) -> Vec<u8> {
+fn told(fronts: &[ProxyEndpoint], region: &str, zone: &str) -> Vec<u8> {
     let mut directory = directory(0.0);
     directory.update(HELD, fronts);
     named(&directory.look_up(2.0 * HELD, region, zone, 5.0))
--- a/crates/aspendrum-control/tests/processes.rs
+++ b/crates/aspendrum-control/tests/processes.rs
@@ -1,6 +1,8 @@
 //! Control as processes on loopback, killed and robbed of disks: what was acknowledged is shown again.
 
-use aspendrum_model::news::{Down, Edition, Front, Part, Readiness, Up, Word};
+use aspendrum_model::message::{
+    Envelope, FromControl, ProxyEndpoint, Readiness, StateDigest, StateSection, ToControl,
+};
 use aspendrum_model::packed::unpack;
 use aspendrum_net::frames;
 use std::io::{Read, Write};
@@ -213,10 +215,10 @@
 }
 
 /// What control says to an agent, until a word that ends it.
-fn told(link: &mut TcpStream, ends: impl Fn(&Down) -> bool) -> Vec<Down> {
+fn told(link: &mut TcpStream, ends: impl Fn(&FromControl) -> bool) -> Vec<FromControl> {
     let mut all = Vec::new();
     loop {
-        let down: Down = frames::read_frame(link).unwrap();
+        let down: FromControl = frames::read_frame(link).unwrap();
         let over = ends(&down);
         all.push(down);
         if over {
@@ -225,9 +227,9 @@
     }
 }
 
-fn version(down: &Down) -> Option<u32> {
+fn version(down: &FromControl) -> Option<u32> {
     match down {
-        Down::News { part: Part::Config { version, .. }, .. } => Some(*version),
+        FromControl::News { part: StateSection::Config { version, .. }, .. } => Some(*version),
         _ => None,
     }
 }
@@ -239,28 +241,30 @@
     control.done(0, "POST", "/api/Cfg.Set", &config(4));
     let mut link = TcpStream::connect((control.ip(1), control.ports[0])).unwrap();
     link.set_read_timeout(Some(LIMIT)).unwrap();
-    let say =
-        |mut link: &TcpStream, up: Up| link.write_all(&frames::encode_frame(&Word::<()>::Up(up))).unwrap();
+    let say = |mut link: &TcpStream, up: ToControl| {
+        link.write_all(&frames::encode_frame(&Envelope::<()>::Up(up))).unwrap()
+    };
     let front = "10.0.0.9:80".parse().unwrap();
-    say(&link, Up::Hello { host: "e1".into(), front, zone: "a".into() });
+    say(&link, ToControl::Hello { host: "e1".into(), front, zone: "a".into() });
     let mut all = told(&mut link, |d| version(d) == Some(4));
-    let Some(Down::News { part: Part::Config { text, .. }, .. }) = all.last() else { panic!("{all:?}") };
+    let Some(FromControl::News { part: StateSection::Config { text, .. }, .. }) = all.last() else {
+        panic!("{all:?}")
+    };
     assert_eq!(unpack(text).unwrap(), config(4).into_bytes());
     // An older one is acknowledged and is no news; what a beat brings back tells how old control's word is.
     control.done(2, "POST", "/api/Cfg.Set", &config(3));
     control.done(0, "POST", "/api/Cfg.Set", &config(6));
     all.extend(told(&mut link, |d| version(d) == Some(6)));
-    say(&link, Up::Beat { stamp: 42, readiness: Readiness::Ready, applied: Edition::default() });
-    let is_answer = |d: &Down| matches!(d, Down::Beat { stamp: 42, age: Some(age), of, .. } if *age < 5000 && of.mark.config == 6);
+    say(&link, ToControl::Beat { stamp: 42, readiness: Readiness::Ready, applied: StateDigest::default() });
+    let is_answer = |d: &FromControl| matches!(d, FromControl::Beat { stamp: 42, age: Some(age), of, .. } if *age < 5000 && of.mark.config == 6);
     all.extend(told(&mut link, is_answer));
     assert_eq!(all.iter().filter_map(version).collect::<Vec<_>>(), [4, 6]);
     // It is ready now, and hears of itself among the proxies.
-    let ready =
-        |d: &Down| matches!(d, Down::News { part: Part::Fronts(f), .. } if f.iter().any(Front::ready));
+    let ready = |d: &FromControl| matches!(d, FromControl::News { part: StateSection::Proxies(f), .. } if f.iter().any(ProxyEndpoint::ready));
     all.extend(told(&mut link, ready));
     let numbers = all.iter().filter_map(|d| match d {
-        Down::News { number, .. } => Some(*number),
-        Down::Beat { .. } | Down::Anew => None,
+        FromControl::News { number, .. } => Some(*number),
+        FromControl::Beat { .. } | FromControl::Anew => None,
     });
     let numbers: Vec<u64> = numbers.collect();
     assert_eq!(numbers, (1..=numbers.len() as u64).collect::<Vec<_>>());
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -13,9 +13,9 @@
 use aspendrum_control::peer_message::{Hello, PeerMessage};
 use aspendrum_control::store::Store;
 use aspendrum_model::hash::digest;
-use aspendrum_model::news::{Front, Readiness, Up, Word};
+use aspendrum_model::message::{Envelope, ProxyEndpoint, Readiness, ToControl};
 use aspendrum_model::packed::{pack, unpack};
-use aspendrum_model::servers::Server;
+use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::frames;
 use pinned::Pinned;
 use redb::{Builder, TableDefinition};
@@ -27,8 +27,8 @@
 
 const TEXT: &[u8] = br#"{"gen":"00000107"}"#;
 
-fn front(readiness: Readiness, current: bool) -> Front {
-    Front { addr: "10.0.0.9:8080".parse().unwrap(), zone: "z1".into(), readiness, current }
+fn front(readiness: Readiness, current: bool) -> ProxyEndpoint {
+    ProxyEndpoint { addr: "10.0.0.9:8080".parse().unwrap(), zone: "z1".into(), readiness, current }
 }
 
 fn voters() -> Voters {
@@ -43,8 +43,8 @@
 fn peer_message(pinned: &mut Pinned, name: &str, message: &PeerMessage) {
     let frame = frames::encode_frame(&links::between(message));
     pinned.same_bytes(name, &frame);
-    let read: Word<PeerMessage> = frames::read_frame(&mut frame.as_slice()).unwrap();
-    let Word::Between(read) = read else { panic!("{name}: {read:?}") };
+    let read: Envelope<PeerMessage> = frames::read_frame(&mut frame.as_slice()).unwrap();
+    let Envelope::Between(read) = read else { panic!("{name}: {read:?}") };
     assert_eq!(format!("{read:?}"), format!("{message:?}"), "{name}");
 }
 
@@ -74,7 +74,7 @@
         KnownFront { front: front(Readiness::Ready, true), connected: true },
     ];
     peer_message(&mut pinned, "proxies", &PeerMessage::Fronts(fronts));
-    let server = |draining: bool, warm_left_ms: u32| Server {
+    let server = |draining: bool, warm_left_ms: u32| ServerInstance {
         uid: "u1".into(),
         service: "s".into(),
         addr: "10.1.2.3:443".parse().unwrap(),
@@ -86,10 +86,10 @@
     let list = vec![server(false, 0), server(true, 2500)];
     peer_message(&mut pinned, "servers", &PeerMessage::Servers { age: 1200, list });
     // What an agent says comes over the same port, told apart by the first byte.
-    let agent = frames::encode_frame(&Word::<PeerMessage>::Up(Up::Moving));
+    let agent = frames::encode_frame(&Envelope::<PeerMessage>::Up(ToControl::Moving));
     pinned.same_bytes("agent", &agent);
-    let read: Word<PeerMessage> = frames::read_frame(&mut agent.as_slice()).unwrap();
-    assert!(matches!(read, Word::Up(Up::Moving)), "{read:?}");
+    let read: Envelope<PeerMessage> = frames::read_frame(&mut agent.as_slice()).unwrap();
+    assert!(matches!(read, Envelope::Up(ToControl::Moving)), "{read:?}");
     pinned.complete();
 }
 
--- a/crates/aspendrum-gossip/src/circle.rs
+++ b/crates/aspendrum-gossip/src/circle.rs
@@ -5,7 +5,7 @@
 
 use crate::view::{Neighbour, View};
 use crate::Ms;
-use aspendrum_model::news::Edition;
+use aspendrum_model::message::StateDigest;
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
@@ -27,7 +27,7 @@
     Lent {
         stamp: u64,
         age: u32,
-        of: Edition,
+        of: StateDigest,
     },
     /// The speaker has had no majority's word for too long, or never.
     Alone {
@@ -117,7 +117,7 @@
         now: Ms,
         from: Ipv4Addr,
         word: Word,
-        held: &Edition,
+        held: &StateDigest,
         as_of: Option<Ms>,
     ) -> Vec<Act> {
         match word {
--- a/crates/aspendrum-gossip/tests/circle.rs
+++ b/crates/aspendrum-gossip/tests/circle.rs
@@ -1,13 +1,13 @@
 //! What agents lend each other, under schedules: delays, losses, restarts of clocks, hops.
 
 use aspendrum_gossip::{Act, Circle, Word};
-use aspendrum_model::news::{Edition, Mark};
+use aspendrum_model::message::{Revision, StateDigest};
 use std::net::Ipv4Addr;
 
 const ME: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const NEAR: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
-const OLD: Edition = Edition { mark: Mark { config: 4, evacuation: 1 }, digests: [4, 0, 0, 0] };
-const NEW: Edition = Edition { mark: Mark { config: 7, evacuation: 1 }, digests: [7, 0, 0, 0] };
+const OLD: StateDigest = StateDigest { mark: Revision { config: 4, evacuation: 1 }, digests: [4, 0, 0, 0] };
+const NEW: StateDigest = StateDigest { mark: Revision { config: 7, evacuation: 1 }, digests: [7, 0, 0, 0] };
 
 fn circle() -> Circle {
     let mut circle = Circle::new(ME, 1);
@@ -64,8 +64,11 @@
     assert_eq!(circle.hear(1100.0, NEAR, lent(900), &OLD, None), [], "the snapshot is on its way");
     assert_eq!(circle.hear(1200.0, NEAR, lent(1150), &NEW, None), [Act::AsOf(1050.0)]);
     // Evacuations count as configurations do.
-    let emptied =
-        Word::Lent { stamp: 1900, age: 0, of: Edition { mark: Mark { evacuation: 2, ..NEW.mark }, ..NEW } };
+    let emptied = Word::Lent {
+        stamp: 1900,
+        age: 0,
+        of: StateDigest { mark: Revision { evacuation: 2, ..NEW.mark }, ..NEW },
+    };
     assert_eq!(circle.hear(2000.0, NEAR, emptied, &NEW, None), [Act::Fetch(NEAR)]);
 }
 
@@ -79,7 +82,7 @@
 /// Danger: two texts under one number; each lends the other a licence for what was not decided.
 #[test]
 fn another_text_under_the_same_number_is_not_lent_on() {
-    let other = Word::Lent { stamp: 900, age: 10, of: Edition { digests: [8, 0, 0, 0], ..NEW } };
+    let other = Word::Lent { stamp: 900, age: 10, of: StateDigest { digests: [8, 0, 0, 0], ..NEW } };
     assert_eq!(circle().hear(1000.0, NEAR, other, &NEW, None), []);
 }
 
--- a/crates/aspendrum-gossip/tests/wire_bytes.rs
+++ b/crates/aspendrum-gossip/tests/wire_bytes.rs
@@ -2,7 +2,7 @@
 //! these bytes must not change: `fixtures/datagrams.txt` holds one datagram a line, written as hexadecimal digits.
 
 use aspendrum_gossip::{Neighbour, Word};
-use aspendrum_model::news::{Edition, Mark};
+use aspendrum_model::message::{Revision, StateDigest};
 use std::net::Ipv4Addr;
 
 const DATAGRAMS: &str = include_str!("fixtures/datagrams.txt");
@@ -14,9 +14,9 @@
     ]
 }
 
-fn decided() -> Edition {
-    let mark = Mark { config: 70_000, evacuation: 9 };
-    Edition { mark, digests: [1, 0x0123_4567_89ab_cdef, u64::MAX, 4] }
+fn decided() -> StateDigest {
+    let mark = Revision { config: 70_000, evacuation: 9 };
+    StateDigest { mark, digests: [1, 0x0123_4567_89ab_cdef, u64::MAX, 4] }
 }
 
 /// One value of each variant, in the order of the fixture's lines.
--- a/crates/aspendrum-model/src/config.rs
+++ b/crates/aspendrum-model/src/config.rs
@@ -6,7 +6,7 @@
 
 /// Why a configuration is refused.
 #[derive(Debug, Display, Error, PartialEq)]
-pub enum Fault {
+pub enum ConfigError {
     #[display("it cannot be read whole: {_0}")]
     Unreadable(#[error(not(source))] String),
     #[display("route {route} names the service {service}, which is not there")]
@@ -149,10 +149,10 @@
 
 impl Config {
     /// Reads and checks. Nothing of an invalid one is of any use.
-    pub fn read(text: &[u8]) -> Result<Config, Fault> {
-        let doc: Doc = serde_json::from_slice(text).map_err(|e| Fault::Unreadable(e.to_string()))?;
+    pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
+        let doc: Doc = serde_json::from_slice(text).map_err(|e| ConfigError::Unreadable(e.to_string()))?;
         let version = u32::from_str_radix(&doc.gen, 16).ok().filter(|_| doc.gen.len() == 8);
-        let version = version.ok_or_else(|| Fault::Unreadable(format!("gen {}", doc.gen)))?;
+        let version = version.ok_or_else(|| ConfigError::Unreadable(format!("gen {}", doc.gen)))?;
         let known: HashSet<&str> = doc.pools.iter().map(|s| s.name.as_str()).collect();
         let (mut routes, mut places) = (Vec::new(), HashMap::<String, Vec<(String, usize)>>::new());
         for port in &doc.ports {
@@ -161,7 +161,7 @@
                 let (host, prefix) = (port.vhost.to_ascii_lowercase(), rule.place.pfx.clone());
                 let at = places.entry(host.clone()).or_default();
                 if at.iter().any(|p| p.0 == prefix) {
-                    return Err(Fault::SamePlace { host, prefix });
+                    return Err(ConfigError::SamePlace { host, prefix });
                 }
                 at.push((prefix, routes.len()));
                 routes.push(route);
@@ -174,7 +174,7 @@
         for (n, tenant) in doc.tenants.iter().flatten().enumerate() {
             for key in &tenant.keys {
                 if keys.insert(key.clone(), n).is_some_and(|other| other != n) {
-                    return Err(Fault::SharedKey);
+                    return Err(ConfigError::SharedKey);
                 }
             }
         }
@@ -210,35 +210,35 @@
 }
 
 impl Rule {
-    fn check(&self, known: &HashSet<&str>) -> Result<Route, Fault> {
+    fn check(&self, known: &HashSet<&str>) -> Result<Route, ConfigError> {
         let (name, action) = (self.name.clone(), &self.action);
         let services: Vec<(String, f64)> = match (&action.svc, &action.split) {
             (Some(service), _) => vec![(service.clone(), 1.0)],
             (None, Some(parts)) => parts.iter().map(|p| (p.svc.clone(), p.wt)).collect(),
-            (None, None) => return Err(Fault::Unreadable(format!("route {name} goes nowhere"))),
+            (None, None) => return Err(ConfigError::Unreadable(format!("route {name} goes nowhere"))),
         };
         if let Some((service, _)) = services.iter().find(|s| !known.contains(s.0.as_str())) {
-            return Err(Fault::UnknownService { route: name, service: service.clone() });
+            return Err(ConfigError::UnknownService { route: name, service: service.clone() });
         }
         if services.iter().any(|s| s.1.is_nan() || s.1 < 0.0)
             || services.iter().map(|s| s.1).sum::<f64>() <= 0.0
         {
-            return Err(Fault::NoWeight(name));
+            return Err(ConfigError::NoWeight(name));
         }
         if !self.place.pfx.starts_with('/') {
-            return Err(Fault::BarePrefix(self.place.pfx.clone()));
+            return Err(ConfigError::BarePrefix(self.place.pfx.clone()));
         }
         if action.tries == 0 {
-            return Err(Fault::NoTries(name));
+            return Err(ConfigError::NoTries(name));
         }
         // So the protocol words it: a typing error of a unit, not a matter of taste.
         if self.goal_ms >= action.limit_ms + 60_000.0 {
-            return Err(Fault::AimOver(name));
+            return Err(ConfigError::AimOver(name));
         }
         let repeatable = match self.kind.as_str() {
             "idem" => true,
             "mutating" => false,
-            other => return Err(Fault::Unreadable(format!("route {name} is of the type {other}"))),
+            other => return Err(ConfigError::Unreadable(format!("route {name} is of the type {other}"))),
         };
         Ok(Route {
             name,
--- a/crates/aspendrum-model/src/lib.rs
+++ b/crates/aspendrum-model/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod config;
 pub mod hash;
-pub mod news;
+pub mod message;
 pub mod packed;
 pub mod servers;
 pub mod settings;
--- a/crates/aspendrum-model/src/news.rs
+++ b/crates/aspendrum-model/src/message.rs
@@ -2,7 +2,7 @@
 //! never times of day: no two clocks here agree.
 
 use crate::hash::digest;
-use crate::servers::Server;
+use crate::servers::ServerInstance;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -19,7 +19,7 @@
 
 /// A proxy that takes queries.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Front {
+pub struct ProxyEndpoint {
     pub addr: SocketAddrV4,
     pub zone: String,
     pub readiness: Readiness,
@@ -27,7 +27,7 @@
     pub current: bool,
 }
 
-impl Front {
+impl ProxyEndpoint {
     /// New clients may be sent to it.
     pub fn ready(&self) -> bool {
         self.readiness == Readiness::Ready
@@ -36,32 +36,32 @@
 
 /// How far orders have come: the version of the configuration, and the number of the last evacuation order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Revision {
     pub config: u32,
     pub evacuation: u64,
 }
 
 /// The sections of a configuration and of what operators ordered besides, each with a digest of its own.
-pub const SECTIONS: usize = 4;
+pub const DIGEST_SECTIONS: usize = 4;
 
 /// What was decided, or what is in force: how far it has come, and a digest of each section's canonical form. Two
 /// texts under one number differ in these.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Edition {
-    pub mark: Mark,
-    pub digests: [u64; SECTIONS],
+pub struct StateDigest {
+    pub mark: Revision,
+    pub digests: [u64; DIGEST_SECTIONS],
 }
 
-impl Mark {
+impl Revision {
     /// Nothing in the other is newer.
-    pub fn covers(&self, other: &Mark) -> bool {
+    pub fn covers(&self, other: &Revision) -> bool {
         self.config >= other.config && self.evacuation >= other.evacuation
     }
 }
 
 /// Part of what is decided, each whole and newer than the one before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Part {
+pub enum StateSection {
     /// A configuration, packed. `seal`: of the text that was decided; what does not bear it is never applied.
     Config {
         version: u32,
@@ -76,9 +76,9 @@
     /// The platform's list, and its age when it was said.
     Servers {
         age: u32,
-        list: Vec<Server>,
+        list: Vec<ServerInstance>,
     },
-    Fronts(Vec<Front>),
+    Proxies(Vec<ProxyEndpoint>),
     Control(Vec<ControlAddress>),
 }
 
@@ -91,50 +91,50 @@
     pub up: bool,
 }
 
-impl Part {
+impl StateSection {
     /// A configuration as it is told, out of its packed text.
-    pub fn config(version: u32, text: Vec<u8>) -> Part {
+    pub fn config(version: u32, text: Vec<u8>) -> StateSection {
         let seal = digest(&text);
-        Part::Config { version, text, seal }
+        StateSection::Config { version, text, seal }
     }
 
     /// It is what whoever sealed it told.
     pub fn whole(&self) -> bool {
         match self {
-            Part::Config { text, seal, .. } => digest(text) == *seal,
+            StateSection::Config { text, seal, .. } => digest(text) == *seal,
             _ => true,
         }
     }
 }
 
 /// The kinds of parts: numbered changes of one kind supersede each other.
-pub const KINDS: usize = 5;
+pub const SECTION_KINDS: usize = 5;
 
-impl Part {
+impl StateSection {
     pub fn kind(&self) -> usize {
         match self {
-            Part::Config { .. } => 0,
-            Part::Evacuated { .. } => 1,
-            Part::Servers { .. } => 2,
-            Part::Fronts(_) => 3,
-            Part::Control(_) => 4,
+            StateSection::Config { .. } => 0,
+            StateSection::Evacuated { .. } => 1,
+            StateSection::Servers { .. } => 2,
+            StateSection::Proxies(_) => 3,
+            StateSection::Control(_) => 4,
         }
     }
 }
 
 /// What flows down: from control to an agent, from an agent to its proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Down {
+pub enum FromControl {
     News {
         number: u64,
-        part: Part,
+        part: StateSection,
     },
     /// Answers a beat. `age`: that long ago a majority of control's disks held nothing above `of`; none if that
     /// was never so.
     Beat {
         stamp: u64,
         age: Option<u32>,
-        of: Edition,
+        of: StateDigest,
         /// Control is heard of; an agent says no while it has no answer of any machine of control.
         heard: bool,
         /// Half of the agents or more have no majority's word either.
@@ -146,11 +146,11 @@
 
 /// What flows up: from a proxy to its agent, from an agent to control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Up {
+pub enum ToControl {
     /// The first word: who speaks, and from where.
     Hello { host: String, front: SocketAddrV4, zone: String },
     /// `stamp` comes back with the answer. `applied`: what is in force at the proxy, out of its tables.
-    Beat { stamp: u64, readiness: Readiness, applied: Edition },
+    Beat { stamp: u64, readiness: Readiness, applied: StateDigest },
     /// The last word on this connection: the agent goes to another machine of control.
     Moving,
     /// All news up to that number are in force.
@@ -160,7 +160,7 @@
 /// A word on a connection to control: an agent's, or that of another machine of control, whose words only
 /// control can read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word<B = ()> {
-    Up(Up),
+pub enum Envelope<B = ()> {
+    Up(ToControl),
     Between(B),
 }
--- a/crates/aspendrum-model/src/servers.rs
+++ b/crates/aspendrum-model/src/servers.rs
@@ -6,7 +6,7 @@
 
 /// One life of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Server {
+pub struct ServerInstance {
     pub uid: String,
     pub service: String,
     pub addr: SocketAddrV4,
@@ -40,9 +40,9 @@
 
 /// A page's servers, and the token of the page that follows. An error says what cannot be read; nothing of
 /// such a page is of any use.
-pub fn page(text: &[u8]) -> Result<(Vec<Server>, Option<String>), String> {
+pub fn page(text: &[u8]) -> Result<(Vec<ServerInstance>, Option<String>), String> {
     let page: Page = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    let servers = page.servers.into_iter().map(|e| Server {
+    let servers = page.servers.into_iter().map(|e| ServerInstance {
         draining: e.phase != "up",
         uid: e.uid,
         service: e.svc,
@@ -57,8 +57,8 @@
 /// A list that is kept, each server's cold time as the end of it on the keeper's own steady clock, in
 /// milliseconds.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
-    servers: BTreeMap<String, (Server, f64)>,
+pub struct ServerList {
+    servers: BTreeMap<String, (ServerInstance, f64)>,
     /// When the platform was asked for it, by the keeper's clock.
     pub polled: Option<f64>,
 }
@@ -66,10 +66,10 @@
 /// The end of a cold time is known to the list's own grain: less than this is no news.
 const SAME_END_MS: f64 = 400.0;
 
-impl Roster {
+impl ServerList {
     /// Takes a whole list in that the platform was asked for at `polled` and that is said now. True: something in
     /// it is new.
-    pub fn take(&mut self, now: f64, list: Vec<Server>, polled: f64) -> bool {
+    pub fn take(&mut self, now: f64, list: Vec<ServerInstance>, polled: f64) -> bool {
         if self.polled.is_some_and(|last| last >= polled) {
             return false;
         }
@@ -91,9 +91,12 @@
     }
 
     /// The list as it is said now.
-    pub fn told(&self, now: f64) -> Vec<Server> {
+    pub fn told(&self, now: f64) -> Vec<ServerInstance> {
         let left = |end: f64| (end - now).max(0.0) as u32;
-        self.servers.values().map(|(s, end)| Server { warm_left_ms: left(*end), ..s.clone() }).collect()
+        self.servers
+            .values()
+            .map(|(s, end)| ServerInstance { warm_left_ms: left(*end), ..s.clone() })
+            .collect()
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/aspendrum-model/tests/config.rs
+++ b/crates/aspendrum-model/tests/config.rs
@@ -1,7 +1,7 @@
 //! Configurations and settings: what is read, and what is refused.
 
-use aspendrum_model::config::{Config, Fault};
-use aspendrum_model::servers::{page, Roster, Server};
+use aspendrum_model::config::{Config, ConfigError};
+use aspendrum_model::servers::{page, ServerInstance, ServerList};
 use aspendrum_model::settings::Settings;
 use test_case::test_case;
 
@@ -34,17 +34,17 @@
     assert_eq!([to(0.0), to(0.89), to(0.91), to(1.0)], ["s1", "s1", "s2", "s2"]);
 }
 
-#[test_case("\"svc\":\"s2\"", "\"svc\":\"s3\"" => matches Fault::UnknownService { .. } ; "unknown service")]
-#[test_case("\"pfx\":\"/a/b/\"", "\"pfx\":\"/a/\"" => matches Fault::SamePlace { .. } ; "same place")]
-#[test_case("\"wt\":90},{\"svc\":\"s2\",\"wt\":10", "\"wt\":0},{\"svc\":\"s2\",\"wt\":0" => matches Fault::NoWeight(_) ; "no weight")]
-#[test_case("\"goal-ms\":500,\"prio\":1", "\"goal-ms\":62000,\"prio\":1" => matches Fault::AimOver(_) ; "aim a minute above the limit")]
-#[test_case("\"tries\":2,\"homes\":[]", "\"tries\":0,\"homes\":[]" => matches Fault::NoTries(_) ; "no tries")]
-#[test_case("\"/a/b/\"", "\"a/b/\"" => matches Fault::BarePrefix(_) ; "bare prefix")]
-#[test_case("\"k3\"", "\"k1\"" => matches Fault::SharedKey ; "shared key")]
-#[test_case("}]}]", "}" => matches Fault::Unreadable(_) ; "cut short")]
-#[test_case("\"0000000c\"", "\"c\"" => matches Fault::Unreadable(_) ; "a version of another form")]
-#[test_case("\"idem\"", "\"once\"" => matches Fault::Unreadable(_) ; "a type that is not known")]
-fn refused(from: &str, to: &str) -> Fault {
+#[test_case("\"svc\":\"s2\"", "\"svc\":\"s3\"" => matches ConfigError::UnknownService { .. } ; "unknown service")]
+#[test_case("\"pfx\":\"/a/b/\"", "\"pfx\":\"/a/\"" => matches ConfigError::SamePlace { .. } ; "same place")]
+#[test_case("\"wt\":90},{\"svc\":\"s2\",\"wt\":10", "\"wt\":0},{\"svc\":\"s2\",\"wt\":0" => matches ConfigError::NoWeight(_) ; "no weight")]
+#[test_case("\"goal-ms\":500,\"prio\":1", "\"goal-ms\":62000,\"prio\":1" => matches ConfigError::AimOver(_) ; "aim a minute above the limit")]
+#[test_case("\"tries\":2,\"homes\":[]", "\"tries\":0,\"homes\":[]" => matches ConfigError::NoTries(_) ; "no tries")]
+#[test_case("\"/a/b/\"", "\"a/b/\"" => matches ConfigError::BarePrefix(_) ; "bare prefix")]
+#[test_case("\"k3\"", "\"k1\"" => matches ConfigError::SharedKey ; "shared key")]
+#[test_case("}]}]", "}" => matches ConfigError::Unreadable(_) ; "cut short")]
+#[test_case("\"0000000c\"", "\"c\"" => matches ConfigError::Unreadable(_) ; "a version of another form")]
+#[test_case("\"idem\"", "\"once\"" => matches ConfigError::Unreadable(_) ; "a type that is not known")]
+fn refused(from: &str, to: &str) -> ConfigError {
     assert!(CONFIG.contains(from));
     Config::read(CONFIG.replacen(from, to, 1).as_bytes()).unwrap_err()
 }
@@ -97,16 +97,16 @@
     assert!(page(text.replace("10.128.0.9:8080", "there").as_bytes()).is_err());
 }
 
-fn server(uid: &str, warm_left_ms: u32) -> Server {
+fn server(uid: &str, warm_left_ms: u32) -> ServerInstance {
     let (service, addr, zone) = ("s1".into(), "10.128.0.9:8080".parse().unwrap(), "poa-a".into());
-    Server { uid: uid.into(), service, addr, zone, slots: 2, draining: false, warm_left_ms }
+    ServerInstance { uid: uid.into(), service, addr, zone, slots: 2, draining: false, warm_left_ms }
 }
 
 /// Danger: a list that two machines read and pass on in turn must not go back, nor be told anew each time that
 /// a cold time runs down.
 #[test]
 fn a_roster_takes_newer_lists_only_and_cold_times_running_down_are_no_news() {
-    let mut roster = Roster::default();
+    let mut roster = ServerList::default();
     assert!(roster.take(110.0, vec![server("a", 3000)], 100.0));
     assert!(!roster.take(1110.0, vec![server("a", 2000)], 1100.0));
     assert_eq!(roster.told(1610.0)[0].warm_left_ms, 1500);
@@ -119,7 +119,7 @@
 /// servers warm a second too soon.
 #[test]
 fn a_cold_time_is_the_same_wherever_the_list_is_passed_on() {
-    let (mut control, mut agent) = (Roster::default(), Roster::default());
+    let (mut control, mut agent) = (ServerList::default(), ServerList::default());
     control.take(1000.0, vec![server("a", 3000)], 990.0);
     // 700 ms later an agent's link comes up; its clock began elsewhere.
     let (age, list) = (1700.0 - 990.0, control.told(1700.0));
--- a/crates/aspendrum-model/tests/wire_bytes.rs
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -2,9 +2,12 @@
 //! in their order: the fixture of bytes stays as it is, whatever a type or a field is called.
 
 use aspendrum_model::hash::{digest, first, rank};
-use aspendrum_model::news::{ControlAddress, Down, Edition, Front, Mark, Part, Readiness, Up, Word};
+use aspendrum_model::message::{
+    ControlAddress, Envelope, FromControl, ProxyEndpoint, Readiness, Revision, StateDigest, StateSection,
+    ToControl,
+};
 use aspendrum_model::packed::{pack, unpack};
-use aspendrum_model::servers::Server;
+use aspendrum_model::servers::ServerInstance;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -39,24 +42,24 @@
     assert_eq!(postcard::from_bytes::<T>(&pinned(name)).unwrap(), value, "{name}");
 }
 
-fn mark() -> Mark {
-    Mark { config: 300, evacuation: 7 }
+fn mark() -> Revision {
+    Revision { config: 300, evacuation: 7 }
 }
 
-fn edition() -> Edition {
-    Edition { mark: mark(), digests: [1, 0x80, 0xffff_ffff_ffff_ffff, 0] }
+fn edition() -> StateDigest {
+    StateDigest { mark: mark(), digests: [1, 0x80, 0xffff_ffff_ffff_ffff, 0] }
 }
 
-fn front(readiness: Readiness, current: bool) -> Front {
-    Front { addr: "10.1.0.31:8206".parse().unwrap(), zone: "poa-a".into(), readiness, current }
+fn front(readiness: Readiness, current: bool) -> ProxyEndpoint {
+    ProxyEndpoint { addr: "10.1.0.31:8206".parse().unwrap(), zone: "poa-a".into(), readiness, current }
 }
 
 fn control_address() -> ControlAddress {
     ControlAddress { ip: "10.1.0.34".parse().unwrap(), zone: "cwb-a".into(), up: true }
 }
 
-fn server() -> Server {
-    Server {
+fn server() -> ServerInstance {
+    ServerInstance {
         uid: "i-7".into(),
         service: "s1".into(),
         addr: "10.128.0.9:8080".parse().unwrap(),
@@ -67,13 +70,13 @@
     }
 }
 
-fn sections() -> [(&'static str, Part); 5] {
+fn sections() -> [(&'static str, StateSection); 5] {
     [
-        ("config", Part::config(12, b"packed".to_vec())),
-        ("evacuated", Part::Evacuated { number: 9, zones: vec!["poa-a".into(), "poa-b".into()] }),
-        ("servers", Part::Servers { age: 450, list: vec![server()] }),
-        ("proxies", Part::Fronts(vec![front(Readiness::Ready, true)])),
-        ("control", Part::Control(vec![control_address()])),
+        ("config", StateSection::config(12, b"packed".to_vec())),
+        ("evacuated", StateSection::Evacuated { number: 9, zones: vec!["poa-a".into(), "poa-b".into()] }),
+        ("servers", StateSection::Servers { age: 450, list: vec![server()] }),
+        ("proxies", StateSection::Proxies(vec![front(Readiness::Ready, true)])),
+        ("control", StateSection::Control(vec![control_address()])),
     ]
 }
 
@@ -97,21 +100,22 @@
 #[test]
 fn messages_to_an_agent_or_a_proxy_keep_their_bytes() {
     for (name, part) in sections() {
-        check(&format!("down.update.{name}"), Down::News { number: 1000, part });
+        check(&format!("down.update.{name}"), FromControl::News { number: 1000, part });
     }
-    let heartbeat = |age, heard, deserted| Down::Beat { stamp: 5, age, of: edition(), heard, deserted };
+    let heartbeat =
+        |age, heard, deserted| FromControl::Beat { stamp: 5, age, of: edition(), heard, deserted };
     check("down.heartbeat.confirmed", heartbeat(Some(1500), true, false));
     check("down.heartbeat.unconfirmed", heartbeat(None, false, true));
-    check("down.resync", Down::Anew);
+    check("down.resync", FromControl::Anew);
 }
 
-fn messages_from_an_agent_or_a_proxy() -> [(&'static str, Up); 4] {
+fn messages_from_an_agent_or_a_proxy() -> [(&'static str, ToControl); 4] {
     let (host, front, zone) = ("edge-1".to_string(), "10.1.0.31:8206".parse().unwrap(), "poa-a".to_string());
     [
-        ("hello", Up::Hello { host, front, zone }),
-        ("heartbeat", Up::Beat { stamp: 5, readiness: Readiness::Draining, applied: edition() }),
-        ("disconnecting", Up::Moving),
-        ("applied", Up::Applied { number: 1000 }),
+        ("hello", ToControl::Hello { host, front, zone }),
+        ("heartbeat", ToControl::Beat { stamp: 5, readiness: Readiness::Draining, applied: edition() }),
+        ("disconnecting", ToControl::Moving),
+        ("applied", ToControl::Applied { number: 1000 }),
     ]
 }
 
@@ -125,10 +129,10 @@
 #[test]
 fn what_arrives_at_control_keeps_its_bytes() {
     for (name, message) in messages_from_an_agent_or_a_proxy() {
-        check(&format!("envelope.up.{name}"), Word::<()>::Up(message));
+        check(&format!("envelope.up.{name}"), Envelope::<()>::Up(message));
     }
-    check("envelope.between.nothing", Word::Between(()));
-    check("envelope.between.bytes", Word::Between(vec![1_u8, 2, 3]));
+    check("envelope.between.nothing", Envelope::Between(()));
+    check("envelope.between.bytes", Envelope::Between(vec![1_u8, 2, 3]));
 }
 
 /// A line that no test reads pins nothing.
@@ -142,7 +146,7 @@
     let kinds: Vec<usize> = sections().iter().map(|(_, section)| section.kind()).collect();
     assert_eq!(kinds, [0, 1, 2, 3, 4]);
     assert!(sections().iter().all(|(_, section)| section.whole()));
-    let damaged = Part::Config { version: 12, text: b"packet".to_vec(), seal: digest(b"packed") };
+    let damaged = StateSection::Config { version: 12, text: b"packet".to_vec(), seal: digest(b"packed") };
     assert!(!damaged.whole());
 }
 
@@ -155,9 +159,13 @@
 
 #[test]
 fn a_revision_covers_what_is_not_newer_in_either_number() {
-    let older = [Mark { config: 300, evacuation: 7 }, Mark { config: 299, evacuation: 7 }, Mark::default()];
+    let older = [
+        Revision { config: 300, evacuation: 7 },
+        Revision { config: 299, evacuation: 7 },
+        Revision::default(),
+    ];
     assert!(older.iter().all(|other| mark().covers(other)));
-    let newer = [Mark { config: 301, evacuation: 7 }, Mark { config: 0, evacuation: 8 }];
+    let newer = [Revision { config: 301, evacuation: 7 }, Revision { config: 0, evacuation: 8 }];
     assert!(newer.iter().all(|other| !mark().covers(other)));
 }
 
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -1,7 +1,7 @@
 //! The loopback connection to the agent on this machine: news come in and are applied, beats go out.
 
 use crate::Shop;
-use aspendrum_model::news::{Down, Edition, Part, Readiness, Up};
+use aspendrum_model::message::{FromControl, Readiness, StateDigest, StateSection, ToControl};
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::workers::{lock, spawn};
@@ -22,10 +22,10 @@
 
 impl Agent {
     /// A sign of life. The stamp comes back with the licence's age.
-    pub fn beat(&self, stamp: u64, readiness: Readiness, applied: Edition) {
+    pub fn beat(&self, stamp: u64, readiness: Readiness, applied: StateDigest) {
         let link = lock(&self.0).clone();
         if let Some(link) = link {
-            link.send(&Up::Beat { stamp, readiness, applied });
+            link.send(&ToControl::Beat { stamp, readiness, applied });
         }
     }
 }
@@ -38,21 +38,22 @@
         if let Ok(stream) = Link::dial(at, SILENCE) {
             if let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) {
                 let link = Arc::new(link);
-                link.send(&Up::Hello { host: host.clone(), front, zone: zone.clone() });
+                link.send(&ToControl::Hello { host: host.clone(), front, zone: zone.clone() });
                 *lock(&shop.agent.0) = Some(link.clone());
                 let mut from = BufReader::with_capacity(4 << 10, &*stream);
-                while let Ok(said) = frames::read_frame::<Down>(&mut from) {
+                while let Ok(said) = frames::read_frame::<FromControl>(&mut from) {
                     match said {
-                        Down::News { number, part } => {
-                            let orders = matches!(part, Part::Config { .. } | Part::Evacuated { .. });
+                        FromControl::News { number, part } => {
+                            let orders =
+                                matches!(part, StateSection::Config { .. } | StateSection::Evacuated { .. });
                             shop.desk.apply(part);
                             if orders {
                                 shop.collate();
                             }
-                            link.send(&Up::Applied { number });
+                            link.send(&ToControl::Applied { number });
                         }
-                        Down::Anew => shop.desk.anew(),
-                        Down::Beat { stamp, age, of, heard, deserted } => {
+                        FromControl::Anew => shop.desk.anew(),
+                        FromControl::Beat { stamp, age, of, heard, deserted } => {
                             shop.told(stamp, age, of, deserted);
                             shop.heard(heard);
                         }
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -7,7 +7,7 @@
 use aspendrum_core::control::Control;
 use aspendrum_model::config::{Config, Route, Tenant};
 use aspendrum_model::hash::digest;
-use aspendrum_model::news::{Edition, Front, Part};
+use aspendrum_model::message::{ProxyEndpoint, StateDigest, StateSection};
 use aspendrum_model::packed::unpack;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, Progress, RequestKind};
@@ -423,23 +423,27 @@
     }
 
     /// Applies what is decided. False: it was older than what is in force.
-    pub fn apply(&self, part: Part) {
+    pub fn apply(&self, part: StateSection) {
         let now = self.now();
         match part {
-            Part::Config { .. } if !part.whole() => log::warn!("event=torn_push"),
-            Part::Config { version, text, .. } => match Config::read(&unpack(&text).unwrap_or_default()) {
-                Ok(config) => self.configure(config),
-                // Control checked it by the same reader.
-                Err(fault) => log::error!("event=config_unreadable version={version:08x} why=\"{fault}\""),
-            },
-            Part::Evacuated { number, zones } => {
+            StateSection::Config { .. } if !part.whole() => log::warn!("event=torn_push"),
+            StateSection::Config { version, text, .. } => {
+                match Config::read(&unpack(&text).unwrap_or_default()) {
+                    Ok(config) => self.configure(config),
+                    // Control checked it by the same reader.
+                    Err(fault) => {
+                        log::error!("event=config_unreadable version={version:08x} why=\"{fault}\"")
+                    }
+                }
+            }
+            StateSection::Evacuated { number, zones } => {
                 let mut inner = lock(&self.inner);
                 inner.emptied = number;
                 inner.stacks.evacuate(now, &zones);
                 inner.members = inner.stacks.beat(now);
                 self.members(&mut inner, now);
             }
-            Part::Servers { age, list } => {
+            StateSection::Servers { age, list } => {
                 let mut inner = lock(&self.inner);
                 let place = |zone: &str| {
                     let region = self.settings.region_of(zone).unwrap_or(u8::MAX);
@@ -455,20 +459,20 @@
                 inner.members = inner.stacks.beat(now);
                 self.members(&mut inner, now);
             }
-            Part::Fronts(fronts) => self.fronts(now, &fronts),
-            Part::Control(_) => {}
+            StateSection::Proxies(fronts) => self.fronts(now, &fronts),
+            StateSection::Control(_) => {}
         }
     }
 
-    fn fronts(&self, now: Ms, fronts: &[Front]) {
-        let ips = |wanted: &dyn Fn(&Front) -> bool| {
+    fn fronts(&self, now: Ms, fronts: &[ProxyEndpoint]) {
+        let ips = |wanted: &dyn Fn(&ProxyEndpoint) -> bool| {
             let mut ips: Vec<Ipv4Addr> = fronts.iter().filter(|f| wanted(f)).map(|f| *f.addr.ip()).collect();
             ips.sort_unstable();
             ips.dedup();
             ips
         };
         // Those that are about to be ready share too: after a start of all, nobody is ready yet.
-        let (all, ready) = (ips(&|_| true), ips(&Front::ready));
+        let (all, ready) = (ips(&|_| true), ips(&ProxyEndpoint::ready));
         let mut inner = lock(&self.inner);
         inner.told_fronts = true;
         if let Some(lost) = inner.calls.holders(ready) {
@@ -548,7 +552,7 @@
     }
 
     /// What is in force, out of the tables that queries go by.
-    pub fn edition(&self) -> Edition {
+    pub fn edition(&self) -> StateDigest {
         let (number, zones) = {
             let inner = lock(&self.inner);
             (inner.emptied, inner.stacks.evacuated())
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod wire;
 
 use agent::Agent;
-use aspendrum_model::news::{Edition, Readiness};
+use aspendrum_model::message::{Readiness, StateDigest};
 use aspendrum_model::settings::{Settings, VARIABLE};
 use aspendrum_net::daemon::ProcessSignals;
 use aspendrum_net::disconnect_metrics::{DisconnectMetrics, DisconnectReporter};
@@ -133,7 +133,7 @@
 
     /// The agent's word: `age` milliseconds before it answered, a majority of control's disks held nothing above
     /// `of`. Counted from when it was asked, so that a word which came late does not count for more.
-    pub fn told(&self, stamp: u64, age: Option<u32>, of: Edition, deserted: bool) {
+    pub fn told(&self, stamp: u64, age: Option<u32>, of: StateDigest, deserted: bool) {
         let word = age.map(|age| Word { decided: of, as_of: stamp as f64 - f64::from(age) });
         let standing = self.stand.told(self.age() as f64, word, deserted);
         // Keys are licensed by what is in force here, not by what was sent.
--- a/crates/aspendrum-proxy/src/stacks.rs
+++ b/crates/aspendrum-proxy/src/stacks.rs
@@ -4,7 +4,7 @@
 
 use aspendrum_core::api::{Health, Member, Ms, ServerId};
 use aspendrum_model::hash::{digest, rank};
-use aspendrum_model::servers::Server;
+use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -47,7 +47,7 @@
 /// A server as it is known here.
 #[derive(Clone, Debug)]
 pub struct Book {
-    pub server: Server,
+    pub server: ServerInstance,
     pub pool: u16,
     pub region: u8,
     far: f32,
@@ -129,7 +129,7 @@
 
     /// The platform's list, whole. `age`: how old it is. `place`: the number of a zone's
     /// region, and how much dearer a server there is than one at hand.
-    pub fn list(&mut self, now: Ms, age: Ms, list: Vec<Server>, place: impl Fn(&str) -> (u8, f32)) {
+    pub fn list(&mut self, now: Ms, age: Ms, list: Vec<ServerInstance>, place: impl Fn(&str) -> (u8, f32)) {
         let chosen = self.choose(&list);
         let mut named = HashSet::new();
         for server in list {
@@ -172,7 +172,7 @@
 
     /// Of each service's servers in a zone, those that this proxy keeps connections to first: a few, told by key,
     /// so that all are chosen by about as many proxies.
-    fn choose(&self, list: &[Server]) -> HashSet<String> {
+    fn choose(&self, list: &[ServerInstance]) -> HashSet<String> {
         let mut places: HashMap<(&str, &str), Vec<(u64, &str)>> = HashMap::new();
         let own = u64::from(u32::from(self.me));
         for s in list.iter().filter(|s| !s.draining) {
--- a/crates/aspendrum-proxy/src/standing.rs
+++ b/crates/aspendrum-proxy/src/standing.rs
@@ -1,6 +1,6 @@
 //! How this proxy stands to what was decided, as its queries read it: one small verdict with an end.
 
-use aspendrum_model::news::Edition;
+use aspendrum_model::message::StateDigest;
 use aspendrum_net::workers::lock;
 use aspendrum_reconcile::{edition, Bounds, Ms, Standing, Verdict, Word};
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
 }
 
 struct Inner {
-    applied: Edition,
+    applied: StateDigest,
     word: Option<Word>,
     deserted: bool,
     verdict: Verdict,
@@ -27,7 +27,7 @@
     }
 
     /// The tables were collated: that is in force.
-    pub fn applied(&self, now: Ms, applied: Edition) {
+    pub fn applied(&self, now: Ms, applied: StateDigest) {
         let mut inner = lock(&self.inner);
         inner.applied = applied;
         self.judge(now, &mut inner);
@@ -54,7 +54,7 @@
         }
     }
 
-    pub fn edition(&self) -> Edition {
+    pub fn edition(&self) -> StateDigest {
         lock(&self.inner).applied
     }
 
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code)]
 
-use aspendrum_model::news::{Front, Part, Readiness};
+use aspendrum_model::message::{ProxyEndpoint, Readiness, StateSection};
 use aspendrum_model::packed::pack;
-use aspendrum_model::servers::Server;
+use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::http1::{parse_request, MessageLimits, Parsed, Request};
 use aspendrum_net::ring_buffer::RingBuffer;
@@ -73,7 +73,7 @@
     let settings = Settings::read(settings.replace("BOUNDS", bounds).as_bytes());
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let shop = Arc::new(Shop::new(&settings.unwrap(), socket));
-    let list = servers.iter().enumerate().map(|(n, addr)| Server {
+    let list = servers.iter().enumerate().map(|(n, addr)| ServerInstance {
         uid: format!("i-{n}"),
         service: "s1".into(),
         addr: addr.to_string().parse().unwrap(),
@@ -82,17 +82,17 @@
         draining: false,
         warm_left_ms: 0,
     });
-    let front = Front {
+    let front = ProxyEndpoint {
         addr: "127.0.0.1:1".parse().unwrap(),
         zone: "poa-a".into(),
         readiness: Readiness::Ready,
         current: true,
     };
-    shop.desk.apply(Part::config(1, pack(config.as_bytes())));
-    shop.desk.apply(Part::Servers { age: 0, list: list.collect() });
+    shop.desk.apply(StateSection::config(1, pack(config.as_bytes())));
+    shop.desk.apply(StateSection::Servers { age: 0, list: list.collect() });
     // Danger: a proxy that knows of no other takes the whole of every quota for its part.
     assert!(!shop.desk.knows());
-    shop.desk.apply(Part::Fronts(vec![front]));
+    shop.desk.apply(StateSection::Proxies(vec![front]));
     assert!(shop.desk.knows() || servers.is_empty());
     // As control would have it; no key is licensed by that where they bind.
     shop.collate();
--- a/crates/aspendrum-proxy/tests/exchanges.rs
+++ b/crates/aspendrum-proxy/tests/exchanges.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use aspendrum_model::news::{Edition, Mark, Part};
+use aspendrum_model::message::{Revision, StateDigest, StateSection};
 use aspendrum_model::packed::pack;
 use aspendrum_proxy::Shop;
 use aspendrum_reconcile::Word;
@@ -203,7 +203,7 @@
     // Without a key there is nothing to believe.
     assert_eq!(stage.ask(&READ.replace("/read/", "/open/").replace("Credential: k1\n", "")), GOOD_TO_T1);
     // A younger one, of what is not in force here.
-    let other = Edition { digests: [1; 4], ..stage.shop.stand.edition() };
+    let other = StateDigest { digests: [1; 4], ..stage.shop.stand.edition() };
     stage.shop.told(0, Some(700), other, false);
     refused(&stage.ask(READ));
     told(Some(500));
@@ -228,8 +228,8 @@
     let flows = |text: &str, good: &str| assert_eq!(stage.ask(text), good);
     flows(SEND, GOOD_TO_T2);
     // Something newer was decided; an evacuation counts as a configuration does.
-    for newer in [Mark { config: 2, ..held.mark }, Mark { evacuation: 1, ..held.mark }] {
-        word(Edition { mark: newer, ..held }, 0.0);
+    for newer in [Revision { config: 2, ..held.mark }, Revision { evacuation: 1, ..held.mark }] {
+        word(StateDigest { mark: newer, ..held }, 0.0);
         held_back(&stage.ask(SEND));
         flows(READ, GOOD_TO_T1);
     }
@@ -243,12 +243,12 @@
 {"name":"open""#,
     );
     assert_ne!(corrupt, CONFIG);
-    stage.shop.desk.apply(Part::config(1, pack(corrupt.as_bytes())));
+    stage.shop.desk.apply(StateSection::config(1, pack(corrupt.as_bytes())));
     stage.shop.collate();
     held_back(&stage.ask(SEND));
     flows(READ, GOOD_TO_T1);
     // Told again, the tables are built anew, though the number is the same.
-    stage.shop.desk.apply(Part::config(1, pack(CONFIG.as_bytes())));
+    stage.shop.desk.apply(StateSection::config(1, pack(CONFIG.as_bytes())));
     stage.shop.collate();
     flows(SEND, GOOD_TO_T2);
     // The word is as old as it may be: nothing had to come for that.
@@ -256,8 +256,14 @@
     assert!(stage.shop.stand.runs_once_only(last - 251.0) && !stage.shop.stand.runs_once_only(last - 250.0));
     assert_eq!(stage.seen().iter().filter(|s| s.starts_with("POST")).count(), 3);
     // A torn push is not applied, and the tables serve on as they are.
-    let Part::Config { version, seal, .. } = Part::config(1, pack(CONFIG.as_bytes())) else { return };
-    stage.shop.desk.apply(Part::Config { version: version + 1, text: pack(corrupt.as_bytes()), seal });
+    let StateSection::Config { version, seal, .. } = StateSection::config(1, pack(CONFIG.as_bytes())) else {
+        return;
+    };
+    stage.shop.desk.apply(StateSection::Config {
+        version: version + 1,
+        text: pack(corrupt.as_bytes()),
+        seal,
+    });
     stage.shop.desk.anew();
     stage.shop.collate();
     flows(SEND, GOOD_TO_T2);
@@ -274,7 +280,7 @@
                 r#""pfx":"/send/"},"action":{"svc":"s2""#,
             );
             let moved = moved.replace(r#""pools":["#, r#""pools":[{"name":"s2","check":"/healthz"},"#);
-            shop.desk.apply(Part::config(2, pack(moved.as_bytes())));
+            shop.desk.apply(StateSection::config(2, pack(moved.as_bytes())));
             shop.collate();
         }
         Some("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n")
--- a/crates/aspendrum-proxy/tests/process.rs
+++ b/crates/aspendrum-proxy/tests/process.rs
@@ -1,9 +1,9 @@
 //! The proxy as a process on loopback, beside an agent played by the test: its readiness and metrics pages, and what it
 //! says to its agent.
 
-use aspendrum_model::news::{Down, Front, Part, Readiness, Up};
+use aspendrum_model::message::{FromControl, ProxyEndpoint, Readiness, StateSection, ToControl};
 use aspendrum_model::packed::pack;
-use aspendrum_model::servers::Server;
+use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::frames::{self, encode_frame};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -80,8 +80,8 @@
 }
 
 /// What makes a proxy ready: a configuration, servers, and the list of proxies.
-fn updates(front: SocketAddrV4) -> [Part; 3] {
-    let server = Server {
+fn updates(front: SocketAddrV4) -> [StateSection; 3] {
+    let server = ServerInstance {
         uid: "i-1".into(),
         service: "s1".into(),
         addr: SocketAddrV4::new(IP, 1),
@@ -90,11 +90,12 @@
         draining: false,
         warm_left_ms: 0,
     };
-    let front = Front { addr: front, zone: "poa-a".into(), readiness: Readiness::Ready, current: true };
+    let front =
+        ProxyEndpoint { addr: front, zone: "poa-a".into(), readiness: Readiness::Ready, current: true };
     [
-        Part::config(1, pack(CONFIG.as_bytes())),
-        Part::Servers { age: 0, list: vec![server] },
-        Part::Fronts(vec![front]),
+        StateSection::config(1, pack(CONFIG.as_bytes())),
+        StateSection::Servers { age: 0, list: vec![server] },
+        StateSection::Proxies(vec![front]),
     ]
 }
 
@@ -112,20 +113,21 @@
     let (mut agent, _) = listener.accept().unwrap();
     agent.set_read_timeout(Some(PATIENCE)).unwrap();
     let front = SocketAddrV4::new(IP, FRONT_PORT);
-    let hello = Up::Hello { host: "edge-1".into(), front, zone: "poa-a".into() };
-    assert_eq!(frames::read_frame::<Up>(&mut agent).unwrap(), hello);
-    let Up::Beat { readiness, applied, .. } = frames::read_frame::<Up>(&mut agent).unwrap() else {
+    let hello = ToControl::Hello { host: "edge-1".into(), front, zone: "poa-a".into() };
+    assert_eq!(frames::read_frame::<ToControl>(&mut agent).unwrap(), hello);
+    let ToControl::Beat { readiness, applied, .. } = frames::read_frame::<ToControl>(&mut agent).unwrap()
+    else {
         panic!("a heartbeat follows")
     };
     assert_eq!((readiness, applied.mark.config), (Readiness::Closed, 0));
     let mut applied_in_order = Vec::new();
     for (number, part) in (1..).zip(updates(front)) {
-        agent.write_all(&encode_frame(&Down::News { number, part })).unwrap();
+        agent.write_all(&encode_frame(&FromControl::News { number, part })).unwrap();
     }
     loop {
-        match frames::read_frame::<Up>(&mut agent).unwrap() {
-            Up::Applied { number } => applied_in_order.push(number),
-            Up::Beat { readiness: Readiness::Ready, applied, .. } if applied.mark.config == 1 => break,
+        match frames::read_frame::<ToControl>(&mut agent).unwrap() {
+            ToControl::Applied { number } => applied_in_order.push(number),
+            ToControl::Beat { readiness: Readiness::Ready, applied, .. } if applied.mark.config == 1 => break,
             _ => {}
         }
     }
--- a/crates/aspendrum-proxy/tests/stacks.rs
+++ b/crates/aspendrum-proxy/tests/stacks.rs
@@ -1,7 +1,7 @@
 //! Which servers may be used: cold ones within the fleet's bound, none that drains, none of an evacuated zone.
 
 use aspendrum_core::api::{Health, Member, ServerId};
-use aspendrum_model::servers::Server;
+use aspendrum_model::servers::ServerInstance;
 use aspendrum_proxy::stacks::{Stacks, Terms, Warmth};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -15,9 +15,17 @@
     list_lag: 800.0,
 };
 
-fn server(uid: &str, zone: &str, warm_left_ms: u32) -> Server {
+fn server(uid: &str, zone: &str, warm_left_ms: u32) -> ServerInstance {
     let (service, addr) = ("s1".to_string(), "10.128.0.9:8080".parse().unwrap());
-    Server { uid: uid.into(), service, addr, zone: zone.into(), slots: 2, draining: false, warm_left_ms }
+    ServerInstance {
+        uid: uid.into(),
+        service,
+        addr,
+        zone: zone.into(),
+        slots: 2,
+        draining: false,
+        warm_left_ms,
+    }
 }
 
 fn proxy(n: u16) -> Ipv4Addr {
@@ -94,7 +102,8 @@
     told.hear(stacks.beat(0.0));
     assert_eq!(told.ready(), 2);
     let id = *told.0.keys().next().unwrap();
-    stacks.list(100.0, 0.0, vec![Server { draining: true, ..server("i-1", "poa-a", 0) }], |_| (0, 1.0));
+    stacks
+        .list(100.0, 0.0, vec![ServerInstance { draining: true, ..server("i-1", "poa-a", 0) }], |_| (0, 1.0));
     // Asked for before the module heard of it.
     let (may, change) = stacks.leave_for(101.0, id);
     assert!(!may);
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -229,7 +229,7 @@
     let config = CONFIG.replace("\"rate-s\":0", "\"rate-s\":1,\"burst\":1");
     assert_ne!(config, CONFIG);
     let stage = stage(1, |_| Some(GOOD));
-    stage.shop.desk.apply(aspendrum_model::news::Part::config(
+    stage.shop.desk.apply(aspendrum_model::message::StateSection::config(
         2,
         aspendrum_model::packed::pack(config.replace("00000001", "00000002").as_bytes()),
     ));
--- a/crates/aspendrum-reconcile/examples/nights/mod.rs
+++ b/crates/aspendrum-reconcile/examples/nights/mod.rs
@@ -3,7 +3,7 @@
 //! are over all nodes apply what was decided, within a stated time.
 
 use aspendrum_gossip::{Act, Circle, Word as Lent};
-use aspendrum_model::news::{Edition, Mark};
+use aspendrum_model::message::{Revision, StateDigest};
 use aspendrum_reconcile::{Bounds, Mending, Ms, Section, Standing, Step, Verdict, Word};
 use fastrand::Rng;
 use std::net::Ipv4Addr;
@@ -44,11 +44,11 @@
 struct Node {
     circle: Circle,
     mending: Mending,
-    held: Edition,
+    held: StateDigest,
     as_of: Option<Ms>,
     /// What the proxy's tables hold, and what they were collated to last.
-    tables: Edition,
-    collated: (Ms, Edition),
+    tables: StateDigest,
+    collated: (Ms, StateDigest),
     since_wrong: Option<Ms>,
     /// Since when it has not applied what is decided, and since when it holds once-only requests back for that.
     differs: Option<(Ms, Option<Ms>)>,
@@ -61,7 +61,7 @@
     kind: Kind,
     now: Ms,
     nodes: Vec<Node>,
-    decided: Edition,
+    decided: StateDigest,
     /// Each version and when it was acknowledged.
     history: Vec<(u32, Ms)>,
     control_lost: Ms,
@@ -81,8 +81,8 @@
     Ipv4Addr::from(0x0a00_0001 + n as u32)
 }
 
-fn at(config: u32) -> Edition {
-    Edition { mark: Mark { config, evacuation: 0 }, digests: [u64::from(config) * 7919, 1, 1, 1] }
+fn at(config: u32) -> StateDigest {
+    StateDigest { mark: Revision { config, evacuation: 0 }, digests: [u64::from(config) * 7919, 1, 1, 1] }
 }
 
 impl Night {
--- a/crates/aspendrum-reconcile/src/edition.rs
+++ b/crates/aspendrum-reconcile/src/edition.rs
@@ -3,7 +3,7 @@
 
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
-use aspendrum_model::news::{Edition, Mark, SECTIONS};
+use aspendrum_model::message::{Revision, StateDigest, DIGEST_SECTIONS};
 
 /// What is digested apart, in the order of an edition's digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,11 +15,11 @@
 }
 
 impl Section {
-    pub const ALL: [Section; SECTIONS] =
+    pub const ALL: [Section; DIGEST_SECTIONS] =
         [Section::Routes, Section::Services, Section::Tenants, Section::Evacuations];
 
     /// The sections in which two editions differ.
-    pub fn differing(one: &Edition, other: &Edition) -> Vec<Section> {
+    pub fn differing(one: &StateDigest, other: &StateDigest) -> Vec<Section> {
         let pairs = one.digests.iter().zip(&other.digests).zip(Section::ALL);
         pairs.filter(|((a, b), _)| a != b).map(|(_, section)| section).collect()
     }
@@ -56,10 +56,10 @@
 }
 
 /// What is in force by these tables. `zones`: those that are evacuated, by the order of that number.
-pub fn edition(config: Option<&Config>, number: u64, zones: &[String]) -> Edition {
-    let mark = Mark { config: config.map_or(0, |c| c.version), evacuation: number };
+pub fn edition(config: Option<&Config>, number: u64, zones: &[String]) -> StateDigest {
+    let mark = Revision { config: config.map_or(0, |c| c.version), evacuation: number };
     let evacuations = sum(zones.iter().map(|z| Form::default().text(z)));
-    let Some(config) = config else { return Edition { mark, digests: [0, 0, 0, evacuations] } };
+    let Some(config) = config else { return StateDigest { mark, digests: [0, 0, 0, evacuations] } };
     let routes = config.places().map(|(host, prefix, n)| {
         let r = &config.routes[n];
         let form = Form::default().text(host).text(prefix).number(f64::from(u8::from(r.repeatable)));
@@ -80,5 +80,5 @@
     });
     let bound = std::iter::once(Form::default().number(f64::from(u8::from(config.tenants.is_some()))));
     let digests = [sum(routes), sum(services), sum(bound.chain(tenants)), evacuations];
-    Edition { mark, digests }
+    StateDigest { mark, digests }
 }
--- a/crates/aspendrum-reconcile/src/verdict.rs
+++ b/crates/aspendrum-reconcile/src/verdict.rs
@@ -3,7 +3,7 @@
 //! it to stop.
 
 use crate::Ms;
-use aspendrum_model::news::Edition;
+use aspendrum_model::message::StateDigest;
 
 /// How a node stands to what was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
 /// A majority's word.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Word {
-    pub decided: Edition,
+    pub decided: StateDigest,
     /// A majority held nothing newer then.
     pub as_of: Ms,
 }
@@ -70,7 +70,7 @@
     pub const NONE: Verdict = Verdict { standing: Standing::Alone, until: f64::NEG_INFINITY };
 
     /// `deserted`: half of the fleet or more has no word either.
-    pub fn of(applied: &Edition, word: Option<&Word>, deserted: bool, bounds: &Bounds) -> Verdict {
+    pub fn of(applied: &StateDigest, word: Option<&Word>, deserted: bool, bounds: &Bounds) -> Verdict {
         let Some(word) = word else { return Verdict::NONE };
         let until = word.as_of + if deserted { bounds.stretched } else { bounds.lasts };
         let decided = &word.decided;
--- a/crates/aspendrum-reconcile/tests/collation.rs
+++ b/crates/aspendrum-reconcile/tests/collation.rs
@@ -1,7 +1,7 @@
 //! Editions and verdicts: whatever a request's way depends on shows, and nothing else does.
 
 use aspendrum_model::config::Config;
-use aspendrum_model::news::{Edition, Mark};
+use aspendrum_model::message::{Revision, StateDigest};
 use aspendrum_reconcile::*;
 
 const TEXT: &str = r#"{"gen":"00000004","caps":{"hdr-bytes":16384,"body-bytes":1024,"hdr-ms":3000,"idle-ms":15000},
@@ -11,7 +11,7 @@
 {"name":"r2","type":"mutating","goal-ms":500,"prio":1,"match":{"pfx":"/send/"},"action":{"svc":"s","limit-ms":2000,"tries":2,"homes":["x"]}}]}],
 "pools":[{"name":"s","check":"/healthz","max-conns":130,"warmup-s":3.0,"warm-rate-s":7.1},{"name":"t","check":"/healthz"}]}"#;
 
-fn of(text: &str) -> Edition {
+fn of(text: &str) -> StateDigest {
     edition(Some(&Config::read(text.as_bytes()).unwrap()), 3, &["poa-a".to_string()])
 }
 
@@ -57,8 +57,8 @@
 
 const BOUNDS: Bounds = Bounds { lasts: 2000.0, stretched: 10_000.0 };
 
-fn at(config: u32, digest: u64) -> Edition {
-    Edition { mark: Mark { config, evacuation: 1 }, digests: [digest, 0, 0, 0] }
+fn at(config: u32, digest: u64) -> StateDigest {
+    StateDigest { mark: Revision { config, evacuation: 1 }, digests: [digest, 0, 0, 0] }
 }
 
 fn word(config: u32, digest: u64, as_of: f64) -> Word {
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_verdict_follows_the_word_and_ends_by_itself() {
-    let of = |applied: Edition, word: Option<Word>| Verdict::of(&applied, word.as_ref(), false, &BOUNDS);
+    let of = |applied: StateDigest, word: Option<Word>| Verdict::of(&applied, word.as_ref(), false, &BOUNDS);
     let current = of(at(4, 9), Some(word(4, 9, 1000.0)));
     assert_eq!([current.at(1000.0), current.at(2999.0)], [Standing::Current; 2]);
     assert_eq!(current.at(3000.0), Standing::Alone, "nobody had to tell it");
@@ -75,7 +75,7 @@
     assert_eq!(of(at(4, 8), Some(word(4, 9, 1000.0))).at(1500.0), Standing::Differs);
     // The word is older than what was applied since: what is told is decided.
     assert_eq!(of(at(7, 8), Some(word(4, 9, 1000.0))).at(1500.0), Standing::Current);
-    let emptied = Edition { mark: Mark { config: 4, evacuation: 2 }, digests: [9, 0, 0, 5] };
+    let emptied = StateDigest { mark: Revision { config: 4, evacuation: 2 }, digests: [9, 0, 0, 5] };
     let decided = Word { decided: emptied, as_of: 1000.0 };
     assert_eq!(of(at(4, 9), Some(decided)).at(1500.0), Standing::Behind);
     assert_eq!(of(at(4, 9), None).at(0.0), Standing::Alone);
--- a/crates/aspendrum-reconcile/tests/model.rs
+++ b/crates/aspendrum-reconcile/tests/model.rs
@@ -2,7 +2,7 @@
 //! freeze and restart. In every state that can be reached no node runs a once-only request by a version that was
 //! overtaken longer ago than the bound; a variant that trusts the last push is found.
 
-use aspendrum_model::news::{Edition, Mark};
+use aspendrum_model::message::{Revision, StateDigest};
 use aspendrum_reconcile::{Bounds, Standing, Verdict, Word};
 use stateright::{Checker, Model, Property};
 
@@ -52,9 +52,9 @@
     trusts_pushes: bool,
 }
 
-fn edition(version: u8) -> Edition {
-    Edition {
-        mark: Mark { config: u32::from(version), evacuation: 0 },
+fn edition(version: u8) -> StateDigest {
+    StateDigest {
+        mark: Revision { config: u32::from(version), evacuation: 0 },
         digests: [u64::from(version), 0, 0, 0],
     }
 }
--- a/crates/aspendrum-reconcile/tests/wire_bytes.rs
+++ b/crates/aspendrum-reconcile/tests/wire_bytes.rs
@@ -3,13 +3,13 @@
 //! go over the wire.
 
 use aspendrum_model::config::Config;
-use aspendrum_model::news::Edition;
+use aspendrum_model::message::StateDigest;
 use aspendrum_reconcile::{edition, Section, Standing};
 
 const CONFIGURATION: &str = include_str!("fixtures/configuration.json");
 const DIGESTS: &str = include_str!("fixtures/digests.txt");
 
-fn line(name: &str, edition: &Edition) -> String {
+fn line(name: &str, edition: &StateDigest) -> String {
     let digests: Vec<String> = edition.digests.iter().map(|digest| format!("{digest:016x}")).collect();
     let mark = &edition.mark;
     format!("{name} {} {} {}", mark.config, mark.evacuation, digests.join(" "))
@@ -40,7 +40,7 @@
     let changed = |at: usize| {
         let mut digests = [0; 4];
         digests[at] = 1;
-        Section::differing(&Edition::default(), &Edition { digests, ..Edition::default() })
+        Section::differing(&StateDigest::default(), &StateDigest { digests, ..StateDigest::default() })
     };
     let order = [Section::Routes, Section::Services, Section::Tenants, Section::Evacuations];
     assert_eq!((0..4).flat_map(changed).collect::<Vec<_>>(), order);
--- a/crates/aspendrum-rig/src/system/tamper.rs
+++ b/crates/aspendrum-rig/src/system/tamper.rs
@@ -1,7 +1,7 @@
 //! A way between two processes of the system on which pushes go wrong: configurations are dropped, come late, come
 //! behind the next one, or say something else by their number, while every other word passes.
 
-use aspendrum_model::news::{Down, Part};
+use aspendrum_model::message::{FromControl, StateSection};
 use aspendrum_model::packed::{pack, unpack};
 use aspendrum_net::frames;
 use aspendrum_standins::lock;
@@ -117,7 +117,7 @@
                 },
             };
             let how = *lock(how);
-            let config = frames::read_frame::<Down>(&mut &frame[..]).ok().filter(is_config);
+            let config = frames::read_frame::<FromControl>(&mut &frame[..]).ok().filter(is_config);
             match (config, how) {
                 (Some(_), Some(How::Drop)) => {}
                 (Some(_), Some(How::Delay)) => {
@@ -147,15 +147,17 @@
     }
 }
 
-fn is_config(word: &Down) -> bool {
-    matches!(word, Down::News { part: Part::Config { .. }, .. })
+fn is_config(word: &FromControl) -> bool {
+    matches!(word, FromControl::News { part: StateSection::Config { .. }, .. })
 }
 
-fn torn(word: Down, [one, other]: [&str; 2]) -> Down {
-    let Down::News { number, part: Part::Config { version, text, seal } } = word else { return word };
+fn torn(word: FromControl, [one, other]: [&str; 2]) -> FromControl {
+    let FromControl::News { number, part: StateSection::Config { version, text, seal } } = word else {
+        return word;
+    };
     let named = |s: &str| format!("\"svc\":\"{s}\"");
     let text = String::from_utf8(unpack(&text).unwrap_or_default()).unwrap_or_default();
     let text = text.replace(&named(one), "\"svc\":\"?\"").replace(&named(other), &named(one));
     let text = text.replace("\"svc\":\"?\"", &named(other));
-    Down::News { number, part: Part::Config { version, text: pack(text.as_bytes()), seal } }
+    FromControl::News { number, part: StateSection::Config { version, text: pack(text.as_bytes()), seal } }
 }
