--- a/crates/aspendrum-agent/src/control.rs
+++ b/crates/aspendrum-agent/src/control.rs
@@ -54,7 +54,8 @@
         if !control.is_empty() {
             *told = control.to_vec();
         }
-        let place = |c: &ControlAddress| (!c.up, far(&c.zone), rank(own, u64::from(u32::from(c.ip))), c.ip);
+        let place =
+            |c: &ControlAddress| (!c.reachable, far(&c.zone), rank(own, u64::from(u32::from(c.ip))), c.ip);
         let mut all: Vec<_> = told.iter().map(place).collect();
         all.sort();
         let seeds = seeds(settings).into_iter().filter(|s| told.iter().all(|c| c.ip != s.ip));
@@ -86,7 +87,7 @@
 
 /// The machines that the settings name: where they are is not known, nor whether they are up.
 fn seeds(settings: &Settings) -> Vec<ControlAddress> {
-    let address = |ip| ControlAddress { ip, zone: String::new(), up: true };
+    let address = |ip| ControlAddress { ip, zone: String::new(), reachable: true };
     settings.seeds.iter().map(|s| address(*s.ip())).collect()
 }
 
@@ -133,7 +134,7 @@
     }
 
     fn at(ip: Ipv4Addr, zone: &str) -> ControlAddress {
-        ControlAddress { ip, zone: zone.to_string(), up: true }
+        ControlAddress { ip, zone: zone.to_string(), reachable: true }
     }
 
     /// Danger: the settings name other machines, and an agent forgets those that control told it of.
@@ -141,7 +142,7 @@
     fn who_was_told_of_stays_and_who_ends_comes_last() {
         let settings = Settings::read(SETTINGS.as_bytes()).unwrap();
         let route = Route::new(&settings);
-        let ending = ControlAddress { up: false, ..at(ip(1), "a1") };
+        let ending = ControlAddress { reachable: false, ..at(ip(1), "a1") };
         route.learn(&settings, &[ending, at(ip(3), "b1")]);
         assert_eq!((0..4).filter_map(|n| route.get(n)).collect::<Vec<_>>(), [ip(3), ip(1), ip(2), ip(3)]);
         let other = Settings::read(SETTINGS.replace("10.0.0.2", "10.0.0.7").as_bytes()).unwrap();
--- a/crates/aspendrum-agent/src/desk.rs
+++ b/crates/aspendrum-agent/src/desk.rs
@@ -53,7 +53,7 @@
 impl Control {
     /// Ends the connection for another one: until the agent is heard there, its proxy stays where it is known.
     fn leave(&self) {
-        self.link.send(&up(ToControl::Moving));
+        self.link.send(&up(ToControl::Disconnecting));
         self.link.finish();
     }
 }
@@ -196,7 +196,7 @@
                 let parts = (0..SECTION_KINDS).filter_map(|kind| self.told(kind));
                 let news = (1..)
                     .zip(parts)
-                    .map(|(number, part)| frames::encode_frame(&FromControl::News { number, part }));
+                    .map(|(number, part)| frames::encode_frame(&FromControl::Update { number, part }));
                 let _ = answer.try_send(news.flatten().collect());
             }
             Note::Lent(part) => {
@@ -220,7 +220,7 @@
             control.answered = now;
         }
         match said {
-            FromControl::Beat { stamp, age, of, .. } => {
+            FromControl::Heartbeat { stamp, majority_age: age, decided: of, .. } => {
                 // Counted from when this was asked: the answer cannot be older than that, however late it
                 // comes.
                 let then = age.map(|age| stamp as Ms - f64::from(age));
@@ -237,7 +237,7 @@
                     // Not again at once: a snapshot takes a moment, and neighbours are asked meanwhile.
                     if self.missed.is_none_or(|at| now - at >= MISSED_AGAIN) {
                         self.missed = Some(now);
-                        let (new, old) = (of.mark.config, held.mark.config);
+                        let (new, old) = (of.revision.config, held.revision.config);
                         log::warn!(
                             "event=missed standing={} decided={new:08x} held={old:08x}",
                             standing.word()
@@ -246,12 +246,12 @@
                     }
                 }
             }
-            FromControl::News { number, part } => {
+            FromControl::Update { number, part } => {
                 self.last = number;
                 self.take(part, true);
             }
             // Agents are told that by nobody.
-            FromControl::Anew => {}
+            FromControl::Resync => {}
         }
     }
 
@@ -276,7 +276,7 @@
         let standing = Verdict::of(&proxy.applied, Some(&word), false, &self.bounds).standing;
         let differing = Section::differing(&proxy.applied, &self.edition);
         let Some(step) = proxy.mending.look(now, standing, &differing) else { return };
-        let (applied, held) = (proxy.applied.mark.config, self.edition.mark.config);
+        let (applied, held) = (proxy.applied.revision.config, self.edition.revision.config);
         log::warn!(
             "event=proxy_differs standing={} applied={applied:08x} held={held:08x} sections={differing:?} step={step:?}",
             standing.word()
@@ -289,7 +289,7 @@
             }
             Step::Snapshot => (0..SECTION_KINDS).for_each(|kind| self.feed(kind)),
             Step::Anew => {
-                proxy.link.send(&FromControl::Anew);
+                proxy.link.send(&FromControl::Resync);
                 (0..SECTION_KINDS).for_each(|kind| self.feed(kind));
             }
             Step::Tell => {}
@@ -318,15 +318,15 @@
     fn take(&mut self, part: StateSection, control: bool) {
         let now = self.now();
         let kind = part.kind();
-        if !part.whole() {
+        if !part.has_valid_checksum() {
             // The next word of what was decided shows that something is missing here.
             log::warn!("event=torn_push");
             return;
         }
         let newer = match (&part, &self.held[kind]) {
             (
-                StateSection::Config { version: new, seal, .. },
-                Some(StateSection::Config { version: old, seal: held, .. }),
+                StateSection::Config { version: new, checksum: seal, .. },
+                Some(StateSection::Config { version: old, checksum: held, .. }),
             ) => new > old || (new == old && control && seal != held),
             (
                 StateSection::Evacuated { number: new, .. },
@@ -347,7 +347,9 @@
                 self.route.learn(&self.settings, control);
                 // Seeds do not tell their zones: before anything depends on the link it goes to the nearest. And whoever
                 // says of itself that it ends is left for another at once.
-                let ends = |ip| control.iter().any(|c| c.ip == ip && !c.up) && control.iter().any(|c| c.up);
+                let ends = |ip| {
+                    control.iter().any(|c| c.ip == ip && !c.reachable) && control.iter().any(|c| c.reachable)
+                };
                 let leave = |c: &&Control| (first && !self.route.nearest(c.ip)) || ends(c.ip);
                 if let Some(left) = self.control.as_ref().filter(leave) {
                     left.leave();
@@ -383,7 +385,7 @@
         let Some(part) = self.told(kind) else { return };
         if let Some(proxy) = self.proxy.as_mut().filter(|p| p.front.is_some()) {
             proxy.said += 1;
-            proxy.link.send(&FromControl::News { number: proxy.said, part });
+            proxy.link.send(&FromControl::Update { number: proxy.said, part });
         }
     }
 
@@ -400,8 +402,14 @@
                 (0..SECTION_KINDS).for_each(|kind| self.feed(kind));
                 self.beat();
             }
-            ToControl::Beat { stamp, readiness, applied } => {
-                proxy.link.send(&FromControl::Beat { stamp, age, of, heard, deserted });
+            ToControl::Heartbeat { stamp, readiness, applied } => {
+                proxy.link.send(&FromControl::Heartbeat {
+                    stamp,
+                    majority_age: age,
+                    decided: of,
+                    control_reachable: heard,
+                    most_agents_isolated: deserted,
+                });
                 let turned = proxy.readiness != readiness;
                 (proxy.readiness, proxy.applied) = (readiness, applied);
                 if turned {
@@ -416,7 +424,7 @@
                 }
             }
             // Proxies have one agent.
-            ToControl::Applied { .. } | ToControl::Moving => {}
+            ToControl::Applied { .. } | ToControl::Disconnecting => {}
         }
     }
 
@@ -465,12 +473,16 @@
         if proxy.front.is_some() {
             let heard = now - proxy.heard <= PROXY_SILENT;
             let readiness = if heard { proxy.readiness } else { Readiness::Closed };
-            control.link.send(&up(ToControl::Beat { stamp: now as u64, readiness, applied: proxy.applied }));
+            control.link.send(&up(ToControl::Heartbeat {
+                stamp: now as u64,
+                readiness,
+                applied: proxy.applied,
+            }));
         }
     }
 }
 
 /// Control tells agents' words from its own machines' by this.
 fn up(said: ToControl) -> aspendrum_model::message::Envelope {
-    aspendrum_model::message::Envelope::Up(said)
+    aspendrum_model::message::Envelope::Agent(said)
 }
--- a/crates/aspendrum-agent/src/lend.rs
+++ b/crates/aspendrum-agent/src/lend.rs
@@ -70,7 +70,7 @@
             let Ok(stream) = Link::dial(at, DIAL_WAIT) else { return };
             let _ = stream.set_read_timeout(Some(SILENCE));
             let mut from = BufReader::with_capacity(4 << 10, &*stream);
-            while let Ok(FromControl::News { part, .. }) = frames::read_frame::<FromControl>(&mut from) {
+            while let Ok(FromControl::Update { part, .. }) = frames::read_frame::<FromControl>(&mut from) {
                 notes.send(Note::Lent(part), None);
             }
         };
--- a/crates/aspendrum-agent/tests/wire_bytes.rs
+++ b/crates/aspendrum-agent/tests/wire_bytes.rs
@@ -29,7 +29,7 @@
 }
 
 fn edition() -> StateDigest {
-    StateDigest { mark: Revision { config: 300, evacuation: 7 }, digests: [1, u64::MAX, 0, 129] }
+    StateDigest { revision: Revision { config: 300, evacuation: 7 }, digests: [1, u64::MAX, 0, 129] }
 }
 
 /// What flows from control to an agent, from an agent to its proxy, and in a snapshot from agent to agent.
@@ -50,13 +50,19 @@
         front(Readiness::Draining, true),
         front(Readiness::Ready, true),
     ];
-    let control = ControlAddress { ip: *address().ip(), zone: "poa-a".into(), up: true };
-    let news = |number, part| FromControl::News { number, part };
-    let beat = |age, heard, deserted| FromControl::Beat { stamp: 300, age, of: edition(), heard, deserted };
+    let control = ControlAddress { ip: *address().ip(), zone: "poa-a".into(), reachable: true };
+    let news = |number, part| FromControl::Update { number, part };
+    let beat = |age, heard, deserted| FromControl::Heartbeat {
+        stamp: 300,
+        majority_age: age,
+        decided: edition(),
+        control_reachable: heard,
+        most_agents_isolated: deserted,
+    };
     vec![
         (
             "configuration",
-            news(1, StateSection::Config { version: 0xabcd, text: vec![1, 2, 255], seal: u64::MAX }),
+            news(1, StateSection::Config { version: 0xabcd, text: vec![1, 2, 255], checksum: u64::MAX }),
         ),
         (
             "evacuated_zones",
@@ -67,19 +73,19 @@
         ("control_nodes", news(u64::MAX, StateSection::Control(vec![control]))),
         ("heartbeat_answer", beat(Some(250), true, false)),
         ("heartbeat_answer_without_age", beat(None, false, true)),
-        ("resync", FromControl::Anew),
+        ("resync", FromControl::Resync),
     ]
 }
 
 /// What flows from a proxy to its agent and from an agent to control.
 fn upward() -> Vec<(&'static str, ToControl)> {
-    let beat = |readiness| ToControl::Beat { stamp: 300, readiness, applied: edition() };
+    let beat = |readiness| ToControl::Heartbeat { stamp: 300, readiness, applied: edition() };
     vec![
         ("hello", ToControl::Hello { host: "edge-1".into(), front: address(), zone: "poa-a".into() }),
         ("heartbeat_closed", beat(Readiness::Closed)),
         ("heartbeat_draining", beat(Readiness::Draining)),
         ("heartbeat_ready", beat(Readiness::Ready)),
-        ("disconnecting", ToControl::Moving),
+        ("disconnecting", ToControl::Disconnecting),
         ("applied", ToControl::Applied { number: 300 }),
     ]
 }
@@ -104,7 +110,7 @@
     }
     for (name, message) in upward() {
         written += &format!("to_agent {name} {}\n", hex(&frames::encode_frame(&message)));
-        let enveloped: Envelope = Envelope::Up(message);
+        let enveloped: Envelope = Envelope::Agent(message);
         written += &format!("to_control {name} {}\n", hex(&frames::encode_frame(&enveloped)));
     }
     for (name, message) in datagrams() {
@@ -131,7 +137,7 @@
     let read = lines("to_control")
         .into_iter()
         .map(|(name, bytes)| (name, frames::read_frame::<Envelope>(&mut &bytes[..]).unwrap()));
-    assert!(read.eq(upward().into_iter().map(|(name, message)| (name.to_string(), Envelope::Up(message)))));
+    assert!(read.eq(upward().into_iter().map(|(name, message)| (name.to_string(), Envelope::Agent(message)))));
     let read =
         lines("datagram").into_iter().map(|(name, bytes)| (name, postcard::from_bytes(&bytes).unwrap()));
     assert!(read.eq(datagrams().into_iter().map(|(name, message)| (name.to_string(), message))));
--- a/crates/aspendrum-capacity/src/cores/model.rs
+++ b/crates/aspendrum-capacity/src/cores/model.rs
@@ -31,7 +31,7 @@
         let text = sizes::config(&size, hosts, 1);
         let packed = pack(text.as_bytes());
         let whole =
-            encode_frame(&FromControl::News { number: 1, part: StateSection::config(1, packed.clone()) });
+            encode_frame(&FromControl::Update { number: 1, part: StateSection::config(1, packed.clone()) });
         let bytes = line("model.config.bytes").with("text", text.len()).with("packed", packed.len());
         bytes.with("frame", whole.len()).tell();
         let repeats = if tenants > 5_000 { 5 } else { 15 };
@@ -52,7 +52,7 @@
         let line = |name| Line::of(name).with("servers", size.servers).with("services", size.services);
         let pages: Vec<String> = list.chunks(PAGE).map(|p| sizes::page(p, Some("p-50".into()))).collect();
         let bytes: usize = pages.iter().map(String::len).sum();
-        let told = encode_frame(&FromControl::News {
+        let told = encode_frame(&FromControl::Update {
             number: 1,
             part: StateSection::Servers { age: 0, list: list.clone() },
         });
@@ -75,17 +75,23 @@
     }
     for size in GRADES {
         let fronts = sizes::fronts(size.limiters);
-        let told = encode_frame(&FromControl::News { number: 1, part: StateSection::Proxies(fronts) });
+        let told = encode_frame(&FromControl::Update { number: 1, part: StateSection::Proxies(fronts) });
         Line::of("lists.fronts.bytes").with("limiters", size.limiters).with("frame", told.len()).tell();
     }
     let edition = StateDigest { digests: [u64::MAX; 4], ..StateDigest::default() };
-    let up = encode_frame(&Envelope::<()>::Up(ToControl::Beat {
+    let up = encode_frame(&Envelope::<()>::Agent(ToControl::Heartbeat {
         stamp: 86_400_000,
         readiness: Readiness::Ready,
         applied: edition,
     }));
     let age = Some(400);
-    let beat = FromControl::Beat { stamp: 86_400_000, age, of: edition, heard: true, deserted: false };
+    let beat = FromControl::Heartbeat {
+        stamp: 86_400_000,
+        majority_age: age,
+        decided: edition,
+        control_reachable: true,
+        most_agents_isolated: false,
+    };
     Line::of("lists.beat.bytes").with("up", up.len()).with("down", encode_frame(&beat).len()).tell();
     let framed = batches(9, 1000, |_| encode_frame(&beat));
     Line::of("lists.beat.frame").ms("cpu", &framed).tell();
--- a/crates/aspendrum-capacity/src/hollow/agent.rs
+++ b/crates/aspendrum-capacity/src/hollow/agent.rs
@@ -108,7 +108,7 @@
 
     fn say(&self, counts: &Counts, up: ToControl) {
         let stream = lock(&self.state).stream.clone();
-        let bytes = frames::encode_frame(&Envelope::<()>::Up(up));
+        let bytes = frames::encode_frame(&Envelope::<()>::Agent(up));
         if let Some(stream) = stream {
             if (&*stream).write_all(&bytes).is_ok() {
                 counts.up.fetch_add(bytes.len() as u64, Relaxed);
@@ -153,15 +153,15 @@
     fn hear(&self, counts: &Counts, down: FromControl, bytes: u64) {
         let now = Instant::now();
         let kind = match &down {
-            FromControl::News { part, .. } => part.kind(),
-            FromControl::Beat { .. } | FromControl::Anew => BEATS,
+            FromControl::Update { part, .. } => part.kind(),
+            FromControl::Heartbeat { .. } | FromControl::Resync => BEATS,
         };
         counts.down[kind].fetch_add(bytes, Relaxed);
         counts.frames[kind].fetch_add(1, Relaxed);
         let mut state = lock(&self.state);
         state.answered = Some(now);
         match down {
-            FromControl::News { number, part } => {
+            FromControl::Update { number, part } => {
                 match part {
                     StateSection::Config { version, .. } if version > state.held.config => {
                         (state.held.config, state.held.at[0]) = (version, Some(now));
@@ -179,10 +179,10 @@
                 drop(state);
                 self.say(counts, ToControl::Applied { number });
             }
-            FromControl::Beat { stamp, age, of, .. } => {
+            FromControl::Heartbeat { stamp, majority_age: age, decided: of, .. } => {
                 let asked = self.begun + Duration::from_millis(stamp);
                 let Some(age) = age else { return };
-                if of.mark.config <= state.held.config {
+                if of.revision.config <= state.held.config {
                     // What a proxy behind it would have in force, without a proxy.
                     state.applied = of;
                     state.as_of = state.as_of.max(asked.checked_sub(Duration::from_millis(age.into())));
@@ -194,7 +194,7 @@
                     state.stream.as_ref().map(|s| s.shutdown(Shutdown::Both));
                 }
             }
-            FromControl::Anew => {}
+            FromControl::Resync => {}
         }
     }
 
@@ -220,7 +220,7 @@
             state.beaten = Some(now);
             ((now - self.begun).as_millis() as u64, state.applied)
         };
-        self.say(counts, ToControl::Beat { stamp, readiness: Readiness::Ready, applied });
+        self.say(counts, ToControl::Heartbeat { stamp, readiness: Readiness::Ready, applied });
     }
 }
 
--- a/crates/aspendrum-capacity/tests/agents.rs
+++ b/crates/aspendrum-capacity/tests/agents.rs
@@ -15,8 +15,8 @@
 
 fn next(link: &mut TcpStream) -> ToControl {
     match frames::read_frame::<Envelope>(link).unwrap() {
-        Envelope::Up(up) => up,
-        Envelope::Between(()) => panic!("no agent's word"),
+        Envelope::Agent(up) => up,
+        Envelope::Peer(()) => panic!("no agent's word"),
     }
 }
 
@@ -27,7 +27,7 @@
 }
 
 fn of(config: u32) -> StateDigest {
-    StateDigest { mark: Revision { config, evacuation: 0 }, ..StateDigest::default() }
+    StateDigest { revision: Revision { config, evacuation: 0 }, ..StateDigest::default() }
 }
 
 /// Danger: hollow agents that take less than real ones do flatter control's figures.
@@ -40,23 +40,23 @@
     let mut link = taken(&listener);
     assert!(matches!(next(&mut link), ToControl::Hello { host, .. } if host == "edge-0"));
     let say = |mut link: &TcpStream, down: FromControl| link.write_all(&frames::encode_frame(&down)).unwrap();
-    say(&link, FromControl::News { number: 4, part: StateSection::config(7, vec![1, 2, 3]) });
+    say(&link, FromControl::Update { number: 4, part: StateSection::config(7, vec![1, 2, 3]) });
     let stamp = loop {
-        if let ToControl::Beat { stamp, readiness: Readiness::Ready, .. } = next(&mut link) {
+        if let ToControl::Heartbeat { stamp, readiness: Readiness::Ready, .. } = next(&mut link) {
             break stamp;
         }
     };
-    let beat = |stamp, config| FromControl::Beat {
+    let beat = |stamp, config| FromControl::Heartbeat {
         stamp,
-        age: Some(1),
-        of: of(config),
-        heard: true,
-        deserted: false,
+        majority_age: Some(1),
+        decided: of(config),
+        control_reachable: true,
+        most_agents_isolated: false,
     };
     say(&link, beat(stamp, 7));
     // What it says to be in force follows what it was told was decided, once it holds that.
     loop {
-        if let ToControl::Beat { applied, .. } = next(&mut link) {
+        if let ToControl::Heartbeat { applied, .. } = next(&mut link) {
             if applied == of(7) {
                 break;
             }
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -65,7 +65,7 @@
                 continue;
             }
             self.said += 1;
-            self.link.send(&FromControl::News { number: self.said, part: part.clone() });
+            self.link.send(&FromControl::Update { number: self.said, part: part.clone() });
             *told = Some(part.clone());
         }
     }
@@ -120,8 +120,10 @@
                 self.own_fronts_changed();
                 self.tell_agents();
             }
-            ToControl::Beat { stamp, readiness, applied } => self.agent_beat(id, stamp, readiness, applied),
-            ToControl::Moving => session.moving = true,
+            ToControl::Heartbeat { stamp, readiness, applied } => {
+                self.agent_beat(id, stamp, readiness, applied)
+            }
+            ToControl::Disconnecting => session.moving = true,
             ToControl::Applied { number } => session.applied = session.applied.max(number),
         }
     }
@@ -131,7 +133,13 @@
         let age = self.replica.as_of().map(|at| (now - at).max(0.0).ceil() as u32);
         let (of, deserted) = (self.decided, false);
         let Some(session) = self.agents.sessions.get_mut(&id) else { return };
-        session.link.send(&FromControl::Beat { stamp, age, of, heard: true, deserted });
+        session.link.send(&FromControl::Heartbeat {
+            stamp,
+            majority_age: age,
+            decided: of,
+            control_reachable: true,
+            most_agents_isolated: deserted,
+        });
         session.edition = applied;
         // Without a majority this machine may be the one that is behind.
         if age.is_some_and(|age| Ms::from(age) <= SURE) {
@@ -256,8 +264,8 @@
 fn same(told: &StateSection, now: &StateSection) -> bool {
     match (told, now) {
         (
-            StateSection::Config { version: a, seal: s, .. },
-            StateSection::Config { version: b, seal: t, .. },
+            StateSection::Config { version: a, checksum: s, .. },
+            StateSection::Config { version: b, checksum: t, .. },
         ) => (a, s) == (b, t),
         (StateSection::Servers { list: a, .. }, StateSection::Servers { list: b, .. }) => {
             let alike = |x: &Origin, y: &Origin| {
--- a/crates/aspendrum-control/src/links.rs
+++ b/crates/aspendrum-control/src/links.rs
@@ -25,7 +25,7 @@
 
 /// A message to another machine of control, as it goes over a connection.
 pub fn between(message: &PeerMessage) -> message::Envelope<&PeerMessage> {
-    message::Envelope::Between(message)
+    message::Envelope::Peer(message)
 }
 
 /// Keeps a connection to that machine for as long as it is wanted. The server is told of each new one.
@@ -88,14 +88,14 @@
     let (mut place, mut agent) = (None, false);
     while let Ok(word) = frames::read_frame::<Word>(&mut from) {
         let event = match word {
-            Word::Between(message) => {
+            Word::Peer(message) => {
                 if let PeerMessage::Hello(hello) = &message {
                     place = Some(hello.place);
                 }
                 let Some(from) = place else { return };
                 Event::PeerSaid { from, message }
             }
-            Word::Up(message) => {
+            Word::Agent(message) => {
                 if !agent {
                     let Ok(link) = Link::from_stream(stream.clone(), silence, ROOM) else { return };
                     events.send(Event::AgentConnected { id, link }, None);
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -254,12 +254,15 @@
     /// Where control is, as agents are told.
     pub(crate) fn control_addresses(&self) -> Vec<ControlAddress> {
         let now = self.now();
-        let own =
-            ControlAddress { ip: self.settings.ip, zone: self.settings.zone.clone(), up: !self.is_leaving() };
+        let own = ControlAddress {
+            ip: self.settings.ip,
+            zone: self.settings.zone.clone(),
+            reachable: !self.is_leaving(),
+        };
         let of = |(place, peer): (&Place, &Peer)| ControlAddress {
             ip: Ipv4Addr::from(*place),
             zone: peer.zone.clone(),
-            up: peer.up(now) && !peer.leaving,
+            reachable: peer.up(now) && !peer.leaving,
         };
         std::iter::once(own).chain(self.peers.0.iter().map(of)).collect()
     }
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -26,7 +26,7 @@
 
 fn edition(e: &StateDigest) -> Value {
     let digests: Vec<String> = e.digests.iter().map(|d| format!("{d:016x}")).collect();
-    json!({"gen": version(e.mark.config), "evacuations": e.mark.evacuation, "digests": digests})
+    json!({"gen": version(e.revision.config), "evacuations": e.revision.evacuation, "digests": digests})
 }
 
 /// How a machine of control stands among the others.
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -120,7 +120,7 @@
 }
 
 fn edition(config: u32, evacuation: u64, digests: [u64; 4]) -> StateDigest {
-    StateDigest { mark: Revision { config, evacuation }, digests }
+    StateDigest { revision: Revision { config, evacuation }, digests }
 }
 
 #[test]
--- a/crates/aspendrum-control/tests/processes.rs
+++ b/crates/aspendrum-control/tests/processes.rs
@@ -229,7 +229,7 @@
 
 fn version(down: &FromControl) -> Option<u32> {
     match down {
-        FromControl::News { part: StateSection::Config { version, .. }, .. } => Some(*version),
+        FromControl::Update { part: StateSection::Config { version, .. }, .. } => Some(*version),
         _ => None,
     }
 }
@@ -242,12 +242,12 @@
     let mut link = TcpStream::connect((control.ip(1), control.ports[0])).unwrap();
     link.set_read_timeout(Some(LIMIT)).unwrap();
     let say = |mut link: &TcpStream, up: ToControl| {
-        link.write_all(&frames::encode_frame(&Envelope::<()>::Up(up))).unwrap()
+        link.write_all(&frames::encode_frame(&Envelope::<()>::Agent(up))).unwrap()
     };
     let front = "10.0.0.9:80".parse().unwrap();
     say(&link, ToControl::Hello { host: "e1".into(), front, zone: "a".into() });
     let mut all = told(&mut link, |d| version(d) == Some(4));
-    let Some(FromControl::News { part: StateSection::Config { text, .. }, .. }) = all.last() else {
+    let Some(FromControl::Update { part: StateSection::Config { text, .. }, .. }) = all.last() else {
         panic!("{all:?}")
     };
     assert_eq!(unpack(text).unwrap(), config(4).into_bytes());
@@ -255,16 +255,19 @@
     control.done(2, "POST", "/api/Cfg.Set", &config(3));
     control.done(0, "POST", "/api/Cfg.Set", &config(6));
     all.extend(told(&mut link, |d| version(d) == Some(6)));
-    say(&link, ToControl::Beat { stamp: 42, readiness: Readiness::Ready, applied: StateDigest::default() });
-    let is_answer = |d: &FromControl| matches!(d, FromControl::Beat { stamp: 42, age: Some(age), of, .. } if *age < 5000 && of.mark.config == 6);
+    say(
+        &link,
+        ToControl::Heartbeat { stamp: 42, readiness: Readiness::Ready, applied: StateDigest::default() },
+    );
+    let is_answer = |d: &FromControl| matches!(d, FromControl::Heartbeat { stamp: 42, majority_age: Some(age), decided: of, .. } if *age < 5000 && of.revision.config == 6);
     all.extend(told(&mut link, is_answer));
     assert_eq!(all.iter().filter_map(version).collect::<Vec<_>>(), [4, 6]);
     // It is ready now, and hears of itself among the proxies.
-    let ready = |d: &FromControl| matches!(d, FromControl::News { part: StateSection::Proxies(f), .. } if f.iter().any(ProxyEndpoint::ready));
+    let ready = |d: &FromControl| matches!(d, FromControl::Update { part: StateSection::Proxies(f), .. } if f.iter().any(ProxyEndpoint::ready));
     all.extend(told(&mut link, ready));
     let numbers = all.iter().filter_map(|d| match d {
-        FromControl::News { number, .. } => Some(*number),
-        FromControl::Beat { .. } | FromControl::Anew => None,
+        FromControl::Update { number, .. } => Some(*number),
+        FromControl::Heartbeat { .. } | FromControl::Resync => None,
     });
     let numbers: Vec<u64> = numbers.collect();
     assert_eq!(numbers, (1..=numbers.len() as u64).collect::<Vec<_>>());
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -44,7 +44,7 @@
     let frame = frames::encode_frame(&links::between(message));
     pinned.same_bytes(name, &frame);
     let read: Envelope<PeerMessage> = frames::read_frame(&mut frame.as_slice()).unwrap();
-    let Envelope::Between(read) = read else { panic!("{name}: {read:?}") };
+    let Envelope::Peer(read) = read else { panic!("{name}: {read:?}") };
     assert_eq!(format!("{read:?}"), format!("{message:?}"), "{name}");
 }
 
@@ -86,10 +86,10 @@
     let list = vec![server(false, 0), server(true, 2500)];
     peer_message(&mut pinned, "servers", &PeerMessage::Servers { age: 1200, list });
     // What an agent says comes over the same port, told apart by the first byte.
-    let agent = frames::encode_frame(&Envelope::<PeerMessage>::Up(ToControl::Moving));
+    let agent = frames::encode_frame(&Envelope::<PeerMessage>::Agent(ToControl::Disconnecting));
     pinned.same_bytes("agent", &agent);
     let read: Envelope<PeerMessage> = frames::read_frame(&mut agent.as_slice()).unwrap();
-    assert!(matches!(read, Envelope::Up(ToControl::Moving)), "{read:?}");
+    assert!(matches!(read, Envelope::Agent(ToControl::Disconnecting)), "{read:?}");
     pinned.complete();
 }
 
--- a/crates/aspendrum-gossip/src/circle.rs
+++ b/crates/aspendrum-gossip/src/circle.rs
@@ -143,11 +143,11 @@
                 if stamp as Ms > now {
                     return Vec::new();
                 }
-                if held.mark == of.mark && held.digests != of.digests {
+                if held.revision == of.revision && held.digests != of.digests {
                     // Two texts under one number: which one holds is control's to say.
                     return Vec::new();
                 }
-                if held.mark.covers(&of.mark) {
+                if held.revision.covers(&of.revision) {
                     return vec![Act::AsOf(stamp as Ms - f64::from(age))];
                 }
                 if now - self.fetched < FETCH_EVERY {
--- a/crates/aspendrum-gossip/tests/circle.rs
+++ b/crates/aspendrum-gossip/tests/circle.rs
@@ -6,8 +6,10 @@
 
 const ME: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const NEAR: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
-const OLD: StateDigest = StateDigest { mark: Revision { config: 4, evacuation: 1 }, digests: [4, 0, 0, 0] };
-const NEW: StateDigest = StateDigest { mark: Revision { config: 7, evacuation: 1 }, digests: [7, 0, 0, 0] };
+const OLD: StateDigest =
+    StateDigest { revision: Revision { config: 4, evacuation: 1 }, digests: [4, 0, 0, 0] };
+const NEW: StateDigest =
+    StateDigest { revision: Revision { config: 7, evacuation: 1 }, digests: [7, 0, 0, 0] };
 
 fn circle() -> Circle {
     let mut circle = Circle::new(ME, 1);
@@ -67,7 +69,7 @@
     let emptied = Word::Lent {
         stamp: 1900,
         age: 0,
-        of: StateDigest { mark: Revision { evacuation: 2, ..NEW.mark }, ..NEW },
+        of: StateDigest { revision: Revision { evacuation: 2, ..NEW.revision }, ..NEW },
     };
     assert_eq!(circle.hear(2000.0, NEAR, emptied, &NEW, None), [Act::Fetch(NEAR)]);
 }
--- a/crates/aspendrum-gossip/tests/wire_bytes.rs
+++ b/crates/aspendrum-gossip/tests/wire_bytes.rs
@@ -16,7 +16,7 @@
 
 fn decided() -> StateDigest {
     let mark = Revision { config: 70_000, evacuation: 9 };
-    StateDigest { mark, digests: [1, 0x0123_4567_89ab_cdef, u64::MAX, 4] }
+    StateDigest { revision: mark, digests: [1, 0x0123_4567_89ab_cdef, u64::MAX, 4] }
 }
 
 /// One value of each variant, in the order of the fixture's lines.
--- a/crates/aspendrum-model/src/message.rs
+++ b/crates/aspendrum-model/src/message.rs
@@ -48,7 +48,7 @@
 /// texts under one number differ in these.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDigest {
-    pub mark: Revision,
+    pub revision: Revision,
     pub digests: [u64; DIGEST_SECTIONS],
 }
 
@@ -66,7 +66,7 @@
     Config {
         version: u32,
         text: Vec<u8>,
-        seal: u64,
+        checksum: u64,
     },
     /// The zones that are evacuated, and the number of the last order about any zone.
     Evacuated {
@@ -88,20 +88,20 @@
     pub ip: Ipv4Addr,
     pub zone: String,
     /// Whoever tells this has heard of it of late, and it does not end.
-    pub up: bool,
+    pub reachable: bool,
 }
 
 impl StateSection {
     /// A configuration as it is told, out of its packed text.
     pub fn config(version: u32, text: Vec<u8>) -> StateSection {
         let seal = digest(&text);
-        StateSection::Config { version, text, seal }
+        StateSection::Config { version, text, checksum: seal }
     }
 
     /// It is what whoever sealed it told.
-    pub fn whole(&self) -> bool {
+    pub fn has_valid_checksum(&self) -> bool {
         match self {
-            StateSection::Config { text, seal, .. } => digest(text) == *seal,
+            StateSection::Config { text, checksum: seal, .. } => digest(text) == *seal,
             _ => true,
         }
     }
@@ -125,23 +125,23 @@
 /// What flows down: from control to an agent, from an agent to its proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromControl {
-    News {
+    Update {
         number: u64,
         part: StateSection,
     },
     /// Answers a beat. `age`: that long ago a majority of control's disks held nothing above `of`; none if that
     /// was never so.
-    Beat {
+    Heartbeat {
         stamp: u64,
-        age: Option<u32>,
-        of: StateDigest,
+        majority_age: Option<u32>,
+        decided: StateDigest,
         /// Control is heard of; an agent says no while it has no answer of any machine of control.
-        heard: bool,
+        control_reachable: bool,
         /// Half of the agents or more have no majority's word either.
-        deserted: bool,
+        most_agents_isolated: bool,
     },
     /// Forget what was applied: all of it follows.
-    Anew,
+    Resync,
 }
 
 /// What flows up: from a proxy to its agent, from an agent to control.
@@ -150,9 +150,9 @@
     /// The first word: who speaks, and from where.
     Hello { host: String, front: SocketAddrV4, zone: String },
     /// `stamp` comes back with the answer. `applied`: what is in force at the proxy, out of its tables.
-    Beat { stamp: u64, readiness: Readiness, applied: StateDigest },
+    Heartbeat { stamp: u64, readiness: Readiness, applied: StateDigest },
     /// The last word on this connection: the agent goes to another machine of control.
-    Moving,
+    Disconnecting,
     /// All news up to that number are in force.
     Applied { number: u64 },
 }
@@ -161,6 +161,6 @@
 /// control can read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Envelope<B = ()> {
-    Up(ToControl),
-    Between(B),
+    Agent(ToControl),
+    Peer(B),
 }
--- a/crates/aspendrum-model/tests/wire_bytes.rs
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -47,7 +47,7 @@
 }
 
 fn edition() -> StateDigest {
-    StateDigest { mark: mark(), digests: [1, 0x80, 0xffff_ffff_ffff_ffff, 0] }
+    StateDigest { revision: mark(), digests: [1, 0x80, 0xffff_ffff_ffff_ffff, 0] }
 }
 
 fn front(readiness: Readiness, current: bool) -> ProxyEndpoint {
@@ -55,7 +55,7 @@
 }
 
 fn control_address() -> ControlAddress {
-    ControlAddress { ip: "10.1.0.34".parse().unwrap(), zone: "cwb-a".into(), up: true }
+    ControlAddress { ip: "10.1.0.34".parse().unwrap(), zone: "cwb-a".into(), reachable: true }
 }
 
 fn server() -> ServerInstance {
@@ -100,21 +100,26 @@
 #[test]
 fn messages_to_an_agent_or_a_proxy_keep_their_bytes() {
     for (name, part) in sections() {
-        check(&format!("down.update.{name}"), FromControl::News { number: 1000, part });
+        check(&format!("down.update.{name}"), FromControl::Update { number: 1000, part });
     }
-    let heartbeat =
-        |age, heard, deserted| FromControl::Beat { stamp: 5, age, of: edition(), heard, deserted };
+    let heartbeat = |age, heard, deserted| FromControl::Heartbeat {
+        stamp: 5,
+        majority_age: age,
+        decided: edition(),
+        control_reachable: heard,
+        most_agents_isolated: deserted,
+    };
     check("down.heartbeat.confirmed", heartbeat(Some(1500), true, false));
     check("down.heartbeat.unconfirmed", heartbeat(None, false, true));
-    check("down.resync", FromControl::Anew);
+    check("down.resync", FromControl::Resync);
 }
 
 fn messages_from_an_agent_or_a_proxy() -> [(&'static str, ToControl); 4] {
     let (host, front, zone) = ("edge-1".to_string(), "10.1.0.31:8206".parse().unwrap(), "poa-a".to_string());
     [
         ("hello", ToControl::Hello { host, front, zone }),
-        ("heartbeat", ToControl::Beat { stamp: 5, readiness: Readiness::Draining, applied: edition() }),
-        ("disconnecting", ToControl::Moving),
+        ("heartbeat", ToControl::Heartbeat { stamp: 5, readiness: Readiness::Draining, applied: edition() }),
+        ("disconnecting", ToControl::Disconnecting),
         ("applied", ToControl::Applied { number: 1000 }),
     ]
 }
@@ -129,10 +134,10 @@
 #[test]
 fn what_arrives_at_control_keeps_its_bytes() {
     for (name, message) in messages_from_an_agent_or_a_proxy() {
-        check(&format!("envelope.up.{name}"), Envelope::<()>::Up(message));
+        check(&format!("envelope.up.{name}"), Envelope::<()>::Agent(message));
     }
-    check("envelope.between.nothing", Envelope::Between(()));
-    check("envelope.between.bytes", Envelope::Between(vec![1_u8, 2, 3]));
+    check("envelope.between.nothing", Envelope::Peer(()));
+    check("envelope.between.bytes", Envelope::Peer(vec![1_u8, 2, 3]));
 }
 
 /// A line that no test reads pins nothing.
@@ -145,9 +150,9 @@
 fn sections_keep_their_numbers_and_a_damaged_configuration_is_found() {
     let kinds: Vec<usize> = sections().iter().map(|(_, section)| section.kind()).collect();
     assert_eq!(kinds, [0, 1, 2, 3, 4]);
-    assert!(sections().iter().all(|(_, section)| section.whole()));
-    let damaged = StateSection::Config { version: 12, text: b"packet".to_vec(), seal: digest(b"packed") };
-    assert!(!damaged.whole());
+    assert!(sections().iter().all(|(_, section)| section.has_valid_checksum()));
+    let damaged = StateSection::Config { version: 12, text: b"packet".to_vec(), checksum: digest(b"packed") };
+    assert!(!damaged.has_valid_checksum());
 }
 
 #[test]
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -25,7 +25,7 @@
     pub fn beat(&self, stamp: u64, readiness: Readiness, applied: StateDigest) {
         let link = lock(&self.0).clone();
         if let Some(link) = link {
-            link.send(&ToControl::Beat { stamp, readiness, applied });
+            link.send(&ToControl::Heartbeat { stamp, readiness, applied });
         }
     }
 }
@@ -43,7 +43,7 @@
                 let mut from = BufReader::with_capacity(4 << 10, &*stream);
                 while let Ok(said) = frames::read_frame::<FromControl>(&mut from) {
                     match said {
-                        FromControl::News { number, part } => {
+                        FromControl::Update { number, part } => {
                             let orders =
                                 matches!(part, StateSection::Config { .. } | StateSection::Evacuated { .. });
                             shop.desk.apply(part);
@@ -52,8 +52,14 @@
                             }
                             link.send(&ToControl::Applied { number });
                         }
-                        FromControl::Anew => shop.desk.anew(),
-                        FromControl::Beat { stamp, age, of, heard, deserted } => {
+                        FromControl::Resync => shop.desk.anew(),
+                        FromControl::Heartbeat {
+                            stamp,
+                            majority_age: age,
+                            decided: of,
+                            control_reachable: heard,
+                            most_agents_isolated: deserted,
+                        } => {
                             shop.told(stamp, age, of, deserted);
                             shop.heard(heard);
                         }
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -426,7 +426,7 @@
     pub fn apply(&self, part: StateSection) {
         let now = self.now();
         match part {
-            StateSection::Config { .. } if !part.whole() => log::warn!("event=torn_push"),
+            StateSection::Config { .. } if !part.has_valid_checksum() => log::warn!("event=torn_push"),
             StateSection::Config { version, text, .. } => {
                 match Config::read(&unpack(&text).unwrap_or_default()) {
                     Ok(config) => self.configure(config),
--- a/crates/aspendrum-proxy/tests/exchanges.rs
+++ b/crates/aspendrum-proxy/tests/exchanges.rs
@@ -228,8 +228,8 @@
     let flows = |text: &str, good: &str| assert_eq!(stage.ask(text), good);
     flows(SEND, GOOD_TO_T2);
     // Something newer was decided; an evacuation counts as a configuration does.
-    for newer in [Revision { config: 2, ..held.mark }, Revision { evacuation: 1, ..held.mark }] {
-        word(StateDigest { mark: newer, ..held }, 0.0);
+    for newer in [Revision { config: 2, ..held.revision }, Revision { evacuation: 1, ..held.revision }] {
+        word(StateDigest { revision: newer, ..held }, 0.0);
         held_back(&stage.ask(SEND));
         flows(READ, GOOD_TO_T1);
     }
@@ -256,13 +256,15 @@
     assert!(stage.shop.stand.runs_once_only(last - 251.0) && !stage.shop.stand.runs_once_only(last - 250.0));
     assert_eq!(stage.seen().iter().filter(|s| s.starts_with("POST")).count(), 3);
     // A torn push is not applied, and the tables serve on as they are.
-    let StateSection::Config { version, seal, .. } = StateSection::config(1, pack(CONFIG.as_bytes())) else {
+    let StateSection::Config { version, checksum: seal, .. } =
+        StateSection::config(1, pack(CONFIG.as_bytes()))
+    else {
         return;
     };
     stage.shop.desk.apply(StateSection::Config {
         version: version + 1,
         text: pack(corrupt.as_bytes()),
-        seal,
+        checksum: seal,
     });
     stage.shop.desk.anew();
     stage.shop.collate();
--- a/crates/aspendrum-proxy/tests/process.rs
+++ b/crates/aspendrum-proxy/tests/process.rs
@@ -115,19 +115,24 @@
     let front = SocketAddrV4::new(IP, FRONT_PORT);
     let hello = ToControl::Hello { host: "edge-1".into(), front, zone: "poa-a".into() };
     assert_eq!(frames::read_frame::<ToControl>(&mut agent).unwrap(), hello);
-    let ToControl::Beat { readiness, applied, .. } = frames::read_frame::<ToControl>(&mut agent).unwrap()
+    let ToControl::Heartbeat { readiness, applied, .. } =
+        frames::read_frame::<ToControl>(&mut agent).unwrap()
     else {
         panic!("a heartbeat follows")
     };
-    assert_eq!((readiness, applied.mark.config), (Readiness::Closed, 0));
+    assert_eq!((readiness, applied.revision.config), (Readiness::Closed, 0));
     let mut applied_in_order = Vec::new();
     for (number, part) in (1..).zip(updates(front)) {
-        agent.write_all(&encode_frame(&FromControl::News { number, part })).unwrap();
+        agent.write_all(&encode_frame(&FromControl::Update { number, part })).unwrap();
     }
     loop {
         match frames::read_frame::<ToControl>(&mut agent).unwrap() {
             ToControl::Applied { number } => applied_in_order.push(number),
-            ToControl::Beat { readiness: Readiness::Ready, applied, .. } if applied.mark.config == 1 => break,
+            ToControl::Heartbeat { readiness: Readiness::Ready, applied, .. }
+                if applied.revision.config == 1 =>
+            {
+                break
+            }
             _ => {}
         }
     }
--- a/crates/aspendrum-reconcile/examples/nights/mod.rs
+++ b/crates/aspendrum-reconcile/examples/nights/mod.rs
@@ -82,7 +82,7 @@
 }
 
 fn at(config: u32) -> StateDigest {
-    StateDigest { mark: Revision { config, evacuation: 0 }, digests: [u64::from(config) * 7919, 1, 1, 1] }
+    StateDigest { revision: Revision { config, evacuation: 0 }, digests: [u64::from(config) * 7919, 1, 1, 1] }
 }
 
 impl Night {
@@ -134,8 +134,8 @@
         while self.now < end {
             if self.now >= change && self.now >= self.control_lost {
                 change = self.now + gap * (0.2 + 1.6 * self.rng.f64());
-                self.decided = at(self.decided.mark.config + 1 + self.rng.u32(0..3));
-                self.history.push((self.decided.mark.config, self.now));
+                self.decided = at(self.decided.revision.config + 1 + self.rng.u32(0..3));
+                self.history.push((self.decided.revision.config, self.now));
             }
             if self.now >= fault {
                 fault = self.now + 60_000.0;
@@ -205,10 +205,10 @@
         let pushed = now >= faults.push;
         let node = &mut self.nodes[n];
         if hears {
-            if pushed && self.decided.mark != node.held.mark {
+            if pushed && self.decided.revision != node.held.revision {
                 node.held = self.decided;
             }
-            if self.kind == Kind::TrustsPushes || node.held.mark == self.decided.mark {
+            if self.kind == Kind::TrustsPushes || node.held.revision == self.decided.revision {
                 let as_of = now - OLDEST * self.rng.f64();
                 // A word is of its moment: nothing that was decided since is covered by it.
                 let covers = self.history.last().is_some_and(|h| h.1 <= as_of);
@@ -276,7 +276,7 @@
         let fed = now >= node.faults.feed;
         if now >= node.faults.agent {
             // A push, once; what the tables hold is mended when they are seen to differ.
-            if fed && node.held.mark != node.tables.mark {
+            if fed && node.held.revision != node.tables.revision {
                 (node.tables, node.collated) = (node.held, (now, node.held));
             }
             let word = Word { decided: node.held, as_of: now };
@@ -300,11 +300,11 @@
         } else if now - node.collated.0 >= COLLATED {
             // Without its agent it goes by what it was told; its tables are its own.
             node.collated = (now, node.tables);
-            if node.collated.1 != at(node.tables.mark.config) {
+            if node.collated.1 != at(node.tables.revision.config) {
                 node.verdict.standing = Standing::Differs;
             }
         }
-        let wrong = node.tables != at(node.tables.mark.config);
+        let wrong = node.tables != at(node.tables.revision.config);
         node.since_wrong = wrong.then(|| node.since_wrong.unwrap_or(now));
         let (current, runs) = (node.tables == self.decided, node.verdict.runs_once_only(now));
         match &mut node.differs {
@@ -331,7 +331,7 @@
             self.held += 1;
             return;
         }
-        let newer = self.history.iter().rev().take_while(|h| h.0 > node.tables.mark.config).last();
+        let newer = self.history.iter().rev().take_while(|h| h.0 > node.tables.revision.config).last();
         let late = newer.map_or(0.0, |h| now - h.1);
         let deserted = node.verdict.until - node.as_of.unwrap_or(now) > APPLY;
         let bound = if deserted { APPLY + STRETCH } else { APPLY };
--- a/crates/aspendrum-reconcile/src/edition.rs
+++ b/crates/aspendrum-reconcile/src/edition.rs
@@ -59,7 +59,7 @@
 pub fn edition(config: Option<&Config>, number: u64, zones: &[String]) -> StateDigest {
     let mark = Revision { config: config.map_or(0, |c| c.version), evacuation: number };
     let evacuations = sum(zones.iter().map(|z| Form::default().text(z)));
-    let Some(config) = config else { return StateDigest { mark, digests: [0, 0, 0, evacuations] } };
+    let Some(config) = config else { return StateDigest { revision: mark, digests: [0, 0, 0, evacuations] } };
     let routes = config.places().map(|(host, prefix, n)| {
         let r = &config.routes[n];
         let form = Form::default().text(host).text(prefix).number(f64::from(u8::from(r.repeatable)));
@@ -80,5 +80,5 @@
     });
     let bound = std::iter::once(Form::default().number(f64::from(u8::from(config.tenants.is_some()))));
     let digests = [sum(routes), sum(services), sum(bound.chain(tenants)), evacuations];
-    StateDigest { mark, digests }
+    StateDigest { revision: mark, digests }
 }
--- a/crates/aspendrum-reconcile/src/verdict.rs
+++ b/crates/aspendrum-reconcile/src/verdict.rs
@@ -74,12 +74,13 @@
         let Some(word) = word else { return Verdict::NONE };
         let until = word.as_of + if deserted { bounds.stretched } else { bounds.lasts };
         let decided = &word.decided;
-        let standing = match (applied.mark.covers(&decided.mark), applied.mark == decided.mark) {
-            (false, _) => Standing::Behind,
-            (true, true) if applied.digests != decided.digests => Standing::Differs,
-            // What it applied is newer than the word; only what was decided is ever told.
-            (true, _) => Standing::Current,
-        };
+        let standing =
+            match (applied.revision.covers(&decided.revision), applied.revision == decided.revision) {
+                (false, _) => Standing::Behind,
+                (true, true) if applied.digests != decided.digests => Standing::Differs,
+                // What it applied is newer than the word; only what was decided is ever told.
+                (true, _) => Standing::Current,
+            };
         Verdict { standing, until }
     }
 
--- a/crates/aspendrum-reconcile/tests/collation.rs
+++ b/crates/aspendrum-reconcile/tests/collation.rs
@@ -58,7 +58,7 @@
 const BOUNDS: Bounds = Bounds { lasts: 2000.0, stretched: 10_000.0 };
 
 fn at(config: u32, digest: u64) -> StateDigest {
-    StateDigest { mark: Revision { config, evacuation: 1 }, digests: [digest, 0, 0, 0] }
+    StateDigest { revision: Revision { config, evacuation: 1 }, digests: [digest, 0, 0, 0] }
 }
 
 fn word(config: u32, digest: u64, as_of: f64) -> Word {
@@ -75,7 +75,7 @@
     assert_eq!(of(at(4, 8), Some(word(4, 9, 1000.0))).at(1500.0), Standing::Differs);
     // The word is older than what was applied since: what is told is decided.
     assert_eq!(of(at(7, 8), Some(word(4, 9, 1000.0))).at(1500.0), Standing::Current);
-    let emptied = StateDigest { mark: Revision { config: 4, evacuation: 2 }, digests: [9, 0, 0, 5] };
+    let emptied = StateDigest { revision: Revision { config: 4, evacuation: 2 }, digests: [9, 0, 0, 5] };
     let decided = Word { decided: emptied, as_of: 1000.0 };
     assert_eq!(of(at(4, 9), Some(decided)).at(1500.0), Standing::Behind);
     assert_eq!(of(at(4, 9), None).at(0.0), Standing::Alone);
--- a/crates/aspendrum-reconcile/tests/model.rs
+++ b/crates/aspendrum-reconcile/tests/model.rs
@@ -54,7 +54,7 @@
 
 fn edition(version: u8) -> StateDigest {
     StateDigest {
-        mark: Revision { config: u32::from(version), evacuation: 0 },
+        revision: Revision { config: u32::from(version), evacuation: 0 },
         digests: [u64::from(version), 0, 0, 0],
     }
 }
--- a/crates/aspendrum-reconcile/tests/wire_bytes.rs
+++ b/crates/aspendrum-reconcile/tests/wire_bytes.rs
@@ -11,7 +11,7 @@
 
 fn line(name: &str, edition: &StateDigest) -> String {
     let digests: Vec<String> = edition.digests.iter().map(|digest| format!("{digest:016x}")).collect();
-    let mark = &edition.mark;
+    let mark = &edition.revision;
     format!("{name} {} {} {}", mark.config, mark.evacuation, digests.join(" "))
 }
 
--- a/crates/aspendrum-rig/src/system/tamper.rs
+++ b/crates/aspendrum-rig/src/system/tamper.rs
@@ -148,16 +148,20 @@
 }
 
 fn is_config(word: &FromControl) -> bool {
-    matches!(word, FromControl::News { part: StateSection::Config { .. }, .. })
+    matches!(word, FromControl::Update { part: StateSection::Config { .. }, .. })
 }
 
 fn torn(word: FromControl, [one, other]: [&str; 2]) -> FromControl {
-    let FromControl::News { number, part: StateSection::Config { version, text, seal } } = word else {
+    let FromControl::Update { number, part: StateSection::Config { version, text, checksum: seal } } = word
+    else {
         return word;
     };
     let named = |s: &str| format!("\"svc\":\"{s}\"");
     let text = String::from_utf8(unpack(&text).unwrap_or_default()).unwrap_or_default();
     let text = text.replace(&named(one), "\"svc\":\"?\"").replace(&named(other), &named(one));
     let text = text.replace("\"svc\":\"?\"", &named(other));
-    FromControl::News { number, part: StateSection::Config { version, text: pack(text.as_bytes()), seal } }
+    FromControl::Update {
+        number,
+        part: StateSection::Config { version, text: pack(text.as_bytes()), checksum: seal },
+    }
 }
