--- a/crates/aspendrum-agent/src/desk.rs
+++ b/crates/aspendrum-agent/src/desk.rs
@@ -333,7 +333,7 @@
                 Some(StateSection::Evacuated { number: old, .. }),
             ) => new > old,
             (StateSection::Servers { age, list }, _) => {
-                self.roster.take(now, list.clone(), now - f64::from(*age));
+                self.roster.replace(now, list.clone(), now - f64::from(*age));
                 true
             }
             (StateSection::Proxies(fronts), _) => {
@@ -374,8 +374,8 @@
     /// One kind of what is held, as it is to be told now.
     fn told(&self, kind: usize) -> Option<StateSection> {
         let (now, mut part) = (self.now(), self.held[kind].clone()?);
-        if let (StateSection::Servers { age, list }, Some(polled)) = (&mut part, self.roster.polled) {
-            (*age, *list) = ((now - polled).max(0.0) as u32, self.roster.told(now));
+        if let (StateSection::Servers { age, list }, Some(polled)) = (&mut part, self.roster.polled_at) {
+            (*age, *list) = ((now - polled).max(0.0) as u32, self.roster.snapshot(now));
         }
         Some(part)
     }
--- a/crates/aspendrum-capacity/src/cores/model.rs
+++ b/crates/aspendrum-capacity/src/cores/model.rs
@@ -5,7 +5,7 @@
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{Envelope, FromControl, Readiness, StateDigest, StateSection, ToControl};
 use aspendrum_model::packed::{pack, unpack};
-use aspendrum_model::servers::{page, ServerInstance, ServerList};
+use aspendrum_model::servers::{parse_page, ServerInstance, ServerList};
 use aspendrum_net::frames::encode_frame;
 use aspendrum_reconcile::edition;
 
@@ -57,7 +57,8 @@
             part: StateSection::Servers { age: 0, list: list.clone() },
         });
         line("lists.bytes").with("pages", pages.len()).with("json", bytes).with("frame", told.len()).tell();
-        let read = || pages.iter().filter_map(|p| page(p.as_bytes()).ok()).map(|p| p.0.len()).sum::<usize>();
+        let read =
+            || pages.iter().filter_map(|p| parse_page(p.as_bytes()).ok()).map(|p| p.0.len()).sum::<usize>();
         line("lists.pages.read").ms("cpu", &each(15, |_| read())).tell();
         let (_list, held, _) = memory(|| list.clone());
         line("lists.memory").mb("held", held).tell();
@@ -69,9 +70,9 @@
             list.iter().enumerate().map(drains).collect()
         };
         let lists: Vec<Vec<ServerInstance>> = (0..16).map(turned).collect();
-        let taken = each(16, |n| roster.take(n as f64 * 1000.0, lists[n].clone(), n as f64 * 1000.0));
+        let taken = each(16, |n| roster.replace(n as f64 * 1000.0, lists[n].clone(), n as f64 * 1000.0));
         line("lists.roster.take").ms("cpu", &taken).tell();
-        line("lists.roster.told").ms("cpu", &each(15, |_| roster.told(20_000.0))).tell();
+        line("lists.roster.told").ms("cpu", &each(15, |_| roster.snapshot(20_000.0))).tell();
     }
     for size in GRADES {
         let fronts = sizes::fronts(size.limiters);
--- a/crates/aspendrum-capacity/tests/sizes.rs
+++ b/crates/aspendrum-capacity/tests/sizes.rs
@@ -3,7 +3,7 @@
 use aspendrum_capacity::measure::Samples;
 use aspendrum_capacity::sizes::{self, Size, GRADES, REGIONS, ZONES};
 use aspendrum_model::config::Config;
-use aspendrum_model::servers::page;
+use aspendrum_model::servers::parse_page;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Danger: a figure for 35,000 tenants out of a text that holds fewer, or that control would refuse.
@@ -49,7 +49,7 @@
 #[test]
 fn a_page_is_read_as_the_platforms_is() {
     let list = sizes::servers(&GRADES[0], sizes::apart);
-    let (read, next) = page(sizes::page(&list[..50], Some("p-50".into())).as_bytes()).unwrap();
+    let (read, next) = parse_page(sizes::page(&list[..50], Some("p-50".into())).as_bytes()).unwrap();
     assert_eq!((read, next.as_deref()), (list[..50].to_vec(), Some("p-50")));
 }
 
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -20,7 +20,7 @@
         if answer.status != 200 {
             return Err(format!("status {}", answer.status));
         }
-        let (page, next) = servers::page(&answer.body)?;
+        let (page, next) = servers::parse_page(&answer.body)?;
         all.extend(page);
         token = next;
         if token.is_none() {
--- a/crates/aspendrum-control/src/servers.rs
+++ b/crates/aspendrum-control/src/servers.rs
@@ -49,14 +49,14 @@
 
     /// What another machine is told of the list, if there is one.
     pub fn message(&self, now: Ms) -> Option<PeerMessage> {
-        let polled = self.roster.polled?;
-        Some(PeerMessage::Servers { age: (now - polled).max(0.0) as u32, list: self.roster.told(now) })
+        let polled = self.roster.polled_at?;
+        Some(PeerMessage::Servers { age: (now - polled).max(0.0) as u32, list: self.roster.snapshot(now) })
     }
 
     /// What agents are told of it.
     pub fn part(&self, now: Ms) -> Option<StateSection> {
-        let polled = self.roster.polled?;
-        Some(StateSection::Servers { age: (now - polled).max(0.0) as u32, list: self.roster.told(now) })
+        let polled = self.roster.polled_at?;
+        Some(StateSection::Servers { age: (now - polled).max(0.0) as u32, list: self.roster.snapshot(now) })
     }
 }
 
@@ -83,7 +83,7 @@
     pub(crate) fn take_servers(&mut self, list: Vec<Origin>, polled: Ms, own: bool) {
         self.servers.read_at(polled);
         let now = self.now();
-        if !self.servers.roster.take(now, list, polled) {
+        if !self.servers.roster.replace(now, list, polled) {
             return;
         }
         if let Some(message) = self.servers.message(now).filter(|_| own) {
--- a/crates/aspendrum-model/src/hash.rs
+++ b/crates/aspendrum-model/src/hash.rs
@@ -13,6 +13,6 @@
 }
 
 /// Who of them stands first for the key.
-pub fn first<T: Copy>(key: u64, members: impl Iterator<Item = (u64, T)>) -> Option<T> {
+pub fn highest_ranked<T: Copy>(key: u64, members: impl Iterator<Item = (u64, T)>) -> Option<T> {
     members.max_by_key(|m| (rank(key, m.0), m.0)).map(|m| m.1)
 }
--- a/crates/aspendrum-model/src/servers.rs
+++ b/crates/aspendrum-model/src/servers.rs
@@ -40,7 +40,7 @@
 
 /// A page's servers, and the token of the page that follows. An error says what cannot be read; nothing of
 /// such a page is of any use.
-pub fn page(text: &[u8]) -> Result<(Vec<ServerInstance>, Option<String>), String> {
+pub fn parse_page(text: &[u8]) -> Result<(Vec<ServerInstance>, Option<String>), String> {
     let page: Page = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let servers = page.servers.into_iter().map(|e| ServerInstance {
         draining: e.phase != "up",
@@ -60,7 +60,7 @@
 pub struct ServerList {
     servers: BTreeMap<String, (ServerInstance, f64)>,
     /// When the platform was asked for it, by the keeper's clock.
-    pub polled: Option<f64>,
+    pub polled_at: Option<f64>,
 }
 
 /// The end of a cold time is known to the list's own grain: less than this is no news.
@@ -69,11 +69,11 @@
 impl ServerList {
     /// Takes a whole list in that the platform was asked for at `polled` and that is said now. True: something in
     /// it is new.
-    pub fn take(&mut self, now: f64, list: Vec<ServerInstance>, polled: f64) -> bool {
-        if self.polled.is_some_and(|last| last >= polled) {
+    pub fn replace(&mut self, now: f64, list: Vec<ServerInstance>, polled: f64) -> bool {
+        if self.polled_at.is_some_and(|last| last >= polled) {
             return false;
         }
-        self.polled = Some(polled);
+        self.polled_at = Some(polled);
         let mut next = BTreeMap::new();
         for mut server in list {
             let left = f64::from(std::mem::take(&mut server.warm_left_ms));
@@ -91,7 +91,7 @@
     }
 
     /// The list as it is said now.
-    pub fn told(&self, now: f64) -> Vec<ServerInstance> {
+    pub fn snapshot(&self, now: f64) -> Vec<ServerInstance> {
         let left = |end: f64| (end - now).max(0.0) as u32;
         self.servers
             .values()
--- a/crates/aspendrum-model/tests/config.rs
+++ b/crates/aspendrum-model/tests/config.rs
@@ -1,7 +1,7 @@
 //! Configurations and settings: what is read, and what is refused.
 
 use aspendrum_model::config::{Config, ConfigError};
-use aspendrum_model::servers::{page, ServerInstance, ServerList};
+use aspendrum_model::servers::{parse_page, ServerInstance, ServerList};
 use aspendrum_model::settings::Settings;
 use test_case::test_case;
 
@@ -91,10 +91,10 @@
 #[test]
 fn a_page_of_the_list_is_read_whole_or_not_at_all() {
     let text = r#"{"servers":[{"svc":"s1","addr":"10.128.0.9:8080","az":"poa-a","gen":"v1","slots":2,"phase":"drain","warm-left-ms":1200,"uid":"i-7"}],"next":"p-50"}"#;
-    let (servers, next) = page(text.as_bytes()).unwrap();
+    let (servers, next) = parse_page(text.as_bytes()).unwrap();
     assert_eq!((servers[0].uid.as_str(), servers[0].draining, servers[0].warm_left_ms), ("i-7", true, 1200));
     assert_eq!(next.as_deref(), Some("p-50"));
-    assert!(page(text.replace("10.128.0.9:8080", "there").as_bytes()).is_err());
+    assert!(parse_page(text.replace("10.128.0.9:8080", "there").as_bytes()).is_err());
 }
 
 fn server(uid: &str, warm_left_ms: u32) -> ServerInstance {
@@ -107,12 +107,15 @@
 #[test]
 fn a_roster_takes_newer_lists_only_and_cold_times_running_down_are_no_news() {
     let mut roster = ServerList::default();
-    assert!(roster.take(110.0, vec![server("a", 3000)], 100.0));
-    assert!(!roster.take(1110.0, vec![server("a", 2000)], 1100.0));
-    assert_eq!(roster.told(1610.0)[0].warm_left_ms, 1500);
-    assert!(!roster.take(1200.0, vec![server("b", 0)], 900.0), "an older list");
-    assert!(!roster.take(4010.0, vec![server("a", 0)], 4000.0), "its cold time has run out as it was told");
-    assert!(roster.take(5010.0, vec![server("a", 3000)], 5000.0), "cold again");
+    assert!(roster.replace(110.0, vec![server("a", 3000)], 100.0));
+    assert!(!roster.replace(1110.0, vec![server("a", 2000)], 1100.0));
+    assert_eq!(roster.snapshot(1610.0)[0].warm_left_ms, 1500);
+    assert!(!roster.replace(1200.0, vec![server("b", 0)], 900.0), "an older list");
+    assert!(
+        !roster.replace(4010.0, vec![server("a", 0)], 4000.0),
+        "its cold time has run out as it was told"
+    );
+    assert!(roster.replace(5010.0, vec![server("a", 3000)], 5000.0), "cold again");
 }
 
 /// Danger: a list passed on through control and agent, each time with its age taken off the cold times, made
@@ -120,9 +123,9 @@
 #[test]
 fn a_cold_time_is_the_same_wherever_the_list_is_passed_on() {
     let (mut control, mut agent) = (ServerList::default(), ServerList::default());
-    control.take(1000.0, vec![server("a", 3000)], 990.0);
+    control.replace(1000.0, vec![server("a", 3000)], 990.0);
     // 700 ms later an agent's link comes up; its clock began elsewhere.
-    let (age, list) = (1700.0 - 990.0, control.told(1700.0));
-    agent.take(50.0, list, 50.0 - age);
-    assert_eq!(agent.told(50.0)[0].warm_left_ms, 2300);
+    let (age, list) = (1700.0 - 990.0, control.snapshot(1700.0));
+    agent.replace(50.0, list, 50.0 - age);
+    assert_eq!(agent.snapshot(50.0)[0].warm_left_ms, 2300);
 }
--- a/crates/aspendrum-model/tests/wire_bytes.rs
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -1,7 +1,7 @@
 //! The bytes that processes of different versions exchange. Postcard writes a variant's position and a struct's fields
 //! in their order: the fixture of bytes stays as it is, whatever a type or a field is called.
 
-use aspendrum_model::hash::{digest, first, rank};
+use aspendrum_model::hash::{digest, highest_ranked, rank};
 use aspendrum_model::message::{
     ControlAddress, Envelope, FromControl, ProxyEndpoint, Readiness, Revision, StateDigest, StateSection,
     ToControl,
@@ -185,9 +185,9 @@
     assert_eq!(digest(b"aspendrum"), DIGEST);
     assert_eq!([rank(1, 2), rank(2, 1)], RANKS);
     let members = || [10, 20, 30].into_iter().map(|member| (member, member));
-    let owners: Vec<u64> = (0..16).filter_map(|key| first(key, members())).collect();
+    let owners: Vec<u64> = (0..16).filter_map(|key| highest_ranked(key, members())).collect();
     assert_eq!(owners, OWNERS);
-    assert_eq!(first::<u64>(1, std::iter::empty()), None);
+    assert_eq!(highest_ranked::<u64>(1, std::iter::empty()), None);
 }
 
 /// Packed configurations are digested as they are and lie on disks: a text is packed as before, and what was packed
--- a/crates/aspendrum-proxy/src/counts.rs
+++ b/crates/aspendrum-proxy/src/counts.rs
@@ -2,7 +2,7 @@
 //! datagram asks, one answers; the module decides by the total. No I/O, no clock.
 
 use aspendrum_core::api::Ms;
-use aspendrum_model::hash::first;
+use aspendrum_model::hash::highest_ranked;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -211,7 +211,7 @@
 
     /// Who holds a name; none while no proxy is known.
     pub fn holder(&self, name: u64) -> Option<Ipv4Addr> {
-        first(name, self.holders.iter().map(|h| (u64::from(u32::from(*h)), *h)))
+        highest_ranked(name, self.holders.iter().map(|h| (u64::from(u32::from(*h)), *h)))
     }
 
     /// Begins a call; the number that its answer bears.
