--- a/crates/aspendrum-net/src/http1.rs
+++ b/crates/aspendrum-net/src/http1.rs
@@ -188,7 +188,7 @@
             Parsed::Invalid(_) => Parsed::Invalid(400),
         },
         Ok(BodyLength::Unknown) => Parsed::Complete((at, Vec::new())),
-        Err(Doubt) => Parsed::Invalid(400),
+        Err(FramingError) => Parsed::Invalid(400),
     }
 }
 
