--- a/crates/aspendrum-benchmarks/src/hollow/fleet.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/fleet.rs
@@ -3,8 +3,8 @@
 
 use super::Plan;
 use crate::sizes::{self, region, zone};
-use aspendrum_links::{Fault, Relay};
-use aspendrum_rig::process::{build, Process, Start};
+use aspendrum_fault_proxy::{Fault, Relay};
+use aspendrum_testbed::process::{build, Process, Start};
 use serde_json::{json, Map, Value};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 const CTL: u16 = 28_200;
 const DIR: u16 = 28_201;
 const READYZ: u16 = 28_203;
-/// Bytes that a link of [`aspendrum_links`] takes at once: after each it waits for its delay.
+/// Bytes that a link of [`aspendrum_fault_proxy`] takes at once: after each it waits for its delay.
 const CHUNK: f64 = 16_384.0;
 
 /// One process of the system and where its log is.
--- a/crates/aspendrum-benchmarks/src/main.rs
+++ b/crates/aspendrum-benchmarks/src/main.rs
@@ -1,6 +1,6 @@
 //! The command line. Everything else is in the library.
 
-use aspendrum_capacity::{cores, hollow};
+use aspendrum_benchmarks::{cores, hollow};
 use bpaf::Bpaf;
 use std::process::ExitCode;
 
--- a/crates/aspendrum-benchmarks/tests/agents.rs
+++ b/crates/aspendrum-benchmarks/tests/agents.rs
@@ -1,6 +1,6 @@
 //! Hollow agents before a control of the test's own: they say and heed what agents do.
 
-use aspendrum_capacity::hollow::agent::{self, Counts};
+use aspendrum_benchmarks::hollow::agent::{self, Counts};
 use aspendrum_model::message::{
     Envelope, FromControl, Readiness, Revision, StateDigest, StateSection, ToControl,
 };
--- a/crates/aspendrum-benchmarks/tests/sizes.rs
+++ b/crates/aspendrum-benchmarks/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! The texts and lists that are measured are what they are said to be.
 
-use aspendrum_capacity::measure::Samples;
-use aspendrum_capacity::sizes::{self, Size, GRADES, REGIONS, ZONES};
+use aspendrum_benchmarks::measure::Samples;
+use aspendrum_benchmarks::sizes::{self, Size, GRADES, REGIONS, ZONES};
 use aspendrum_model::config::Config;
 use aspendrum_model::servers::parse_page;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/aspendrum-checker/tests/common/mod.rs
+++ b/crates/aspendrum-checker/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! What the judge's tests share.
 
-use aspendrum_judge::system::Bounds;
+use aspendrum_checker::system::Bounds;
 
 /// Terms without a bound on keys that were taken away.
 pub const BOUNDS: Bounds = Bounds {
--- a/crates/aspendrum-checker/tests/departures.rs
+++ b/crates/aspendrum-checker/tests/departures.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use aspendrum_judge::departures::{departed, Departed};
-use aspendrum_judge::system::*;
+use aspendrum_checker::departures::{departed, Departed};
+use aspendrum_checker::system::*;
 use common::BOUNDS;
 use std::collections::HashMap;
 
--- a/crates/aspendrum-checker/tests/judge.rs
+++ b/crates/aspendrum-checker/tests/judge.rs
@@ -1,8 +1,8 @@
 //! The judge on records that are sound but for one thing: each rule is broken once and must be found, and the
 //! sound record and what is excused must not be.
 
-use aspendrum_judge::record::*;
-use aspendrum_judge::{judge, quota, Record, Verdict};
+use aspendrum_checker::record::*;
+use aspendrum_checker::{judge, quota, Record, Verdict};
 
 const REPEATABLE: usize = 0;
 const KEYED: usize = 1;
--- a/crates/aspendrum-checker/tests/orders.rs
+++ b/crates/aspendrum-checker/tests/orders.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use aspendrum_judge::orders::*;
-use aspendrum_judge::system::*;
+use aspendrum_checker::orders::*;
+use aspendrum_checker::system::*;
 use common::BOUNDS;
 use std::sync::Arc;
 
--- a/crates/aspendrum-checker/tests/system.rs
+++ b/crates/aspendrum-checker/tests/system.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use aspendrum_judge::orders::Evacuation;
-use aspendrum_judge::system::*;
+use aspendrum_checker::orders::Evacuation;
+use aspendrum_checker::system::*;
 
 const BOUNDS: Bounds = Bounds { revoke: Some(5000.0), ..common::BOUNDS };
 
--- a/crates/aspendrum-core/src/control/keepers.rs
+++ b/crates/aspendrum-core/src/control/keepers.rs
@@ -12,7 +12,7 @@
 use crate::state::*;
 use crate::word::Word;
 use crate::word::{Stamp, Whose};
-use aspendrum_shared::{Gift, Purse, Terms, UNIT};
+use aspendrum_token_bucket::{Gift, Purse, Terms, UNIT};
 
 /// Limiters of a customer's set that may keep its count, one after another as those before fall silent.
 const KEEPERS: u32 = 3;
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::api::*;
 use crate::word::Word;
-use aspendrum_shared::Purse;
+use aspendrum_token_bucket::Purse;
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
--- a/crates/aspendrum-fake-services/src/discovery.rs
+++ b/crates/aspendrum-fake-services/src/discovery.rs
@@ -2,7 +2,7 @@
 //! silences. What each agent wrote to its limiter is recorded.
 
 use crate::{http, lock, Clock};
-use aspendrum_judge::record::{Ms, Told};
+use aspendrum_checker::record::{Ms, Told};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 use std::io;
--- a/crates/aspendrum-fake-services/src/origin.rs
+++ b/crates/aspendrum-fake-services/src/origin.rs
@@ -3,7 +3,7 @@
 
 use crate::host::Host;
 use crate::{http, lock, Clock};
-use aspendrum_judge::system::Run;
+use aspendrum_checker::system::Run;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::io;
--- a/crates/aspendrum-fake-services/src/server.rs
+++ b/crates/aspendrum-fake-services/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::host::Host;
 use crate::{http, lock, Clock};
-use aspendrum_judge::record::{Fate, Forward, Life, Ms, Repeats};
+use aspendrum_checker::record::{Fate, Forward, Life, Ms, Repeats};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use socket2::SockRef;
--- a/crates/aspendrum-fake-services/tests/standins.rs
+++ b/crates/aspendrum-fake-services/tests/standins.rs
@@ -1,11 +1,11 @@
 //! The stand-ins against a client that speaks the protocol plainly: each does what it is for, fails as it is
 //! told to, and records what reached it.
 
-use aspendrum_judge::record::{Fate, Repeats};
-use aspendrum_standins::counter::{self, Counter};
-use aspendrum_standins::discovery::{Discovery, Health};
-use aspendrum_standins::server::{self, Server, Shared};
-use aspendrum_standins::{http, Clock};
+use aspendrum_checker::record::{Fate, Repeats};
+use aspendrum_fake_services::counter::{self, Counter};
+use aspendrum_fake_services::discovery::{Discovery, Health};
+use aspendrum_fake_services::server::{self, Server, Shared};
+use aspendrum_fake_services::{http, Clock};
 use serde_json::Value;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
--- a/crates/aspendrum-fault-proxy/tests/mesh.rs
+++ b/crates/aspendrum-fault-proxy/tests/mesh.rs
@@ -1,6 +1,6 @@
 //! Datagrams over links that lose, delay, repeat and cut.
 
-use aspendrum_links::{Fault, Mesh};
+use aspendrum_fault_proxy::{Fault, Mesh};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::net::UdpSocket;
--- a/crates/aspendrum-fault-proxy/tests/relay.rs
+++ b/crates/aspendrum-fault-proxy/tests/relay.rs
@@ -1,6 +1,6 @@
 //! Streams over a link that is whole, cut, refusing or reset.
 
-use aspendrum_links::{Fault, Relay};
+use aspendrum_fault_proxy::{Fault, Relay};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
--- a/crates/aspendrum-known-failures/src/main.rs
+++ b/crates/aspendrum-known-failures/src/main.rs
@@ -1,6 +1,6 @@
-//! `known-red`, the tests' part of `.ci/run`. Ends with 0 if every test passed but those that are listed.
+//! `known-failures`, the tests' part of `.ci/run`. Ends with 0 if every test passed but those that are listed.
 
-use aspendrum_known_red::{came, holds, program, programs, read, runs, Came, Listed, Program, FILE};
+use aspendrum_known_failures::{came, holds, program, programs, read, runs, Came, Listed, Program, FILE};
 use bpaf::Bpaf;
 use std::io::{ErrorKind, Read};
 use std::path::{Path, PathBuf};
@@ -25,7 +25,7 @@
     match play(&line().run().root) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("known-red: {why}");
+            eprintln!("known-failures: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/aspendrum-known-failures/tests/list.rs
+++ b/crates/aspendrum-known-failures/tests/list.rs
@@ -1,6 +1,6 @@
 //! The list of known red tests: what is refused, and that exactly the listed tests are left out.
 
-use aspendrum_known_red::*;
+use aspendrum_known_failures::*;
 use std::path::PathBuf;
 
 const GOOD: &str = "aspendrum-control::processes a::b, voters are settled once, and never change, #42\n";
--- a/crates/aspendrum-known-failures/tests/workspace.rs
+++ b/crates/aspendrum-known-failures/tests/workspace.rs
@@ -20,7 +20,7 @@
 }
 
 fn play(at: &Path) -> (Output, String) {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_known-red"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_known-failures"));
     command.arg(at).env("CARGO_NET_OFFLINE", "true").env("CARGO_TARGET_DIR", at.join("target"));
     let done = command.output().unwrap();
     let text = String::from_utf8_lossy(&done.stdout).into_owned() + &String::from_utf8_lossy(&done.stderr);
--- a/crates/aspendrum-simulator-adapter/src/main.rs
+++ b/crates/aspendrum-simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Reads batches from standard input, hands each event to its instance, writes one reply a batch.
 
-use aspendrum_wirehost::host::Host;
+use aspendrum_simulator_adapter::host::Host;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
@@ -8,7 +8,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("aspendrum-wirehost: {text}");
+            eprintln!("aspendrum-simulator-adapter: {text}");
             ExitCode::FAILURE
         }
     }
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Each record of the simulator's frames, as `fixtures/frames.txt` pins its bytes.
 
 use aspendrum_core::api::{Action, Event, Health, ListKind, Load, Member, NewQuery, Outcome};
-use aspendrum_wirehost::frame::{Batch, Reply, WireEvent};
+use aspendrum_simulator_adapter::frame::{Batch, Reply, WireEvent};
 use test_case::test_case;
 
 const EVENT: usize = 48;
--- a/crates/aspendrum-simulator-adapter/tests/wire.rs
+++ b/crates/aspendrum-simulator-adapter/tests/wire.rs
@@ -2,8 +2,8 @@
 
 use aspendrum_core::api::{Action, Event, ListKind};
 use aspendrum_core::settings;
-use aspendrum_wirehost::frame::{Batch, Reply, WireEvent};
-use aspendrum_wirehost::host::Host;
+use aspendrum_simulator_adapter::frame::{Batch, Reply, WireEvent};
+use aspendrum_simulator_adapter::host::Host;
 use test_case::test_case;
 
 const CLOCK: &str = "4020d3126e978d50";
--- a/crates/aspendrum-testbed/src/clients.rs
+++ b/crates/aspendrum-testbed/src/clients.rs
@@ -1,8 +1,8 @@
 //! The clients: open-loop traffic, each query sent at its moment whatever became of those before it.
 
 use crate::scenario::{Customers, Scenario};
-use aspendrum_judge::record::{Final, Ms, Query, Repeats};
-use aspendrum_standins::{http, lock, Clock};
+use aspendrum_checker::record::{Final, Ms, Query, Repeats};
+use aspendrum_fake_services::{http, lock, Clock};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
--- a/crates/aspendrum-testbed/src/config.rs
+++ b/crates/aspendrum-testbed/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration that each limiter of a scenario is started with, in the platform's form.
 
 use crate::scenario::{Group, Plan, Reports, Scenario};
-use aspendrum_judge::record::Repeats;
+use aspendrum_checker::record::Repeats;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
--- a/crates/aspendrum-testbed/src/main.rs
+++ b/crates/aspendrum-testbed/src/main.rs
@@ -1,9 +1,9 @@
 //! The command line of the rig.
 
-use aspendrum_rig::process::Start;
-use aspendrum_rig::scenario::Scenario;
-use aspendrum_rig::system::soak::{soak, Size};
-use aspendrum_rig::{bench, days, library, pass_through, report, run, sweep, system};
+use aspendrum_testbed::process::Start;
+use aspendrum_testbed::scenario::Scenario;
+use aspendrum_testbed::system::soak::{soak, Size};
+use aspendrum_testbed::{bench, days, library, pass_through, report, run, sweep, system};
 use clap::{Parser, Subcommand};
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -12,7 +12,10 @@
 use std::sync::{Mutex, PoisonError};
 
 #[derive(Parser)]
-#[command(name = "aspendrum-rig", about = "Several limiters as processes, with faults between them, judged")]
+#[command(
+    name = "aspendrum-testbed",
+    about = "Several limiters as processes, with faults between them, judged"
+)]
 struct Line {
     /// The limiter's program; without it the one beside this, built if it is not there
     #[arg(long, global = true)]
@@ -186,7 +189,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(text) => {
-            eprintln!("aspendrum-rig: {text}");
+            eprintln!("aspendrum-testbed: {text}");
             ExitCode::from(2)
         }
     }
--- a/crates/aspendrum-testbed/src/pass_through.rs
+++ b/crates/aspendrum-testbed/src/pass_through.rs
@@ -3,8 +3,8 @@
 //! answers back. With it the judge shows that it finds what it looks for, and a limiter's cost is told as a
 //! ratio.
 
-use aspendrum_standins::http::{self, Message};
-use aspendrum_standins::lock;
+use aspendrum_fake_services::http::{self, Message};
+use aspendrum_fake_services::lock;
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/aspendrum-testbed/src/report.rs
+++ b/crates/aspendrum-testbed/src/report.rs
@@ -2,8 +2,8 @@
 
 use crate::run::Outcome;
 use crate::scenario::Scenario;
-use aspendrum_judge::quota;
-use aspendrum_judge::record::Final;
+use aspendrum_checker::quota;
+use aspendrum_checker::record::Final;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::fmt::Write;
@@ -161,7 +161,7 @@
 
 fn queries(o: &Outcome, path: &Path) -> Result<(), String> {
     let (from, r) = (o.record.from, &o.record);
-    let line = |q: &aspendrum_judge::record::Query| {
+    let line = |q: &aspendrum_checker::record::Query| {
         vec![
             q.id.to_string(),
             r.customers[q.customer].name.clone(),
@@ -189,7 +189,7 @@
         "refused",
         "refused_with_room",
     ];
-    let line = |(c, u): (&aspendrum_judge::record::Customer, &quota::Use)| {
+    let line = |(c, u): (&aspendrum_checker::record::Customer, &quota::Use)| {
         let mut line = vec![c.name.clone()];
         let figures = [u.asked, u.granted, u.inside, u.over_quota, u.peak_over_burst, u.peak_over_ceiling];
         line.extend(figures.map(|f| format!("{f:.3}")));
@@ -200,7 +200,7 @@
 }
 
 fn recoveries(o: &Outcome, path: &Path) -> Result<(), String> {
-    let line = |(t, after): &(aspendrum_judge::record::Trouble, Option<f64>)| {
+    let line = |(t, after): &(aspendrum_checker::record::Trouble, Option<f64>)| {
         let (from, to) = (t.from - o.record.from, t.to - o.record.from);
         let after = after.map_or(String::new(), |ms| format!("{ms:.0}"));
         vec![t.name.clone(), format!("{from:.0}"), format!("{to:.0}"), after]
--- a/crates/aspendrum-testbed/src/run.rs
+++ b/crates/aspendrum-testbed/src/run.rs
@@ -6,13 +6,13 @@
 use crate::process::{Process, Start};
 use crate::scenario::{Path as LinkPath, Scenario, Way, What, Which};
 use crate::timeline::{self, Moment};
-use aspendrum_judge::record::{self, Excuse, Ms, Query, Record};
-use aspendrum_judge::{judge, Verdict};
-use aspendrum_links::{Carried, Fault, Link, Mesh, Relay};
-use aspendrum_standins::counter::{self, Counter};
-use aspendrum_standins::discovery::{self, Discovery, Health};
-use aspendrum_standins::server::{self, Server, Shared};
-use aspendrum_standins::{lock, Clock};
+use aspendrum_checker::record::{self, Excuse, Ms, Query, Record};
+use aspendrum_checker::{judge, Verdict};
+use aspendrum_fake_services::counter::{self, Counter};
+use aspendrum_fake_services::discovery::{self, Discovery, Health};
+use aspendrum_fake_services::server::{self, Server, Shared};
+use aspendrum_fake_services::{lock, Clock};
+use aspendrum_fault_proxy::{Carried, Fault, Link, Mesh, Relay};
 use futures_util::future::join_all;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 use nix::sys::signal::Signal;
@@ -72,7 +72,7 @@
     /// Every failure, broken rule and passed bound, in words.
     pub fn broken(&self, s: &Scenario) -> Vec<String> {
         let mut all = self.failures.clone();
-        let rule = |b: &aspendrum_judge::rules::Breach| {
+        let rule = |b: &aspendrum_checker::rules::Breach| {
             format!("rule {} at {:.1} s: {}", b.rule, (b.at - self.record.from) / 1000.0, b.what)
         };
         all.extend(self.verdict.breaches.iter().map(rule));
--- a/crates/aspendrum-testbed/src/scenario.rs
+++ b/crates/aspendrum-testbed/src/scenario.rs
@@ -1,7 +1,7 @@
 //! A scenario: a fleet, what stands around it, its traffic, and a timeline of faults. Read from TOML, checked
 //! whole; a faulty key is refused by its name and place.
 
-use aspendrum_judge::record::Repeats;
+use aspendrum_checker::record::Repeats;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/crates/aspendrum-testbed/src/system/clients.rs
+++ b/crates/aspendrum-testbed/src/system/clients.rs
@@ -2,10 +2,10 @@
 //! further tries only where they may be made.
 
 use super::fleet::{region, zone, Fleet};
-use aspendrum_judge::record::Ms;
-use aspendrum_judge::system::{End, Try};
-use aspendrum_standins::http::{self, Message};
-use aspendrum_standins::lock;
+use aspendrum_checker::record::Ms;
+use aspendrum_checker::system::{End, Try};
+use aspendrum_fake_services::http::{self, Message};
+use aspendrum_fake_services::lock;
 use rand::seq::IndexedRandom;
 use rand::Rng;
 use std::collections::HashMap;
--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -3,10 +3,10 @@
 use super::scenario::{Form, Scenario, Who};
 use super::tamper::{How, Tamper};
 use crate::process::{build, Process, Start};
-use aspendrum_links::{Fault, Link, Mesh, Relay};
-use aspendrum_standins::cloud::Cloud;
-use aspendrum_standins::origin::{Figures, Origin, Record};
-use aspendrum_standins::{lock, Clock};
+use aspendrum_fake_services::cloud::Cloud;
+use aspendrum_fake_services::origin::{Figures, Origin, Record};
+use aspendrum_fake_services::{lock, Clock};
+use aspendrum_fault_proxy::{Fault, Link, Mesh, Relay};
 use nix::sys::signal::Signal;
 use serde_json::{json, Map, Value};
 use std::io;
--- a/crates/aspendrum-testbed/src/system/operator.rs
+++ b/crates/aspendrum-testbed/src/system/operator.rs
@@ -3,9 +3,9 @@
 
 use super::clients::{call, CALL};
 use super::fleet::Fleet;
-use aspendrum_judge::orders::{Asked, Call};
-use aspendrum_judge::record::Ms;
-use aspendrum_standins::lock;
+use aspendrum_checker::orders::{Asked, Call};
+use aspendrum_checker::record::Ms;
+use aspendrum_fake_services::lock;
 use serde_json::Value;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/aspendrum-testbed/src/system/scenario.rs
+++ b/crates/aspendrum-testbed/src/system/scenario.rs
@@ -1,7 +1,7 @@
 //! A scenario of the system: its size, its terms, what happens when, and what must hold in the end.
 
 use super::tamper::How;
-use aspendrum_judge::record::Ms;
+use aspendrum_checker::record::Ms;
 use serde::Deserialize;
 
 #[derive(Clone, Debug, Deserialize)]
--- a/crates/aspendrum-testbed/src/system/soak.rs
+++ b/crates/aspendrum-testbed/src/system/soak.rs
@@ -221,7 +221,7 @@
         scenario.steps.len()
     );
     let again = format!(
-        "play it again: aspendrum-rig soak --seeds {seed} --cores {} --edges {} --seconds {}; its logs: {}",
+        "play it again: aspendrum-testbed soak --seeds {seed} --cores {} --edges {} --seconds {}; its logs: {}",
         size.cores,
         size.edges,
         size.seconds,
--- a/crates/aspendrum-testbed/src/system/steps.rs
+++ b/crates/aspendrum-testbed/src/system/steps.rs
@@ -4,10 +4,10 @@
 use super::fleet::{Fleet, Slot, SERVICES};
 use super::operator::{Came, Operator};
 use super::scenario::{Scenario, Step, What, Who};
-use aspendrum_judge::orders::Evacuation;
-use aspendrum_judge::record::Ms;
-use aspendrum_judge::system::{Trouble, Version};
-use aspendrum_standins::lock;
+use aspendrum_checker::orders::Evacuation;
+use aspendrum_checker::record::Ms;
+use aspendrum_checker::system::{Trouble, Version};
+use aspendrum_fake_services::lock;
 use nix::sys::signal::Signal;
 use serde_json::{json, Value};
 use std::sync::{Arc, Mutex};
@@ -424,7 +424,7 @@
         }
     }
 
-    fn named(&self, of: &[Who]) -> Vec<Arc<aspendrum_standins::origin::Origin>> {
+    fn named(&self, of: &[Who]) -> Vec<Arc<aspendrum_fake_services::origin::Origin>> {
         let number = |w: &Who| match w {
             Who::Origin(n) => Some(self.fleet.origins[*n].clone()),
             _ => None,
--- a/crates/aspendrum-testbed/src/system/tamper.rs
+++ b/crates/aspendrum-testbed/src/system/tamper.rs
@@ -1,10 +1,10 @@
 //! A way between two processes of the system on which pushes go wrong: configurations are dropped, come late, come
 //! behind the next one, or say something else by their number, while every other word passes.
 
+use aspendrum_fake_services::lock;
 use aspendrum_model::message::{FromControl, StateSection};
 use aspendrum_model::packed::{pack, unpack};
 use aspendrum_net::frames;
-use aspendrum_standins::lock;
 use serde::Deserialize;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/aspendrum-testbed/src/timeline.rs
+++ b/crates/aspendrum-testbed/src/timeline.rs
@@ -1,7 +1,7 @@
 //! A scenario's faults as moments: what begins and what ends when.
 
 use crate::scenario::{Fault, Scenario};
-use aspendrum_judge::record::{Ms, Trouble};
+use aspendrum_checker::record::{Ms, Trouble};
 
 /// One fault's beginning or end. `number` tells its occurrences apart.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/aspendrum-testbed/tests/days.rs
+++ b/crates/aspendrum-testbed/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days of our own for the users' bench: every file says what it aims at, and what a report says is told.
 
-use aspendrum_rig::days::{all, verdict, Day};
-use aspendrum_rig::drawn;
+use aspendrum_testbed::days::{all, verdict, Day};
+use aspendrum_testbed::drawn;
 use serde_json::json;
 
 #[test]
--- a/crates/aspendrum-testbed/tests/faults.rs
+++ b/crates/aspendrum-testbed/tests/faults.rs
@@ -1,11 +1,11 @@
 //! Fleets of real processes with faults between them. Figures that today's program keeps stand as bounds with
 //! the issue that is to tighten them; what a bound allows beyond the figure is its scatter over seeds.
 
-use aspendrum_judge::record::Final;
-use aspendrum_rig::library;
-use aspendrum_rig::process::{Start, Told};
-use aspendrum_rig::run::{self, Outcome};
-use aspendrum_rig::scenario::Scenario;
+use aspendrum_checker::record::Final;
+use aspendrum_testbed::library;
+use aspendrum_testbed::process::{Start, Told};
+use aspendrum_testbed::run::{self, Outcome};
+use aspendrum_testbed::scenario::Scenario;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::sync::{Mutex, OnceLock};
@@ -18,7 +18,7 @@
 fn limiter() -> Start {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     let program = PROGRAM.get_or_init(|| {
-        let rig = PathBuf::from(env!("CARGO_BIN_EXE_aspendrum-rig"));
+        let rig = PathBuf::from(env!("CARGO_BIN_EXE_aspendrum-testbed"));
         let mut cargo = Command::new(env!("CARGO"));
         cargo.args(["build", "--locked", "--package", "aspendrum", "--bin", "aspendrum"]);
         if rig.parent().unwrap().ends_with("release") {
@@ -42,7 +42,7 @@
     let s = Scenario::read(text).unwrap();
     let o = play_with(&s, &limiter());
     let broken = o.broken(&s);
-    assert!(broken.is_empty(), "{}\n{}", broken.join("\n"), aspendrum_rig::report::table(&s, &o));
+    assert!(broken.is_empty(), "{}\n{}", broken.join("\n"), aspendrum_testbed::report::table(&s, &o));
     // Whatever the faults did, the fleet was at work.
     assert!(o.verdict.count(Final::Answered) >= 5);
     o
@@ -222,7 +222,7 @@
     let text = one_customer(5, 4.0, "", "over_quota = 3.0\npeak_over_burst = 3.0");
     let text = text.replace("burst = 6.0 }", "burst = 6.0, ceiling_rate = 3.0, ceiling_burst = 9.0 }");
     let s = Scenario::read(&text).unwrap();
-    let o = play_with(&s, &Start::pass_through(env!("CARGO_BIN_EXE_aspendrum-rig").into()));
+    let o = play_with(&s, &Start::pass_through(env!("CARGO_BIN_EXE_aspendrum-testbed").into()));
     let broken = o.broken(&s).join("\n");
     for what in ["rule 5", "granted over quota", "the worst window over burst"] {
         assert!(broken.contains(what), "{what} is not in:\n{broken}");
@@ -256,7 +256,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("t.toml");
     std::fs::write(&file, one_customer(3, 60.0, "", "")).unwrap();
-    let mut rig = Command::new(env!("CARGO_BIN_EXE_aspendrum-rig"))
+    let mut rig = Command::new(env!("CARGO_BIN_EXE_aspendrum-testbed"))
         .args(["--limiter".as_ref(), limiter().program.as_os_str(), "run".as_ref(), file.as_os_str()])
         .args(["--out".as_ref(), folder.path().as_os_str()])
         .stdout(Stdio::null())
--- a/crates/aspendrum-testbed/tests/operator.rs
+++ b/crates/aspendrum-testbed/tests/operator.rs
@@ -1,7 +1,7 @@
 //! The stand-in operator: what ends an order, after the protocol's words.
 
-use aspendrum_rig::system::operator::{means, Means};
-use aspendrum_rig::system::scenario::Scenario;
+use aspendrum_testbed::system::operator::{means, Means};
+use aspendrum_testbed::system::scenario::Scenario;
 
 #[test]
 fn an_answer_ends_an_order_as_the_protocol_says() {
--- a/crates/aspendrum-testbed/tests/soak.rs
+++ b/crates/aspendrum-testbed/tests/soak.rs
@@ -1,7 +1,7 @@
 //! A short soak: drawn troubles, several at a time, over the whole system as processes. More seeds by hand:
-//! `aspendrum-rig soak`.
+//! `aspendrum-testbed soak`.
 
-use aspendrum_rig::system::soak::{draw, soak, Size};
+use aspendrum_testbed::system::soak::{draw, soak, Size};
 
 const SIZE: Size = Size { cores: 3, edges: 5, seconds: 14.0 };
 
--- a/crates/aspendrum-testbed/tests/system.rs
+++ b/crates/aspendrum-testbed/tests/system.rs
@@ -1,8 +1,8 @@
 //! The whole system as real processes, with the troubles of its deployments between them: no rule may break, and
 //! what the scenario says must be served is served.
 
-use aspendrum_rig::system::play::play;
-use aspendrum_rig::system::{library, report};
+use aspendrum_testbed::system::play::play;
+use aspendrum_testbed::system::{library, report};
 use std::sync::Mutex;
 
 /// Three at a time: more would wait for each other's processors.
--- a/crates/aspendrum-token-bucket/tests/model.rs
+++ b/crates/aspendrum-token-bucket/tests/model.rs
@@ -2,8 +2,8 @@
 //! lost, doubled and reordered, a crash and a start from nothing, a stall past every gift's worth. In each
 //! state reached, what was granted and what may still be spent is at most what the rate has brought.
 
-use aspendrum_shared::purse::{CLOCK_ERROR, LATEST};
-use aspendrum_shared::{Gift, Grains, Ms, Purse, Terms};
+use aspendrum_token_bucket::purse::{CLOCK_ERROR, LATEST};
+use aspendrum_token_bucket::{Gift, Grains, Ms, Purse, Terms};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const LIMITERS: usize = 3;
--- a/crates/aspendrum-token-bucket/tests/schedules.rs
+++ b/crates/aspendrum-token-bucket/tests/schedules.rs
@@ -2,8 +2,8 @@
 //! crashes, stalls and clocks that differ. What was granted in any time is at most the rate times it and what
 //! purses may hold.
 
-use aspendrum_shared::purse::{CLOCK_ERROR, LATEST};
-use aspendrum_shared::{Gift, Grains, Ms, Purse, Terms, UNIT};
+use aspendrum_token_bucket::purse::{CLOCK_ERROR, LATEST};
+use aspendrum_token_bucket::{Gift, Grains, Ms, Purse, Terms, UNIT};
 use proptest::prelude::*;
 
 const LIMITERS: usize = 40;
--- a/crates/aspendrum-token-bucket/tests/wire_amounts.rs
+++ b/crates/aspendrum-token-bucket/tests/wire_amounts.rs
@@ -1,7 +1,7 @@
 //! The amounts that one limiter sends to another. Only their number of steps crosses the wire (the datagram itself is
 //! the core's): limiters of different versions must agree on how many billionths of a unit a step stands for.
 
-use aspendrum_shared::{Gift, Purse, Terms, UNIT};
+use aspendrum_token_bucket::{Gift, Purse, Terms, UNIT};
 
 fn terms() -> Terms {
     Terms { rate: UNIT / 500, burst: 6 * UNIT, ways: 3, own: 1, even: 1, whole: 3, largest: UNIT }
