--- a/crates/aspendrum-consensus/src/deciding.rs
+++ b/crates/aspendrum-consensus/src/deciding.rs
@@ -22,18 +22,41 @@
 
 impl Replica {
     /// Has a text decided under its number, unless another one was.
-    pub(crate) fn decide_number(&mut self, number: u32, text: Vec<u8>, digest: u64, ticket: Option<Ticket>) {
+    pub(crate) fn decide_number(
+        &mut self,
+        number: u32,
+        text: Vec<u8>,
+        digest: u64,
+        ticket: Option<Ticket>,
+    ) {
         if let Some(known) = self.state.numbers.decided(number) {
-            let outcome = if known == digest { self.done() } else { Outcome::Taken };
+            let outcome = if known == digest {
+                self.done()
+            } else {
+                Outcome::Taken
+            };
             return self.end(ticket, outcome);
         }
-        let waiting = Waiting { ticket, digest, begun: self.now };
+        let waiting = Waiting {
+            ticket,
+            digest,
+            begun: self.now,
+        };
         if let Some(known) = self.campaigns.get_mut(&number) {
             return known.waiting.push(waiting);
         }
-        let value = Text { digest, packed: Some(text) };
+        let value = Text {
+            digest,
+            packed: Some(text),
+        };
         let campaign = Campaign::begin(self.new_ballot(), value, self.now);
-        self.campaigns.insert(number, NumberCampaign { campaign, waiting: vec![waiting] });
+        self.campaigns.insert(
+            number,
+            NumberCampaign {
+                campaign,
+                waiting: vec![waiting],
+            },
+        );
         self.request_number(number);
     }
 
@@ -43,7 +66,13 @@
             return;
         }
         let campaign = Campaign::complete(ballot, text, self.now);
-        self.campaigns.insert(number, NumberCampaign { campaign, waiting: Vec::new() });
+        self.campaigns.insert(
+            number,
+            NumberCampaign {
+                campaign,
+                waiting: Vec::new(),
+            },
+        );
         self.request_number(number);
     }
 
@@ -53,13 +82,19 @@
             return;
         }
         let now = self.now;
-        let Some(known) = self.campaigns.get_mut(&number) else { return };
+        let Some(known) = self.campaigns.get_mut(&number) else {
+            return;
+        };
         let campaign = &mut known.campaign;
         campaign.sent_at = now;
         let ballot = campaign.ballot();
         let request = match campaign.stage() {
             Stage::Preparing => Request::Prepare { number, ballot },
-            Stage::Accepting => Request::Accept { number, ballot, text: Box::new(campaign.value().clone()) },
+            Stage::Accepting => Request::Accept {
+                number,
+                ballot,
+                text: Box::new(campaign.value().clone()),
+            },
             Stage::BackedOff { .. } => return,
         };
         let campaign = campaign.clone();
@@ -97,7 +132,9 @@
     /// Who votes has changed: what the voters before answered does not count.
     pub(crate) fn restart_numbers(&mut self) {
         let numbers: Vec<u32> = self.campaigns.keys().copied().collect();
-        numbers.into_iter().for_each(|number| self.restart_number(number));
+        numbers
+            .into_iter()
+            .for_each(|number| self.restart_number(number));
     }
 
     pub(crate) fn expire_numbers(&mut self) {
@@ -137,12 +174,27 @@
         if matches!(answer, Answer::Promised(_) | Answer::Accepted) {
             self.effects.push(Effect::Persist);
         }
-        Reply::Number { number, ballot, answer: Box::new(answer) }
+        Reply::Number {
+            number,
+            ballot,
+            answer: Box::new(answer),
+        }
     }
 
-    pub(crate) fn number_answered(&mut self, from: Place, number: u32, ballot: Ballot, answer: Answer) {
-        let (voters, quorum, backoff) = (self.state.epoch.voters.len(), self.quorum(), self.backoff());
-        let Some(known) = self.campaigns.get_mut(&number).filter(|k| k.campaign.ballot() == ballot) else {
+    pub(crate) fn number_answered(
+        &mut self,
+        from: Place,
+        number: u32,
+        ballot: Ballot,
+        answer: Answer,
+    ) {
+        let (voters, quorum, backoff) =
+            (self.state.epoch.voters.len(), self.quorum(), self.backoff());
+        let Some(known) = self
+            .campaigns
+            .get_mut(&number)
+            .filter(|k| k.campaign.ballot() == ballot)
+        else {
             return;
         };
         let campaign = &mut known.campaign;
@@ -187,10 +239,16 @@
         let text = text.or_else(|| self.state.numbers.accepted(number, digest));
         let mut changed = false;
         if let Some(text) = text.filter(|_| number > self.state.held.config.version) {
-            changed |= self.state.held.join(&Holdings::default().with(number, text));
+            changed |= self
+                .state
+                .held
+                .join(&Holdings::default().with(number, text));
             self.state.numbers.overtaken(number);
         }
-        changed |= self.state.numbers.decide(number, digest, self.state.held.config.version);
+        changed |= self
+            .state
+            .numbers
+            .decide(number, digest, self.state.held.config.version);
         let config = &self.state.held.config;
         let decided = Holdings::default().with(config.version, config.text.clone());
         self.settle(&decided);
@@ -202,7 +260,11 @@
 
     /// Ends all orders that waited for that number, and goes on with the reads.
     fn close_number(&mut self, number: u32, digest: Option<u64>) {
-        let waiting = self.campaigns.remove(&number).map(|known| known.waiting).unwrap_or_default();
+        let waiting = self
+            .campaigns
+            .remove(&number)
+            .map(|known| known.waiting)
+            .unwrap_or_default();
         for order in waiting {
             let done = digest.is_none_or(|digest| digest == order.digest);
             let outcome = if done { self.done() } else { Outcome::Taken };
--- a/crates/aspendrum-consensus/src/holdings.rs
+++ b/crates/aspendrum-consensus/src/holdings.rs
@@ -13,7 +13,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// A configuration that was found valid; its text, packed, and the digest of the text as it was sent.
-    Config { version: u32, text: Vec<u8>, digest: u64 },
+    Config {
+        version: u32,
+        text: Vec<u8>,
+        digest: u64,
+    },
     /// Begin or end of a zone's evacuation.
     Evacuation { zone: String, on: bool },
     /// Nothing new: what does a majority hold?
@@ -70,8 +74,15 @@
 
     /// The zones that get nothing, and the number of the last order about any.
     pub fn evacuated(&self) -> (u64, Vec<String>) {
-        let on = self.evacuations.iter().filter(|e| !e.1.off).map(|e| e.0.clone());
-        (self.evacuations.values().map(|e| e.number).sum(), on.collect())
+        let on = self
+            .evacuations
+            .iter()
+            .filter(|e| !e.1.off)
+            .map(|e| e.0.clone());
+        (
+            self.evacuations.values().map(|e| e.number).sum(),
+            on.collect(),
+        )
     }
 
     /// Carries out an order about a zone on what a majority was seen to hold.
@@ -80,7 +91,10 @@
             let e = self.evacuations.entry(zone.clone()).or_default();
             // An order that is in force already is the same one, sent again.
             if e.number == 0 || e.off == *on {
-                *e = Evacuation { number: e.number + 1, off: !on };
+                *e = Evacuation {
+                    number: e.number + 1,
+                    off: !on,
+                };
             }
         }
     }
--- a/crates/aspendrum-consensus/src/joining.rs
+++ b/crates/aspendrum-consensus/src/joining.rs
@@ -62,7 +62,10 @@
         let missing = |p: &Place| !self.joining.closed.contains(p);
         let all = epoch.previous.places().chain(epoch.voters.places());
         let to: BTreeSet<Place> = all.filter(missing).collect();
-        let message = Message::Seal { epoch: Box::new(epoch.clone()), digest: self.state.held.digest() };
+        let message = Message::Seal {
+            epoch: Box::new(epoch.clone()),
+            digest: self.state.held.digest(),
+        };
         for place in to {
             self.send(place, message.clone());
         }
@@ -83,7 +86,13 @@
         let held = Some(self.state.held.clone()).filter(|held| held.digest() != digest);
         let voted = self.state.votes_among(&self.state.epoch.previous, self.me);
         let (joined, numbers) = (self.joined(), self.state.numbers.clone());
-        let sealed = Sealed { epoch: number, voted, joined, held, numbers };
+        let sealed = Sealed {
+            epoch: number,
+            voted,
+            joined,
+            held,
+            numbers,
+        };
         self.send(from, Message::Sealed(Box::new(sealed)));
     }
 
--- a/crates/aspendrum-consensus/src/membership.rs
+++ b/crates/aspendrum-consensus/src/membership.rs
@@ -72,12 +72,20 @@
 impl Epoch {
     /// The epoch that begins the history.
     pub fn first(seeds: &[Place]) -> Epoch {
-        Epoch { number: 0, voters: Voters::founding(seeds), previous: Voters::default() }
+        Epoch {
+            number: 0,
+            voters: Voters::founding(seeds),
+            previous: Voters::default(),
+        }
     }
 
     /// The epoch after this one.
     pub fn next(&self, voters: Voters) -> Epoch {
-        Epoch { number: self.number + 1, voters, previous: self.voters.clone() }
+        Epoch {
+            number: self.number + 1,
+            voters,
+            previous: self.voters.clone(),
+        }
     }
 
     /// It was decided after the other, or the other is unknown.
--- a/crates/aspendrum-consensus/src/numbers.rs
+++ b/crates/aspendrum-consensus/src/numbers.rs
@@ -49,12 +49,23 @@
 
 impl Numbers {
     pub fn prepare(&mut self, number: u32, ballot: Ballot, in_force: u32) -> Answer {
-        self.answer(number, in_force, |a| a.prepare(ballot).map(Answer::Promised))
+        self.answer(number, in_force, |a| {
+            a.prepare(ballot).map(Answer::Promised)
+        })
     }
 
     pub fn accept(&mut self, number: u32, ballot: Ballot, text: Text, in_force: u32) -> Answer {
-        let text = if number <= in_force { Text { packed: None, ..text } } else { text };
-        self.answer(number, in_force, |a| a.accept(ballot, text).map(|()| Answer::Accepted))
+        let text = if number <= in_force {
+            Text {
+                packed: None,
+                ..text
+            }
+        } else {
+            text
+        };
+        self.answer(number, in_force, |a| {
+            a.accept(ballot, text).map(|()| Answer::Accepted)
+        })
     }
 
     fn answer(
@@ -81,14 +92,30 @@
 
     /// A text that a disk of the version before held: accepted below every ballot, the higher rank first.
     pub fn held_before(&mut self, number: u32, rank: u64, text: Text) {
-        let ballot = Ballot { life: rank, ..Ballot::default() };
-        let acceptor = Acceptor { promised: ballot, accepted: Some((ballot, text)) };
-        self.slots.insert(number, Slot { acceptor, decided: None });
+        let ballot = Ballot {
+            life: rank,
+            ..Ballot::default()
+        };
+        let acceptor = Acceptor {
+            promised: ballot,
+            accepted: Some((ballot, text)),
+        };
+        self.slots.insert(
+            number,
+            Slot {
+                acceptor,
+                decided: None,
+            },
+        );
     }
 
     /// The highest ballot that was promised here.
     pub fn promised(&self) -> Ballot {
-        self.slots.values().map(|s| s.acceptor.promised).max().unwrap_or_default()
+        self.slots
+            .values()
+            .map(|s| s.acceptor.promised)
+            .max()
+            .unwrap_or_default()
     }
 
     pub fn decided(&self, number: u32) -> Option<u64> {
@@ -102,7 +129,11 @@
     /// The text of that digest, if it was accepted here.
     pub fn accepted(&self, number: u32, digest: u64) -> Option<Vec<u8>> {
         let accepted = self.slots.get(&number)?.acceptor.accepted.as_ref()?;
-        accepted.1.packed.clone().filter(|_| accepted.1.digest == digest)
+        accepted
+            .1
+            .packed
+            .clone()
+            .filter(|_| accepted.1.digest == digest)
     }
 
     /// It is decided, and in force here or overtaken: whoever knows of a decision without its text must not say that
@@ -122,7 +153,11 @@
     pub fn open(&self, above: u32) -> Option<(u32, Ballot, Text)> {
         let mut slots = self.slots.range(above.saturating_add(1)..).rev();
         slots.find_map(|(n, s)| {
-            let (ballot, text) = s.acceptor.accepted.clone().filter(|_| s.decided.is_none())?;
+            let (ballot, text) = s
+                .acceptor
+                .accepted
+                .clone()
+                .filter(|_| s.decided.is_none())?;
             Some((*n, ballot, text))
         })
     }
@@ -138,9 +173,15 @@
     }
 
     fn forget(&mut self, in_force: u32) {
-        let mut over = self.slots.range(..=in_force).count().saturating_sub(REMEMBERED);
+        let mut over = self
+            .slots
+            .range(..=in_force)
+            .count()
+            .saturating_sub(REMEMBERED);
         while over > 0 {
-            let Some((number, _)) = self.slots.pop_first() else { return };
+            let Some((number, _)) = self.slots.pop_first() else {
+                return;
+            };
             (self.floor, over) = (self.floor.max(number), over - 1);
         }
     }
--- a/crates/aspendrum-consensus/src/reading.rs
+++ b/crates/aspendrum-consensus/src/reading.rs
@@ -50,7 +50,9 @@
     }
 
     fn round(&self, id: u64, phase: Phase) -> Option<usize> {
-        self.reads.iter().position(|r| r.id == id && r.phase == phase)
+        self.reads
+            .iter()
+            .position(|r| r.id == id && r.phase == phase)
     }
 
     /// Sends the request of a round's phase to the voters that have not answered.
@@ -59,11 +61,19 @@
             return;
         }
         let now = self.now;
-        let Some(round) = self.reads.iter_mut().find(|r| r.id == id) else { return };
+        let Some(round) = self.reads.iter_mut().find(|r| r.id == id) else {
+            return;
+        };
         round.sent_at = now;
         let request = match round.phase {
-            Phase::Reading => Request::Read { round: id, digest: self.state.held.digest() },
-            Phase::Writing => Request::Write { round: id, held: Box::new(round.target.clone()) },
+            Phase::Reading => Request::Read {
+                round: id,
+                digest: self.state.held.digest(),
+            },
+            Phase::Writing => Request::Write {
+                round: id,
+                held: Box::new(round.target.clone()),
+            },
             Phase::Deciding(_) => return,
         };
         let answered: Vec<Place> = round.replies.keys().copied().collect();
@@ -79,7 +89,13 @@
     pub(crate) fn expire_reads(&mut self) {
         let now = self.now;
         let expired = |r: &ReadRound| now - r.begun > ORDER_MS;
-        for round in self.reads.iter().filter(|r| expired(r)).filter_map(|r| r.ticket).collect::<Vec<_>>() {
+        for round in self
+            .reads
+            .iter()
+            .filter(|r| expired(r))
+            .filter_map(|r| r.ticket)
+            .collect::<Vec<_>>()
+        {
             self.end(Some(round), Outcome::NoMajority);
         }
         self.reads.retain(|r| !expired(r));
@@ -108,8 +124,19 @@
         let own = self.state.held.digest();
         let held = (own != digest).then(|| Box::new(self.state.held.clone()));
         let open = self.state.numbers.open(self.state.held.config.version);
-        let open = open.map(|(number, ballot, text)| Box::new(OpenNumber { number, ballot, text }));
-        Reply::Read { round, digest: own, held, open }
+        let open = open.map(|(number, ballot, text)| {
+            Box::new(OpenNumber {
+                number,
+                ballot,
+                text,
+            })
+        });
+        Reply::Read {
+            round,
+            digest: own,
+            held,
+            open,
+        }
     }
 
     pub(crate) fn answer_write(&mut self, round: u64, held: &Holdings) -> Reply {
@@ -125,7 +152,9 @@
         held: Option<Box<Holdings>>,
         open: Option<Box<OpenNumber>>,
     ) {
-        let Some(n) = self.round(round, Phase::Reading) else { return };
+        let Some(n) = self.round(round, Phase::Reading) else {
+            return;
+        };
         let round = &mut self.reads[n];
         if let Some(held) = held {
             round.target.join(&held);
@@ -161,7 +190,9 @@
     }
 
     pub(crate) fn written(&mut self, from: Place, round: u64) {
-        let Some(n) = self.round(round, Phase::Writing) else { return };
+        let Some(n) = self.round(round, Phase::Writing) else {
+            return;
+        };
         self.reads[n].replies.insert(from, 0);
         if self.reads[n].replies.len() >= self.quorum() {
             self.written_complete(n);
@@ -171,9 +202,18 @@
     /// What is left of a read is a number that may have been decided.
     fn written_complete(&mut self, n: usize) {
         let round = &mut self.reads[n];
-        let version = round.target.config.version.max(self.state.held.config.version);
-        let open = round.open.take().filter(|o| round.order == Order::Read && o.0 > version);
-        let Some((number, ballot, text)) = open else { return self.end_read(n) };
+        let version = round
+            .target
+            .config
+            .version
+            .max(self.state.held.config.version);
+        let open = round
+            .open
+            .take()
+            .filter(|o| round.order == Order::Read && o.0 > version);
+        let Some((number, ballot, text)) = open else {
+            return self.end_read(n);
+        };
         round.phase = Phase::Deciding(number);
         self.complete_number(number, ballot, text);
     }
@@ -183,7 +223,11 @@
         if !decided {
             return self.restart_reads(|waits_for| waits_for == Some(number));
         }
-        while let Some(n) = self.reads.iter().position(|r| r.phase == Phase::Deciding(number)) {
+        while let Some(n) = self
+            .reads
+            .iter()
+            .position(|r| r.phase == Phase::Deciding(number))
+        {
             let settled = self.settled.clone();
             self.reads[n].target.join(&settled);
             self.end_read(n);
@@ -192,7 +236,9 @@
 
     /// Whether some read waits for that number.
     pub(crate) fn read_waits_for(&self, number: u32) -> bool {
-        self.reads.iter().any(|r| r.phase == Phase::Deciding(number))
+        self.reads
+            .iter()
+            .any(|r| r.phase == Phase::Deciding(number))
     }
 
     fn end_read(&mut self, n: usize) {
--- a/crates/aspendrum-consensus/src/reconfigure.rs
+++ b/crates/aspendrum-consensus/src/reconfigure.rs
@@ -50,7 +50,10 @@
 impl Rules {
     /// `losses`: disks that may be lost at once. `sync`: a machine counts as lost for so long after its start.
     pub fn of(losses: usize, sync: Ms) -> Rules {
-        Rules { voters: crate::membership::voters_for(losses), away: (AWAY_SHARE * sync).max(AWAY_LEAST) }
+        Rules {
+            voters: crate::membership::voters_for(losses),
+            away: (AWAY_SHARE * sync).max(AWAY_LEAST),
+        }
     }
 }
 
@@ -66,12 +69,22 @@
 
 impl Reconfigure {
     pub fn new(me: Place, rules: Rules, now: Ms) -> Reconfigure {
-        Reconfigure { me, rules, begun: now, wanted: None }
+        Reconfigure {
+            me,
+            rules,
+            begun: now,
+            wanted: None,
+        }
     }
 
     /// The voters that this machine is to propose now. `present`: all machines of control that were ever heard, this
     /// one among them.
-    pub fn due(&mut self, now: Ms, epoch: &Epoch, present: &BTreeMap<Place, Presence>) -> Option<Voters> {
+    pub fn due(
+        &mut self,
+        now: Ms,
+        epoch: &Epoch,
+        present: &BTreeMap<Place, Presence>,
+    ) -> Option<Voters> {
         let wanted = if epoch.serves() {
             next_voters(&epoch.voters, present, &self.rules)
         } else {
@@ -81,7 +94,10 @@
             self.wanted = None;
             return None;
         };
-        let known = self.wanted.take().filter(|w| w.0 == epoch.number && w.1 == wanted);
+        let known = self
+            .wanted
+            .take()
+            .filter(|w| w.0 == epoch.number && w.1 == wanted);
         let since = known.map_or(now, |w| w.2);
         self.wanted = Some((epoch.number, wanted.clone(), since));
         let turn = self.turn(&epoch.voters, present)?;
@@ -92,22 +108,41 @@
     fn turn(&self, voters: &Voters, present: &BTreeMap<Place, Presence>) -> Option<usize> {
         let able = |(place, disk): &(&Place, &DiskId)| {
             let same = |p: &Presence| **disk == FOUNDING_DISK || p.disk == **disk;
-            **place == self.me || present.get(place).is_some_and(|p| p.up() && !p.leaving && same(p))
+            **place == self.me
+                || present
+                    .get(place)
+                    .is_some_and(|p| p.up() && !p.leaving && same(p))
         };
-        voters.0.iter().filter(able).position(|(place, _)| *place == self.me)
+        voters
+            .0
+            .iter()
+            .filter(able)
+            .position(|(place, _)| *place == self.me)
     }
 
     /// The seeds that have come, and of the others those whose zones have the fewest voters yet.
-    fn first_voters(&self, now: Ms, seeds: &Voters, present: &BTreeMap<Place, Presence>) -> Option<Voters> {
+    fn first_voters(
+        &self,
+        now: Ms,
+        seeds: &Voters,
+        present: &BTreeMap<Place, Presence>,
+    ) -> Option<Voters> {
         let there = |p: &Place| present.get(p).filter(|p| p.may_vote()).map(|p| p.disk);
         let up = present.values().filter(|p| p.may_vote()).count();
         let come = seeds.places().all(|p| there(&p).is_some()) && up >= self.rules.voters;
         if !come && now - self.begun < FOUND_LATEST {
             return None;
         }
-        let mut voters = Voters(seeds.places().filter_map(|p| Some((p, there(&p)?))).collect());
+        let mut voters = Voters(
+            seeds
+                .places()
+                .filter_map(|p| Some((p, there(&p)?)))
+                .collect(),
+        );
         while voters.len() < self.rules.voters {
-            let Some((place, disk)) = standby(&voters, present) else { break };
+            let Some((place, disk)) = standby(&voters, present) else {
+                break;
+            };
             voters.0.insert(place, disk);
         }
         Some(voters).filter(|v| !v.is_empty())
@@ -118,15 +153,26 @@
 /// as can be.
 fn standby(voters: &Voters, present: &BTreeMap<Place, Presence>) -> Option<(Place, DiskId)> {
     let zone_of = |p: Place| present.get(&p).map(|p| p.zone.as_str());
-    let in_zone = |zone: &str| voters.places().filter(|p| zone_of(*p) == Some(zone)).count();
-    let able = present.iter().filter(|(place, p)| p.may_vote() && !voters.names(**place));
+    let in_zone = |zone: &str| {
+        voters
+            .places()
+            .filter(|p| zone_of(*p) == Some(zone))
+            .count()
+    };
+    let able = present
+        .iter()
+        .filter(|(place, p)| p.may_vote() && !voters.names(**place));
     let best = able.min_by_key(|(place, p)| (in_zone(&p.zone), **place))?;
     Some((*best.0, best.1.disk))
 }
 
 /// The voters after one change, if one is due: a machine that came back with another disk takes its own place; a
 /// missing voter is added; one that ends or was away for long gives way to a machine that stands by.
-pub fn next_voters(voters: &Voters, present: &BTreeMap<Place, Presence>, rules: &Rules) -> Option<Voters> {
+pub fn next_voters(
+    voters: &Voters,
+    present: &BTreeMap<Place, Presence>,
+    rules: &Rules,
+) -> Option<Voters> {
     let mut next = voters.clone();
     let wiped = |(place, disk): (&Place, &DiskId)| {
         let now = present.get(place).filter(|p| p.may_vote())?;
@@ -141,7 +187,11 @@
         next.0.insert(place, disk);
         return Some(next);
     }
-    let gone = |place: &Place| present.get(place).is_none_or(|p| p.leaving || p.silent >= rules.away);
+    let gone = |place: &Place| {
+        present
+            .get(place)
+            .is_none_or(|p| p.leaving || p.silent >= rules.away)
+    };
     let place = voters.places().find(gone)?;
     next.0.remove(&place);
     let (standby, disk) = standby(&next, present).filter(|s| s.0 != place)?;
--- a/crates/aspendrum-consensus/src/replica.rs
+++ b/crates/aspendrum-consensus/src/replica.rs
@@ -100,7 +100,11 @@
         let mut state = state.unwrap_or_else(|| State::empty(me, disk, init, seeds));
         state.found(me, seeds);
         let highest = state.numbers.promised().max(state.successor.promised);
-        let effects = if empty { vec![Effect::Persist] } else { Vec::new() };
+        let effects = if empty {
+            vec![Effect::Persist]
+        } else {
+            Vec::new()
+        };
         let replica = Replica {
             me,
             state,
@@ -114,7 +118,11 @@
             now: 0.0,
             // Rounds and ballots of one life must not be taken for those of an earlier one.
             next_round: life,
-            life: Ballot { count: 0, place: me, life },
+            life: Ballot {
+                count: 0,
+                place: me,
+                life,
+            },
             highest,
             rng: Rng::with_seed(life),
             effects: Vec::new(),
@@ -172,7 +180,11 @@
     pub fn order(&mut self, now: Ms, order: Order, ticket: Option<Ticket>) -> Vec<Effect> {
         self.now = now;
         match order {
-            Order::Config { version, text, digest } => self.decide_number(version, text, digest, ticket),
+            Order::Config {
+                version,
+                text,
+                digest,
+            } => self.decide_number(version, text, digest, ticket),
             Order::Evacuation { .. } | Order::Read => self.begin_read(order, ticket),
         }
         self.finish()
@@ -230,13 +242,21 @@
         }
         let reply = match request {
             Request::Read { .. } | Request::Write { .. } if !self.state.epoch.serves() => return,
-            Request::Prepare { .. } | Request::Accept { .. } if !self.state.epoch.serves() => return,
+            Request::Prepare { .. } | Request::Accept { .. } if !self.state.epoch.serves() => {
+                return
+            }
             Request::Read { round, digest } => self.answer_read(round, digest),
             Request::Write { round, held } => self.answer_write(round, &held),
             Request::Prepare { number, ballot } => self.answer_prepare(number, ballot),
-            Request::Accept { number, ballot, text } => self.answer_accept(number, ballot, *text),
+            Request::Accept {
+                number,
+                ballot,
+                text,
+            } => self.answer_accept(number, ballot, *text),
             Request::PrepareSuccessor { ballot } => self.answer_successor(ballot, None),
-            Request::AcceptSuccessor { ballot, voters } => self.answer_successor(ballot, Some(voters)),
+            Request::AcceptSuccessor { ballot, voters } => {
+                self.answer_successor(ballot, Some(voters))
+            }
         };
         let epoch = self.state.epoch.number;
         self.send(from, Message::Reply { epoch, reply });
@@ -244,9 +264,18 @@
 
     fn replied(&mut self, from: Place, reply: Reply) {
         match reply {
-            Reply::Read { round, digest, held, open } => self.read_told(from, round, digest, held, open),
+            Reply::Read {
+                round,
+                digest,
+                held,
+                open,
+            } => self.read_told(from, round, digest, held, open),
             Reply::Written { round } => self.written(from, round),
-            Reply::Number { number, ballot, answer } => self.number_answered(from, number, ballot, *answer),
+            Reply::Number {
+                number,
+                ballot,
+                answer,
+            } => self.number_answered(from, number, ballot, *answer),
             Reply::Successor { ballot, answer } => self.successor_answered(from, ballot, answer),
         }
     }
@@ -263,17 +292,34 @@
     /// Sends a request to the voters of this epoch of whom an answer is wanted.
     pub(crate) fn ask(&mut self, wanted: impl Fn(Place) -> bool, request: &Request) {
         let epoch = self.state.epoch.number;
-        let mut to: Vec<Place> = self.state.epoch.voters.places().filter(|p| wanted(*p)).collect();
+        let mut to: Vec<Place> = self
+            .state
+            .epoch
+            .voters
+            .places()
+            .filter(|p| wanted(*p))
+            .collect();
         // Its own disk last: the others work meanwhile.
         to.sort_by_key(|place| *place == self.me);
         for place in to {
-            self.send(place, Message::Request { epoch, request: request.clone() });
+            self.send(
+                place,
+                Message::Request {
+                    epoch,
+                    request: request.clone(),
+                },
+            );
         }
     }
 
     /// All voters of this epoch but this machine.
     pub(crate) fn other_voters(&self) -> Vec<Place> {
-        self.state.epoch.voters.places().filter(|p| *p != self.me).collect()
+        self.state
+            .epoch
+            .voters
+            .places()
+            .filter(|p| *p != self.me)
+            .collect()
     }
 
     pub(crate) fn quorum(&self) -> usize {
@@ -301,7 +347,8 @@
     }
 
     pub(crate) fn end(&mut self, ticket: Option<Ticket>, outcome: Outcome) {
-        self.effects.extend(ticket.map(|ticket| Effect::Ended { ticket, outcome }));
+        self.effects
+            .extend(ticket.map(|ticket| Effect::Ended { ticket, outcome }));
     }
 
     pub(crate) fn done(&self) -> Outcome {
--- a/crates/aspendrum-consensus/tests/common/mod.rs
+++ b/crates/aspendrum-consensus/tests/common/mod.rs
@@ -18,7 +18,10 @@
 /// An order has ended after so many beats.
 const ORDER_BEATS: usize = 7;
 /// A voter that is not there for so long is replaced.
-const RULES: Rules = Rules { voters: 3, away: 1600.0 };
+const RULES: Rules = Rules {
+    voters: 3,
+    away: 1600.0,
+};
 
 #[derive(Clone, Debug)]
 pub enum Step {
@@ -87,7 +90,11 @@
 }
 
 pub fn config(version: u32, digest: u64) -> Order {
-    Order::Config { version, text: digest.to_le_bytes().to_vec(), digest }
+    Order::Config {
+        version,
+        text: digest.to_le_bytes().to_vec(),
+        digest,
+    }
 }
 
 pub struct World {
@@ -174,12 +181,17 @@
         }
         self.lives += 1;
         let (state, life) = (self.disks[&me].clone(), self.lives);
-        let id: DiskId = if self.variant == Variant::SameAfterWipe { u64::from(me) } else { life };
+        let id: DiskId = if self.variant == Variant::SameAfterWipe {
+            u64::from(me)
+        } else {
+            life
+        };
         let (replica, effects) = Replica::start(me, state, self.init, &SEEDS, id, life << 32);
         self.up.insert(me, replica);
         self.leaving.remove(&me);
         self.down_since.remove(&me);
-        self.reconfigure.insert(me, Reconfigure::new(me, RULES, self.now));
+        self.reconfigure
+            .insert(me, Reconfigure::new(me, RULES, self.now));
         self.act(me, effects);
     }
 
@@ -199,7 +211,9 @@
     fn carry_out(&mut self, me: Place, effect: Effect) {
         match effect {
             Effect::Persist => {
-                let Some(state) = self.up.get(&me).map(|r| r.state().clone()) else { return };
+                let Some(state) = self.up.get(&me).map(|r| r.state().clone()) else {
+                    return;
+                };
                 if self.variant == Variant::LateSync {
                     self.unsynced.insert(me, state);
                 } else {
@@ -207,8 +221,13 @@
                 }
             }
             Effect::Send { to, mut message } => {
-                if let (Message::Reply { reply: Reply::Number { answer, .. }, .. }, Variant::DeafProposer) =
-                    (&mut message, self.variant)
+                if let (
+                    Message::Reply {
+                        reply: Reply::Number { answer, .. },
+                        ..
+                    },
+                    Variant::DeafProposer,
+                ) = (&mut message, self.variant)
                 {
                     if let Answer::Promised(accepted) = &mut **answer {
                         *accepted = None;
@@ -223,11 +242,21 @@
 
     fn ended(&mut self, ticket: u64, outcome: &Outcome) {
         match (self.asked.get(&ticket), outcome) {
-            (Some(Order::Config { version, digest, .. }), Outcome::Done(_)) => {
+            (
+                Some(Order::Config {
+                    version, digest, ..
+                }),
+                Outcome::Done(_),
+            ) => {
                 self.config = self.config.max(*version);
                 self.acked.entry(*version).or_default().insert(*digest);
             }
-            (Some(Order::Config { version, digest, .. }), Outcome::Taken) => {
+            (
+                Some(Order::Config {
+                    version, digest, ..
+                }),
+                Outcome::Taken,
+            ) => {
                 self.refused.insert((*version, *digest));
             }
             (Some(Order::Evacuation { on, .. }), Outcome::Done(_)) => self.evacuated = Some(*on),
@@ -239,8 +268,15 @@
     /// are being decided on: one machine may be lost. By the terms so much is done within `sync-s`.
     pub fn healed(&self) -> bool {
         let accepted = |s: &State| s.epoch == self.epoch() && s.successor.accepted.is_some();
-        let under_way =
-            |m: &Message| matches!(m, Message::Request { request: Request::AcceptSuccessor { .. }, .. });
+        let under_way = |m: &Message| {
+            matches!(
+                m,
+                Message::Request {
+                    request: Request::AcceptSuccessor { .. },
+                    ..
+                }
+            )
+        };
         if self.disks.values().flatten().any(accepted)
             || self.up.values().any(Replica::proposes)
             || self.messages.iter().any(|m| under_way(&m.2))
@@ -270,7 +306,13 @@
             }
             Step::Resend(n, m) => self.resend(*n, *m),
             Step::Evacuate(n, on) => {
-                self.order(self.place(*n), Order::Evacuation { zone: "z".into(), on: *on });
+                self.order(
+                    self.place(*n),
+                    Order::Evacuation {
+                        zone: "z".into(),
+                        on: *on,
+                    },
+                );
             }
             Step::Deliver(n) => {
                 if let Some((from, to, message)) = self.take(*n) {
@@ -306,14 +348,22 @@
     }
 
     fn resend(&mut self, n: u8, m: u8) {
-        let orders: Vec<Order> = self.asked.values().filter(|o| **o != Order::Read).cloned().collect();
+        let orders: Vec<Order> = self
+            .asked
+            .values()
+            .filter(|o| **o != Order::Read)
+            .cloned()
+            .collect();
         if !orders.is_empty() {
             self.order(self.place(m), orders[usize::from(n) % orders.len()].clone());
         }
     }
 
     fn take(&mut self, n: u8) -> Option<(Place, Place, Message)> {
-        (!self.messages.is_empty()).then(|| self.messages.swap_remove(usize::from(n) % self.messages.len()))
+        (!self.messages.is_empty()).then(|| {
+            self.messages
+                .swap_remove(usize::from(n) % self.messages.len())
+        })
     }
 
     pub fn order(&mut self, me: Place, order: Order) {
@@ -345,15 +395,27 @@
     }
 
     /// The variant without sealing: a request of the epoch before is answered as if that were still open.
-    fn answer_after_closing(&mut self, from: Place, to: Place, epoch: u32, request: Request) -> bool {
-        let Some(replica) = self.up.get(&to) else { return false };
+    fn answer_after_closing(
+        &mut self,
+        from: Place,
+        to: Place,
+        epoch: u32,
+        request: Request,
+    ) -> bool {
+        let Some(replica) = self.up.get(&to) else {
+            return false;
+        };
         let state = replica.state().clone();
         let voted = state.votes_among(&state.epoch.previous, to);
         if epoch + 1 != state.epoch.number || epoch == 0 || !voted {
             return false;
         }
         let mut before = state.clone();
-        before.epoch = Epoch { number: epoch, voters: state.epoch.previous.clone(), ..Epoch::default() };
+        before.epoch = Epoch {
+            number: epoch,
+            voters: state.epoch.previous.clone(),
+            ..Epoch::default()
+        };
         before.joined = true;
         let (mut stale, _) = Replica::start(to, Some(before), false, &[], 0, self.lives << 32);
         let effects = stale.hear(self.now, from, Message::Request { epoch, request });
@@ -363,19 +425,24 @@
         let (replica, _) = Replica::start(to, Some(after.clone()), false, &[], 0, self.lives << 32);
         self.up.insert(to, replica);
         self.disks.insert(to, Some(after));
-        let replies = effects.into_iter().filter(|e| matches!(e, Effect::Send { .. }));
+        let replies = effects
+            .into_iter()
+            .filter(|e| matches!(e, Effect::Send { .. }));
         self.act(to, replies.collect());
         true
     }
 
     /// The variant without learning: whoever votes in a new epoch counts at once.
     fn join_at_once(&mut self, me: Place) {
-        let Some(replica) = self.up.get(&me) else { return };
+        let Some(replica) = self.up.get(&me) else {
+            return;
+        };
         if replica.votes() && !replica.joined() {
             let mut state = replica.state().clone();
             state.joined = true;
             self.lives += 1;
-            let (replica, _) = Replica::start(me, Some(state.clone()), false, &[], 0, self.lives << 32);
+            let (replica, _) =
+                Replica::start(me, Some(state.clone()), false, &[], 0, self.lives << 32);
             self.up.insert(me, replica);
             self.disks.insert(me, Some(state));
         }
@@ -388,7 +455,9 @@
             }
         }
         let present = self.present();
-        let (Some(replica), Some(reconfigure)) = (self.up.get_mut(&me), self.reconfigure.get_mut(&me)) else {
+        let (Some(replica), Some(reconfigure)) =
+            (self.up.get_mut(&me), self.reconfigure.get_mut(&me))
+        else {
             return;
         };
         let mut effects = replica.beat(self.now);
@@ -410,7 +479,15 @@
             };
             let disk = replica.map_or(0, |r| r.state().disk);
             let leaving = self.leaving.contains(&place);
-            all.insert(place, Presence { disk, zone: format!("z{place}"), silent, leaving });
+            all.insert(
+                place,
+                Presence {
+                    disk,
+                    zone: format!("z{place}"),
+                    silent,
+                    leaving,
+                },
+            );
         }
         all
     }
@@ -460,7 +537,12 @@
         self.disks.insert(new, None);
         self.start(new);
         // The first message of any connection tells the epoch.
-        let known = self.up.values().map(Replica::epoch).max_by_key(|e| e.number).cloned();
+        let known = self
+            .up
+            .values()
+            .map(Replica::epoch)
+            .max_by_key(|e| e.number)
+            .cloned();
         if let (Some(known), Some(replica)) = (known, self.up.get_mut(&new)) {
             let effects = replica.heard_epoch_from(self.now, new, known);
             self.act(new, effects);
@@ -485,8 +567,11 @@
             for from in &all {
                 let epoch = self.up[from].epoch().clone();
                 for to in all.iter().filter(|to| *to != from) {
-                    let effects =
-                        self.up.get_mut(to).unwrap().heard_epoch_from(self.now, *from, epoch.clone());
+                    let effects = self.up.get_mut(to).unwrap().heard_epoch_from(
+                        self.now,
+                        *from,
+                        epoch.clone(),
+                    );
                     self.act(*to, effects);
                 }
             }
@@ -508,11 +593,17 @@
         let read = |world: &mut World, place: &Place| {
             let ticket = world.asked.len() as u64;
             world.asked.insert(ticket, Order::Read);
-            let effects = world.up.get_mut(place)?.order(world.now, Order::Read, Some(ticket));
+            let effects = world
+                .up
+                .get_mut(place)?
+                .order(world.now, Order::Read, Some(ticket));
             world.act(*place, effects);
             world.pass(ORDER_BEATS);
             let replica = world.up.get(place)?;
-            replica.as_of().is_some().then(|| replica.settled().config.version)
+            replica
+                .as_of()
+                .is_some()
+                .then(|| replica.settled().config.version)
         };
         all.iter().map(|place| read(self, place)).collect()
     }
@@ -530,7 +621,10 @@
 
     /// One number, one text; what was acknowledged is never refused, and what was refused is never in force.
     pub fn one_text_under_each(&self) -> bool {
-        let acked = self.acked.iter().flat_map(|(v, all)| all.iter().map(|d| (*v, *d)));
+        let acked = self
+            .acked
+            .iter()
+            .flat_map(|(v, all)| all.iter().map(|d| (*v, *d)));
         self.acked.values().all(|texts| texts.len() == 1)
             && acked.into_iter().all(|a| !self.refused.contains(&a))
             // A loser hears so only once the other text is decided, which then is acknowledged when sent again.
@@ -548,13 +642,18 @@
     let mut world = World::new(variant);
     steps.iter().for_each(|s| world.step(s));
     let acknowledged = world.config;
-    let there = world.read_back().iter().all(|read| read.is_some_and(|version| version >= acknowledged));
+    let there = world
+        .read_back()
+        .iter()
+        .all(|read| read.is_some_and(|version| version >= acknowledged));
     world.send_all_again();
     there && world.one_text_under_each()
 }
 
 /// Drawn from one seed: the same schedules at every run. SCHEDULES_SEED and QUICKCHECK_TESTS ask for others and more.
 pub fn drawn(size: usize) -> Gen {
-    let seed = std::env::var("SCHEDULES_SEED").ok().and_then(|s| s.parse().ok());
+    let seed = std::env::var("SCHEDULES_SEED")
+        .ok()
+        .and_then(|s| s.parse().ok());
     Gen::from_size_and_seed(size, seed.unwrap_or(2))
 }
--- a/crates/aspendrum-consensus/tests/numbers.rs
+++ b/crates/aspendrum-consensus/tests/numbers.rs
@@ -16,7 +16,9 @@
         world.order(3, config(8, 2));
         for _ in 0..400 {
             if !world.messages.is_empty() {
-                let (from, to, message) = world.messages.swap_remove(rng.usize(..world.messages.len()));
+                let (from, to, message) = world
+                    .messages
+                    .swap_remove(rng.usize(..world.messages.len()));
                 world.deliver(from, to, message);
             }
             world.now += 1.0;
@@ -24,7 +26,10 @@
         }
         let both = world.acked.values().any(|texts| texts.len() > 1);
         let ends = world.acked.values().map(BTreeSet::len).sum::<usize>() + world.refused.len();
-        assert!(both || ends == 2, "seed {seed}: one is acknowledged and the other is told so");
+        assert!(
+            both || ends == 2,
+            "seed {seed}: one is acknowledged and the other is told so"
+        );
         assert!(both || world.one_text_under_each(), "seed {seed}");
         both
     };
@@ -35,7 +40,10 @@
 #[test]
 fn of_two_texts_under_one_number_one_is_acknowledged() {
     assert_eq!(both_acknowledged(Variant::Sound), 0);
-    assert!(both_acknowledged(Variant::DeafProposer) > 0, "the orders would show it");
+    assert!(
+        both_acknowledged(Variant::DeafProposer) > 0,
+        "the orders would show it"
+    );
 }
 
 #[test]
@@ -45,7 +53,15 @@
     world.messages.clear();
     world.now += 2000.0;
     let effects = world.up.get_mut(&1).unwrap().beat(world.now);
-    let ended = |e: &Effect| matches!(e, Effect::Ended { outcome: Outcome::NoMajority, .. });
+    let ended = |e: &Effect| {
+        matches!(
+            e,
+            Effect::Ended {
+                outcome: Outcome::NoMajority,
+                ..
+            }
+        )
+    };
     assert!(effects.iter().any(ended), "{effects:?}");
     assert_eq!(world.config, 0);
 }
@@ -57,7 +73,10 @@
     world.order(1, config(8, 1));
     world.order(3, config(8, 2));
     world.calm();
-    let texts: Vec<_> = SEEDS.iter().map(|p| world.up[p].state().held.config.text.clone()).collect();
+    let texts: Vec<_> = SEEDS
+        .iter()
+        .map(|p| world.up[p].state().held.config.text.clone())
+        .collect();
     assert!(texts.windows(2).all(|w| w[0] == w[1]), "{texts:?}");
 }
 
@@ -65,7 +84,13 @@
 fn an_evacuation_ends_by_the_last_order_whoever_takes_it() {
     let mut world = World::new(Variant::Sound);
     for (place, on) in [(1, true), (4, false), (3, true), (2, true)] {
-        world.order(place, Order::Evacuation { zone: "z".into(), on });
+        world.order(
+            place,
+            Order::Evacuation {
+                zone: "z".into(),
+                on,
+            },
+        );
         world.calm();
     }
     for place in world.places() {
@@ -73,7 +98,11 @@
     }
     world.calm();
     for place in world.places() {
-        assert_eq!(world.up[&place].settled().evacuated(), (3, vec!["z".to_string()]), "{place}");
+        assert_eq!(
+            world.up[&place].settled().evacuated(),
+            (3, vec!["z".to_string()]),
+            "{place}"
+        );
     }
 }
 
@@ -102,6 +131,11 @@
         Start(121),
     ];
     let last = [100, 255, 221, 176, 91, 163, 242].map(Deliver);
-    let steps: Vec<Step> = begun.into_iter().chain(more).chain(last).chain([Wipe(72)]).collect();
+    let steps: Vec<Step> = begun
+        .into_iter()
+        .chain(more)
+        .chain(last)
+        .chain([Wipe(72)])
+        .collect();
     assert!(play(Variant::Sound, &steps));
 }
--- a/crates/aspendrum-consensus/tests/wire_bytes.rs
+++ b/crates/aspendrum-consensus/tests/wire_bytes.rs
@@ -12,18 +12,34 @@
 use pinned::Pinned;
 
 fn ballot() -> Ballot {
-    Ballot { count: 300, place: 0x0a00_0001, life: 0x0123_4567_0000 }
+    Ballot {
+        count: 300,
+        place: 0x0a00_0001,
+        life: 0x0123_4567_0000,
+    }
 }
 
 fn text() -> Text {
-    Text { digest: 0xfeed_beef_0000_1234, packed: Some(b"packed".to_vec()) }
+    Text {
+        digest: 0xfeed_beef_0000_1234,
+        packed: Some(b"packed".to_vec()),
+    }
 }
 
 fn held() -> Holdings {
-    let begun = Evacuation { number: 3, off: false };
-    let finished = Evacuation { number: 200, off: true };
+    let begun = Evacuation {
+        number: 3,
+        off: false,
+    };
+    let finished = Evacuation {
+        number: 200,
+        off: true,
+    };
     Holdings {
-        config: Config { version: 0x0107, text: b"text".to_vec() },
+        config: Config {
+            version: 0x0107,
+            text: b"text".to_vec(),
+        },
         evacuations: [("z1".to_string(), begun), ("z2".to_string(), finished)].into(),
     }
 }
@@ -33,7 +49,11 @@
 }
 
 fn epoch() -> Epoch {
-    Epoch { number: 5, voters: voters(), previous: Voters::founding(&[1, 2, 3]) }
+    Epoch {
+        number: 5,
+        voters: voters(),
+        previous: Voters::founding(&[1, 2, 3]),
+    }
 }
 
 /// An undecided version with an accepted text, one with a promise alone, and a decided one.
@@ -55,51 +75,142 @@
 }
 
 fn number(answer: Answer) -> Message {
-    reply(Reply::Number { number: 8, ballot: ballot(), answer: Box::new(answer) })
+    reply(Reply::Number {
+        number: 8,
+        ballot: ballot(),
+        answer: Box::new(answer),
+    })
 }
 
 fn successor(answer: SuccessorAnswer) -> Message {
-    reply(Reply::Successor { ballot: ballot(), answer })
+    reply(Reply::Successor {
+        ballot: ballot(),
+        answer,
+    })
 }
 
 #[test]
 fn messages_between_replicas_keep_their_bytes() {
     let mut pinned = Pinned::new("messages.hex", include_str!("fixtures/messages.hex"));
-    pinned.same("request.read", &request(Request::Read { round: 1 << 40, digest: u64::MAX }));
-    pinned.same("request.write", &request(Request::Write { round: 2, held: Box::new(held()) }));
-    pinned.same("request.prepare", &request(Request::Prepare { number: 8, ballot: ballot() }));
+    pinned.same(
+        "request.read",
+        &request(Request::Read {
+            round: 1 << 40,
+            digest: u64::MAX,
+        }),
+    );
+    pinned.same(
+        "request.write",
+        &request(Request::Write {
+            round: 2,
+            held: Box::new(held()),
+        }),
+    );
+    pinned.same(
+        "request.prepare",
+        &request(Request::Prepare {
+            number: 8,
+            ballot: ballot(),
+        }),
+    );
     pinned.same(
         "request.accept",
-        &request(Request::Accept { number: 8, ballot: ballot(), text: Box::new(text()) }),
+        &request(Request::Accept {
+            number: 8,
+            ballot: ballot(),
+            text: Box::new(text()),
+        }),
+    );
+    pinned.same(
+        "request.prepare_successor",
+        &request(Request::PrepareSuccessor { ballot: ballot() }),
     );
-    pinned.same("request.prepare_successor", &request(Request::PrepareSuccessor { ballot: ballot() }));
-    let accept_successor = Request::AcceptSuccessor { ballot: ballot(), voters: voters() };
+    let accept_successor = Request::AcceptSuccessor {
+        ballot: ballot(),
+        voters: voters(),
+    };
     pinned.same("request.accept_successor", &request(accept_successor));
-    pinned.same("reply.read.same", &reply(Reply::Read { round: 3, digest: 4, held: None, open: None }));
-    let open = OpenNumber { number: 9, ballot: ballot(), text: text() };
+    pinned.same(
+        "reply.read.same",
+        &reply(Reply::Read {
+            round: 3,
+            digest: 4,
+            held: None,
+            open: None,
+        }),
+    );
+    let open = OpenNumber {
+        number: 9,
+        ballot: ballot(),
+        text: text(),
+    };
     let (held, open) = (Some(Box::new(held())), Some(Box::new(open)));
-    pinned.same("reply.read.other", &reply(Reply::Read { round: 3, digest: 4, held, open }));
+    pinned.same(
+        "reply.read.other",
+        &reply(Reply::Read {
+            round: 3,
+            digest: 4,
+            held,
+            open,
+        }),
+    );
     pinned.same("reply.written", &reply(Reply::Written { round: 2 }));
     pinned.same("reply.number.promised", &number(Answer::Promised(None)));
-    pinned.same("reply.number.promised.accepted", &number(Answer::Promised(Some((ballot(), text())))));
+    pinned.same(
+        "reply.number.promised.accepted",
+        &number(Answer::Promised(Some((ballot(), text())))),
+    );
     pinned.same("reply.number.accepted", &number(Answer::Accepted));
     pinned.same("reply.number.outbid", &number(Answer::Outbid(ballot())));
     pinned.same("reply.number.known", &number(Answer::Known(77)));
     pinned.same("reply.number.forgotten", &number(Answer::Forgotten));
-    pinned.same("reply.successor.promised", &successor(SuccessorAnswer::Promised(None)));
+    pinned.same(
+        "reply.successor.promised",
+        &successor(SuccessorAnswer::Promised(None)),
+    );
     let accepted = SuccessorAnswer::Promised(Some((ballot(), voters())));
     pinned.same("reply.successor.promised.accepted", &successor(accepted));
-    pinned.same("reply.successor.accepted", &successor(SuccessorAnswer::Accepted));
-    pinned.same("reply.successor.refused", &successor(SuccessorAnswer::Refused(ballot())));
+    pinned.same(
+        "reply.successor.accepted",
+        &successor(SuccessorAnswer::Accepted),
+    );
+    pinned.same(
+        "reply.successor.refused",
+        &successor(SuccessorAnswer::Refused(ballot())),
+    );
     pinned.same("epoch", &Message::Epoch(Box::new(epoch())));
     pinned.same("epoch.unknown", &Message::Epoch(Box::default()));
-    pinned.same("seal", &Message::Seal { epoch: Box::new(epoch()), digest: 0x1234_5678_9abc_def0 });
-    let same = Sealed { epoch: 5, voted: true, joined: false, held: None, numbers: Numbers::default() };
+    pinned.same(
+        "seal",
+        &Message::Seal {
+            epoch: Box::new(epoch()),
+            digest: 0x1234_5678_9abc_def0,
+        },
+    );
+    let same = Sealed {
+        epoch: 5,
+        voted: true,
+        joined: false,
+        held: None,
+        numbers: Numbers::default(),
+    };
     pinned.same("sealed.same", &Message::Sealed(Box::new(same)));
     let held = Some(self::held());
-    let other = Sealed { epoch: 5, voted: false, joined: true, held, numbers: numbers() };
+    let other = Sealed {
+        epoch: 5,
+        voted: false,
+        joined: true,
+        held,
+        numbers: numbers(),
+    };
     pinned.same("sealed.other", &Message::Sealed(Box::new(other)));
-    pinned.same("decided", &Message::Decided { number: 8, digest: 0xabcd });
+    pinned.same(
+        "decided",
+        &Message::Decided {
+            number: 8,
+            digest: 0xabcd,
+        },
+    );
     pinned.same("nudge", &Message::Nudge);
     pinned.complete();
 }
@@ -116,11 +227,24 @@
         founding: true,
         epoch: epoch(),
         joined: true,
-        successor: Acceptor { promised: ballot(), accepted: Some((ballot(), voters())) },
+        successor: Acceptor {
+            promised: ballot(),
+            accepted: Some((ballot(), voters())),
+        },
     };
     pinned.same("voter", &state);
-    let successor = Acceptor { promised: ballot(), accepted: None };
-    pinned.same("voter.promised", &State { founding: false, successor, ..state });
+    let successor = Acceptor {
+        promised: ballot(),
+        accepted: None,
+    };
+    pinned.same(
+        "voter.promised",
+        &State {
+            founding: false,
+            successor,
+            ..state
+        },
+    );
     pinned.complete();
 }
 
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -65,7 +65,10 @@
                 continue;
             }
             self.said += 1;
-            self.link.send(&FromControl::Update { number: self.said, part: part.clone() });
+            self.link.send(&FromControl::Update {
+                number: self.said,
+                part: part.clone(),
+            });
             *told = Some(part.clone());
         }
     }
@@ -84,8 +87,14 @@
     /// The proxies whose agents are connected here, and those whose agents have just gone to another machine.
     pub fn fronts(&self) -> Vec<KnownFront> {
         let connected = self.sessions.values().filter_map(|s| s.front.clone());
-        let connected = connected.map(|front| KnownFront { front, connected: true });
-        let moved = self.moved.iter().map(|m| KnownFront { front: m.0.clone(), connected: false });
+        let connected = connected.map(|front| KnownFront {
+            front,
+            connected: true,
+        });
+        let moved = self.moved.iter().map(|m| KnownFront {
+            front: m.0.clone(),
+            connected: false,
+        });
         connected.chain(moved).collect()
     }
 }
@@ -97,9 +106,15 @@
     }
 
     pub(crate) fn agent_gone(&mut self, id: u64) {
-        let Some(session) = self.agents.sessions.remove(&id) else { return };
+        let Some(session) = self.agents.sessions.remove(&id) else {
+            return;
+        };
         let Some(front) = session.front else { return };
-        log::info!("event=agent_gone front={} moving={}", front.addr, session.moving);
+        log::info!(
+            "event=agent_gone front={} moving={}",
+            front.addr,
+            session.moving
+        );
         if session.moving {
             let until = self.now() + MOVES;
             self.agents.moved.push((front, until));
@@ -109,20 +124,29 @@
 
     pub(crate) fn agent_said(&mut self, id: u64, message: ToControl) {
         let now = self.now();
-        let Some(session) = self.agents.sessions.get_mut(&id) else { return };
+        let Some(session) = self.agents.sessions.get_mut(&id) else {
+            return;
+        };
         session.heard = now;
         match message {
             ToControl::Hello { host, front, zone } => {
                 log::info!("event=agent_came host={host} front={front} zone={zone}");
                 session.host = host;
                 let readiness = Readiness::Closed;
-                session.front = Some(ProxyEndpoint { addr: front, zone, readiness, current: true });
+                session.front = Some(ProxyEndpoint {
+                    addr: front,
+                    zone,
+                    readiness,
+                    current: true,
+                });
                 self.own_fronts_changed();
                 self.tell_agents();
             }
-            ToControl::Heartbeat { stamp, readiness, applied } => {
-                self.agent_beat(id, stamp, readiness, applied)
-            }
+            ToControl::Heartbeat {
+                stamp,
+                readiness,
+                applied,
+            } => self.agent_beat(id, stamp, readiness, applied),
             ToControl::Disconnecting => session.moving = true,
             ToControl::Applied { number } => session.applied = session.applied.max(number),
         }
@@ -130,9 +154,14 @@
 
     fn agent_beat(&mut self, id: u64, stamp: u64, readiness: Readiness, applied: StateDigest) {
         let now = self.now();
-        let age = self.replica.as_of().map(|at| (now - at).max(0.0).ceil() as u32);
+        let age = self
+            .replica
+            .as_of()
+            .map(|at| (now - at).max(0.0).ceil() as u32);
         let (of, deserted) = (self.decided, false);
-        let Some(session) = self.agents.sessions.get_mut(&id) else { return };
+        let Some(session) = self.agents.sessions.get_mut(&id) else {
+            return;
+        };
         session.link.send(&FromControl::Heartbeat {
             stamp,
             majority_age: age,
@@ -143,18 +172,30 @@
         session.edition = applied;
         // Without a majority this machine may be the one that is behind.
         if age.is_some_and(|age| Ms::from(age) <= SURE) {
-            let word = Word { decided: of, as_of: now };
+            let word = Word {
+                decided: of,
+                as_of: now,
+            };
             session.standing = Verdict::of(&applied, Some(&word), false, &self.bounds).standing;
             let off = session.standing != Standing::Current;
             session.off = off.then(|| session.off.unwrap_or(now));
         }
         // News that are on their way are no reason to send clients elsewhere.
-        let current = session.off.is_none_or(|at| now - at < OFF_SHARE * self.settings.apply_ms);
+        let current = session
+            .off
+            .is_none_or(|at| now - at < OFF_SHARE * self.settings.apply_ms);
         let standing = session.standing.word();
-        let turned = session.front.as_mut().filter(|f| (f.readiness, f.current) != (readiness, current));
+        let turned = session
+            .front
+            .as_mut()
+            .filter(|f| (f.readiness, f.current) != (readiness, current));
         let Some(front) = turned else { return };
         if front.readiness != readiness {
-            let is = if readiness == Readiness::Ready { "ready" } else { "not_ready" };
+            let is = if readiness == Readiness::Ready {
+                "ready"
+            } else {
+                "not_ready"
+            };
             log::info!("event=front_{is} front={} is={readiness:?}", front.addr);
         }
         if front.current != current {
@@ -167,11 +208,18 @@
     /// An agent that is not heard of is frozen, cut off or without power, and its proxy with it.
     pub(crate) fn drop_silent_agents(&mut self, now: Ms) {
         let open = |f: &ProxyEndpoint| f.readiness != Readiness::Closed;
-        let gone = |s: &&mut Session| now - s.heard > AGENT_SILENT && s.front.as_ref().is_some_and(open);
+        let gone =
+            |s: &&mut Session| now - s.heard > AGENT_SILENT && s.front.as_ref().is_some_and(open);
         let moved = self.agents.moved.len();
         self.agents.moved.retain(|m| now < m.1);
         let mut silent = self.agents.moved.len() != moved;
-        for front in self.agents.sessions.values_mut().filter(gone).filter_map(|s| s.front.as_mut()) {
+        for front in self
+            .agents
+            .sessions
+            .values_mut()
+            .filter(gone)
+            .filter_map(|s| s.front.as_mut())
+        {
             (front.readiness, silent) = (Readiness::Closed, true);
             log::info!("event=front_silent front={}", front.addr);
         }
@@ -226,7 +274,12 @@
 
     pub(crate) fn tell_agents(&mut self) {
         let wanted = self.wanted();
-        for session in self.agents.sessions.values_mut().filter(|s| s.front.is_some()) {
+        for session in self
+            .agents
+            .sessions
+            .values_mut()
+            .filter(|s| s.front.is_some())
+        {
             session.tell(&wanted);
         }
     }
@@ -252,8 +305,16 @@
         let epoch = self.replica.epoch();
         let members = Membership {
             epoch: epoch.number,
-            voters: epoch.voters.places().map(|p| Server::show(p).to_string()).collect(),
-            control: self.peers.places().map(|p| Server::show(*p).to_string()).collect(),
+            voters: epoch
+                .voters
+                .places()
+                .map(|p| Server::show(p).to_string())
+                .collect(),
+            control: self
+                .peers
+                .places()
+                .map(|p| Server::show(*p).to_string())
+                .collect(),
             joined: self.replica.joined(),
         };
         report::nodes(&self.settings.host, &self.decided, age, &all, &members)
@@ -264,14 +325,25 @@
 fn same(told: &StateSection, now: &StateSection) -> bool {
     match (told, now) {
         (
-            StateSection::Config { version: a, checksum: s, .. },
-            StateSection::Config { version: b, checksum: t, .. },
+            StateSection::Config {
+                version: a,
+                checksum: s,
+                ..
+            },
+            StateSection::Config {
+                version: b,
+                checksum: t,
+                ..
+            },
         ) => (a, s) == (b, t),
         (StateSection::Servers { list: a, .. }, StateSection::Servers { list: b, .. }) => {
             let alike = |x: &Origin, y: &Origin| {
                 // A cold time that merely runs out is no news; one that begins is.
                 let later = y.warm_left_ms > x.warm_left_ms;
-                let plain = |s: &Origin| Origin { warm_left_ms: 0, ..s.clone() };
+                let plain = |s: &Origin| Origin {
+                    warm_left_ms: 0,
+                    ..s.clone()
+                };
                 !later && plain(x) == plain(y)
             };
             a.len() == b.len() && a.iter().zip(b).all(|(x, y)| alike(x, y))
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -40,14 +40,23 @@
         Node::Word("Cfg.Show", vec![Node::Leaf("GET", Call::Show)]),
         Node::Word("Nodes", vec![Node::Leaf("GET", Call::Nodes)]),
         Node::Word("Explain", vec![Node::Leaf("GET", Call::Explain)]),
-        Node::Word("Evac.Begin", vec![Node::Any(vec![Node::Leaf("POST", Call::Begin)])]),
-        Node::Word("Evac.Finish", vec![Node::Any(vec![Node::Leaf("POST", Call::Finish)])]),
+        Node::Word(
+            "Evac.Begin",
+            vec![Node::Any(vec![Node::Leaf("POST", Call::Begin)])],
+        ),
+        Node::Word(
+            "Evac.Finish",
+            vec![Node::Any(vec![Node::Leaf("POST", Call::Finish)])],
+        ),
     ])
 }
 
 /// The calls of clients that ask where to go.
 pub fn look_ups() -> Vec<Node<Call>> {
-    api(vec![Node::Word("lookup", vec![Node::Leaf("GET", Call::LookUp)])])
+    api(vec![Node::Word(
+        "lookup",
+        vec![Node::Leaf("GET", Call::LookUp)],
+    )])
 }
 
 /// What answers the operator.
@@ -64,24 +73,42 @@
                     let (version, digest) = (config.version, digest(&request.body));
                     log::info!("event=order call=set version={version:08x} digest={digest:016x}");
                     let text = pack(&request.body);
-                    self.order(Order::Config { version, text, digest }, |_| Reply::plain(200))
+                    self.order(
+                        Order::Config {
+                            version,
+                            text,
+                            digest,
+                        },
+                        |_| Reply::plain(200),
+                    )
                 }
                 Err(fault) => {
                     log::info!("event=order call=set refused=\"{fault}\"");
-                    Reply { body: format!("{fault}\n").into_bytes(), ..Reply::plain(400) }
+                    Reply {
+                        body: format!("{fault}\n").into_bytes(),
+                        ..Reply::plain(400)
+                    }
                 }
             },
-            Found::Call(Call::Show, ..) => self.order(Order::Read, |held| match held.config.version {
-                0 => Reply::plain(503),
-                _ => unpack(&held.config.text).map_or_else(|| Reply::plain(500), Reply::json),
-            }),
+            Found::Call(Call::Show, ..) => {
+                self.order(Order::Read, |held| match held.config.version {
+                    0 => Reply::plain(503),
+                    _ => unpack(&held.config.text).map_or_else(|| Reply::plain(500), Reply::json),
+                })
+            }
             Found::Call(call @ (Call::Begin | Call::Finish), zone, _) => {
                 let zone = zone[0].to_string();
                 if !self.zones.contains_key(&zone) {
                     return Reply::plain(404);
                 }
                 log::info!("event=order call={call:?} zone={zone}");
-                self.order(Order::Evacuation { zone, on: call == Call::Begin }, |_| Reply::plain(200))
+                self.order(
+                    Order::Evacuation {
+                        zone,
+                        on: call == Call::Begin,
+                    },
+                    |_| Reply::plain(200),
+                )
             }
             Found::Call(Call::Nodes, ..) => self.told(None),
             Found::Call(Call::Explain, _, query) => {
@@ -100,15 +127,25 @@
         if self.events.try_send(Event::Report { of, answer }).is_err() {
             return Reply::plain(503);
         }
-        told.recv_timeout(WAIT)
-            .map_or_else(|_| Reply::plain(503), |v| Reply::json(v.to_string().into_bytes()))
+        told.recv_timeout(WAIT).map_or_else(
+            |_| Reply::plain(503),
+            |v| Reply::json(v.to_string().into_bytes()),
+        )
     }
 
     /// Only what a majority of disks holds is acknowledged; anything else may still come to be held.
     fn order(&self, order: Order, done: impl Fn(&aspendrum_consensus::Holdings) -> Reply) -> Reply {
         let (answer, outcome) = bounded(1);
         let taken = Instant::now();
-        if self.events.try_send(Event::Order { order, taken, answer }).is_err() {
+        if self
+            .events
+            .try_send(Event::Order {
+                order,
+                taken,
+                answer,
+            })
+            .is_err()
+        {
             return Reply::plain(503);
         }
         match outcome.recv_timeout(WAIT) {
@@ -117,7 +154,10 @@
             Ok(Outcome::Taken) => {
                 log::info!("event=order_refused why=\"another text was decided under its number\"");
                 let why = b"another text was decided under this number\n".to_vec();
-                Reply { body: why, ..Reply::plain(409) }
+                Reply {
+                    body: why,
+                    ..Reply::plain(409)
+                }
             }
             Ok(Outcome::NoMajority) | Err(_) => Reply::plain(503),
         }
--- a/crates/aspendrum-control/src/directory.rs
+++ b/crates/aspendrum-control/src/directory.rs
@@ -47,8 +47,15 @@
 impl Directory {
     /// The regions of all zones. None of their proxies is known yet, and for a while that says nothing.
     pub fn new(now: Ms, regions: &BTreeMap<String, String>) -> Directory {
-        let held_until = regions.values().map(|region| (region.clone(), now + HELD)).collect();
-        Directory { fronts: Vec::new(), regions: regions.clone(), held_until }
+        let held_until = regions
+            .values()
+            .map(|region| (region.clone(), now + HELD))
+            .collect();
+        Directory {
+            fronts: Vec::new(),
+            regions: regions.clone(),
+            held_until,
+        }
     }
 
     fn region_of(&self, front: &ProxyEndpoint) -> Option<&String> {
@@ -58,8 +65,12 @@
     /// Takes in which proxies there are now.
     pub fn update(&mut self, now: Ms, fronts: &[ProxyEndpoint]) {
         let takes = |f: &&ProxyEndpoint| f.readiness != Readiness::Closed;
-        let there: Vec<String> =
-            self.fronts.iter().filter(takes).filter_map(|f| self.region_of(f).cloned()).collect();
+        let there: Vec<String> = self
+            .fronts
+            .iter()
+            .filter(takes)
+            .filter_map(|f| self.region_of(f).cloned())
+            .collect();
         for region in there {
             self.held_until.insert(region, now + HELD);
         }
@@ -70,7 +81,12 @@
     fn named(&self, fits: impl Fn(&ProxyEndpoint) -> bool) -> Vec<SocketAddrV4> {
         let there: Vec<&ProxyEndpoint> = self.fronts.iter().filter(|f| fits(f)).collect();
         let enough = there.iter().filter(|f| f.current).count() >= ENOUGH;
-        there.iter().filter(|f| f.current || !enough).map(|f| f.addr).take(MOST).collect()
+        there
+            .iter()
+            .filter(|f| f.current || !enough)
+            .map(|f| f.addr)
+            .take(MOST)
+            .collect()
     }
 
     /// Addresses for a client: ready ones of its zone, if that leaves a choice, else of its region; else those of its
@@ -80,19 +96,34 @@
         let at_home = |f: &ProxyEndpoint| self.region_of(f).is_some_and(|r| r == region);
         let of_zone = self.named(|f| f.ready() && f.zone == zone);
         if of_zone.len() >= ENOUGH {
-            return Answer { addresses: of_zone, ttl_s };
+            return Answer {
+                addresses: of_zone,
+                ttl_s,
+            };
         }
         let of_region = self.named(|f| f.ready() && at_home(f));
         if !of_region.is_empty() {
-            return Answer { addresses: of_region, ttl_s };
+            return Answer {
+                addresses: of_region,
+                ttl_s,
+            };
         }
         let ending = self.named(|f| f.readiness == Readiness::Draining && at_home(f));
-        let held = self.held_until.get(region).is_some_and(|until| now < *until);
+        let held = self
+            .held_until
+            .get(region)
+            .is_some_and(|until| now < *until);
         let away = AWAY_TTL_S.min(ttl_s);
         if !ending.is_empty() || held {
-            return Answer { addresses: ending, ttl_s: away };
+            return Answer {
+                addresses: ending,
+                ttl_s: away,
+            };
+        }
+        Answer {
+            addresses: self.named(ProxyEndpoint::ready),
+            ttl_s: away,
         }
-        Answer { addresses: self.named(ProxyEndpoint::ready), ttl_s: away }
     }
 }
 
@@ -118,6 +149,9 @@
 /// wait a step longer each, and step in when the list has grown old. Two at once cost a call, no more.
 pub fn polls(me: Place, live: &[Place], age: Option<Ms>, every: Ms, step: Ms) -> bool {
     let key = digest(b"servers");
-    let before = live.iter().filter(|p| rank(key, u64::from(**p)) > rank(key, u64::from(me))).count() as f64;
+    let before = live
+        .iter()
+        .filter(|p| rank(key, u64::from(**p)) > rank(key, u64::from(me)))
+        .count() as f64;
     age.is_none_or(|age| age >= every + before * step)
 }
--- a/crates/aspendrum-control/src/legacy.rs
+++ b/crates/aspendrum-control/src/legacy.rs
@@ -64,12 +64,25 @@
 type First = (Held, Disk, bool);
 
 fn third(bytes: &[u8]) -> Result<State, postcard::Error> {
-    let Third { held, numbers, disk, whole, first, .. } = postcard::from_bytes(bytes)?;
+    let Third {
+        held,
+        numbers,
+        disk,
+        whole,
+        first,
+        ..
+    } = postcard::from_bytes(bytes)?;
     Ok(state(held, numbers, &disk, whole || first))
 }
 
 fn second(bytes: &[u8]) -> Result<State, postcard::Error> {
-    let Second { held, disk, whole, first, .. } = postcard::from_bytes(bytes)?;
+    let Second {
+        held,
+        disk,
+        whole,
+        first,
+        ..
+    } = postcard::from_bytes(bytes)?;
     Ok(before_ballots(held, &disk, whole || first))
 }
 
@@ -84,7 +97,10 @@
     let Config { version, text } = std::mem::take(&mut held.config);
     let mut numbers = Numbers::default();
     if let Some(plain) = unpack(&text).filter(|_| version > 0) {
-        let accepted = Text { digest: digest(&plain), packed: Some(text.clone()) };
+        let accepted = Text {
+            digest: digest(&plain),
+            packed: Some(text.clone()),
+        };
         numbers.held_before(version, digest(&text), accepted);
     }
     state(held, numbers, disk, whole)
@@ -94,7 +110,10 @@
 fn state(held: Held, numbers: Numbers, disk: &Disk, whole: bool) -> State {
     let voters: Vec<Place> = held.voters.into_iter().collect();
     State {
-        held: Holdings { config: held.config, evacuations: held.evacuations },
+        held: Holdings {
+            config: held.config,
+            evacuations: held.evacuations,
+        },
         numbers,
         disk: disk.id,
         founding: whole,
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -45,13 +45,24 @@
 /// Signs of life are missed for so long before a connection counts as gone.
 const PEER_SILENT: Duration = Duration::from_millis(1600);
 /// A configuration of thousands of routes takes a few megabytes.
-const ORDERS: MessageLimits = MessageLimits { head: 16 << 10, body: 16 << 20 };
-const LOOK_UPS: MessageLimits = MessageLimits { head: 16 << 10, body: 1 << 10 };
+const ORDERS: MessageLimits = MessageLimits {
+    head: 16 << 10,
+    body: 16 << 20,
+};
+const LOOK_UPS: MessageLimits = MessageLimits {
+    head: 16 << 10,
+    body: 1 << 10,
+};
 
 /// Does what the command line says.
 pub fn main() -> ExitCode {
     let about = "Control of the system: takes orders, keeps them on disk, knows servers and proxies, answers look-ups";
-    daemon::run("aspendrum-control", about, || Settings::load().map(|s| s.host), serve)
+    daemon::run(
+        "aspendrum-control",
+        about,
+        || Settings::load().map(|s| s.host),
+        serve,
+    )
 }
 
 fn failed(what: &'static str) -> impl Fn(std::io::Error) -> String {
@@ -83,12 +94,16 @@
     directory: &Arc<RwLock<Directory>>,
     begun: Instant,
 ) -> Result<Arc<MailboxSender<Event>>, String> {
-    let folder = settings.datadir.as_ref().map(|d| Path::new(d).to_path_buf());
+    let folder = settings
+        .datadir
+        .as_ref()
+        .map(|d| Path::new(d).to_path_buf());
     let store = folder.as_ref().map(|f| Store::open(f)).transpose()?;
     let held = store.as_ref().map_or(Ok(None), Store::read)?;
     let seeds: Vec<u32> = settings.seeds.iter().map(|s| u32::from(*s.ip())).collect();
     let (me, disk) = (u32::from(settings.ip), fastrand::u64(1..));
-    let (replica, first) = Replica::start(me, held.clone(), settings.init, &seeds, disk, new_life());
+    let (replica, first) =
+        Replica::start(me, held.clone(), settings.init, &seeds, disk, new_life());
     log::info!(
         "event=started host={} init={} empty_disk={} epoch={} votes={}",
         settings.host,
@@ -155,7 +170,10 @@
         workers: Duration::from_secs(3),
     };
     if let Some(ctl) = settings.ctl {
-        let orders = api::Orders { events: events.clone(), zones: settings.zones.clone() };
+        let orders = api::Orders {
+            events: events.clone(),
+            zones: settings.zones.clone(),
+        };
         let tree = api::orders();
         let serve = move |request| orders.answer(&tree, &request);
         http_server::listen(ctl, terms(ORDERS_STACK, ORDERS), serve).map_err(failed("ctl"))?;
--- a/crates/aspendrum-control/src/links.rs
+++ b/crates/aspendrum-control/src/links.rs
@@ -41,10 +41,22 @@
         while wanted.load(Ordering::Acquire) {
             if let Ok(stream) = Link::dial(addr, DIAL_WAIT) {
                 if let Ok(link) = Link::from_stream(stream.clone(), silence, ROOM) {
-                    events.send(Event::PeerLink { place: to, link: Some(link) }, None);
+                    events.send(
+                        Event::PeerLink {
+                            place: to,
+                            link: Some(link),
+                        },
+                        None,
+                    );
                     // The other side never says anything here: the read ends with the connection.
                     let _ = (&*stream).read(&mut [0]);
-                    events.send(Event::PeerLink { place: to, link: None }, None);
+                    events.send(
+                        Event::PeerLink {
+                            place: to,
+                            link: None,
+                        },
+                        None,
+                    );
                 }
             }
             sleep(REDIAL);
@@ -97,7 +109,9 @@
             }
             Word::Agent(message) => {
                 if !agent {
-                    let Ok(link) = Link::from_stream(stream.clone(), silence, ROOM) else { return };
+                    let Ok(link) = Link::from_stream(stream.clone(), silence, ROOM) else {
+                        return;
+                    };
                     events.send(Event::AgentConnected { id, link }, None);
                     agent = true;
                 }
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -39,7 +39,10 @@
 
 impl Peer {
     fn named(now: Ms) -> Peer {
-        Peer { named: now, ..Peer::default() }
+        Peer {
+            named: now,
+            ..Peer::default()
+        }
     }
 
     fn up(&self, now: Ms) -> bool {
@@ -71,11 +74,19 @@
     /// Connections to all machines that the settings name, that vote, or that others named.
     pub(crate) fn connect_peers(&mut self) {
         let voters: Vec<Place> = self.replica.epoch().voters.places().collect();
-        let known: BTreeSet<Place> =
-            self.seeds().into_iter().chain(voters).chain(self.peers.0.keys().copied()).collect();
+        let known: BTreeSet<Place> = self
+            .seeds()
+            .into_iter()
+            .chain(voters)
+            .chain(self.peers.0.keys().copied())
+            .collect();
         for place in known.into_iter().filter(|p| *p != self.me) {
             let now = self.now();
-            let peer = self.peers.0.entry(place).or_insert_with(|| Peer::named(now));
+            let peer = self
+                .peers
+                .0
+                .entry(place)
+                .or_insert_with(|| Peer::named(now));
             if peer.wanted.swap(true, Ordering::AcqRel) {
                 continue;
             }
@@ -88,14 +99,20 @@
     }
 
     fn seeds(&self) -> Vec<Place> {
-        self.settings.seeds.iter().map(|s| u32::from(*s.ip())).collect()
+        self.settings
+            .seeds
+            .iter()
+            .map(|s| u32::from(*s.ip()))
+            .collect()
     }
 
     pub(crate) fn peer_link(&mut self, place: Place, link: Option<Link>) {
         let is = if link.is_some() { "reached" } else { "lost" };
         log::info!("event=control_{is} place={}", Server::show(place));
         let up = link.is_some();
-        let Some(peer) = self.peers.0.get_mut(&place) else { return };
+        let Some(peer) = self.peers.0.get_mut(&place) else {
+            return;
+        };
         peer.link = link;
         if !up {
             return;
@@ -183,7 +200,13 @@
         let Some(peer) = self.peers.0.get_mut(&from) else {
             // Whoever is not known yet says who it is first.
             if let PeerMessage::Hello(hello) = message {
-                self.peers.0.insert(from, Peer { heard: Some(now), ..Peer::named(now) });
+                self.peers.0.insert(
+                    from,
+                    Peer {
+                        heard: Some(now),
+                        ..Peer::named(now)
+                    },
+                );
                 self.heard_hello(now, from, *hello);
             }
             return;
@@ -197,7 +220,9 @@
                 peer.fronts = fronts;
                 self.update_fronts();
             }
-            PeerMessage::Servers { age, list } => self.take_servers(list, now - f64::from(age), false),
+            PeerMessage::Servers { age, list } => {
+                self.take_servers(list, now - f64::from(age), false)
+            }
         }
         if back {
             self.update_fronts();
@@ -208,7 +233,11 @@
         let peer = self.peers.0.entry(from).or_insert_with(|| Peer::named(now));
         (peer.zone, peer.disk, peer.leaving) = (hello.zone, hello.disk, hello.leaving);
         for (place, zone) in hello.others.into_iter().filter(|o| o.0 != self.me) {
-            let known = self.peers.0.entry(place).or_insert_with(|| Peer::named(now));
+            let known = self
+                .peers
+                .0
+                .entry(place)
+                .or_insert_with(|| Peer::named(now));
             if known.zone.is_empty() {
                 known.zone = zone;
             }
@@ -238,16 +267,37 @@
             silent: peer.silent(now),
             leaving: peer.leaving,
         };
-        let mut all: BTreeMap<Place, Presence> =
-            self.peers.0.iter().map(|(p, peer)| (*p, of(peer))).collect();
-        let unheard = Presence { disk: 0, zone: String::new(), silent: now, leaving: false };
+        let mut all: BTreeMap<Place, Presence> = self
+            .peers
+            .0
+            .iter()
+            .map(|(p, peer)| (*p, of(peer)))
+            .collect();
+        let unheard = Presence {
+            disk: 0,
+            zone: String::new(),
+            silent: now,
+            leaving: false,
+        };
         for voter in self.replica.epoch().voters.places() {
             all.entry(voter).or_insert_with(|| unheard.clone());
         }
-        let disk = if self.has_disk() { self.replica.state().disk } else { 0 };
+        let disk = if self.has_disk() {
+            self.replica.state().disk
+        } else {
+            0
+        };
         let leaving = self.is_leaving() || self.storage.health() != Health::Well;
         let zone = self.settings.zone.clone();
-        all.insert(self.me, Presence { disk, zone, silent: 0.0, leaving });
+        all.insert(
+            self.me,
+            Presence {
+                disk,
+                zone,
+                silent: 0.0,
+                leaving,
+            },
+        );
         all
     }
 
@@ -264,6 +314,8 @@
             zone: peer.zone.clone(),
             reachable: peer.up(now) && !peer.leaving,
         };
-        std::iter::once(own).chain(self.peers.0.iter().map(of)).collect()
+        std::iter::once(own)
+            .chain(self.peers.0.iter().map(of))
+            .collect()
     }
 }
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -5,7 +5,10 @@
 use aspendrum_net::http_client::HttpClient;
 use std::time::{Duration, Instant};
 
-pub const BOUNDS: MessageLimits = MessageLimits { head: 8 << 10, body: 4 << 20 };
+pub const BOUNDS: MessageLimits = MessageLimits {
+    head: 8 << 10,
+    body: 4 << 20,
+};
 /// For a whole list: a page is answered in a round trip, and a list that takes longer is read anew.
 const WAIT: Duration = Duration::from_millis(1500);
 
@@ -14,7 +17,9 @@
     let until = Instant::now() + WAIT;
     let (mut all, mut token) = (Vec::new(), None::<String>);
     loop {
-        let query = token.as_ref().map_or(String::new(), |t| format!("?page-tok={t}"));
+        let query = token
+            .as_ref()
+            .map_or(String::new(), |t| format!("?page-tok={t}"));
         let left = until.saturating_duration_since(Instant::now());
         let answer = platform.call("GET", &format!("/servers{query}"), b"", left)?;
         if answer.status != 200 {
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -48,8 +48,10 @@
     members: &Membership,
 ) -> Value {
     let row = |n: &Node| {
-        let differs: Vec<String> =
-            Section::differing(&n.applied, decided).iter().map(|s| format!("{s:?}").to_lowercase()).collect();
+        let differs: Vec<String> = Section::differing(&n.applied, decided)
+            .iter()
+            .map(|s| format!("{s:?}").to_lowercase())
+            .collect();
         json!({"host": n.host, "front": n.front, "zone": n.zone, "ready": n.ready, "via": me,
             "standing": n.standing.word(), "off-ms": n.off_ms, "applied": edition(&n.applied), "differs": differs,
             "told": n.news.0, "acknowledged": n.news.1})
@@ -60,9 +62,16 @@
 }
 
 fn route(r: &Route) -> Value {
-    let may =
-        if r.repeatable { "repeated freely" } else { "lands once: leaves only where decided is applied" };
-    let services: Vec<Value> = r.services.iter().map(|s| json!({"svc": s.0, "wt": s.1})).collect();
+    let may = if r.repeatable {
+        "repeated freely"
+    } else {
+        "lands once: leaves only where decided is applied"
+    };
+    let services: Vec<Value> = r
+        .services
+        .iter()
+        .map(|s| json!({"svc": s.0, "wt": s.1}))
+        .collect();
     json!({"name": r.name, "retries": may, "services": services, "tries": r.tries, "limit-ms": r.limit_ms,
         "public": r.public, "homes": r.homes})
 }
--- a/crates/aspendrum-control/src/server.rs
+++ b/crates/aspendrum-control/src/server.rs
@@ -94,7 +94,15 @@
 
 impl Server {
     pub fn new(start: Start) -> Server {
-        let Start { begun, settings, replica, storage, events, poll, directory } = start;
+        let Start {
+            begun,
+            settings,
+            replica,
+            storage,
+            events,
+            poll,
+            directory,
+        } = start;
         let me = u32::from(settings.ip);
         let reconfigure = Reconfigure::new(me, rules(&settings), 0.0);
         Server {
@@ -154,7 +162,11 @@
             Event::AgentConnected { id, link } => self.agent_connected(id, link),
             Event::AgentSaid { id, message } => self.agent_said(id, message),
             Event::AgentGone { id } => self.agent_gone(id),
-            Event::Order { order, taken, answer } => self.order(order, taken, answer),
+            Event::Order {
+                order,
+                taken,
+                answer,
+            } => self.order(order, taken, answer),
             Event::Polled { asked, list } => self.polled(asked, list),
             Event::Report { of, answer } => {
                 let told = match of {
@@ -175,7 +187,11 @@
             Event::Leave { done } => {
                 let voted = self.replica.votes();
                 log::info!("event=leaving votes={voted}");
-                self.leaving = Some(Leaving { since: self.now(), voted, done });
+                self.leaving = Some(Leaving {
+                    since: self.now(),
+                    voted,
+                    done,
+                });
                 self.say_hello();
                 self.leave_if_done();
             }
@@ -281,9 +297,15 @@
     fn restart_replica(&mut self, guest: bool) {
         let synced = self.storage.synced().cloned();
         let disk = self.replica.state().disk;
-        let seeds: Vec<Place> = self.settings.seeds.iter().map(|s| u32::from(*s.ip())).collect();
+        let seeds: Vec<Place> = self
+            .settings
+            .seeds
+            .iter()
+            .map(|s| u32::from(*s.ip()))
+            .collect();
         let state = synced.unwrap_or_else(|| State::empty(self.me, disk, false, &seeds));
-        let (mut replica, effects) = Replica::start(self.me, Some(state), false, &seeds, disk, new_life());
+        let (mut replica, effects) =
+            Replica::start(self.me, Some(state), false, &seeds, disk, new_life());
         if guest {
             replica.become_guest();
         }
@@ -337,14 +359,24 @@
     fn reconfigure_if_due(&mut self, now: Ms) {
         let present = self.presence();
         let due = self.reconfigure.due(now, self.replica.epoch(), &present);
-        let Some(voters) = due.filter(|_| self.replica.joined() && !self.replica.proposes()) else { return };
-        log::info!("event=voters_proposed epoch={} voters={:?}", self.replica.epoch().number + 1, voters.0);
+        let Some(voters) = due.filter(|_| self.replica.joined() && !self.replica.proposes()) else {
+            return;
+        };
+        log::info!(
+            "event=voters_proposed epoch={} voters={:?}",
+            self.replica.epoch().number + 1,
+            voters.0
+        );
         let effects = self.replica.propose(now, voters);
         self.carry_out(effects);
     }
 
     fn read_if_due(&mut self, now: Ms) {
-        let every = if self.replica.as_of().is_some() { READ_EVERY } else { READ_FIRST };
+        let every = if self.replica.as_of().is_some() {
+            READ_EVERY
+        } else {
+            READ_FIRST
+        };
         if now - self.read_at < every {
             return;
         }
@@ -378,13 +410,20 @@
 
     /// Lets the process end once its vote is another machine's, or nobody can take it.
     fn leave_if_done(&mut self) {
-        let Some(Leaving { since, voted, done }) = &self.leaving else { return };
+        let Some(Leaving { since, voted, done }) = &self.leaving else {
+            return;
+        };
         // The voters without it have answered: a majority of them holds all that was acknowledged.
         let read = self.replica.as_of().is_some_and(|at| at > *since);
         let handed_over = !self.replica.votes() && (read || !voted);
         let nobody = self.replica.votes() && !self.replica.proposes() && {
             let present = self.presence();
-            next_voters(&self.replica.epoch().voters, &present, &rules(&self.settings)).is_none()
+            next_voters(
+                &self.replica.epoch().voters,
+                &present,
+                &rules(&self.settings),
+            )
+            .is_none()
         };
         if self.tickets.is_empty() && (handed_over || nobody || !self.replica.epoch().serves()) {
             log::info!("event=left handed_over={handed_over}");
--- a/crates/aspendrum-control/src/servers.rs
+++ b/crates/aspendrum-control/src/servers.rs
@@ -28,7 +28,13 @@
 
 impl Servers {
     pub fn new(poll: Sender<SocketAddrV4>) -> Servers {
-        Servers { roster: ServerList::default(), polled: None, polling: false, poll, failures: 0 }
+        Servers {
+            roster: ServerList::default(),
+            polled: None,
+            polling: false,
+            poll,
+            failures: 0,
+        }
     }
 
     /// How long ago the list was read, milliseconds.
@@ -50,13 +56,19 @@
     /// What another machine is told of the list, if there is one.
     pub fn message(&self, now: Ms) -> Option<PeerMessage> {
         let polled = self.roster.polled_at?;
-        Some(PeerMessage::Servers { age: (now - polled).max(0.0) as u32, list: self.roster.snapshot(now) })
+        Some(PeerMessage::Servers {
+            age: (now - polled).max(0.0) as u32,
+            list: self.roster.snapshot(now),
+        })
     }
 
     /// What agents are told of it.
     pub fn part(&self, now: Ms) -> Option<StateSection> {
         let polled = self.roster.polled_at?;
-        Some(StateSection::Servers { age: (now - polled).max(0.0) as u32, list: self.roster.snapshot(now) })
+        Some(StateSection::Servers {
+            age: (now - polled).max(0.0) as u32,
+            list: self.roster.snapshot(now),
+        })
     }
 }
 
@@ -72,7 +84,10 @@
             }
             Err(why) => {
                 self.servers.failures += 1;
-                log::warn!("event=list_not_read failures={} why=\"{why}\"", self.servers.failures);
+                log::warn!(
+                    "event=list_not_read failures={} why=\"{why}\"",
+                    self.servers.failures
+                );
                 // Not at once again: the rate is shared by all.
                 self.servers.polled = Some(now);
             }
@@ -93,10 +108,12 @@
     }
 
     pub(crate) fn poll_if_due(&mut self, now: Ms) {
-        let Some(cloud) = self.settings.cloud.filter(|_| !self.servers.polling) else { return };
+        let Some(cloud) = self.settings.cloud.filter(|_| !self.servers.polling) else {
+            return;
+        };
         let live: Vec<Place> = self.peers.up(now).map(|p| *p.0).collect();
-        let every =
-            (POLL_SHARE * self.settings.drain_ms).max(1000.0 / (RATE_SHARE * self.settings.cloud_rate));
+        let every = (POLL_SHARE * self.settings.drain_ms)
+            .max(1000.0 / (RATE_SHARE * self.settings.cloud_rate));
         let age = self.servers.polled.map(|at| now - at);
         let due = directory::polls(self.me, &live, age, every, POLL_STEP);
         if due && self.servers.poll.try_send(cloud).is_ok() {
--- a/crates/aspendrum-control/src/storage.rs
+++ b/crates/aspendrum-control/src/storage.rs
@@ -103,10 +103,15 @@
     /// Takes effects in, and hands over what may be carried out now. `state`: as it is behind these effects.
     pub fn push(&mut self, effects: Vec<Effect>, state: &State) -> Vec<Effect> {
         if self.writer.is_none() || self.failed.is_some() {
-            return effects.into_iter().filter(|e| *e != Effect::Persist).collect();
+            return effects
+                .into_iter()
+                .filter(|e| *e != Effect::Persist)
+                .collect();
         }
         let crowded = self.waiting.len() >= MOST_WAITING;
-        let kept = effects.into_iter().filter(|e| !crowded || !matches!(e, Effect::Send { .. }));
+        let kept = effects
+            .into_iter()
+            .filter(|e| !crowded || !matches!(e, Effect::Send { .. }));
         self.waiting.extend(kept);
         self.write(state);
         self.ready()
@@ -114,8 +119,16 @@
 
     /// Begins a write of all that is to be kept, unless one is under way.
     fn write(&mut self, state: &State) {
-        let marks = self.waiting.iter().filter(|e| **e == Effect::Persist).count();
-        let Some(writer) = self.writer.as_ref().filter(|_| self.writing.is_none() && marks > 0) else {
+        let marks = self
+            .waiting
+            .iter()
+            .filter(|e| **e == Effect::Persist)
+            .count();
+        let Some(writer) = self
+            .writer
+            .as_ref()
+            .filter(|_| self.writing.is_none() && marks > 0)
+        else {
             return;
         };
         if writer.try_send(state.clone()).is_ok() {
@@ -127,7 +140,11 @@
 
     /// What stands before the first mark that is not synced.
     fn ready(&mut self) -> Vec<Effect> {
-        let until = self.waiting.iter().position(|e| *e == Effect::Persist).unwrap_or(self.waiting.len());
+        let until = self
+            .waiting
+            .iter()
+            .position(|e| *e == Effect::Persist)
+            .unwrap_or(self.waiting.len());
         self.waiting.drain(..until).collect()
     }
 
@@ -157,7 +174,9 @@
     /// Tries a failed disk again, with what it held last. `first`: where it held nothing yet.
     pub fn retry(&mut self, first: &State) {
         let due = self.failed.is_some_and(|at| at.elapsed() >= RETRY) && self.writing.is_none();
-        let Some(writer) = self.writer.as_ref().filter(|_| due) else { return };
+        let Some(writer) = self.writer.as_ref().filter(|_| due) else {
+            return;
+        };
         let state = self.synced.as_ref().unwrap_or(first).clone();
         if writer.try_send(state.clone()).is_ok() {
             self.writing = Some(Instant::now());
@@ -168,7 +187,12 @@
 
 /// The disk's thread: writes one state after another. After a failure the file is opened anew: what was synced before
 /// is still there.
-fn write(folder: &std::path::Path, store: Store, states: &Receiver<State>, events: &MailboxSender<Event>) {
+fn write(
+    folder: &std::path::Path,
+    store: Store,
+    states: &Receiver<State>,
+    events: &MailboxSender<Event>,
+) {
     let mut store = Some(store);
     while let Ok(state) = states.recv() {
         let opened = store.take().map_or_else(|| Store::open(folder), Ok);
--- a/crates/aspendrum-control/src/store.rs
+++ b/crates/aspendrum-control/src/store.rs
@@ -19,7 +19,9 @@
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let file = folder.join(FILE);
         let opened = Builder::new().set_cache_size(CACHE).create(&file);
-        opened.map(Store).map_err(|e| format!("{}: {e}", file.display()))
+        opened
+            .map(Store)
+            .map_err(|e| format!("{}: {e}", file.display()))
     }
 
     /// What was kept last, none on an empty disk.
@@ -30,9 +32,14 @@
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
             Err(e) => return Err(e.to_string()),
         };
-        for (key, decode) in [(KEY, current as legacy::Decode)].into_iter().chain(legacy::FORMATS) {
+        for (key, decode) in [(KEY, current as legacy::Decode)]
+            .into_iter()
+            .chain(legacy::FORMATS)
+        {
             if let Some(bytes) = table.get(key).map_err(|e| e.to_string())? {
-                return decode(bytes.value()).map(Some).map_err(|e| format!("{key}: {e}"));
+                return decode(bytes.value())
+                    .map(Some)
+                    .map_err(|e| format!("{key}: {e}"));
             }
         }
         Ok(None)
@@ -44,7 +51,9 @@
         let write = self.0.begin_write().map_err(|e| e.to_string())?;
         {
             let mut table = write.open_table(TABLE).map_err(|e| e.to_string())?;
-            table.insert(KEY, bytes.as_slice()).map_err(|e| e.to_string())?;
+            table
+                .insert(KEY, bytes.as_slice())
+                .map_err(|e| e.to_string())?;
             // From now on the older format says nothing true.
             for (key, _) in legacy::FORMATS {
                 table.remove(key).map_err(|e| e.to_string())?;
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -35,8 +35,16 @@
 
 /// Status, headers and body as one text.
 fn shown(reply: &Reply) -> String {
-    let headers: String = reply.headers.iter().map(|h| format!(" {}: {};", h.0, h.1)).collect();
-    format!("{}{headers} {}", reply.status, String::from_utf8_lossy(&reply.body))
+    let headers: String = reply
+        .headers
+        .iter()
+        .map(|h| format!(" {}: {};", h.0, h.1))
+        .collect();
+    format!(
+        "{}{headers} {}",
+        reply.status,
+        String::from_utf8_lossy(&reply.body)
+    )
 }
 
 /// What an operator is answered by a machine whose orders all end in that way.
@@ -61,14 +69,24 @@
     };
     let events = Arc::new(mailbox::spawn_receiver(8, start).unwrap());
     let zones = [("z1".to_string(), "g".to_string())].into();
-    let reply = Orders { events: events.clone(), zones }.answer(&orders(), request);
+    let reply = Orders {
+        events: events.clone(),
+        zones,
+    }
+    .answer(&orders(), request);
     Arc::into_inner(events).unwrap().close();
     (shown(&reply), taken.iter().collect())
 }
 
 fn done(version: u32, text: &[u8]) -> Outcome {
-    let config = HeldConfig { version, text: text.to_vec() };
-    Outcome::Done(Box::new(Holdings { config, ..Holdings::default() }))
+    let config = HeldConfig {
+        version,
+        text: text.to_vec(),
+    };
+    Outcome::Done(Box::new(Holdings {
+        config,
+        ..Holdings::default()
+    }))
 }
 
 #[test]
@@ -77,13 +95,26 @@
     let (acknowledged, orders) = answer(&done(1, b""), &set);
     assert_eq!(acknowledged, "200 ");
     let digest = aspendrum_model::hash::digest(CONFIG.as_bytes());
-    assert_eq!(orders, [Order::Config { version: 0x0107, text: pack(CONFIG.as_bytes()), digest }]);
-    assert_eq!(answer(&Outcome::Taken, &set).0, "409 another text was decided under this number\n");
+    assert_eq!(
+        orders,
+        [Order::Config {
+            version: 0x0107,
+            text: pack(CONFIG.as_bytes()),
+            digest
+        }]
+    );
+    assert_eq!(
+        answer(&Outcome::Taken, &set).0,
+        "409 another text was decided under this number\n"
+    );
     assert_eq!(answer(&Outcome::NoMajority, &set).0, "503 ");
     let invalid = request("POST", "/api/Cfg.Set", &CONFIG.replace("/a/", "a/"));
     let refused = "400 the prefix a/ does not begin with a slash\n".to_string();
     assert_eq!(answer(&done(1, b""), &invalid), (refused, vec![]));
-    assert_eq!(answer(&done(1, b""), &request("GET", "/api/Cfg.Set", CONFIG)).0, "405 ");
+    assert_eq!(
+        answer(&done(1, b""), &request("GET", "/api/Cfg.Set", CONFIG)).0,
+        "405 "
+    );
 }
 
 #[test]
@@ -99,7 +130,12 @@
 
 #[test]
 fn evacuations_are_ordered_by_zone() {
-    let order = |on| vec![Order::Evacuation { zone: "z1".into(), on }];
+    let order = |on| {
+        vec![Order::Evacuation {
+            zone: "z1".into(),
+            on,
+        }]
+    };
     let call = |path: &str| answer(&done(1, b""), &request("POST", path, ""));
     assert_eq!(call("/api/Evac.Begin/z1"), ("200 ".into(), order(true)));
     assert_eq!(call("/api/Evac.Finish/z1"), ("200 ".into(), order(false)));
@@ -111,7 +147,10 @@
 #[test]
 fn reports_are_asked_for_by_name() {
     let call = |path: &str| answer(&Outcome::NoMajority, &request("GET", path, "")).0;
-    assert_eq!(call("/api/Nodes"), r#"200 Content-Type: application/json; {"of":null}"#);
+    assert_eq!(
+        call("/api/Nodes"),
+        r#"200 Content-Type: application/json; {"of":null}"#
+    );
     let explained = r#"200 Content-Type: application/json; {"of":["a.example","/a/x"]}"#;
     assert_eq!(call("/api/Explain?host=a.example&path=/a/x"), explained);
     assert_eq!(call("/api/Explain?host=a.example"), "400 ");
@@ -120,7 +159,10 @@
 }
 
 fn edition(config: u32, evacuation: u64, digests: [u64; 4]) -> StateDigest {
-    StateDigest { revision: Revision { config, evacuation }, digests }
+    StateDigest {
+        revision: Revision { config, evacuation },
+        digests,
+    }
 }
 
 #[test]
@@ -139,7 +181,12 @@
     let nodes = [
         node("e1", Standing::Current, 0, decided),
         node("e2", Standing::Behind, 40, edition(0x0106, 2, [1, 9, 3, 9])),
-        node("e3", Standing::Differs, 41, edition(0x0107, 3, [9, 2, 9, 4])),
+        node(
+            "e3",
+            Standing::Differs,
+            41,
+            edition(0x0107, 3, [9, 2, 9, 4]),
+        ),
         node("e4", Standing::Alone, 42, StateDigest::default()),
     ];
     let members = Membership {
@@ -150,7 +197,12 @@
     };
     let known = report::nodes("core-1", &decided, Some(120), &nodes, &members).to_string();
     assert_eq!(known + "\n", include_str!("fixtures/nodes.json"));
-    let unknown = Membership { epoch: 0, voters: Vec::new(), control: Vec::new(), joined: false };
+    let unknown = Membership {
+        epoch: 0,
+        voters: Vec::new(),
+        control: Vec::new(),
+        joined: false,
+    };
     let unknown = report::nodes("core-1", &StateDigest::default(), None, &[], &unknown).to_string();
     assert_eq!(unknown + "\n", include_str!("fixtures/nodes_unknown.json"));
 }
@@ -161,8 +213,14 @@
     let before = CONFIG.replace("00000107", "00000106").replace("/m/", "/n/");
     let versions = [newest, Config::read(before.as_bytes()).unwrap()];
     let explained = |path| report::explain(versions.iter(), "a.example", path).to_string() + "\n";
-    assert_eq!(explained("/a/x"), include_str!("fixtures/explain_retried.json"));
-    assert_eq!(explained("/m/x"), include_str!("fixtures/explain_mutating.json"));
+    assert_eq!(
+        explained("/a/x"),
+        include_str!("fixtures/explain_retried.json")
+    );
+    assert_eq!(
+        explained("/m/x"),
+        include_str!("fixtures/explain_mutating.json")
+    );
 }
 
 #[test]
@@ -177,11 +235,20 @@
     directory.update(0.0, &[front(1), front(2)]);
     let known = RwLock::new(directory);
     let tree = look_ups();
-    let asked = |known, method, path| shown(&look_up(known, &tree, &request(method, path, ""), HELD, 5.0));
+    let asked = |known, method, path| {
+        shown(&look_up(
+            known,
+            &tree,
+            &request(method, path, ""),
+            HELD,
+            5.0,
+        ))
+    };
     let addresses =
         r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":5.0}"#;
     assert_eq!(asked(&known, "GET", "/api/lookup?geo=g&az=z1"), addresses);
-    let away = r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":1.0}"#;
+    let away =
+        r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":1.0}"#;
     assert_eq!(asked(&known, "GET", "/api/lookup?geo=h&az=z9"), away);
     let nobody = RwLock::new(Directory::default());
     assert_eq!(asked(&nobody, "GET", "/api/lookup?geo=g&az=z1"), "503 ");
--- a/crates/aspendrum-control/tests/pinned/mod.rs
+++ b/crates/aspendrum-control/tests/pinned/mod.rs
@@ -16,7 +16,11 @@
             let (name, hex) = line.split_once(' ').expect("each line is `name hex`");
             (name.to_string(), bytes(hex))
         };
-        Pinned { file, expected: content.lines().map(line).collect(), next: 0 }
+        Pinned {
+            file,
+            expected: content.lines().map(line).collect(),
+            next: 0,
+        }
     }
 
     /// The next line of the fixture has that name and those bytes.
@@ -27,18 +31,34 @@
             .unwrap_or_else(|| panic!("{}: no line for {name} {}", self.file, hex(encoded)));
         self.next += 1;
         assert_eq!(name, expected_name, "{}: line {}", self.file, self.next);
-        assert_eq!(hex(encoded), hex(expected), "{}: {name} is encoded otherwise", self.file);
+        assert_eq!(
+            hex(encoded),
+            hex(expected),
+            "{}: {name} is encoded otherwise",
+            self.file
+        );
     }
 
     /// Every line of the fixture was compared.
     pub fn complete(self) {
-        assert_eq!(self.next, self.expected.len(), "{}: lines that no value was compared with", self.file);
+        assert_eq!(
+            self.next,
+            self.expected.len(),
+            "{}: lines that no value was compared with",
+            self.file
+        );
     }
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2) && hex.is_ascii(), "hex digits come in pairs: {hex}");
-    (0..hex.len()).step_by(2).map(|n| u8::from_str_radix(&hex[n..n + 2], 16).expect("a hex digit")).collect()
+    assert!(
+        hex.len().is_multiple_of(2) && hex.is_ascii(),
+        "hex digits come in pairs: {hex}"
+    );
+    (0..hex.len())
+        .step_by(2)
+        .map(|n| u8::from_str_radix(&hex[n..n + 2], 16).expect("a hex digit"))
+        .collect()
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/aspendrum-control/tests/processes.rs
+++ b/crates/aspendrum-control/tests/processes.rs
@@ -33,11 +33,17 @@
 
 impl Control {
     fn start(net: u8) -> Control {
-        let folder = std::env::temp_dir().join(format!("aspendrum-control-{}-{net}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("aspendrum-control-{}-{net}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
-        let mut control =
-            Control { folder, net, ports: [21_000, 21_050], up: [const { None }; 3], init: true };
+        let mut control = Control {
+            folder,
+            net,
+            ports: [21_000, 21_050],
+            up: [const { None }; 3],
+            init: true,
+        };
         (0..3).for_each(|n| control.up(n));
         control.init = false;
         control
@@ -53,7 +59,9 @@
 
     fn up(&mut self, n: usize) {
         let [first, ctl] = self.ports;
-        let seeds: Vec<String> = (0..3).map(|n| format!("\"{}:{ctl}\"", self.ip(n))).collect();
+        let seeds: Vec<String> = (0..3)
+            .map(|n| format!("\"{}:{ctl}\"", self.ip(n)))
+            .collect();
         let settings = format!(
             r#"{{"self":{{"host-name":"core-{n}","ip":"{ip}","az":"a","geo":"g","init":{},"datadir":"{}"}},
 "net":{{"binds":{{"ctl":"{ip}:{ctl}"}},"port-range":[{first},{}],"seeds":[{}],"zones":{{"a":"g"}}}}}}"#,
@@ -112,7 +120,10 @@
     /// That machine has come to vote again, and holds all that was acknowledged: the next one may be lost.
     fn votes(&self, n: usize) {
         let begun = Instant::now();
-        while !self.done(n, "GET", "/api/Nodes", "").contains(r#""joined":true"#) {
+        while !self
+            .done(n, "GET", "/api/Nodes", "")
+            .contains(r#""joined":true"#)
+        {
             assert!(begun.elapsed() < LIMIT);
             thread::yield_now();
         }
@@ -142,7 +153,10 @@
     control.done(1, "POST", "/api/Cfg.Set", &config(3));
     control.shows(2, &config(7));
     let bare = config(9).replace("/a/", "a/");
-    assert_eq!(control.call(1, "POST", "/api/Cfg.Set", &bare).unwrap().0, 400);
+    assert_eq!(
+        control.call(1, "POST", "/api/Cfg.Set", &bare).unwrap().0,
+        400
+    );
     (0..3).for_each(|n| control.kill(n));
     (0..3).for_each(|n| control.up(n));
     (0..3).for_each(|n| control.shows(n, &config(7)));
@@ -168,10 +182,22 @@
     control.done(0, "POST", "/api/Cfg.Set", &config(2));
     control.kill(1);
     control.kill(2);
-    assert_eq!(control.call(0, "POST", "/api/Cfg.Set", &config(5)).unwrap().0, 503);
+    assert_eq!(
+        control
+            .call(0, "POST", "/api/Cfg.Set", &config(5))
+            .unwrap()
+            .0,
+        503
+    );
     assert_eq!(control.call(0, "GET", "/api/Cfg.Show", "").unwrap().0, 503);
-    assert_eq!(control.call(0, "POST", "/api/Evac.Begin/a", "").unwrap().0, 503);
-    assert_eq!(control.call(0, "POST", "/api/Evac.Begin/b", "").unwrap().0, 404);
+    assert_eq!(
+        control.call(0, "POST", "/api/Evac.Begin/a", "").unwrap().0,
+        503
+    );
+    assert_eq!(
+        control.call(0, "POST", "/api/Evac.Begin/b", "").unwrap().0,
+        404
+    );
     // What got no clear answer may be in force once a majority is back, and is taken when it is sent again.
     control.up(1);
     control.done(1, "POST", "/api/Cfg.Set", &config(5));
@@ -193,7 +219,9 @@
                 other => assert!(matches!(other, None | Some((503, _))), "{other:?}"),
             }
         };
-        [0, 1].map(|n| scope.spawn(move || call(n))).map(|t| t.join().unwrap())
+        [0, 1]
+            .map(|n| scope.spawn(move || call(n)))
+            .map(|t| t.join().unwrap())
     });
     let winner = answers.iter().position(|s| *s == 200).unwrap();
     assert_eq!(answers[1 - winner], 409);
@@ -201,7 +229,14 @@
     let again = |control: &Control| {
         for n in 0..3 {
             control.done(n, "POST", "/api/Cfg.Set", &texts[winner]);
-            assert_eq!(control.call(n, "POST", "/api/Cfg.Set", &texts[1 - winner]).unwrap().0, 409, "{n}");
+            assert_eq!(
+                control
+                    .call(n, "POST", "/api/Cfg.Set", &texts[1 - winner])
+                    .unwrap()
+                    .0,
+                409,
+                "{n}"
+            );
         }
     };
     again(&control);
@@ -229,7 +264,10 @@
 
 fn version(down: &FromControl) -> Option<u32> {
     match down {
-        FromControl::Update { part: StateSection::Config { version, .. }, .. } => Some(*version),
+        FromControl::Update {
+            part: StateSection::Config { version, .. },
+            ..
+        } => Some(*version),
         _ => None,
     }
 }
@@ -242,12 +280,24 @@
     let mut link = TcpStream::connect((control.ip(1), control.ports[0])).unwrap();
     link.set_read_timeout(Some(LIMIT)).unwrap();
     let say = |mut link: &TcpStream, up: ToControl| {
-        link.write_all(&frames::encode_frame(&Envelope::<()>::Agent(up))).unwrap()
+        link.write_all(&frames::encode_frame(&Envelope::<()>::Agent(up)))
+            .unwrap()
     };
     let front = "10.0.0.9:80".parse().unwrap();
-    say(&link, ToControl::Hello { host: "e1".into(), front, zone: "a".into() });
+    say(
+        &link,
+        ToControl::Hello {
+            host: "e1".into(),
+            front,
+            zone: "a".into(),
+        },
+    );
     let mut all = told(&mut link, |d| version(d) == Some(4));
-    let Some(FromControl::Update { part: StateSection::Config { text, .. }, .. }) = all.last() else {
+    let Some(FromControl::Update {
+        part: StateSection::Config { text, .. },
+        ..
+    }) = all.last()
+    else {
         panic!("{all:?}")
     };
     assert_eq!(unpack(text).unwrap(), config(4).into_bytes());
@@ -257,7 +307,11 @@
     all.extend(told(&mut link, |d| version(d) == Some(6)));
     say(
         &link,
-        ToControl::Heartbeat { stamp: 42, readiness: Readiness::Ready, applied: StateDigest::default() },
+        ToControl::Heartbeat {
+            stamp: 42,
+            readiness: Readiness::Ready,
+            applied: StateDigest::default(),
+        },
     );
     let is_answer = |d: &FromControl| matches!(d, FromControl::Heartbeat { stamp: 42, majority_age: Some(age), decided: of, .. } if *age < 5000 && of.revision.config == 6);
     all.extend(told(&mut link, is_answer));
@@ -273,12 +327,19 @@
     assert_eq!(numbers, (1..=numbers.len() as u64).collect::<Vec<_>>());
     // What it applied is nothing, and operators see that.
     let nodes = control.done(1, "GET", "/api/Nodes", "");
-    assert!(nodes.contains(r#""host":"e1""#) && nodes.contains(r#""standing":"behind""#), "{nodes}");
+    assert!(
+        nodes.contains(r#""host":"e1""#) && nodes.contains(r#""standing":"behind""#),
+        "{nodes}"
+    );
     let told = control.done(1, "GET", "/api/Explain?host=a.example&path=/a/x", "");
     assert!(
-        told.contains(r#""gen":"00000006","route":{"homes":[]"#) && told.contains("repeated freely"),
+        told.contains(r#""gen":"00000006","route":{"homes":[]"#)
+            && told.contains("repeated freely"),
         "{told}"
     );
-    assert!(told.find("00000006").unwrap() < told.find("00000004").unwrap(), "the newest first: {told}");
+    assert!(
+        told.find("00000006").unwrap() < told.find("00000004").unwrap(),
+        "the newest first: {told}"
+    );
     assert_eq!(control.call(1, "GET", "/api/Explain", "").unwrap().0, 400);
 }
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -28,7 +28,12 @@
 const TEXT: &[u8] = br#"{"gen":"00000107"}"#;
 
 fn front(readiness: Readiness, current: bool) -> ProxyEndpoint {
-    ProxyEndpoint { addr: "10.0.0.9:8080".parse().unwrap(), zone: "z1".into(), readiness, current }
+    ProxyEndpoint {
+        addr: "10.0.0.9:8080".parse().unwrap(),
+        zone: "z1".into(),
+        readiness,
+        current,
+    }
 }
 
 fn voters() -> Voters {
@@ -36,7 +41,11 @@
 }
 
 fn epoch() -> Epoch {
-    Epoch { number: 5, voters: voters(), previous: Voters::founding(&[1, 2, 3]) }
+    Epoch {
+        number: 5,
+        voters: voters(),
+        previous: Voters::founding(&[1, 2, 3]),
+    }
 }
 
 /// A frame as one machine of control writes it to another, read by that one.
@@ -44,13 +53,18 @@
     let frame = frames::encode_frame(&links::between(message));
     pinned.same_bytes(name, &frame);
     let read: Envelope<PeerMessage> = frames::read_frame(&mut frame.as_slice()).unwrap();
-    let Envelope::Peer(read) = read else { panic!("{name}: {read:?}") };
+    let Envelope::Peer(read) = read else {
+        panic!("{name}: {read:?}")
+    };
     assert_eq!(format!("{read:?}"), format!("{message:?}"), "{name}");
 }
 
 #[test]
 fn messages_between_machines_of_control_keep_their_bytes() {
-    let mut pinned = Pinned::new("peer_messages.hex", include_str!("fixtures/peer_messages.hex"));
+    let mut pinned = Pinned::new(
+        "peer_messages.hex",
+        include_str!("fixtures/peer_messages.hex"),
+    );
     let hello = Hello {
         place: 0x0a00_0001,
         zone: "z1".into(),
@@ -60,18 +74,42 @@
         others: vec![(2, "z2".into()), (0x0a00_0003, String::new())],
     };
     peer_message(&mut pinned, "hello", &PeerMessage::Hello(Box::new(hello)));
-    peer_message(&mut pinned, "heartbeat.never_polled", &PeerMessage::Heartbeat { polled: None });
-    peer_message(&mut pinned, "heartbeat", &PeerMessage::Heartbeat { polled: Some(700) });
+    peer_message(
+        &mut pinned,
+        "heartbeat.never_polled",
+        &PeerMessage::Heartbeat { polled: None },
+    );
+    peer_message(
+        &mut pinned,
+        "heartbeat",
+        &PeerMessage::Heartbeat { polled: Some(700) },
+    );
     peer_message(
         &mut pinned,
         "consensus",
-        &PeerMessage::Consensus(Message::Decided { number: 8, digest: 9 }),
+        &PeerMessage::Consensus(Message::Decided {
+            number: 8,
+            digest: 9,
+        }),
+    );
+    peer_message(
+        &mut pinned,
+        "consensus.nudge",
+        &PeerMessage::Consensus(Message::Nudge),
     );
-    peer_message(&mut pinned, "consensus.nudge", &PeerMessage::Consensus(Message::Nudge));
     let fronts = vec![
-        KnownFront { front: front(Readiness::Closed, true), connected: false },
-        KnownFront { front: front(Readiness::Draining, false), connected: true },
-        KnownFront { front: front(Readiness::Ready, true), connected: true },
+        KnownFront {
+            front: front(Readiness::Closed, true),
+            connected: false,
+        },
+        KnownFront {
+            front: front(Readiness::Draining, false),
+            connected: true,
+        },
+        KnownFront {
+            front: front(Readiness::Ready, true),
+            connected: true,
+        },
     ];
     peer_message(&mut pinned, "proxies", &PeerMessage::Fronts(fronts));
     let server = |draining: bool, warm_left_ms: u32| ServerInstance {
@@ -84,12 +122,19 @@
         warm_left_ms,
     };
     let list = vec![server(false, 0), server(true, 2500)];
-    peer_message(&mut pinned, "servers", &PeerMessage::Servers { age: 1200, list });
+    peer_message(
+        &mut pinned,
+        "servers",
+        &PeerMessage::Servers { age: 1200, list },
+    );
     // What an agent says comes over the same port, told apart by the first byte.
     let agent = frames::encode_frame(&Envelope::<PeerMessage>::Agent(ToControl::Disconnecting));
     pinned.same_bytes("agent", &agent);
     let read: Envelope<PeerMessage> = frames::read_frame(&mut agent.as_slice()).unwrap();
-    assert!(matches!(read, Envelope::Agent(ToControl::Disconnecting)), "{read:?}");
+    assert!(
+        matches!(read, Envelope::Agent(ToControl::Disconnecting)),
+        "{read:?}"
+    );
     pinned.complete();
 }
 
@@ -98,7 +143,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("aspendrum-disk-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("aspendrum-disk-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         Folder(folder)
@@ -113,9 +159,21 @@
 
 /// A voter that has accepted an undecided configuration and a successor.
 fn state() -> State {
-    let ballot = Ballot { count: 3, place: 2, life: 0x0123_4500_0000 };
+    let ballot = Ballot {
+        count: 3,
+        place: 2,
+        life: 0x0123_4500_0000,
+    };
     let mut numbers = Numbers::default();
-    numbers.accept(0x0108, ballot, Text { digest: 5, packed: Some(pack(b"other")) }, 0x0107);
+    numbers.accept(
+        0x0108,
+        ballot,
+        Text {
+            digest: 5,
+            packed: Some(pack(b"other")),
+        },
+        0x0107,
+    );
     numbers.decide(0x0107, digest(TEXT), 0x0107);
     State {
         held: held(),
@@ -124,15 +182,25 @@
         founding: false,
         epoch: epoch(),
         joined: true,
-        successor: Acceptor { promised: ballot, accepted: Some((ballot, voters())) },
+        successor: Acceptor {
+            promised: ballot,
+            accepted: Some((ballot, voters())),
+        },
     }
 }
 
 fn held() -> Holdings {
-    let config = Config { version: 0x0107, text: pack(TEXT) };
+    let config = Config {
+        version: 0x0107,
+        text: pack(TEXT),
+    };
     let evacuations = [("z1", 3, false), ("z2", 4, true)];
-    let evacuations = evacuations.map(|(zone, number, off)| (zone.to_string(), Evacuation { number, off }));
-    Holdings { config, evacuations: evacuations.into() }
+    let evacuations =
+        evacuations.map(|(zone, number, off)| (zone.to_string(), Evacuation { number, off }));
+    Holdings {
+        config,
+        evacuations: evacuations.into(),
+    }
 }
 
 /// Danger: an update cannot read the disks that it finds.
@@ -155,7 +223,9 @@
     let database = Builder::new().open(folder.0.join("vault.redb")).unwrap();
     let table = database.begin_read().unwrap().open_table(TABLE).unwrap();
     let entries = table.iter().unwrap().map(|entry| entry.unwrap());
-    entries.map(|(key, value)| (key.value().to_string(), value.value().to_vec())).collect()
+    entries
+        .map(|(key, value)| (key.value().to_string(), value.value().to_vec()))
+        .collect()
 }
 
 #[test]
@@ -175,13 +245,26 @@
 /// The identity that a disk had in earlier formats: its generation and its id.
 type EarlierDisk = (u32, u64);
 /// What an earlier disk held: configuration, evacuations, voters and their disks.
-type EarlierHeld = (Config, Vec<(String, Evacuation)>, Vec<u32>, Vec<(u32, EarlierDisk)>);
+type EarlierHeld = (
+    Config,
+    Vec<(String, Evacuation)>,
+    Vec<u32>,
+    Vec<(u32, EarlierDisk)>,
+);
 /// Its part in settling the voters for ever.
 type EarlierFounding = (u64, Option<(u64, Vec<u32>)>);
 
 fn earlier_held() -> EarlierHeld {
-    let Holdings { config, evacuations } = held();
-    (config, evacuations.into_iter().collect(), vec![1, 2, 3], vec![(1, (1, 77)), (2, (4, 78))])
+    let Holdings {
+        config,
+        evacuations,
+    } = held();
+    (
+        config,
+        evacuations.into_iter().collect(),
+        vec![1, 2, 3],
+        vec![(1, (1, 77)), (2, (4, 78))],
+    )
 }
 
 fn earlier_founding() -> EarlierFounding {
@@ -193,12 +276,19 @@
 fn earlier_format<T: Serialize>(pinned: &mut Pinned, key: &str, earlier: &T, expected: &State) {
     let bytes = postcard::to_allocvec(earlier).unwrap();
     pinned.same_bytes(key, &bytes);
-    let (_, decode) = legacy::FORMATS.iter().find(|format| format.0 == key).unwrap();
+    let (_, decode) = legacy::FORMATS
+        .iter()
+        .find(|format| format.0 == key)
+        .unwrap();
     assert_eq!(&decode(&bytes).unwrap(), expected, "{key}");
     let folder = Folder::new(key);
     let database = Builder::new().create(folder.0.join("vault.redb")).unwrap();
     let write = database.begin_write().unwrap();
-    write.open_table(TABLE).unwrap().insert(key, bytes.as_slice()).unwrap();
+    write
+        .open_table(TABLE)
+        .unwrap()
+        .insert(key, bytes.as_slice())
+        .unwrap();
     write.commit().unwrap();
     drop(database);
     let store = Store::open(&folder.0).unwrap();
@@ -211,7 +301,10 @@
 
 #[test]
 fn disks_of_the_three_earlier_formats_are_read() {
-    let mut pinned = Pinned::new("earlier_disks.hex", include_str!("fixtures/earlier_disks.hex"));
+    let mut pinned = Pinned::new(
+        "earlier_disks.hex",
+        include_str!("fixtures/earlier_disks.hex"),
+    );
     let (disk, mut numbers) = ((2u32, 77u64), Numbers::default());
     numbers.decide(0x0107, digest(TEXT), 0x0107);
     let third = State {
@@ -219,21 +312,46 @@
         numbers: numbers.clone(),
         disk: 77,
         founding: true,
-        epoch: Epoch { number: 0, voters: Voters::founding(&[1, 2, 3]), previous: Voters::default() },
+        epoch: Epoch {
+            number: 0,
+            voters: Voters::founding(&[1, 2, 3]),
+            previous: Voters::default(),
+        },
         joined: true,
         successor: Acceptor::default(),
     };
-    let earlier = (earlier_held(), numbers, disk, true, false, earlier_founding());
+    let earlier = (
+        earlier_held(),
+        numbers,
+        disk,
+        true,
+        false,
+        earlier_founding(),
+    );
     earlier_format(&mut pinned, "kept-3", &earlier, &third);
     // Without ballots what was held counts as accepted, below every ballot, and not as decided.
     let mut numbers = Numbers::default();
-    let accepted = Text { digest: digest(TEXT), packed: Some(pack(TEXT)) };
+    let accepted = Text {
+        digest: digest(TEXT),
+        packed: Some(pack(TEXT)),
+    };
     numbers.held_before(0x0107, digest(&pack(TEXT)), accepted);
-    let held = Holdings { config: Config::default(), ..held() };
-    let second = State { held, numbers, ..third };
+    let held = Holdings {
+        config: Config::default(),
+        ..held()
+    };
+    let second = State {
+        held,
+        numbers,
+        ..third
+    };
     let earlier = (earlier_held(), disk, false, true, earlier_founding());
     earlier_format(&mut pinned, "kept-2", &earlier, &second);
-    let first = State { founding: false, joined: false, ..second };
+    let first = State {
+        founding: false,
+        joined: false,
+        ..second
+    };
     earlier_format(&mut pinned, "kept", &(earlier_held(), disk, false), &first);
     pinned.complete();
 }
--- a/crates/aspendrum-core/src/control.rs
+++ b/crates/aspendrum-core/src/control.rs
@@ -19,33 +19,96 @@
 
 /// Rules 1 and 2: the only place that says whether a query may be sent on again or shed.
 const RULES: [(Semantics, Known, Resend, May); 9] = [
-    (Semantics::Repeatable, Known::NeverRan, Resend::Anywhere, May::Shed),
-    (Semantics::Repeatable, Known::MayHaveRun, Resend::Anywhere, May::Shed),
-    (Semantics::Repeatable, Known::StillOut, Resend::No, May::Shed),
-    (Semantics::Keyed, Known::NeverRan, Resend::Anywhere, May::Shed),
-    (Semantics::Keyed, Known::MayHaveRun, Resend::InGroup, May::ShedIfAll),
-    (Semantics::Keyed, Known::StillOut, Resend::No, May::ShedIfAll),
-    (Semantics::Mutating, Known::NeverRan, Resend::Anywhere, May::Shed),
-    (Semantics::Mutating, Known::MayHaveRun, Resend::No, May::Drop),
+    (
+        Semantics::Repeatable,
+        Known::NeverRan,
+        Resend::Anywhere,
+        May::Shed,
+    ),
+    (
+        Semantics::Repeatable,
+        Known::MayHaveRun,
+        Resend::Anywhere,
+        May::Shed,
+    ),
+    (
+        Semantics::Repeatable,
+        Known::StillOut,
+        Resend::No,
+        May::Shed,
+    ),
+    (
+        Semantics::Keyed,
+        Known::NeverRan,
+        Resend::Anywhere,
+        May::Shed,
+    ),
+    (
+        Semantics::Keyed,
+        Known::MayHaveRun,
+        Resend::InGroup,
+        May::ShedIfAll,
+    ),
+    (
+        Semantics::Keyed,
+        Known::StillOut,
+        Resend::No,
+        May::ShedIfAll,
+    ),
+    (
+        Semantics::Mutating,
+        Known::NeverRan,
+        Resend::Anywhere,
+        May::Shed,
+    ),
+    (
+        Semantics::Mutating,
+        Known::MayHaveRun,
+        Resend::No,
+        May::Drop,
+    ),
     (Semantics::Mutating, Known::StillOut, Resend::No, May::Drop),
 ];
 
 impl Control {
     pub fn new(now: Ms, seed: u64, s: &Settings, out: &mut Vec<Action>) -> Self {
-        out.push(Action::Timer { token: 0, wait: BEAT });
+        out.push(Action::Timer {
+            token: 0,
+            wait: BEAT,
+        });
         out.extend(s.discovery_asks.then_some(Action::Watch { on: true }));
         let mut fig = Figures::new(s);
         fig.crowd = (fig.instances / PROBERS).max(1.0);
-        (fig.keepers, fig.want_every) = (s.may_tell && fig.crowd > 1.0, Self::want_every(s.peer_in_per_s));
+        (fig.keepers, fig.want_every) = (
+            s.may_tell && fig.crowd > 1.0,
+            Self::want_every(s.peer_in_per_s),
+        );
         fig.own_part = if fig.keepers { 1.0 - LEAD_PART } else { 1.0 };
         fig.turn = (f64::from(s.me) * GOLDEN).fract();
         fig.cold_budget = (COLD_SHARE * s.fall_multiple).min(COLD_FAIR) * s.fall_window;
-        let slo = fig.groups.iter().map(|g| g.slo).fold(f64::INFINITY, f64::min);
+        let slo = fig
+            .groups
+            .iter()
+            .map(|g| g.slo)
+            .fold(f64::INFINITY, f64::min);
         let (chance, typical) = (Chance::new(seed), slo / 4.0);
         let paces = fig.groups.iter().map(|_| Pace::default()).collect();
         let peers = vec![Peer::default(); s.instances as usize];
-        let own = Control { now, begun: now, chance, paces, typical, fig, peers, ..Control::default() };
-        Control { ease: 1.0, ask: 1.0, ..own }
+        let own = Control {
+            now,
+            begun: now,
+            chance,
+            paces,
+            typical,
+            fig,
+            peers,
+            ..Control::default()
+        };
+        Control {
+            ease: 1.0,
+            ask: 1.0,
+            ..own
+        }
     }
 
     pub fn handle(&mut self, now: Ms, event: &Event, out: &mut Vec<Action>) {
@@ -54,15 +117,49 @@
         match *event {
             Event::Members { list, entries, .. } => self.members(list, entries),
             Event::Query(ref new) => self.take(new),
-            Event::ForwardEnded { id, forward, outcome, rtt, over, actual, load, .. } => {
-                self.ended(id, usize::from(forward), outcome, rtt, over, f64::from(actual), &load);
+            Event::ForwardEnded {
+                id,
+                forward,
+                outcome,
+                rtt,
+                over,
+                actual,
+                load,
+                ..
+            } => {
+                self.ended(
+                    id,
+                    usize::from(forward),
+                    outcome,
+                    rtt,
+                    over,
+                    f64::from(actual),
+                    &load,
+                );
             }
             Event::StreamStarted { id, .. } => {
-                self.queries.find(id).into_iter().for_each(|slot| self.queries[slot].streaming = true);
+                self.queries
+                    .find(id)
+                    .into_iter()
+                    .for_each(|slot| self.queries[slot].streaming = true);
             }
-            Event::ClientLeft { id } => self.queries.find(id).into_iter().for_each(|slot| self.close(slot)),
-            Event::Counted { name, outcome, total, rtt } => self.told(name, outcome, total.into(), rtt),
-            Event::Probed { server, outcome, load, .. } => self.probed(server, outcome, &load),
+            Event::ClientLeft { id } => self
+                .queries
+                .find(id)
+                .into_iter()
+                .for_each(|slot| self.close(slot)),
+            Event::Counted {
+                name,
+                outcome,
+                total,
+                rtt,
+            } => self.told(name, outcome, total.into(), rtt),
+            Event::Probed {
+                server,
+                outcome,
+                load,
+                ..
+            } => self.probed(server, outcome, &load),
             Event::Timer { .. } => self.beat(),
             Event::PeerSaid { from, data } => self.hear(from, data),
         }
@@ -80,7 +177,8 @@
         (query.slo_at, query.worth) = (self.now + g.slo, g.importance * self.fig.plans[plan].price);
         let slot = self.queries.add(new.id, query);
         self.live.push(slot);
-        (self.accts[acct].in_hand, self.accts[acct].used_at) = (self.accts[acct].in_hand + 1, self.now);
+        (self.accts[acct].in_hand, self.accts[acct].used_at) =
+            (self.accts[acct].in_hand + 1, self.now);
         self.accts[acct].first = f64::from(new.first);
         self.begin(slot);
     }
@@ -149,9 +247,13 @@
 
     /// How this query may be sent on now, by rules 1 and 2.
     fn resend(&self, q: &Query) -> Resend {
-        let never =
-            q.stage == Stage::Over || q.streaming || q.sent >= self.fig.most.min(q.most) || self.too_late(q);
-        Some(self.rule(q).0).filter(|_| !never).unwrap_or(Resend::No)
+        let never = q.stage == Stage::Over
+            || q.streaming
+            || q.sent >= self.fig.most.min(q.most)
+            || self.too_late(q);
+        Some(self.rule(q).0)
+            .filter(|_| !never)
+            .unwrap_or(Resend::No)
     }
 
     fn reaches(&self, q: &Query, resend: Resend, server: usize) -> bool {
@@ -175,7 +277,11 @@
     fn send(&mut self, slot: usize, server: usize) {
         let cold = self.cold(self.servers[server].started);
         let q = &mut self.queries[slot];
-        q.tries[q.sent] = Try { server, sent: self.now, end: None };
+        q.tries[q.sent] = Try {
+            server,
+            sent: self.now,
+            end: None,
+        };
         q.sent += 1;
         q.stage = Stage::Out;
         self.accts[q.acct].out += u32::from(q.sent == 1);
@@ -183,7 +289,11 @@
         s.cold_left -= if cold { 1.0 } else { 0.0 };
         s.sent_at = if s.out == 0 { self.now } else { s.sent_at };
         s.out += 1;
-        self.acts.push(Action::Forward { id: q.id, server: s.id, timeout: 0.0 });
+        self.acts.push(Action::Forward {
+            id: q.id,
+            server: s.id,
+            timeout: 0.0,
+        });
     }
 
     /// Most important first, of equals the one with least time left, for as long as credits are left.
@@ -196,13 +306,16 @@
                 let q = &self.queries[slot];
                 let a = &self.accts[q.acct];
                 let open = f64::from(self.fig.plans[a.plan].open);
-                let held = q.sent == 0 && open > 0.0 && f64::from(a.out) >= (open / a.spread).ceil().max(1.0);
+                let held = q.sent == 0
+                    && open > 0.0
+                    && f64::from(a.out) >= (open / a.spread).ceil().max(1.0);
                 let next = order.is_none_or(|o| (q.worth, -q.slo_at) > (o.0, o.1));
                 if held || !next || stuck >> (q.pool & 63) & 1 == 1 {
                     continue;
                 }
                 let known = spare.filter(|s: &(u16, f64)| s.0 == q.pool);
-                let (_, share) = *spare.insert(known.unwrap_or_else(|| (q.pool, self.spare(q.pool))));
+                let (_, share) =
+                    *spare.insert(known.unwrap_or_else(|| (q.pool, self.spare(q.pool))));
                 if share > if q.inside { 0.0 } else { 0.5 } {
                     order = Some((q.worth, -q.slo_at, i));
                 }
@@ -220,8 +333,19 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn ended(&mut self, id: QueryId, n: usize, how: Outcome, rtt: Ms, over: bool, actual: f64, load: &Load) {
-        let Some(slot) = self.queries.find(id) else { return };
+    fn ended(
+        &mut self,
+        id: QueryId,
+        n: usize,
+        how: Outcome,
+        rtt: Ms,
+        over: bool,
+        actual: f64,
+        load: &Load,
+    ) {
+        let Some(slot) = self.queries.find(id) else {
+            return;
+        };
         let q = &mut self.queries[slot];
         if n >= q.sent || q.tries[n].end.replace(how).is_some() {
             return;
@@ -235,7 +359,9 @@
         self.learn(server, how, rtt, group);
         if over {
             self.close(slot);
-        } else if self.queries[slot].stage == Stage::Out && self.queries[slot].known() != Known::StillOut {
+        } else if self.queries[slot].stage == Stage::Out
+            && self.queries[slot].known() != Known::StillOut
+        {
             self.queries[slot].stage = Stage::Waiting;
             self.waiting.push(slot);
         }
@@ -249,11 +375,23 @@
         let all = self.fig.groups[q.group].repeat_group == RepeatGroup::All;
         // Who comes back past the SLO time spends quota and servers on an answer that is worth nothing.
         let useful = self.now + 2.0 * (advice + self.typical) < q.slo_at;
-        let retry_after = if useful { advice.min(self.fig.advice) } else { 0.0 };
+        let retry_after = if useful {
+            advice.min(self.fig.advice)
+        } else {
+            0.0
+        };
         let (id, may) = (q.id, self.rule(q).1);
         let shed = may == May::Shed || may == May::ShedIfAll && all;
         let beyond = !q.inside;
-        self.acts.push(if shed { Action::Shed { id, retry_after, beyond } } else { Action::Drop { id } });
+        self.acts.push(if shed {
+            Action::Shed {
+                id,
+                retry_after,
+                beyond,
+            }
+        } else {
+            Action::Drop { id }
+        });
         if q.sent == 0 && q.stage == Stage::Waiting && q.inside {
             self.give_back(slot);
         }
@@ -274,7 +412,10 @@
     }
 
     fn beat(&mut self) {
-        self.acts.push(Action::Timer { token: 0, wait: BEAT });
+        self.acts.push(Action::Timer {
+            token: 0,
+            wait: BEAT,
+        });
         let due = !self.counter_probing && self.now >= self.counter_probe_at;
         if self.breaker == Breaker::Open && due {
             (self.counter_probing, self.counter_probe_at) = (true, self.now + PROBE_EVERY);
@@ -301,11 +442,14 @@
         if self.too_late(q) {
             return self.give_up(slot, 0.0);
         }
-        let last = self.now >= q.slo_at - (3.0 * self.typical).min(0.9 * self.fig.groups[q.group].slo);
+        let last =
+            self.now >= q.slo_at - (3.0 * self.typical).min(0.9 * self.fig.groups[q.group].slo);
         let keeper = q.keeper.filter(|_| q.stage == Stage::Counting);
         if let Some(peer) = keeper {
             self.watch_keeper(slot, peer);
-        } else if q.stage == Stage::Counting && self.now - q.since > self.fig.counter_wait + 4.0 * BEAT {
+        } else if q.stage == Stage::Counting
+            && self.now - q.since > self.fig.counter_wait + 4.0 * BEAT
+        {
             self.decide_locally(slot, false);
         } else if q.stage == Stage::Waiting && (last || q.sent > 0 && self.pick(slot).is_none()) {
             self.give_up(slot, 2.0 * self.typical);
--- a/crates/aspendrum-core/src/control/counting.rs
+++ b/crates/aspendrum-core/src/control/counting.rs
@@ -32,14 +32,32 @@
 pub(super) const PROBE_EVERY: Ms = 1000.0;
 
 const BREAKER: [(Breaker, Signal, Breaker, Effect); 2] = [
-    (Breaker::Closed, Signal::Failures, Breaker::Open, Effect::ProbeSoon),
-    (Breaker::Open, Signal::ProbeAnswered, Breaker::Closed, Effect::Replay),
+    (
+        Breaker::Closed,
+        Signal::Failures,
+        Breaker::Open,
+        Effect::ProbeSoon,
+    ),
+    (
+        Breaker::Open,
+        Signal::ProbeAnswered,
+        Breaker::Closed,
+        Effect::Replay,
+    ),
 ];
 
 /// A ceiling holds by this part alone, which starts with nothing: `share` of the whole; `keep` of it stays.
-pub(super) fn spend_part(part: &mut Part, fig: &PlanFig, share: f64, units: f64, keep: f64, now: Ms) -> bool {
+pub(super) fn spend_part(
+    part: &mut Part,
+    fig: &PlanFig,
+    share: f64,
+    units: f64,
+    keep: f64,
+    now: Ms,
+) -> bool {
     let share = CEILING_SHARE * share;
-    part.left = (part.left + share * fig.ceiling_rate * (now - part.at)).min(share * fig.ceiling_burst);
+    part.left =
+        (part.left + share * fig.ceiling_rate * (now - part.at)).min(share * fig.ceiling_burst);
     part.at = now;
     let can = fig.ceiling_rate <= 0.0 || part.left - units >= keep * share * fig.ceiling_burst;
     part.left -= if can { units } else { 0.0 };
@@ -62,8 +80,13 @@
     /// The local count: even parts of rate and burst, and whatever the last read left it.
     pub(super) fn room_here(&mut self, fig: &PlanFig, units: f64, now: Ms) -> bool {
         let cap = fig.burst / self.ways;
-        let top = if self.sparse { cap } else { cap.max(self.local) };
-        self.local = (self.local + fig.rate / self.ways * (now - self.local_at)).min(top.max(units));
+        let top = if self.sparse {
+            cap
+        } else {
+            cap.max(self.local)
+        };
+        self.local =
+            (self.local + fig.rate / self.ways * (now - self.local_at)).min(top.max(units));
         self.local_at = now;
         self.local >= units
     }
@@ -76,7 +99,11 @@
             return; // Limiters that come and go hand nobody a fresh part.
         }
         // Parts under a whole query would let nobody send: each limiter of a sparse customer may send one.
-        self.local = if self.sparse { fig.burst } else { fig.burst / ways };
+        self.local = if self.sparse {
+            fig.burst
+        } else {
+            fig.burst / ways
+        };
         (self.level, self.at, self.local_at) = (fig.burst, now, now);
         (self.seen, self.total, self.carry, self.window) = (false, 0.0, 0.0, 0.0);
     }
@@ -84,7 +111,10 @@
     pub(super) fn name(&mut self, now: Ms, fig: &PlanFig) -> (u64, Ms) {
         self.turn_window(now, fig);
         let window = (self.window as u64 + 1) & ((1 << (64 - ID_BITS)) - 1);
-        let (sparse, plain) = ((window << ID_BITS | self.id, fig.window + SPARSE_TTL), (self.id, NAME_TTL));
+        let (sparse, plain) = (
+            (window << ID_BITS | self.id, fig.window + SPARSE_TTL),
+            (self.id, NAME_TTL),
+        );
         [plain, sparse][usize::from(self.sparse)]
     }
 }
@@ -92,12 +122,20 @@
 impl Control {
     /// This limiter's own part of the ceiling, or the keeper's where it is the first of the keepers.
     pub(super) fn pay(&mut self, slot: usize, own: bool, lead: bool) -> bool {
-        let Query { acct: at, units, .. } = self.queries[slot];
+        let Query {
+            acct: at, units, ..
+        } = self.queries[slot];
         let lead = lead && self.keepers(at).next() == Some(self.fig.me);
         let (a, now) = (&mut self.accts[at], self.now);
         let fig = &self.fig.plans[a.plan];
-        own && spend_part(&mut a.part, fig, self.fig.own_part / a.spread, units, 0.0, now)
-            || lead && spend_part(&mut a.lead, fig, LEAD_PART, units, 0.0, now)
+        own && spend_part(
+            &mut a.part,
+            fig,
+            self.fig.own_part / a.spread,
+            units,
+            0.0,
+            now,
+        ) || lead && spend_part(&mut a.lead, fig, LEAD_PART, units, 0.0, now)
     }
 
     /// Another limiter's question is of the quota, and of the ceiling only where its own part is spent.
@@ -125,9 +163,18 @@
             self.admit(slot, true);
         } else if self.fig.counter && self.breaker == Breaker::Closed {
             let fig = &self.fig.plans[plan];
-            let room = a.level + if a.sparse { 0.0 } else { fig.rate * (self.now - a.at) };
+            let room = a.level
+                + if a.sparse {
+                    0.0
+                } else {
+                    fig.rate * (self.now - a.at)
+                };
             // A counter that just failed is short of calls. A keeper's own count is the customer's.
-            let sure = if kept { !a.room_here(fig, units, self.now) } else { self.now < self.strained_until };
+            let sure = if kept {
+                !a.room_here(fig, units, self.now)
+            } else {
+                self.now < self.strained_until
+            };
             let room = if kept { a.local } else { room };
             if sure && a.seen && room < units {
                 return self.admit(slot, false);
@@ -137,7 +184,11 @@
             let stake = self.queries[slot].worth * units * if here { 1.0 } else { NEED };
             self.stake += STAKE_GAIN * (stake - self.stake);
             // Counters shared out over limiters bear a call for each query.
-            let chance = if fig.windowed { 1.0 } else { self.ask_chance(stake) };
+            let chance = if fig.windowed {
+                1.0
+            } else {
+                self.ask_chance(stake)
+            };
             if self.chance.roll() >= chance {
                 return self.decide_locally(slot, false);
             }
@@ -158,9 +209,21 @@
             return at;
         }
         let kept_at = f64::NEG_INFINITY;
-        let part = Part { left: 0.0, at: self.begun.max(self.now - IDLE) };
+        let part = Part {
+            left: 0.0,
+            at: self.begun.max(self.now - IDLE),
+        };
         let purse = self.purse(part.at);
-        let mut new = Acct { id, plan, spread, kept_at, part, lead: part, purse, ..Acct::default() };
+        let mut new = Acct {
+            id,
+            plan,
+            spread,
+            kept_at,
+            part,
+            lead: part,
+            purse,
+            ..Acct::default()
+        };
         new.split(&self.fig.plans[plan], spread, self.now);
         // Started again, it may have granted its part just before.
         let lately = self.fig.plans[plan].windowed && self.now - self.begun < LATELY;
@@ -181,13 +244,23 @@
         let a = &mut self.accts[acct];
         let (name, ttl) = a.name(self.now, &self.fig.plans[a.plan]);
         a.calls.push_back(Call { asker, add, name });
-        self.acts.push(Action::Count { name, add: add as f32, ttl });
+        self.acts.push(Action::Count {
+            name,
+            add: add as f32,
+            ttl,
+        });
     }
 
     pub(super) fn counted(&mut self, name: u64, outcome: Outcome, total: f64, rtt: Ms) {
-        let Some(at) = self.accts.find(name & ((1 << ID_BITS) - 1)) else { return };
-        let Some(n) = self.accts[at].calls.iter().position(|c| c.name == name) else { return };
-        let Some(call) = self.accts[at].calls.remove(n) else { return };
+        let Some(at) = self.accts.find(name & ((1 << ID_BITS) - 1)) else {
+            return;
+        };
+        let Some(n) = self.accts[at].calls.iter().position(|c| c.name == name) else {
+            return;
+        };
+        let Some(call) = self.accts[at].calls.remove(n) else {
+            return;
+        };
         let (answered, news) = (outcome == Outcome::Ok, self.now - rtt >= self.cut_at);
         if answered && rtt < LATE * self.fig.counter_wait {
             self.ask = (self.ask * (1.0 + ASK_GAIN)).min(1.0);
@@ -233,7 +306,12 @@
     }
 
     pub(super) fn signal(&mut self, signal: Signal) {
-        let Some(row) = BREAKER.iter().find(|r| r.0 == self.breaker && r.1 == signal) else { return };
+        let Some(row) = BREAKER
+            .iter()
+            .find(|r| r.0 == self.breaker && r.1 == signal)
+        else {
+            return;
+        };
         self.breaker = row.2;
         match row.3 {
             Effect::ProbeSoon => self.counter_probe_at = self.now + PROBE_EVERY,
@@ -248,8 +326,17 @@
             let a = &mut self.accts[at];
             let fig = &self.fig.plans[a.plan];
             a.turn_window(self.now, fig);
-            let window = if a.sparse { a.turn(self.now, fig).fract() * fig.window } else { fig.window };
-            let sum: f64 = a.log.drain(..).filter(|g| g.0 >= self.now - window).map(|g| g.1).sum();
+            let window = if a.sparse {
+                a.turn(self.now, fig).fract() * fig.window
+            } else {
+                fig.window
+            };
+            let sum: f64 = a
+                .log
+                .drain(..)
+                .filter(|g| g.0 >= self.now - window)
+                .map(|g| g.1)
+                .sum();
             a.carry += if a.sparse { sum } else { 0.0 };
             a.level -= if a.sparse { 0.0 } else { sum };
             self.owe(at, sum);
@@ -265,14 +352,22 @@
         }
         if a.sparse {
             (a.level, a.seen) = (fig.burst - total + add, true);
-            (a.local, a.local_at) = if a.level <= 0.0 { (0.0, self.now) } else { (a.local, a.local_at) };
+            (a.local, a.local_at) = if a.level <= 0.0 {
+                (0.0, self.now)
+            } else {
+                (a.local, a.local_at)
+            };
             return;
         }
         let mut others = total - a.total - add;
         if a.ways == 1.0 {
             // Its own count is the customer's: the total tells what others added beside it.
             a.room_here(fig, 0.0, self.now);
-            let most = if a.seen { f64::INFINITY } else { fig.burst / 2.0 };
+            let most = if a.seen {
+                f64::INFINITY
+            } else {
+                fig.burst / 2.0
+            };
             a.local -= others.clamp(0.0, most);
             (a.level, a.at, a.total, a.seen) = (a.local, self.now, total, true);
             return;
@@ -280,7 +375,11 @@
         // A total far below what this limiter has read betrays a lost name: the level goes on.
         let noise = self.fig.units_top * a.spread;
         let reborn = !a.seen || others < -noise;
-        others = if reborn { (total - add).max(0.0) } else { others };
+        others = if reborn {
+            (total - add).max(0.0)
+        } else {
+            others
+        };
         if !a.seen && others > fig.burst {
             others = fig.burst / 2.0;
         }
@@ -291,7 +390,9 @@
     }
 
     pub(super) fn decide(&mut self, slot: usize) {
-        let Query { acct: at, units, .. } = self.queries[slot];
+        let Query {
+            acct: at, units, ..
+        } = self.queries[slot];
         let inside = self.accts[at].level >= units && self.pay_once(slot);
         if inside {
             let a = &mut self.accts[at];
@@ -327,8 +428,10 @@
 
     /// A refund waits a moment for the customer's next add, then goes by itself.
     pub(super) fn settle(&mut self) {
-        while let Some(&(at, _)) =
-            self.owed.front().filter(|o| o.1 <= self.now && self.breaker == Breaker::Closed)
+        while let Some(&(at, _)) = self
+            .owed
+            .front()
+            .filter(|o| o.1 <= self.now && self.breaker == Breaker::Closed)
         {
             if self.accts[at].carry != 0.0 {
                 let chance = self.ask_chance(self.stake);
@@ -347,7 +450,8 @@
         // What a sparse customer is refused stays counted until the window ends, as in the source.
         if !a.sparse && self.fig.counter {
             a.carry += units;
-            self.owed.push_back((at, self.now + SETTLE_AFTER / self.ask));
+            self.owed
+                .push_back((at, self.now + SETTLE_AFTER / self.ask));
         }
     }
 }
--- a/crates/aspendrum-core/src/control/keepers.rs
+++ b/crates/aspendrum-core/src/control/keepers.rs
@@ -87,7 +87,11 @@
             Some(peer) if peer != self.fig.me => self.ask_keeper(slot, peer),
             keeper => {
                 let a = &mut self.accts[acct];
-                a.kept_at = if keeper.is_some() { self.now } else { a.kept_at };
+                a.kept_at = if keeper.is_some() {
+                    self.now
+                } else {
+                    a.kept_at
+                };
                 self.count(slot);
             }
         }
@@ -111,7 +115,12 @@
 
     fn whose(&self, acct: usize) -> Whose {
         let a = &self.accts[acct];
-        Whose { acct: a.id, plan: a.plan as u8, first: a.first as u16, spread: a.spread as u16 }
+        Whose {
+            acct: a.id,
+            plan: a.plan as u8,
+            first: a.first as u16,
+            spread: a.spread as u16,
+        }
     }
 
     fn ask_keeper(&mut self, slot: usize, peer: u16) {
@@ -122,7 +131,13 @@
         let (at, units) = (self.queries[slot].acct, self.queries[slot].units as f32);
         // What is given to a keeper that does not hear it is lost, and what one grants that is not heard too.
         let (stamp, whose) = (self.stamp(), self.whose(at));
-        let ask = |gift| Word::Ask { stamp, whose, units, ceiling: !paid, gift };
+        let ask = |gift| Word::Ask {
+            stamp,
+            whose,
+            units,
+            ceiling: !paid,
+            gift,
+        };
         let Peer { answers, alone, .. } = self.peers[usize::from(peer)];
         let word = match (answers, alone || self.outage()) {
             (true, true) => ask(self.gift(at)),
@@ -164,7 +179,15 @@
             (PARTS as u64, PARTS as u64)
         };
         let (rate, burst, largest) = (down(plan.rate), down(plan.burst), down(self.fig.units_top));
-        Terms { rate, burst, ways, own, even, whole, largest }
+        Terms {
+            rate,
+            burst,
+            ways,
+            own,
+            even,
+            whole,
+            largest,
+        }
     }
 
     /// All that its purse holds, out of it.
@@ -175,9 +198,14 @@
     }
 
     fn take_gift(&mut self, at: usize, from: u16, stamp: Stamp, steps: u16) {
-        let gift = Gift { steps, at: self.moment(stamp) };
+        let gift = Gift {
+            steps,
+            at: self.moment(stamp),
+        };
         let terms = self.terms(at);
-        self.accts[at].purse.take(&terms, from, gift, self.now as u64);
+        self.accts[at]
+            .purse
+            .take(&terms, from, gift, self.now as u64);
     }
 
     /// A word of the counter's, or none where one was due.
@@ -204,14 +232,23 @@
     fn weigh(&mut self, at: usize) {
         let terms = self.terms(at);
         let a = &mut self.accts[at];
-        a.purse.set(&terms, (a.level.max(0.0) * UNIT as f64) as u64, self.now as u64);
+        a.purse.set(
+            &terms,
+            (a.level.max(0.0) * UNIT as f64) as u64,
+            self.now as u64,
+        );
     }
 
     /// Room without the counter's word. Where it says nothing at all, what was counted with its word before is no
     /// licence: with links cut each side went by the whole quota, 2.3 of it in two halves, and each start handed
     /// out a burst until the breaker opened. What the set's limiters hold and give each other is never more.
     pub(super) fn room(&mut self, slot: usize) -> bool {
-        let Query { acct: at, units, asked_by, .. } = self.queries[slot];
+        let Query {
+            acct: at,
+            units,
+            asked_by,
+            ..
+        } = self.queries[slot];
         if !self.fig.keepers || !self.outage() {
             let a = &mut self.accts[at];
             return a.room_here(&self.fig.plans[a.plan], units, self.now);
@@ -232,7 +269,11 @@
     /// A start has none.
     fn spare_query(&mut self, at: usize, units: f64) -> bool {
         let may = self.has_spare(at, units);
-        self.accts[at].spare = if may { (self.heard_at, self.now) } else { self.accts[at].spare };
+        self.accts[at].spare = if may {
+            (self.heard_at, self.now)
+        } else {
+            self.accts[at].spare
+        };
         may
     }
 
@@ -241,7 +282,8 @@
         let terms = self.terms(at);
         let refill = terms.largest as f64 * terms.ways as f64 / terms.rate.max(1) as f64;
         let a = &mut self.accts[at];
-        let unused = a.spare.0 != self.heard_at && (a.spare.0.is_none() || self.now - a.spare.1 >= refill);
+        let unused =
+            a.spare.0 != self.heard_at && (a.spare.0.is_none() || self.now - a.spare.1 >= refill);
         let may = terms.even == 0 && self.heard_at.is_some() && unused;
         may && a.room_here(&self.fig.plans[a.plan], units, self.now)
     }
@@ -263,7 +305,10 @@
         if due == 0 {
             return;
         }
-        holders.iter_mut().zip(self.keepers(at)).for_each(|(place, k)| *place = k);
+        holders
+            .iter_mut()
+            .zip(self.keepers(at))
+            .for_each(|(place, k)| *place = k);
         let a = &mut self.accts[at];
         let peer = |n: u64| {
             let n = (n % count) as usize;
@@ -274,17 +319,25 @@
             }
         };
         let idle = |n: &u64| peer(*n) != self.fig.me && !a.purse.heard(terms, peer(*n), now);
-        let places: Vec<u64> = (a.wanted.0..a.wanted.0 + count).filter(idle).take(due).collect();
+        let places: Vec<u64> = (a.wanted.0..a.wanted.0 + count)
+            .filter(idle)
+            .take(due)
+            .collect();
         let peers: Vec<u16> = places.iter().map(|n| peer(*n)).collect();
         if let Some(last) = places.last() {
             a.wanted = ((last + 1) % count, self.now);
         }
         let whose = self.whose(at);
-        peers.into_iter().for_each(|to| self.say(to, Word::Want { whose }));
+        peers
+            .into_iter()
+            .for_each(|to| self.say(to, Word::Want { whose }));
     }
 
     pub(super) fn say(&mut self, to: u16, word: Word) {
-        self.acts.push(Action::Tell { to: Some(to.into()), data: word.write() });
+        self.acts.push(Action::Tell {
+            to: Some(to.into()),
+            data: word.write(),
+        });
     }
 
     /// A datagram from another limiter. What makes no sense is dropped and counted.
@@ -292,7 +345,13 @@
         let known = usize::from(from) < self.peers.len();
         let top = self.fig.units_top.max(1.0) as f32;
         match Word::read(data).filter(|_| known && self.fig.keepers) {
-            Some(Word::Ask { stamp, whose, units, ceiling, gift }) if units <= top => {
+            Some(Word::Ask {
+                stamp,
+                whose,
+                units,
+                ceiling,
+                gift,
+            }) if units <= top => {
                 let id = said_id(from, stamp);
                 if let Some(said) = self.said.iter().find(|s| s.id == id) {
                     return self.say(from, said.word);
@@ -305,22 +364,48 @@
                 let units = f64::from(units);
                 let worth = self.fig.plans[self.accts[at].plan].price;
                 let (until, asked_by) = (f64::INFINITY, Some((from, stamp as u16)));
-                let q = Query { id, acct: at, units, until, worth, asked_by, ..Query::default() };
-                let slot = self.queries.add(id, Query { wants_lead: ceiling, ..q });
+                let q = Query {
+                    id,
+                    acct: at,
+                    units,
+                    until,
+                    worth,
+                    asked_by,
+                    ..Query::default()
+                };
+                let slot = self.queries.add(
+                    id,
+                    Query {
+                        wants_lead: ceiling,
+                        ..q
+                    },
+                );
                 self.live.push(slot);
                 self.accts[at].in_hand += 1;
                 self.count(slot);
             }
             Some(Word::Hello { stamp }) => {
                 let (seq, alone) = (stamp as u16, self.outage());
-                self.say(from, Word::Answer { seq, granted: false, alone, wait: 0.0 });
+                self.say(
+                    from,
+                    Word::Answer {
+                        seq,
+                        granted: false,
+                        alone,
+                        wait: 0.0,
+                    },
+                );
             }
             // Only what was granted here, and once: it would be handed out as often as it came.
             Some(Word::Back { stamp }) => {
                 let id = said_id(from, stamp);
-                let Some(said) = self.said.iter_mut().find(|s| s.id == id) else { return };
+                let Some(said) = self.said.iter_mut().find(|s| s.id == id) else {
+                    return;
+                };
                 let (acct, units) = (said.acct, std::mem::take(&mut said.units));
-                let Some(at) = self.accts.find(acct) else { return };
+                let Some(at) = self.accts.find(acct) else {
+                    return;
+                };
                 let terms = self.terms(at);
                 let a = &mut self.accts[at];
                 let top = self.fig.plans[a.plan].burst;
@@ -329,10 +414,17 @@
                 self.owe(at, -units);
             }
             Some(Word::Want { whose }) => {
-                let Some(at) = self.member(&whose) else { return };
+                let Some(at) = self.member(&whose) else {
+                    return;
+                };
                 // Whoever has queries of its own and no answer may be one that is not heard.
-                let idle = self.now - self.accts[at].asked_at > self.fig.plans[self.accts[at].plan].window;
-                let gift = if idle || self.peers[usize::from(from)].answers { self.gift(at) } else { 0 };
+                let idle =
+                    self.now - self.accts[at].asked_at > self.fig.plans[self.accts[at].plan].window;
+                let gift = if idle || self.peers[usize::from(from)].answers {
+                    self.gift(at)
+                } else {
+                    0
+                };
                 if gift > 0 {
                     let stamp = self.stamp();
                     self.say(from, Word::Gift { stamp, whose, gift });
@@ -344,13 +436,27 @@
                 }
             }
             Some(Word::Old) => {}
-            Some(Word::Answer { seq, granted, alone, wait }) => {
-                self.peers[usize::from(from)] = Peer { answers: true, alone, ..Peer::default() };
+            Some(Word::Answer {
+                seq,
+                granted,
+                alone,
+                wait,
+            }) => {
+                self.peers[usize::from(from)] = Peer {
+                    answers: true,
+                    alone,
+                    ..Peer::default()
+                };
                 let asks = |q: &Query| {
-                    let this = q.asked.and_then(Word::stamp).is_some_and(|stamp| stamp as u16 == seq);
+                    let this = q
+                        .asked
+                        .and_then(Word::stamp)
+                        .is_some_and(|stamp| stamp as u16 == seq);
                     this && q.keeper == Some(from) && q.stage == Stage::Counting
                 };
-                let Some(&slot) = self.live.iter().find(|s| asks(&self.queries[**s])) else { return };
+                let Some(&slot) = self.live.iter().find(|s| asks(&self.queries[**s])) else {
+                    return;
+                };
                 let (at, asked) = (self.queries[slot].acct, self.queries[slot].asked);
                 if matches!(asked, Some(Word::Hello { .. })) {
                     return self.ask_keeper(slot, from);
@@ -360,7 +466,8 @@
             }
             _ => {
                 self.strange += 1;
-                let text = || Action::Log(format!("datagrams that make no sense: {}", self.strange));
+                let text =
+                    || Action::Log(format!("datagrams that make no sense: {}", self.strange));
                 self.acts.extend(self.strange.is_power_of_two().then(text));
             }
         }
@@ -375,9 +482,16 @@
 
     /// A customer that another limiter speaks of.
     fn member(&mut self, whose: &Whose) -> Option<usize> {
-        let (plan, spread) = (usize::from(whose.plan), f64::from(whose.spread).min(self.fig.instances));
-        let other = self.accts.find(whose.acct).is_some_and(|at| self.accts[at].plan != plan);
-        let sound = whose.acct >> ID_BITS == 0 && self.fig.plans.get(plan).is_some_and(|p| p.rate > 0.0);
+        let (plan, spread) = (
+            usize::from(whose.plan),
+            f64::from(whose.spread).min(self.fig.instances),
+        );
+        let other = self
+            .accts
+            .find(whose.acct)
+            .is_some_and(|at| self.accts[at].plan != plan);
+        let sound =
+            whose.acct >> ID_BITS == 0 && self.fig.plans.get(plan).is_some_and(|p| p.rate > 0.0);
         let at = (sound && !other).then(|| self.acct(whose.acct, plan, spread))?;
         let a = &mut self.accts[at];
         (a.used_at, a.first) = (self.now, f64::from(whose.first));
@@ -386,7 +500,13 @@
 
     /// Units that were granted and went to no server.
     pub(super) fn give_back(&mut self, slot: usize) {
-        let Query { acct: at, units, keeper, asked, .. } = self.queries[slot];
+        let Query {
+            acct: at,
+            units,
+            keeper,
+            asked,
+            ..
+        } = self.queries[slot];
         if let (Some(peer), Some(Word::Ask { stamp, .. })) = (keeper, asked) {
             return self.say(peer, Word::Back { stamp });
         }
@@ -401,14 +521,30 @@
     /// The word on another limiter's question; refused, with the time until the refill makes room.
     pub(super) fn answer(&mut self, slot: usize) {
         let q = &self.queries[slot];
-        let (Some((peer, seq)), a, granted) = (q.asked_by, &self.accts[q.acct], q.inside) else { return };
+        let (Some((peer, seq)), a, granted) = (q.asked_by, &self.accts[q.acct], q.inside) else {
+            return;
+        };
         let fig = &self.fig.plans[a.plan];
         let alone = self.outage();
-        let held = if alone { a.purse.held() as f64 / UNIT as f64 } else { a.local };
+        let held = if alone {
+            a.purse.held() as f64 / UNIT as f64
+        } else {
+            a.local
+        };
         let short = ((q.units - held).max(0.0) / fig.rate.max(1e-9)).min(fig.window);
-        let word = Word::Answer { seq, granted, alone, wait: if granted { 0.0 } else { short } };
+        let word = Word::Answer {
+            seq,
+            granted,
+            alone,
+            wait: if granted { 0.0 } else { short },
+        };
         let units = if granted { q.units } else { 0.0 };
-        let said = Said { id: q.id, word, acct: a.id, units };
+        let said = Said {
+            id: q.id,
+            word,
+            acct: a.id,
+            units,
+        };
         self.said.truncate(SAID - 1);
         self.said.push_front(said);
         self.say(peer, word);
@@ -439,7 +575,10 @@
             }
             // The next may hear what this one does not: counted alone, a query a second of each limiter went to
             // find the first one silent again, and that was most of them where each sees few.
-            let next = self.keepers(acct).position(|k| k == peer).map_or(0, |n| n + 1);
+            let next = self
+                .keepers(acct)
+                .position(|k| k == peer)
+                .map_or(0, |n| n + 1);
             self.lead(slot, next);
         }
     }
--- a/crates/aspendrum-core/src/control/servers.rs
+++ b/crates/aspendrum-core/src/control/servers.rs
@@ -47,7 +47,11 @@
     }
 
     pub(super) fn usable(&self, s: &Server) -> bool {
-        let credit = if s.standing == Standing::Trial { 1.0 } else { s.credits.max(1.0) };
+        let credit = if s.standing == Standing::Trial {
+            1.0
+        } else {
+            s.credits.max(1.0)
+        };
         s.serving()
             && self.now >= s.rest_until
             && f64::from(s.out) < credit
@@ -56,17 +60,34 @@
 
     /// Seen from here, a server that holds a query for long is as slow as that query says.
     pub(super) fn cost(&self, s: &Server) -> f64 {
-        let by_zone = if s.zone == self.fig.zone { 1.0 } else { 1.0 + CROSS_WEIGHT * self.fig.cross };
+        let by_zone = if s.zone == self.fig.zone {
+            1.0
+        } else {
+            1.0 + CROSS_WEIGHT * self.fig.cross
+        };
         let zone = if s.far > 0.0 { s.far } else { by_zone };
         // A cold server's turn comes so seldom to one of hundreds that it is taken as it comes.
-        let turn = if self.fig.crowd > 1.0 && self.cold(s.started) { COLD_TURN } else { 1.0 };
-        s.rtt.max(s.silent(self.now)) * (1.0 + f64::from(s.out)) * zone * (1.0 + s.busy * s.busy) * turn
+        let turn = if self.fig.crowd > 1.0 && self.cold(s.started) {
+            COLD_TURN
+        } else {
+            1.0
+        };
+        s.rtt.max(s.silent(self.now))
+            * (1.0 + f64::from(s.out))
+            * zone
+            * (1.0 + s.busy * s.busy)
+            * turn
     }
 
     /// The free share of the pool's credits: single servers keep a whole credit each, the sum bounds them.
     pub(super) fn spare(&self, pool: u16) -> f64 {
         let (mut all, mut out) = (0.0, 0.0);
-        for s in self.servers.items.iter().filter(|s| s.pool == pool && s.serving()) {
+        for s in self
+            .servers
+            .items
+            .iter()
+            .filter(|s| s.pool == pool && s.serving())
+        {
             all += s.credits;
             out += f64::from(s.out);
         }
@@ -79,7 +100,10 @@
         let p = &mut self.paces[group];
         (p.sum, p.n) = (p.sum + rtt, p.n + 1.0);
         if p.n >= 30.0 {
-            let (mean, grown) = (p.sum / p.n, p.base * (1.0 + BASE_GROWTH * (self.now - p.at)));
+            let (mean, grown) = (
+                p.sum / p.n,
+                p.base * (1.0 + BASE_GROWTH * (self.now - p.at)),
+            );
             p.base = if p.base > 0.0 { mean.min(grown) } else { mean };
             (p.sum, p.n, p.at) = (0.0, 0.0, self.now);
         }
@@ -90,7 +114,11 @@
 
     pub(super) fn learn(&mut self, server: usize, how: Outcome, rtt: Ms, group: usize) {
         let slo = self.fig.groups[group].slo;
-        let target = if how == Outcome::Ok { self.target(group, rtt) } else { AIM_SHARE };
+        let target = if how == Outcome::Ok {
+            self.target(group, rtt)
+        } else {
+            AIM_SHARE
+        };
         let s = &mut self.servers[server];
         s.out = s.out.saturating_sub(1);
         let used = f64::from(s.out) + 1.0 >= s.credits.floor() && s.busy < 0.98;
@@ -131,9 +159,14 @@
     /// Where a third of a pool is aside the trouble is not single servers': the rest is not set aside too.
     pub(super) fn set_aside(&mut self, server: usize) {
         let pool = self.servers[server].pool;
-        let ready = self.servers.items.iter().filter(|s| s.pool == pool && s.health == Health::Ready);
-        let (all, aside) =
-            ready.fold((0, 0), |n, s| (n.0 + 1, n.1 + u32::from(s.standing != Standing::Ready)));
+        let ready = self
+            .servers
+            .items
+            .iter()
+            .filter(|s| s.pool == pool && s.health == Health::Ready);
+        let (all, aside) = ready.fold((0, 0), |n, s| {
+            (n.0 + 1, n.1 + u32::from(s.standing != Standing::Ready))
+        });
         if 3 * aside < all || self.servers[server].standing == Standing::Trial {
             self.mark(server, Mark::Bad);
         }
@@ -141,28 +174,49 @@
 
     pub(super) fn mark(&mut self, server: usize, mark: Mark) {
         let s = &mut self.servers[server];
-        let Some(row) = STANDING.iter().find(|r| r.0 == s.standing && r.1 == mark) else { return };
+        let Some(row) = STANDING.iter().find(|r| r.0 == s.standing && r.1 == mark) else {
+            return;
+        };
         (s.standing, s.bad, s.probes) = (row.2, 0.0, 0);
-        s.rtt = if row.2 == Standing::Trial { self.typical } else { s.rtt };
+        s.rtt = if row.2 == Standing::Trial {
+            self.typical
+        } else {
+            s.rtt
+        };
         if row.2 == Standing::Aside {
             (s.aside_at, s.aside_for) = (self.now, (s.aside_for * 2.0).clamp(500.0, 8000.0));
         }
-        (s.credits, s.aside_for) = if row.2 == Standing::Ready { (2.0, 0.0) } else { (1.0, s.aside_for) };
+        (s.credits, s.aside_for) = if row.2 == Standing::Ready {
+            (2.0, 0.0)
+        } else {
+            (1.0, s.aside_for)
+        };
     }
 
     pub(super) fn report(&mut self, server: usize, load: &Load) {
         let known = |at: &usize| *at < usize::from(load.n) && !load.values[*at].is_nan();
-        let Some(at) = self.fig.report_busy.filter(known) else { return };
+        let Some(at) = self.fig.report_busy.filter(known) else {
+            return;
+        };
         let busy = f64::from(load.values[at]).clamp(0.0, BUSY_TOP);
         self.servers[server].busy = busy;
         self.busy += BUSY_GAIN * (busy - self.busy);
     }
 
     pub(super) fn probed(&mut self, id: ServerId, outcome: Outcome, load: &Load) {
-        let Some(at) = self.servers.find(u64::from(id)) else { return };
+        let Some(at) = self.servers.find(u64::from(id)) else {
+            return;
+        };
         self.report(at, load);
         let s = &mut self.servers[at];
-        (s.probing, s.probes) = (false, if outcome == Outcome::Ok { s.probes + 1 } else { 0 });
+        (s.probing, s.probes) = (
+            false,
+            if outcome == Outcome::Ok {
+                s.probes + 1
+            } else {
+                0
+            },
+        );
         if s.probes >= 2 && self.now - s.aside_at >= s.aside_for {
             self.mark(at, Mark::Probes);
         }
@@ -170,11 +224,17 @@
 
     pub(super) fn members(&mut self, list: ListKind, entries: &[Member]) {
         if list == ListKind::Failed {
-            return self.acts.extend(self.fig.asks.then_some(Action::Watch { on: true }));
+            return self
+                .acts
+                .extend(self.fig.asks.then_some(Action::Watch { on: true }));
         }
         if list != ListKind::Delta {
             let absent = |s: &&mut Server| !entries.iter().any(|m| m.server == s.id);
-            self.servers.items.iter_mut().filter(absent).for_each(|s| s.health = Health::Gone);
+            self.servers
+                .items
+                .iter_mut()
+                .filter(absent)
+                .for_each(|s| s.health = Health::Gone);
         }
         for m in entries {
             let at = self.place(self.fresh(m));
@@ -187,11 +247,23 @@
     }
 
     pub(super) fn fresh(&self, m: &Member) -> Server {
-        let credits = if self.cold(m.started) { 1.0 } else { CREDIT_START / self.fig.instances };
+        let credits = if self.cold(m.started) {
+            1.0
+        } else {
+            CREDIT_START / self.fig.instances
+        };
         // Each limiter starts at another part of a query, so that hundreds come to a cold server in turn.
         let cold_left = (self.fig.turn + f64::from(m.server) * GOLDEN).fract();
         let (started, rtt, busy) = (m.started, self.typical, self.busy);
-        let mut s = Server { id: m.server, started, credits, rtt, cold_left, busy, ..Server::default() };
+        let mut s = Server {
+            id: m.server,
+            started,
+            credits,
+            rtt,
+            cold_left,
+            busy,
+            ..Server::default()
+        };
         (s.sent_at, s.probed_at, s.cold_at) = (self.now, self.now, self.now);
         s
     }
@@ -209,9 +281,14 @@
 
     /// Rule 4: for each window, this limiter's part of what a cold server stands.
     pub(super) fn refill_cold(&mut self) {
-        let ready = self.servers.items.iter().filter(|s| s.health == Health::Ready);
-        let (n, sizes, warm) = ready
-            .fold((0.0, 0.0, 0.0), |n, s| (n.0 + 1.0, n.1 + s.size, n.2 + self.present_share(s.started)));
+        let ready = self
+            .servers
+            .items
+            .iter()
+            .filter(|s| s.health == Health::Ready);
+        let (n, sizes, warm) = ready.fold((0.0, 0.0, 0.0), |n, s| {
+            (n.0 + 1.0, n.1 + s.size, n.2 + self.present_share(s.started))
+        });
         // A cold server counts for what it can do, not as a whole one.
         let carried = self.carried() / f64::max(warm, 1.0);
         let mean = if sizes > 0.0 { sizes / n } else { 1.0 };
@@ -222,8 +299,8 @@
             }
             let s = &mut self.servers[i];
             let half = self.fig.cold_budget * share * carried * (s.size / mean).min(1.0);
-            s.cold_left =
-                (s.cold_left + half * (self.now - s.cold_at) / self.fig.fall_window).min(half.max(1.0));
+            s.cold_left = (s.cold_left + half * (self.now - s.cold_at) / self.fig.fall_window)
+                .min(half.max(1.0));
             s.cold_at = self.now;
         }
     }
@@ -238,14 +315,26 @@
             let cold = self.cold(self.servers[i].started);
             let s = &mut self.servers[i];
             // What never answered is as quick as the others; an idle server fades to quick.
-            s.rtt = if s.answered_at > 0.0 { s.rtt } else { self.typical };
-            s.rtt += if s.out == 0 { RTT_FADE * (0.5 * self.typical - s.rtt) } else { 0.0 };
+            s.rtt = if s.answered_at > 0.0 {
+                s.rtt
+            } else {
+                self.typical
+            };
+            s.rtt += if s.out == 0 {
+                RTT_FADE * (0.5 * self.typical - s.rtt)
+            } else {
+                0.0
+            };
             // An old or missing report does not make a server idle.
             s.busy += RTT_FADE * (self.busy - s.busy);
-            let every = if s.standing == Standing::Aside { 250.0 } else { 500.0 } * self.fig.crowd;
+            let every = if s.standing == Standing::Aside {
+                250.0
+            } else {
+                500.0
+            } * self.fig.crowd;
             // A report that one of hundreds hears steers too little of the load to pay for the probe.
-            let wanted =
-                s.standing == Standing::Aside || cold && self.fig.report_probes && self.fig.crowd <= 1.0;
+            let wanted = s.standing == Standing::Aside
+                || cold && self.fig.report_probes && self.fig.crowd <= 1.0;
             let can = self.fig.may_probe && !s.probing && s.health == Health::Ready;
             if can && wanted && self.now - s.probed_at >= every {
                 (s.probed_at, s.probing) = (self.now, true);
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -11,7 +11,10 @@
 
 impl<'a> Pairs<'a> {
     fn text(&self, path: &str) -> Result<&'a str, String> {
-        self.0.get(path).copied().ok_or_else(|| format!("setting {path} is missing"))
+        self.0
+            .get(path)
+            .copied()
+            .ok_or_else(|| format!("setting {path} is missing"))
     }
     fn number(&self, path: &str) -> Result<f64, String> {
         let value = self.text(path)?;
@@ -38,32 +41,55 @@
     fn choice<T: Copy>(&self, path: &str, known: &[(&str, T)]) -> Result<T, String> {
         let value = self.text(path)?;
         let found = known.iter().find(|(word, _)| *word == value);
-        found.map(|(_, t)| *t).ok_or_else(|| format!("setting {path} is absurd: {value}"))
+        found
+            .map(|(_, t)| *t)
+            .ok_or_else(|| format!("setting {path} is absurd: {value}"))
     }
     fn yes(&self, path: &str) -> Result<bool, String> {
         self.choice(path, &[("true", true), ("false", false)])
     }
-    fn list<T>(&self, name: &str, item: impl Fn(&Self, &str) -> Result<T, String>) -> Result<Vec<T>, String> {
+    fn list<T>(
+        &self,
+        name: &str,
+        item: impl Fn(&Self, &str) -> Result<T, String>,
+    ) -> Result<Vec<T>, String> {
         let count = self.whole(&format!("{name}.count"), 1e5)?;
         if count == 0 {
             return Err(format!("setting {name}.count is absurd: 0"));
         }
-        (0..count).map(|i| item(self, &format!("{name}.{i}"))).collect()
+        (0..count)
+            .map(|i| item(self, &format!("{name}.{i}")))
+            .collect()
     }
 }
 
 fn group(p: &Pairs, at: &str) -> Result<Group, String> {
-    let semantics =
-        [("retryable", Semantics::Repeatable), ("dedup", Semantics::Keyed), ("fragile", Semantics::Mutating)];
-    let repeats = [("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("cell", RepeatGroup::Cell)];
+    let semantics = [
+        ("retryable", Semantics::Repeatable),
+        ("dedup", Semantics::Keyed),
+        ("fragile", Semantics::Mutating),
+    ];
+    let repeats = [
+        ("all", RepeatGroup::All),
+        ("zone", RepeatGroup::Zone),
+        ("cell", RepeatGroup::Cell),
+    ];
     let semantics = p.choice(&format!("{at}.Semantics"), &semantics)?;
     let keyed = semantics == Semantics::Keyed;
     Ok(Group {
         slo: p.number(&format!("{at}.AimS"))? * MS,
         limit: p.number(&format!("{at}.HardLimitS"))? * MS,
         semantics,
-        repeat_group: if keyed { p.choice(&format!("{at}.Group"), &repeats)? } else { RepeatGroup::All },
-        repeat_window: if keyed { p.number(&format!("{at}.RepeatWindowS"))? * MS } else { 0.0 },
+        repeat_group: if keyed {
+            p.choice(&format!("{at}.Group"), &repeats)?
+        } else {
+            RepeatGroup::All
+        },
+        repeat_window: if keyed {
+            p.number(&format!("{at}.RepeatWindowS"))? * MS
+        } else {
+            0.0
+        },
         importance: p.number(&format!("{at}.Credit"))?,
         late_share: p.optional(&format!("{at}.LateShare"))?,
         stream: p.yes(&format!("{at}.Stream"))?,
@@ -98,9 +124,16 @@
 }
 
 pub fn read(text: &str) -> Result<Settings, String> {
-    let p = Pairs(text.lines().filter_map(|line| line.split_once('=')).collect());
-    let via =
-        [("inline", ReportsVia::Answers), ("on_probe", ReportsVia::Probes), ("off", ReportsVia::Nothing)];
+    let p = Pairs(
+        text.lines()
+            .filter_map(|line| line.split_once('='))
+            .collect(),
+    );
+    let via = [
+        ("inline", ReportsVia::Answers),
+        ("on_probe", ReportsVia::Probes),
+        ("off", ReportsVia::Nothing),
+    ];
     let names = p.0.get("Feedback.Names").copied().unwrap_or("");
     let counter = p.yes("Specifics.Counter")?;
     let settings = Settings {
@@ -110,7 +143,11 @@
         tick: p.number("TickS")? * MS,
         groups: p.list("Profiles", group)?,
         plans: p.list("TiersOfService", plan)?,
-        load_values: names.split(',').filter(|word| !word.is_empty()).map(load_value).collect(),
+        load_values: names
+            .split(',')
+            .filter(|word| !word.is_empty())
+            .map(load_value)
+            .collect(),
         reports: p.choice("Feedback.Via", &via)?,
         discovery_asks: p.choice("Discovery", &[("push", false), ("ask", true)])?,
         must_ask_in: p.optional("Invariants.MustAskInS")? * MS,
@@ -128,7 +165,11 @@
         retry_after: p.yes("Limits.RetryAfter")?,
         max_retry_after: p.optional("Limits.MaxRetryAfterS")? * MS,
         counter,
-        counter_wait: if counter { p.number("Specifics.CountWaitS")? * MS } else { 0.0 },
+        counter_wait: if counter {
+            p.number("Specifics.CountWaitS")? * MS
+        } else {
+            0.0
+        },
         counter_price: p.optional("Specifics.CounterPrice")?,
         probe_price: p.optional("Deductions.Probe")?,
         cross_zone_price: p.optional("Deductions.CrossZone")?,
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -241,7 +241,10 @@
 impl Try {
     /// It has not ended, or not in a way that proves it never ran.
     pub fn may_have_run(&self) -> bool {
-        !matches!(self.end, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot))
+        !matches!(
+            self.end,
+            Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        )
     }
 }
 
@@ -250,11 +253,26 @@
         let (group, units) = (usize::from(new.group), f64::from(new.units).max(0.0));
         let (id, until, since, inside) = (new.id, new.until, now, true);
         let (pool, zones, most) = (new.pool, new.zones, usize::from(new.most));
-        Query { id, group, pool, zones, most, acct, units, since, until, inside, ..Query::default() }
+        Query {
+            id,
+            group,
+            pool,
+            zones,
+            most,
+            acct,
+            units,
+            since,
+            until,
+            inside,
+            ..Query::default()
+        }
     }
 
     pub fn known(&self) -> Known {
-        match (self.tries().iter().any(|t| t.end.is_none()), self.tries().iter().any(Try::may_have_run)) {
+        match (
+            self.tries().iter().any(|t| t.end.is_none()),
+            self.tries().iter().any(Try::may_have_run),
+        ) {
             (true, _) => Known::StillOut,
             (_, true) => Known::MayHaveRun,
             _ => Known::NeverRan,
@@ -314,7 +332,11 @@
             windowed: p.windowed,
             rate: p.rate / 1000.0,
             burst: p.burst,
-            window: if p.rate > 0.0 { p.burst / p.rate * 1000.0 } else { 0.0 },
+            window: if p.rate > 0.0 {
+                p.burst / p.rate * 1000.0
+            } else {
+                0.0
+            },
             price: p.price,
             over_worth: p.over_worth,
             over_cost: p.over_cost,
@@ -370,7 +392,11 @@
             may_cancel: s.may_cancel,
             may_probe: s.may_probe,
             most: (s.send_cap as usize).clamp(1, MOST_FORWARDS),
-            advice: if s.retry_after { s.max_retry_after } else { 0.0 },
+            advice: if s.retry_after {
+                s.max_retry_after
+            } else {
+                0.0
+            },
             zone: s.zone,
             cross: s.cross_zone_price,
             units_top: s.units_top,
@@ -450,7 +476,10 @@
         match self.servers.find(id) {
             Some(at) if fresh.started <= self.servers[at].started => at,
             Some(at) => {
-                self.servers[at] = Server { out: self.servers[at].out, ..fresh };
+                self.servers[at] = Server {
+                    out: self.servers[at].out,
+                    ..fresh
+                };
                 at
             }
             None => self.servers.add(id, fresh),
@@ -461,7 +490,10 @@
         let q = &self.queries[slot];
         for (n, t) in q.tries().iter().enumerate() {
             if t.end.is_none() {
-                self.acts.push(Action::Cancel { id: q.id, forward: n as u8 });
+                self.acts.push(Action::Cancel {
+                    id: q.id,
+                    forward: n as u8,
+                });
             }
         }
     }
@@ -524,7 +556,11 @@
 
 impl<T> Default for Slab<T> {
     fn default() -> Self {
-        Slab { items: Vec::new(), by_id: HashMap::new(), free: Vec::new() }
+        Slab {
+            items: Vec::new(),
+            by_id: HashMap::new(),
+            free: Vec::new(),
+        }
     }
 }
 
--- a/crates/aspendrum-core/src/word.rs
+++ b/crates/aspendrum-core/src/word.rs
@@ -28,16 +28,31 @@
     /// Has the customer room for these units? The low bits of `stamp` come back with the answer. `ceiling`:
     /// they are to come out of the keeper's part of the ceiling too. `gift`: steps of the burst that the
     /// sender gives away.
-    Ask { stamp: Stamp, whose: Whose, units: f32, ceiling: bool, gift: u16 },
+    Ask {
+        stamp: Stamp,
+        whose: Whose,
+        units: f32,
+        ceiling: bool,
+        gift: u16,
+    },
     /// The word on an `Ask` or a `Hello`; refused, it has no room for `wait` to come.
     /// `alone`: the keeper has no word of the counter's, and what the asker holds is of use to it.
-    Answer { seq: u16, granted: bool, alone: bool, wait: Ms },
+    Answer {
+        seq: u16,
+        granted: bool,
+        alone: bool,
+        wait: Ms,
+    },
     /// The units of that `Ask` were granted and went to no server.
     Back { stamp: Stamp },
     /// The sender keeps the customer's count and is out of units: whoever holds some is to give them.
     Want { whose: Whose },
     /// What a `Want` asked for.
-    Gift { stamp: Stamp, whose: Whose, gift: u16 },
+    Gift {
+        stamp: Stamp,
+        whose: Whose,
+        gift: u16,
+    },
     /// Of a limiter before gifts, and of no use here.
     Old,
 }
@@ -64,9 +79,17 @@
 
 /// Ten bytes.
 fn whose(data: &[u8]) -> Option<Whose> {
-    let acct = data[..5].iter().fold(0, |id, byte| id << 8 | AcctId::from(*byte));
+    let acct = data[..5]
+        .iter()
+        .fold(0, |id, byte| id << 8 | AcctId::from(*byte));
     let two = |at: usize| u16::from_be_bytes([data[at], data[at + 1]]);
-    Some(Whose { acct, plan: data[5], first: two(6), spread: two(8) }).filter(|w| w.spread > 0)
+    Some(Whose {
+        acct,
+        plan: data[5],
+        first: two(6),
+        spread: two(8),
+    })
+    .filter(|w| w.spread > 0)
 }
 
 impl Word {
@@ -81,14 +104,25 @@
     pub fn write(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(24);
         match *self {
-            Word::Ask { stamp, ref whose, units, ceiling, gift } => {
+            Word::Ask {
+                stamp,
+                ref whose,
+                units,
+                ceiling,
+                gift,
+            } => {
                 out.push(if ceiling { ASK_CEILING } else { ASK });
                 out.extend(stamp.to_be_bytes());
                 put(&mut out, whose);
                 out.extend(units.to_be_bytes());
                 out.extend(gift.to_be_bytes());
             }
-            Word::Answer { seq, granted, alone, wait } => {
+            Word::Answer {
+                seq,
+                granted,
+                alone,
+                wait,
+            } => {
                 out.push(ANSWER);
                 out.extend(seq.to_be_bytes());
                 out.push(u8::from(granted) | if alone { ALONE } else { 0 });
@@ -106,7 +140,11 @@
                 out.push(WANT);
                 put(&mut out, whose);
             }
-            Word::Gift { stamp, ref whose, gift } => {
+            Word::Gift {
+                stamp,
+                ref whose,
+                gift,
+            } => {
                 out.push(GIFT);
                 out.extend(stamp.to_be_bytes());
                 put(&mut out, whose);
@@ -130,21 +168,44 @@
         match (kind, size) {
             (ASK | ASK_CEILING, 21) => {
                 let (stamp, whose, units) = (four(1)?, whose(&data[5..15])?, units(15)?);
-                Some(Word::Ask { stamp, whose, units, ceiling: kind == ASK_CEILING, gift: two(19)? })
+                Some(Word::Ask {
+                    stamp,
+                    whose,
+                    units,
+                    ceiling: kind == ASK_CEILING,
+                    gift: two(19)?,
+                })
             }
             (OLD_ASK | OLD_ASK_CEILING, 17) => {
                 let (stamp, whose, units) = (two(1)?.into(), whose(&data[3..13])?, units(13)?);
-                Some(Word::Ask { stamp, whose, units, ceiling: kind == OLD_ASK_CEILING, gift: 0 })
+                Some(Word::Ask {
+                    stamp,
+                    whose,
+                    units,
+                    ceiling: kind == OLD_ASK_CEILING,
+                    gift: 0,
+                })
             }
             (OLD_BACK, 17) => Some(Word::Old),
             (ANSWER, 6) if data[3] <= 1 | ALONE => {
                 let (granted, alone) = (data[3] & 1 == 1, data[3] & ALONE != 0);
-                Some(Word::Answer { seq: two(1)?, granted, alone, wait: f64::from(two(4)?) })
+                Some(Word::Answer {
+                    seq: two(1)?,
+                    granted,
+                    alone,
+                    wait: f64::from(two(4)?),
+                })
             }
             (HELLO, 5) => Some(Word::Hello { stamp: four(1)? }),
             (BACK, 5) => Some(Word::Back { stamp: four(1)? }),
-            (WANT, 11) => Some(Word::Want { whose: whose(&data[1..])? }),
-            (GIFT, 17) => Some(Word::Gift { stamp: four(1)?, whose: whose(&data[5..15])?, gift: two(15)? }),
+            (WANT, 11) => Some(Word::Want {
+                whose: whose(&data[1..])?,
+            }),
+            (GIFT, 17) => Some(Word::Gift {
+                stamp: four(1)?,
+                whose: whose(&data[5..15])?,
+                gift: two(15)?,
+            }),
             _ => None,
         }
     }
