--- a/crates/aspendrum-core/tests/decisions.rs
+++ b/crates/aspendrum-core/tests/decisions.rs
@@ -19,7 +19,17 @@
 }
 
 fn member(server: ServerId, health: Health, cell: u16, started: Ms) -> Member {
-    Member { server, pool: 0, far: 0.0, health, cell, zone: 0, size: 1.0, kind: 0, started }
+    Member {
+        server,
+        pool: 0,
+        far: 0.0,
+        health,
+        cell,
+        zone: 0,
+        size: 1.0,
+        kind: 0,
+        started,
+    }
 }
 
 impl Rig {
@@ -27,13 +37,28 @@
         let mut all = Vec::new();
         let c = Control::new(1000.0, 7, s, &mut all);
         let (calls, forwards, shed, dropped, probes) = Default::default();
-        let mut rig = Rig { c, now: 1000.0, calls, forwards, shed, dropped, probes, all };
-        rig.tell(&Event::Members { list: ListKind::Cached, version: 1, entries: servers });
+        let mut rig = Rig {
+            c,
+            now: 1000.0,
+            calls,
+            forwards,
+            shed,
+            dropped,
+            probes,
+            all,
+        };
+        rig.tell(&Event::Members {
+            list: ListKind::Cached,
+            version: 1,
+            entries: servers,
+        });
         rig
     }
 
     fn new(semantics: Semantics, group: RepeatGroup) -> Rig {
-        let servers: Vec<Member> = (1..5).map(|id| member(id, Health::Ready, (id % 2) as u16, 0.0)).collect();
+        let servers: Vec<Member> = (1..5)
+            .map(|id| member(id, Health::Ready, (id % 2) as u16, 0.0))
+            .collect();
         Rig::with(&settings(semantics, group), &servers)
     }
 
@@ -84,7 +109,12 @@
     }
 
     fn count(&mut self, name: u64, outcome: Outcome, total: f32) {
-        self.tell(&Event::Counted { name, outcome, total, rtt: 1.0 });
+        self.tell(&Event::Counted {
+            name,
+            outcome,
+            total,
+            rtt: 1.0,
+        });
     }
 
     /// Asks until the counter is called, one call after another, and ends that call.
@@ -106,11 +136,26 @@
     }
 
     fn end(&mut self, id: QueryId, forward: u8, outcome: Outcome) {
-        let server = self.forwards.iter().filter(|f| f.0 == id).nth(usize::from(forward)).map_or(0, |f| f.1);
+        let server = self
+            .forwards
+            .iter()
+            .filter(|f| f.0 == id)
+            .nth(usize::from(forward))
+            .map_or(0, |f| f.1);
         let over = outcome == Outcome::Ok;
         let load = Load::default();
         let (rtt, used, actual) = (50.0, 0, 0);
-        self.tell(&Event::ForwardEnded { id, forward, server, outcome, rtt, over, used, actual, load });
+        self.tell(&Event::ForwardEnded {
+            id,
+            forward,
+            server,
+            outcome,
+            rtt,
+            over,
+            used,
+            actual,
+            load,
+        });
     }
 
     fn wait(&mut self, ms: Ms) {
@@ -126,7 +171,11 @@
     }
 
     fn finals(&self, id: QueryId) -> usize {
-        self.shed.iter().chain(&self.dropped).filter(|f| **f == id).count()
+        self.shed
+            .iter()
+            .chain(&self.dropped)
+            .filter(|f| **f == id)
+            .count()
     }
 }
 
@@ -136,7 +185,10 @@
 fn admitted_by_the_total(total: f32, admitted: bool) {
     let mut rig = Rig::plain();
     rig.ask_at(1, 9, total);
-    assert_eq!((rig.calls[0], rig.sent(1) == 1, rig.finals(1) == 0), ((9, 1.0), admitted, admitted));
+    assert_eq!(
+        (rig.calls[0], rig.sent(1) == 1, rig.finals(1) == 0),
+        ((9, 1.0), admitted, admitted)
+    );
 }
 
 #[test]
@@ -156,7 +208,9 @@
 #[test_case(&[Outcome::Full, Outcome::TimedOut, Outcome::ConnectFailed, Outcome::Full, Outcome::Full], true ; "five in a row")]
 fn breaker_opens_on_five_failures(outcomes: &[Outcome], open: bool) {
     let mut rig = Rig::plain();
-    outcomes.iter().for_each(|outcome| rig.call_of(104, *outcome));
+    outcomes
+        .iter()
+        .for_each(|outcome| rig.call_of(104, *outcome));
     let calls = rig.calls.len();
     rig.wait(1000.0);
     // A strained counter is asked by some queries, one behind an open breaker by none.
@@ -206,7 +260,11 @@
     for id in 10..14 {
         rig.ask_at(id, 9, (id - 9) as f32);
     }
-    assert!(before <= 2 && rig.forwards.len() == before, "{:?}", rig.forwards);
+    assert!(
+        before <= 2 && rig.forwards.len() == before,
+        "{:?}",
+        rig.forwards
+    );
 }
 
 #[test]
@@ -221,8 +279,13 @@
 
 fn ceiling() -> Settings {
     let mut s = settings(Semantics::Repeatable, RepeatGroup::All);
-    s.plans[0] =
-        Plan { ceiling_rate: 4.0, ceiling_burst: 8.0, over_worth: 0.5, over_cost: 0.0, ..s.plans[0].clone() };
+    s.plans[0] = Plan {
+        ceiling_rate: 4.0,
+        ceiling_burst: 8.0,
+        over_worth: 0.5,
+        over_cost: 0.0,
+        ..s.plans[0].clone()
+    };
     s
 }
 
@@ -233,7 +296,9 @@
 #[test_case(100, true ; "a hundred limiters")]
 #[test_case(100, false ; "a hundred limiters without a counter")]
 fn ceiling_holds_right_after_a_restart(limiters: usize, counter: bool) {
-    let servers: Vec<Member> = (1..40).map(|id| member(id, Health::Ready, 0, 0.0)).collect();
+    let servers: Vec<Member> = (1..40)
+        .map(|id| member(id, Health::Ready, 0, 0.0))
+        .collect();
     let mut s = ceiling();
     let many = limiters as f64 / 2.0;
     (s.plans[0].ceiling_burst, s.plans[0].ceiling_rate) = (8.0 * many, 4.0 * many);
@@ -254,7 +319,10 @@
             rig.wait(5.0);
         }
         let sent = rigs.iter().map(|r| r.forwards.len()).sum::<usize>() as f64;
-        assert!(sent <= many * (8.0 + 4.0 * (step as f64 + 1.0) * 0.005), "{sent} at step {step}");
+        assert!(
+            sent <= many * (8.0 + 4.0 * (step as f64 + 1.0) * 0.005),
+            "{sent} at step {step}"
+        );
     }
     assert!(rigs.iter().map(|r| r.forwards.len()).sum::<usize>() >= 2);
 }
@@ -287,13 +355,26 @@
         n += 1;
     }
     rig.wait(3000.0);
-    assert!(rig.sent(1) >= least && rig.sent(1) <= if least == 1 { 1 } else { 4 }, "{:?}", rig.forwards);
+    assert!(
+        rig.sent(1) >= least && rig.sent(1) <= if least == 1 { 1 } else { 4 },
+        "{:?}",
+        rig.forwards
+    );
     if outcome != Outcome::Ok {
         assert_eq!((rig.shed.len(), rig.dropped.len()), (shed, dropped));
     }
-    let never = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+    let never = matches!(
+        outcome,
+        Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+    );
     if semantics == Semantics::Keyed && !never {
-        assert!(rig.forwards.iter().all(|f| f.1 % 2 == rig.forwards[0].1 % 2), "{:?}", rig.forwards);
+        assert!(
+            rig.forwards
+                .iter()
+                .all(|f| f.1 % 2 == rig.forwards[0].1 % 2),
+            "{:?}",
+            rig.forwards
+        );
     }
 }
 
@@ -312,18 +393,30 @@
 fn nothing_new_goes_to_a_server_that_leaves(health: Health) {
     let mut rig = Rig::plain();
     let entries = [member(1, health, 1, 0.0), member(2, health, 0, 0.0)];
-    rig.tell(&Event::Members { list: ListKind::Delta, version: 2, entries: &entries });
+    rig.tell(&Event::Members {
+        list: ListKind::Delta,
+        version: 2,
+        entries: &entries,
+    });
     for id in 0..20 {
         rig.ask_at(id, 50 + id, 1.0);
     }
-    assert!(!rig.forwards.is_empty() && rig.forwards.iter().all(|f| f.1 > 2), "{:?}", rig.forwards);
+    assert!(
+        !rig.forwards.is_empty() && rig.forwards.iter().all(|f| f.1 > 2),
+        "{:?}",
+        rig.forwards
+    );
 }
 
 #[test]
 fn a_full_list_takes_away_what_it_does_not_name() {
     let mut rig = Rig::plain();
     let entries = [member(3, Health::Ready, 1, 0.0)];
-    rig.tell(&Event::Members { list: ListKind::Full, version: 2, entries: &entries });
+    rig.tell(&Event::Members {
+        list: ListKind::Full,
+        version: 2,
+        entries: &entries,
+    });
     for id in 0..5 {
         rig.ask_at(id, 50 + id, 1.0);
     }
@@ -334,7 +427,10 @@
 #[test_case(Outcome::Ok ; "quick answers")]
 #[test_case(Outcome::Full ; "quick refusals")]
 fn a_cold_server_gets_its_part_of_the_budget(outcome: Outcome) {
-    let entries = [member(1, Health::Ready, 0, 0.0), member(2, Health::Ready, 0, 900.0)];
+    let entries = [
+        member(1, Health::Ready, 0, 0.0),
+        member(2, Health::Ready, 0, 900.0),
+    ];
     let mut rig = Rig::with(&settings(Semantics::Repeatable, RepeatGroup::All), &entries);
     for id in 0..300 {
         rig.ask_at(id, 1000 + id, 1.0);
@@ -349,7 +445,10 @@
     }
     let cold = rig.forwards.iter().filter(|f| f.1 == 2).count() as f64;
     let warm = rig.forwards.iter().filter(|f| f.1 == 1).count() as f64;
-    assert!(cold >= 1.0 && cold <= 3.0 * 0.5 * warm, "{cold} against {warm}");
+    assert!(
+        cold >= 1.0 && cold <= 3.0 * 0.5 * warm,
+        "{cold} against {warm}"
+    );
 }
 
 #[test_case(Outcome::Error ; "errors answered fast")]
@@ -367,8 +466,17 @@
             for id in first..first + 8 {
                 let mut forward = 0;
                 while rig.sent(id) > forward {
-                    let server = rig.forwards.iter().filter(|f| f.0 == id).nth(forward).map_or(0, |f| f.1);
-                    rig.end(id, forward as u8, if server == 1 { outcome } else { Outcome::Ok });
+                    let server = rig
+                        .forwards
+                        .iter()
+                        .filter(|f| f.0 == id)
+                        .nth(forward)
+                        .map_or(0, |f| f.1);
+                    rig.end(
+                        id,
+                        forward as u8,
+                        if server == 1 { outcome } else { Outcome::Ok },
+                    );
                     forward += 1;
                 }
             }
@@ -380,12 +488,20 @@
     assert!((3..=8).contains(&before), "{before}");
     assert!(rig.probes.contains(&1));
     for _ in 0..8 {
-        rig.tell(&Event::Probed { server: 1, outcome: Outcome::Ok, rtt: 1.0, load: Load::default() });
+        rig.tell(&Event::Probed {
+            server: 1,
+            outcome: Outcome::Ok,
+            rtt: 1.0,
+            load: Load::default(),
+        });
         rig.wait(250.0);
     }
     ask(&mut rig, 60);
     let after = rig.forwards.iter().filter(|f| f.1 == 1).count();
-    assert!(after > before && after <= before + 2, "one query at a time on trial: {before} {after}");
+    assert!(
+        after > before && after <= before + 2,
+        "one query at a time on trial: {before} {after}"
+    );
 }
 
 #[test]
@@ -398,8 +514,16 @@
     rig.tell(&Event::ClientLeft { id: 1 });
     rig.count(9, Outcome::Ok, 7.0);
     rig.count(777, Outcome::Ok, 7.0);
-    rig.tell(&Event::Probed { server: 99, outcome: Outcome::Ok, rtt: 1.0, load: Load::default() });
-    assert_eq!((rig.forwards.len(), rig.shed.len(), rig.dropped.len()), seen);
+    rig.tell(&Event::Probed {
+        server: 99,
+        outcome: Outcome::Ok,
+        rtt: 1.0,
+        load: Load::default(),
+    });
+    assert_eq!(
+        (rig.forwards.len(), rig.shed.len(), rig.dropped.len()),
+        seen
+    );
 }
 
 #[test]
@@ -434,7 +558,11 @@
         rig.ask_at(id, 9, id as f32);
         rig.end(id, 0, Outcome::Ok);
     }
-    assert!(rig.forwards.len() == 5 && rig.forwards[1..].iter().all(|f| f.1 != first), "{:?}", rig.forwards);
+    assert!(
+        rig.forwards.len() == 5 && rig.forwards[1..].iter().all(|f| f.1 != first),
+        "{:?}",
+        rig.forwards
+    );
 }
 
 #[test]
@@ -443,8 +571,24 @@
         let mut rig = Rig::plain();
         for id in 0..200 {
             rig.ask(id, 1000 + id * 7 % 13);
-            rig.count(1000 + id * 7 % 13, if id % 9 == 0 { Outcome::TimedOut } else { Outcome::Ok }, 1.0);
-            rig.end(id, 0, if id % 5 == 0 { Outcome::Reset } else { Outcome::Ok });
+            rig.count(
+                1000 + id * 7 % 13,
+                if id % 9 == 0 {
+                    Outcome::TimedOut
+                } else {
+                    Outcome::Ok
+                },
+                1.0,
+            );
+            rig.end(
+                id,
+                0,
+                if id % 5 == 0 {
+                    Outcome::Reset
+                } else {
+                    Outcome::Ok
+                },
+            );
             rig.wait(20.0);
         }
         rig.all
@@ -478,7 +622,12 @@
     (0..4).for_each(|id| rig.ask(id, 100 + id));
     rig.wait(30.0);
     for id in 0..4 {
-        rig.tell(&Event::Counted { name: 100 + id, outcome: Outcome::TimedOut, total: 0.0, rtt: 30.0 });
+        rig.tell(&Event::Counted {
+            name: 100 + id,
+            outcome: Outcome::TimedOut,
+            total: 0.0,
+            rtt: 30.0,
+        });
     }
     let before = rig.calls.len();
     (0..200).for_each(|id| rig.ask(1000 + id, 1000 + id));
@@ -493,7 +642,12 @@
     (0..8).for_each(|id| rig.ask(id, 100 + id));
     rig.now += 10.0;
     for id in 0..8 {
-        rig.tell(&Event::Counted { name: 100 + id, outcome: Outcome::TimedOut, total: 0.0, rtt: 10.0 });
+        rig.tell(&Event::Counted {
+            name: 100 + id,
+            outcome: Outcome::TimedOut,
+            total: 0.0,
+            rtt: 10.0,
+        });
     }
     let calls = rig.calls.len();
     (0..20).for_each(|id| rig.ask(1000 + id, 1000 + id));
@@ -548,15 +702,27 @@
         rig.ask(id, id);
         if rig.calls.len() > calls {
             rig.now += 30.0;
-            rig.tell(&Event::Counted { name: id, outcome: Outcome::Ok, total: 1.0, rtt: 29.0 });
+            rig.tell(&Event::Counted {
+                name: id,
+                outcome: Outcome::Ok,
+                total: 1.0,
+                rtt: 29.0,
+            });
         }
     }
     let calls = rig.calls.len();
     for id in 0..50 {
         rig.ask(100 + id, 100 + id);
     }
-    assert!(rig.calls.len() <= calls + 15, "{} calls", rig.calls.len() - calls);
-    assert!((100..150).filter(|id| rig.finals(*id) == 0).count() > 40, "the rest goes by the local count");
+    assert!(
+        rig.calls.len() <= calls + 15,
+        "{} calls",
+        rig.calls.len() - calls
+    );
+    assert!(
+        (100..150).filter(|id| rig.finals(*id) == 0).count() > 40,
+        "the rest goes by the local count"
+    );
 }
 
 /// Answers that take nearly the SLO time bring down what is out, and quick ones bring it back.
@@ -572,13 +738,27 @@
                 id += 1;
                 rig.ask_at(id, 1000 + id, 1.0);
             }
-            let sent: Vec<_> = rig.forwards.iter().filter(|f| f.0 > first).copied().collect();
+            let sent: Vec<_> = rig
+                .forwards
+                .iter()
+                .filter(|f| f.0 > first)
+                .copied()
+                .collect();
             out = sent.len();
             for (id, server) in sent {
                 let load = Load::default();
                 let (forward, outcome, over, used, actual) = (0, Outcome::Ok, true, 0, 0);
-                let ended =
-                    Event::ForwardEnded { id, forward, server, outcome, rtt, over, used, actual, load };
+                let ended = Event::ForwardEnded {
+                    id,
+                    forward,
+                    server,
+                    outcome,
+                    rtt,
+                    over,
+                    used,
+                    actual,
+                    load,
+                };
                 rig.tell(&ended);
             }
             rig.wait(1000.0);
@@ -588,8 +768,11 @@
         }
         out
     };
-    let (start, jam, after) =
-        (fill(&mut rig, 1, 100.0), fill(&mut rig, 40, 900.0), fill(&mut rig, 200, 50.0));
+    let (start, jam, after) = (
+        fill(&mut rig, 1, 100.0),
+        fill(&mut rig, 40, 900.0),
+        fill(&mut rig, 200, 50.0),
+    );
     assert!(jam < start && after > jam, "{start} {jam} {after}");
 }
 
@@ -604,7 +787,11 @@
         assert_eq!((rig.calls[0].1, rig.finals(1)), (1.0, 1));
         rig.wait(2005.0);
         rig.ask_of(2, 9, 100.0);
-        assert!(rig.calls.len() == 2 && rig.calls[1].0 != rig.calls[0].0, "{:?}", rig.calls);
+        assert!(
+            rig.calls.len() == 2 && rig.calls[1].0 != rig.calls[0].0,
+            "{:?}",
+            rig.calls
+        );
     }
     assert_eq!(rigs[0].calls, rigs[1].calls);
     let rig = &mut rigs[0];
@@ -614,20 +801,35 @@
         if rig.calls.len() > before {
             let name = rig.calls[before].0;
             rig.now += 30.0;
-            rig.tell(&Event::Counted { name, outcome: Outcome::Ok, total: 1.0, rtt: 29.0 });
+            rig.tell(&Event::Counted {
+                name,
+                outcome: Outcome::Ok,
+                total: 1.0,
+                rtt: 29.0,
+            });
         }
     }
     assert!(rig.calls.iter().any(|c| c.1 > 3.0), "{:?}", rig.calls);
-    assert!((10..60).all(|id| rig.sent(id) == 1 || rig.finals(id) == 0), "one query each is let in");
+    assert!(
+        (10..60).all(|id| rig.sent(id) == 1 || rig.finals(id) == 0),
+        "one query each is let in"
+    );
 }
 
 #[test]
 fn without_a_counter_none_is_called() {
-    let s = Settings { counter: false, ..settings(Semantics::Repeatable, RepeatGroup::All) };
+    let s = Settings {
+        counter: false,
+        ..settings(Semantics::Repeatable, RepeatGroup::All)
+    };
     let mut rig = Rig::with(&s, &[]);
     (0..20).for_each(|id| rig.ask(id, 9));
     rig.wait(2000.0);
-    assert_eq!((rig.calls.len(), rig.shed.len()), (0, 20), "what is given up owes nothing");
+    assert_eq!(
+        (rig.calls.len(), rig.shed.len()),
+        (0, 20),
+        "what is given up owes nothing"
+    );
 }
 
 /// Who is told to come back after its SLO time comes back for nothing.
@@ -636,24 +838,37 @@
 fn advice_lets_clients_come_back_in_time(total: f32, advice: u64) {
     let mut rig = Rig::plain();
     rig.ask_at(1, 9, total);
-    let told =
-        |a: &Action| matches!(*a, Action::Shed { retry_after, .. } if retry_after.round() as u64 == advice);
+    let told = |a: &Action| matches!(*a, Action::Shed { retry_after, .. } if retry_after.round() as u64 == advice);
     assert!(rig.all.iter().any(told), "{:?}", rig.all);
 }
 
 /// Sends to fresh servers in the 3 s after their start, out of 600, when `limiters` share the load of `warm`
 /// warm ones and `fresh` more start.
 fn sent_to_fresh(limiters: u32, warm: u32, fresh: u32) -> f64 {
-    let servers: Vec<Member> = (1..=warm).map(|id| member(id, Health::Ready, 0, 0.0)).collect();
-    let s = |me| Settings { me, instances: limiters, ..settings(Semantics::Repeatable, RepeatGroup::All) };
-    let mut rigs: Vec<Rig> = (0..limiters).map(|me| Rig::with(&s(me), &servers)).collect();
-    let new: Vec<Member> = (0..fresh).map(|id| member(9 + id, Health::Ready, 0, 6000.0)).collect();
+    let servers: Vec<Member> = (1..=warm)
+        .map(|id| member(id, Health::Ready, 0, 0.0))
+        .collect();
+    let s = |me| Settings {
+        me,
+        instances: limiters,
+        ..settings(Semantics::Repeatable, RepeatGroup::All)
+    };
+    let mut rigs: Vec<Rig> = (0..limiters)
+        .map(|me| Rig::with(&s(me), &servers))
+        .collect();
+    let new: Vec<Member> = (0..fresh)
+        .map(|id| member(9 + id, Health::Ready, 0, 6000.0))
+        .collect();
     let mut cold = 0.0;
     for step in 0..1600u32 {
         for rig in &mut rigs {
             rig.wait(5.0);
             if step == 1000 {
-                rig.tell(&Event::Members { list: ListKind::Delta, version: 2, entries: &new });
+                rig.tell(&Event::Members {
+                    list: ListKind::Delta,
+                    version: 2,
+                    entries: &new,
+                });
             }
         }
         let (rig, id) = (&mut rigs[(step % limiters) as usize], u64::from(step));
@@ -673,7 +888,10 @@
 fn all_limiters_together_keep_the_cold_budget(limiters: u32) {
     let cold = sent_to_fresh(limiters, 3, 1);
     let budget = 3.0 * (0.2 + 0.8 * 0.3) * 600.0 / 4.0;
-    assert!((cold >= 1.0 || limiters > 10) && cold <= budget, "{cold} of {budget}");
+    assert!(
+        (cold >= 1.0 || limiters > 10) && cold <= budget,
+        "{cold} of {budget}"
+    );
 }
 
 /// A cold server's turn comes to one of a hundred limiters once in many seconds. Passed over for warm servers
@@ -699,7 +917,10 @@
         reports: ReportsVia::Probes,
         ..settings(Semantics::Repeatable, RepeatGroup::All)
     };
-    let entries = [member(1, Health::Ready, 0, 0.0), member(2, Health::Ready, 0, 900.0)];
+    let entries = [
+        member(1, Health::Ready, 0, 0.0),
+        member(2, Health::Ready, 0, 900.0),
+    ];
     let mut rig = Rig::with(&s, &entries);
     rig.wait(20_000.0);
     assert_eq!(rig.probes.contains(&2), probed, "{:?}", rig.probes);
@@ -715,16 +936,29 @@
     for id in 0..12 {
         rig.now += 30.0;
         rig.ask_of(id, 50 + id, 2.0);
-        rig.tell(&Event::Counted { name: 50 + id, outcome: Outcome::Ok, total: 1.0, rtt: 25.0 });
+        rig.tell(&Event::Counted {
+            name: 50 + id,
+            outcome: Outcome::Ok,
+            total: 1.0,
+            rtt: 25.0,
+        });
     }
     let (mut sparse, mut plain) = (0, 0);
     for n in 0..400u64 {
-        let (acct, spread) = if n % 2 == 0 { (10_000 + n, 8.0) } else { (20_000 + n, 2.0) };
+        let (acct, spread) = if n % 2 == 0 {
+            (10_000 + n, 8.0)
+        } else {
+            (20_000 + n, 2.0)
+        };
         let calls = rig.calls.len();
         rig.now += 1.0;
         rig.ask_of(1000 + n, acct, spread);
         let asked = rig.calls.len() > calls;
-        *(if spread > 2.0 { &mut sparse } else { &mut plain }) += u32::from(asked);
+        *(if spread > 2.0 {
+            &mut sparse
+        } else {
+            &mut plain
+        }) += u32::from(asked);
     }
     assert!(sparse >= 3 * plain.max(1), "sparse {sparse}, plain {plain}");
 }
--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/keepers.rs
@@ -32,7 +32,12 @@
 fn settings(limiters: u32, counter: bool, ceiling: f64) -> Settings {
     let base = common::settings(Semantics::Repeatable, RepeatGroup::All);
     let (ceiling_rate, ceiling_burst) = (2.0 * ceiling, 6.0 * ceiling);
-    let plan = Plan { burst: 6.0, ceiling_rate, ceiling_burst, ..base.plans[0].clone() };
+    let plan = Plan {
+        burst: 6.0,
+        ceiling_rate,
+        ceiling_burst,
+        ..base.plans[0].clone()
+    };
     Settings {
         instances: limiters,
         tick: 1.0,
@@ -57,14 +62,29 @@
         limiters.resize_with(settings.instances as usize, || None);
         let (now, lose, said) = (BEGUN, 0, 0);
         let hears = |_, _, _| true;
-        let mut fleet = Fleet { now, settings, limiters, mail, lose, said, hears, granted, sent, shed, open };
+        let mut fleet = Fleet {
+            now,
+            settings,
+            limiters,
+            mail,
+            lose,
+            said,
+            hears,
+            granted,
+            sent,
+            shed,
+            open,
+        };
         (0..fleet.limiters.len()).for_each(|me| fleet.start(me));
         fleet
     }
 
     /// Starts it, or starts it again from nothing.
     fn start(&mut self, me: usize) {
-        let s = Settings { me: me as u32, ..self.settings.clone() };
+        let s = Settings {
+            me: me as u32,
+            ..self.settings.clone()
+        };
         self.limiters[me] = Some(Control::new(self.now, 7 + me as u64, &s, &mut Vec::new()));
         let member = |server| Member {
             server,
@@ -78,12 +98,21 @@
             started: 0.0,
         };
         let entries: Vec<Member> = (1..=SERVERS).map(member).collect();
-        self.tell(me, &Event::Members { list: ListKind::Cached, version: 1, entries: &entries });
+        self.tell(
+            me,
+            &Event::Members {
+                list: ListKind::Cached,
+                version: 1,
+                entries: &entries,
+            },
+        );
     }
 
     fn tell(&mut self, me: usize, event: &Event) {
         let mut out = Vec::new();
-        let Some(control) = &mut self.limiters[me] else { return };
+        let Some(control) = &mut self.limiters[me] else {
+            return;
+        };
         control.handle(self.now, event, &mut out);
         for action in out {
             match action {
@@ -109,7 +138,13 @@
     fn step(&mut self) {
         self.now += 5.0;
         for (from, to, data) in std::mem::take(&mut self.mail) {
-            self.tell(to, &Event::PeerSaid { from: from as u16, data: &data });
+            self.tell(
+                to,
+                &Event::PeerSaid {
+                    from: from as u16,
+                    data: &data,
+                },
+            );
         }
         for (me, id, server) in std::mem::take(&mut self.open) {
             self.tell(
@@ -204,7 +239,10 @@
     let (granted, answered) = (fleet.granted.len(), fleet.granted.len() + fleet.shed.len());
     // 40 times a second with 2 units, three keepers with a burst each, before and after.
     let most = before + 80 + 6 * 6 + 4;
-    assert!(granted > before + 60 && granted <= most, "{granted} of {most}");
+    assert!(
+        granted > before + 60 && granted <= most,
+        "{granted} of {most}"
+    );
     // One query in ten at the most met the killed limiter itself.
     assert!(answered >= 40 + 360, "{answered} answered");
 }
@@ -231,7 +269,11 @@
         fleet.wait(25.0);
     }
     let ceiling = 9.0 + 3.0 * (fleet.now - begun) / 1000.0;
-    assert!((fleet.granted.len() as f64) <= ceiling, "{} of {ceiling}", fleet.granted.len());
+    assert!(
+        (fleet.granted.len() as f64) <= ceiling,
+        "{} of {ceiling}",
+        fleet.granted.len()
+    );
 }
 
 /// A customer's part of a ceiling filled only from its first query on, which was refused for that: with
@@ -241,10 +283,18 @@
     let mut fleet = Fleet::of(settings(40, false, 1.5));
     fleet.wait(5000.0);
     fleet.ask_in_turn(0, 2, 5.0);
-    assert_eq!(fleet.granted.len(), 2, "2.7 units have come together in the keeper's part");
+    assert_eq!(
+        fleet.granted.len(),
+        2,
+        "2.7 units have come together in the keeper's part"
+    );
     (0..40).for_each(|me| fleet.start(me));
     fleet.ask_in_turn(100, 40, 5.0);
-    assert!(fleet.granted.len() <= 3, "{} granted from parts that start with nothing", fleet.granted.len());
+    assert!(
+        fleet.granted.len() <= 3,
+        "{} granted from parts that start with nothing",
+        fleet.granted.len()
+    );
 }
 
 /// Datagrams that no limiter writes: cut short, too long, of unknown kinds, absurd, from nobody, or naming a
@@ -279,7 +329,10 @@
     }
     assert_eq!(fleet.said, 0);
     let (there, here) = (asked(&mut undisturbed), asked(&mut fleet));
-    assert!(here == there && here >= 5, "the customer's burst is untouched: {here} of {there}");
+    assert!(
+        here == there && here >= 5,
+        "the customer's burst is untouched: {here} of {there}"
+    );
 }
 
 /// A question that came twice is one question: its units are taken once, and the second is answered as the
@@ -290,11 +343,23 @@
     fleet.wait(FULL);
     let ask = [1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
     for _ in 0..20 {
-        fleet.tell(3, &Event::PeerSaid { from: 8, data: &ask });
+        fleet.tell(
+            3,
+            &Event::PeerSaid {
+                from: 8,
+                data: &ask,
+            },
+        );
         assert_eq!(fleet.mail.pop(), Some((3, 8, vec![3, 0, 1, 3, 0, 0])));
     }
     let other = [1, 0, 2, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
-    fleet.tell(3, &Event::PeerSaid { from: 8, data: &other });
+    fleet.tell(
+        3,
+        &Event::PeerSaid {
+            from: 8,
+            data: &other,
+        },
+    );
     assert_eq!(fleet.mail.pop(), Some((3, 8, vec![3, 0, 2, 3, 0, 0])));
 }
 
@@ -303,7 +368,10 @@
 #[test_case(4, true ; "a small fleet")]
 #[test_case(40, false ; "datagrams not allowed")]
 fn no_datagrams_where_there_is_no_need_or_no_leave(limiters: u32, may_tell: bool) {
-    let mut fleet = Fleet::of(Settings { may_tell, ..settings(limiters, false, 0.0) });
+    let mut fleet = Fleet::of(Settings {
+        may_tell,
+        ..settings(limiters, false, 0.0)
+    });
     fleet.ask_in_turn(0, 40, 20.0);
     assert_eq!(fleet.said, 0);
     assert!(!fleet.granted.is_empty());
@@ -318,7 +386,13 @@
     fleet.wait(FULL);
     let mut id = 0;
     for gone in (0..=24u32).step_by(4) {
-        let health = |s| if s <= gone { Health::Draining } else { Health::Ready };
+        let health = |s| {
+            if s <= gone {
+                Health::Draining
+            } else {
+                Health::Ready
+            }
+        };
         let member = |server, health, started| Member {
             server,
             pool: 0,
@@ -331,10 +405,18 @@
             started,
         };
         let old = (1..=SERVERS).map(|s| member(s, health(s), 0.0));
-        let entries: Vec<Member> =
-            old.chain((1..=gone).map(|s| member(100 + s, Health::Ready, fleet.now))).collect();
+        let entries: Vec<Member> = old
+            .chain((1..=gone).map(|s| member(100 + s, Health::Ready, fleet.now)))
+            .collect();
         (0..40).for_each(|me| {
-            fleet.tell(me, &Event::Members { list: ListKind::Full, version: 2 + gone, entries: &entries });
+            fleet.tell(
+                me,
+                &Event::Members {
+                    list: ListKind::Full,
+                    version: 2 + gone,
+                    entries: &entries,
+                },
+            );
         });
         fleet.sent.clear();
         for _ in 0..300 {
@@ -344,9 +426,15 @@
         }
         assert!(fleet.sent.len() >= 250, "{} sent", fleet.sent.len());
         let wrong = fleet.sent.iter().filter(|s| **s <= gone).count();
-        assert_eq!(wrong, 0, "to servers that drain, with {gone} of {SERVERS} replaced");
+        assert_eq!(
+            wrong, 0,
+            "to servers that drain, with {gone} of {SERVERS} replaced"
+        );
     }
-    assert!(fleet.sent.iter().any(|s| *s > 100), "the new servers are used");
+    assert!(
+        fleet.sent.iter().any(|s| *s > 100),
+        "the new servers are used"
+    );
 }
 
 /// Forty limiters through which one customer asks for twenty times its quota for 60 s while the counter says
@@ -370,7 +458,10 @@
     }
     let quota = 6.0 + 2.0 * (fleet.now - begun) / 1000.0;
     let over = fleet.granted.len() as f64 / quota;
-    println!("{over:.2} of the quota, {:.2} datagrams", fleet.said as f64 / 40.0 / 64.0);
+    println!(
+        "{over:.2} of the quota, {:.2} datagrams",
+        fleet.said as f64 / 40.0 / 64.0
+    );
     over
 }
 
@@ -394,7 +485,10 @@
 ) {
     let over = played(hears, lose, kill);
     assert!(over <= 1.0, "{over:.2} of the quota granted");
-    assert!(over >= least, "{over:.2} of the quota granted, and {least} could be");
+    assert!(
+        over >= least,
+        "{over:.2} of the quota granted, and {least} could be"
+    );
 }
 
 fn turning(at: Ms, a: usize, b: usize) -> bool {
@@ -420,7 +514,10 @@
         fleet.wait(5.0);
     }
     let over = fleet.granted.len() as f64 / (80.0 + 20.0 * (fleet.now - begun) / 1000.0);
-    assert!((least..=1.0).contains(&over), "{over:.2} of the quota granted");
+    assert!(
+        (least..=1.0).contains(&over),
+        "{over:.2} of the quota granted"
+    );
 }
 
 /// All of a customer's traffic through one limiter: what the idle ones hold is fetched for it, and the keeper
@@ -448,7 +545,13 @@
     let granted = |fleet: &mut Fleet, from: u8| {
         (from..from + 20)
             .filter(|n| {
-                fleet.tell(3, &Event::PeerSaid { from: 8, data: &ask(*n) });
+                fleet.tell(
+                    3,
+                    &Event::PeerSaid {
+                        from: 8,
+                        data: &ask(*n),
+                    },
+                );
                 fleet.mail.pop().is_some_and(|m| m.2[3] & 1 == 1)
             })
             .count()
@@ -456,9 +559,27 @@
     let first = granted(&mut fleet, 1);
     assert_eq!(first, 3, "the keeper's own part of a burst of 6");
     for _ in 0..10 {
-        fleet.tell(3, &Event::PeerSaid { from: 8, data: &[7, 0, 0, 0, 1] });
-        fleet.tell(3, &Event::PeerSaid { from: 9, data: &[7, 0, 0, 0, 2] });
-        fleet.tell(3, &Event::PeerSaid { from: 8, data: &[7, 0, 0, 0, 99] });
+        fleet.tell(
+            3,
+            &Event::PeerSaid {
+                from: 8,
+                data: &[7, 0, 0, 0, 1],
+            },
+        );
+        fleet.tell(
+            3,
+            &Event::PeerSaid {
+                from: 9,
+                data: &[7, 0, 0, 0, 2],
+            },
+        );
+        fleet.tell(
+            3,
+            &Event::PeerSaid {
+                from: 8,
+                data: &[7, 0, 0, 0, 99],
+            },
+        );
     }
     assert_eq!(granted(&mut fleet, 40), 1);
 }
@@ -469,20 +590,41 @@
 fn words_of_the_version_before_are_understood_or_ignored() {
     use aspendrum_core::word::{Whose, Word};
     let old = [1, 0, 9, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
-    let whose = Whose { acct: 5, plan: 0, first: 0, spread: 40 };
-    let ask = Word::Ask { stamp: 9, whose, units: 1.0, ceiling: false, gift: 0 };
+    let whose = Whose {
+        acct: 5,
+        plan: 0,
+        first: 0,
+        spread: 40,
+    };
+    let ask = Word::Ask {
+        stamp: 9,
+        whose,
+        units: 1.0,
+        ceiling: false,
+        gift: 0,
+    };
     assert_eq!(Word::read(&old), Some(ask));
-    assert_eq!(Word::read(&[4, 0, 9, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0]), Some(Word::Old));
+    assert_eq!(
+        Word::read(&[4, 0, 9, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0]),
+        Some(Word::Old)
+    );
     for word in [
         ask,
         Word::Hello { stamp: 7 },
         Word::Back { stamp: 8 },
         Word::Want { whose },
-        Word::Gift { stamp: 9, whose, gift: 3 },
+        Word::Gift {
+            stamp: 9,
+            whose,
+            gift: 3,
+        },
     ] {
         let bytes = word.write();
         assert_eq!(Word::read(&bytes), Some(word));
-        assert!(bytes[0] > 4 && bytes.len() <= 256, "the version before drops it");
+        assert!(
+            bytes[0] > 4 && bytes.len() <= 256,
+            "the version before drops it"
+        );
         for cut in 0..bytes.len() {
             assert_ne!(Word::read(&bytes[..cut]), Some(word));
         }
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -16,9 +16,19 @@
 impl Rig {
     fn new(windowed: bool, burst: f64) -> Rig {
         let mut s = settings(Semantics::Mutating, RepeatGroup::All);
-        s.plans[0] = Plan { windowed, rate: burst, burst, ..s.plans[0].clone() };
+        s.plans[0] = Plan {
+            windowed,
+            rate: burst,
+            burst,
+            ..s.plans[0].clone()
+        };
         let mut out = Vec::new();
-        Rig { c: Control::new(1000.0, 7, &s, &mut out), now: 1000.0, next: 1, out }
+        Rig {
+            c: Control::new(1000.0, 7, &s, &mut out),
+            now: 1000.0,
+            next: 1,
+            out,
+        }
     }
 
     fn tell(&mut self, event: &Event) -> Vec<Action> {
@@ -40,7 +50,11 @@
             started: 0.0,
         };
         let entries: Vec<Member> = servers.iter().map(member).collect();
-        self.tell(&Event::Members { list: ListKind::Delta, version: 1, entries: &entries });
+        self.tell(&Event::Members {
+            list: ListKind::Delta,
+            version: 1,
+            entries: &entries,
+        });
     }
 
     /// A query whose add finds no counter; what the module does with it.
@@ -71,7 +85,12 @@
             _ => None,
         });
         if let Some(name) = call {
-            let failed = Event::Counted { name, outcome: Outcome::ConnectFailed, total: 0.0, rtt: 1.0 };
+            let failed = Event::Counted {
+                name,
+                outcome: Outcome::ConnectFailed,
+                total: 0.0,
+                rtt: 1.0,
+            };
             acts.extend(self.tell(&failed));
         }
         acts
@@ -141,9 +160,17 @@
     rig.servers(&[(1, 0, 0)]);
     assert!(forwarded(&rig.ask(0, u64::MAX, 1.0)).is_some(), "no quota");
     let s = settings(Semantics::Mutating, RepeatGroup::All);
-    let plan = Plan { windowed: true, rate: 1.0, burst: 1.0, ..s.plans[0].clone() };
+    let plan = Plan {
+        windowed: true,
+        rate: 1.0,
+        burst: 1.0,
+        ..s.plans[0].clone()
+    };
     rig.c.configure(&s.groups, &[]);
-    assert!(forwarded(&rig.ask(0, u64::MAX, 1.0)).is_some(), "fewer plans than before are not taken");
+    assert!(
+        forwarded(&rig.ask(0, u64::MAX, 1.0)).is_some(),
+        "fewer plans than before are not taken"
+    );
     rig.c.configure(&s.groups, &[plan]);
     assert!(forwarded(&rig.ask(0, u64::MAX, 1.0)).is_none());
 }
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -7,8 +7,8 @@
 //! change the fixture; its commit says which.
 
 use aspendrum_core::api::{
-    Action, Event, Group, Health, ListKind, Load, LoadValue, Member, NewQuery, Outcome, Plan, RepeatGroup,
-    ReportsVia, Semantics, Settings,
+    Action, Event, Group, Health, ListKind, Load, LoadValue, Member, NewQuery, Outcome, Plan,
+    RepeatGroup, ReportsVia, Semantics, Settings,
 };
 use aspendrum_core::control::Control;
 use std::collections::HashMap;
@@ -50,7 +50,10 @@
 
 impl Default for Digest {
     fn default() -> Self {
-        Digest { hash: 0xcbf2_9ce4_8422_2325, kinds: [0; KINDS] }
+        Digest {
+            hash: 0xcbf2_9ce4_8422_2325,
+            kinds: [0; KINDS],
+        }
     }
 }
 
@@ -68,13 +71,21 @@
     fn action(&mut self, limiter: usize, action: &Action) {
         self.number(limiter as u64);
         let kind = match action {
-            Action::Forward { id, server, timeout } => {
+            Action::Forward {
+                id,
+                server,
+                timeout,
+            } => {
                 self.number(*id);
                 self.number((*server).into());
                 self.float(*timeout);
                 0
             }
-            Action::Shed { id, retry_after, beyond } => {
+            Action::Shed {
+                id,
+                retry_after,
+                beyond,
+            } => {
                 self.number(*id);
                 self.float(*retry_after);
                 self.number((*beyond).into());
@@ -128,11 +139,32 @@
 
 /// What is on its way to a limiter, due at a step.
 enum Arrival {
-    Forward { id: u64, forward: u8, server: u32, outcome: Outcome, rtt: f64, actual: u16 },
-    Stream { id: u64, server: u32 },
-    Counter { name: u64, outcome: Outcome, total: f32, rtt: f64 },
-    Probe { server: u32, outcome: Outcome },
-    Datagram { from: u16, data: Vec<u8> },
+    Forward {
+        id: u64,
+        forward: u8,
+        server: u32,
+        outcome: Outcome,
+        rtt: f64,
+        actual: u16,
+    },
+    Stream {
+        id: u64,
+        server: u32,
+    },
+    Counter {
+        name: u64,
+        outcome: Outcome,
+        total: f32,
+        rtt: f64,
+    },
+    Probe {
+        server: u32,
+        outcome: Outcome,
+    },
+    Datagram {
+        from: u16,
+        data: Vec<u8>,
+    },
 }
 
 /// What the world does to the limiters, by the second of the run.
@@ -214,7 +246,10 @@
     }
 
     fn start(&mut self, me: usize) -> Control {
-        let settings = Settings { me: me as u32, ..self.script.settings.clone() };
+        let settings = Settings {
+            me: me as u32,
+            ..self.script.settings.clone()
+        };
         let mut out = Vec::new();
         let limiter = Control::new(self.now(), 7 + me as u64, &settings, &mut out);
         out.iter().for_each(|action| self.digest.action(me, action));
@@ -232,7 +267,10 @@
     }
 
     fn later(&mut self, steps: u64, me: usize, arrival: Arrival) {
-        self.due.entry(self.step + steps.max(1)).or_default().push((me, arrival));
+        self.due
+            .entry(self.step + steps.max(1))
+            .or_default()
+            .push((me, arrival));
     }
 
     fn carry_out(&mut self, me: usize, action: &Action) {
@@ -244,25 +282,57 @@
                     let (server, was_open) = (*server, std::mem::replace(open, false));
                     let (outcome, rtt, actual) = (Outcome::Cancelled, 9.0, 0);
                     if was_open {
-                        self.later(1, me, Arrival::Forward { id, forward, server, outcome, rtt, actual });
+                        self.later(
+                            1,
+                            me,
+                            Arrival::Forward {
+                                id,
+                                forward,
+                                server,
+                                outcome,
+                                rtt,
+                                actual,
+                            },
+                        );
                     }
                 }
             }
             Action::Count { name, add, .. } => self.count(me, name, add),
             Action::Probe { server } => {
-                let outcome = if self.draws.one_in(4) { Outcome::TimedOut } else { Outcome::Ok };
+                let outcome = if self.draws.one_in(4) {
+                    Outcome::TimedOut
+                } else {
+                    Outcome::Ok
+                };
                 self.later(3, me, Arrival::Probe { server, outcome });
             }
-            Action::Tell { to: Some(to), ref data } => {
+            Action::Tell {
+                to: Some(to),
+                ref data,
+            } => {
                 let to = to as usize;
                 if !(self.script.linked)(self.second(), me, to) || self.draws.one_in(15) {
                     return;
                 }
                 let steps = 1 + self.draws.below(4);
-                self.later(steps, to, Arrival::Datagram { from: me as u16, data: data.clone() });
+                self.later(
+                    steps,
+                    to,
+                    Arrival::Datagram {
+                        from: me as u16,
+                        data: data.clone(),
+                    },
+                );
                 if self.draws.one_in(20) {
                     let steps = 1 + self.draws.below(300);
-                    self.later(steps, to, Arrival::Datagram { from: me as u16, data: data.clone() });
+                    self.later(
+                        steps,
+                        to,
+                        Arrival::Datagram {
+                            from: me as u16,
+                            data: data.clone(),
+                        },
+                    );
                 }
             }
             _ => {}
@@ -277,7 +347,18 @@
         let second = self.second();
         if server == 2 && second % 6 >= 4 {
             let (outcome, rtt, actual) = (Outcome::TimedOut, 1500.0, 0);
-            return self.later(300, me, Arrival::Forward { id, forward, server, outcome, rtt, actual });
+            return self.later(
+                300,
+                me,
+                Arrival::Forward {
+                    id,
+                    forward,
+                    server,
+                    outcome,
+                    rtt,
+                    actual,
+                },
+            );
         }
         let rtt = 10.0 + self.draws.below(40) as f64 + if server == 3 { 120.0 } else { 0.0 };
         let rtt = rtt * self.script.slowness;
@@ -300,7 +381,18 @@
             self.later(1, me, Arrival::Stream { id, server });
         }
         let steps = (rtt / STEP) as u64;
-        self.later(steps, me, Arrival::Forward { id, forward, server, outcome, rtt, actual });
+        self.later(
+            steps,
+            me,
+            Arrival::Forward {
+                id,
+                forward,
+                server,
+                outcome,
+                rtt,
+                actual,
+            },
+        );
     }
 
     fn count(&mut self, me: usize, name: u64, add: f32) {
@@ -317,12 +409,28 @@
         let total = self.totals.entry(name).or_default();
         *total += if adds { add } else { 0.0 };
         let (total, rtt) = (*total, steps as f64 * STEP);
-        self.later(steps, me, Arrival::Counter { name, outcome, total, rtt });
+        self.later(
+            steps,
+            me,
+            Arrival::Counter {
+                name,
+                outcome,
+                total,
+                rtt,
+            },
+        );
     }
 
     fn arrive(&mut self, me: usize, arrival: Arrival) {
         match arrival {
-            Arrival::Forward { id, forward, server, outcome, rtt, actual } => {
+            Arrival::Forward {
+                id,
+                forward,
+                server,
+                outcome,
+                rtt,
+                actual,
+            } => {
                 if let Some(sent) = self.forwards.get_mut(&(me, id)) {
                     let was_open = std::mem::replace(&mut sent[usize::from(forward)].1, false);
                     if !was_open && outcome != Outcome::Cancelled {
@@ -334,20 +442,61 @@
                 let used = actual;
                 self.tell(
                     me,
-                    &Event::ForwardEnded { id, forward, server, outcome, rtt, over, used, actual, load },
+                    &Event::ForwardEnded {
+                        id,
+                        forward,
+                        server,
+                        outcome,
+                        rtt,
+                        over,
+                        used,
+                        actual,
+                        load,
+                    },
                 );
             }
             Arrival::Stream { id, server } => {
-                self.tell(me, &Event::StreamStarted { id, forward: 0, server, rtt: 4.0 });
+                self.tell(
+                    me,
+                    &Event::StreamStarted {
+                        id,
+                        forward: 0,
+                        server,
+                        rtt: 4.0,
+                    },
+                );
             }
-            Arrival::Counter { name, outcome, total, rtt } => {
-                self.tell(me, &Event::Counted { name, outcome, total, rtt });
+            Arrival::Counter {
+                name,
+                outcome,
+                total,
+                rtt,
+            } => {
+                self.tell(
+                    me,
+                    &Event::Counted {
+                        name,
+                        outcome,
+                        total,
+                        rtt,
+                    },
+                );
             }
             Arrival::Probe { server, outcome } => {
                 let load = self.load();
-                self.tell(me, &Event::Probed { server, outcome, rtt: 3.0, load });
+                self.tell(
+                    me,
+                    &Event::Probed {
+                        server,
+                        outcome,
+                        rtt: 3.0,
+                        load,
+                    },
+                );
+            }
+            Arrival::Datagram { from, data } => {
+                self.tell(me, &Event::PeerSaid { from, data: &data })
             }
-            Arrival::Datagram { from, data } => self.tell(me, &Event::PeerSaid { from, data: &data }),
         }
     }
 
@@ -355,10 +504,22 @@
         let busy = self.draws.below(120) as f32 / 100.0;
         match self.draws.below(8) {
             0 => Load::default(),
-            1 if self.draws.one_in(3) => Load { n: 1, values: [9.0, 0.0, 0.0, 0.0] },
-            1 => Load { n: 1, values: [f32::NAN, 0.0, 0.0, 0.0] },
-            2..=4 => Load { n: 1, values: [busy, 0.0, 0.0, 0.0] },
-            _ => Load { n: 2, values: [busy, busy / 2.0, 0.0, 0.0] },
+            1 if self.draws.one_in(3) => Load {
+                n: 1,
+                values: [9.0, 0.0, 0.0, 0.0],
+            },
+            1 => Load {
+                n: 1,
+                values: [f32::NAN, 0.0, 0.0, 0.0],
+            },
+            2..=4 => Load {
+                n: 1,
+                values: [busy, 0.0, 0.0, 0.0],
+            },
+            _ => Load {
+                n: 2,
+                values: [busy, busy / 2.0, 0.0, 0.0],
+            },
         }
     }
 
@@ -380,7 +541,14 @@
     fn tell_members(&mut self, me: usize, list: ListKind) {
         let entries = self.members();
         let version = self.step as u32;
-        self.tell(me, &Event::Members { list, version, entries: &entries });
+        self.tell(
+            me,
+            &Event::Members {
+                list,
+                version,
+                entries: &entries,
+            },
+        );
     }
 
     /// A server drains, goes, comes back or starts again.
@@ -392,7 +560,12 @@
             Health::Draining => (Health::Gone, self.health[at].1),
             Health::Gone => (Health::Ready, self.now() - self.draws.below(3000) as f64),
         };
-        let kinds = [ListKind::Delta, ListKind::Full, ListKind::Cached, ListKind::Failed];
+        let kinds = [
+            ListKind::Delta,
+            ListKind::Full,
+            ListKind::Cached,
+            ListKind::Failed,
+        ];
         let list = kinds[self.draws.below(4) as usize];
         (0..self.limiters.len()).for_each(|me| self.tell_members(me, list));
     }
@@ -400,7 +573,10 @@
     fn query(&mut self, me: usize) {
         let id = self.next_query;
         self.next_query += 1;
-        let (groups, plans) = (self.script.settings.groups.len(), self.script.settings.plans.len());
+        let (groups, plans) = (
+            self.script.settings.groups.len(),
+            self.script.settings.plans.len(),
+        );
         // New tenants come and old ones stay away as time goes on.
         let tenant = self.draws.below(self.script.tenants) + self.second() / 2;
         let spreads = self.script.spreads;
@@ -411,7 +587,11 @@
             until: self.now() + 800.0 + self.draws.below(2000) as f64,
             acct: tenant,
             // One query in a thousand names a plan that is not there.
-            plan: if id % 1000 == 999 { 99 } else { tenant as u32 % plans as u32 },
+            plan: if id % 1000 == 999 {
+                99
+            } else {
+                tenant as u32 % plans as u32
+            },
             spread,
             units: [1.0, 1.0, 2.0, 0.5][self.draws.below(4) as usize],
             first: (tenant % u64::from(self.script.settings.instances)) as f32,
@@ -426,7 +606,10 @@
             self.tell(me, &Event::ClientLeft { id });
         }
         // One that is known already.
-        let open = self.forwards.get(&(me, id)).is_some_and(|sent| sent.iter().any(|forward| forward.1));
+        let open = self
+            .forwards
+            .get(&(me, id))
+            .is_some_and(|sent| sent.iter().any(|forward| forward.1));
         if open && self.draws.one_in(50) {
             self.tell(me, &Event::Query(new));
         }
@@ -436,9 +619,16 @@
         let mut plans = self.script.settings.plans.clone();
         plans[0].rate *= 1.5;
         plans[0].burst *= 2.0;
-        plans.push(Plan { rate: 9.0, burst: 3.0, ..plans[0].clone() });
+        plans.push(Plan {
+            rate: 9.0,
+            burst: 3.0,
+            ..plans[0].clone()
+        });
         let mut groups = self.script.settings.groups.clone();
-        groups.push(Group { slo: 400.0, ..groups[0].clone() });
+        groups.push(Group {
+            slo: 400.0,
+            ..groups[0].clone()
+        });
         for limiter in &mut self.limiters {
             limiter.configure(&groups, &plans);
             limiter.configure(&groups[..1], &plans[..1]);
@@ -460,7 +650,9 @@
             self.change_servers();
         }
         if self.draws.one_in(300) {
-            let data: Vec<u8> = (0..self.draws.below(24)).map(|_| self.draws.below(256) as u8).collect();
+            let data: Vec<u8> = (0..self.draws.below(24))
+                .map(|_| self.draws.below(256) as u8)
+                .collect();
             let me = self.draws.below(self.limiters.len() as u64) as usize;
             let from = self.draws.below(60) as u16;
             self.tell(me, &Event::PeerSaid { from, data: &data });
@@ -483,7 +675,9 @@
             let me = self.draws.below(self.limiters.len() as u64) as usize;
             self.limiters[me] = self.start(me);
             self.forwards.retain(|of, _| of.0 != me);
-            self.due.values_mut().for_each(|due| due.retain(|(of, _)| *of != me));
+            self.due
+                .values_mut()
+                .for_each(|due| due.retain(|(of, _)| *of != me));
             self.tell_members(me, ListKind::Full);
         }
     }
@@ -531,14 +725,38 @@
         group(Semantics::Keyed, RepeatGroup::Cell, 300.0, 0.5),
         group(Semantics::Mutating, RepeatGroup::All, 600.0, 1.5),
     ];
-    let ceiling = Plan { ceiling_rate: 9.0, ceiling_burst: 18.0, ..plan(4.0, 8.0) };
-    let overdraft =
-        Plan { over_worth: 0.8, over_cost: 0.2, ceiling_rate: 60.0, ceiling_burst: 50.0, ..plan(6.0, 6.0) };
-    let limited = Plan { open: 5, price: 2.0, ..plan(20.0, 40.0) };
-    let windowed = Plan { windowed: true, ..plan(8.0, 8.0) };
+    let ceiling = Plan {
+        ceiling_rate: 9.0,
+        ceiling_burst: 18.0,
+        ..plan(4.0, 8.0)
+    };
+    let overdraft = Plan {
+        over_worth: 0.8,
+        over_cost: 0.2,
+        ceiling_rate: 60.0,
+        ceiling_burst: 50.0,
+        ..plan(6.0, 6.0)
+    };
+    let limited = Plan {
+        open: 5,
+        price: 2.0,
+        ..plan(20.0, 40.0)
+    };
+    let windowed = Plan {
+        windowed: true,
+        ..plan(8.0, 8.0)
+    };
     Settings {
         groups,
-        plans: vec![plan(5.0, 10.0), ceiling, overdraft, limited, windowed, plan(0.0, 0.0), plan(0.5, 1.5)],
+        plans: vec![
+            plan(5.0, 10.0),
+            ceiling,
+            overdraft,
+            limited,
+            windowed,
+            plan(0.0, 0.0),
+            plan(0.5, 1.5),
+        ],
         cross_zone_price: 0.02,
         units_top: 2.0,
         max_retry_after: 900.0,
@@ -561,7 +779,11 @@
 
 fn small_fleet() -> Script {
     Script {
-        settings: Settings { instances: 3, cost_after: true, ..base() },
+        settings: Settings {
+            instances: 3,
+            cost_after: true,
+            ..base()
+        },
         seconds: 45,
         servers: 40,
         slowness: 1.0,
@@ -608,7 +830,12 @@
 /// Two limiters whose servers are slow and busy, with more queries than they can take, many beyond their quota.
 fn overload() -> Script {
     Script {
-        settings: Settings { cold_time: 4000.0, fall_multiple: 2.0, send_cap: 3, ..base() },
+        settings: Settings {
+            cold_time: 4000.0,
+            fall_multiple: 2.0,
+            send_cap: 3,
+            ..base()
+        },
         seconds: 30,
         servers: 30,
         slowness: 5.0,
@@ -659,9 +886,14 @@
 #[test_case("large_fleet_alone", || large_fleet(|_| Counter::Silent) ; "large fleet whose counter never answers")]
 fn a_drawn_run_decides_as_recorded(name: &str, script: fn() -> Script) {
     let fixture = include_str!("fixtures/recorded_runs.txt");
-    let mut recorded = fixture.split("\n\n").filter_map(|run| run.strip_prefix(&format!("{name}\n")));
+    let mut recorded = fixture
+        .split("\n\n")
+        .filter_map(|run| run.strip_prefix(&format!("{name}\n")));
     let recorded = recorded.next().unwrap_or("").trim_end();
     let played = World::new(script(), 0x5eed).play();
     let differs = played.lines().zip(recorded.lines()).find(|(a, b)| a != b);
-    assert!(played.trim_end() == recorded, "{name} differs first at {differs:?}; it plays\n{name}\n{played}");
+    assert!(
+        played.trim_end() == recorded,
+        "{name} differs first at {differs:?}; it plays\n{name}\n{played}"
+    );
 }
--- a/crates/aspendrum-core/tests/settings.rs
+++ b/crates/aspendrum-core/tests/settings.rs
@@ -122,8 +122,15 @@
 
 fn without(key: &str) -> String {
     let prefix = format!("{key}=");
-    let lines: Vec<&str> = SETTINGS.lines().filter(|line| !line.starts_with(&prefix)).collect();
-    assert_eq!(lines.len() + 1, SETTINGS.lines().count(), "{key} stands in the fixture once");
+    let lines: Vec<&str> = SETTINGS
+        .lines()
+        .filter(|line| !line.starts_with(&prefix))
+        .collect();
+    assert_eq!(
+        lines.len() + 1,
+        SETTINGS.lines().count(),
+        "{key} stands in the fixture once"
+    );
     lines.join("\n")
 }
 
@@ -193,8 +200,16 @@
 
 #[test]
 fn the_counters_wait_is_not_needed_without_a_counter() {
-    let text = without("Specifics.CountWaitS").replace("Specifics.Counter=true", "Specifics.Counter=false");
-    assert_eq!(read(&text), Ok(Settings { counter: false, counter_wait: 0.0, ..expected() }));
+    let text = without("Specifics.CountWaitS")
+        .replace("Specifics.Counter=true", "Specifics.Counter=false");
+    assert_eq!(
+        read(&text),
+        Ok(Settings {
+            counter: false,
+            counter_wait: 0.0,
+            ..expected()
+        })
+    );
 }
 
 #[test_case("Me=3", "Me=3.5", "setting Me is absurd: 3.5" ; "fraction")]
@@ -208,7 +223,13 @@
 #[test_case("Limits.Probes=false", "Limits.Probes=no", "setting Limits.Probes is absurd: no" ; "neither true nor false")]
 #[test_case("Instances=7", "Instances=0", "setting Instances is absurd: 0" ; "no instances")]
 fn an_absurd_value_is_refused_by_name(from: &str, to: &str, text: &str) {
-    let line = |line: &str| if line == from { to.to_string() } else { line.to_string() };
+    let line = |line: &str| {
+        if line == from {
+            to.to_string()
+        } else {
+            line.to_string()
+        }
+    };
     let changed: Vec<String> = SETTINGS.lines().map(line).collect();
     assert_eq!(read(&changed.join("\n")).unwrap_err().to_string(), text);
 }
--- a/crates/aspendrum-core/tests/wire_bytes.rs
+++ b/crates/aspendrum-core/tests/wire_bytes.rs
@@ -3,24 +3,51 @@
 use aspendrum_core::word::{Whose, Word};
 use test_case::test_case;
 
-const WHOSE: Whose = Whose { acct: 0x12_3456_789a, plan: 7, first: 0x1122, spread: 0x3344 };
+const WHOSE: Whose = Whose {
+    acct: 0x12_3456_789a,
+    plan: 7,
+    first: 0x1122,
+    spread: 0x3344,
+};
 const STAMP: u32 = 0x89ab_cdef;
 const SEQ: u16 = 0xcdef;
 
 fn fixture(name: &str) -> Vec<u8> {
     let text = include_str!("fixtures/datagrams.txt");
-    let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(" = "));
-    let digits: Vec<u8> = line.unwrap_or_else(|| panic!("no fixture {name}")).bytes().collect();
-    let digits: Vec<u8> = digits.into_iter().filter(|b| !b.is_ascii_whitespace()).collect();
-    digits.chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap()).collect()
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(" = "));
+    let digits: Vec<u8> = line
+        .unwrap_or_else(|| panic!("no fixture {name}"))
+        .bytes()
+        .collect();
+    let digits: Vec<u8> = digits
+        .into_iter()
+        .filter(|b| !b.is_ascii_whitespace())
+        .collect();
+    digits
+        .chunks(2)
+        .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
+        .collect()
 }
 
 fn ask(ceiling: bool) -> Word {
-    Word::Ask { stamp: STAMP, whose: WHOSE, units: 2.5, ceiling, gift: 0x5566 }
+    Word::Ask {
+        stamp: STAMP,
+        whose: WHOSE,
+        units: 2.5,
+        ceiling,
+        gift: 0x5566,
+    }
 }
 
 fn answer(granted: bool, alone: bool, wait: f64) -> Word {
-    Word::Answer { seq: SEQ, granted, alone, wait }
+    Word::Answer {
+        seq: SEQ,
+        granted,
+        alone,
+        wait,
+    }
 }
 
 #[test_case("probe", Word::Hello { stamp: STAMP } ; "probe")]
@@ -42,7 +69,13 @@
 #[test_case("legacy_ask", false ; "ask")]
 #[test_case("legacy_ask_ceiling", true ; "ask that takes from the ceiling too")]
 fn an_ask_of_the_version_before_is_read_as_one_without_a_gift(name: &str, ceiling: bool) {
-    let read = Word::Ask { stamp: SEQ.into(), whose: WHOSE, units: 2.5, ceiling, gift: 0 };
+    let read = Word::Ask {
+        stamp: SEQ.into(),
+        whose: WHOSE,
+        units: 2.5,
+        ceiling,
+        gift: 0,
+    };
     assert_eq!(Word::read(&fixture(name)), Some(read));
 }
 
@@ -64,7 +97,10 @@
 #[test]
 fn bytes_of_any_other_length_or_kind_are_not_read() {
     let text = include_str!("fixtures/datagrams.txt");
-    for name in text.lines().filter_map(|line| Some(line.split_once(" = ")?.0)) {
+    for name in text
+        .lines()
+        .filter_map(|line| Some(line.split_once(" = ")?.0))
+    {
         let bytes = fixture(name);
         for cut in 0..bytes.len() {
             assert_eq!(Word::read(&bytes[..cut]), None, "{name} cut to {cut}");
@@ -75,7 +111,11 @@
     }
     for kind in [0, 11, 12, 0x7f, 0xff] {
         for size in 1..40 {
-            assert_eq!(Word::read(&vec![kind; size]), None, "kind {kind} of {size} bytes");
+            assert_eq!(
+                Word::read(&vec![kind; size]),
+                None,
+                "kind {kind} of {size} bytes"
+            );
         }
     }
 }
--- a/crates/aspendrum-fake-services/src/cloud.rs
+++ b/crates/aspendrum-fake-services/src/cloud.rs
@@ -30,9 +30,17 @@
         clock: Clock,
     ) -> io::Result<Arc<Cloud>> {
         let (host, listener) = Host::bind(at).await?;
-        let cloud = Arc::new(Cloud { host, origins, clock, rate, left: Mutex::new((rate, clock.now())) });
+        let cloud = Arc::new(Cloud {
+            host,
+            origins,
+            clock,
+            rate,
+            left: Mutex::new((rate, clock.now())),
+        });
         let own = cloud.clone();
-        cloud.host.listen(listener, move |stream| own.clone().serve(stream));
+        cloud
+            .host
+            .listen(listener, move |stream| own.clone().serve(stream));
         Ok(cloud)
     }
 
@@ -52,18 +60,33 @@
     fn answer(&self, path: &str) -> Vec<u8> {
         {
             let (mut left, now) = (lock(&self.left), self.clock.now());
-            *left = ((left.0 + self.rate * (now - left.1) / 1000.0).min(self.rate), now);
+            *left = (
+                (left.0 + self.rate * (now - left.1) / 1000.0).min(self.rate),
+                now,
+            );
             if left.0 < 1.0 {
                 return http::answer(429, &[], b"");
             }
             left.0 -= 1.0;
         }
-        let from = path.split_once("page-tok=p-").and_then(|t| t.1.parse().ok()).unwrap_or(0);
+        let from = path
+            .split_once("page-tok=p-")
+            .and_then(|t| t.1.parse().ok())
+            .unwrap_or(0);
         let there: Vec<&Arc<Origin>> = self.origins.iter().filter(|o| o.up()).collect();
-        let servers: Vec<_> = there.iter().skip(from).take(PAGE).map(|o| entry(o)).collect();
+        let servers: Vec<_> = there
+            .iter()
+            .skip(from)
+            .take(PAGE)
+            .map(|o| entry(o))
+            .collect();
         let next = (from + PAGE < there.len()).then(|| format!("p-{}", from + PAGE));
         let body = json!({ "servers": servers, "next": next }).to_string();
-        http::answer(200, &[("Content-Type", "application/json")], body.as_bytes())
+        http::answer(
+            200,
+            &[("Content-Type", "application/json")],
+            body.as_bytes(),
+        )
     }
 }
 
--- a/crates/aspendrum-fake-services/src/counter.rs
+++ b/crates/aspendrum-fake-services/src/counter.rs
@@ -65,7 +65,11 @@
 impl Counter {
     pub async fn start(at: IpAddr, figures: Figures, clock: Clock) -> io::Result<Arc<Counter>> {
         let listener = TcpListener::bind((at, 0)).await?;
-        let state = State { totals: HashMap::new(), free: Instant::now(), seen: Seen::default() };
+        let state = State {
+            totals: HashMap::new(),
+            free: Instant::now(),
+            seen: Seen::default(),
+        };
         let counter = Arc::new(Counter {
             addr: listener.local_addr()?,
             figures,
@@ -134,7 +138,10 @@
     }
 
     async fn reply(&self, call: &[Vec<u8>]) -> Vec<u8> {
-        let word = |n: usize| call.get(n).map_or("", |w| std::str::from_utf8(w).unwrap_or(""));
+        let word = |n: usize| {
+            call.get(n)
+                .map_or("", |w| std::str::from_utf8(w).unwrap_or(""))
+        };
         match word(0).to_ascii_uppercase().as_str() {
             "PING" => return b"+PONG\r\n".to_vec(),
             "CLIENT" | "SELECT" => return b"+OK\r\n".to_vec(),
@@ -142,7 +149,9 @@
             _ => return self.refuse("no such call"),
         }
         let (amount, life) = (word(2).parse::<f64>(), word(3).parse::<f64>());
-        let (Ok(amount), Ok(life)) = (amount, life) else { return self.refuse("not a number") };
+        let (Ok(amount), Ok(life)) = (amount, life) else {
+            return self.refuse("not a number");
+        };
         let named = (1..=LONGEST_NAME).contains(&call[1].len());
         if !named || !amount.is_finite() || amount.abs() > LARGEST || life.is_nan() || life < 1.0 {
             return self.refuse("out of range");
@@ -167,7 +176,10 @@
         let at = self.clock.now();
         let mut state = lock(&self.state);
         (state.seen.calls, state.seen.added) = (state.seen.calls + 1, state.seen.added + amount);
-        let entry = state.totals.entry(call[1].clone()).or_insert((0.0, at + life.min(LONGEST_LIFE)));
+        let entry = state
+            .totals
+            .entry(call[1].clone())
+            .or_insert((0.0, at + life.min(LONGEST_LIFE)));
         if entry.1 < at {
             *entry = (0.0, at + life.min(LONGEST_LIFE));
         }
@@ -187,19 +199,27 @@
     let bad = || io::Error::from(io::ErrorKind::InvalidData);
     let mut at = 0;
     let line = |at: &mut usize, mark: u8| -> io::Result<Option<usize>> {
-        let Some(size) = bytes[*at..].windows(2).position(|w| w == b"\r\n") else { return Ok(None) };
+        let Some(size) = bytes[*at..].windows(2).position(|w| w == b"\r\n") else {
+            return Ok(None);
+        };
         let text = &bytes[*at..*at + size];
         *at += size + 2;
-        let number = text.strip_prefix(&[mark]).and_then(|t| std::str::from_utf8(t).ok()?.parse().ok());
+        let number = text
+            .strip_prefix(&[mark])
+            .and_then(|t| std::str::from_utf8(t).ok()?.parse().ok());
         number.map(Some).ok_or_else(bad)
     };
-    let Some(parts) = line(&mut at, b'*')? else { return Ok(None) };
+    let Some(parts) = line(&mut at, b'*')? else {
+        return Ok(None);
+    };
     if parts == 0 || parts > 8 {
         return Err(bad());
     }
     let mut call = Vec::with_capacity(parts);
     for _ in 0..parts {
-        let Some(size) = line(&mut at, b'$')? else { return Ok(None) };
+        let Some(size) = line(&mut at, b'$')? else {
+            return Ok(None);
+        };
         if size > LONGEST_CALL {
             return Err(bad());
         }
--- a/crates/aspendrum-fake-services/src/discovery.rs
+++ b/crates/aspendrum-fake-services/src/discovery.rs
@@ -88,7 +88,11 @@
             told: Vec::new(),
             seen: Seen::default(),
         };
-        Arc::new(Discovery { clock, state: Mutex::new(state), ails: watch::Sender::default() })
+        Arc::new(Discovery {
+            clock,
+            state: Mutex::new(state),
+            ails: watch::Sender::default(),
+        })
     }
 
     pub fn ail(&self, how: impl FnOnce(&mut Ails)) {
@@ -96,7 +100,11 @@
         let latest = lock(&self.state).versions.len() - 1;
         let stale = self.ails.borrow().stale;
         let mut state = lock(&self.state);
-        state.frozen = if stale { state.frozen.or(Some(latest)) } else { None };
+        state.frozen = if stale {
+            state.frozen.or(Some(latest))
+        } else {
+            None
+        };
     }
 
     /// A server's process changes; `born` is Unix milliseconds, where it has started anew.
@@ -146,14 +154,20 @@
         Ok(addr)
     }
 
-    async fn serve(&self, mut stream: TcpStream, limiter: usize, dials: &[SocketAddr]) -> io::Result<()> {
+    async fn serve(
+        &self,
+        mut stream: TcpStream,
+        limiter: usize,
+        dials: &[SocketAddr],
+    ) -> io::Result<()> {
         let mut rest = Vec::new();
         while let Some(call) = http::next(&mut stream, &mut rest, true).await? {
             let path = &call.line.1;
             let (place, query) = path.split_once('?').unwrap_or((path, ""));
             let number = |key: &str| {
                 let pair = query.split('&').filter_map(|p| p.split_once('='));
-                pair.filter(|p| p.0 == key).find_map(|p| p.1.parse::<f64>().ok())
+                pair.filter(|p| p.0 == key)
+                    .find_map(|p| p.1.parse::<f64>().ok())
             };
             let _ = self.ails.subscribe().wait_for(|a| !a.silent).await;
             let answer = if call.line.0 != "GET" || place != PATH {
@@ -165,7 +179,11 @@
                 let from = number("from").and_then(|v| (v as usize).checked_sub(1));
                 let hold = number("hold_ms").unwrap_or(0.0).clamp(0.0, LONGEST_HOLD);
                 let list = self.list(from, hold, dials, limiter).await;
-                http::answer(200, &[("Content-Type", "application/json")], list.to_string().as_bytes())
+                http::answer(
+                    200,
+                    &[("Content-Type", "application/json")],
+                    list.to_string().as_bytes(),
+                )
             };
             stream.write_all(&answer).await?;
         }
@@ -175,7 +193,11 @@
     fn overbooked(&self) -> bool {
         let (most, mut state) = (self.ails.borrow().calls_per_s, lock(&self.state));
         state.seen.calls += 1;
-        while state.lately.front().is_some_and(|at| at.elapsed() > Duration::from_secs(1)) {
+        while state
+            .lately
+            .front()
+            .is_some_and(|at| at.elapsed() > Duration::from_secs(1))
+        {
             state.lately.pop_front();
         }
         let over = most > 0.0 && state.lately.len() as f64 >= most;
@@ -195,7 +217,13 @@
         state.frozen.map_or(newest, |frozen| frozen.min(newest))
     }
 
-    async fn list(&self, from: Option<usize>, hold: Ms, dials: &[SocketAddr], limiter: usize) -> Value {
+    async fn list(
+        &self,
+        from: Option<usize>,
+        hold: Ms,
+        dials: &[SocketAddr],
+        limiter: usize,
+    ) -> Value {
         let until = Instant::now() + Duration::from_secs_f64(hold / 1000.0);
         let version = loop {
             let version = self.visible();
@@ -209,16 +237,25 @@
         let mut state = lock(&self.state);
         let list = state.versions[version].1.clone();
         let at = self.clock.now();
-        let told =
-            list.iter().map(|e| Told { limiter, server: e.server, at, well: e.health == Health::InService });
+        let told = list.iter().map(|e| Told {
+            limiter,
+            server: e.server,
+            at,
+            well: e.health == Health::InService,
+        });
         state.told.extend(told);
         state.seen.lists += 1;
         // What a limiter holds is newer than a stale list: it is told the whole of what there is.
-        match from.filter(|from| *from <= version).and_then(|from| state.versions.get(from)) {
+        match from
+            .filter(|from| *from <= version)
+            .and_then(|from| state.versions.get(from))
+        {
             None => whole(version, &list, dials),
             Some((_, before)) => {
-                let changed =
-                    list.iter().zip(before).filter(|(e, b)| (e.health, e.born) != (b.health, b.born));
+                let changed = list
+                    .iter()
+                    .zip(before)
+                    .filter(|(e, b)| (e.health, e.born) != (b.health, b.born));
                 let hosts: Vec<Value> = changed.map(|(e, _)| host(e, dials)).collect();
                 json!({"seq": version + 1, "whole": false, "hosts": hosts})
             }
--- a/crates/aspendrum-fake-services/src/host.rs
+++ b/crates/aspendrum-fake-services/src/host.rs
@@ -17,7 +17,13 @@
     /// Up from now on, at a port of its own.
     pub async fn bind(at: IpAddr) -> io::Result<(Host, TcpListener)> {
         let listener = TcpListener::bind((at, 0)).await?;
-        Ok((Host { addr: listener.local_addr()?, life: watch::Sender::new(1) }, listener))
+        Ok((
+            Host {
+                addr: listener.local_addr()?,
+                life: watch::Sender::new(1),
+            },
+            listener,
+        ))
     }
 
     pub fn addr(&self) -> SocketAddr {
--- a/crates/aspendrum-fake-services/src/http.rs
+++ b/crates/aspendrum-fake-services/src/http.rs
@@ -20,7 +20,10 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
+        self.headers
+            .iter()
+            .find(|h| h.0.eq_ignore_ascii_case(name))
+            .map(|h| h.1.as_str())
     }
 
     pub fn status(&self) -> u16 {
@@ -28,7 +31,8 @@
     }
 
     pub fn closes(&self) -> bool {
-        self.header("Connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
+        self.header("Connection")
+            .is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
@@ -55,7 +59,11 @@
             return Err(nonsense("too long"));
         }
         if from.read_buf(rest).await? == 0 {
-            return if rest.is_empty() { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+            return if rest.is_empty() {
+                Ok(None)
+            } else {
+                Err(io::ErrorKind::UnexpectedEof.into())
+            };
         }
     }
 }
@@ -65,18 +73,40 @@
     let bad = |_| nonsense("not HTTP/1.1");
     let (at, line, headers) = if request {
         let mut head = httparse::Request::new(&mut space);
-        let httparse::Status::Complete(at) = head.parse(bytes).map_err(bad)? else { return Ok(None) };
-        (at, (head.method.unwrap_or("").into(), head.path.unwrap_or("").into()), head.headers)
+        let httparse::Status::Complete(at) = head.parse(bytes).map_err(bad)? else {
+            return Ok(None);
+        };
+        (
+            at,
+            (
+                head.method.unwrap_or("").into(),
+                head.path.unwrap_or("").into(),
+            ),
+            head.headers,
+        )
     } else {
         let mut head = httparse::Response::new(&mut space);
-        let httparse::Status::Complete(at) = head.parse(bytes).map_err(bad)? else { return Ok(None) };
-        (at, (head.code.unwrap_or(0).to_string(), String::new()), head.headers)
+        let httparse::Status::Complete(at) = head.parse(bytes).map_err(bad)? else {
+            return Ok(None);
+        };
+        (
+            at,
+            (head.code.unwrap_or(0).to_string(), String::new()),
+            head.headers,
+        )
     };
     let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
-    let headers: Vec<(String, String)> = headers.iter().map(|h| (h.name.into(), text(h.value))).collect();
-    let length = headers.iter().find(|h| h.0.eq_ignore_ascii_case("Content-Length"));
+    let headers: Vec<(String, String)> = headers
+        .iter()
+        .map(|h| (h.name.into(), text(h.value)))
+        .collect();
+    let length = headers
+        .iter()
+        .find(|h| h.0.eq_ignore_ascii_case("Content-Length"));
     let length = match length {
-        Some((_, value)) => value.parse::<usize>().map_err(|_| nonsense("a length that is no number"))?,
+        Some((_, value)) => value
+            .parse::<usize>()
+            .map_err(|_| nonsense("a length that is no number"))?,
         None => 0,
     };
     if length > LONGEST {
@@ -86,7 +116,15 @@
         return Ok(None);
     }
     let body = bytes[at..at + length].to_vec();
-    Ok(Some((Message { line, headers, body, first }, at + length)))
+    Ok(Some((
+        Message {
+            line,
+            headers,
+            body,
+            first,
+        },
+        at + length,
+    )))
 }
 
 /// An answer's bytes.
--- a/crates/aspendrum-fake-services/src/lib.rs
+++ b/crates/aspendrum-fake-services/src/lib.rs
@@ -36,5 +36,7 @@
 
 /// For plain data, which is whole whoever panicked while holding it.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    mutex
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/crates/aspendrum-fake-services/src/origin.rs
+++ b/crates/aspendrum-fake-services/src/origin.rs
@@ -56,7 +56,10 @@
 
 impl Record {
     pub fn new(clock: Clock) -> Arc<Record> {
-        Arc::new(Record { clock, runs: Mutex::default() })
+        Arc::new(Record {
+            clock,
+            runs: Mutex::default(),
+        })
     }
 
     pub fn runs(&self) -> Vec<Run> {
@@ -67,8 +70,16 @@
     fn begin(&self, run: Run, work_ms: f64) -> Running<'_> {
         let at = self.clock.now();
         let mut runs = lock(&self.runs);
-        runs.push(Run { at, ended: f64::INFINITY, whole: at + work_ms, ..run });
-        Running { record: self, number: runs.len() - 1 }
+        runs.push(Run {
+            at,
+            ended: f64::INFINITY,
+            whole: at + work_ms,
+            ..run
+        });
+        Running {
+            record: self,
+            number: runs.len() - 1,
+        }
     }
 }
 
@@ -118,18 +129,31 @@
         record: Arc<Record>,
     ) -> io::Result<Arc<Origin>> {
         let (host, listener) = Host::bind(at).await?;
-        let state =
-            State { life: 1, up: true, in_hand: 0, rng: SmallRng::seed_from_u64(number as u64 ^ 0x5eed) };
+        let state = State {
+            life: 1,
+            up: true,
+            in_hand: 0,
+            rng: SmallRng::seed_from_u64(number as u64 ^ 0x5eed),
+        };
         let slots = Semaphore::new(figures.slots);
         let (state, ails) = (Mutex::new(state), watch::Sender::default());
-        let origin = Arc::new(Origin { host, number, figures, record, state, slots, ails });
+        let origin = Arc::new(Origin {
+            host,
+            number,
+            figures,
+            record,
+            state,
+            slots,
+            ails,
+        });
         origin.listen(listener);
         Ok(origin)
     }
 
     fn listen(self: &Arc<Origin>, listener: TcpListener) {
         let own = self.clone();
-        self.host.listen(listener, move |stream| own.clone().serve(stream));
+        self.host
+            .listen(listener, move |stream| own.clone().serve(stream));
     }
 
     pub fn addr(&self) -> SocketAddr {
@@ -165,7 +189,9 @@
 
     /// A new life at the same address.
     pub async fn back(self: &Arc<Origin>) -> io::Result<()> {
-        let Some(listener) = self.host.back().await? else { return Ok(()) };
+        let Some(listener) = self.host.back().await? else {
+            return Ok(());
+        };
         {
             let mut state = lock(&self.state);
             (state.life, state.up, state.in_hand) = (state.life + 1, true, 0);
@@ -197,12 +223,20 @@
 
     fn load(&self) -> String {
         let (in_hand, slots) = (lock(&self.state).in_hand, self.figures.slots);
-        format!("{},{},{slots}", in_hand.min(slots), in_hand.saturating_sub(slots))
+        format!(
+            "{},{},{slots}",
+            in_hand.min(slots),
+            in_hand.saturating_sub(slots)
+        )
     }
 
     fn health(&self) -> Vec<u8> {
         let status = if self.ails().draining { 503 } else { 200 };
-        http::answer(status, &[("Server-Id", &self.uid()), ("Server-Load", &self.load())], b"")
+        http::answer(
+            status,
+            &[("Server-Id", &self.uid()), ("Server-Load", &self.load())],
+            b"",
+        )
     }
 
     /// Work that takes so long, and longer while nothing goes on.
@@ -215,10 +249,16 @@
     async fn request(&self, call: &http::Message, stream: &TcpStream) -> Came {
         let not_run = |status| Came::Answer(http::answer(status, &[("Not-Run", "1")], b""));
         let arrived = self.record.clock.now();
-        let Some(id) = call.header("Try-Id").and_then(|t| u64::from_str_radix(t, 16).ok()) else {
+        let Some(id) = call
+            .header("Try-Id")
+            .and_then(|t| u64::from_str_radix(t, 16).ok())
+        else {
             return not_run(400);
         };
-        if call.header("Want-Server").is_some_and(|wanted| wanted != self.uid()) {
+        if call
+            .header("Want-Server")
+            .is_some_and(|wanted| wanted != self.uid())
+        {
             return not_run(421);
         }
         let (ails, chance) = (self.ails(), lock(&self.state).rng.random::<f64>());
@@ -266,7 +306,11 @@
             return Came::Reset;
         }
         let (text, load) = (format!("{id:016x}"), self.load());
-        let headers = [("Try-Id", text.as_str()), ("Seal", "1"), ("Server-Load", &load)];
+        let headers = [
+            ("Try-Id", text.as_str()),
+            ("Seal", "1"),
+            ("Server-Load", &load),
+        ];
         let status = if chance < failing { 500 } else { 200 };
         Came::Answer(http::answer(status, &headers, text.as_bytes()))
     }
--- a/crates/aspendrum-fake-services/src/server.rs
+++ b/crates/aspendrum-fake-services/src/server.rs
@@ -62,7 +62,11 @@
 
 impl Shared {
     pub fn new(clock: Clock) -> Arc<Shared> {
-        Arc::new(Shared { clock, forwards: Mutex::default(), keys: Mutex::default() })
+        Arc::new(Shared {
+            clock,
+            forwards: Mutex::default(),
+            keys: Mutex::default(),
+        })
     }
 
     pub fn forwards(&self) -> Vec<Forward> {
@@ -116,7 +120,12 @@
         let state = State {
             up: 0.0,
             cold: false,
-            lives: vec![Life { server: number, from: 0.0, cold: false, fell: None }],
+            lives: vec![Life {
+                server: number,
+                from: 0.0,
+                cold: false,
+                fell: None,
+            }],
             in_hand: 0,
             connections: 0,
             lately: VecDeque::new(),
@@ -159,13 +168,20 @@
 
     /// Starts again at the same address, cold. Milliseconds of the run at which it did; `None`: it is up.
     pub async fn back(self: &Arc<Server>) -> io::Result<Option<Ms>> {
-        let Some(listener) = self.host.back().await? else { return Ok(None) };
+        let Some(listener) = self.host.back().await? else {
+            return Ok(None);
+        };
         let now = self.shared.clock.now();
         {
             let mut state = lock(&self.state);
             (state.up, state.cold, state.in_hand, state.connections) = (now, true, 0, 0);
             state.lately.clear();
-            state.lives.push(Life { server: self.number, from: now, cold: true, fell: None });
+            state.lives.push(Life {
+                server: self.number,
+                from: now,
+                cold: true,
+                fell: None,
+            });
         }
         self.host.begin();
         self.listen(listener);
@@ -174,7 +190,8 @@
 
     fn listen(self: &Arc<Server>, listener: TcpListener) {
         let own = self.clone();
-        self.host.listen(listener, move |stream| own.clone().connection(stream));
+        self.host
+            .listen(listener, move |stream| own.clone().connection(stream));
     }
 
     async fn connection(self: Arc<Server>, mut stream: TcpStream) {
@@ -183,7 +200,8 @@
             state.connections += 1;
             state.connections
         };
-        self.serve(&mut stream, held > self.figures.connections).await;
+        self.serve(&mut stream, held > self.figures.connections)
+            .await;
         // An end in good order, unless `serve` left the reset in force.
         let mut state = lock(&self.state);
         state.connections = state.connections.saturating_sub(1);
@@ -192,12 +210,26 @@
     async fn serve(&self, stream: &mut TcpStream, crowded: bool) {
         let (mut rest, mut fresh) = (Vec::new(), true);
         loop {
-            let Ok(Some(call)) = http::next(stream, &mut rest, true).await else { break };
+            let Ok(Some(call)) = http::next(stream, &mut rest, true).await else {
+                break;
+            };
             let now = self.shared.clock.now();
-            let path = call.line.1.split(['/', '?']).nth(1).unwrap_or("").to_string();
-            let told = match call.header("X-Txn").and_then(|t| u64::from_str_radix(t, 16).ok()) {
+            let path = call
+                .line
+                .1
+                .split(['/', '?'])
+                .nth(1)
+                .unwrap_or("")
+                .to_string();
+            let told = match call
+                .header("X-Txn")
+                .and_then(|t| u64::from_str_radix(t, 16).ok())
+            {
                 Some(id) => {
-                    match self.query(id, &call, &path, now, crowded, std::mem::take(&mut fresh)).await {
+                    match self
+                        .query(id, &call, &path, now, crowded, std::mem::take(&mut fresh))
+                        .await
+                    {
                         Some(told) => told,
                         // Reset in mid-answer, with the first half of one on its way.
                         None => {
@@ -254,7 +286,8 @@
         let full = lock(&self.state).in_hand >= self.figures.cores + self.figures.queue;
         let fate = if crowded || full || ails.draining {
             Fate::TurnedAway
-        } else if repeats == Repeats::Keyed && self.shared.ran(key, now, self.figures.repeat_window) {
+        } else if repeats == Repeats::Keyed && self.shared.ran(key, now, self.figures.repeat_window)
+        {
             Fate::Repeat
         } else {
             Fate::Ran
@@ -262,7 +295,14 @@
         let two_lengths =
             call.header("Content-Length").is_some() && call.header("Transfer-Encoding").is_some();
         let first = self.shared.clock.at(call.first);
-        let forward = Forward { id, server: self.number, first, whole: now, fate, two_lengths };
+        let forward = Forward {
+            id,
+            server: self.number,
+            first,
+            whole: now,
+            fate,
+            two_lengths,
+        };
         lock(&self.shared.forwards).push(forward);
         self.weigh(now, work);
         if fate == Fate::TurnedAway {
@@ -284,8 +324,11 @@
             return None;
         }
         let report = self.report();
-        let headers: &[(&str, &str)] =
-            if self.figures.reports_in_answers { &[("X-Pressure", &format!("TEXT {report}"))] } else { &[] };
+        let headers: &[(&str, &str)] = if self.figures.reports_in_answers {
+            &[("X-Pressure", &format!("TEXT {report}"))]
+        } else {
+            &[]
+        };
         Some(if chance < ails.resetting + ails.failing {
             http::answer(500, headers, b"")
         } else {
@@ -304,7 +347,9 @@
         }
         lock(&self.state).in_hand += 1;
         let leave = Leave(self);
-        let Ok(core) = self.cores.acquire().await else { return };
+        let Ok(core) = self.cores.acquire().await else {
+            return;
+        };
         let begun = Instant::now();
         let spread: f64 = lock(&self.state).rng.random_range(0.5..1.5);
         let took = work * spread * ails.slow.max(1.0) / self.speed(self.shared.clock.now());
@@ -331,11 +376,18 @@
             return;
         }
         state.lately.push_back((now, work));
-        while state.lately.front().is_some_and(|w| now - w.0 > self.figures.fall_window) {
+        while state
+            .lately
+            .front()
+            .is_some_and(|w| now - w.0 > self.figures.fall_window)
+        {
             state.lately.pop_front();
         }
         let sum: Ms = state.lately.iter().map(|w| w.1).sum();
-        let may = self.figures.fall_multiple * speed * self.figures.cores as f64 * self.figures.fall_window;
+        let may = self.figures.fall_multiple
+            * speed
+            * self.figures.cores as f64
+            * self.figures.fall_window;
         if sum > may {
             if let Some(life) = state.lives.last_mut() {
                 life.fell.get_or_insert(now);
--- a/crates/aspendrum-fake-services/tests/standins.rs
+++ b/crates/aspendrum-fake-services/tests/standins.rs
@@ -31,20 +31,30 @@
         fall_window: 1000.0,
         reports_in_answers: true,
         probes: true,
-        groups: groups.map(|(name, repeats)| (name.to_string(), (20.0, repeats))).into(),
+        groups: groups
+            .map(|(name, repeats)| (name.to_string(), (20.0, repeats)))
+            .into(),
         repeat_window: 5000.0,
     }
 }
 
 async fn server(figures: server::Figures) -> (Arc<Server>, Arc<Shared>) {
     let shared = Shared::new(Clock::start());
-    (Server::start(HERE, 0, figures, 1, shared.clone()).await.unwrap(), shared)
+    (
+        Server::start(HERE, 0, figures, 1, shared.clone())
+            .await
+            .unwrap(),
+        shared,
+    )
 }
 
 /// Asks on a connection; `None`: it ended without a whole answer.
 async fn ask(stream: &mut TcpStream, text: &str) -> Option<http::Message> {
     stream.write_all(text.as_bytes()).await.ok()?;
-    timeout(SOON, http::next(stream, &mut Vec::new(), false)).await.unwrap().ok()?
+    timeout(SOON, http::next(stream, &mut Vec::new(), false))
+        .await
+        .unwrap()
+        .ok()?
 }
 
 async fn query(server: &Server, id: u64, group: &str) -> Option<http::Message> {
@@ -57,8 +67,14 @@
 async fn a_server_answers_with_its_report_and_records_what_reached_it() {
     let (server, shared) = server(figures()).await;
     let answer = query(&server, 7, "look").await.unwrap();
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"0000000000000007".as_slice()));
-    assert!(answer.header("X-Pressure").unwrap().starts_with("TEXT inflight=0"));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, b"0000000000000007".as_slice())
+    );
+    assert!(answer
+        .header("X-Pressure")
+        .unwrap()
+        .starts_with("TEXT inflight=0"));
     let seen = shared.forwards();
     assert_eq!((seen.len(), seen[0].id, seen[0].fate), (1, 7, Fate::Ran));
     // A keyed query's repeat is dropped, and answered as the first was.
@@ -67,13 +83,19 @@
         assert_eq!(shared.forwards().last().unwrap().fate, fate);
     }
     let mut stream = TcpStream::connect(server.addr()).await.unwrap();
-    let probe = ask(&mut stream, "GET /stats HTTP/1.1\r\n\r\n").await.unwrap();
+    let probe = ask(&mut stream, "GET /stats HTTP/1.1\r\n\r\n")
+        .await
+        .unwrap();
     assert!(probe.body.starts_with(b"inflight=0, queue=0, util=0.00"));
 }
 
 #[tokio::test]
 async fn a_full_crowded_or_draining_server_turns_away_what_has_not_run() {
-    let (server, shared) = server(server::Figures { connections: 64, ..figures() }).await;
+    let (server, shared) = server(server::Figures {
+        connections: 64,
+        ..figures()
+    })
+    .await;
     let calls: Vec<_> = (0..16)
         .map(|id| {
             let server = server.clone();
@@ -83,10 +105,18 @@
     let mut turned_away = 0;
     for call in calls {
         let answer = call.await.unwrap();
-        turned_away += usize::from(answer.status() == 503 && answer.header("X-Turned-Away") == Some("1"));
+        turned_away +=
+            usize::from(answer.status() == 503 && answer.header("X-Turned-Away") == Some("1"));
     }
-    let ran = shared.forwards().iter().filter(|f| f.fate == Fate::Ran).count();
-    assert!(ran >= 4 && ran + turned_away == 16, "{ran} ran, {turned_away} turned away");
+    let ran = shared
+        .forwards()
+        .iter()
+        .filter(|f| f.fate == Fate::Ran)
+        .count();
+    assert!(
+        ran >= 4 && ran + turned_away == 16,
+        "{ran} ran, {turned_away} turned away"
+    );
 
     server.ail(|a| a.draining = true);
     assert_eq!(query(&server, 20, "look").await.unwrap().status(), 503);
@@ -97,7 +127,11 @@
         let mut stream = TcpStream::connect(small.addr()).await.unwrap();
         let text = format!("GET /look HTTP/1.1\r\nX-Txn: {id:016x}\r\n\r\n");
         let answer = ask(&mut stream, &text).await.unwrap();
-        assert_eq!(answer.status(), if id < 3 { 200 } else { 503 }, "the fourth connection is one too many");
+        assert_eq!(
+            answer.status(),
+            if id < 3 { 200 } else { 503 },
+            "the fourth connection is one too many"
+        );
         held.push(stream);
     }
 }
@@ -113,12 +147,23 @@
     assert!(timeout(A_WHILE, query(&server, 3, "look")).await.is_err());
     server.ail(|a| a.silent = false);
     assert_eq!(query(&server, 4, "look").await.unwrap().status(), 200);
-    assert_eq!(shared.forwards().iter().filter(|f| f.fate == Fate::Ran).count(), 4);
+    assert_eq!(
+        shared
+            .forwards()
+            .iter()
+            .filter(|f| f.fate == Fate::Ran)
+            .count(),
+        4
+    );
 }
 
 #[tokio::test]
 async fn a_server_that_dies_resets_its_connections_and_is_back_cold_at_its_address() {
-    let (server, _) = server(server::Figures { fall_window: 100.0, ..figures() }).await;
+    let (server, _) = server(server::Figures {
+        fall_window: 100.0,
+        ..figures()
+    })
+    .await;
     let mut stream = TcpStream::connect(server.addr()).await.unwrap();
     server.die();
     let end = timeout(SOON, stream.read(&mut [0; 1])).await.unwrap();
@@ -149,7 +194,10 @@
 }
 
 async fn counter(calls_per_s: f64, busy_after_ms: u64) -> Arc<Counter> {
-    let figures = counter::Figures { calls_per_s, busy_after: Duration::from_millis(busy_after_ms) };
+    let figures = counter::Figures {
+        calls_per_s,
+        busy_after: Duration::from_millis(busy_after_ms),
+    };
     Counter::start(HERE, figures, Clock::start()).await.unwrap()
 }
 
@@ -164,7 +212,10 @@
 async fn reply(stream: &mut TcpStream, call: &str, size: usize) -> String {
     stream.write_all(call.as_bytes()).await.unwrap();
     let mut told = vec![0; size];
-    timeout(SOON, stream.read_exact(&mut told)).await.unwrap().unwrap();
+    timeout(SOON, stream.read_exact(&mut told))
+        .await
+        .unwrap()
+        .unwrap();
     String::from_utf8(told).unwrap()
 }
 
@@ -173,9 +224,20 @@
     let counter = counter(10_000.0, 100).await;
     let mut stream = TcpStream::connect(counter.addr()).await.unwrap();
     let two = add("a", "1.5") + &add("a", "-1");
-    assert_eq!(reply(&mut stream, &two, 18).await, "$3\r\n1.5\r\n$3\r\n0.5\r\n");
-    assert_eq!(reply(&mut stream, "*1\r\n$4\r\nPING\r\n", 7).await, "+PONG\r\n");
-    for bad in [add("a", "x"), add("a", "1e10"), add("a", "NaN"), add(&"n".repeat(65), "1")] {
+    assert_eq!(
+        reply(&mut stream, &two, 18).await,
+        "$3\r\n1.5\r\n$3\r\n0.5\r\n"
+    );
+    assert_eq!(
+        reply(&mut stream, "*1\r\n$4\r\nPING\r\n", 7).await,
+        "+PONG\r\n"
+    );
+    for bad in [
+        add("a", "x"),
+        add("a", "1e10"),
+        add("a", "NaN"),
+        add(&"n".repeat(65), "1"),
+    ] {
         assert_eq!(reply(&mut stream, &bad, 4).await, "-ERR", "{bad}");
         let mut rest = vec![0; 256];
         let _ = stream.read(&mut rest).await.unwrap();
@@ -222,11 +284,20 @@
     let mut busy = 0;
     for mut stream in streams {
         let mut told = [0; 7];
-        timeout(SOON, stream.read_exact(&mut told)).await.unwrap().unwrap();
+        timeout(SOON, stream.read_exact(&mut told))
+            .await
+            .unwrap()
+            .unwrap();
         busy += u64::from(&told == b"-BUSY\r\n");
     }
-    assert_eq!((counter.seen().turned_away, counter.seen().calls), (busy, 6 - busy));
-    assert!((1..=4).contains(&busy), "50 ms each, and a wait of over 100 ms is too long: {busy}");
+    assert_eq!(
+        (counter.seen().turned_away, counter.seen().calls),
+        (busy, 6 - busy)
+    );
+    assert!(
+        (1..=4).contains(&busy),
+        "50 ms each, and a wait of over 100 ms is too long: {busy}"
+    );
 }
 
 struct Agent {
@@ -238,14 +309,20 @@
     let discovery = Discovery::new(Clock::start(), &[0, 1]);
     let dials = vec![SocketAddr::from((HERE, 1)), SocketAddr::from((HERE, 2))];
     let addr = discovery.agent(HERE, 3, dials).await.unwrap();
-    Agent { discovery, stream: TcpStream::connect(addr).await.unwrap() }
+    Agent {
+        discovery,
+        stream: TcpStream::connect(addr).await.unwrap(),
+    }
 }
 
 impl Agent {
     async fn get(&mut self, query: &str) -> (u16, Value) {
         let text = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: x\r\n\r\n");
         let answer = ask(&mut self.stream, &text).await.unwrap();
-        (answer.status(), serde_json::from_slice(&answer.body).unwrap_or(Value::Null))
+        (
+            answer.status(),
+            serde_json::from_slice(&answer.body).unwrap_or(Value::Null),
+        )
     }
 }
 
@@ -254,7 +331,11 @@
     let mut agent = agent().await;
     let (_, list) = agent.get("").await;
     assert_eq!(
-        (&list["seq"], &list["whole"], list["hosts"].as_array().unwrap().len()),
+        (
+            &list["seq"],
+            &list["whole"],
+            list["hosts"].as_array().unwrap().len()
+        ),
         (&1.into(), &true.into(), 2)
     );
     assert_eq!(list["hosts"][1]["dial"], "127.0.0.1:2");
@@ -270,7 +351,9 @@
         (&"s-1".into(), &"terminating".into())
     );
     let told = discovery.told();
-    assert!(told.iter().any(|t| t.limiter == 3 && t.server == 1 && !t.well));
+    assert!(told
+        .iter()
+        .any(|t| t.limiter == 3 && t.server == 1 && !t.well));
     // Nothing new: the watch ends with no entries after its time.
     let (_, none) = agent.get("?from=2&hold_ms=50").await;
     assert_eq!(none["hosts"], Value::Array(vec![]));
@@ -285,7 +368,11 @@
     let discovery = agent.discovery.clone();
     discovery.ail(|a| a.stale = true);
     discovery.change(0, Health::Terminated, None);
-    assert_eq!(agent.get("").await.1["seq"], 1, "the list that it had when it went stale");
+    assert_eq!(
+        agent.get("").await.1["seq"],
+        1,
+        "the list that it had when it went stale"
+    );
     discovery.ail(|a| (a.stale, a.late_ms) = (false, 300.0));
     assert_eq!(agent.get("").await.1["seq"], 1, "a change is told late");
     assert_eq!(agent.get("?from=1&hold_ms=3000").await.1["seq"], 2);
--- a/crates/aspendrum-fault-proxy/src/lib.rs
+++ b/crates/aspendrum-fault-proxy/src/lib.rs
@@ -51,7 +51,10 @@
     };
 
     /// The same, and it refuses whoever dials.
-    pub const REFUSE: Fault = Fault { refuse: true, ..Fault::CUT };
+    pub const REFUSE: Fault = Fault {
+        refuse: true,
+        ..Fault::CUT
+    };
 
     /// Both at once: each loses its share, and delays add up.
     fn with(self, other: Fault) -> Fault {
@@ -99,9 +102,19 @@
 
 impl Default for Link {
     fn default() -> Link {
-        let (faults, resets) = (watch::Sender::new((Vec::new(), Fault::default())), watch::Sender::new(0));
+        let (faults, resets) = (
+            watch::Sender::new((Vec::new(), Fault::default())),
+            watch::Sender::new(0),
+        );
         let [messages, bytes, lost, under_way] = [(); 4].map(|()| AtomicU64::new(0));
-        Link { faults, resets, messages, bytes, lost, under_way }
+        Link {
+            faults,
+            resets,
+            messages,
+            bytes,
+            lost,
+            under_way,
+        }
     }
 }
 
--- a/crates/aspendrum-fault-proxy/src/mesh.rs
+++ b/crates/aspendrum-fault-proxy/src/mesh.rs
@@ -46,12 +46,20 @@
             to_all.push(Arc::new(UdpSocket::bind((*at, 0)).await?));
         }
         let links = (0..n * n).map(|_| Link::whole()).collect();
-        Ok(Mesh { n, sockets, links, to_all, tasks: JoinSet::new() })
+        Ok(Mesh {
+            n,
+            sockets,
+            links,
+            to_all,
+            tasks: JoinSet::new(),
+        })
     }
 
     /// The addresses by which limiter `me` knows each limiter, its own included.
     pub fn peers(&self, me: usize) -> io::Result<Vec<SocketAddr>> {
-        (0..self.n).map(|other| self.sockets[me * self.n + other].local_addr()).collect()
+        (0..self.n)
+            .map(|other| self.sockets[me * self.n + other].local_addr())
+            .collect()
     }
 
     /// The address by which limiter `me` reaches all others at once.
@@ -81,14 +89,18 @@
                     }
                 });
             }
-            let ways: Vec<Way> =
-                (0..self.n).filter(|to| *to != from).map(|to| self.way(from, to, listens)).collect();
+            let ways: Vec<Way> = (0..self.n)
+                .filter(|to| *to != from)
+                .map(|to| self.way(from, to, listens))
+                .collect();
             let (socket, sender) = (self.to_all[from].clone(), listens[from]);
             self.tasks.spawn(async move {
                 let mut space = [0; SPACE];
                 loop {
                     match socket.recv_from(&mut space).await {
-                        Ok((size, who)) if who == sender => ways.iter().for_each(|w| w.carry(&space[..size])),
+                        Ok((size, who)) if who == sender => {
+                            ways.iter().for_each(|w| w.carry(&space[..size]))
+                        }
                         _ => {}
                     }
                 }
@@ -98,7 +110,11 @@
 
     fn way(&self, from: usize, to: usize, listens: &[SocketAddr]) -> Way {
         let link = self.links[from * self.n + to].clone();
-        Way { link, out: self.sockets[to * self.n + from].clone(), to: listens[to] }
+        Way {
+            link,
+            out: self.sockets[to * self.n + from].clone(),
+            to: listens[to],
+        }
     }
 }
 
--- a/crates/aspendrum-fault-proxy/src/relay.rs
+++ b/crates/aspendrum-fault-proxy/src/relay.rs
@@ -46,7 +46,12 @@
         let addr = listener.local_addr()?;
         let (there, back) = (Link::whole(), Link::whole());
         let run = accept(listener, to, there.clone(), back.clone());
-        Ok(Relay { addr, there, back, task: tokio::spawn(run).abort_handle() })
+        Ok(Relay {
+            addr,
+            there,
+            back,
+            task: tokio::spawn(run).abort_handle(),
+        })
     }
 
     /// Where to dial instead.
@@ -70,7 +75,9 @@
             }
         }
         if there.fault().refuse || back.fault().refuse {
-            let Ok(addr) = listener.local_addr() else { return };
+            let Ok(addr) = listener.local_addr() else {
+                return;
+            };
             drop(listener);
             there.open().await;
             back.open().await;
@@ -104,7 +111,9 @@
 async fn fill(listener: &TcpListener) -> Vec<TcpStream> {
     let _ = SockRef::from(listener).listen(0);
     let mut fillers = Vec::new();
-    let Ok(addr) = listener.local_addr() else { return fillers };
+    let Ok(addr) = listener.local_addr() else {
+        return fillers;
+    };
     for _ in 0..FILLERS {
         match timeout(FILL_WAIT, TcpStream::connect(addr)).await {
             Ok(Ok(stream)) => fillers.push(stream),
@@ -128,7 +137,8 @@
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
     let ended = {
-        let ways = async { tokio::try_join!(way(near_in, far_out, &there), way(far_in, near_out, &back)) };
+        let ways =
+            async { tokio::try_join!(way(near_in, far_out, &there), way(far_in, near_out, &back)) };
         tokio::select! {
             done = ways => done,
             _ = reset_there.changed() => Err(Broken),
@@ -166,15 +176,20 @@
         let size = from.read(&mut space).await.map_err(|_| Broken)?;
         link.open().await;
         let fault = link.fault();
-        let again =
-            if fault.lose > 0.0 && rand::random::<f64>() < fault.lose { RESEND } else { Duration::ZERO };
+        let again = if fault.lose > 0.0 && rand::random::<f64>() < fault.lose {
+            RESEND
+        } else {
+            Duration::ZERO
+        };
         let late = fault.delay(rand::random()) + again;
         if !late.is_zero() {
             sleep(late).await;
             // A link that was cut meanwhile holds it.
             link.open().await;
         }
-        let Some(half) = to.0.as_mut() else { return Err(Broken) };
+        let Some(half) = to.0.as_mut() else {
+            return Err(Broken);
+        };
         if size == 0 {
             half.shutdown().await.map_err(|_| Broken)?;
             // An end that came in good order: kept until the other direction has ended too.
--- a/crates/aspendrum-fault-proxy/tests/mesh.rs
+++ b/crates/aspendrum-fault-proxy/tests/mesh.rs
@@ -22,7 +22,10 @@
 
 async fn next(socket: &UdpSocket) -> (Vec<u8>, SocketAddr) {
     let mut space = [0; 64];
-    let (size, from) = timeout(SOON, socket.recv_from(&mut space)).await.unwrap().unwrap();
+    let (size, from) = timeout(SOON, socket.recv_from(&mut space))
+        .await
+        .unwrap()
+        .unwrap();
     (space[..size].to_vec(), from)
 }
 
@@ -30,12 +33,24 @@
 async fn a_peer_is_seen_at_the_address_that_the_receivers_own_list_names() {
     let (mesh, sockets) = fleet(3).await;
     for (from, to) in [(0, 1), (1, 0), (2, 1), (0, 2)] {
-        sockets[from].send_to(b"word", mesh.peers(from).unwrap()[to]).await.unwrap();
-        assert_eq!(next(&sockets[to]).await, (b"word".to_vec(), mesh.peers(to).unwrap()[from]));
+        sockets[from]
+            .send_to(b"word", mesh.peers(from).unwrap()[to])
+            .await
+            .unwrap();
+        assert_eq!(
+            next(&sockets[to]).await,
+            (b"word".to_vec(), mesh.peers(to).unwrap()[from])
+        );
     }
-    sockets[1].send_to(b"all", mesh.peers_all(1).unwrap()).await.unwrap();
+    sockets[1]
+        .send_to(b"all", mesh.peers_all(1).unwrap())
+        .await
+        .unwrap();
     for to in [0, 2] {
-        assert_eq!(next(&sockets[to]).await, (b"all".to_vec(), mesh.peers(to).unwrap()[1]));
+        assert_eq!(
+            next(&sockets[to]).await,
+            (b"all".to_vec(), mesh.peers(to).unwrap()[1])
+        );
     }
 }
 
@@ -43,12 +58,21 @@
 async fn one_direction_is_cut_while_the_other_carries_and_heals() {
     let (mesh, sockets) = fleet(2).await;
     mesh.link(0, 1).put(7, Fault::CUT);
-    sockets[0].send_to(b"lost", mesh.peers(0).unwrap()[1]).await.unwrap();
-    sockets[1].send_to(b"back", mesh.peers(1).unwrap()[0]).await.unwrap();
+    sockets[0]
+        .send_to(b"lost", mesh.peers(0).unwrap()[1])
+        .await
+        .unwrap();
+    sockets[1]
+        .send_to(b"back", mesh.peers(1).unwrap()[0])
+        .await
+        .unwrap();
     assert_eq!(next(&sockets[0]).await.0, b"back");
     until(|| mesh.link(0, 1).carried().lost == 1).await;
     mesh.link(0, 1).heal(7);
-    sockets[0].send_to(b"whole", mesh.peers(0).unwrap()[1]).await.unwrap();
+    sockets[0]
+        .send_to(b"whole", mesh.peers(0).unwrap()[1])
+        .await
+        .unwrap();
     assert_eq!(next(&sockets[1]).await.0, b"whole");
     assert_eq!(mesh.link(0, 1).carried().messages, 1);
 }
@@ -67,10 +91,28 @@
 async fn a_datagram_comes_twice_and_a_delayed_one_behind_a_later_one() {
     let (mesh, sockets) = fleet(2).await;
     let (to, link) = (mesh.peers(0).unwrap()[1], mesh.link(0, 1));
-    link.put(1, Fault { twice: 1.0, ..Fault::default() });
+    link.put(
+        1,
+        Fault {
+            twice: 1.0,
+            ..Fault::default()
+        },
+    );
     sockets[0].send_to(b"two", to).await.unwrap();
-    assert_eq!([next(&sockets[1]).await.0, next(&sockets[1]).await.0], [b"two", b"two"]);
-    for fault in [Fault { delay_ms: 500.0, ..Fault::default() }, Fault { reorder: 1.0, ..Fault::default() }] {
+    assert_eq!(
+        [next(&sockets[1]).await.0, next(&sockets[1]).await.0],
+        [b"two", b"two"]
+    );
+    for fault in [
+        Fault {
+            delay_ms: 500.0,
+            ..Fault::default()
+        },
+        Fault {
+            reorder: 1.0,
+            ..Fault::default()
+        },
+    ] {
         link.put(1, fault);
         sockets[0].send_to(b"first", to).await.unwrap();
         until(|| link.carried().under_way == 1 || link.carried().messages > 2).await;
@@ -87,11 +129,24 @@
 async fn a_share_is_lost_and_the_rest_arrives() {
     let (mesh, sockets) = fleet(2).await;
     let link = mesh.link(0, 1);
-    link.put(1, Fault { lose: 0.5, ..Fault::default() });
+    link.put(
+        1,
+        Fault {
+            lose: 0.5,
+            ..Fault::default()
+        },
+    );
     for _ in 0..200 {
-        sockets[0].send_to(b"word", mesh.peers(0).unwrap()[1]).await.unwrap();
+        sockets[0]
+            .send_to(b"word", mesh.peers(0).unwrap()[1])
+            .await
+            .unwrap();
     }
     until(|| link.carried().lost + link.carried().messages == 200).await;
     // Of 200 at a half, fewer than 50 or more than 150 come once in 10^12 runs.
-    assert!((50..=150).contains(&link.carried().lost), "{:?}", link.carried());
+    assert!(
+        (50..=150).contains(&link.carried().lost),
+        "{:?}",
+        link.carried()
+    );
 }
--- a/crates/aspendrum-fault-proxy/tests/relay.rs
+++ b/crates/aspendrum-fault-proxy/tests/relay.rs
@@ -45,7 +45,10 @@
     let early = timeout(Duration::from_millis(100), stream.read_exact(&mut space)).await;
     assert!(early.is_err(), "nothing comes, and the connection stands");
     relay.back.heal(1);
-    timeout(SOON, stream.read_exact(&mut space)).await.unwrap().unwrap();
+    timeout(SOON, stream.read_exact(&mut space))
+        .await
+        .unwrap()
+        .unwrap();
     assert_eq!(&space, b"held");
 }
 
@@ -90,7 +93,10 @@
             }
         }
     };
-    assert_eq!(timeout(SOON, refused).await.unwrap(), io::ErrorKind::ConnectionRefused);
+    assert_eq!(
+        timeout(SOON, refused).await.unwrap(),
+        io::ErrorKind::ConnectionRefused
+    );
     relay.back.heal(1);
     timeout(SOON, async {
         loop {
@@ -119,7 +125,11 @@
 
 #[tokio::test]
 async fn nobody_behind_it_is_a_reset() {
-    let nobody = TcpListener::bind((IpAddr::from(HERE), 0)).await.unwrap().local_addr().unwrap();
+    let nobody = TcpListener::bind((IpAddr::from(HERE), 0))
+        .await
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let relay = Relay::start(HERE.into(), nobody).await.unwrap();
     let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
     assert!(round(&mut stream, b"lost").await.is_err());
--- a/crates/aspendrum-gossip/src/circle.rs
+++ b/crates/aspendrum-gossip/src/circle.rs
@@ -72,7 +72,14 @@
     pub fn new(me: Ipv4Addr, seed: u64) -> Circle {
         let long_ago = f64::NEG_INFINITY;
         let (view, rng) = (View::new(me), Rng::with_seed(seed));
-        Circle { view, rng, shuffled: long_ago, asked: long_ago, fetched: long_ago, sample: Vec::new() }
+        Circle {
+            view,
+            rng,
+            shuffled: long_ago,
+            asked: long_ago,
+            fetched: long_ago,
+            sample: Vec::new(),
+        }
     }
 
     pub fn view(&self) -> &View {
@@ -98,15 +105,22 @@
         if now - self.shuffled >= SHUFFLE_EVERY {
             self.shuffled = now;
             let begun = self.view.shuffle(&mut self.rng);
-            acts.extend(begun.map(|(to, offer)| Act::Say { to, word: Word::Shuffle { offer } }));
+            acts.extend(begun.map(|(to, offer)| Act::Say {
+                to,
+                word: Word::Shuffle { offer },
+            }));
         }
         if alone && now - self.asked >= ASK_EVERY {
             self.asked = now;
             let stamp = now.max(0.0) as u64;
             let some = self.view.some(&mut self.rng, ASKED);
             self.sample.retain(|s| now - s.0 as Ms <= SAMPLED);
-            self.sample.extend(some.iter().map(|to| (stamp, *to, false)));
-            acts.extend(some.into_iter().map(|to| Act::Say { to, word: Word::Ask { stamp } }));
+            self.sample
+                .extend(some.iter().map(|to| (stamp, *to, false)));
+            acts.extend(some.into_iter().map(|to| Act::Say {
+                to,
+                word: Word::Ask { stamp },
+            }));
         }
         acts
     }
@@ -123,7 +137,10 @@
         match word {
             Word::Shuffle { offer } => {
                 let offer = self.view.asked(&mut self.rng, &offer);
-                vec![Act::Say { to: from, word: Word::Shuffled { offer } }]
+                vec![Act::Say {
+                    to: from,
+                    word: Word::Shuffled { offer },
+                }]
             }
             Word::Shuffled { offer } => {
                 self.view.answered(from, &offer);
@@ -131,11 +148,21 @@
             }
             Word::Ask { stamp } => {
                 let age = |at: Ms| (now - at).max(0.0).ceil().min(f64::from(u32::MAX)) as u32;
-                let lent = as_of.map(|at| Word::Lent { stamp, age: age(at), of: *held });
-                vec![Act::Say { to: from, word: lent.unwrap_or(Word::Alone { stamp }) }]
+                let lent = as_of.map(|at| Word::Lent {
+                    stamp,
+                    age: age(at),
+                    of: *held,
+                });
+                vec![Act::Say {
+                    to: from,
+                    word: lent.unwrap_or(Word::Alone { stamp }),
+                }]
             }
             Word::Alone { stamp } => {
-                self.sample.iter_mut().filter(|s| s.0 == stamp && s.1 == from).for_each(|s| s.2 = true);
+                self.sample
+                    .iter_mut()
+                    .filter(|s| s.0 == stamp && s.1 == from)
+                    .for_each(|s| s.2 = true);
                 Vec::new()
             }
             Word::Lent { stamp, age, of } => {
--- a/crates/aspendrum-gossip/src/view.rs
+++ b/crates/aspendrum-gossip/src/view.rs
@@ -29,7 +29,11 @@
 
 impl View {
     pub fn new(me: Ipv4Addr) -> View {
-        View { me, neighbours: Vec::with_capacity(PLACES), offered: None }
+        View {
+            me,
+            neighbours: Vec::with_capacity(PLACES),
+            offered: None,
+        }
     }
 
     pub fn neighbours(&self) -> &[Neighbour] {
@@ -38,10 +42,19 @@
 
     /// Fills free places from machines that are known otherwise.
     pub fn meet(&mut self, rng: &mut Rng, known: &[Ipv4Addr]) {
-        let mut known: Vec<Ipv4Addr> = known.iter().copied().filter(|ip| self.new_here(*ip)).collect();
+        let mut known: Vec<Ipv4Addr> = known
+            .iter()
+            .copied()
+            .filter(|ip| self.new_here(*ip))
+            .collect();
         rng.shuffle(&mut known);
         let room = PLACES.saturating_sub(self.neighbours.len());
-        self.neighbours.extend(known.into_iter().take(room).map(|ip| Neighbour { ip, age: 0 }));
+        self.neighbours.extend(
+            known
+                .into_iter()
+                .take(room)
+                .map(|ip| Neighbour { ip, age: 0 }),
+        );
     }
 
     /// So many of the neighbours, by chance.
@@ -54,13 +67,18 @@
 
     /// Begins a shuffle: with whom, and what is offered. None: there is no neighbour.
     pub fn shuffle(&mut self, rng: &mut Rng) -> Option<(Ipv4Addr, Vec<Neighbour>)> {
-        self.neighbours.iter_mut().for_each(|n| n.age = n.age.saturating_add(1));
+        self.neighbours
+            .iter_mut()
+            .for_each(|n| n.age = n.age.saturating_add(1));
         let oldest = (0..self.neighbours.len()).max_by_key(|n| self.neighbours[*n].age)?;
         // Given up by being asked: it comes back with its answer, and is gone if there is none.
         let to = self.neighbours.swap_remove(oldest).ip;
         let mut offer = self.draw(rng, EXCHANGED - 1);
         self.offered = Some((to, offer.iter().map(|n| n.ip).collect()));
-        offer.push(Neighbour { ip: self.me, age: 0 });
+        offer.push(Neighbour {
+            ip: self.me,
+            age: 0,
+        });
         Some((to, offer))
     }
 
@@ -74,7 +92,9 @@
 
     /// The answer to an offer.
     pub fn answered(&mut self, from: Ipv4Addr, offer: &[Neighbour]) {
-        let Some((_, given)) = self.offered.take_if(|o| o.0 == from) else { return };
+        let Some((_, given)) = self.offered.take_if(|o| o.0 == from) else {
+            return;
+        };
         self.take(offer, &given);
         if self.neighbours.len() < PLACES && self.new_here(from) {
             self.neighbours.push(Neighbour { ip: from, age: 0 });
--- a/crates/aspendrum-gossip/tests/views.rs
+++ b/crates/aspendrum-gossip/tests/views.rs
@@ -17,7 +17,10 @@
 impl World {
     /// Each begins with a few out of control's list.
     fn of(n: usize) -> World {
-        let mut world = World { views: HashMap::new(), rng: Rng::with_seed(n as u64) };
+        let mut world = World {
+            views: HashMap::new(),
+            rng: Rng::with_seed(n as u64),
+        };
         let list: Vec<Ipv4Addr> = (0..n).map(ip).collect();
         for me in &list {
             let mut view = View::new(*me);
@@ -33,13 +36,21 @@
         all.sort();
         self.rng.shuffle(&mut all);
         for me in all {
-            let Some((to, offer)) = self.views.get_mut(&me).and_then(|v| v.shuffle(&mut self.rng)) else {
+            let Some((to, offer)) = self
+                .views
+                .get_mut(&me)
+                .and_then(|v| v.shuffle(&mut self.rng))
+            else {
                 continue;
             };
             if self.rng.f64() < lost {
                 continue;
             }
-            let Some(back) = self.views.get_mut(&to).map(|v| v.asked(&mut self.rng, &offer)) else {
+            let Some(back) = self
+                .views
+                .get_mut(&to)
+                .map(|v| v.asked(&mut self.rng, &offer))
+            else {
                 continue;
             };
             if self.rng.f64() >= lost {
@@ -52,12 +63,18 @@
     fn reached(&self) -> usize {
         let mut edges: HashMap<Ipv4Addr, Vec<Ipv4Addr>> = HashMap::new();
         for (me, view) in &self.views {
-            for n in view.neighbours().iter().filter(|n| self.views.contains_key(&n.ip)) {
+            for n in view
+                .neighbours()
+                .iter()
+                .filter(|n| self.views.contains_key(&n.ip))
+            {
                 edges.entry(*me).or_default().push(n.ip);
                 edges.entry(n.ip).or_default().push(*me);
             }
         }
-        let Some(first) = self.views.keys().min() else { return 0 };
+        let Some(first) = self.views.keys().min() else {
+            return 0;
+        };
         let (mut seen, mut next) = (HashSet::from([*first]), VecDeque::from([*first]));
         while let Some(at) = next.pop_front() {
             for to in edges.get(&at).into_iter().flatten() {
@@ -71,8 +88,14 @@
 
     /// Neighbours that are gone, of all.
     fn dead(&self) -> f64 {
-        let all: Vec<Ipv4Addr> = self.views.values().flat_map(|v| v.neighbours()).map(|n| n.ip).collect();
-        all.iter().filter(|ip| !self.views.contains_key(ip)).count() as f64 / all.len().max(1) as f64
+        let all: Vec<Ipv4Addr> = self
+            .views
+            .values()
+            .flat_map(|v| v.neighbours())
+            .map(|n| n.ip)
+            .collect();
+        all.iter().filter(|ip| !self.views.contains_key(ip)).count() as f64
+            / all.len().max(1) as f64
     }
 }
 
@@ -82,7 +105,13 @@
     for n in [70, 300, 1000] {
         let mut world = World::of(n);
         (0..40).for_each(|_| world.round(0.02));
-        assert!(world.views.values().all(|v| v.neighbours().len() >= PLACES - 2), "{n}: views are not full");
+        assert!(
+            world
+                .views
+                .values()
+                .all(|v| v.neighbours().len() >= PLACES - 2),
+            "{n}: views are not full"
+        );
         let mut in_degree: HashMap<Ipv4Addr, usize> = HashMap::new();
         world
             .views
@@ -94,10 +123,18 @@
         for i in 0..n * 3 / 10 {
             world.views.remove(&ip(i * 10 / 3));
         }
-        assert_eq!(world.reached(), world.views.len(), "{n}: in parts right after the loss");
+        assert_eq!(
+            world.reached(),
+            world.views.len(),
+            "{n}: in parts right after the loss"
+        );
         (0..3 * PLACES).for_each(|_| world.round(0.02));
         assert_eq!(world.reached(), world.views.len(), "{n}: in parts later");
-        assert!(world.dead() < 0.02, "{n}: {} of the neighbours are gone machines", world.dead());
+        assert!(
+            world.dead() < 0.02,
+            "{n}: {} of the neighbours are gone machines",
+            world.dead()
+        );
     }
 }
 
@@ -110,7 +147,11 @@
     view.meet(&mut world.rng, &[ip(3)]);
     world.views.insert(ip(500), view);
     (0..10).for_each(|_| world.round(0.3));
-    let known = world.views.values().filter(|v| v.neighbours().iter().any(|n| n.ip == ip(500))).count();
+    let known = world
+        .views
+        .values()
+        .filter(|v| v.neighbours().iter().any(|n| n.ip == ip(500)))
+        .count();
     assert!(known >= 3, "known to {known}");
     assert!(world.views[&ip(500)].neighbours().len() >= 4);
 }
@@ -125,6 +166,9 @@
     view.answered(ip(9), &[aspendrum_gossip::Neighbour { ip: ip(8), age: 0 }]);
     assert_eq!(view.neighbours(), before);
     // Its own address is nobody's neighbour.
-    view.asked(&mut rng, &[aspendrum_gossip::Neighbour { ip: ip(0), age: 0 }]);
+    view.asked(
+        &mut rng,
+        &[aspendrum_gossip::Neighbour { ip: ip(0), age: 0 }],
+    );
     assert!(view.neighbours().iter().all(|n| n.ip != ip(0)));
 }
--- a/crates/aspendrum-gossip/tests/wire_bytes.rs
+++ b/crates/aspendrum-gossip/tests/wire_bytes.rs
@@ -9,24 +9,53 @@
 
 fn neighbours() -> Vec<Neighbour> {
     vec![
-        Neighbour { ip: Ipv4Addr::new(10, 0, 0, 1), age: 0 },
-        Neighbour { ip: Ipv4Addr::new(10, 2, 255, 254), age: 300 },
+        Neighbour {
+            ip: Ipv4Addr::new(10, 0, 0, 1),
+            age: 0,
+        },
+        Neighbour {
+            ip: Ipv4Addr::new(10, 2, 255, 254),
+            age: 300,
+        },
     ]
 }
 
 fn decided() -> StateDigest {
-    let mark = Revision { config: 70_000, evacuation: 9 };
-    StateDigest { revision: mark, digests: [1, 0x0123_4567_89ab_cdef, u64::MAX, 4] }
+    let mark = Revision {
+        config: 70_000,
+        evacuation: 9,
+    };
+    StateDigest {
+        revision: mark,
+        digests: [1, 0x0123_4567_89ab_cdef, u64::MAX, 4],
+    }
 }
 
 /// One value of each variant, in the order of the fixture's lines.
 fn messages() -> Vec<(&'static str, Word)> {
     vec![
-        ("shuffle", Word::Shuffle { offer: neighbours() }),
+        (
+            "shuffle",
+            Word::Shuffle {
+                offer: neighbours(),
+            },
+        ),
         ("shuffle-nothing", Word::Shuffle { offer: Vec::new() }),
-        ("shuffle-reply", Word::Shuffled { offer: neighbours() }),
+        (
+            "shuffle-reply",
+            Word::Shuffled {
+                offer: neighbours(),
+            },
+        ),
         ("question", Word::Ask { stamp: 1_234_567 }),
-        ("answer", Word::Lent { stamp: 1_234_567, age: 950, of: decided() }),
+        (
+            "answer",
+            Word::Lent {
+                stamp: 1_234_567,
+                age: 950,
+                of: decided(),
+            },
+        ),
         ("no-answer", Word::Alone { stamp: 1_234_567 }),
     ]
 }
@@ -36,24 +65,37 @@
 }
 
 fn bytes_of(hex: &str) -> Vec<u8> {
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn fixture() -> Vec<(&'static str, &'static str)> {
-    DATAGRAMS.lines().filter_map(|line| line.split_once(' ')).collect()
+    DATAGRAMS
+        .lines()
+        .filter_map(|line| line.split_once(' '))
+        .collect()
 }
 
 #[test]
 fn each_datagram_is_encoded_as_in_the_fixture() {
-    let encoded: Vec<(&str, String)> =
-        messages().iter().map(|(name, m)| (*name, hex(&postcard::to_allocvec(m).unwrap()))).collect();
-    let expected: Vec<(&str, String)> = fixture().into_iter().map(|(n, hex)| (n, hex.to_string())).collect();
+    let encoded: Vec<(&str, String)> = messages()
+        .iter()
+        .map(|(name, m)| (*name, hex(&postcard::to_allocvec(m).unwrap())))
+        .collect();
+    let expected: Vec<(&str, String)> = fixture()
+        .into_iter()
+        .map(|(n, hex)| (n, hex.to_string()))
+        .collect();
     assert_eq!(encoded, expected);
 }
 
 #[test]
 fn each_datagram_of_the_fixture_is_decoded() {
-    let decoded: Vec<(&str, Word)> =
-        fixture().into_iter().map(|(n, hex)| (n, postcard::from_bytes(&bytes_of(hex)).unwrap())).collect();
+    let decoded: Vec<(&str, Word)> = fixture()
+        .into_iter()
+        .map(|(n, hex)| (n, postcard::from_bytes(&bytes_of(hex)).unwrap()))
+        .collect();
     assert_eq!(decoded, messages());
 }
--- a/crates/aspendrum-known-failures/src/lib.rs
+++ b/crates/aspendrum-known-failures/src/lib.rs
@@ -24,7 +24,13 @@
 
 impl fmt::Display for Listed {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Listed { package, program, test, cause, issue } = self;
+        let Listed {
+            package,
+            program,
+            test,
+            cause,
+            issue,
+        } = self;
         write!(f, "{package}::{program} {test}, {cause}, #{issue}")
     }
 }
@@ -37,12 +43,20 @@
         .map(|(n, line)| listed(line).map_err(|why| format!("{FILE}, line {}: {why}", n + 1)))
         .collect::<Result<Vec<Listed>, String>>()?;
     if all.len() > MOST {
-        return Err(format!("{FILE} lists {} tests, and {MOST} may be: mend the first", all.len()));
+        return Err(format!(
+            "{FILE} lists {} tests, and {MOST} may be: mend the first",
+            all.len()
+        ));
     }
     for (n, one) in all.iter().enumerate() {
-        let same = |o: &Listed| (&o.package, &o.program, &o.test) == (&one.package, &one.program, &one.test);
+        let same = |o: &Listed| {
+            (&o.package, &o.program, &o.test) == (&one.package, &one.program, &one.test)
+        };
         if all[..n].iter().any(same) {
-            return Err(format!("{FILE} lists {}::{} {} twice", one.package, one.program, one.test));
+            return Err(format!(
+                "{FILE} lists {}::{} {} twice",
+                one.package, one.program, one.test
+            ));
         }
     }
     Ok(all)
@@ -55,7 +69,9 @@
     let (Some(program), Some(test), None) = (words.next(), words.next(), words.next()) else {
         return Err("a test is named as PACKAGE::PROGRAM TEST".into());
     };
-    let (package, program) = program.split_once("::").ok_or("a test is named as PACKAGE::PROGRAM TEST")?;
+    let (package, program) = program
+        .split_once("::")
+        .ok_or("a test is named as PACKAGE::PROGRAM TEST")?;
     if package.is_empty() || program.is_empty() {
         return Err("a test is named as PACKAGE::PROGRAM TEST".into());
     }
@@ -63,10 +79,21 @@
     if !cause.chars().any(char::is_alphabetic) {
         return Err("no cause".into());
     }
-    let issue = issue.trim().trim_start_matches('#').parse().ok().filter(|n| *n > 0);
+    let issue = issue
+        .trim()
+        .trim_start_matches('#')
+        .parse()
+        .ok()
+        .filter(|n| *n > 0);
     let issue = issue.ok_or("the issue must be a number")?;
     let [package, program, test, cause] = [package, program, test, cause].map(str::to_string);
-    Ok(Listed { package, program, test, cause, issue })
+    Ok(Listed {
+        package,
+        program,
+        test,
+        cause,
+        issue,
+    })
 }
 
 /// A program that holds tests, as cargo built it.
@@ -107,7 +134,11 @@
         let manifest = PathBuf::from(message["manifest_path"].as_str()?);
         let target = &message["target"];
         let kind = target["kind"][0].as_str()?;
-        let kind = if ["bin", "test", "example", "bench"].contains(&kind) { kind } else { "lib" };
+        let kind = if ["bin", "test", "example", "bench"].contains(&kind) {
+            kind
+        } else {
+            "lib"
+        };
         Some(Program {
             package: package(message["package_id"].as_str()?).to_string(),
             kind: kind.into(),
@@ -130,7 +161,11 @@
 /// The test programs among the messages of `cargo test --no-run --message-format=json`.
 pub fn programs(messages: &str) -> Vec<Program> {
     let read = |line: &str| serde_json::from_str(line).ok();
-    messages.lines().filter_map(read).filter_map(|m: Value| Program::of(&m)).collect()
+    messages
+        .lines()
+        .filter_map(read)
+        .filter_map(|m: Value| Program::of(&m))
+        .collect()
 }
 
 /// The one program that a line means.
@@ -147,7 +182,8 @@
 
 /// Whether a program's `--list` names that test, and not only one that is like it.
 pub fn holds(list: &str, test: &str) -> bool {
-    list.lines().any(|line| line.strip_suffix(": test") == Some(test))
+    list.lines()
+        .any(|line| line.strip_suffix(": test") == Some(test))
 }
 
 /// What a test run by itself came to, as its program's end and its output tell.
@@ -174,7 +210,10 @@
 /// which none is listed, then each program of the others by itself, with exactly its listed tests left out.
 pub fn runs(listed: &[Listed], all: &[Program]) -> Result<Vec<Run>, String> {
     let words = |words: &[&str]| words.iter().map(|w| w.to_string()).collect::<Run>();
-    let meant = listed.iter().map(|l| program(l, all)).collect::<Result<Vec<&Program>, String>>()?;
+    let meant = listed
+        .iter()
+        .map(|l| program(l, all))
+        .collect::<Result<Vec<&Program>, String>>()?;
     let mut packages: Vec<&str> = listed.iter().map(|l| l.package.as_str()).collect();
     packages.sort_unstable();
     packages.dedup();
@@ -189,7 +228,10 @@
         for p in all.iter().filter(|p| p.package == package) {
             let mut run = words(&["test", "--locked", "--package", package]);
             run.extend(p.target());
-            let of = listed.iter().zip(&meant).filter(|(_, program)| **program == p);
+            let of = listed
+                .iter()
+                .zip(&meant)
+                .filter(|(_, program)| **program == p);
             let left_out: Run = of.flat_map(|(l, _)| words(&["--skip", &l.test])).collect();
             if !left_out.is_empty() {
                 run.extend(words(&["--", "--exact"]));
--- a/crates/aspendrum-known-failures/src/main.rs
+++ b/crates/aspendrum-known-failures/src/main.rs
@@ -1,6 +1,8 @@
 //! `known-failures`, the tests' part of `.ci/run`. Ends with 0 if every test passed but those that are listed.
 
-use aspendrum_known_failures::{came, holds, program, programs, read, runs, Came, Listed, Program, FILE};
+use aspendrum_known_failures::{
+    came, holds, program, programs, read, runs, Came, Listed, Program, FILE,
+};
 use bpaf::Bpaf;
 use std::io::{ErrorKind, Read};
 use std::path::{Path, PathBuf};
@@ -45,7 +47,10 @@
     for one in &listed {
         let list = output(program(one, &all)?, &["--list", "--format", "terse"])?;
         if !holds(&String::from_utf8_lossy(&list.stdout), &one.test) {
-            return Err(format!("{FILE}: {}::{} holds no test {}", one.package, one.program, one.test));
+            return Err(format!(
+                "{FILE}: {}::{} holds no test {}",
+                one.package, one.program, one.test
+            ));
         }
     }
     for run in runs(&listed, &all)? {
@@ -61,8 +66,18 @@
 fn built(root: &Path) -> Result<Vec<Program>, String> {
     let messages = "--message-format=json-render-diagnostics";
     let mut command = command(root);
-    command.args(["test", "--workspace", "--locked", "--no-run", "--quiet", messages]);
-    let done = command.stderr(Stdio::inherit()).output().map_err(|e| format!("cargo: {e}"))?;
+    command.args([
+        "test",
+        "--workspace",
+        "--locked",
+        "--no-run",
+        "--quiet",
+        messages,
+    ]);
+    let done = command
+        .stderr(Stdio::inherit())
+        .output()
+        .map_err(|e| format!("cargo: {e}"))?;
     if !done.status.success() {
         return Err("the tests could not be built".into());
     }
@@ -87,8 +102,14 @@
 fn output(program: &Program, arguments: &[&str]) -> Result<Output, String> {
     let failed = |e: std::io::Error| format!("{:?}: {e}", program.executable);
     let mut command = Command::new(&program.executable);
-    command.args(arguments).current_dir(&program.folder).env("CARGO_MANIFEST_DIR", &program.folder);
-    command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null());
+    command
+        .args(arguments)
+        .current_dir(&program.folder)
+        .env("CARGO_MANIFEST_DIR", &program.folder);
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null());
     let mut child = command.spawn().map_err(failed)?;
     let mut pipe = child.stdout.take().ok_or("no output")?;
     let reader = spawn(move || {
@@ -106,14 +127,24 @@
         }
         sleep(LOOK);
     };
-    let stdout = reader.join().map_err(|_| "its output could not be read")?.map_err(failed)?;
-    Ok(Output { status, stdout, stderr: Vec::new() })
+    let stdout = reader
+        .join()
+        .map_err(|_| "its output could not be read")?
+        .map_err(failed)?;
+    Ok(Output {
+        status,
+        stdout,
+        stderr: Vec::new(),
+    })
 }
 
 /// Runs a listed test by itself and prints what came of it.
 fn tell(listed: &Listed, program: &Program) -> Result<(), String> {
     let done = output(program, &["--exact", &listed.test])?;
-    match came(done.status.success(), &String::from_utf8_lossy(&done.stdout)) {
+    match came(
+        done.status.success(),
+        &String::from_utf8_lossy(&done.stdout),
+    ) {
         Came::Red => println!("known red, passed over: {listed}"),
         Came::Passes => println!("known red, but it passes now, take its line out: {listed}"),
         Came::Ignored => return Err(format!("{FILE}: {} is ignored in its source", listed.test)),
--- a/crates/aspendrum-known-failures/tests/list.rs
+++ b/crates/aspendrum-known-failures/tests/list.rs
@@ -3,15 +3,24 @@
 use aspendrum_known_failures::*;
 use std::path::PathBuf;
 
-const GOOD: &str = "aspendrum-control::processes a::b, voters are settled once, and never change, #42\n";
+const GOOD: &str =
+    "aspendrum-control::processes a::b, voters are settled once, and never change, #42\n";
 
 #[test]
 fn a_line_is_a_test_a_cause_and_an_issue() {
-    let [one] = &read(GOOD).unwrap()[..] else { panic!() };
-    assert_eq!((one.package.as_str(), one.program.as_str()), ("aspendrum-control", "processes"));
+    let [one] = &read(GOOD).unwrap()[..] else {
+        panic!()
+    };
+    assert_eq!(
+        (one.package.as_str(), one.program.as_str()),
+        ("aspendrum-control", "processes")
+    );
     assert_eq!((one.test.as_str(), one.issue), ("a::b", 42));
     assert_eq!(one.cause, "voters are settled once, and never change");
-    assert_eq!(read(&format!("{one}\n\n")).unwrap(), std::slice::from_ref(one));
+    assert_eq!(
+        read(&format!("{one}\n\n")).unwrap(),
+        std::slice::from_ref(one)
+    );
     assert_eq!(read("\n \n").unwrap(), []);
 }
 
@@ -48,8 +57,17 @@
 }
 
 fn built(package: &str, kind: &str, name: &str) -> Program {
-    let (executable, folder) = (PathBuf::from(format!("/t/{name}-{kind}")), PathBuf::from("/p"));
-    Program { package: package.into(), kind: kind.into(), name: name.into(), executable, folder }
+    let (executable, folder) = (
+        PathBuf::from(format!("/t/{name}-{kind}")),
+        PathBuf::from("/p"),
+    );
+    Program {
+        package: package.into(),
+        kind: kind.into(),
+        name: name.into(),
+        executable,
+        folder,
+    }
 }
 
 #[test]
@@ -60,18 +78,35 @@
 {"reason":"build-finished","success":true}
 no message"#;
     let all = programs(said);
-    let told: Vec<_> = all.iter().map(|p| (p.package.as_str(), p.called(), p.target())).collect();
+    let told: Vec<_> = all
+        .iter()
+        .map(|p| (p.package.as_str(), p.called(), p.target()))
+        .collect();
     let words = |w: &[&str]| w.iter().map(|w| w.to_string()).collect::<Vec<_>>();
-    assert_eq!(told, [("one", "lib", words(&["--lib"])), ("two", "deep", words(&["--test", "deep"]))]);
+    assert_eq!(
+        told,
+        [
+            ("one", "lib", words(&["--lib"])),
+            ("two", "deep", words(&["--test", "deep"]))
+        ]
+    );
     assert_eq!(all[1].folder, PathBuf::from("/w/crates/x"));
 }
 
 /// Danger: a listed name leaves out others that are like it, in the same program or in another.
 #[test]
 fn only_the_listed_tests_of_the_listed_program_are_left_out() {
-    let all = [built("one", "lib", "one"), built("one", "test", "deep"), built("two", "bin", "two")];
+    let all = [
+        built("one", "lib", "one"),
+        built("one", "test", "deep"),
+        built("two", "bin", "two"),
+    ];
     let listed = read("one::deep a::b, why, 4").unwrap();
-    let told: Vec<String> = runs(&listed, &all).unwrap().iter().map(|r| r.join(" ")).collect();
+    let told: Vec<String> = runs(&listed, &all)
+        .unwrap()
+        .iter()
+        .map(|r| r.join(" "))
+        .collect();
     assert_eq!(
         told,
         [
@@ -81,7 +116,11 @@
             "test --locked --package one --doc",
         ]
     );
-    for missing in ["one::other a, why, 4", "three::deep a, why, 4", "two::lib a, why, 4"] {
+    for missing in [
+        "one::other a, why, 4",
+        "three::deep a, why, 4",
+        "two::lib a, why, 4",
+    ] {
         assert!(runs(&read(missing).unwrap(), &all).is_err(), "{missing}");
     }
     let two = [built("one", "bin", "deep"), built("one", "test", "deep")];
@@ -92,8 +131,16 @@
 fn a_test_is_there_by_its_whole_name_only() {
     let list = "a::b: test\na::bc: test\nd: benchmark\n";
     assert!(holds(list, "a::b") && holds(list, "a::bc"));
-    assert!(!holds(list, "a") && !holds(list, "b") && !holds(list, "a::b: test") && !holds(list, "d"));
+    assert!(
+        !holds(list, "a") && !holds(list, "b") && !holds(list, "a::b: test") && !holds(list, "d")
+    );
     assert_eq!(came(false, ""), Came::Red);
-    assert_eq!(came(true, "ok. 1 passed; 0 failed; 0 ignored"), Came::Passes);
-    assert_eq!(came(true, "ok. 0 passed; 0 failed; 1 ignored"), Came::Ignored);
+    assert_eq!(
+        came(true, "ok. 1 passed; 0 failed; 0 ignored"),
+        Came::Passes
+    );
+    assert_eq!(
+        came(true, "ok. 0 passed; 0 failed; 1 ignored"),
+        Came::Ignored
+    );
 }
--- a/crates/aspendrum-known-failures/tests/workspace.rs
+++ b/crates/aspendrum-known-failures/tests/workspace.rs
@@ -6,7 +6,8 @@
 
 /// Two test programs with a test of the same name each; one of the two is red. A third test is like it by name.
 fn workspace(at: &Path, red: &str) {
-    let manifest = "[package]\nname = \"small\"\nversion = \"0.1.0\"\nedition = \"2021\"\n[workspace]\n";
+    let manifest =
+        "[package]\nname = \"small\"\nversion = \"0.1.0\"\nedition = \"2021\"\n[workspace]\n";
     write(at.join("Cargo.toml"), manifest).unwrap();
     let lock = "version = 4\n\n[[package]]\nname = \"small\"\nversion = \"0.1.0\"\n";
     write(at.join("Cargo.lock"), lock).unwrap();
@@ -14,16 +15,21 @@
         create_dir_all(at.join(folder)).unwrap();
     }
     write(at.join("src/lib.rs"), "").unwrap();
-    let one = |body: &str| format!("#[test] fn same() {{ {body} }}\n#[test] fn same_but_longer() {{}}\n");
+    let one =
+        |body: &str| format!("#[test] fn same() {{ {body} }}\n#[test] fn same_but_longer() {{}}\n");
     write(at.join("tests/one.rs"), one(red)).unwrap();
     write(at.join("tests/two.rs"), one("println!(\"the other ran\")")).unwrap();
 }
 
 fn play(at: &Path) -> (Output, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_known-failures"));
-    command.arg(at).env("CARGO_NET_OFFLINE", "true").env("CARGO_TARGET_DIR", at.join("target"));
+    command
+        .arg(at)
+        .env("CARGO_NET_OFFLINE", "true")
+        .env("CARGO_TARGET_DIR", at.join("target"));
     let done = command.output().unwrap();
-    let text = String::from_utf8_lossy(&done.stdout).into_owned() + &String::from_utf8_lossy(&done.stderr);
+    let text =
+        String::from_utf8_lossy(&done.stdout).into_owned() + &String::from_utf8_lossy(&done.stderr);
     (done, text)
 }
 
@@ -41,24 +47,52 @@
     let (done, text) = play(at);
     assert!(!done.status.success(), "red, and not listed:\n{text}");
 
-    write(at.join("KNOWN-RED.txt"), "small::one same, it is made so, 4\n").unwrap();
+    write(
+        at.join("KNOWN-RED.txt"),
+        "small::one same, it is made so, 4\n",
+    )
+    .unwrap();
     let (done, text) = play(at);
     assert!(done.status.success(), "{text}");
-    assert!(text.contains("known red, passed over: small::one same, it is made so, #4"), "{text}");
-    assert_eq!(times(&text, "test same ... ok"), 1, "the other program's:\n{text}");
+    assert!(
+        text.contains("known red, passed over: small::one same, it is made so, #4"),
+        "{text}"
+    );
+    assert_eq!(
+        times(&text, "test same ... ok"),
+        1,
+        "the other program's:\n{text}"
+    );
     assert_eq!(times(&text, "test same_but_longer ... ok"), 2, "{text}");
 
-    write(at.join("KNOWN-RED.txt"), "small::one sam, it is made so, 4\n").unwrap();
+    write(
+        at.join("KNOWN-RED.txt"),
+        "small::one sam, it is made so, 4\n",
+    )
+    .unwrap();
     let (done, text) = play(at);
-    assert!(!done.status.success() && text.contains("holds no test sam"), "{text}");
+    assert!(
+        !done.status.success() && text.contains("holds no test sam"),
+        "{text}"
+    );
 
-    write(at.join("KNOWN-RED.txt"), "small::two same, it is made so, 4\n").unwrap();
+    write(
+        at.join("KNOWN-RED.txt"),
+        "small::two same, it is made so, 4\n",
+    )
+    .unwrap();
     let (done, text) = play(at);
-    assert!(!done.status.success(), "the red one is not the listed one:\n{text}");
+    assert!(
+        !done.status.success(),
+        "the red one is not the listed one:\n{text}"
+    );
 
     workspace(at, "");
     let (done, text) = play(at);
-    assert!(done.status.success() && text.contains("take its line out: small::two same"), "{text}");
+    assert!(
+        done.status.success() && text.contains("take its line out: small::two same"),
+        "{text}"
+    );
 
     write(at.join("KNOWN-RED.txt"), "\n").unwrap();
     let (done, text) = play(at);
--- a/crates/aspendrum-model/src/config.rs
+++ b/crates/aspendrum-model/src/config.rs
@@ -150,8 +150,11 @@
 impl Config {
     /// Reads and checks. Nothing of an invalid one is of any use.
     pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
-        let doc: Doc = serde_json::from_slice(text).map_err(|e| ConfigError::Unreadable(e.to_string()))?;
-        let version = u32::from_str_radix(&doc.gen, 16).ok().filter(|_| doc.gen.len() == 8);
+        let doc: Doc =
+            serde_json::from_slice(text).map_err(|e| ConfigError::Unreadable(e.to_string()))?;
+        let version = u32::from_str_radix(&doc.gen, 16)
+            .ok()
+            .filter(|_| doc.gen.len() == 8);
         let version = version.ok_or_else(|| ConfigError::Unreadable(format!("gen {}", doc.gen)))?;
         let known: HashSet<&str> = doc.pools.iter().map(|s| s.name.as_str()).collect();
         let (mut routes, mut places) = (Vec::new(), HashMap::<String, Vec<(String, usize)>>::new());
@@ -179,24 +182,44 @@
             }
         }
         let (caps, tenants, services) = (doc.caps, doc.tenants, doc.pools);
-        Ok(Config { version, caps, tenants, services, routes, places, keys })
+        Ok(Config {
+            version,
+            caps,
+            tenants,
+            services,
+            routes,
+            places,
+            keys,
+        })
     }
 
     /// The number of the route with the longest prefix that begins the path. `host` may carry a port.
     pub fn route(&self, host: &str, path: &str) -> Option<usize> {
-        let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
+        let host = host
+            .rsplit_once(':')
+            .map_or(host, |(name, _)| name)
+            .to_ascii_lowercase();
         let path = path.split('?').next().unwrap_or(path);
-        self.places.get(&host)?.iter().find(|p| path.starts_with(&p.0)).map(|p| p.1)
+        self.places
+            .get(&host)?
+            .iter()
+            .find(|p| path.starts_with(&p.0))
+            .map(|p| p.1)
     }
 
     /// Each host and prefix, and the number of the route there, in no order.
     pub fn places(&self) -> impl Iterator<Item = (&str, &str, usize)> {
-        self.places.iter().flat_map(|(host, at)| at.iter().map(|p| (host.as_str(), p.0.as_str(), p.1)))
+        self.places
+            .iter()
+            .flat_map(|(host, at)| at.iter().map(|p| (host.as_str(), p.0.as_str(), p.1)))
     }
 
     /// The keys by which that tenant is found, in no order.
     pub fn keys_of(&self, tenant: usize) -> impl Iterator<Item = &String> {
-        self.keys.iter().filter(move |k| *k.1 == tenant).map(|k| k.0)
+        self.keys
+            .iter()
+            .filter(move |k| *k.1 == tenant)
+            .map(|k| k.0)
     }
 
     /// The number of the tenant that holds a key.
@@ -215,10 +238,17 @@
         let services: Vec<(String, f64)> = match (&action.svc, &action.split) {
             (Some(service), _) => vec![(service.clone(), 1.0)],
             (None, Some(parts)) => parts.iter().map(|p| (p.svc.clone(), p.wt)).collect(),
-            (None, None) => return Err(ConfigError::Unreadable(format!("route {name} goes nowhere"))),
+            (None, None) => {
+                return Err(ConfigError::Unreadable(format!(
+                    "route {name} goes nowhere"
+                )))
+            }
         };
         if let Some((service, _)) = services.iter().find(|s| !known.contains(s.0.as_str())) {
-            return Err(ConfigError::UnknownService { route: name, service: service.clone() });
+            return Err(ConfigError::UnknownService {
+                route: name,
+                service: service.clone(),
+            });
         }
         if services.iter().any(|s| s.1.is_nan() || s.1 < 0.0)
             || services.iter().map(|s| s.1).sum::<f64>() <= 0.0
@@ -238,7 +268,11 @@
         let repeatable = match self.kind.as_str() {
             "idem" => true,
             "mutating" => false,
-            other => return Err(ConfigError::Unreadable(format!("route {name} is of the type {other}"))),
+            other => {
+                return Err(ConfigError::Unreadable(format!(
+                    "route {name} is of the type {other}"
+                )))
+            }
         };
         Ok(Route {
             name,
--- a/crates/aspendrum-model/src/message.rs
+++ b/crates/aspendrum-model/src/message.rs
@@ -95,13 +95,21 @@
     /// A configuration as it is told, out of its packed text.
     pub fn config(version: u32, text: Vec<u8>) -> StateSection {
         let seal = digest(&text);
-        StateSection::Config { version, text, checksum: seal }
+        StateSection::Config {
+            version,
+            text,
+            checksum: seal,
+        }
     }
 
     /// It is what whoever sealed it told.
     pub fn has_valid_checksum(&self) -> bool {
         match self {
-            StateSection::Config { text, checksum: seal, .. } => digest(text) == *seal,
+            StateSection::Config {
+                text,
+                checksum: seal,
+                ..
+            } => digest(text) == *seal,
             _ => true,
         }
     }
@@ -148,9 +156,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToControl {
     /// The first word: who speaks, and from where.
-    Hello { host: String, front: SocketAddrV4, zone: String },
+    Hello {
+        host: String,
+        front: SocketAddrV4,
+        zone: String,
+    },
     /// `stamp` comes back with the answer. `applied`: what is in force at the proxy, out of its tables.
-    Heartbeat { stamp: u64, readiness: Readiness, applied: StateDigest },
+    Heartbeat {
+        stamp: u64,
+        readiness: Readiness,
+        applied: StateDigest,
+    },
     /// The last word on this connection: the agent goes to another machine of control.
     Disconnecting,
     /// All news up to that number are in force.
--- a/crates/aspendrum-model/src/packed.rs
+++ b/crates/aspendrum-model/src/packed.rs
@@ -18,6 +18,8 @@
 /// None: it is no packed text.
 pub fn unpack(packed: &[u8]) -> Option<Vec<u8>> {
     let mut out = Vec::new();
-    let read = DeflateDecoder::new(packed).take(LONGEST).read_to_end(&mut out);
+    let read = DeflateDecoder::new(packed)
+        .take(LONGEST)
+        .read_to_end(&mut out);
     read.ok().map(|_| out)
 }
--- a/crates/aspendrum-model/src/servers.rs
+++ b/crates/aspendrum-model/src/servers.rs
@@ -81,7 +81,11 @@
             let mut end = if left > 0.0 { now + left } else { 0.0 };
             if let Some((_, known)) = self.servers.get(&server.uid) {
                 let past = end == 0.0 && *known <= now;
-                end = if (end - known).abs() < SAME_END_MS || past { *known } else { end };
+                end = if (end - known).abs() < SAME_END_MS || past {
+                    *known
+                } else {
+                    end
+                };
             }
             next.insert(server.uid.clone(), (server, end));
         }
@@ -95,7 +99,10 @@
         let left = |end: f64| (end - now).max(0.0) as u32;
         self.servers
             .values()
-            .map(|(s, end)| ServerInstance { warm_left_ms: left(*end), ..s.clone() })
+            .map(|(s, end)| ServerInstance {
+                warm_left_ms: left(*end),
+                ..s.clone()
+            })
             .collect()
     }
 
--- a/crates/aspendrum-model/tests/config.rs
+++ b/crates/aspendrum-model/tests/config.rs
@@ -18,12 +18,21 @@
 fn the_longest_prefix_takes_the_query() {
     let config = Config::read(CONFIG.as_bytes()).unwrap();
     assert_eq!(config.version, 12);
-    let route = |host, path| config.route(host, path).map(|n| config.routes[n].name.as_str());
+    let route = |host, path| {
+        config
+            .route(host, path)
+            .map(|n| config.routes[n].name.as_str())
+    };
     assert_eq!(route("a.example", "/a/x?y=/a/b/"), Some("r1"));
     assert_eq!(route("A.example:80", "/a/b/c"), Some("r2"));
     assert_eq!(route("a.example", "/a"), None);
     assert_eq!(route("b.example", "/a/x"), None);
-    assert_eq!(config.tenant("k2").map(|n| config.tenants.as_ref().unwrap()[n].name.as_str()), Some("ann"));
+    assert_eq!(
+        config
+            .tenant("k2")
+            .map(|n| config.tenants.as_ref().unwrap()[n].name.as_str()),
+        Some("ann")
+    );
     assert_eq!(config.tenant("k4"), None);
 }
 
@@ -31,7 +40,10 @@
 fn weights_share_a_route_out() {
     let config = Config::read(CONFIG.as_bytes()).unwrap();
     let to = |chance| config.routes[0].service(chance);
-    assert_eq!([to(0.0), to(0.89), to(0.91), to(1.0)], ["s1", "s1", "s2", "s2"]);
+    assert_eq!(
+        [to(0.0), to(0.89), to(0.91), to(1.0)],
+        ["s1", "s1", "s2", "s2"]
+    );
 }
 
 #[test_case("\"svc\":\"s2\"", "\"svc\":\"s3\"" => matches ConfigError::UnknownService { .. } ; "unknown service")]
@@ -52,7 +64,11 @@
 /// An aim of a minute less a moment above the limit is odd and allowed.
 #[test]
 fn an_aim_above_the_limit_alone_is_valid() {
-    let text = CONFIG.replacen("\"goal-ms\":500,\"prio\":1", "\"goal-ms\":61999,\"prio\":1", 1);
+    let text = CONFIG.replacen(
+        "\"goal-ms\":500,\"prio\":1",
+        "\"goal-ms\":61999,\"prio\":1",
+        1,
+    );
     assert!(Config::read(text.as_bytes()).is_ok());
 }
 
@@ -66,7 +82,11 @@
 fn settings_are_read_with_defaults_and_unknown_fields_ignored() {
     let s = Settings::read(SETTINGS.as_bytes()).unwrap();
     assert_eq!(
-        (s.count_port(), s.agent_at().to_string().as_str(), s.region_of("cwb-a")),
+        (
+            s.count_port(),
+            s.agent_at().to_string().as_str(),
+            s.region_of("cwb-a")
+        ),
         (7601, "127.0.0.1:7602", Some(0))
     );
     assert!(s.revoked && s.ctl.is_none() && s.datadir.is_none());
@@ -76,30 +96,61 @@
 #[test_case("\"10.1.0.31\"", "\"ten\"", "self.ip must be an IP number")]
 #[test_case("[7600,7615]", "[7600,7601]", "net.port-range is out of range")]
 #[test_case("\"az\":\"poa-a\",", "", "self.az is missing")]
-#[test_case("\"revoke-ms\":5000", "\"revoke-ms\":-1", "terms.bounds.revoke-ms is out of range")]
+#[test_case(
+    "\"revoke-ms\":5000",
+    "\"revoke-ms\":-1",
+    "terms.bounds.revoke-ms is out of range"
+)]
 fn a_faulty_setting_is_named(from: &str, to: &str, told: &str) {
-    assert_eq!(Settings::read(SETTINGS.replacen(from, to, 1).as_bytes()).unwrap_err(), told);
+    assert_eq!(
+        Settings::read(SETTINGS.replacen(from, to, 1).as_bytes()).unwrap_err(),
+        told
+    );
 }
 
 #[test]
 fn every_fault_is_told_at_once() {
-    let text = SETTINGS.replace("\"az\":\"poa-a\",", "").replace("\"rate-s\":47.0", "\"rate-s\":0");
+    let text = SETTINGS
+        .replace("\"az\":\"poa-a\",", "")
+        .replace("\"rate-s\":47.0", "\"rate-s\":0");
     let told = Settings::read(text.as_bytes()).unwrap_err();
-    assert_eq!(told, "self.az is missing; plat.cloud-api.rate-s is out of range");
+    assert_eq!(
+        told,
+        "self.az is missing; plat.cloud-api.rate-s is out of range"
+    );
 }
 
 #[test]
 fn a_page_of_the_list_is_read_whole_or_not_at_all() {
     let text = r#"{"servers":[{"svc":"s1","addr":"10.128.0.9:8080","az":"poa-a","gen":"v1","slots":2,"phase":"drain","warm-left-ms":1200,"uid":"i-7"}],"next":"p-50"}"#;
     let (servers, next) = parse_page(text.as_bytes()).unwrap();
-    assert_eq!((servers[0].uid.as_str(), servers[0].draining, servers[0].warm_left_ms), ("i-7", true, 1200));
+    assert_eq!(
+        (
+            servers[0].uid.as_str(),
+            servers[0].draining,
+            servers[0].warm_left_ms
+        ),
+        ("i-7", true, 1200)
+    );
     assert_eq!(next.as_deref(), Some("p-50"));
     assert!(parse_page(text.replace("10.128.0.9:8080", "there").as_bytes()).is_err());
 }
 
 fn server(uid: &str, warm_left_ms: u32) -> ServerInstance {
-    let (service, addr, zone) = ("s1".into(), "10.128.0.9:8080".parse().unwrap(), "poa-a".into());
-    ServerInstance { uid: uid.into(), service, addr, zone, slots: 2, draining: false, warm_left_ms }
+    let (service, addr, zone) = (
+        "s1".into(),
+        "10.128.0.9:8080".parse().unwrap(),
+        "poa-a".into(),
+    );
+    ServerInstance {
+        uid: uid.into(),
+        service,
+        addr,
+        zone,
+        slots: 2,
+        draining: false,
+        warm_left_ms,
+    }
 }
 
 /// Danger: a list that two machines read and pass on in turn must not go back, nor be told anew each time that
@@ -110,12 +161,18 @@
     assert!(roster.replace(110.0, vec![server("a", 3000)], 100.0));
     assert!(!roster.replace(1110.0, vec![server("a", 2000)], 1100.0));
     assert_eq!(roster.snapshot(1610.0)[0].warm_left_ms, 1500);
-    assert!(!roster.replace(1200.0, vec![server("b", 0)], 900.0), "an older list");
+    assert!(
+        !roster.replace(1200.0, vec![server("b", 0)], 900.0),
+        "an older list"
+    );
     assert!(
         !roster.replace(4010.0, vec![server("a", 0)], 4000.0),
         "its cold time has run out as it was told"
     );
-    assert!(roster.replace(5010.0, vec![server("a", 3000)], 5000.0), "cold again");
+    assert!(
+        roster.replace(5010.0, vec![server("a", 3000)], 5000.0),
+        "cold again"
+    );
 }
 
 /// Danger: a list passed on through control and agent, each time with its age taken off the cold times, made
--- a/crates/aspendrum-model/tests/config_values.rs
+++ b/crates/aspendrum-model/tests/config_values.rs
@@ -13,20 +13,36 @@
 fn version_and_limits_of_requests_are_read() {
     let config = config();
     assert_eq!(config.version, 300);
-    let caps = Caps { hdr_bytes: 16_384, body_bytes: 1_048_576, hdr_ms: 3000.0, idle_ms: 15_000.5 };
+    let caps = Caps {
+        hdr_bytes: 16_384,
+        body_bytes: 1_048_576,
+        hdr_ms: 3000.0,
+        idle_ms: 15_000.5,
+    };
     assert_eq!(config.caps, caps);
 }
 
 #[test]
 fn tenants_are_read() {
     let config = config();
-    let [ann, bob] = &config.tenants.as_deref().unwrap() else { panic!("two tenants") };
+    let [ann, bob] = &config.tenants.as_deref().unwrap() else {
+        panic!("two tenants")
+    };
     assert_eq!((ann.name.as_str(), bob.name.as_str()), ("ann", "bob"));
-    assert_eq!((ann.keys.join(" "), bob.keys.join(" ")), ("k1 k2".into(), "k3".into()));
+    assert_eq!(
+        (ann.keys.join(" "), bob.keys.join(" ")),
+        ("k1 k2".into(), "k3".into())
+    );
     assert_eq!([ann.prio, ann.rate_s, ann.burst], [3.0, 61.5, 122.0]);
     assert_eq!([bob.prio, bob.rate_s, bob.burst], [0.0; 3]);
-    assert_eq!((ann.homes.join(" "), bob.homes.join(" ")), ("poa cwb".into(), String::new()));
-    assert_eq!(["k1", "k2", "k3", "k4"].map(|key| config.tenant(key)), [Some(0), Some(0), Some(1), None]);
+    assert_eq!(
+        (ann.homes.join(" "), bob.homes.join(" ")),
+        ("poa cwb".into(), String::new())
+    );
+    assert_eq!(
+        ["k1", "k2", "k3", "k4"].map(|key| config.tenant(key)),
+        [Some(0), Some(0), Some(1), None]
+    );
     let mut keys: Vec<&String> = config.keys_of(0).collect();
     keys.sort();
     assert_eq!(keys, ["k1", "k2"]);
@@ -43,18 +59,31 @@
 #[test]
 fn services_are_read() {
     let config = config();
-    let [s1, s2] = &config.services[..] else { panic!("two services") };
-    assert_eq!([&s1.name, &s1.check, &s2.name, &s2.check], ["s1", "/healthz", "s2", "/ready"]);
-    assert_eq!((s1.max_conns, s1.warmup_s, s1.warm_rate_s), (110, 3.5, 10.5));
+    let [s1, s2] = &config.services[..] else {
+        panic!("two services")
+    };
+    assert_eq!(
+        [&s1.name, &s1.check, &s2.name, &s2.check],
+        ["s1", "/healthz", "s2", "/ready"]
+    );
+    assert_eq!(
+        (s1.max_conns, s1.warmup_s, s1.warm_rate_s),
+        (110, 3.5, 10.5)
+    );
     assert_eq!((s2.max_conns, s2.warmup_s, s2.warm_rate_s), (0, 0.0, 0.0));
-    assert_eq!(config.service("s2").map(|s| s.check.as_str()), Some("/ready"));
+    assert_eq!(
+        config.service("s2").map(|s| s.check.as_str()),
+        Some("/ready")
+    );
     assert!(config.service("s3").is_none());
 }
 
 #[test]
 fn routes_are_read() {
     let config = config();
-    let [r1, r2, r3] = &config.routes[..] else { panic!("three routes") };
+    let [r1, r2, r3] = &config.routes[..] else {
+        panic!("three routes")
+    };
     assert_eq!([&r1.name, &r2.name, &r3.name], ["r1", "r2", "r3"]);
     assert_eq!([r1, r2, r3].map(|r| r.repeatable), [true, false, false]);
     assert_eq!([r1, r2, r3].map(|r| r.goal_ms), [500.0, 250.5, 400.0]);
@@ -63,8 +92,20 @@
     assert_eq!([r1, r2, r3].map(|r| r.public), [true, false, false]);
     assert_eq!([r1, r2, r3].map(|r| r.tries), [3, 1, 2]);
     assert_eq!([r1, r2, r3].map(|r| r.homes.join(" ")), ["poa", "", ""]);
-    let services = [r1, r2, r3].map(|r| r.services.iter().map(|s| (s.0.as_str(), s.1)).collect::<Vec<_>>());
-    assert_eq!(services, [vec![("s1", 90.0), ("s2", 10.0)], vec![("s2", 1.0)], vec![("s1", 1.0)]]);
+    let services = [r1, r2, r3].map(|r| {
+        r.services
+            .iter()
+            .map(|s| (s.0.as_str(), s.1))
+            .collect::<Vec<_>>()
+    });
+    assert_eq!(
+        services,
+        [
+            vec![("s1", 90.0), ("s2", 10.0)],
+            vec![("s2", 1.0)],
+            vec![("s1", 1.0)]
+        ]
+    );
 }
 
 #[test]
@@ -72,7 +113,14 @@
     let config = config();
     let mut places: Vec<(&str, &str, usize)> = config.places().collect();
     places.sort();
-    assert_eq!(places, [("a.example", "/a/", 0), ("a.example", "/a/b/", 1), ("b.example", "/", 2)]);
+    assert_eq!(
+        places,
+        [
+            ("a.example", "/a/", 0),
+            ("a.example", "/a/b/", 1),
+            ("b.example", "/", 2)
+        ]
+    );
     assert_eq!(config.route("a.EXAMPLE:8080", "/a/b/c?d"), Some(1));
     assert_eq!(config.route("b.example", "/any"), Some(2));
 }
--- a/crates/aspendrum-model/tests/settings_values.rs
+++ b/crates/aspendrum-model/tests/settings_values.rs
@@ -19,26 +19,60 @@
 #[test]
 fn each_value_of_a_full_file_is_read() {
     let s = Settings::read(SETTINGS.as_bytes()).unwrap();
-    assert_eq!((s.host.as_str(), s.ip), ("edge-1", Ipv4Addr::new(10, 1, 0, 31)));
+    assert_eq!(
+        (s.host.as_str(), s.ip),
+        ("edge-1", Ipv4Addr::new(10, 1, 0, 31))
+    );
     assert_eq!((s.zone.as_str(), s.region.as_str()), ("poa-a", "poa"));
     assert!(s.quorum && s.init && s.revoked);
-    assert_eq!((s.datadir.as_deref(), s.mem_mb, s.nofile), (Some("/data"), 260, 4100));
+    assert_eq!(
+        (s.datadir.as_deref(), s.mem_mb, s.nofile),
+        (Some("/data"), 260, 4100)
+    );
     assert_eq!(s.front, Some(address("10.1.0.31:8206")));
     assert_eq!(s.readyz, Some(address("10.1.0.31:8207")));
     assert_eq!(s.ctl, Some(address("10.1.0.31:8200")));
     assert_eq!(s.dir, Some(address("10.1.0.31:8201")));
     assert_eq!(s.ports, (7600, 7615));
-    assert_eq!(s.seeds, [address("10.1.0.34:8200"), address("10.1.0.35:8200")]);
+    assert_eq!(
+        s.seeds,
+        [address("10.1.0.34:8200"), address("10.1.0.35:8200")]
+    );
     let ways: Vec<_> = s.ways.iter().map(|(from, to)| (*from, *to)).collect();
-    assert_eq!(ways, [(address("10.1.0.34:7600"), address("127.0.0.1:9000"))]);
-    let zones: Vec<_> = s.zones.iter().map(|(zone, region)| (zone.as_str(), region.as_str())).collect();
+    assert_eq!(
+        ways,
+        [(address("10.1.0.34:7600"), address("127.0.0.1:9000"))]
+    );
+    let zones: Vec<_> = s
+        .zones
+        .iter()
+        .map(|(zone, region)| (zone.as_str(), region.as_str()))
+        .collect();
     assert_eq!(zones, [("cwb-a", "cwb"), ("poa-a", "poa")]);
-    assert_eq!((s.cloud, s.cloud_rate, s.cloud_lag_ms), (Some(address("10.200.0.187:8205")), 47.5, 800.0));
-    assert_eq!((s.losses, s.contracts.iter().map(String::as_str).collect()), (2, vec!["base", "quota"]));
-    assert_eq!([s.ack_ms, s.sync_s, s.drain_ms, s.grace_s], [6000.0, 4.5, 3100.0, 6.0]);
-    assert_eq!([s.apply_ms, s.stretch_ms, s.revoke_ms], [3200.0, 8000.0, 5100.0]);
-    assert_eq!([s.retry_ratio, s.retry_win_s, s.retry_slack], [0.25, 11.0, 58.0]);
-    assert_eq!([s.quota_win_s, s.quota_excess, s.quota_slack], [5.5, 0.1, 20.0]);
+    assert_eq!(
+        (s.cloud, s.cloud_rate, s.cloud_lag_ms),
+        (Some(address("10.200.0.187:8205")), 47.5, 800.0)
+    );
+    assert_eq!(
+        (s.losses, s.contracts.iter().map(String::as_str).collect()),
+        (2, vec!["base", "quota"])
+    );
+    assert_eq!(
+        [s.ack_ms, s.sync_s, s.drain_ms, s.grace_s],
+        [6000.0, 4.5, 3100.0, 6.0]
+    );
+    assert_eq!(
+        [s.apply_ms, s.stretch_ms, s.revoke_ms],
+        [3200.0, 8000.0, 5100.0]
+    );
+    assert_eq!(
+        [s.retry_ratio, s.retry_win_s, s.retry_slack],
+        [0.25, 11.0, 58.0]
+    );
+    assert_eq!(
+        [s.quota_win_s, s.quota_excess, s.quota_slack],
+        [5.5, 0.1, 20.0]
+    );
     assert_eq!([s.warm_excess, s.warm_slack], [1.5, 5.0]);
     assert_eq!([s.evac_ms, s.heal_s, s.ttl_max_s], [5200.0, 16.0, 7.0]);
 }
@@ -54,10 +88,22 @@
     assert_eq!([s.front, s.readyz, s.ctl, s.dir, s.cloud], [None; 5]);
     assert!(s.seeds.is_empty() && s.ways.is_empty() && s.contracts.is_empty());
     assert_eq!((s.cloud_rate, s.cloud_lag_ms, s.losses), (1.0, 0.0, 1));
-    assert_eq!([s.ack_ms, s.sync_s, s.drain_ms, s.grace_s], [5000.0, 4.0, 3000.0, 5.0]);
-    assert_eq!([s.apply_ms, s.stretch_ms, s.revoke_ms], [3000.0, 0.0, 5000.0]);
-    assert_eq!([s.retry_ratio, s.retry_win_s, s.retry_slack], [0.2, 10.0, 0.0]);
-    assert_eq!([s.quota_win_s, s.quota_excess, s.quota_slack], [5.0, 0.0, 0.0]);
+    assert_eq!(
+        [s.ack_ms, s.sync_s, s.drain_ms, s.grace_s],
+        [5000.0, 4.0, 3000.0, 5.0]
+    );
+    assert_eq!(
+        [s.apply_ms, s.stretch_ms, s.revoke_ms],
+        [3000.0, 0.0, 5000.0]
+    );
+    assert_eq!(
+        [s.retry_ratio, s.retry_win_s, s.retry_slack],
+        [0.2, 10.0, 0.0]
+    );
+    assert_eq!(
+        [s.quota_win_s, s.quota_excess, s.quota_slack],
+        [5.0, 0.0, 0.0]
+    );
     assert_eq!([s.warm_excess, s.warm_slack], [1.0, 0.0]);
     assert_eq!([s.evac_ms, s.heal_s, s.ttl_max_s], [5000.0, 15.0, 5.0]);
 }
@@ -65,13 +111,32 @@
 #[test]
 fn ports_and_addresses_are_derived_from_the_port_range() {
     let s = Settings::read(SETTINGS.as_bytes()).unwrap();
-    assert_eq!((s.control_port(), s.count_port(), s.metrics_port()), (7600, 7601, 7615));
-    assert_eq!((s.agent_at(), s.lend_ports()), (address("127.0.0.1:7602"), [7603, 7604]));
-    assert_eq!(s.control_at(Ipv4Addr::new(10, 1, 0, 34)), address("127.0.0.1:9000"), "a forwarded port");
-    assert_eq!(s.control_at(Ipv4Addr::new(10, 1, 0, 35)), address("10.1.0.35:7600"));
+    assert_eq!(
+        (s.control_port(), s.count_port(), s.metrics_port()),
+        (7600, 7601, 7615)
+    );
+    assert_eq!(
+        (s.agent_at(), s.lend_ports()),
+        (address("127.0.0.1:7602"), [7603, 7604])
+    );
+    assert_eq!(
+        s.control_at(Ipv4Addr::new(10, 1, 0, 34)),
+        address("127.0.0.1:9000"),
+        "a forwarded port"
+    );
+    assert_eq!(
+        s.control_at(Ipv4Addr::new(10, 1, 0, 35)),
+        address("10.1.0.35:7600")
+    );
     assert_eq!(s.way(address("10.1.0.34:7600")), address("127.0.0.1:9000"));
-    assert_eq!(["cwb", "poa", "else"].map(|region| s.region_number(region)), [Some(0), Some(1), None]);
-    assert_eq!(["cwb-a", "poa-a", "else"].map(|zone| s.region_of(zone)), [Some(0), Some(1), None]);
+    assert_eq!(
+        ["cwb", "poa", "else"].map(|region| s.region_number(region)),
+        [Some(0), Some(1), None]
+    );
+    assert_eq!(
+        ["cwb-a", "poa-a", "else"].map(|zone| s.region_of(zone)),
+        [Some(0), Some(1), None]
+    );
 }
 
 /// The places of all values in the document, in the order of their names.
@@ -79,7 +144,11 @@
     match value {
         Value::Object(map) if !["net.ways", "net.zones"].contains(&place) => {
             for (key, inner) in map {
-                let place = if place.is_empty() { key.clone() } else { format!("{place}.{key}") };
+                let place = if place.is_empty() {
+                    key.clone()
+                } else {
+                    format!("{place}.{key}")
+                };
                 places(inner, &place, all);
             }
         }
@@ -90,7 +159,9 @@
 fn with(document: &Value, place: &str, value: Option<Value>) -> Value {
     let mut document = document.clone();
     let (parent, key) = place.rsplit_once('.').unwrap();
-    let parent = document.pointer_mut(&format!("/{}", parent.replace('.', "/"))).unwrap();
+    let parent = document
+        .pointer_mut(&format!("/{}", parent.replace('.', "/")))
+        .unwrap();
     match value {
         Some(value) => parent[key] = value,
         None => {
@@ -122,7 +193,10 @@
         ];
         for (name, value) in values {
             let refusal = read(&with(&document, &place, value)).err();
-            text += &format!("{place} {name}: {}\n", refusal.as_deref().unwrap_or("accepted"));
+            text += &format!(
+                "{place} {name}: {}\n",
+                refusal.as_deref().unwrap_or("accepted")
+            );
         }
     }
     assert_eq!(text, REFUSALS);
@@ -131,7 +205,10 @@
 #[test]
 fn a_text_that_is_no_document_is_refused() {
     let refusal = Settings::read(b"{").unwrap_err().to_string();
-    assert_eq!(refusal, "settings: EOF while parsing an object at line 1 column 1");
+    assert_eq!(
+        refusal,
+        "settings: EOF while parsing an object at line 1 column 1"
+    );
 }
 
 /// One test, for the variable is the process' own.
@@ -141,7 +218,10 @@
     std::env::remove_var("ASPENDRUM_SETTINGS");
     assert_eq!(load(), Err("ASPENDRUM_SETTINGS is not set".to_string()));
     std::env::set_var("ASPENDRUM_SETTINGS", "/no/such/file");
-    assert_eq!(load(), Err("/no/such/file: No such file or directory (os error 2)".to_string()));
+    assert_eq!(
+        load(),
+        Err("/no/such/file: No such file or directory (os error 2)".to_string())
+    );
     let file = std::env::temp_dir().join(format!("settings-{}.json", std::process::id()));
     std::fs::write(&file, SETTINGS).unwrap();
     std::env::set_var("ASPENDRUM_SETTINGS", &file);
--- a/crates/aspendrum-model/tests/wire_bytes.rs
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -3,8 +3,8 @@
 
 use aspendrum_model::hash::{digest, highest_ranked, rank};
 use aspendrum_model::message::{
-    ControlAddress, Envelope, FromControl, ProxyEndpoint, Readiness, Revision, StateDigest, StateSection,
-    ToControl,
+    ControlAddress, Envelope, FromControl, ProxyEndpoint, Readiness, Revision, StateDigest,
+    StateSection, ToControl,
 };
 use aspendrum_model::packed::{pack, unpack};
 use aspendrum_model::servers::ServerInstance;
@@ -32,30 +32,56 @@
 fn pinned(name: &str) -> Vec<u8> {
     let mut lines = MESSAGES.lines().filter_map(|line| line.split_once(' '));
     let line = lines.find(|line| line.0 == name);
-    bytes(line.unwrap_or_else(|| panic!("the fixture has no line {name}")).1)
+    bytes(
+        line.unwrap_or_else(|| panic!("the fixture has no line {name}"))
+            .1,
+    )
 }
 
 /// The value is written as the fixture has it, and read back from there.
 fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: T) {
     let written = postcard::to_allocvec(&value).unwrap();
-    assert_eq!(hexadecimal(&written), hexadecimal(&pinned(name)), "{name}: {value:?}");
-    assert_eq!(postcard::from_bytes::<T>(&pinned(name)).unwrap(), value, "{name}");
+    assert_eq!(
+        hexadecimal(&written),
+        hexadecimal(&pinned(name)),
+        "{name}: {value:?}"
+    );
+    assert_eq!(
+        postcard::from_bytes::<T>(&pinned(name)).unwrap(),
+        value,
+        "{name}"
+    );
 }
 
 fn mark() -> Revision {
-    Revision { config: 300, evacuation: 7 }
+    Revision {
+        config: 300,
+        evacuation: 7,
+    }
 }
 
 fn edition() -> StateDigest {
-    StateDigest { revision: mark(), digests: [1, 0x80, 0xffff_ffff_ffff_ffff, 0] }
+    StateDigest {
+        revision: mark(),
+        digests: [1, 0x80, 0xffff_ffff_ffff_ffff, 0],
+    }
 }
 
 fn front(readiness: Readiness, current: bool) -> ProxyEndpoint {
-    ProxyEndpoint { addr: "10.1.0.31:8206".parse().unwrap(), zone: "poa-a".into(), readiness, current }
+    ProxyEndpoint {
+        addr: "10.1.0.31:8206".parse().unwrap(),
+        zone: "poa-a".into(),
+        readiness,
+        current,
+    }
 }
 
 fn control_address() -> ControlAddress {
-    ControlAddress { ip: "10.1.0.34".parse().unwrap(), zone: "cwb-a".into(), reachable: true }
+    ControlAddress {
+        ip: "10.1.0.34".parse().unwrap(),
+        zone: "cwb-a".into(),
+        reachable: true,
+    }
 }
 
 fn server() -> ServerInstance {
@@ -73,9 +99,24 @@
 fn sections() -> [(&'static str, StateSection); 5] {
     [
         ("config", StateSection::config(12, b"packed".to_vec())),
-        ("evacuated", StateSection::Evacuated { number: 9, zones: vec!["poa-a".into(), "poa-b".into()] }),
-        ("servers", StateSection::Servers { age: 450, list: vec![server()] }),
-        ("proxies", StateSection::Proxies(vec![front(Readiness::Ready, true)])),
+        (
+            "evacuated",
+            StateSection::Evacuated {
+                number: 9,
+                zones: vec!["poa-a".into(), "poa-b".into()],
+            },
+        ),
+        (
+            "servers",
+            StateSection::Servers {
+                age: 450,
+                list: vec![server()],
+            },
+        ),
+        (
+            "proxies",
+            StateSection::Proxies(vec![front(Readiness::Ready, true)]),
+        ),
         ("control", StateSection::Control(vec![control_address()])),
     ]
 }
@@ -100,7 +141,10 @@
 #[test]
 fn messages_to_an_agent_or_a_proxy_keep_their_bytes() {
     for (name, part) in sections() {
-        check(&format!("down.update.{name}"), FromControl::Update { number: 1000, part });
+        check(
+            &format!("down.update.{name}"),
+            FromControl::Update { number: 1000, part },
+        );
     }
     let heartbeat = |age, heard, deserted| FromControl::Heartbeat {
         stamp: 5,
@@ -109,16 +153,30 @@
         control_reachable: heard,
         most_agents_isolated: deserted,
     };
-    check("down.heartbeat.confirmed", heartbeat(Some(1500), true, false));
+    check(
+        "down.heartbeat.confirmed",
+        heartbeat(Some(1500), true, false),
+    );
     check("down.heartbeat.unconfirmed", heartbeat(None, false, true));
     check("down.resync", FromControl::Resync);
 }
 
 fn messages_from_an_agent_or_a_proxy() -> [(&'static str, ToControl); 4] {
-    let (host, front, zone) = ("edge-1".to_string(), "10.1.0.31:8206".parse().unwrap(), "poa-a".to_string());
+    let (host, front, zone) = (
+        "edge-1".to_string(),
+        "10.1.0.31:8206".parse().unwrap(),
+        "poa-a".to_string(),
+    );
     [
         ("hello", ToControl::Hello { host, front, zone }),
-        ("heartbeat", ToControl::Heartbeat { stamp: 5, readiness: Readiness::Draining, applied: edition() }),
+        (
+            "heartbeat",
+            ToControl::Heartbeat {
+                stamp: 5,
+                readiness: Readiness::Draining,
+                applied: edition(),
+            },
+        ),
         ("disconnecting", ToControl::Disconnecting),
         ("applied", ToControl::Applied { number: 1000 }),
     ]
@@ -134,7 +192,10 @@
 #[test]
 fn what_arrives_at_control_keeps_its_bytes() {
     for (name, message) in messages_from_an_agent_or_a_proxy() {
-        check(&format!("envelope.up.{name}"), Envelope::<()>::Agent(message));
+        check(
+            &format!("envelope.up.{name}"),
+            Envelope::<()>::Agent(message),
+        );
     }
     check("envelope.between.nothing", Envelope::Peer(()));
     check("envelope.between.bytes", Envelope::Peer(vec![1_u8, 2, 3]));
@@ -148,10 +209,19 @@
 
 #[test]
 fn sections_keep_their_numbers_and_a_damaged_configuration_is_found() {
-    let kinds: Vec<usize> = sections().iter().map(|(_, section)| section.kind()).collect();
+    let kinds: Vec<usize> = sections()
+        .iter()
+        .map(|(_, section)| section.kind())
+        .collect();
     assert_eq!(kinds, [0, 1, 2, 3, 4]);
-    assert!(sections().iter().all(|(_, section)| section.has_valid_checksum()));
-    let damaged = StateSection::Config { version: 12, text: b"packet".to_vec(), checksum: digest(b"packed") };
+    assert!(sections()
+        .iter()
+        .all(|(_, section)| section.has_valid_checksum()));
+    let damaged = StateSection::Config {
+        version: 12,
+        text: b"packet".to_vec(),
+        checksum: digest(b"packed"),
+    };
     assert!(!damaged.has_valid_checksum());
 }
 
@@ -165,18 +235,35 @@
 #[test]
 fn a_revision_covers_what_is_not_newer_in_either_number() {
     let older = [
-        Revision { config: 300, evacuation: 7 },
-        Revision { config: 299, evacuation: 7 },
+        Revision {
+            config: 300,
+            evacuation: 7,
+        },
+        Revision {
+            config: 299,
+            evacuation: 7,
+        },
         Revision::default(),
     ];
     assert!(older.iter().all(|other| mark().covers(other)));
-    let newer = [Revision { config: 301, evacuation: 7 }, Revision { config: 0, evacuation: 8 }];
+    let newer = [
+        Revision {
+            config: 301,
+            evacuation: 7,
+        },
+        Revision {
+            config: 0,
+            evacuation: 8,
+        },
+    ];
     assert!(newer.iter().all(|other| !mark().covers(other)));
 }
 
 const DIGEST: u64 = 0x963e_db87_da3f_fe7d;
 const RANKS: [u64; 2] = [0x1722_dee5_0e00_c79c, 0x40ec_3339_838d_6d11];
-const OWNERS: [u64; 16] = [10, 30, 10, 20, 10, 10, 20, 30, 30, 30, 30, 10, 30, 10, 20, 10];
+const OWNERS: [u64; 16] = [
+    10, 30, 10, 20, 10, 10, 20, 30, 30, 30, 30, 10, 30, 10, 20, 10,
+];
 
 /// All nodes must compute the same digests and the same owner of a key, also those of another version.
 #[test]
@@ -185,7 +272,9 @@
     assert_eq!(digest(b"aspendrum"), DIGEST);
     assert_eq!([rank(1, 2), rank(2, 1)], RANKS);
     let members = || [10, 20, 30].into_iter().map(|member| (member, member));
-    let owners: Vec<u64> = (0..16).filter_map(|key| highest_ranked(key, members())).collect();
+    let owners: Vec<u64> = (0..16)
+        .filter_map(|key| highest_ranked(key, members()))
+        .collect();
     assert_eq!(owners, OWNERS);
     assert_eq!(highest_ranked::<u64>(1, std::iter::empty()), None);
 }
@@ -197,6 +286,9 @@
     let text = include_str!("fixtures/config.json");
     assert_eq!(hexadecimal(&pack(text.as_bytes())), PACKED.trim());
     assert_eq!(unpack(&bytes(PACKED.trim())).unwrap(), text.as_bytes());
-    assert_eq!((hexadecimal(&pack(b"")), unpack(&[0x03, 0x00])), ("0300".to_string(), Some(Vec::new())));
+    assert_eq!(
+        (hexadecimal(&pack(b"")), unpack(&[0x03, 0x00])),
+        ("0300".to_string(), Some(Vec::new()))
+    );
     assert_eq!(unpack(b"no packed text"), None);
 }
--- a/crates/aspendrum-net/src/daemon.rs
+++ b/crates/aspendrum-net/src/daemon.rs
@@ -90,10 +90,19 @@
 /// One line of key=value pairs for each event, to standard error.
 fn log(level: LevelFilter) -> Result<(), String> {
     let mut config = ConfigBuilder::new();
-    config.set_time_level(LevelFilter::Off).set_thread_level(LevelFilter::Off);
-    config.set_target_level(LevelFilter::Off).set_location_level(LevelFilter::Off);
-    TermLogger::init(level, config.build(), TerminalMode::Stderr, ColorChoice::Never)
-        .map_err(|e| e.to_string())
+    config
+        .set_time_level(LevelFilter::Off)
+        .set_thread_level(LevelFilter::Off);
+    config
+        .set_target_level(LevelFilter::Off)
+        .set_location_level(LevelFilter::Off);
+    TermLogger::init(
+        level,
+        config.build(),
+        TerminalMode::Stderr,
+        ColorChoice::Never,
+    )
+    .map_err(|e| e.to_string())
 }
 
 /// The signals, and a file that may be replaced without any: `told` hears of each.
@@ -106,7 +115,11 @@
     let own = told.clone();
     spawn("signals", 64 << 10, move || {
         for signal in signals.forever() {
-            own(if signal == SIGHUP { Request::Reload } else { Request::End });
+            own(if signal == SIGHUP {
+                Request::Reload
+            } else {
+                Request::End
+            });
         }
     })?;
     spawn("settings", 64 << 10, move || {
--- a/crates/aspendrum-net/src/disconnect_metrics.rs
+++ b/crates/aspendrum-net/src/disconnect_metrics.rs
@@ -13,8 +13,10 @@
 /// Between two lines in the log.
 const REPORT_EVERY: Duration = Duration::from_millis(1000);
 
-const KINDS: [(RequestKind, &str); 2] =
-    [(RequestKind::Idempotent, "repeatable"), (RequestKind::OnceOnly, "once_only")];
+const KINDS: [(RequestKind, &str); 2] = [
+    (RequestKind::Idempotent, "repeatable"),
+    (RequestKind::OnceOnly, "once_only"),
+];
 const STAGES: [(ForwardStage, &str); 4] = [
     (ForwardStage::Waiting, "waiting"),
     (ForwardStage::Dialling, "dialling"),
@@ -44,7 +46,11 @@
     /// [`BOUND`] after the departure the request is still at that stage: a violation, unless it is broken off there and
     /// its server works on.
     pub fn record_overdue(&self, kind: RequestKind, stage: ForwardStage, broken_off: bool) {
-        let counters = if broken_off { &self.kept_on } else { &self.overdue };
+        let counters = if broken_off {
+            &self.kept_on
+        } else {
+            &self.overdue
+        };
         counters[kind as usize][stage as usize].fetch_add(1, Relaxed);
     }
 
@@ -62,7 +68,12 @@
 
     /// Violations of the invariant so far.
     pub fn violations(&self) -> u64 {
-        self.overdue.iter().flatten().chain(&self.sent_late).map(|n| n.load(Relaxed)).sum()
+        self.overdue
+            .iter()
+            .flatten()
+            .chain(&self.sent_late)
+            .map(|n| n.load(Relaxed))
+            .sum()
     }
 
     /// All that is not 0, as `name{kind="...",stage="..."} number` a line.
@@ -77,7 +88,12 @@
             for (kind, kind_name) in KINDS {
                 for (stage, stage_name) in STAGES {
                     let labels = format!("kind=\"{kind_name}\",stage=\"{stage_name}\"");
-                    line(&mut out, name, &labels, &counters[kind as usize][stage as usize]);
+                    line(
+                        &mut out,
+                        name,
+                        &labels,
+                        &counters[kind as usize][stage as usize],
+                    );
                 }
             }
         }
@@ -117,8 +133,14 @@
         if !news || self.told_at.is_some_and(|at| at.elapsed() < REPORT_EVERY) {
             return None;
         }
-        *self = DisconnectReporter { told_at: Some(Instant::now()), departures, violations };
+        *self = DisconnectReporter {
+            told_at: Some(Instant::now()),
+            departures,
+            violations,
+        };
         let text = figures.text().replace('"', "").replace('\n', " ");
-        Some(format!("event=clients_left departures={departures} violations={violations} {text}"))
+        Some(format!(
+            "event=clients_left departures={departures} violations={violations} {text}"
+        ))
     }
 }
--- a/crates/aspendrum-net/src/disconnects.rs
+++ b/crates/aspendrum-net/src/disconnects.rs
@@ -41,7 +41,14 @@
     pub fn new(stream: Arc<TcpStream>) -> ClientConnection {
         let [request, since, left_at] = [NONE; 3].map(AtomicU64::new);
         let [ended_here, overdue] = [false; 2].map(AtomicBool::new);
-        ClientConnection { stream, request, since, left_at, ended_here, overdue }
+        ClientConnection {
+            stream,
+            request,
+            since,
+            left_at,
+            ended_here,
+            overdue,
+        }
     }
 
     /// A request is in hand, under a number that is not 0. False: its client has left, and nothing may be sent on for it.
@@ -91,11 +98,17 @@
     }
 
     fn leave(&self, watch: &DisconnectWatcher) -> bool {
-        self.left_at.compare_exchange(NONE, watch.clock(), Ordering::SeqCst, Ordering::SeqCst).is_ok()
+        self.left_at
+            .compare_exchange(NONE, watch.clock(), Ordering::SeqCst, Ordering::SeqCst)
+            .is_ok()
     }
 
     fn has_bytes(&self) -> bool {
-        let looked = recv(&*self.stream, &mut [0_u8], RecvFlags::PEEK | RecvFlags::DONTWAIT);
+        let looked = recv(
+            &*self.stream,
+            &mut [0_u8],
+            RecvFlags::PEEK | RecvFlags::DONTWAIT,
+        );
         looked.is_ok_and(|(size, _)| size > 0)
     }
 
@@ -147,7 +160,10 @@
     }
 
     fn since_look(&self) -> Duration {
-        Duration::from_millis(self.clock().saturating_sub(self.looked_at.load(Ordering::Relaxed)))
+        Duration::from_millis(
+            self.clock()
+                .saturating_sub(self.looked_at.load(Ordering::Relaxed)),
+        )
     }
 
     /// The last look came so late that this process had no turn for a while: nobody has had the time to do what was due.
@@ -158,21 +174,36 @@
     /// This process had no turn for a while, and catches up.
     fn is_behind(&self) -> bool {
         if self.since_look() > LOOK_EVERY + LATE {
-            self.behind_until.store(self.clock() + CATCH_UP.as_millis() as u64, Ordering::Relaxed);
+            self.behind_until.store(
+                self.clock() + CATCH_UP.as_millis() as u64,
+                Ordering::Relaxed,
+            );
         }
         self.clock() < self.behind_until.load(Ordering::Relaxed)
     }
 
     /// Looks after connections: those whose clients are found to have left, each once.
-    pub fn poll_disconnects<C: AsRef<ClientConnection>>(&self, connections: &[Arc<C>]) -> Vec<Arc<C>> {
-        self.late.store(self.since_look() > LOOK_EVERY + LATE, Ordering::Relaxed);
+    pub fn poll_disconnects<C: AsRef<ClientConnection>>(
+        &self,
+        connections: &[Arc<C>],
+    ) -> Vec<Arc<C>> {
+        self.late
+            .store(self.since_look() > LOOK_EVERY + LATE, Ordering::Relaxed);
         self.is_behind();
         let now = self.clock();
         self.looked_at.store(now, Ordering::Relaxed);
-        let waiting: Vec<&Arc<C>> = connections.iter().filter(|c| (***c).as_ref().waits(now)).collect();
+        let waiting: Vec<&Arc<C>> = connections
+            .iter()
+            .filter(|c| (***c).as_ref().waits(now))
+            .collect();
         let streams: Vec<&TcpStream> = waiting.iter().map(|c| &*(***c).as_ref().stream).collect();
-        let gone = hung_up(&streams).into_iter().zip(waiting).filter(|(gone, _)| *gone);
-        gone.filter(|(_, c)| (***c).as_ref().leave(self)).map(|(_, c)| c.clone()).collect()
+        let gone = hung_up(&streams)
+            .into_iter()
+            .zip(waiting)
+            .filter(|(gone, _)| *gone);
+        gone.filter(|(_, c)| (***c).as_ref().leave(self))
+            .map(|(_, c)| c.clone())
+            .collect()
     }
 }
 
@@ -186,12 +217,21 @@
     if streams.is_empty() {
         return Vec::new();
     }
-    let mut asked: Vec<PollFd> = streams.iter().map(|s| PollFd::new(s, PollFlags::RDHUP)).collect();
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut asked: Vec<PollFd> = streams
+        .iter()
+        .map(|s| PollFd::new(s, PollFlags::RDHUP))
+        .collect();
+    let at_once = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     // A look that fails finds nobody; the next one is soon.
     let _ = poll(&mut asked, Some(&at_once));
     asked
         .iter()
-        .map(|fd| fd.revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR))
+        .map(|fd| {
+            fd.revents()
+                .intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+        })
         .collect()
 }
--- a/crates/aspendrum-net/src/forward.rs
+++ b/crates/aspendrum-net/src/forward.rs
@@ -67,7 +67,10 @@
 
 impl ForwardHandle {
     pub fn new(kind: RequestKind) -> ForwardHandle {
-        ForwardHandle { kind, state: Mutex::default() }
+        ForwardHandle {
+            kind,
+            state: Mutex::default(),
+        }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -80,7 +83,12 @@
         let open = state.open(forward);
         if open {
             let (stage, broken_off) = (ForwardStage::Dialling, false);
-            state.out = Some(Out { forward, stream: stream.clone(), stage, broken_off });
+            state.out = Some(Out {
+                forward,
+                stream: stream.clone(),
+                stage,
+                broken_off,
+            });
         }
         open
     }
@@ -101,7 +109,10 @@
         if state.departed {
             state.returned = Some(Instant::now());
         }
-        let broken_off = state.out.take().map_or(state.departed, |out| out.broken_off);
+        let broken_off = state
+            .out
+            .take()
+            .map_or(state.departed, |out| out.broken_off);
         broken_off || state.cancelled > u16::from(forward)
     }
 
@@ -119,7 +130,9 @@
     pub fn depart(&self) -> ForwardStage {
         let mut state = self.state();
         state.departed = true;
-        let Some(out) = &mut state.out else { return ForwardStage::Waiting };
+        let Some(out) = &mut state.out else {
+            return ForwardStage::Waiting;
+        };
         if out.stage != ForwardStage::AtServer {
             out.broken_off = true;
             let _ = out.stream.shutdown(Shutdown::Both);
@@ -141,8 +154,16 @@
     /// How far the request has come.
     pub fn progress(&self) -> Progress {
         let state = self.state();
-        let (stage, broken_off) =
-            state.out.as_ref().map_or((ForwardStage::Waiting, false), |out| (out.stage, out.broken_off));
-        Progress { stage, broken_off, returned_for: state.returned.map(|at| at.elapsed()) }
+        let (stage, broken_off) = state
+            .out
+            .as_ref()
+            .map_or((ForwardStage::Waiting, false), |out| {
+                (out.stage, out.broken_off)
+            });
+        Progress {
+            stage,
+            broken_off,
+            returned_for: state.returned.map(|at| at.elapsed()),
+        }
     }
 }
--- a/crates/aspendrum-net/src/frames.rs
+++ b/crates/aspendrum-net/src/frames.rs
@@ -54,17 +54,22 @@
         stream.set_nodelay(true)?;
         let _ = SockRef::from(&*stream).set_tcp_user_timeout(Some(silence));
         let own = stream.clone();
-        let post = mailbox::spawn_receiver(room, move |inbox: mailbox::MailboxReceiver<Vec<u8>>| {
-            spawn("link", STACK, move || {
-                while let Ok(bytes) = inbox.recv_deadline(None) {
-                    if bytes.is_empty() || (&*own).write_all(&bytes).is_err() {
-                        break;
+        let post =
+            mailbox::spawn_receiver(room, move |inbox: mailbox::MailboxReceiver<Vec<u8>>| {
+                spawn("link", STACK, move || {
+                    while let Ok(bytes) = inbox.recv_deadline(None) {
+                        if bytes.is_empty() || (&*own).write_all(&bytes).is_err() {
+                            break;
+                        }
                     }
-                }
-                let _ = own.shutdown(Shutdown::Both);
-            })
-        })?;
-        Ok(Link { post, stream, finished: AtomicBool::new(false) })
+                    let _ = own.shutdown(Shutdown::Both);
+                })
+            })?;
+        Ok(Link {
+            post,
+            stream,
+            finished: AtomicBool::new(false),
+        })
     }
 
     pub fn dial(to: SocketAddrV4, wait: Duration) -> io::Result<Arc<TcpStream>> {
--- a/crates/aspendrum-net/src/http1.rs
+++ b/crates/aspendrum-net/src/http1.rs
@@ -29,7 +29,9 @@
         if !known && !h.name.eq_ignore_ascii_case("transfer-encoding") {
             continue;
         }
-        let value = std::str::from_utf8(h.value).map_err(|_| FramingError)?.trim();
+        let value = std::str::from_utf8(h.value)
+            .map_err(|_| FramingError)?
+            .trim();
         let next = if known {
             let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
             BodyLength::Known(if digits {
@@ -65,7 +67,10 @@
         let (from, to) = (at + skip, at + skip + size as usize);
         if size == 0 {
             // Trailers are read over, up to the empty line.
-            return match (bytes[from..].starts_with(b"\r\n"), find(&bytes[from..], b"\r\n\r\n")) {
+            return match (
+                bytes[from..].starts_with(b"\r\n"),
+                find(&bytes[from..], b"\r\n\r\n"),
+            ) {
                 (true, _) => Parsed::Complete((from + 2, body)),
                 (_, Some(end)) => Parsed::Complete((from + end + 4, body)),
                 _ => Parsed::Incomplete,
@@ -87,11 +92,16 @@
 }
 
 pub fn raw_header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a [u8]> {
-    headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
+    headers
+        .iter()
+        .find(|h| h.name.eq_ignore_ascii_case(name))
+        .map(|h| h.value)
 }
 
 pub fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
-    std::str::from_utf8(raw_header(headers, name)?).ok().map(str::trim)
+    std::str::from_utf8(raw_header(headers, name)?)
+        .ok()
+        .map(str::trim)
 }
 
 pub fn wants_close(headers: &[httparse::Header], version: Option<u8>) -> bool {
@@ -168,7 +178,10 @@
 }
 
 fn owned(headers: &[httparse::Header]) -> Headers {
-    headers.iter().map(|h| (h.name.to_string(), h.value.to_vec())).collect()
+    headers
+        .iter()
+        .map(|h| (h.name.to_string(), h.value.to_vec()))
+        .collect()
 }
 
 /// The body behind a head of that many bytes, and how many bytes it takes up.
@@ -208,7 +221,9 @@
         Parsed::Incomplete => return Parsed::Incomplete,
         Parsed::Invalid(status) => return Parsed::Invalid(status),
     };
-    let (Some(method), Some(path)) = (head.method, head.path) else { return Parsed::Invalid(400) };
+    let (Some(method), Some(path)) = (head.method, head.path) else {
+        return Parsed::Invalid(400);
+    };
     let request = Request {
         method: method.to_string(),
         path: path.to_string(),
@@ -229,7 +244,9 @@
         let bytes = ring.contiguous();
         let at = match head.parse(bytes) {
             Ok(httparse::Status::Complete(at)) if at <= bounds.head => at,
-            Ok(httparse::Status::Partial) if bytes.len() < bounds.head => return Parsed::Incomplete,
+            Ok(httparse::Status::Partial) if bytes.len() < bounds.head => {
+                return Parsed::Incomplete
+            }
             _ => return Parsed::Invalid(502),
         };
         let status = head.code.unwrap_or(0);
@@ -287,12 +304,19 @@
 
 /// An answer of our own, whole.
 pub fn encode_response(status: u16, headers: &[(&str, &str)], close: bool, body: &[u8]) -> Vec<u8> {
-    let mut out =
-        format!("HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason_phrase(status), body.len());
+    let mut out = format!(
+        "HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n",
+        reason_phrase(status),
+        body.len()
+    );
     for (name, value) in headers {
         out += &format!("{name}: {value}\r\n");
     }
-    out += if close { "Connection: close\r\n\r\n" } else { "\r\n" };
+    out += if close {
+        "Connection: close\r\n\r\n"
+    } else {
+        "\r\n"
+    };
     let mut out = out.into_bytes();
     out.extend_from_slice(body);
     out
--- a/crates/aspendrum-net/src/http_client.rs
+++ b/crates/aspendrum-net/src/http_client.rs
@@ -25,7 +25,12 @@
             idle: Duration::from_secs(3),
             rest: Duration::ZERO,
         };
-        HttpClient { to, bounds, lines, conn: None }
+        HttpClient {
+            to,
+            bounds,
+            lines,
+            conn: None,
+        }
     }
 
     pub fn to(&self) -> SocketAddrV4 {
@@ -48,25 +53,41 @@
         }
     }
 
-    fn once(&mut self, method: &str, path: &str, body: &[u8], until: Instant) -> Result<Response, String> {
+    fn once(
+        &mut self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+        until: Instant,
+    ) -> Result<Response, String> {
         let mut conn = match self.conn.take() {
             Some(conn) => conn,
             None => {
                 let left = until.saturating_duration_since(Instant::now());
-                Connection::open_unpooled(self.to.into(), left, &self.lines).map_err(|e| e.to_string())?
+                Connection::open_unpooled(self.to.into(), left, &self.lines)
+                    .map_err(|e| e.to_string())?
             }
         };
         let length = if body.is_empty() && method == "GET" {
             String::new()
         } else {
-            format!("Content-Type: application/json\r\nContent-Length: {}\r\n", body.len())
+            format!(
+                "Content-Type: application/json\r\nContent-Length: {}\r\n",
+                body.len()
+            )
         };
-        write!(conn.outward, "{method} {path} HTTP/1.1\r\nHost: {}\r\n{length}\r\n", self.to)
-            .and_then(|()| conn.outward.write_all(body))
-            .map_err(|e| e.to_string())?;
+        write!(
+            conn.outward,
+            "{method} {path} HTTP/1.1\r\nHost: {}\r\n{length}\r\n",
+            self.to
+        )
+        .and_then(|()| conn.outward.write_all(body))
+        .map_err(|e| e.to_string())?;
         conn.send().map_err(|e| format!("{e:?}"))?;
         let bounds = self.bounds;
-        let answer = conn.receive(until, &self.lines, |ring| http1::parse_response(ring, &bounds));
+        let answer = conn.receive(until, &self.lines, |ring| {
+            http1::parse_response(ring, &bounds)
+        });
         let answer = answer.map_err(|e| format!("{e:?}"))?;
         if !answer.close {
             self.conn = Some(conn);
