--- a/crates/aspendrum-net/src/http_server.rs
+++ b/crates/aspendrum-net/src/http_server.rs
@@ -29,15 +29,27 @@
 
 impl Reply {
     pub fn plain(status: u16) -> Reply {
-        Reply { status, headers: Vec::new(), body: Vec::new() }
+        Reply {
+            status,
+            headers: Vec::new(),
+            body: Vec::new(),
+        }
     }
 
     pub fn text(body: String) -> Reply {
-        Reply { status: 200, headers: vec![("Content-Type", "text/plain".into())], body: body.into_bytes() }
+        Reply {
+            status: 200,
+            headers: vec![("Content-Type", "text/plain".into())],
+            body: body.into_bytes(),
+        }
     }
 
     pub fn json(body: Vec<u8>) -> Reply {
-        Reply { status: 200, headers: vec![("Content-Type", "application/json".into())], body }
+        Reply {
+            status: 200,
+            headers: vec![("Content-Type", "application/json".into())],
+            body,
+        }
     }
 }
 
@@ -65,8 +77,13 @@
 
 fn attend(stream: &TcpStream, terms: &ServerOptions, serve: &dyn Fn(Request) -> Reply) {
     let mut ring = RingBuffer::new(1 << 10, terms.bounds.head + terms.bounds.body + 1024);
-    let set = stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(terms.idle)));
-    if set.and_then(|()| stream.set_write_timeout(Some(terms.idle))).is_err() {
+    let set = stream
+        .set_nodelay(true)
+        .and_then(|()| stream.set_read_timeout(Some(terms.idle)));
+    if set
+        .and_then(|()| stream.set_write_timeout(Some(terms.idle)))
+        .is_err()
+    {
         return;
     }
     loop {
@@ -84,7 +101,8 @@
                 (serve(request), close)
             }
         };
-        let headers: Vec<(&str, &str)> = reply.headers.iter().map(|h| (h.0, h.1.as_str())).collect();
+        let headers: Vec<(&str, &str)> =
+            reply.headers.iter().map(|h| (h.0, h.1.as_str())).collect();
         let bytes = http1::encode_response(reply.status, &headers, close, &reply.body);
         if (&*stream).write_all(&bytes).is_err() {
             return;
--- a/crates/aspendrum-net/src/mailbox.rs
+++ b/crates/aspendrum-net/src/mailbox.rs
@@ -30,7 +30,13 @@
 /// Creates a mailbox of `capacity` messages whose receiver is the calling thread.
 pub fn for_current_thread<T>(capacity: usize) -> (MailboxSender<T>, MailboxReceiver<T>) {
     let (sender, messages) = bounded(capacity);
-    (MailboxSender { messages: sender, receiver_thread: thread::current() }, MailboxReceiver { messages })
+    (
+        MailboxSender {
+            messages: sender,
+            receiver_thread: thread::current(),
+        },
+        MailboxReceiver { messages },
+    )
 }
 
 /// Creates a mailbox of `capacity` messages for the thread that `start` spawns with the receiver.
@@ -43,7 +49,10 @@
 ) -> std::io::Result<MailboxSender<T>> {
     let (sender, messages) = bounded(capacity);
     let receiver_thread = start(MailboxReceiver { messages })?.thread().clone();
-    Ok(MailboxSender { messages: sender, receiver_thread })
+    Ok(MailboxSender {
+        messages: sender,
+        receiver_thread,
+    })
 }
 
 impl<T> MailboxReceiver<T> {
@@ -85,7 +94,10 @@
     /// # Errors
     /// The message itself, if there is no capacity or no receiver.
     pub fn try_send(&self, message: T) -> Result<(), T> {
-        let sent = self.messages.try_send(message).map_err(TrySendError::into_inner);
+        let sent = self
+            .messages
+            .try_send(message)
+            .map_err(TrySendError::into_inner);
         self.receiver_thread.unpark();
         sent
     }
--- a/crates/aspendrum-net/src/path_matcher.rs
+++ b/crates/aspendrum-net/src/path_matcher.rs
@@ -24,7 +24,9 @@
 /// Finds what a request calls. `path` is the target as it came.
 pub fn find<'p, C: Copy>(tree: &[Node<C>], method: &str, path: &'p str) -> Found<'p, C> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
-    let Some(path) = path.strip_prefix('/') else { return Found::Nothing };
+    let Some(path) = path.strip_prefix('/') else {
+        return Found::Nothing;
+    };
     let segments: Vec<&str> = path.split('/').collect();
     let (mut kept, mut known) = (Vec::new(), false);
     match walk(tree, method, &segments, &mut kept, &mut known) {
@@ -69,5 +71,9 @@
 
 /// The value of a name in a query.
 pub fn argument<'q>(query: &'q str, name: &str) -> Option<&'q str> {
-    query.split('&').filter_map(|pair| pair.split_once('=')).find(|p| p.0 == name).map(|p| p.1)
+    query
+        .split('&')
+        .filter_map(|pair| pair.split_once('='))
+        .find(|p| p.0 == name)
+        .map(|p| p.1)
 }
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -93,8 +93,18 @@
     }
 
     /// A connection outside the pool's count, for discovery.
-    pub fn open_unpooled(addr: SocketAddr, wait: Duration, lines: &PoolLimits) -> io::Result<Connection> {
-        Connection::open(addr, wait, lines, DescriptorPermit(Arc::new(AtomicUsize::new(1))), |_| true)
+    pub fn open_unpooled(
+        addr: SocketAddr,
+        wait: Duration,
+        lines: &PoolLimits,
+    ) -> io::Result<Connection> {
+        Connection::open(
+            addr,
+            wait,
+            lines,
+            DescriptorPermit(Arc::new(AtomicUsize::new(1))),
+            |_| true,
+        )
     }
 
     /// How long it had rested when it was taken; nothing for a new one.
@@ -118,7 +128,9 @@
 
     /// Writes what stands in the outward ring. A failure means that the last byte was never written.
     pub fn send(&mut self) -> Result<(), Outcome> {
-        self.outward.drain(&mut &*self.stream).map_err(|_| Outcome::ConnectFailed)
+        self.outward
+            .drain(&mut &*self.stream)
+            .map_err(|_| Outcome::ConnectFailed)
     }
 
     /// Reads one whole answer, as the codec finds it.
@@ -141,7 +153,11 @@
             }
             // Short of the end it is looked at again each time that the usual wait is over.
             let wait = left.clamp(lines.shortest, lines.read);
-            let limited = if wait == self.read_wait { Ok(()) } else { from.set_read_timeout(Some(wait)) };
+            let limited = if wait == self.read_wait {
+                Ok(())
+            } else {
+                from.set_read_timeout(Some(wait))
+            };
             self.read_wait = wait;
             match limited.and_then(|()| self.inward.fill(&mut from)) {
                 Ok(0) => return Err(Outcome::Reset),
@@ -168,7 +184,11 @@
 
 impl Pool {
     pub fn new(lines: PoolLimits) -> Pool {
-        Pool { shelves: Mutex::default(), open: Arc::default(), lines }
+        Pool {
+            shelves: Mutex::default(),
+            open: Arc::default(),
+            lines,
+        }
     }
 
     pub fn limits(&self) -> &PoolLimits {
@@ -184,7 +204,10 @@
         let mut shelves = self.shelves();
         let shelf = shelves.entry(server).or_default();
         if shelf.dial != Some(dial) {
-            *shelf = IdleConnections { dial: Some(dial), idle: Vec::new() };
+            *shelf = IdleConnections {
+                dial: Some(dial),
+                idle: Vec::new(),
+            };
         }
     }
 
@@ -219,13 +242,25 @@
                 let mut shelves = self.shelves();
                 let shelf = shelves.get_mut(&server).ok_or(Outcome::ConnectFailed)?;
                 let fits = |rest: Duration| rest >= self.lines.rest && rest <= most;
-                let rested = shelf.idle.iter().rposition(|c| fits(c.idle_since.elapsed()));
-                (shelf.dial.ok_or(Outcome::ConnectFailed)?, rested.map(|at| shelf.idle.remove(at)))
+                let rested = shelf
+                    .idle
+                    .iter()
+                    .rposition(|c| fits(c.idle_since.elapsed()));
+                (
+                    shelf.dial.ok_or(Outcome::ConnectFailed)?,
+                    rested.map(|at| shelf.idle.remove(at)),
+                )
             };
             match conn {
-                Some(mut conn) if conn.idle_since.elapsed() < conn.good_for && conn.still_good() => {
+                Some(mut conn)
+                    if conn.idle_since.elapsed() < conn.good_for && conn.still_good() =>
+                {
                     conn.rested = conn.idle_since.elapsed();
-                    return if shown(&conn.stream) { Ok(conn) } else { Err(Outcome::Moot) };
+                    return if shown(&conn.stream) {
+                        Ok(conn)
+                    } else {
+                        Err(Outcome::Moot)
+                    };
                 }
                 Some(_) => {}
                 None => {
--- a/crates/aspendrum-net/src/ring_buffer.rs
+++ b/crates/aspendrum-net/src/ring_buffer.rs
@@ -12,7 +12,13 @@
 
 impl RingBuffer {
     pub fn new(small: usize, top: usize) -> RingBuffer {
-        RingBuffer { buf: Vec::new(), start: 0, len: 0, small: small.min(top), top }
+        RingBuffer {
+            buf: Vec::new(),
+            start: 0,
+            len: 0,
+            small: small.min(top),
+            top,
+        }
     }
 
     pub fn is_empty(&self) -> bool {
@@ -23,11 +29,18 @@
     /// no sender can make it grow.
     pub fn fill(&mut self, from: &mut impl Read) -> io::Result<usize> {
         if self.len == self.top {
-            return Err(io::Error::new(io::ErrorKind::OutOfMemory, "more than the ring may hold"));
+            return Err(io::Error::new(
+                io::ErrorKind::OutOfMemory,
+                "more than the ring may hold",
+            ));
         }
         self.room(1);
         let (size, end) = (self.buf.len(), self.start + self.len);
-        let free = if end < size { end..size } else { end - size..self.start };
+        let free = if end < size {
+            end..size
+        } else {
+            end - size..self.start
+        };
         let n = from.read(&mut self.buf[free])?;
         self.len += n;
         Ok(n)
@@ -60,7 +73,11 @@
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
-        self.start = if self.len == 0 { 0 } else { (self.start + n) % self.buf.len() };
+        self.start = if self.len == 0 {
+            0
+        } else {
+            (self.start + n) % self.buf.len()
+        };
         if self.len == 0 && self.buf.len() > 4 * self.small {
             self.buf = Vec::new();
         }
@@ -94,7 +111,10 @@
 
 /// The read ended with its time, not with the connection.
 pub fn is_timeout(e: &io::Error) -> bool {
-    matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
+    matches!(
+        e.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+    )
 }
 
 impl Write for RingBuffer {
--- a/crates/aspendrum-net/src/workers.rs
+++ b/crates/aspendrum-net/src/workers.rs
@@ -28,7 +28,11 @@
 
 impl WorkerPool {
     pub fn new(stack: usize, wait: Duration) -> WorkerPool {
-        WorkerPool { idle: Arc::default(), stack, wait }
+        WorkerPool {
+            idle: Arc::default(),
+            stack,
+            wait,
+        }
     }
 
     /// Hands the job back if no thread is free and none can be started.
@@ -49,12 +53,17 @@
 
     fn work(&self, place: &Arc<Mutex<Option<Job>>>) {
         loop {
-            let Some(job) = lock(place).take() else { return };
+            let Some(job) = lock(place).take() else {
+                return;
+            };
             // A job that fails must not take a thread along that others may wait for.
             if catch_unwind(AssertUnwindSafe(job)).is_err() {
                 tracing::error!("a job failed");
             }
-            lock(&self.idle).push(Worker { thread: thread::current(), job: place.clone() });
+            lock(&self.idle).push(Worker {
+                thread: thread::current(),
+                job: place.clone(),
+            });
             let until = Instant::now() + self.wait;
             while lock(place).is_none() {
                 let left = until.saturating_duration_since(Instant::now());
@@ -81,5 +90,8 @@
     stack: usize,
     body: impl FnOnce() + Send + 'static,
 ) -> std::io::Result<thread::JoinHandle<()>> {
-    thread::Builder::new().name(name.to_string()).stack_size(stack).spawn(body)
+    thread::Builder::new()
+        .name(name.to_string())
+        .stack_size(stack)
+        .spawn(body)
 }
--- a/crates/aspendrum-net/tests/disconnects.rs
+++ b/crates/aspendrum-net/tests/disconnects.rs
@@ -28,7 +28,9 @@
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let own = listener.accept().unwrap().0;
     // A test that fails ends.
-    [&client, &own].iter().for_each(|stream| stream.set_read_timeout(Some(PATIENCE)).unwrap());
+    [&client, &own]
+        .iter()
+        .for_each(|stream| stream.set_read_timeout(Some(PATIENCE)).unwrap());
     (client, Arc::new(own))
 }
 
@@ -60,11 +62,17 @@
     drop(leaver);
     let connections = [one.clone(), other.clone()];
     let found = left(&watch, &connections);
-    assert!(begun.elapsed() >= WAITED - Duration::from_millis(2), "a request that ends soon costs no call");
+    assert!(
+        begun.elapsed() >= WAITED - Duration::from_millis(2),
+        "a request that ends soon costs no call"
+    );
     assert!(found.len() == 1 && found[0].0.request() == Some(7));
     assert!(one.0.has_disconnected() && !other.0.has_disconnected());
     assert!(watch.poll_disconnects(&connections).is_empty());
-    assert!(one.0.time_since_disconnect(&watch).is_some() && other.0.time_since_disconnect(&watch).is_none());
+    assert!(
+        one.0.time_since_disconnect(&watch).is_some()
+            && other.0.time_since_disconnect(&watch).is_none()
+    );
     // Whatever else would be read on that connection has nobody to answer.
     assert!(!one.0.begin(9, &watch));
     assert!(one.0.becomes_overdue() && !one.0.becomes_overdue());
@@ -143,7 +151,11 @@
                 && forward.reach(0, ForwardStage::AtServer)
         );
         assert_eq!(forward.depart(), ForwardStage::AtServer);
-        assert_eq!(stage(&forward), (ForwardStage::AtServer, false), "it may end by itself");
+        assert_eq!(
+            stage(&forward),
+            (ForwardStage::AtServer, false),
+            "it may end by itself"
+        );
         assert_eq!(forward.progress().returned_for, None);
         forward.break_off();
         let broken_off = kind == RequestKind::Idempotent;
@@ -156,7 +168,10 @@
         assert_eq!((&*own).read(&mut [0]).unwrap(), 1);
         assert_eq!(forward.leave(0), broken_off);
         // Danger: a run that was let finish counts as waiting in the moment between its end and the request's.
-        assert!(forward.progress().returned_for.is_some_and(|returned_for| returned_for <= begun.elapsed()));
+        assert!(forward
+            .progress()
+            .returned_for
+            .is_some_and(|returned_for| returned_for <= begun.elapsed()));
         // A late word does not strike the connection's next request.
         forward.break_off();
         assert_eq!((&*own).write(b"x").is_ok(), !broken_off);
@@ -179,8 +194,11 @@
     assert!(forward.enter(0, &stream));
     let begun = Instant::now();
     let own = stream.clone();
-    let dialling =
-        thread::spawn(move || socket2::SockRef::from(&*own).connect_timeout(&at.into(), PATIENCE).is_err());
+    let dialling = thread::spawn(move || {
+        socket2::SockRef::from(&*own)
+            .connect_timeout(&at.into(), PATIENCE)
+            .is_err()
+    });
     // A word that comes before it dials finds nothing to end: it is said again.
     while !dialling.is_finished() {
         forward.depart();
@@ -237,9 +255,22 @@
         }
         Reply::plain(200)
     };
-    let bounds = MessageLimits { head: 1 << 10, body: 1 << 10 };
+    let bounds = MessageLimits {
+        head: 1 << 10,
+        body: 1 << 10,
+    };
     let (idle, workers) = (PATIENCE, PATIENCE);
-    http_server::listen(at, ServerOptions { stack: 128 << 10, bounds, idle, workers }, serve).unwrap();
+    http_server::listen(
+        at,
+        ServerOptions {
+            stack: 128 << 10,
+            bounds,
+            idle,
+            workers,
+        },
+        serve,
+    )
+    .unwrap();
     let call = |method: &str, path: &str| {
         format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").into_bytes()
     };
--- a/crates/aspendrum-net/tests/wire_bytes.rs
+++ b/crates/aspendrum-net/tests/wire_bytes.rs
@@ -16,7 +16,10 @@
 use std::time::Duration;
 
 const PATIENCE: Duration = Duration::from_secs(20);
-const BOUNDS: MessageLimits = MessageLimits { head: 256, body: 64 };
+const BOUNDS: MessageLimits = MessageLimits {
+    head: 256,
+    body: 64,
+};
 
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 enum Sample {
@@ -25,7 +28,10 @@
 }
 
 fn sample() -> Sample {
-    Sample::Named { number: 300, text: "abc".into() }
+    Sample::Named {
+        number: 300,
+        text: "abc".into(),
+    }
 }
 
 const SAMPLE_FRAME: &[u8] = b"\x07\x00\x00\x00\x01\xac\x02\x03abc";
@@ -38,16 +44,35 @@
     let mut two: &[u8] = &[SAMPLE_FRAME, b"\x01\x00\x00\x00\x00"].concat();
     assert_eq!(read_frame::<Sample>(&mut two).unwrap(), sample());
     assert_eq!(read_frame::<Sample>(&mut two).unwrap(), Sample::Empty);
-    assert_eq!(read_frame::<Sample>(&mut two).unwrap_err().kind(), ErrorKind::UnexpectedEof);
+    assert_eq!(
+        read_frame::<Sample>(&mut two).unwrap_err().kind(),
+        ErrorKind::UnexpectedEof
+    );
 }
 
 #[test]
 fn what_is_no_frame_is_refused() {
     let refusal = |mut bytes: &[u8]| read_frame::<Sample>(&mut bytes).unwrap_err().kind();
-    assert_eq!(refusal(&SAMPLE_FRAME[..5]), ErrorKind::UnexpectedEof, "cut short");
-    assert_eq!(refusal(b"\x01\x00\x00\x00\x02"), ErrorKind::InvalidData, "an unknown variant");
-    assert_eq!(refusal(b"\x01\x00\x00\x02"), ErrorKind::InvalidData, "longer than 32 MiB");
-    assert_eq!(refusal(b"\x00\x00\x00\x02"), ErrorKind::UnexpectedEof, "32 MiB");
+    assert_eq!(
+        refusal(&SAMPLE_FRAME[..5]),
+        ErrorKind::UnexpectedEof,
+        "cut short"
+    );
+    assert_eq!(
+        refusal(b"\x01\x00\x00\x00\x02"),
+        ErrorKind::InvalidData,
+        "an unknown variant"
+    );
+    assert_eq!(
+        refusal(b"\x01\x00\x00\x02"),
+        ErrorKind::InvalidData,
+        "longer than 32 MiB"
+    );
+    assert_eq!(
+        refusal(b"\x00\x00\x00\x02"),
+        ErrorKind::UnexpectedEof,
+        "32 MiB"
+    );
 }
 
 /// Both ends of a connection.
@@ -55,7 +80,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let server = listener.accept().unwrap().0;
-    [&client, &server].iter().for_each(|stream| stream.set_read_timeout(Some(PATIENCE)).unwrap());
+    [&client, &server]
+        .iter()
+        .for_each(|stream| stream.set_read_timeout(Some(PATIENCE)).unwrap());
     (client, server)
 }
 
@@ -73,7 +100,10 @@
     link.send(&Sample::Empty);
     link.finish();
     drop(link);
-    assert_eq!(until_end(&peer), [SAMPLE_FRAME, b"\x01\x00\x00\x00\x00"].concat());
+    assert_eq!(
+        until_end(&peer),
+        [SAMPLE_FRAME, b"\x01\x00\x00\x00\x00"].concat()
+    );
 }
 
 #[test]
@@ -127,13 +157,32 @@
         b"POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody\
           GET / HTTP/1.1\r\nConnection: close\r\n\r\n",
     );
-    let Parsed::Complete(first) = http1::parse_request(&mut ring, &BOUNDS) else { panic!("the first") };
-    let headers = vec![("Host".to_string(), b"h".to_vec()), ("Content-Length".to_string(), b"4".to_vec())];
+    let Parsed::Complete(first) = http1::parse_request(&mut ring, &BOUNDS) else {
+        panic!("the first")
+    };
+    let headers = vec![
+        ("Host".to_string(), b"h".to_vec()),
+        ("Content-Length".to_string(), b"4".to_vec()),
+    ];
     let (method, path, body) = ("POST".to_string(), "/a?b=c".to_string(), b"body".to_vec());
-    assert_eq!(first, Request { method, path, headers, body, close: false });
-    let Parsed::Complete(second) = http1::parse_request(&mut ring, &BOUNDS) else { panic!("the second") };
+    assert_eq!(
+        first,
+        Request {
+            method,
+            path,
+            headers,
+            body,
+            close: false
+        }
+    );
+    let Parsed::Complete(second) = http1::parse_request(&mut ring, &BOUNDS) else {
+        panic!("the second")
+    };
     assert!(second.method == "GET" && second.close && second.body.is_empty());
-    assert!(matches!(http1::parse_request(&mut ring, &BOUNDS), Parsed::Incomplete));
+    assert!(matches!(
+        http1::parse_request(&mut ring, &BOUNDS),
+        Parsed::Incomplete
+    ));
 }
 
 #[test]
@@ -142,16 +191,29 @@
     let head_of_300 = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(300));
     let cases = [
         ("GET / HTTP/9.9\r\n\r\n".to_string(), 400),
-        ("POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n".to_string(), 400),
-        ("POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n".to_string(), 400),
-        ("POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n".to_string(), 400),
+        (
+            "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n".to_string(),
+            400,
+        ),
+        (
+            "POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n".to_string(),
+            400,
+        ),
+        (
+            "POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n".to_string(),
+            400,
+        ),
         (format!("{chunked}Content-Length: 1\r\n\r\n"), 400),
         (format!("{chunked}\r\n41\r\n"), 400),
-        ("POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n".to_string(), 413),
+        (
+            "POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n".to_string(),
+            413,
+        ),
         (head_of_300, 431),
     ];
     for (text, status) in cases {
-        let Parsed::Invalid(found) = http1::parse_request(&mut ring(text.as_bytes()), &BOUNDS) else {
+        let Parsed::Invalid(found) = http1::parse_request(&mut ring(text.as_bytes()), &BOUNDS)
+        else {
             panic!("{text}")
         };
         assert_eq!(found, status, "{text}");
@@ -165,11 +227,24 @@
           HTTP/1.1 200 Fine\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nTrailer: t\r\n\r\n\
           HTTP/1.0 204 None\r\n\r\n",
     );
-    let Parsed::Complete(first) = http1::parse_response(&mut ring, &BOUNDS) else { panic!("the first") };
+    let Parsed::Complete(first) = http1::parse_response(&mut ring, &BOUNDS) else {
+        panic!("the first")
+    };
     let headers = vec![("Transfer-Encoding".to_string(), b"chunked".to_vec())];
     let (reason, body) = ("Fine".to_string(), b"abcd".to_vec());
-    assert_eq!(first, Response { status: 200, reason, headers, body, close: false });
-    let Parsed::Complete(second) = http1::parse_response(&mut ring, &BOUNDS) else { panic!("the second") };
+    assert_eq!(
+        first,
+        Response {
+            status: 200,
+            reason,
+            headers,
+            body,
+            close: false
+        }
+    );
+    let Parsed::Complete(second) = http1::parse_response(&mut ring, &BOUNDS) else {
+        panic!("the second")
+    };
     assert!(second.status == 204 && second.close, "HTTP/1.0 closes");
     assert!(ring.is_empty());
 }
@@ -182,7 +257,10 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n",
     ] {
         assert!(
-            matches!(http1::parse_response(&mut ring(text.as_bytes()), &BOUNDS), Parsed::Invalid(502)),
+            matches!(
+                http1::parse_response(&mut ring(text.as_bytes()), &BOUNDS),
+                Parsed::Invalid(502)
+            ),
             "{text}"
         );
     }
@@ -194,7 +272,8 @@
     let always = "connection keep-alive te trailer transfer-encoding upgrade proxy-connection content-length expect x-own";
     for name in always.split(' ') {
         assert!(
-            http1::is_hop_by_hop(&headers, name) && http1::is_hop_by_hop(&headers, &name.to_uppercase()),
+            http1::is_hop_by_hop(&headers, name)
+                && http1::is_hop_by_hop(&headers, &name.to_uppercase()),
             "{name}"
         );
     }
@@ -210,7 +289,9 @@
         let mut requests = Vec::new();
         let mut stream: Option<TcpStream> = None;
         for answer in answers {
-            let mut connection = stream.take().unwrap_or_else(|| listener.accept().unwrap().0);
+            let mut connection = stream
+                .take()
+                .unwrap_or_else(|| listener.accept().unwrap().0);
             connection.set_read_timeout(Some(PATIENCE)).unwrap();
             let mut bytes = vec![0; 1024];
             let size = connection.read(&mut bytes).unwrap();
@@ -229,8 +310,14 @@
     let (to, requests) = server(vec![answer, answer, answer]);
     let mut caller = HttpClient::new(to, BOUNDS);
     assert_eq!(caller.call("GET", "/a", b"", PATIENCE).unwrap().body, b"ok");
-    assert_eq!(caller.call("POST", "/b", b"body", PATIENCE).unwrap().status, 200);
-    assert_eq!(caller.call("POST", "/c", b"", PATIENCE).unwrap().reason, "OK");
+    assert_eq!(
+        caller.call("POST", "/b", b"body", PATIENCE).unwrap().status,
+        200
+    );
+    assert_eq!(
+        caller.call("POST", "/c", b"", PATIENCE).unwrap().reason,
+        "OK"
+    );
     let json = "Content-Type: application/json\r\nContent-Length:";
     assert_eq!(
         requests.join().unwrap(),
@@ -245,8 +332,11 @@
 /// Operators read these texts behind the address.
 #[test]
 fn a_call_without_an_answer_says_why() {
-    let call =
-        |to| HttpClient::new(to, BOUNDS).call("GET", "/", b"", PATIENCE).map_err(|why| why.to_string());
+    let call = |to| {
+        HttpClient::new(to, BOUNDS)
+            .call("GET", "/", b"", PATIENCE)
+            .map_err(|why| why.to_string())
+    };
     let (to, requests) = server(vec![b""]);
     assert_eq!(call(to).unwrap_err(), "Reset");
     requests.join().unwrap();
@@ -255,7 +345,8 @@
     requests.join().unwrap();
     // Bound, so that nobody else takes the port, and not listening.
     let deaf = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    deaf.bind(&SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0).into()).unwrap();
+    deaf.bind(&SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0).into())
+        .unwrap();
     let to = deaf.local_addr().unwrap().as_socket_ipv4().unwrap();
     assert_eq!(call(to).unwrap_err(), "Connection refused (os error 111)");
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -269,14 +360,22 @@
     let serve = |request: Request| match request.path.as_str() {
         "/text" => Reply::text("text".into()),
         "/json" => Reply::json(b"{}".to_vec()),
-        "/moved" => {
-            Reply { status: 307, headers: vec![("Location", "/there".to_string())], body: Vec::new() }
-        }
+        "/moved" => Reply {
+            status: 307,
+            headers: vec![("Location", "/there".to_string())],
+            body: Vec::new(),
+        },
         _ => Reply::plain(404),
     };
-    let terms = ServerOptions { stack: 128 << 10, bounds: BOUNDS, idle: PATIENCE, workers: PATIENCE };
+    let terms = ServerOptions {
+        stack: 128 << 10,
+        bounds: BOUNDS,
+        idle: PATIENCE,
+        workers: PATIENCE,
+    };
     let at = |port| SocketAddrV4::new(Ipv4Addr::new(127, 0, 8, 1), port);
-    let port = (20_000..30_000).find(|port| http_server::listen(at(*port), terms.clone(), serve).is_ok());
+    let port =
+        (20_000..30_000).find(|port| http_server::listen(at(*port), terms.clone(), serve).is_ok());
     let address = at(port.expect("a port is free"));
     let calls = [
         (
@@ -311,16 +410,22 @@
     let figures = DisconnectMetrics::default();
     let kinds = [RequestKind::Idempotent, RequestKind::OnceOnly];
     for kind in kinds {
-        for stage in
-            [ForwardStage::Waiting, ForwardStage::Dialling, ForwardStage::Sending, ForwardStage::AtServer]
-        {
+        for stage in [
+            ForwardStage::Waiting,
+            ForwardStage::Dialling,
+            ForwardStage::Sending,
+            ForwardStage::AtServer,
+        ] {
             figures.record_disconnect(kind, stage);
             figures.record_overdue(kind, stage, false);
             figures.record_overdue(kind, stage, true);
         }
         figures.record_sent_late(kind, BOUND * 2);
     }
-    assert_eq!(figures.text(), include_str!("fixtures/disconnect_figures.txt"));
+    assert_eq!(
+        figures.text(),
+        include_str!("fixtures/disconnect_figures.txt")
+    );
 }
 
 #[test]
@@ -328,14 +433,26 @@
     let tree = [
         Node::Word(
             "api",
-            vec![Node::Word("Show", vec![Node::Leaf("GET", 1)]), Node::Any(vec![Node::Leaf("POST", 2)])],
+            vec![
+                Node::Word("Show", vec![Node::Leaf("GET", 1)]),
+                Node::Any(vec![Node::Leaf("POST", 2)]),
+            ],
         ),
         Node::Leaf("GET", 3),
     ];
-    assert_eq!(find(&tree, "GET", "/api/Show?a=b"), Found::Call(1, vec![], "a=b"));
-    assert_eq!(find(&tree, "POST", "/api/zone"), Found::Call(2, vec!["zone"], ""));
+    assert_eq!(
+        find(&tree, "GET", "/api/Show?a=b"),
+        Found::Call(1, vec![], "a=b")
+    );
+    assert_eq!(
+        find(&tree, "POST", "/api/zone"),
+        Found::Call(2, vec!["zone"], "")
+    );
     assert_eq!(find(&tree, "PUT", "/api/Show"), Found::OtherMethod);
     assert_eq!(find(&tree, "GET", "/api/"), Found::Nothing);
     assert_eq!(find(&tree, "GET", "api"), Found::Nothing);
-    assert_eq!((argument("a=b&c=d", "c"), argument("a=b", "c")), (Some("d"), None));
+    assert_eq!(
+        (argument("a=b&c=d", "c"), argument("a=b", "c")),
+        (Some("d"), None)
+    );
 }
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -25,7 +25,11 @@
     pub fn beat(&self, stamp: u64, readiness: Readiness, applied: StateDigest) {
         let link = lock(&self.0).clone();
         if let Some(link) = link {
-            link.send(&ToControl::Heartbeat { stamp, readiness, applied });
+            link.send(&ToControl::Heartbeat {
+                stamp,
+                readiness,
+                applied,
+            });
         }
     }
 }
@@ -38,14 +42,20 @@
         if let Ok(stream) = Link::dial(at, SILENCE) {
             if let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) {
                 let link = Arc::new(link);
-                link.send(&ToControl::Hello { host: host.clone(), front, zone: zone.clone() });
+                link.send(&ToControl::Hello {
+                    host: host.clone(),
+                    front,
+                    zone: zone.clone(),
+                });
                 *lock(&shop.agent.0) = Some(link.clone());
                 let mut from = BufReader::with_capacity(4 << 10, &*stream);
                 while let Ok(said) = frames::read_frame::<FromControl>(&mut from) {
                     match said {
                         FromControl::Update { number, part } => {
-                            let orders =
-                                matches!(part, StateSection::Config { .. } | StateSection::Evacuated { .. });
+                            let orders = matches!(
+                                part,
+                                StateSection::Config { .. } | StateSection::Evacuated { .. }
+                            );
                             shop.desk.apply(part);
                             if orders {
                                 shop.collate();
--- a/crates/aspendrum-proxy/src/answer.rs
+++ b/crates/aspendrum-proxy/src/answer.rs
@@ -23,7 +23,11 @@
 
 enum Said {
     /// An answer of our own. `again`: when the client may come again.
-    Own { status: u16, id: String, again: Option<Ms> },
+    Own {
+        status: u16,
+        id: String,
+        again: Option<Ms>,
+    },
     /// A server's answer, under that status.
     Server { response: Response, status: u16 },
     /// The client has left.
@@ -32,16 +36,29 @@
 
 impl Answer {
     pub fn own(status: u16, id: &str, again: Option<Ms>, then: Then) -> Answer {
-        Answer { said: Said::Own { status, id: id.to_string(), again }, then }
+        Answer {
+            said: Said::Own {
+                status,
+                id: id.to_string(),
+                again,
+            },
+            then,
+        }
     }
 
     pub fn passed_on(response: Response, status: u16, then: Then) -> Answer {
-        Answer { said: Said::Server { response, status }, then }
+        Answer {
+            said: Said::Server { response, status },
+            then,
+        }
     }
 
     /// For a client that has left.
     pub fn nothing() -> Answer {
-        Answer { said: Said::Nothing, then: Then::Ends }
+        Answer {
+            said: Said::Nothing,
+            then: Then::Ends,
+        }
     }
 
     /// Whether the connection ends behind it. `leaving`: the proxy ends, or has too many; `ahead`: more of the client's
--- a/crates/aspendrum-proxy/src/counts.rs
+++ b/crates/aspendrum-proxy/src/counts.rs
@@ -66,13 +66,21 @@
     pub fn of(rate: f64, burst: f64, leave: &Leave) -> Quota {
         let burst = if burst > 0.0 { burst } else { rate };
         if rate <= 0.0 {
-            return Quota { rate: 0.0, burst: 0.0, window: 0.0 };
+            return Quota {
+                rate: 0.0,
+                burst: 0.0,
+                window: 0.0,
+            };
         }
         let window = (burst / rate).max(LEAST_WINDOW_S);
-        let allowed =
-            (leave.win * rate + burst) * (1.0 + LEAVE_TAKEN * leave.excess) + LEAVE_TAKEN * leave.slack;
+        let allowed = (leave.win * rate + burst) * (1.0 + LEAVE_TAKEN * leave.excess)
+            + LEAVE_TAKEN * leave.slack;
         let burst = allowed / (leave.win / window + 1.0);
-        Quota { rate: burst / window, burst, window: window * 1000.0 }
+        Quota {
+            rate: burst / window,
+            burst,
+            window: window * 1000.0,
+        }
     }
 }
 
@@ -102,8 +110,11 @@
         self.counters.retain(|name, _| quotas.contains_key(name));
         self.since.retain(|name, _| quotas.contains_key(name));
         if self.listed {
-            let new = quotas.keys().filter(|name| !self.quotas.contains_key(name) && holds(**name));
-            self.since.extend(new.map(|name| (*name, f64::NEG_INFINITY)));
+            let new = quotas
+                .keys()
+                .filter(|name| !self.quotas.contains_key(name) && holds(**name));
+            self.since
+                .extend(new.map(|name| (*name, f64::NEG_INFINITY)));
         }
         self.quotas = quotas;
     }
@@ -123,9 +134,15 @@
             let since = self.since.remove(name);
             let counter = self.counters.remove(name);
             let total = counter.as_ref().map(|c| c.total as f32);
-            let Some(begun) = counter.map(|c| c.begun).or(since) else { continue };
+            let Some(begun) = counter.map(|c| c.begun).or(since) else {
+                continue;
+            };
             let age = (now - begun).clamp(0.0, f64::from(u32::MAX)) as u32;
-            handed.push(Handed { name: *name, total, age });
+            handed.push(Handed {
+                name: *name,
+                total,
+                age,
+            });
         }
         handed
     }
@@ -136,7 +153,10 @@
         match handed.total {
             _ if !self.quotas.contains_key(&handed.name) => {}
             Some(total) if total >= 0.0 && total.is_finite() => {
-                let counter = self.counters.entry(handed.name).or_insert(Counter { total: 0.0, begun });
+                let counter = self
+                    .counters
+                    .entry(handed.name)
+                    .or_insert(Counter { total: 0.0, begun });
                 counter.total += f64::from(total);
             }
             Some(_) => {}
@@ -157,9 +177,15 @@
                 return None;
             }
         }
-        let counter = self.counters.entry(name).or_insert(Counter { total: 0.0, begun: now });
+        let counter = self.counters.entry(name).or_insert(Counter {
+            total: 0.0,
+            begun: now,
+        });
         if now - counter.begun >= quota.window {
-            *counter = Counter { total: 0.0, begun: now };
+            *counter = Counter {
+                total: 0.0,
+                begun: now,
+            };
         }
         counter.total += f64::from(add);
         Some(counter.total as f32)
@@ -204,24 +230,43 @@
             return None;
         }
         let gone = |c: &Call| !holders.contains(&c.holder);
-        let lost: Vec<u32> = self.waiting.iter().filter(|w| gone(w.1)).map(|w| *w.0).collect();
+        let lost: Vec<u32> = self
+            .waiting
+            .iter()
+            .filter(|w| gone(w.1))
+            .map(|w| *w.0)
+            .collect();
         self.holders = holders;
-        Some(lost.iter().filter_map(|call| self.waiting.remove(call)).collect())
+        Some(
+            lost.iter()
+                .filter_map(|call| self.waiting.remove(call))
+                .collect(),
+        )
     }
 
     /// Who holds a name; none while no proxy is known.
     pub fn holder(&self, name: u64) -> Option<Ipv4Addr> {
-        highest_ranked(name, self.holders.iter().map(|h| (u64::from(u32::from(*h)), *h)))
+        highest_ranked(
+            name,
+            self.holders.iter().map(|h| (u64::from(u32::from(*h)), *h)),
+        )
     }
 
     /// Begins a call; the number that its answer bears.
     pub fn begin(&mut self, now: Ms, holder: Ipv4Addr, name: u64) -> u32 {
         self.next = self.next.wrapping_add(1);
-        let wait = self
-            .ways
-            .get(&holder)
-            .map_or(FIRST_WAIT, |w| (2.0 * w.mean + 4.0 * w.dev + LEAST_WAIT).clamp(LEAST_WAIT, MOST_WAIT));
-        self.waiting.insert(self.next, Call { name, holder, sent: now, until: now + wait });
+        let wait = self.ways.get(&holder).map_or(FIRST_WAIT, |w| {
+            (2.0 * w.mean + 4.0 * w.dev + LEAST_WAIT).clamp(LEAST_WAIT, MOST_WAIT)
+        });
+        self.waiting.insert(
+            self.next,
+            Call {
+                name,
+                holder,
+                sent: now,
+                until: now + wait,
+            },
+        );
         self.next
     }
 
@@ -230,7 +275,10 @@
         self.waiting.get(&call).filter(|c| c.holder == from)?;
         let call = self.waiting.remove(&call)?;
         let rtt = now - call.sent;
-        let way = self.ways.entry(call.holder).or_insert(Way { mean: rtt, dev: rtt / 2.0 });
+        let way = self.ways.entry(call.holder).or_insert(Way {
+            mean: rtt,
+            dev: rtt / 2.0,
+        });
         way.dev += 0.25 * ((rtt - way.mean).abs() - way.dev);
         way.mean += 0.125 * (rtt - way.mean);
         Some(call)
@@ -238,7 +286,14 @@
 
     /// Calls without an answer in time.
     pub fn late(&mut self, now: Ms) -> Vec<Call> {
-        let late: Vec<u32> = self.waiting.iter().filter(|w| now >= w.1.until).map(|w| *w.0).collect();
-        late.iter().filter_map(|call| self.waiting.remove(call)).collect()
+        let late: Vec<u32> = self
+            .waiting
+            .iter()
+            .filter(|w| now >= w.1.until)
+            .map(|w| *w.0)
+            .collect();
+        late.iter()
+            .filter_map(|call| self.waiting.remove(call))
+            .collect()
     }
 }
--- a/crates/aspendrum-proxy/src/departures.rs
+++ b/crates/aspendrum-proxy/src/departures.rs
@@ -39,10 +39,18 @@
     if left_for >= LET_END {
         shop.desk.break_off(request);
     }
-    let Some((kind, progress)) = shop.desk.progress(request).filter(|_| !shop.watch.is_late()) else {
+    let Some((kind, progress)) = shop
+        .desk
+        .progress(request)
+        .filter(|_| !shop.watch.is_late())
+    else {
         return;
     };
-    let Progress { stage, broken_off, returned_for } = progress;
+    let Progress {
+        stage,
+        broken_off,
+        returned_for,
+    } = progress;
     let let_finish = (kind, stage) == (RequestKind::OnceOnly, ForwardStage::AtServer);
     // A run that was let finish, and has just come back, ends a moment later.
     let due_for = returned_for.map_or(left_for, |returned_for| returned_for.min(left_for));
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -199,8 +199,12 @@
             until: self.at(ask.until),
             acct,
             plan,
-            spread: (inner.stacks.sharers() as f64 / if inner.alone { ALONE_SHARE } else { LOCAL_SHARE })
-                as f32,
+            spread: (inner.stacks.sharers() as f64
+                / if inner.alone {
+                    ALONE_SHARE
+                } else {
+                    LOCAL_SHARE
+                }) as f32,
             units: 1.0,
             first: 0.0,
             client_repeat: false,
@@ -209,18 +213,48 @@
             zones: ask.zones,
             most: view.config.routes[ask.route].tries.min(u32::from(u8::MAX)) as u8,
         };
-        let Ask { orders, forward, service: pool, .. } = ask;
-        inner.seats.insert(id, Seat { orders, forward, pool, forwards: 0 });
+        let Ask {
+            orders,
+            forward,
+            service: pool,
+            ..
+        } = ask;
+        inner.seats.insert(
+            id,
+            Seat {
+                orders,
+                forward,
+                pool,
+                forwards: 0,
+            },
+        );
         self.turn(&mut inner, now, &Event::Query(new));
         id
     }
 
     /// A forward has ended.
-    pub fn ended(&self, id: QueryId, forward: u8, server: ServerId, how: (Outcome, Ms, Load), over: bool) {
+    pub fn ended(
+        &self,
+        id: QueryId,
+        forward: u8,
+        server: ServerId,
+        how: (Outcome, Ms, Load),
+        over: bool,
+    ) {
         let (outcome, rtt, load) = how;
         let now = self.now();
         let mut inner = lock(&self.inner);
-        let event = Event::ForwardEnded { id, forward, server, outcome, rtt, over, used: 0, actual: 1, load };
+        let event = Event::ForwardEnded {
+            id,
+            forward,
+            server,
+            outcome,
+            rtt,
+            over,
+            used: 0,
+            actual: 1,
+            load,
+        };
         self.turn(&mut inner, now, &event);
         if over {
             inner.seats.remove(&id);
@@ -256,13 +290,19 @@
     /// How far a query has come. `None`: it is over.
     pub fn progress(&self, id: QueryId) -> Option<(RequestKind, Progress)> {
         let inner = lock(&self.inner);
-        inner.seats.get(&id).map(|seat| (seat.forward.kind, seat.forward.progress()))
+        inner
+            .seats
+            .get(&id)
+            .map(|seat| (seat.forward.kind, seat.forward.progress()))
     }
 
     /// Where a server is and what it is called.
     pub fn server(&self, id: ServerId) -> Option<(SocketAddrV4, String)> {
         let inner = lock(&self.inner);
-        inner.stacks.book(id).map(|b| (self.settings.way(b.addr()), b.server.uid.clone()))
+        inner
+            .stacks
+            .book(id)
+            .map(|b| (self.settings.way(b.addr()), b.server.uid.clone()))
     }
 
     /// A server's address, name and the path of its health check.
@@ -270,19 +310,39 @@
         let (addr, uid, service) = {
             let inner = lock(&self.inner);
             let book = inner.stacks.book(id)?;
-            (self.settings.way(book.addr()), book.server.uid.clone(), book.server.service.clone())
+            (
+                self.settings.way(book.addr()),
+                book.server.uid.clone(),
+                book.server.service.clone(),
+            )
         };
         let check = self.view()?.config.service(&service)?.check.clone();
         Some((addr, uid, check))
     }
 
-    pub fn probed(&self, server: ServerId, outcome: Outcome, rtt: Ms, load: Load, warm_left: Option<Ms>) {
+    pub fn probed(
+        &self,
+        server: ServerId,
+        outcome: Outcome,
+        rtt: Ms,
+        load: Load,
+        warm_left: Option<Ms>,
+    ) {
         let now = self.now();
         let mut inner = lock(&self.inner);
         if let Some(left) = warm_left {
             inner.stacks.said_cold(now, server, left);
         }
-        self.turn(&mut inner, now, &Event::Probed { server, outcome, rtt, load });
+        self.turn(
+            &mut inner,
+            now,
+            &Event::Probed {
+                server,
+                outcome,
+                rtt,
+                load,
+            },
+        );
     }
 
     /// What is due. The servers that the module wants to hear of.
@@ -304,7 +364,16 @@
     /// A call to a counter has ended.
     fn counted(&self, inner: &mut Inner, now: Ms, call: Call, outcome: Outcome, total: f32) {
         let (name, rtt) = (call.name, now - call.sent);
-        self.turn(inner, now, &Event::Counted { name, outcome, total, rtt });
+        self.turn(
+            inner,
+            now,
+            &Event::Counted {
+                name,
+                outcome,
+                total,
+                rtt,
+            },
+        );
     }
 
     /// A datagram of another proxy. The answer to it, if it asks.
@@ -354,7 +423,15 @@
     fn members(&self, inner: &mut Inner, now: Ms) {
         while !inner.members.is_empty() {
             let entries = std::mem::take(&mut inner.members);
-            self.handle(inner, now, &Event::Members { list: ListKind::Delta, version: 0, entries: &entries });
+            self.handle(
+                inner,
+                now,
+                &Event::Members {
+                    list: ListKind::Delta,
+                    version: 0,
+                    entries: &entries,
+                },
+            );
         }
     }
 
@@ -362,8 +439,18 @@
         for act in acts.drain(..) {
             match act {
                 Action::Forward { id, server, .. } => self.forward(inner, now, id, server),
-                Action::Shed { id, retry_after, beyond } => {
-                    inner.say(id, Order::Shed { advice: retry_after, beyond });
+                Action::Shed {
+                    id,
+                    retry_after,
+                    beyond,
+                } => {
+                    inner.say(
+                        id,
+                        Order::Shed {
+                            advice: retry_after,
+                            beyond,
+                        },
+                    );
                 }
                 Action::Drop { id } => inner.say(id, Order::Drop),
                 Action::Count { name, add, .. } => self.count(inner, now, name, add),
@@ -383,7 +470,9 @@
     }
 
     fn forward(&self, inner: &mut Inner, now: Ms, id: QueryId, server: ServerId) {
-        let Some(seat) = inner.seats.get_mut(&id) else { return };
+        let Some(seat) = inner.seats.get_mut(&id) else {
+            return;
+        };
         let (forward, pool) = (seat.forwards, seat.pool);
         seat.forwards += 1;
         let (may, change) = inner.stacks.leave_for(now, server);
@@ -396,8 +485,19 @@
             inner.say(id, Order::Spent);
         }
         // It never left; without the budget for it the query is over.
-        let (outcome, load, rtt, over, used, actual) = (Outcome::Moot, Load::default(), 0.0, spent, 0, 0);
-        inner.later.push(Event::ForwardEnded { id, forward, server, outcome, rtt, over, used, actual, load });
+        let (outcome, load, rtt, over, used, actual) =
+            (Outcome::Moot, Load::default(), 0.0, spent, 0, 0);
+        inner.later.push(Event::ForwardEnded {
+            id,
+            forward,
+            server,
+            outcome,
+            rtt,
+            over,
+            used,
+            actual,
+            load,
+        });
     }
 
     fn count(&self, inner: &mut Inner, now: Ms, name: u64, add: f32) {
@@ -406,19 +506,35 @@
         let total = match inner.calls.holder(tenant).filter(|_| !inner.alone) {
             Some(holder) if holder != self.me => {
                 let call = inner.calls.begin(now, holder, name);
-                return self.send(holder, &Word::Add { call, name: tenant, add });
+                return self.send(
+                    holder,
+                    &Word::Add {
+                        call,
+                        name: tenant,
+                        add,
+                    },
+                );
             }
             Some(_) => inner.ledger.add(now, tenant, add),
             None => None,
         };
-        let (outcome, total) = total.map_or((Outcome::ConnectFailed, 0.0), |total| (Outcome::Ok, total));
-        inner.later.push(Event::Counted { name, outcome, total, rtt: 0.0 });
+        let (outcome, total) =
+            total.map_or((Outcome::ConnectFailed, 0.0), |total| (Outcome::Ok, total));
+        inner.later.push(Event::Counted {
+            name,
+            outcome,
+            total,
+            rtt: 0.0,
+        });
     }
 
     pub fn send(&self, to: Ipv4Addr, word: &Word) {
         let mut space = [0; 32];
         if let Ok(bytes) = postcard::to_slice(word, &mut space) {
-            let _ = self.socket.send_to(bytes, self.settings.way(SocketAddrV4::new(to, self.count_port)));
+            let _ = self.socket.send_to(
+                bytes,
+                self.settings.way(SocketAddrV4::new(to, self.count_port)),
+            );
         }
     }
 
@@ -426,7 +542,9 @@
     pub fn apply(&self, part: StateSection) {
         let now = self.now();
         match part {
-            StateSection::Config { .. } if !part.has_valid_checksum() => log::warn!("event=torn_push"),
+            StateSection::Config { .. } if !part.has_valid_checksum() => {
+                log::warn!("event=torn_push")
+            }
             StateSection::Config { version, text, .. } => {
                 match Config::read(&unpack(&text).unwrap_or_default()) {
                     Ok(config) => self.configure(config),
@@ -466,7 +584,11 @@
 
     fn fronts(&self, now: Ms, fronts: &[ProxyEndpoint]) {
         let ips = |wanted: &dyn Fn(&ProxyEndpoint) -> bool| {
-            let mut ips: Vec<Ipv4Addr> = fronts.iter().filter(|f| wanted(f)).map(|f| *f.addr.ip()).collect();
+            let mut ips: Vec<Ipv4Addr> = fronts
+                .iter()
+                .filter(|f| wanted(f))
+                .map(|f| *f.addr.ip())
+                .collect();
             ips.sort_unstable();
             ips.dedup();
             ips
@@ -502,38 +624,79 @@
             return;
         }
         for service in &config.services {
-            let warmth = Warmth { warmup: service.warmup_s * 1000.0, rate: service.warm_rate_s };
+            let warmth = Warmth {
+                warmup: service.warmup_s * 1000.0,
+                rate: service.warm_rate_s,
+            };
             inner.stacks.warmth(&service.name, warmth);
         }
         let tenants: &[Tenant] = config.tenants.as_deref().unwrap_or(&[]);
         let groups = config.routes.iter().map(|r| inner.group(r)).collect();
         let leave = self.leave();
         let quota = |t: &Tenant| Quota::of(t.rate_s, t.burst, &leave);
-        let plans = tenants.iter().map(|t| inner.plan(&t.name, quota(t))).collect();
-        let accts: Vec<AcctId> = tenants.iter().map(|t| digest(t.name.as_bytes()) & NAMES).collect();
+        let plans = tenants
+            .iter()
+            .map(|t| inner.plan(&t.name, quota(t)))
+            .collect();
+        let accts: Vec<AcctId> = tenants
+            .iter()
+            .map(|t| digest(t.name.as_bytes()) & NAMES)
+            .collect();
         let Inner { ledger, calls, .. } = &mut *inner;
-        let quotas = accts.iter().copied().zip(tenants.iter().map(quota)).collect();
+        let quotas = accts
+            .iter()
+            .copied()
+            .zip(tenants.iter().map(quota))
+            .collect();
         ledger.quotas(quotas, |name| calls.holder(name) == Some(self.me));
-        let pools = config.services.iter().map(|s| (s.name.clone(), inner.stacks.pool(&s.name))).collect();
+        let pools = config
+            .services
+            .iter()
+            .map(|s| (s.name.clone(), inner.stacks.pool(&s.name)))
+            .collect();
         let zones = |homes: &[String]| match homes {
             [] => u64::MAX,
             homes => {
                 let number = |h: &String| self.settings.region_number(h);
-                homes.iter().filter_map(number).fold(0, |bits, n| bits | 1 << n)
+                homes
+                    .iter()
+                    .filter_map(number)
+                    .fold(0, |bits, n| bits | 1 << n)
             }
         };
         let route_zones = config.routes.iter().map(|r| zones(&r.homes)).collect();
         let tenant_zones = tenants.iter().map(|t| zones(&t.homes)).collect();
-        let Inner { control, groups: all, plans: every, .. } = &mut *inner;
+        let Inner {
+            control,
+            groups: all,
+            plans: every,
+            ..
+        } = &mut *inner;
         control.configure(all, every);
-        log::info!("event=applied version={:08x} routes={}", config.version, config.routes.len());
-        let view = View { config, groups, plans, accts, pools, route_zones, tenant_zones };
+        log::info!(
+            "event=applied version={:08x} routes={}",
+            config.version,
+            config.routes.len()
+        );
+        let view = View {
+            config,
+            groups,
+            plans,
+            accts,
+            pools,
+            route_zones,
+            tenant_zones,
+        };
         *lock(&self.view) = Some(Arc::new(view));
     }
 
     fn leave(&self) -> Leave {
         let s = &self.settings;
-        Leave { win: s.quota_win_s, excess: s.quota_excess, slack: s.quota_slack }
+        Leave {
+            win: s.quota_win_s,
+            excess: s.quota_excess,
+            slack: s.quota_slack,
+        }
     }
 
     /// Whether anything is heard of control.
@@ -576,7 +739,12 @@
     }
 
     fn group(&mut self, route: &Route) -> u16 {
-        let key = (route.goal_ms.to_bits(), route.limit_ms.to_bits(), route.repeatable, route.prio.to_bits());
+        let key = (
+            route.goal_ms.to_bits(),
+            route.limit_ms.to_bits(),
+            route.repeatable,
+            route.prio.to_bits(),
+        );
         if let Some(n) = self.group_of.get(&key) {
             return *n;
         }
@@ -585,7 +753,11 @@
             // Late answers have their worth: servers are not left idle for an aim that cannot be met.
             slo: route.limit_ms,
             limit: route.limit_ms,
-            semantics: if route.repeatable { Semantics::Repeatable } else { Semantics::Mutating },
+            semantics: if route.repeatable {
+                Semantics::Repeatable
+            } else {
+                Semantics::Mutating
+            },
             importance: 1.0 / (1.0 + route.prio),
             ..self.groups[0].clone()
         });
--- a/crates/aspendrum-proxy/src/door.rs
+++ b/crates/aspendrum-proxy/src/door.rs
@@ -38,7 +38,11 @@
     pub fn new(stream: TcpStream) -> Client {
         let stream = Arc::new(stream);
         let presence = ClientConnection::new(stream.clone());
-        Client { stream, presence, busy: AtomicBool::new(false) }
+        Client {
+            stream,
+            presence,
+            busy: AtomicBool::new(false),
+        }
     }
 }
 
@@ -65,13 +69,20 @@
 
     /// Those with a request in hand.
     pub fn in_hand(&self) -> Vec<Arc<Client>> {
-        lock(&self.open).values().filter(|c| c.presence.request().is_some()).cloned().collect()
+        lock(&self.open)
+            .values()
+            .filter(|c| c.presence.request().is_some())
+            .cloned()
+            .collect()
     }
 
     /// Ends those between queries: only the side that is read, so that a query which has come by now is still
     /// read and answered.
     pub fn close_idle(&self) {
-        for client in lock(&self.open).values().filter(|c| !c.busy.load(Ordering::Acquire)) {
+        for client in lock(&self.open)
+            .values()
+            .filter(|c| !c.busy.load(Ordering::Acquire))
+        {
             client.presence.end_idle();
         }
     }
@@ -108,7 +119,11 @@
 
 fn attend(shop: &Shop, client: &Client) {
     let stream = &client.stream;
-    if stream.set_nodelay(true).and_then(|()| stream.set_write_timeout(Some(WRITE_WAIT))).is_err() {
+    if stream
+        .set_nodelay(true)
+        .and_then(|()| stream.set_write_timeout(Some(WRITE_WAIT)))
+        .is_err()
+    {
         return;
     }
     let mut ring: Option<RingBuffer> = None;
@@ -117,8 +132,12 @@
     loop {
         let Some(view) = shop.desk.view() else { return };
         let caps = view.config.caps;
-        let bounds = MessageLimits { head: caps.hdr_bytes as usize, body: caps.body_bytes as usize };
-        let ring = ring.get_or_insert_with(|| RingBuffer::new(RING, bounds.head + bounds.body + 1024));
+        let bounds = MessageLimits {
+            head: caps.hdr_bytes as usize,
+            body: caps.body_bytes as usize,
+        };
+        let ring =
+            ring.get_or_insert_with(|| RingBuffer::new(RING, bounds.head + bounds.body + 1024));
         match http1::parse_request(ring, &bounds) {
             Parsed::Complete(request) => {
                 client.busy.store(true, Ordering::Release);
@@ -128,7 +147,8 @@
                 } else {
                     query::turn_away(&request)
                 };
-                let close = answer.closes(shop.draining() || shop.clients.crowded(), !ring.is_empty());
+                let close =
+                    answer.closes(shop.draining() || shop.clients.crowded(), !ring.is_empty());
                 // Whoever closed only its sending side still reads what a once-only run came to.
                 let written = (&**stream).write_all(&answer.bytes(close)).is_ok();
                 if client.presence.has_disconnected() {
@@ -147,8 +167,9 @@
                 let idle = ring.is_empty();
                 // A request that has begun to arrive is awaited, also by a proxy that ends.
                 client.busy.store(!idle, Ordering::Release);
-                let wait =
-                    Duration::from_secs_f64(if idle { caps.idle_ms } else { caps.hdr_ms }.max(1.0) / 1000.0);
+                let wait = Duration::from_secs_f64(
+                    if idle { caps.idle_ms } else { caps.hdr_ms }.max(1.0) / 1000.0,
+                );
                 if wait != limited {
                     let _ = stream.set_read_timeout(Some(wait));
                     limited = wait;
--- a/crates/aspendrum-proxy/src/drain.rs
+++ b/crates/aspendrum-proxy/src/drain.rs
@@ -29,7 +29,11 @@
     pub fn new(grace: Ms, longest: Ms) -> Drain {
         let ends_at = (grace - LEFT).max(grace / 2.0);
         let takes_until = (ends_at - longest).max(TAKES_LEAST).min(grace / 2.0);
-        Drain { takes_until, idle_until: KEEP_IDLE.min(takes_until), ends_at }
+        Drain {
+            takes_until,
+            idle_until: KEEP_IDLE.min(takes_until),
+            ends_at,
+        }
     }
 
     /// Connections between requests are to be closed.
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -120,9 +120,16 @@
 
     /// Begins a planned end. `grace`: the process is killed after that.
     pub fn begin_drain(&self, grace: Duration) -> Drain {
-        let limits = self.desk.view().map(|v| v.config.routes.iter().map(|r| r.limit_ms).fold(0.0, f64::max));
+        let limits = self.desk.view().map(|v| {
+            v.config
+                .routes
+                .iter()
+                .map(|r| r.limit_ms)
+                .fold(0.0, f64::max)
+        });
         let drain = Drain::new(grace.as_secs_f64() * 1000.0, limits.unwrap_or(0.0));
-        self.takes_until.store(self.age() + drain.takes_until as u64, Ordering::Release);
+        self.takes_until
+            .store(self.age() + drain.takes_until as u64, Ordering::Release);
         self.draining.store(true, Ordering::Release);
         drain
     }
@@ -134,12 +141,18 @@
     /// The agent's word: `age` milliseconds before it answered, a majority of control's disks held nothing above
     /// `of`. Counted from when it was asked, so that a word which came late does not count for more.
     pub fn told(&self, stamp: u64, age: Option<u32>, of: StateDigest, deserted: bool) {
-        let word = age.map(|age| Word { decided: of, as_of: stamp as f64 - f64::from(age) });
+        let word = age.map(|age| Word {
+            decided: of,
+            as_of: stamp as f64 - f64::from(age),
+        });
         let standing = self.stand.told(self.age() as f64, word, deserted);
         // Keys are licensed by what is in force here, not by what was sent.
-        let (Some(age), Some(revoke), Standing::Current) = (age, self.revoke_ms, standing) else { return };
+        let (Some(age), Some(revoke), Standing::Current) = (age, self.revoke_ms, standing) else {
+            return;
+        };
         let end = stamp as f64 - f64::from(age) + revoke - LICENCE_MARGIN_MS;
-        self.licensed.fetch_max(end.max(0.0) as u64, Ordering::AcqRel);
+        self.licensed
+            .fetch_max(end.max(0.0) as u64, Ordering::AcqRel);
     }
 
     /// Collates the tables that queries go by.
@@ -233,9 +246,17 @@
 
 /// Of short calls by the platform.
 fn terms() -> ServerOptions {
-    let bounds = MessageLimits { head: 8 << 10, body: 1 << 10 };
+    let bounds = MessageLimits {
+        head: 8 << 10,
+        body: 1 << 10,
+    };
     let (idle, workers) = (Duration::from_secs(10), Duration::from_secs(5));
-    ServerOptions { stack: STACK, bounds, idle, workers }
+    ServerOptions {
+        stack: STACK,
+        bounds,
+        idle,
+        workers,
+    }
 }
 
 fn lines(settings: &Settings) -> PoolLimits {
@@ -272,8 +293,12 @@
 fn counts(shop: &Shop, socket: &UdpSocket) {
     let mut space = [0; 64];
     loop {
-        let Ok((n, from)) = socket.recv_from(&mut space) else { continue };
-        let (Ok(word), IpAddr::V4(ip)) = (postcard::from_bytes(&space[..n]), from.ip()) else { continue };
+        let Ok((n, from)) = socket.recv_from(&mut space) else {
+            continue;
+        };
+        let (Ok(word), IpAddr::V4(ip)) = (postcard::from_bytes(&space[..n]), from.ip()) else {
+            continue;
+        };
         if let Some(answer) = shop.desk.heard(ip, word) {
             shop.desk.send(ip, &answer);
         }
@@ -290,17 +315,28 @@
         sleep(every);
         if shop.watch.is_due() {
             departures::look(shop);
-            report.line(&shop.departures).iter().for_each(|line| log::info!("{line}"));
+            report
+                .line(&shop.departures)
+                .iter()
+                .for_each(|line| log::info!("{line}"));
         }
         for server in shop.desk.beat() {
             let own = shop.clone();
-            let _ = shop.workers.run(Box::new(move || query::probe(&own, server)));
+            let _ = shop
+                .workers
+                .run(Box::new(move || query::probe(&own, server)));
         }
         let turned = last != shop.readiness();
-        let every = if last == Readiness::Ready { AGENT_EVERY } else { AGENT_FIRST };
+        let every = if last == Readiness::Ready {
+            AGENT_EVERY
+        } else {
+            AGENT_FIRST
+        };
         if turned || told.elapsed() >= every {
             (told, last) = (Instant::now(), shop.readiness());
-            let silent = shop.age().saturating_sub(shop.heard_at.load(Ordering::Acquire));
+            let silent = shop
+                .age()
+                .saturating_sub(shop.heard_at.load(Ordering::Acquire));
             shop.desk.alone(silent > ALONE.as_millis() as u64);
             if collated.elapsed() >= COLLATE_EVERY {
                 collated = Instant::now();
@@ -320,7 +356,11 @@
 fn drain(shop: &Shop, front: SocketAddrV4, grace: Duration) {
     let begun = Instant::now();
     let drain = shop.begin_drain(grace);
-    log::info!("event=draining connections={} takes_ms={}", shop.clients.count(), drain.takes_until);
+    log::info!(
+        "event=draining connections={} takes_ms={}",
+        shop.clients.count(),
+        drain.takes_until
+    );
     let mut woken = false;
     loop {
         sleep(DRAIN_STEP);
@@ -332,7 +372,9 @@
             // The listener closes with the next newcomer: whoever comes later is refused and goes elsewhere at once.
             let _ = TcpStream::connect_timeout(&front.into(), WAKE_WAIT);
         }
-        let quiet = shop.age().saturating_sub(shop.accepted.load(Ordering::Acquire)) as f64;
+        let quiet = shop
+            .age()
+            .saturating_sub(shop.accepted.load(Ordering::Acquire)) as f64;
         if drain.ended(since, shop.clients.count(), quiet) {
             return;
         }
--- a/crates/aspendrum-proxy/src/main.rs
+++ b/crates/aspendrum-proxy/src/main.rs
@@ -6,5 +6,10 @@
 
 fn main() -> ExitCode {
     let about = "The proxy of the system: carries clients' queries to servers";
-    daemon::run("aspendrum-proxy", about, || Settings::load().map(|s| s.host), aspendrum_proxy::serve)
+    daemon::run(
+        "aspendrum-proxy",
+        about,
+        || Settings::load().map(|s| s.host),
+        aspendrum_proxy::serve,
+    )
 }
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -55,14 +55,22 @@
 }
 
 pub fn serve(shop: &Shop, client: &Client, request: &Request, at: Instant) -> Answer {
-    let then = if request.close { Then::Ends } else { Then::KeepsOn };
+    let then = if request.close {
+        Then::Ends
+    } else {
+        Then::KeepsOn
+    };
     let own = |status, id: &str| Answer::own(status, id, None, then);
-    let Some(asked) = wire::asked(request) else { return own(400, "") };
+    let Some(asked) = wire::asked(request) else {
+        return own(400, "");
+    };
     let turned_away = || Answer::own(503, asked.id, Some(AGAIN_MS), Then::EndsIdle);
     let Some(view) = shop.desk.view().filter(|_| request.path.starts_with('/')) else {
         return turned_away();
     };
-    let Some(route) = view.config.route(asked.host, &request.path) else { return own(404, asked.id) };
+    let Some(route) = view.config.route(asked.host, &request.path) else {
+        return own(404, asked.id);
+    };
     let rule = &view.config.routes[route];
     let tenant = match (view.config.tenants.is_some(), asked.key) {
         (true, Some(key)) => match view.config.tenant(key) {
@@ -82,10 +90,20 @@
     }
     let zones = view.route_zones[route] & tenant.map_or(u64::MAX, |n| view.tenant_zones[n]);
     let service = rule.service(fastrand::f64());
-    let Some(pool) = view.pools.get(service).copied() else { return own(404, asked.id) };
-    let wait = asked.budget.unwrap_or(rule.limit_ms).min(rule.limit_ms).clamp(0.0, 3_600_000.0);
+    let Some(pool) = view.pools.get(service).copied() else {
+        return own(404, asked.id);
+    };
+    let wait = asked
+        .budget
+        .unwrap_or(rule.limit_ms)
+        .min(rule.limit_ms)
+        .clamp(0.0, 3_600_000.0);
     let until = at + Duration::from_secs_f64(wait / 1000.0);
-    let kind = if rule.repeatable { RequestKind::Idempotent } else { RequestKind::OnceOnly };
+    let kind = if rule.repeatable {
+        RequestKind::Idempotent
+    } else {
+        RequestKind::OnceOnly
+    };
     let mut query = Query {
         shop,
         client,
@@ -107,11 +125,26 @@
 }
 
 impl Query<'_> {
-    fn run(&mut self, view: &View, route: usize, service: u16, tenant: Option<usize>, zones: u64) -> Answer {
+    fn run(
+        &mut self,
+        view: &View,
+        route: usize,
+        service: u16,
+        tenant: Option<usize>,
+        zones: u64,
+    ) -> Answer {
         let (post, orders) = mailbox::for_current_thread(ORDERS);
         let until = self.until;
         let forward = self.forward.clone();
-        let ask = Ask { route, service, tenant, zones, until, orders: post, forward };
+        let ask = Ask {
+            route,
+            service,
+            tenant,
+            zones,
+            until,
+            orders: post,
+            forward,
+        };
         let id = self.shop.desk.ask(view, ask);
         if !self.client.presence.begin(id, &self.shop.watch) {
             departures::depart(self.shop, id);
@@ -124,7 +157,11 @@
                 Some(Order::Forward { forward, server }) if !self.decided(view, route) => {
                     self.moot(id, forward, server);
                     self.shop.desk.quit(id);
-                    return if self.may_have_run { self.give_up() } else { self.refuse(503, AGAIN_MS) };
+                    return if self.may_have_run {
+                        self.give_up()
+                    } else {
+                        self.refuse(503, AGAIN_MS)
+                    };
                 }
                 Some(Order::Forward { forward, server }) => {
                     if let Some(response) = self.carry(id, forward, server) {
@@ -146,7 +183,11 @@
                 }
                 Some(Order::Spent) => {
                     self.shop.desk.quit(id);
-                    return if self.may_have_run { self.give_up() } else { self.refuse(503, AGAIN_MS) };
+                    return if self.may_have_run {
+                        self.give_up()
+                    } else {
+                        self.refuse(503, AGAIN_MS)
+                    };
                 }
                 None => {
                     self.shop.desk.quit(id);
@@ -156,7 +197,11 @@
                     {
                         self.moot(id, forward, server);
                     }
-                    return if self.may_have_run { self.give_up() } else { self.refuse(503, AGAIN_MS) };
+                    return if self.may_have_run {
+                        self.give_up()
+                    } else {
+                        self.refuse(503, AGAIN_MS)
+                    };
                 }
             }
         }
@@ -164,7 +209,13 @@
 
     /// That forward never left, and the query is over.
     fn moot(&self, id: QueryId, forward: u8, server: ServerId) {
-        self.shop.desk.ended(id, forward, server, (Outcome::Moot, 0.0, Load::default()), true);
+        self.shop.desk.ended(
+            id,
+            forward,
+            server,
+            (Outcome::Moot, 0.0, Load::default()),
+            true,
+        );
     }
 
     /// Whether a once-only query that has waited for a server may still go where it was bound for: what it was
@@ -176,7 +227,8 @@
         let same = |now: &View| {
             let found = now.config.route(self.host, &self.request.path);
             let tenant = self.key.map(|key| now.config.tenant(key).is_some());
-            found.is_some_and(|n| now.config.routes[n] == view.config.routes[route]) && tenant != Some(false)
+            found.is_some_and(|n| now.config.routes[n] == view.config.routes[route])
+                && tenant != Some(false)
         };
         let now = self.shop.desk.view();
         self.shop.runs_once_only() && now.is_some_and(|now| std::ptr::eq(&*now, view) || same(&now))
@@ -189,7 +241,11 @@
         }
         // It comes back on a new connection, and would leave this one open: a tenant far beyond its quota had
         // 1,800 of them at each proxy.
-        let then = if self.then == Then::Ends { Then::Ends } else { Then::EndsIdle };
+        let then = if self.then == Then::Ends {
+            Then::Ends
+        } else {
+            Then::EndsIdle
+        };
         Answer::own(status, self.id, Some(again), then)
     }
 
@@ -211,7 +267,11 @@
     fn pass_on(&self, response: Response) -> Answer {
         // What a server says without its word that nothing ran is no promise of ours.
         let promises = matches!(response.status, 408 | 421 | 429 | 503);
-        let status = if promises && self.may_have_run { 502 } else { response.status };
+        let status = if promises && self.may_have_run {
+            502
+        } else {
+            response.status
+        };
         Answer::passed_on(response, status, self.then)
     }
 
@@ -221,29 +281,48 @@
         let (outcome, response) = self.attempt(forward, server, begun);
         let load = response.as_ref().map_or(Load::default(), wire::load);
         let over = outcome == Outcome::Ok;
-        let proven = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        let proven = matches!(
+            outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        );
         self.may_have_run |= !proven;
         let rtt = begun.elapsed().as_secs_f64() * 1000.0;
-        self.shop.desk.ended(id, forward, server, (outcome, rtt, load), over);
+        self.shop
+            .desk
+            .ended(id, forward, server, (outcome, rtt, load), over);
         if over {
             return response;
         }
-        self.failure =
-            response.filter(|r| !proven && wire::taken(r) == Taken::Failed).or(self.failure.take());
+        self.failure = response
+            .filter(|r| !proven && wire::taken(r) == Taken::Failed)
+            .or(self.failure.take());
         None
     }
 
-    fn attempt(&mut self, forward: u8, server: ServerId, begun: Instant) -> (Outcome, Option<Response>) {
+    fn attempt(
+        &mut self,
+        forward: u8,
+        server: ServerId,
+        begun: Instant,
+    ) -> (Outcome, Option<Response>) {
         let (shop, until) = (self.shop, self.until - MARGIN);
         let left = until.saturating_duration_since(begun);
         if left.is_zero() {
             return (Outcome::Moot, None);
         }
-        let Some((addr, uid)) = shop.desk.server(server) else { return (Outcome::Moot, None) };
+        let Some((addr, uid)) = shop.desk.server(server) else {
+            return (Outcome::Moot, None);
+        };
         shop.pool.set_address(server, addr.into());
-        let most = if self.repeatable { Duration::MAX } else { shop.rest() };
+        let most = if self.repeatable {
+            Duration::MAX
+        } else {
+            shop.rest()
+        };
         let shown = |stream: &Arc<TcpStream>| self.forward.enter(forward, stream);
-        let taken = shop.pool.acquire(server, left.min(shop.connect_wait), most, shown);
+        let taken = shop
+            .pool
+            .acquire(server, left.min(shop.connect_wait), most, shown);
         let mut conn = match taken {
             Ok(conn) => conn,
             Err(_) if self.forward.leave(forward) => return (Outcome::Moot, None),
@@ -254,7 +333,8 @@
         match got {
             Ok(response) => {
                 if !response.close && !broken_off {
-                    let kept = wire::keeps_for(&response).map(|s| Duration::from_secs_f64(s * KEPT_SHARE));
+                    let kept =
+                        wire::keeps_for(&response).map(|s| Duration::from_secs_f64(s * KEPT_SHARE));
                     conn.good_for = kept.map_or(conn.good_for, |k| k.min(MOST_IDLE));
                     shop.pool.release(server, conn);
                 }
@@ -288,12 +368,16 @@
         if !conn.outward.append(&request) || !self.forward.reach(forward, ForwardStage::Sending) {
             return Err(Outcome::Moot);
         }
-        left_for.iter().for_each(|left_for| shop.departures.record_sent_late(self.forward.kind, *left_for));
+        left_for.iter().for_each(|left_for| {
+            shop.departures
+                .record_sent_late(self.forward.kind, *left_for)
+        });
         conn.send()?;
         self.forward.reach(forward, ForwardStage::AtServer);
         for _ in 0..=STRANGERS {
-            let got =
-                conn.receive(until, shop.pool.limits(), |ring| http1::parse_response(ring, &SERVER_BOUNDS));
+            let got = conn.receive(until, shop.pool.limits(), |ring| {
+                http1::parse_response(ring, &SERVER_BOUNDS)
+            });
             let response = match got {
                 Ok(response) => response,
                 Err(outcome) => {
@@ -323,7 +407,10 @@
 }
 
 /// Servers' answers are as large as the service makes them.
-pub const SERVER_BOUNDS: MessageLimits = MessageLimits { head: 32 << 10, body: 64 << 20 };
+pub const SERVER_BOUNDS: MessageLimits = MessageLimits {
+    head: 32 << 10,
+    body: 64 << 20,
+};
 /// Of the time that a server keeps an idle connection, how long we use it: a request on a connection that is
 /// being closed may or may not have run.
 const KEPT_SHARE: f64 = 0.6;
@@ -336,11 +423,14 @@
     let told = || -> Result<(Outcome, Load, Option<Ms>), Outcome> {
         let (addr, uid, path) = shop.desk.check(server).ok_or(Outcome::Moot)?;
         shop.pool.set_address(server, addr.into());
-        let mut conn = shop.pool.acquire(server, shop.connect_wait, Duration::MAX, |_| true)?;
+        let mut conn = shop
+            .pool
+            .acquire(server, shop.connect_wait, Duration::MAX, |_| true)?;
         conn.outward.append(&wire::probe(&path, &addr.to_string()));
         conn.send()?;
-        let answer =
-            conn.receive(until, shop.pool.limits(), |ring| http1::parse_response(ring, &SERVER_BOUNDS))?;
+        let answer = conn.receive(until, shop.pool.limits(), |ring| {
+            http1::parse_response(ring, &SERVER_BOUNDS)
+        })?;
         let (load, left) = (wire::load(&answer), wire::warm_left(&answer));
         let well = answer.status == 200 && wire::server(&answer) == Some(uid.as_str());
         if !answer.close {
@@ -349,5 +439,11 @@
         Ok((if well { Outcome::Ok } else { Outcome::Error }, load, left))
     };
     let (outcome, load, left) = told().unwrap_or_else(|outcome| (outcome, Load::default(), None));
-    shop.desk.probed(server, outcome, begun.elapsed().as_secs_f64() * 1000.0, load, left);
+    shop.desk.probed(
+        server,
+        outcome,
+        begun.elapsed().as_secs_f64() * 1000.0,
+        load,
+        left,
+    );
 }
--- a/crates/aspendrum-proxy/src/stacks.rs
+++ b/crates/aspendrum-proxy/src/stacks.rs
@@ -129,7 +129,13 @@
 
     /// The platform's list, whole. `age`: how old it is. `place`: the number of a zone's
     /// region, and how much dearer a server there is than one at hand.
-    pub fn list(&mut self, now: Ms, age: Ms, list: Vec<ServerInstance>, place: impl Fn(&str) -> (u8, f32)) {
+    pub fn list(
+        &mut self,
+        now: Ms,
+        age: Ms,
+        list: Vec<ServerInstance>,
+        place: impl Fn(&str) -> (u8, f32),
+    ) {
         let chosen = self.choose(&list);
         let mut named = HashSet::new();
         for server in list {
@@ -146,7 +152,12 @@
                 left => now + f64::from(left),
             };
             let (region, far) = place(&server.zone);
-            let far = far * if chosen.contains(&server.uid) { 1.0 } else { UNCHOSEN };
+            let far = far
+                * if chosen.contains(&server.uid) {
+                    1.0
+                } else {
+                    UNCHOSEN
+                };
             let fresh = Book {
                 server: server.clone(),
                 pool,
@@ -158,11 +169,23 @@
                 shown: Health::Gone,
             };
             let book = self.books.entry(id).or_insert(fresh);
-            let unknown = self.back.get(&server.zone).is_some_and(|at| now - age < at + self.terms.list_lag);
-            book.cold_until = if unknown { book.cold_until.max(cold_until) } else { cold_until };
+            let unknown = self
+                .back
+                .get(&server.zone)
+                .is_some_and(|at| now - age < at + self.terms.list_lag);
+            book.cold_until = if unknown {
+                book.cold_until.max(cold_until)
+            } else {
+                cold_until
+            };
             book.server = server;
         }
-        let gone: Vec<ServerId> = self.books.keys().copied().filter(|id| !named.contains(id)).collect();
+        let gone: Vec<ServerId> = self
+            .books
+            .keys()
+            .copied()
+            .filter(|id| !named.contains(id))
+            .collect();
         for id in gone {
             if let Some(book) = self.books.get_mut(&id) {
                 book.server.draining = true;
@@ -177,7 +200,10 @@
         let own = u64::from(u32::from(self.me));
         for s in list.iter().filter(|s| !s.draining) {
             let rank = rank(own, digest(s.uid.as_bytes()));
-            places.entry((&s.service, &s.zone)).or_default().push((rank, &s.uid));
+            places
+                .entry((&s.service, &s.zone))
+                .or_default()
+                .push((rank, &s.uid));
         }
         let mut chosen = HashSet::new();
         for servers in places.values_mut() {
@@ -217,7 +243,11 @@
     /// A server said itself for how long it is cold.
     pub fn said_cold(&mut self, now: Ms, id: ServerId, left: Ms) {
         if let Some(book) = self.books.get_mut(&id) {
-            book.cold_until = if left > 0.0 { book.cold_until.max(now + left) } else { book.cold_until };
+            book.cold_until = if left > 0.0 {
+                book.cold_until.max(now + left)
+            } else {
+                book.cold_until
+            };
         }
     }
 
@@ -259,7 +289,9 @@
             let book = &self.books[&id];
             let cold = now < book.cold_until;
             let rate = if cold { self.turn_rate(book) } else { 0.0 };
-            let Some(book) = self.books.get_mut(&id) else { continue };
+            let Some(book) = self.books.get_mut(&id) else {
+                continue;
+            };
             if cold {
                 let more = rate * (now - book.turns_at) / 1000.0;
                 book.turns = (book.turns + more).min(if rate > 0.0 { 1.0 } else { 0.0 });
@@ -279,12 +311,24 @@
         book.shown = wanted;
         let (server, pool, zone, far) = (id, book.pool, book.region, book.far);
         let size = f32::from(book.server.slots.max(1));
-        Some(Member { server, pool, health: wanted, cell: 0, zone, far, size, kind: 0, started: 0.0 })
+        Some(Member {
+            server,
+            pool,
+            health: wanted,
+            cell: 0,
+            zone,
+            far,
+            size,
+            kind: 0,
+            started: 0.0,
+        })
     }
 
     /// A forward goes there. None: it must not, whatever the module knew.
     pub fn leave_for(&mut self, now: Ms, id: ServerId) -> (bool, Option<Member>) {
-        let Some(book) = self.books.get(&id) else { return (false, None) };
+        let Some(book) = self.books.get(&id) else {
+            return (false, None);
+        };
         let may = self.wanted(now, book) == Health::Ready;
         let cold = now < book.cold_until;
         if let Some(book) = self.books.get_mut(&id).filter(|_| may && cold) {
@@ -296,7 +340,11 @@
 
     /// A client's query for that pool. `tries`: 1 for the first forward.
     pub fn first(&mut self, now: Ms, pool: u16) {
-        count(self.firsts.entry(pool).or_default(), now, self.terms.retry_win);
+        count(
+            self.firsts.entry(pool).or_default(),
+            now,
+            self.terms.retry_win,
+        );
     }
 
     /// Whether this proxy may send a query on to a further server: its own first ones earn it, and of the
@@ -329,5 +377,9 @@
 }
 
 fn sum(counts: &VecDeque<(Ms, u32)>, now: Ms, win: Ms) -> f64 {
-    counts.iter().filter(|c| c.0 >= now - win - GRAIN).map(|c| f64::from(c.1)).sum()
+    counts
+        .iter()
+        .filter(|c| c.0 >= now - win - GRAIN)
+        .map(|c| f64::from(c.1))
+        .sum()
 }
--- a/crates/aspendrum-proxy/src/standing.rs
+++ b/crates/aspendrum-proxy/src/standing.rs
@@ -22,8 +22,17 @@
 impl Stand {
     pub fn new(apply_ms: Ms, stretch_ms: Ms) -> Stand {
         let (applied, word, deserted) = (edition(None, 0, &[]), None, false);
-        let inner = Inner { applied, word, deserted, verdict: Verdict::NONE, shown: Standing::Alone };
-        Stand { bounds: Bounds::of(apply_ms, stretch_ms), inner: Mutex::new(inner) }
+        let inner = Inner {
+            applied,
+            word,
+            deserted,
+            verdict: Verdict::NONE,
+            shown: Standing::Alone,
+        };
+        Stand {
+            bounds: Bounds::of(apply_ms, stretch_ms),
+            inner: Mutex::new(inner),
+        }
     }
 
     /// The tables were collated: that is in force.
@@ -46,7 +55,12 @@
     }
 
     fn judge(&self, now: Ms, inner: &mut Inner) {
-        inner.verdict = Verdict::of(&inner.applied, inner.word.as_ref(), inner.deserted, &self.bounds);
+        inner.verdict = Verdict::of(
+            &inner.applied,
+            inner.word.as_ref(),
+            inner.deserted,
+            &self.bounds,
+        );
         let is = inner.verdict.at(now);
         let was = std::mem::replace(&mut inner.shown, is);
         if is != was {
--- a/crates/aspendrum-proxy/src/wire.rs
+++ b/crates/aspendrum-proxy/src/wire.rs
@@ -33,14 +33,28 @@
 /// None: a header that decides is missing, comes twice or cannot be read.
 pub fn asked(request: &Request) -> Option<Asked<'_>> {
     let headers = &request.headers;
-    let once =
-        |name| if has_header(headers, name) { single_header(headers, name).map(Some) } else { Some(None) };
+    let once = |name| {
+        if has_header(headers, name) {
+            single_header(headers, name).map(Some)
+        } else {
+            Some(None)
+        }
+    };
     let budget = match once(BUDGET)? {
-        Some(text) => Some(text.parse::<f64>().ok().filter(|b| b.is_finite() && *b >= 0.0)?),
+        Some(text) => Some(
+            text.parse::<f64>()
+                .ok()
+                .filter(|b| b.is_finite() && *b >= 0.0)?,
+        ),
         None => None,
     };
     let id = single_header(headers, TRY).filter(|id| !id.is_empty())?;
-    Some(Asked { host: single_header(headers, "Host")?, id, budget, key: once(KEY)? })
+    Some(Asked {
+        host: single_header(headers, "Host")?,
+        id,
+        budget,
+        key: once(KEY)?,
+    })
 }
 
 /// A forward's bytes.
@@ -60,7 +74,12 @@
         let _ = write!(out, "{TENANT}: {tenant}\r\n");
     }
     // A length where the client sent a body, or where its method means one.
-    if !request.body.is_empty() || !matches!(request.method.as_str(), "GET" | "HEAD" | "DELETE" | "OPTIONS") {
+    if !request.body.is_empty()
+        || !matches!(
+            request.method.as_str(),
+            "GET" | "HEAD" | "DELETE" | "OPTIONS"
+        )
+    {
         let _ = write!(out, "Content-Length: {}\r\n", request.body.len());
     }
     out.extend_from_slice(b"\r\n");
@@ -104,7 +123,9 @@
         421 => Taken::Misdirected,
         400 if not_run => Taken::Final,
         _ if not_run => Taken::Full,
-        200..=299 if has_header(&response.headers, SEAL) && !has_header(&response.headers, ENCODING) => {
+        200..=299
+            if has_header(&response.headers, SEAL) && !has_header(&response.headers, ENCODING) =>
+        {
             Taken::Final
         }
         200..=299 => Taken::Spoilt,
@@ -120,23 +141,32 @@
 /// Running, waiting and slots as a share of the slots; nothing if it cannot be read.
 pub fn load(response: &Response) -> Load {
     let read = || {
-        let mut parts =
-            single_header(&response.headers, LOAD)?.split(',').map(|p| p.trim().parse::<f32>().ok());
+        let mut parts = single_header(&response.headers, LOAD)?
+            .split(',')
+            .map(|p| p.trim().parse::<f32>().ok());
         let (running, waiting, slots) = (parts.next()??, parts.next()??, parts.next()??);
         Some((running + waiting) / slots).filter(|l| l.is_finite() && *l >= 0.0)
     };
-    read().map_or(Load::default(), |share| Load { n: 1, values: [share, 0.0, 0.0, 0.0] })
+    read().map_or(Load::default(), |share| Load {
+        n: 1,
+        values: [share, 0.0, 0.0, 0.0],
+    })
 }
 
 /// For how long the server is still cold.
 pub fn warm_left(response: &Response) -> Option<f64> {
-    single_header(&response.headers, WARM)?.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms >= 0.0)
+    single_header(&response.headers, WARM)?
+        .parse::<f64>()
+        .ok()
+        .filter(|ms| ms.is_finite() && *ms >= 0.0)
 }
 
 /// For how long the server keeps an idle connection, in seconds.
 pub fn keeps_for(response: &Response) -> Option<f64> {
     let told = single_header(&response.headers, "Keep-Alive")?;
-    let seconds = told.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
+    let seconds = told
+        .split(',')
+        .find_map(|p| p.trim().strip_prefix("timeout="))?;
     seconds.trim().parse::<f64>().ok().filter(|s| *s >= 0.0)
 }
 
@@ -151,7 +181,9 @@
     let mut out = Vec::with_capacity(256 + response.body.len());
     let _ = write!(out, "HTTP/1.1 {status} {text}\r\n");
     for (name, value) in &response.headers {
-        let ours = [LOAD, WARM, SERVER].iter().any(|o| o.eq_ignore_ascii_case(name));
+        let ours = [LOAD, WARM, SERVER]
+            .iter()
+            .any(|o| o.eq_ignore_ascii_case(name));
         if !ours && !is_hop_by_hop(&response.headers, name) {
             let _ = write!(out, "{name}: ");
             out.extend_from_slice(value);
@@ -159,7 +191,11 @@
         }
     }
     let _ = write!(out, "Content-Length: {}\r\n", response.body.len());
-    out.extend_from_slice(if close { b"Connection: close\r\n\r\n" } else { b"\r\n" });
+    out.extend_from_slice(if close {
+        b"Connection: close\r\n\r\n"
+    } else {
+        b"\r\n"
+    });
     out.extend_from_slice(&response.body);
     out
 }
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -18,7 +18,10 @@
 use std::thread;
 use std::time::Instant;
 
-pub const BOUNDS: MessageLimits = MessageLimits { head: 16 << 10, body: 1 << 20 };
+pub const BOUNDS: MessageLimits = MessageLimits {
+    head: 16 << 10,
+    body: 1 << 20,
+};
 pub const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":65536,"hdr-ms":3000,"idle-ms":15000},
 "tenants":[{"name":"ann","keys":["k1"],"prio":0,"rate-s":0}],
 "ports":[{"vhost":"a.example","rules":[
@@ -47,9 +50,13 @@
 
 pub fn stage_of(bounds: &str, servers: usize, says: Says) -> Stage {
     let seen = Arc::new(Mutex::new(Vec::new()));
-    let (ran, count) = (Arc::new(Mutex::new(HashMap::new())), Arc::new(Mutex::new(0)));
-    let listeners: Vec<TcpListener> =
-        (0..servers).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+    let (ran, count) = (
+        Arc::new(Mutex::new(HashMap::new())),
+        Arc::new(Mutex::new(0)),
+    );
+    let listeners: Vec<TcpListener> = (0..servers)
+        .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
+        .collect();
     let addresses: Vec<SocketAddr> = listeners.iter().map(|l| l.local_addr().unwrap()).collect();
     for (n, listener) in listeners.into_iter().enumerate() {
         let (seen, ran, count) = (Arc::clone(&seen), Arc::clone(&ran), Arc::clone(&count));
@@ -62,7 +69,13 @@
     }
     let other_end = TcpListener::bind("127.0.0.1:0").unwrap();
     let connection = TcpStream::connect(other_end.local_addr().unwrap()).unwrap();
-    Stage { shop: proxy(bounds, CONFIG, &addresses), seen, ran, connection, _other_end: other_end }
+    Stage {
+        shop: proxy(bounds, CONFIG, &addresses),
+        seen,
+        ran,
+        connection,
+        _other_end: other_end,
+    }
 }
 
 /// A proxy with that configuration which knows servers at these addresses, `i-0` and so on, and has the word of
@@ -88,15 +101,26 @@
         readiness: Readiness::Ready,
         current: true,
     };
-    shop.desk.apply(StateSection::config(1, pack(config.as_bytes())));
-    shop.desk.apply(StateSection::Servers { age: 0, list: list.collect() });
+    shop.desk
+        .apply(StateSection::config(1, pack(config.as_bytes())));
+    shop.desk.apply(StateSection::Servers {
+        age: 0,
+        list: list.collect(),
+    });
     // Danger: a proxy that knows of no other takes the whole of every quota for its part.
     assert!(!shop.desk.knows());
     shop.desk.apply(StateSection::Proxies(vec![front]));
     assert!(shop.desk.knows() || servers.is_empty());
     // As control would have it; no key is licensed by that where they bind.
     shop.collate();
-    shop.stand.told(0.0, Some(Word { decided: shop.stand.edition(), as_of: 0.0 }), false);
+    shop.stand.told(
+        0.0,
+        Some(Word {
+            decided: shop.stand.edition(),
+            as_of: 0.0,
+        }),
+        false,
+    );
     let own = shop.clone();
     thread::spawn(move || beat(&own));
     shop
@@ -119,7 +143,9 @@
             },
             Parsed::Invalid(status) => panic!("{status}"),
             Parsed::Complete(asked) if asked.path == "/healthz" => {
-                let well = format!("HTTP/1.1 200 OK\r\nServer-Id: i-{server}\r\nContent-Length: 0\r\n\r\n");
+                let well = format!(
+                    "HTTP/1.1 200 OK\r\nServer-Id: i-{server}\r\nContent-Length: 0\r\n\r\n"
+                );
                 if (&mut &*stream).write_all(well.as_bytes()).is_err() {
                     return;
                 }
@@ -159,17 +185,28 @@
         }
     });
     let headers: Vec<String> = headers.collect();
-    format!("{} {} | {} | {}", r.method, r.path, headers.join("; "), String::from_utf8_lossy(&r.body))
+    format!(
+        "{} {} | {} | {}",
+        r.method,
+        r.path,
+        headers.join("; "),
+        String::from_utf8_lossy(&r.body)
+    )
 }
 
 impl Stage {
     pub fn ask(&self, text: &str) -> String {
         let mut ring = RingBuffer::new(1024, 1 << 20);
-        ring.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
-        let Parsed::Complete(asked) = parse_request(&mut ring, &BOUNDS) else { panic!("{text}") };
+        ring.write_all(text.replace('\n', "\r\n").as_bytes())
+            .unwrap();
+        let Parsed::Complete(asked) = parse_request(&mut ring, &BOUNDS) else {
+            panic!("{text}")
+        };
         let client = Client::new(self.connection.try_clone().unwrap());
         let answer = query::serve(&self.shop, &client, &asked, Instant::now());
-        String::from_utf8(answer.bytes(answer.closes(false, false))).unwrap().replace("\r\n", "\n")
+        String::from_utf8(answer.bytes(answer.closes(false, false)))
+            .unwrap()
+            .replace("\r\n", "\n")
     }
 
     pub fn seen(&self) -> Vec<String> {
@@ -185,5 +222,7 @@
     Transfer-Encoding: chunked\n\n3\nabc\n0\n\n";
 pub const GOOD: &str =
     "HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 3e1b.07\nServer-Load: 1,0,2\nContent-Length: 4\n\nbody";
-pub const GOOD_TO_T1: &str = "HTTP/1.1 200 OK\nTry-Id: t1\nSeal: 3e1b.07\nContent-Length: 4\n\nbody";
-pub const GOOD_TO_T2: &str = "HTTP/1.1 200 OK\nTry-Id: t2\nSeal: 3e1b.07\nContent-Length: 4\n\nbody";
+pub const GOOD_TO_T1: &str =
+    "HTTP/1.1 200 OK\nTry-Id: t1\nSeal: 3e1b.07\nContent-Length: 4\n\nbody";
+pub const GOOD_TO_T2: &str =
+    "HTTP/1.1 200 OK\nTry-Id: t2\nSeal: 3e1b.07\nContent-Length: 4\n\nbody";
--- a/crates/aspendrum-proxy/tests/counts.rs
+++ b/crates/aspendrum-proxy/tests/counts.rs
@@ -5,7 +5,11 @@
 use std::net::Ipv4Addr;
 
 const NAME: u64 = 7;
-const LEAVE: Leave = Leave { win: 5.0, excess: 0.1, slack: 20.0 };
+const LEAVE: Leave = Leave {
+    win: 5.0,
+    excess: 0.1,
+    slack: 20.0,
+};
 
 fn ledger(rate: f64, burst: f64) -> (Ledger, Quota) {
     let (mut ledger, quota) = (Ledger::default(), Quota::of(rate, burst, &LEAVE));
@@ -20,24 +24,45 @@
 
 /// The most of these grants that lie in any five seconds.
 fn most(grants: &[f64]) -> f64 {
-    let within =
-        |from: &f64| grants.iter().filter(|g| **g >= *from && **g < from + LEAVE.win * 1000.0).count();
+    let within = |from: &f64| {
+        grants
+            .iter()
+            .filter(|g| **g >= *from && **g < from + LEAVE.win * 1000.0)
+            .count()
+    };
     grants.iter().map(within).max().unwrap_or(0) as f64
 }
 
 /// A tenant that asks every millisecond, for 20 s.
 #[test]
 fn no_span_holds_more_than_the_terms_allow() {
-    for (rate, burst) in [(186.0, 186.0), (16.0, 16.0), (4.0, 40.0), (60.0, 6.0), (61.0, 0.0)] {
+    for (rate, burst) in [
+        (186.0, 186.0),
+        (16.0, 16.0),
+        (4.0, 40.0),
+        (60.0, 6.0),
+        (61.0, 0.0),
+    ] {
         let (mut ledger, quota) = ledger(rate, burst);
         let asks = (0..20_000).map(f64::from);
-        let passes =
-            |now: &f64| ledger.add(*now, NAME, 1.0).is_some_and(|total| f64::from(total) <= quota.burst);
+        let passes = |now: &f64| {
+            ledger
+                .add(*now, NAME, 1.0)
+                .is_some_and(|total| f64::from(total) <= quota.burst)
+        };
         let grants: Vec<f64> = asks.filter(passes).collect();
         let burst = if burst > 0.0 { burst } else { rate };
-        assert!(most(&grants) <= allowed(rate, burst), "{rate}/{burst}: {}", most(&grants));
+        assert!(
+            most(&grants) <= allowed(rate, burst),
+            "{rate}/{burst}: {}",
+            most(&grants)
+        );
         // A window more than fits in a span is paid for by each.
-        assert!(grants.len() as f64 >= 19.0 * rate, "{rate}/{burst}: only {}", grants.len());
+        assert!(
+            grants.len() as f64 >= 19.0 * rate,
+            "{rate}/{burst}: only {}",
+            grants.len()
+        );
     }
 }
 
@@ -52,7 +77,10 @@
             held.quotas(HashMap::from([(NAME, quota)]), |_| true);
             held.held(now, |_| true);
         }
-        if held.add(now, NAME, 1.0).is_some_and(|total| f64::from(total) <= quota.burst) {
+        if held
+            .add(now, NAME, 1.0)
+            .is_some_and(|total| f64::from(total) <= quota.burst)
+        {
             grants.push(now);
         }
     }
@@ -68,8 +96,15 @@
     assert_eq!(ledger.add(90.0, NAME, 1.0), None, "another's");
     ledger.held(100.0, |_| true);
     assert_eq!(ledger.add(200.0, NAME, 1.0), None);
-    assert_eq!(ledger.add(200.0 + quota.window + 400.0, NAME, 1.0), Some(1.0));
-    assert_eq!(ledger.add(0.0, 8, 1.0), None, "a tenant that no configuration names");
+    assert_eq!(
+        ledger.add(200.0 + quota.window + 400.0, NAME, 1.0),
+        Some(1.0)
+    );
+    assert_eq!(
+        ledger.add(0.0, 8, 1.0),
+        None,
+        "a tenant that no configuration names"
+    );
 }
 
 /// Danger: proxies restart one after another, the list changes every 0.4 s, and every counter that moved stays behind
@@ -103,9 +138,16 @@
             other.held(now, |_| true);
             handed.into_iter().for_each(|h| other.take(now, h));
             std::mem::swap(&mut one, &mut other);
-            assert_eq!(other.add(now, NAME, 1.0), None, "the last holder grants nothing more");
+            assert_eq!(
+                other.add(now, NAME, 1.0),
+                None,
+                "the last holder grants nothing more"
+            );
         }
-        if one.add(now, NAME, 1.0).is_some_and(|total| f64::from(total) <= quota.burst) {
+        if one
+            .add(now, NAME, 1.0)
+            .is_some_and(|total| f64::from(total) <= quota.burst)
+        {
             grants.push(now);
         }
     }
@@ -114,11 +156,28 @@
     // Nonsense hands nothing over, and what was granted meanwhile is not forgotten.
     let before = one.add(30_000.0, NAME, 0.0);
     for (name, total) in [(8, 1.0), (NAME, f32::NAN), (NAME, -5.0)] {
-        one.take(30_000.0, Handed { name, total: Some(total), age: 0 });
+        one.take(
+            30_000.0,
+            Handed {
+                name,
+                total: Some(total),
+                age: 0,
+            },
+        );
     }
     assert_eq!(one.add(30_000.0, NAME, 0.0), before);
-    one.take(30_000.0, Handed { name: NAME, total: Some(3.0), age: 0 });
-    assert_eq!(one.add(30_000.0, NAME, 0.0), before.map(|total| total + 3.0));
+    one.take(
+        30_000.0,
+        Handed {
+            name: NAME,
+            total: Some(3.0),
+            age: 0,
+        },
+    );
+    assert_eq!(
+        one.add(30_000.0, NAME, 0.0),
+        before.map(|total| total + 3.0)
+    );
 }
 
 /// Danger: a whole fleet comes back, the list grows for a second, and each next holder begins the fence anew.
@@ -130,12 +189,22 @@
     other.held(0.0, |_| false);
     one.held(100.0, |_| true);
     let handed = one.held(900.0, |_| false);
-    assert_eq!(handed, [Handed { name: NAME, total: None, age: 800 }]);
+    assert_eq!(
+        handed,
+        [Handed {
+            name: NAME,
+            total: None,
+            age: 800
+        }]
+    );
     // The next one's list may come before or behind that word.
     handed.into_iter().for_each(|h| other.take(905.0, h));
     other.held(910.0, |_| true);
     assert_eq!(other.add(100.0 + quota.window + 300.0, NAME, 1.0), None);
-    assert_eq!(other.add(106.0 + quota.window + 400.0, NAME, 1.0), Some(1.0));
+    assert_eq!(
+        other.add(106.0 + quota.window + 400.0, NAME, 1.0),
+        Some(1.0)
+    );
 }
 
 fn proxies(n: u8) -> Vec<Ipv4Addr> {
@@ -147,9 +216,16 @@
 fn the_others_keep_their_counters_when_one_goes() {
     let (mut before, mut after) = (Calls::default(), Calls::default());
     before.holders(proxies(9));
-    after.holders(proxies(9).into_iter().filter(|p| *p != proxies(9)[4]).collect());
+    after.holders(
+        proxies(9)
+            .into_iter()
+            .filter(|p| *p != proxies(9)[4])
+            .collect(),
+    );
     let moved = (0..1000).filter(|n| before.holder(*n) != after.holder(*n));
-    assert!(moved.clone().all(|n| before.holder(n) == Some(proxies(9)[4])));
+    assert!(moved
+        .clone()
+        .all(|n| before.holder(n) == Some(proxies(9)[4])));
     assert!((60..200).contains(&moved.count()));
 }
 
--- a/crates/aspendrum-proxy/tests/departures.rs
+++ b/crates/aspendrum-proxy/tests/departures.rs
@@ -86,7 +86,9 @@
     }
 
     fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("a server sees what becomes of a request")
+        self.seen
+            .recv_timeout(PATIENCE)
+            .expect("a server sees what becomes of a request")
     }
 }
 
@@ -121,7 +123,8 @@
             return;
         }
         let _ = tell.send(Seen::Finished(id.clone()));
-        let answer = format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nSeal: 1\r\nContent-Length: 4\r\n\r\nbody");
+        let answer =
+            format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nSeal: 1\r\nContent-Length: 4\r\n\r\nbody");
         if (&mut &*stream).write_all(answer.as_bytes()).is_err() {
             return;
         }
@@ -137,7 +140,10 @@
 fn listening(server: SocketAddr) -> (Arc<Shop>, SocketAddr) {
     let config = CONFIG.replace("\"limit-ms\":2000", "\"limit-ms\":60000");
     let config = config.replace("\"goal-ms\":800", "\"goal-ms\":60000");
-    let config = config.replace("\"body-bytes\":65536", &format!("\"body-bytes\":{}", 2 * LARGE));
+    let config = config.replace(
+        "\"body-bytes\":65536",
+        &format!("\"body-bytes\":{}", 2 * LARGE),
+    );
     let shop = proxy("\"retry-slack\":100", &config, &[server]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -150,7 +156,9 @@
 fn client(front: SocketAddr, text: &str, id: &str) -> TcpStream {
     let own = if text.starts_with("GET") { "t1" } else { "t2" };
     let text = text.replace(&format!("Try-Id: {own}"), &format!("Try-Id: {id}"));
-    let text = text.replace("Budget-Ms: 2000", "Budget-Ms: 60000").replace('\n', "\r\n");
+    let text = text
+        .replace("Budget-Ms: 2000", "Budget-Ms: 60000")
+        .replace('\n', "\r\n");
     let mut stream = TcpStream::connect(front).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     stream
@@ -172,7 +180,11 @@
 fn connections_come_to(shop: &Shop, holds: impl Fn(usize) -> bool) {
     let until = Instant::now() + PATIENCE;
     while !holds(shop.clients.count()) {
-        assert!(Instant::now() < until, "{} connections are open", shop.clients.count());
+        assert!(
+            Instant::now() < until,
+            "{} connections are open",
+            shop.clients.count()
+        );
         thread::yield_now();
     }
 }
@@ -195,7 +207,10 @@
     drop(leaver);
     assert_eq!(server.next(), broken_off("a1"));
     connections_come_to(&shop, |open| open == 0);
-    assert_eq!((shop.departures.departures(), shop.departures.violations()), (1, 0));
+    assert_eq!(
+        (shop.departures.departures(), shop.departures.violations()),
+        (1, 0)
+    );
 }
 
 /// Danger: a close that looks otherwise is not heard: a reset, the end of the sending side alone, an older client, a
@@ -203,7 +218,9 @@
 #[test]
 fn every_way_of_leaving_is_heard() {
     let reset: fn(TcpStream) -> Option<TcpStream> = |stream| {
-        SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&stream)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
         None
     };
     let half_closed: fn(TcpStream) -> Option<TcpStream> = |stream| {
@@ -211,13 +228,20 @@
         Some(stream)
     };
     let behind_bytes: fn(TcpStream) -> Option<TcpStream> = |mut stream| {
-        stream.write_all(READ.replace("t1", "ahead").replace('\n', "\r\n").as_bytes()).unwrap();
+        stream
+            .write_all(READ.replace("t1", "ahead").replace('\n', "\r\n").as_bytes())
+            .unwrap();
         None
     };
     let older = READ.replace("HTTP/1.1", "HTTP/1.0");
     let server = HoldingServer::start(LONG);
     let (shop, front) = listening(server.addr);
-    for (text, leave) in [(READ, reset), (READ, half_closed), (READ, behind_bytes), (&older, behind_bytes)] {
+    for (text, leave) in [
+        (READ, reset),
+        (READ, half_closed),
+        (READ, behind_bytes),
+        (&older, behind_bytes),
+    ] {
         let leaver = client(front, text, "a1");
         assert_eq!(server.next(), begun("a1"));
         let left = leave(leaver);
@@ -238,7 +262,13 @@
     for half_closed in [false, true] {
         let mut leaver = client(front, SEND, "a1");
         assert_eq!(server.next(), begun("a1"));
-        leaver.shutdown(if half_closed { Shutdown::Write } else { Shutdown::Both }).unwrap();
+        leaver
+            .shutdown(if half_closed {
+                Shutdown::Write
+            } else {
+                Shutdown::Both
+            })
+            .unwrap();
         assert_eq!(server.next(), Seen::Finished("a1".into()));
         if half_closed {
             assert!(rest(&mut leaver).starts_with("HTTP/1.1 200 "));
@@ -254,7 +284,9 @@
     let server = HoldingServer::start(SHORT.mul_f64(4.0));
     let (shop, front) = listening(server.addr);
     // The proxy sends a new server three requests at once; the fourth waits for the end of one of these.
-    let stayers: Vec<TcpStream> = (0..3).map(|n| client(front, SEND, &format!("s{n}"))).collect();
+    let stayers: Vec<TcpStream> = (0..3)
+        .map(|n| client(front, SEND, &format!("s{n}")))
+        .collect();
     for _ in &stayers {
         assert!(matches!(server.next(), Seen::Begun(_)));
     }
@@ -312,7 +344,11 @@
     let _stayer = client(front, READ, "b1");
     connections_come_to(&shop, |open| open == 4);
     server.drops.open();
-    assert_eq!(server.next(), dropped("a1"), "b1 began before a place was free");
+    assert_eq!(
+        server.next(),
+        dropped("a1"),
+        "b1 began before a place was free"
+    );
 }
 
 /// More than the buffers of two sockets take.
--- a/crates/aspendrum-proxy/tests/exchanges.rs
+++ b/crates/aspendrum-proxy/tests/exchanges.rs
@@ -37,9 +37,21 @@
         "HTTP/1.1 421 Other\nServer-Id: i-9\nContent-Length: 0\n\n",
     ] {
         let says: Says = if first.contains("503") {
-            |n| Some(if n == 0 { "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n" } else { GOOD })
+            |n| {
+                Some(if n == 0 {
+                    "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n"
+                } else {
+                    GOOD
+                })
+            }
         } else {
-            |n| Some(if n == 0 { "HTTP/1.1 421 Other\nServer-Id: i-9\nContent-Length: 0\n\n" } else { GOOD })
+            |n| {
+                Some(if n == 0 {
+                    "HTTP/1.1 421 Other\nServer-Id: i-9\nContent-Length: 0\n\n"
+                } else {
+                    GOOD
+                })
+            }
         };
         let stage = stage(2, says);
         assert_eq!(stage.ask(SEND), GOOD_TO_T2);
@@ -55,12 +67,17 @@
         |_| Some("HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 1\nContent-Length: 40\n\nshort(close)"),
         |_| Some("what is this?\n\n(close)"),
         |_| Some("HTTP/1.1 200 OK\nTry-Id: {id}\nContent-Length: 4\n\nbody"),
-        |_| Some("HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 1\nContent-Encoding: gzip\nContent-Length: 4\n\nbody"),
+        |_| {
+            Some("HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 1\nContent-Encoding: gzip\nContent-Length: 4\n\nbody")
+        },
     ];
     for says in cases {
         let stage = stage(3, says);
         let answer = stage.ask(SEND);
-        assert_eq!(answer, "HTTP/1.1 502 Bad Gateway\nContent-Length: 0\nTry-Id: t2\n\n");
+        assert_eq!(
+            answer,
+            "HTTP/1.1 502 Bad Gateway\nContent-Length: 0\nTry-Id: t2\n\n"
+        );
         assert_eq!(stage.seen().len(), 1);
     }
 }
@@ -68,22 +85,38 @@
 /// Danger: 503 and its like promise that nothing ran; a server's own, without its word, is no such promise.
 #[test]
 fn a_servers_503_without_its_word_is_no_promise_of_ours() {
-    let stage = stage(2, |_| Some("HTTP/1.1 503 Oops\nTry-Id: {id}\nSeal: 1\nContent-Length: 1\n\nx"));
-    assert_eq!(stage.ask(SEND), "HTTP/1.1 502 Bad Gateway\nTry-Id: t2\nSeal: 1\nContent-Length: 1\n\nx");
+    let stage = stage(2, |_| {
+        Some("HTTP/1.1 503 Oops\nTry-Id: {id}\nSeal: 1\nContent-Length: 1\n\nx")
+    });
+    assert_eq!(
+        stage.ask(SEND),
+        "HTTP/1.1 502 Bad Gateway\nTry-Id: t2\nSeal: 1\nContent-Length: 1\n\nx"
+    );
     assert_eq!(stage.seen().len(), 1);
 }
 
 #[test]
 fn a_servers_own_failure_goes_back_as_it_is() {
-    let stage = stage(1, |_| Some("HTTP/1.1 500 Broken\nTry-Id: {id}\nSeal: 1\nContent-Length: 1\n\nx"));
-    assert_eq!(stage.ask(SEND), "HTTP/1.1 500 Broken\nTry-Id: t2\nSeal: 1\nContent-Length: 1\n\nx");
+    let stage = stage(1, |_| {
+        Some("HTTP/1.1 500 Broken\nTry-Id: {id}\nSeal: 1\nContent-Length: 1\n\nx")
+    });
+    assert_eq!(
+        stage.ask(SEND),
+        "HTTP/1.1 500 Broken\nTry-Id: t2\nSeal: 1\nContent-Length: 1\n\nx"
+    );
 }
 
 #[test]
 fn a_repeatable_query_is_sent_on_after_any_failure() {
     let cases: [Says; 3] = [
         |n| if n == 0 { None } else { Some(GOOD) },
-        |n| Some(if n == 0 { "HTTP/1.1 200 OK\nTry-Id: {id}\nContent-Length: 4\n\nbody" } else { GOOD }),
+        |n| {
+            Some(if n == 0 {
+                "HTTP/1.1 200 OK\nTry-Id: {id}\nContent-Length: 4\n\nbody"
+            } else {
+                GOOD
+            })
+        },
         |n| {
             Some(if n == 0 {
                 "HTTP/1.1 500 Broken\nTry-Id: {id}\nSeal: 1\nContent-Length: 0\n\n"
@@ -113,15 +146,32 @@
 fn what_no_route_or_key_allows_reaches_no_server() {
     let stage = stage(1, |_| Some(GOOD));
     let own = |status: &str| format!("HTTP/1.1 {status}\nContent-Length: 0\nTry-Id: t1\n\n");
-    assert_eq!(stage.ask(&READ.replace("/read/", "/other/")), own("404 Not Found"));
-    assert_eq!(stage.ask(&READ.replace("a.example", "b.example")), own("404 Not Found"));
-    assert_eq!(stage.ask(&READ.replace("k1", "k2")), own("401 Unauthorized"));
-    assert_eq!(stage.ask(&READ.replace("Credential: k1\n", "")), own("401 Unauthorized"));
+    assert_eq!(
+        stage.ask(&READ.replace("/read/", "/other/")),
+        own("404 Not Found")
+    );
+    assert_eq!(
+        stage.ask(&READ.replace("a.example", "b.example")),
+        own("404 Not Found")
+    );
+    assert_eq!(
+        stage.ask(&READ.replace("k1", "k2")),
+        own("401 Unauthorized")
+    );
+    assert_eq!(
+        stage.ask(&READ.replace("Credential: k1\n", "")),
+        own("401 Unauthorized")
+    );
     let twice = READ.replace("Credential: k1\n", "Credential: k1\nCredential: k2\n");
-    assert_eq!(stage.ask(&twice), "HTTP/1.1 400 Bad Request\nContent-Length: 0\n\n");
+    assert_eq!(
+        stage.ask(&twice),
+        "HTTP/1.1 400 Bad Request\nContent-Length: 0\n\n"
+    );
     assert!(stage.seen().is_empty());
     // Without a key, and no tenant is made up for it.
-    let open = READ.replace("/read/", "/open/").replace("Credential: k1\n", "");
+    let open = READ
+        .replace("/read/", "/open/")
+        .replace("Credential: k1\n", "");
     assert_eq!(stage.ask(&open), GOOD_TO_T1);
     assert!(!stage.seen()[0].contains("Tenant"));
 }
@@ -133,7 +183,8 @@
     let begun = Instant::now();
     let answer = stage.ask(SEND);
     assert!(
-        answer.starts_with("HTTP/1.1 503 Service Unavailable\n") && answer.contains("Retry-After: "),
+        answer.starts_with("HTTP/1.1 503 Service Unavailable\n")
+            && answer.contains("Retry-After: "),
         "{answer}"
     );
     // Danger: a refused client comes again on a new connection and leaves this one open.
@@ -165,14 +216,23 @@
             scope.spawn(move || {
                 for n in 0..1250u32 {
                     let id = format!("{:04x}", client << 12 | n);
-                    let (text, own) = if n % 2 == 0 { (READ, "t1") } else { (SEND, "t2") };
-                    let answer =
-                        stage.ask(&text.replace(&format!("Try-Id: {own}"), &format!("Try-Id: {id}")));
+                    let (text, own) = if n % 2 == 0 {
+                        (READ, "t1")
+                    } else {
+                        (SEND, "t2")
+                    };
+                    let answer = stage
+                        .ask(&text.replace(&format!("Try-Id: {own}"), &format!("Try-Id: {id}")));
                     let served = answer.starts_with("HTTP/1.1 200 ");
-                    assert!(!served || answer.ends_with(&format!("\n\n{id}")), "{answer}");
+                    assert!(
+                        !served || answer.ends_with(&format!("\n\n{id}")),
+                        "{answer}"
+                    );
                     *good.lock().unwrap() += u32::from(served);
                     let ran = stage.ran.lock().unwrap().get(&id).copied().unwrap_or(0);
-                    let promise = ["408", "421", "429", "503"].iter().any(|s| answer[9..].starts_with(s));
+                    let promise = ["408", "421", "429", "503"]
+                        .iter()
+                        .any(|s| answer[9..].starts_with(s));
                     assert!(n % 2 == 0 || ran <= 1, "{id} ran {ran} times");
                     assert!(n % 2 == 0 || !promise || ran == 0, "{answer}");
                 }
@@ -189,7 +249,10 @@
 fn without_a_licence_no_key_is_believed() {
     let stage = stage_of(r#""revoked":true,"revoke-ms":60000"#, 1, |_| Some(GOOD));
     let refused = |answer: &str| {
-        assert!(answer.starts_with("HTTP/1.1 503 ") && answer.contains("Connection: close\n"), "{answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 503 ") && answer.contains("Connection: close\n"),
+            "{answer}"
+        );
         assert!(answer.contains("Retry-After: "), "{answer}");
     };
     refused(&stage.ask(READ));
@@ -201,9 +264,19 @@
     refused(&stage.ask(READ));
     assert!(stage.seen().is_empty());
     // Without a key there is nothing to believe.
-    assert_eq!(stage.ask(&READ.replace("/read/", "/open/").replace("Credential: k1\n", "")), GOOD_TO_T1);
+    assert_eq!(
+        stage.ask(
+            &READ
+                .replace("/read/", "/open/")
+                .replace("Credential: k1\n", "")
+        ),
+        GOOD_TO_T1
+    );
     // A younger one, of what is not in force here.
-    let other = StateDigest { digests: [1; 4], ..stage.shop.stand.edition() };
+    let other = StateDigest {
+        digests: [1; 4],
+        ..stage.shop.stand.edition()
+    };
     stage.shop.told(0, Some(700), other, false);
     refused(&stage.ask(READ));
     told(Some(500));
@@ -214,7 +287,10 @@
 }
 
 fn held_back(answer: &str) {
-    assert!(answer.starts_with("HTTP/1.1 503 ") && answer.contains("Connection: close\n"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 503 ") && answer.contains("Connection: close\n"),
+        "{answer}"
+    );
     assert!(answer.contains("Retry-After: "), "{answer}");
 }
 
@@ -224,12 +300,32 @@
 fn once_only_queries_wait_for_what_was_decided() {
     let stage = stage(1, |_| Some(GOOD));
     let held = stage.shop.stand.edition();
-    let word = |decided, as_of| stage.shop.stand.told(1.0, Some(Word { decided, as_of }), false);
+    let word = |decided, as_of| {
+        stage
+            .shop
+            .stand
+            .told(1.0, Some(Word { decided, as_of }), false)
+    };
     let flows = |text: &str, good: &str| assert_eq!(stage.ask(text), good);
     flows(SEND, GOOD_TO_T2);
     // Something newer was decided; an evacuation counts as a configuration does.
-    for newer in [Revision { config: 2, ..held.revision }, Revision { evacuation: 1, ..held.revision }] {
-        word(StateDigest { revision: newer, ..held }, 0.0);
+    for newer in [
+        Revision {
+            config: 2,
+            ..held.revision
+        },
+        Revision {
+            evacuation: 1,
+            ..held.revision
+        },
+    ] {
+        word(
+            StateDigest {
+                revision: newer,
+                ..held
+            },
+            0.0,
+        );
         held_back(&stage.ask(SEND));
         flows(READ, GOOD_TO_T1);
     }
@@ -243,21 +339,40 @@
 {"name":"open""#,
     );
     assert_ne!(corrupt, CONFIG);
-    stage.shop.desk.apply(StateSection::config(1, pack(corrupt.as_bytes())));
+    stage
+        .shop
+        .desk
+        .apply(StateSection::config(1, pack(corrupt.as_bytes())));
     stage.shop.collate();
     held_back(&stage.ask(SEND));
     flows(READ, GOOD_TO_T1);
     // Told again, the tables are built anew, though the number is the same.
-    stage.shop.desk.apply(StateSection::config(1, pack(CONFIG.as_bytes())));
+    stage
+        .shop
+        .desk
+        .apply(StateSection::config(1, pack(CONFIG.as_bytes())));
     stage.shop.collate();
     flows(SEND, GOOD_TO_T2);
     // The word is as old as it may be: nothing had to come for that.
     let last = 600_000.0;
-    assert!(stage.shop.stand.runs_once_only(last - 251.0) && !stage.shop.stand.runs_once_only(last - 250.0));
-    assert_eq!(stage.seen().iter().filter(|s| s.starts_with("POST")).count(), 3);
+    assert!(
+        stage.shop.stand.runs_once_only(last - 251.0)
+            && !stage.shop.stand.runs_once_only(last - 250.0)
+    );
+    assert_eq!(
+        stage
+            .seen()
+            .iter()
+            .filter(|s| s.starts_with("POST"))
+            .count(),
+        3
+    );
     // A torn push is not applied, and the tables serve on as they are.
-    let StateSection::Config { version, checksum: seal, .. } =
-        StateSection::config(1, pack(CONFIG.as_bytes()))
+    let StateSection::Config {
+        version,
+        checksum: seal,
+        ..
+    } = StateSection::config(1, pack(CONFIG.as_bytes()))
     else {
         return;
     };
@@ -281,8 +396,12 @@
                 r#""pfx":"/send/"},"action":{"svc":"s1""#,
                 r#""pfx":"/send/"},"action":{"svc":"s2""#,
             );
-            let moved = moved.replace(r#""pools":["#, r#""pools":[{"name":"s2","check":"/healthz"},"#);
-            shop.desk.apply(StateSection::config(2, pack(moved.as_bytes())));
+            let moved = moved.replace(
+                r#""pools":["#,
+                r#""pools":[{"name":"s2","check":"/healthz"},"#,
+            );
+            shop.desk
+                .apply(StateSection::config(2, pack(moved.as_bytes())));
             shop.collate();
         }
         Some("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n")
@@ -290,7 +409,11 @@
     let stage = stage(3, says);
     *SHOP.lock().unwrap() = Some(stage.shop.clone());
     held_back(&stage.ask(SEND));
-    assert_eq!(stage.seen().len(), 1, "it left once, by what was decided then");
+    assert_eq!(
+        stage.seen().len(),
+        1,
+        "it left once, by what was decided then"
+    );
     // A key taken away meanwhile is the same.
     assert!(stage.shop.runs_once_only());
 }
--- a/crates/aspendrum-proxy/tests/process.rs
+++ b/crates/aspendrum-proxy/tests/process.rs
@@ -69,7 +69,11 @@
         thread::yield_now();
     };
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    write!(stream, "GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").unwrap();
+    write!(
+        stream,
+        "GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+    )
+    .unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     text.replace("\r\n", "\n")
@@ -90,11 +94,18 @@
         draining: false,
         warm_left_ms: 0,
     };
-    let front =
-        ProxyEndpoint { addr: front, zone: "poa-a".into(), readiness: Readiness::Ready, current: true };
+    let front = ProxyEndpoint {
+        addr: front,
+        zone: "poa-a".into(),
+        readiness: Readiness::Ready,
+        current: true,
+    };
     [
         StateSection::config(1, pack(CONFIG.as_bytes())),
-        StateSection::Servers { age: 0, list: vec![server] },
+        StateSection::Servers {
+            age: 0,
+            list: vec![server],
+        },
         StateSection::Proxies(vec![front]),
     ]
 }
@@ -103,7 +114,10 @@
 fn readiness_and_metrics_pages_follow_what_the_agent_sends() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let _proxy = ProxyProcess::start(listener.local_addr().unwrap());
-    assert_eq!(get(READINESS_PORT, "/api/readyz"), empty("503 Service Unavailable"));
+    assert_eq!(
+        get(READINESS_PORT, "/api/readyz"),
+        empty("503 Service Unavailable")
+    );
     assert_eq!(get(READINESS_PORT, "/readyz"), empty("404 Not Found"));
     assert_eq!(get(METRICS_PORT, "/other"), empty("404 Not Found"));
     assert_eq!(
@@ -113,26 +127,33 @@
     let (mut agent, _) = listener.accept().unwrap();
     agent.set_read_timeout(Some(PATIENCE)).unwrap();
     let front = SocketAddrV4::new(IP, FRONT_PORT);
-    let hello = ToControl::Hello { host: "edge-1".into(), front, zone: "poa-a".into() };
+    let hello = ToControl::Hello {
+        host: "edge-1".into(),
+        front,
+        zone: "poa-a".into(),
+    };
     assert_eq!(frames::read_frame::<ToControl>(&mut agent).unwrap(), hello);
-    let ToControl::Heartbeat { readiness, applied, .. } =
-        frames::read_frame::<ToControl>(&mut agent).unwrap()
+    let ToControl::Heartbeat {
+        readiness, applied, ..
+    } = frames::read_frame::<ToControl>(&mut agent).unwrap()
     else {
         panic!("a heartbeat follows")
     };
     assert_eq!((readiness, applied.revision.config), (Readiness::Closed, 0));
     let mut applied_in_order = Vec::new();
     for (number, part) in (1..).zip(updates(front)) {
-        agent.write_all(&encode_frame(&FromControl::Update { number, part })).unwrap();
+        agent
+            .write_all(&encode_frame(&FromControl::Update { number, part }))
+            .unwrap();
     }
     loop {
         match frames::read_frame::<ToControl>(&mut agent).unwrap() {
             ToControl::Applied { number } => applied_in_order.push(number),
-            ToControl::Heartbeat { readiness: Readiness::Ready, applied, .. }
-                if applied.revision.config == 1 =>
-            {
-                break
-            }
+            ToControl::Heartbeat {
+                readiness: Readiness::Ready,
+                applied,
+                ..
+            } if applied.revision.config == 1 => break,
             _ => {}
         }
     }
--- a/crates/aspendrum-proxy/tests/stacks.rs
+++ b/crates/aspendrum-proxy/tests/stacks.rs
@@ -35,7 +35,13 @@
 fn stacks(me: u16, of: u16) -> Stacks {
     let mut stacks = Stacks::new(TERMS, proxy(me));
     stacks.fronts((0..of).map(proxy).collect());
-    stacks.warmth("s1", Warmth { warmup: 3000.0, rate: 10.0 });
+    stacks.warmth(
+        "s1",
+        Warmth {
+            warmup: 3000.0,
+            rate: 10.0,
+        },
+    );
     stacks
 }
 
@@ -45,7 +51,8 @@
 
 impl Told {
     fn hear(&mut self, members: impl IntoIterator<Item = Member>) {
-        self.0.extend(members.into_iter().map(|m| (m.server, m.health)));
+        self.0
+            .extend(members.into_iter().map(|m| (m.server, m.health)));
     }
 
     fn ready(&self) -> usize {
@@ -56,11 +63,18 @@
 /// Each of the proxies sends to a cold server whenever it may; no second holds more than the bound, and the
 /// server is not left idle. `known`: how many of them each knows of.
 fn cold(of: u16, known: u16) -> (usize, f64) {
-    let mut fleet: Vec<(Stacks, Told)> = (0..of).map(|me| (stacks(me, of), Told::default())).collect();
+    let mut fleet: Vec<(Stacks, Told)> = (0..of)
+        .map(|me| (stacks(me, of), Told::default()))
+        .collect();
     let mut sent = Vec::new();
     for (n, (stacks, told)) in fleet.iter_mut().enumerate() {
         let me = n as u16;
-        stacks.fronts((0..of).filter(|p| *p == me || p % of < known).map(proxy).collect());
+        stacks.fronts(
+            (0..of)
+                .filter(|p| *p == me || p % of < known)
+                .map(proxy)
+                .collect(),
+        );
         stacks.list(0.0, 0.0, vec![server("i-1", "poa-a", 60_000)], |_| (0, 1.0));
         told.hear(stacks.beat(0.0));
     }
@@ -75,8 +89,15 @@
             }
         }
     }
-    let within = |from: &f64| sent.iter().filter(|at| **at >= *from && **at < from + 1000.0).count();
-    (sent.iter().map(within).max().unwrap_or(0), sent.len() as f64 / 20.0)
+    let within = |from: &f64| {
+        sent.iter()
+            .filter(|at| **at >= *from && **at < from + 1000.0)
+            .count()
+    };
+    (
+        sent.iter().map(within).max().unwrap_or(0),
+        sent.len() as f64 / 20.0,
+    )
 }
 
 #[test]
@@ -98,12 +119,24 @@
 #[test]
 fn a_server_that_drains_or_is_gone_gets_nothing_new() {
     let (mut stacks, mut told) = (stacks(0, 1), Told::default());
-    stacks.list(0.0, 0.0, vec![server("i-1", "poa-a", 0), server("i-2", "poa-a", 0)], |_| (0, 1.0));
+    stacks.list(
+        0.0,
+        0.0,
+        vec![server("i-1", "poa-a", 0), server("i-2", "poa-a", 0)],
+        |_| (0, 1.0),
+    );
     told.hear(stacks.beat(0.0));
     assert_eq!(told.ready(), 2);
     let id = *told.0.keys().next().unwrap();
-    stacks
-        .list(100.0, 0.0, vec![ServerInstance { draining: true, ..server("i-1", "poa-a", 0) }], |_| (0, 1.0));
+    stacks.list(
+        100.0,
+        0.0,
+        vec![ServerInstance {
+            draining: true,
+            ..server("i-1", "poa-a", 0)
+        }],
+        |_| (0, 1.0),
+    );
     // Asked for before the module heard of it.
     let (may, change) = stacks.leave_for(101.0, id);
     assert!(!may);
--- a/crates/aspendrum-proxy/tests/trust.rs
+++ b/crates/aspendrum-proxy/tests/trust.rs
@@ -42,7 +42,13 @@
     assert!(first.idle_time().is_zero() && first.nothing_received());
     pool.release(1, first);
     let fresh = take(Duration::ZERO);
-    assert!(own(&fresh) != port && fresh.idle_time().is_zero(), "a rest of any length is too long");
+    assert!(
+        own(&fresh) != port && fresh.idle_time().is_zero(),
+        "a rest of any length is too long"
+    );
     let kept = take(Duration::MAX);
-    assert!(own(&kept) == port && !kept.idle_time().is_zero(), "it is there for whoever may repeat");
+    assert!(
+        own(&kept) == port && !kept.idle_time().is_zero(),
+        "it is there for whoever may repeat"
+    );
 }
--- a/crates/aspendrum-proxy/tests/wire_bytes.rs
+++ b/crates/aspendrum-proxy/tests/wire_bytes.rs
@@ -11,7 +11,8 @@
 }
 
 fn bytes_of(hex: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits");
+    let digits =
+        |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
@@ -19,11 +20,34 @@
 fn datagrams() -> Vec<(&'static str, Word)> {
     let handed = |name, total, age| Word::Hand(Handed { name, total, age });
     vec![
-        ("add", Word::Add { call: 1, name: 7, add: 1.0 }),
-        ("add_longest", Word::Add { call: u32::MAX, name: u64::MAX, add: -0.5 }),
-        ("total", Word::Total { call: 300, total: 2.5 }),
+        (
+            "add",
+            Word::Add {
+                call: 1,
+                name: 7,
+                add: 1.0,
+            },
+        ),
+        (
+            "add_longest",
+            Word::Add {
+                call: u32::MAX,
+                name: u64::MAX,
+                add: -0.5,
+            },
+        ),
+        (
+            "total",
+            Word::Total {
+                call: 300,
+                total: 2.5,
+            },
+        ),
         ("fenced", Word::Fenced { call: 129 }),
-        ("handover_with_total", handed((1 << 40) - 1, Some(17.25), 400)),
+        (
+            "handover_with_total",
+            handed((1 << 40) - 1, Some(17.25), 400),
+        ),
         ("handover_of_fenced_counter", handed(128, None, 0)),
         ("handover_longest", handed(u64::MAX, Some(1e9), u32::MAX)),
     ]
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -24,15 +24,21 @@
 
 fn parse_whole_request(text: &str) -> Request {
     let mut ring = RingBuffer::new(1024, 1 << 20);
-    ring.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
-    let Parsed::Complete(request) = parse_request(&mut ring, &BOUNDS) else { panic!("{text}") };
+    ring.write_all(text.replace('\n', "\r\n").as_bytes())
+        .unwrap();
+    let Parsed::Complete(request) = parse_request(&mut ring, &BOUNDS) else {
+        panic!("{text}")
+    };
     request
 }
 
 fn parse_whole_response(text: &str) -> Response {
     let mut ring = RingBuffer::new(1024, 1 << 20);
-    ring.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
-    let Parsed::Complete(response) = parse_response(&mut ring, &BOUNDS) else { panic!("{text}") };
+    ring.write_all(text.replace('\n', "\r\n").as_bytes())
+        .unwrap();
+    let Parsed::Complete(response) = parse_response(&mut ring, &BOUNDS) else {
+        panic!("{text}")
+    };
     response
 }
 
@@ -57,10 +63,22 @@
     );
     let empty_post = parse_whole_request("POST /send/2 HTTP/1.1\nHost: a.example\nTry-Id: t4\n\n");
     vec![
-        ("forward of a GET", wire::forward(&read, "i-1", Some("ann"), 1988)),
-        ("forward of a POST with a body", wire::forward(&send, "i-2", Some("ann"), 1)),
-        ("forward without a tenant", wire::forward(&delete, "i-1", None, 60_000)),
-        ("forward of a POST without a body", wire::forward(&empty_post, "i-1", None, 5)),
+        (
+            "forward of a GET",
+            wire::forward(&read, "i-1", Some("ann"), 1988),
+        ),
+        (
+            "forward of a POST with a body",
+            wire::forward(&send, "i-2", Some("ann"), 1),
+        ),
+        (
+            "forward without a tenant",
+            wire::forward(&delete, "i-1", None, 60_000),
+        ),
+        (
+            "forward of a POST without a body",
+            wire::forward(&empty_post, "i-1", None, 5),
+        ),
         ("health check", wire::probe("/healthz", "10.128.0.9:8080")),
     ]
 }
@@ -72,20 +90,53 @@
     let own = |status, id, again| Answer::own(status, id, again, Then::KeepsOn);
     vec![
         ("server's answer", wire::reply(&answered, 200, false)),
-        ("server's answer, connection closes", wire::reply(&answered, 200, true)),
-        ("server's answer under another status", wire::reply(&answered, 502, false)),
-        ("server's answer without a reason phrase", wire::reply(&unnamed, 500, false)),
+        (
+            "server's answer, connection closes",
+            wire::reply(&answered, 200, true),
+        ),
+        (
+            "server's answer under another status",
+            wire::reply(&answered, 502, false),
+        ),
+        (
+            "server's answer without a reason phrase",
+            wire::reply(&unnamed, 500, false),
+        ),
         ("own answer", wire::own(404, "t1", None, false)),
-        ("own answer, connection closes", wire::own(401, "t1", None, true)),
-        ("own answer without a request id", wire::own(400, "", None, false)),
-        ("own answer with Retry-After", wire::own(429, "t1", Some(1234.5678), true)),
-        ("own answer with the least Retry-After", wire::own(503, "t1", Some(0.0), true)),
+        (
+            "own answer, connection closes",
+            wire::own(401, "t1", None, true),
+        ),
+        (
+            "own answer without a request id",
+            wire::own(400, "", None, false),
+        ),
+        (
+            "own answer with Retry-After",
+            wire::own(429, "t1", Some(1234.5678), true),
+        ),
+        (
+            "own answer with the least Retry-After",
+            wire::own(503, "t1", Some(0.0), true),
+        ),
         ("own answer out of time", own(504, "t1", None).bytes(false)),
-        ("own answer of an unknown outcome", own(502, "t1", None).bytes(true)),
-        ("own answer that sends elsewhere", own(503, "t1", Some(150.0)).bytes(true)),
-        ("answer passed on", Answer::passed_on(answered, 200, Then::KeepsOn).bytes(true)),
+        (
+            "own answer of an unknown outcome",
+            own(502, "t1", None).bytes(true),
+        ),
+        (
+            "own answer that sends elsewhere",
+            own(503, "t1", Some(150.0)).bytes(true),
+        ),
+        (
+            "answer passed on",
+            Answer::passed_on(answered, 200, Then::KeepsOn).bytes(true),
+        ),
         ("answer to nobody", Answer::nothing().bytes(true)),
-        ("rejection while draining", query::turn_away(&parse_whole_request(READ)).bytes(true)),
+        (
+            "rejection while draining",
+            query::turn_away(&parse_whole_request(READ)).bytes(true),
+        ),
         (
             "rejection of an unreadable head",
             query::turn_away(&parse_whole_request("GET / HTTP/1.1\n\n")).bytes(true),
@@ -104,10 +155,16 @@
 fn request_heads_are_read_by_their_names_on_the_wire() {
     let request = parse_whole_request(READ);
     let head = wire::asked(&request).unwrap();
-    assert_eq!((head.host, head.id, head.budget, head.key), ("a.example", "t1", Some(2000.0), Some("k1")));
+    assert_eq!(
+        (head.host, head.id, head.budget, head.key),
+        ("a.example", "t1", Some(2000.0), Some("k1"))
+    );
     let bare = parse_whole_request("GET / HTTP/1.1\nHost: a.example\ntry-id: t1\n\n");
     let head = wire::asked(&bare).unwrap();
-    assert_eq!((head.host, head.id, head.budget, head.key), ("a.example", "t1", None, None));
+    assert_eq!(
+        (head.host, head.id, head.budget, head.key),
+        ("a.example", "t1", None, None)
+    );
     for refused in [
         "GET / HTTP/1.1\nHost: a.example\n\n",
         "GET / HTTP/1.1\nHost: a.example\nTry-Id:\n\n",
@@ -119,7 +176,10 @@
         "GET / HTTP/1.1\nHost: a.example\nTry-Id: t1\nBudget-Ms: inf\n\n",
         "GET / HTTP/1.1\nHost: a.example\nTry-Id: t1\nCredential: k1\nCredential: k1\n\n",
     ] {
-        assert!(wire::asked(&parse_whole_request(refused)).is_none(), "{refused}");
+        assert!(
+            wire::asked(&parse_whole_request(refused)).is_none(),
+            "{refused}"
+        );
     }
 }
 
@@ -130,7 +190,11 @@
         (200, sealed, Taken::Final),
         (299, sealed, Taken::Final),
         (200, "Try-Id: t1\n", Taken::Spoilt),
-        (200, "Try-Id: t1\nSeal: 1\nContent-Encoding: gzip\n", Taken::Spoilt),
+        (
+            200,
+            "Try-Id: t1\nSeal: 1\nContent-Encoding: gzip\n",
+            Taken::Spoilt,
+        ),
         (304, "", Taken::Final),
         (400, "", Taken::Final),
         (400, "Not-Run: 1\n", Taken::Final),
@@ -146,24 +210,49 @@
         (421, "Not-Run: 1\n", Taken::Misdirected),
     ] {
         let text = format!("HTTP/1.1 {status} X\n{headers}Content-Length: 0\n\n");
-        assert_eq!(wire::taken(&parse_whole_response(&text)), expected, "{text}");
+        assert_eq!(
+            wire::taken(&parse_whole_response(&text)),
+            expected,
+            "{text}"
+        );
     }
 }
 
 #[test]
 fn servers_headers_are_read_by_their_names_on_the_wire() {
     let answer = parse_whole_response(SERVER_ANSWER);
-    assert!(wire::answers(&answer, "t1") && !wire::answers(&answer, "t2") && !wire::nameless(&answer));
+    assert!(
+        wire::answers(&answer, "t1") && !wire::answers(&answer, "t2") && !wire::nameless(&answer)
+    );
     assert_eq!(wire::server(&answer), Some("i-1"));
-    assert_eq!(wire::load(&answer), Load { n: 1, values: [0.75, 0.0, 0.0, 0.0] });
-    assert_eq!((wire::warm_left(&answer), wire::keeps_for(&answer)), (Some(1500.0), Some(5.0)));
+    assert_eq!(
+        wire::load(&answer),
+        Load {
+            n: 1,
+            values: [0.75, 0.0, 0.0, 0.0]
+        }
+    );
+    assert_eq!(
+        (wire::warm_left(&answer), wire::keeps_for(&answer)),
+        (Some(1500.0), Some(5.0))
+    );
     let bare = parse_whole_response("HTTP/1.1 200 OK\nContent-Length: 0\n\n");
     assert!(wire::nameless(&bare) && !wire::answers(&bare, ""));
-    assert_eq!((wire::server(&bare), wire::load(&bare)), (None, Load::default()));
-    assert_eq!((wire::warm_left(&bare), wire::keeps_for(&bare)), (None, None));
+    assert_eq!(
+        (wire::server(&bare), wire::load(&bare)),
+        (None, Load::default())
+    );
+    assert_eq!(
+        (wire::warm_left(&bare), wire::keeps_for(&bare)),
+        (None, None)
+    );
     for unreadable in ["1,2", "1,2,x", "1,2,0", "-9,1,2"] {
         let text = format!("HTTP/1.1 200 OK\nServer-Load: {unreadable}\nContent-Length: 0\n\n");
-        assert_eq!(wire::load(&parse_whole_response(&text)), Load::default(), "{unreadable}");
+        assert_eq!(
+            wire::load(&parse_whole_response(&text)),
+            Load::default(),
+            "{unreadable}"
+        );
     }
 }
 
@@ -178,14 +267,22 @@
         (Then::EndsIdle, true, true, false),
         (Then::Ends, false, true, true),
     ] {
-        assert_eq!(answer(then).closes(draining, pipelined), closes, "{then:?} {draining} {pipelined}");
+        assert_eq!(
+            answer(then).closes(draining, pipelined),
+            closes,
+            "{then:?} {draining} {pipelined}"
+        );
     }
     assert!(Answer::nothing().closes(false, true));
 }
 
 /// Sends these bytes to a listening proxy and reads all that comes until it closes.
 fn exchange(config: &str, bytes: &[u8], end_of_sending: bool) -> String {
-    let shop = proxy("\"retry-slack\":100", config, &["127.0.0.1:1".parse().unwrap()]);
+    let shop = proxy(
+        "\"retry-slack\":100",
+        config,
+        &["127.0.0.1:1".parse().unwrap()],
+    );
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || door::accept(&shop, listener));
@@ -204,18 +301,41 @@
 fn requests_that_cannot_be_parsed_get_their_status_and_a_closed_connection() {
     let head_limit = "\"hdr-bytes\":16384";
     let small_head = CONFIG.replace(head_limit, "\"hdr-bytes\":64");
-    let large = format!("GET /read/{} HTTP/1.1\r\nHost: a.example\r\n\r\n", "x".repeat(100));
-    let closed = |status: &str| format!("HTTP/1.1 {status}\nContent-Length: 0\nConnection: close\n\n");
-    assert_eq!(exchange(CONFIG, b"what is this?\r\n\r\n", false), closed("400 Bad Request"));
+    let large = format!(
+        "GET /read/{} HTTP/1.1\r\nHost: a.example\r\n\r\n",
+        "x".repeat(100)
+    );
+    let closed =
+        |status: &str| format!("HTTP/1.1 {status}\nContent-Length: 0\nConnection: close\n\n");
+    assert_eq!(
+        exchange(CONFIG, b"what is this?\r\n\r\n", false),
+        closed("400 Bad Request")
+    );
     let two_lengths = b"POST /send/1 HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab";
-    assert_eq!(exchange(CONFIG, two_lengths, false), closed("400 Bad Request"));
+    assert_eq!(
+        exchange(CONFIG, two_lengths, false),
+        closed("400 Bad Request")
+    );
     let too_long = b"POST /send/1 HTTP/1.1\r\nContent-Length: 65537\r\n\r\n";
-    assert_eq!(exchange(CONFIG, too_long, false), closed("413 Content Too Large"));
-    assert_eq!(exchange(&small_head, large.as_bytes(), false), closed("431 Request Header Fields Too Large"));
+    assert_eq!(
+        exchange(CONFIG, too_long, false),
+        closed("413 Content Too Large")
+    );
+    assert_eq!(
+        exchange(&small_head, large.as_bytes(), false),
+        closed("431 Request Header Fields Too Large")
+    );
     let impatient = CONFIG.replace("\"hdr-ms\":3000", "\"hdr-ms\":30");
     assert_ne!(impatient, CONFIG);
-    assert_eq!(exchange(&impatient, b"GET /read/1 HT", false), closed("408 Request Timeout"));
-    assert_eq!(exchange(CONFIG, b"", true), "", "nothing is owed to a client that sent nothing");
+    assert_eq!(
+        exchange(&impatient, b"GET /read/1 HT", false),
+        closed("408 Request Timeout")
+    );
+    assert_eq!(
+        exchange(CONFIG, b"", true),
+        "",
+        "nothing is owed to a client that sent nothing"
+    );
     assert_eq!(exchange(CONFIG, b"GET /read/1 HT", true), "");
     let close = b"GET /none HTTP/1.1\r\nHost: a.example\r\nTry-Id: t1\r\nConnection: close\r\n\r\n";
     assert_eq!(
@@ -229,14 +349,23 @@
     let config = CONFIG.replace("\"rate-s\":0", "\"rate-s\":1,\"burst\":1");
     assert_ne!(config, CONFIG);
     let stage = stage(1, |_| Some(GOOD));
-    stage.shop.desk.apply(aspendrum_model::message::StateSection::config(
-        2,
-        aspendrum_model::packed::pack(config.replace("00000001", "00000002").as_bytes()),
-    ));
+    stage
+        .shop
+        .desk
+        .apply(aspendrum_model::message::StateSection::config(
+            2,
+            aspendrum_model::packed::pack(config.replace("00000001", "00000002").as_bytes()),
+        ));
     let answers = (0..50).map(|_| stage.ask(READ));
-    let rejected = answers.into_iter().find(|a| a.starts_with("HTTP/1.1 429 ")).expect("one in fifty");
+    let rejected = answers
+        .into_iter()
+        .find(|a| a.starts_with("HTTP/1.1 429 "))
+        .expect("one in fifty");
     let (before, rest) = rejected.split_once("Retry-After: ").unwrap();
-    assert_eq!(before, "HTTP/1.1 429 Too Many Requests\nContent-Length: 0\nTry-Id: t1\n");
+    assert_eq!(
+        before,
+        "HTTP/1.1 429 Too Many Requests\nContent-Length: 0\nTry-Id: t1\n"
+    );
     let (seconds, after) = rest.split_once('\n').unwrap();
     let (whole, fraction) = seconds.split_once('.').unwrap();
     assert!(whole.parse::<u32>().is_ok() && fraction.len() == 3 && fraction.parse::<u32>().is_ok());
@@ -249,15 +378,22 @@
         thread::park();
     });
     let answer = stage.ask(&SEND.replace("Budget-Ms: 2000", "Budget-Ms: 500"));
-    assert_eq!(answer, "HTTP/1.1 504 Gateway Timeout\nContent-Length: 0\nTry-Id: t2\n\n");
+    assert_eq!(
+        answer,
+        "HTTP/1.1 504 Gateway Timeout\nContent-Length: 0\nTry-Id: t2\n\n"
+    );
 }
 
 #[test]
 fn metrics_keep_their_names_and_form() {
     let shop = proxy("\"retry-slack\":100", CONFIG, &[]);
     assert_eq!(shop.departures.text(), "", "what is 0 is not shown");
-    let stages =
-        [ForwardStage::Waiting, ForwardStage::Dialling, ForwardStage::Sending, ForwardStage::AtServer];
+    let stages = [
+        ForwardStage::Waiting,
+        ForwardStage::Dialling,
+        ForwardStage::Sending,
+        ForwardStage::AtServer,
+    ];
     let mut events = 0;
     for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
         for stage in stages {
@@ -266,9 +402,14 @@
             shop.departures.record_overdue(kind, stage, false);
             shop.departures.record_overdue(kind, stage, true);
         }
-        shop.departures.record_sent_late(kind, Duration::from_millis(501));
-        shop.departures.record_sent_late(kind, Duration::from_millis(500));
+        shop.departures
+            .record_sent_late(kind, Duration::from_millis(501));
+        shop.departures
+            .record_sent_late(kind, Duration::from_millis(500));
     }
     assert_eq!(shop.departures.text(), METRICS);
-    assert_eq!((shop.departures.departures(), shop.departures.violations()), (36, 10));
+    assert_eq!(
+        (shop.departures.departures(), shop.departures.violations()),
+        (36, 10)
+    );
 }
--- a/crates/aspendrum-reconcile/examples/nights/mod.rs
+++ b/crates/aspendrum-reconcile/examples/nights/mod.rs
@@ -82,7 +82,13 @@
 }
 
 fn at(config: u32) -> StateDigest {
-    StateDigest { revision: Revision { config, evacuation: 0 }, digests: [u64::from(config) * 7919, 1, 1, 1] }
+    StateDigest {
+        revision: Revision {
+            config,
+            evacuation: 0,
+        },
+        digests: [u64::from(config) * 7919, 1, 1, 1],
+    }
 }
 
 impl Night {
@@ -146,7 +152,14 @@
         let calm = self.now;
         for node in &mut self.nodes {
             let f = &mut node.faults;
-            let all = [&mut f.control, &mut f.all, &mut f.frozen, &mut f.agent, &mut f.push, &mut f.feed];
+            let all = [
+                &mut f.control,
+                &mut f.all,
+                &mut f.frozen,
+                &mut f.agent,
+                &mut f.push,
+                &mut f.feed,
+            ];
             all.into_iter().for_each(|end| *end = end.min(calm));
         }
         self.control_lost = self.control_lost.min(calm);
@@ -225,7 +238,9 @@
         if !alone || now < self.nodes[n].faults.all {
             return;
         }
-        let others: Vec<Ipv4Addr> = (0..4).map(|_| ip(self.rng.usize(0..self.nodes.len()))).collect();
+        let others: Vec<Ipv4Addr> = (0..4)
+            .map(|_| ip(self.rng.usize(0..self.nodes.len())))
+            .collect();
         let others: Vec<Ipv4Addr> = others.into_iter().filter(|o| *o != ip(n)).collect();
         self.nodes[n].circle.meet(&others);
     }
@@ -247,7 +262,9 @@
                 let as_of = peer.as_of.filter(|at| now - at <= ALONE);
                 let held = peer.held;
                 for back in peer.circle.hear(now, ip(n), word, &held, as_of) {
-                    let Act::Say { word, .. } = back else { continue };
+                    let Act::Say { word, .. } = back else {
+                        continue;
+                    };
                     let (held, as_of) = (self.nodes[n].held, self.nodes[n].as_of);
                     let lent = match &word {
                         Lent::Lent { of, .. } => Some(*of),
@@ -279,7 +296,10 @@
             if fed && node.held.revision != node.tables.revision {
                 (node.tables, node.collated) = (node.held, (now, node.held));
             }
-            let word = Word { decided: node.held, as_of: now };
+            let word = Word {
+                decided: node.held,
+                as_of: now,
+            };
             let standing = Verdict::of(&node.collated.1, Some(&word), false, &bounds).standing;
             let differing = Section::differing(&node.collated.1, &node.held);
             match node.mending.look(now, standing, &differing) {
@@ -292,10 +312,16 @@
                 node.collated = (now, node.tables);
             }
             let deserted = node.circle.deserted(now);
-            let word = node.as_of.map(|as_of| Word { decided: node.held, as_of });
+            let word = node.as_of.map(|as_of| Word {
+                decided: node.held,
+                as_of,
+            });
             node.verdict = Verdict::of(&node.collated.1, word.as_ref(), deserted, &bounds);
             if self.kind == Kind::TrustsPushes {
-                node.verdict = Verdict { standing: Standing::Current, until: f64::INFINITY };
+                node.verdict = Verdict {
+                    standing: Standing::Current,
+                    until: f64::INFINITY,
+                };
             }
         } else if now - node.collated.0 >= COLLATED {
             // Without its agent it goes by what it was told; its tables are its own.
@@ -306,16 +332,29 @@
         }
         let wrong = node.tables != at(node.tables.revision.config);
         node.since_wrong = wrong.then(|| node.since_wrong.unwrap_or(now));
-        let (current, runs) = (node.tables == self.decided, node.verdict.runs_once_only(now));
+        let (current, runs) = (
+            node.tables == self.decided,
+            node.verdict.runs_once_only(now),
+        );
         match &mut node.differs {
             None if !current => node.differs = Some((now, (!runs).then_some(now))),
             Some((_, held)) if !current => *held = held.or((!runs).then_some(now)),
             Some((since, held)) if current && runs => {
                 let f = &node.faults;
-                let kept = [f.control, f.all, f.frozen, f.agent, f.push, f.feed, self.control_lost, *since];
+                let kept = [
+                    f.control,
+                    f.all,
+                    f.frozen,
+                    f.agent,
+                    f.push,
+                    f.feed,
+                    self.control_lost,
+                    *since,
+                ];
                 if now - *since > 1000.0 {
                     self.noticed.extend(held.map(|at| at - *since));
-                    self.mended.push(now - kept.into_iter().filter(|t| *t <= now).fold(0.0, f64::max));
+                    self.mended
+                        .push(now - kept.into_iter().filter(|t| *t <= now).fold(0.0, f64::max));
                 }
                 node.differs = None;
             }
@@ -331,11 +370,18 @@
             self.held += 1;
             return;
         }
-        let newer = self.history.iter().rev().take_while(|h| h.0 > node.tables.revision.config).last();
+        let newer = self
+            .history
+            .iter()
+            .rev()
+            .take_while(|h| h.0 > node.tables.revision.config)
+            .last();
         let late = newer.map_or(0.0, |h| now - h.1);
         let deserted = node.verdict.until - node.as_of.unwrap_or(now) > APPLY;
         let bound = if deserted { APPLY + STRETCH } else { APPLY };
-        let corrupt = node.since_wrong.is_some_and(|at| now - at > COLLATED + 2.0 * BEAT);
+        let corrupt = node
+            .since_wrong
+            .is_some_and(|at| now - at > COLLATED + 2.0 * BEAT);
         self.latest = self.latest.max(late);
         self.astray += u64::from(late > bound || corrupt);
     }
--- a/crates/aspendrum-reconcile/examples/overnight.rs
+++ b/crates/aspendrum-reconcile/examples/overnight.rs
@@ -19,9 +19,16 @@
 }
 
 fn main() {
-    let told: Vec<f64> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
+    let told: Vec<f64> = std::env::args()
+        .skip(1)
+        .filter_map(|a| a.parse().ok())
+        .collect();
     let number = |n: usize, default: f64| told.get(n).copied().unwrap_or(default);
-    let (seeds, hours, changes) = (number(0, 10.0) as u64, number(1, 8.0), number(2, 300.0) as u32);
+    let (seeds, hours, changes) = (
+        number(0, 10.0) as u64,
+        number(1, 8.0),
+        number(2, 300.0) as u32,
+    );
     let nodes = number(3, 70.0) as usize;
     let lanes = thread::available_parallelism().map_or(1, usize::from) as u64;
     let play = |lane: u64| {
@@ -42,12 +49,17 @@
         came
     };
     let all: Vec<_> = thread::scope(|scope| {
-        let lanes: Vec<_> = (0..lanes).map(|lane| scope.spawn(move || play(lane))).collect();
+        let lanes: Vec<_> = (0..lanes)
+            .map(|lane| scope.spawn(move || play(lane)))
+            .collect();
         lanes.into_iter().filter_map(|l| l.join().ok()).collect()
     });
     let sum = |of: fn(&Came) -> u64| all.iter().map(of).sum::<u64>();
     let times = |of: fn(&Came) -> &Vec<f64>| {
-        let mut all: Vec<f64> = all.iter().flat_map(|came| of(came).iter().copied()).collect();
+        let mut all: Vec<f64> = all
+            .iter()
+            .flat_map(|came| of(came).iter().copied())
+            .collect();
         all.sort_by(f64::total_cmp);
         let at = |n: usize| all.get(n).copied().unwrap_or(f64::NAN);
         format!(
@@ -67,6 +79,12 @@
         sum(|a| u64::from(a.never))
     );
     println!("all agreed after the last fault: {}", times(|a| &a.agreed));
-    println!("held back after they began to differ: {}", times(|a| &a.noticed));
-    println!("current after what kept them so was over: {}", times(|a| &a.mended));
+    println!(
+        "held back after they began to differ: {}",
+        times(|a| &a.noticed)
+    );
+    println!(
+        "current after what kept them so was over: {}",
+        times(|a| &a.mended)
+    );
 }
--- a/crates/aspendrum-reconcile/src/edition.rs
+++ b/crates/aspendrum-reconcile/src/edition.rs
@@ -15,13 +15,20 @@
 }
 
 impl Section {
-    pub const ALL: [Section; DIGEST_SECTIONS] =
-        [Section::Routes, Section::Services, Section::Tenants, Section::Evacuations];
+    pub const ALL: [Section; DIGEST_SECTIONS] = [
+        Section::Routes,
+        Section::Services,
+        Section::Tenants,
+        Section::Evacuations,
+    ];
 
     /// The sections in which two editions differ.
     pub fn differing(one: &StateDigest, other: &StateDigest) -> Vec<Section> {
         let pairs = one.digests.iter().zip(&other.digests).zip(Section::ALL);
-        pairs.filter(|((a, b), _)| a != b).map(|(_, section)| section).collect()
+        pairs
+            .filter(|((a, b), _)| a != b)
+            .map(|(_, section)| section)
+            .collect()
     }
 }
 
@@ -52,33 +59,72 @@
 fn sum(entries: impl Iterator<Item = Form>) -> u64 {
     let mut all: Vec<u64> = entries.map(|f| digest(&f.0)).collect();
     all.sort_unstable();
-    digest(&all.iter().flat_map(|d| d.to_le_bytes()).collect::<Vec<u8>>())
+    digest(
+        &all.iter()
+            .flat_map(|d| d.to_le_bytes())
+            .collect::<Vec<u8>>(),
+    )
 }
 
 /// What is in force by these tables. `zones`: those that are evacuated, by the order of that number.
 pub fn edition(config: Option<&Config>, number: u64, zones: &[String]) -> StateDigest {
-    let mark = Revision { config: config.map_or(0, |c| c.version), evacuation: number };
+    let mark = Revision {
+        config: config.map_or(0, |c| c.version),
+        evacuation: number,
+    };
     let evacuations = sum(zones.iter().map(|z| Form::default().text(z)));
-    let Some(config) = config else { return StateDigest { revision: mark, digests: [0, 0, 0, evacuations] } };
+    let Some(config) = config else {
+        return StateDigest {
+            revision: mark,
+            digests: [0, 0, 0, evacuations],
+        };
+    };
     let routes = config.places().map(|(host, prefix, n)| {
         let r = &config.routes[n];
-        let form = Form::default().text(host).text(prefix).number(f64::from(u8::from(r.repeatable)));
-        let form = form.number(f64::from(u8::from(r.public))).number(f64::from(r.tries));
-        let form = form.number(r.goal_ms).number(r.limit_ms).number(r.prio).texts(r.homes.iter());
-        r.services.iter().fold(form, |form, (service, weight)| form.text(service).number(*weight))
+        let form = Form::default()
+            .text(host)
+            .text(prefix)
+            .number(f64::from(u8::from(r.repeatable)));
+        let form = form
+            .number(f64::from(u8::from(r.public)))
+            .number(f64::from(r.tries));
+        let form = form
+            .number(r.goal_ms)
+            .number(r.limit_ms)
+            .number(r.prio)
+            .texts(r.homes.iter());
+        r.services.iter().fold(form, |form, (service, weight)| {
+            form.text(service).number(*weight)
+        })
     });
     let services = config.services.iter().map(|s| {
-        let form = Form::default().text(&s.name).text(&s.check).number(f64::from(s.max_conns));
+        let form = Form::default()
+            .text(&s.name)
+            .text(&s.check)
+            .number(f64::from(s.max_conns));
         form.number(s.warmup_s).number(s.warm_rate_s)
     });
     // Whether there are tenants at all decides of requests without a key.
     let tenants = config.tenants.iter().flatten().enumerate().map(|(n, t)| {
-        let form = Form::default().text(&t.name).number(t.prio).number(t.rate_s).number(t.burst);
+        let form = Form::default()
+            .text(&t.name)
+            .number(t.prio)
+            .number(t.rate_s)
+            .number(t.burst);
         let mut keys: Vec<&String> = config.keys_of(n).collect();
         keys.sort_unstable();
         form.texts(t.homes.iter()).texts(keys.into_iter())
     });
-    let bound = std::iter::once(Form::default().number(f64::from(u8::from(config.tenants.is_some()))));
-    let digests = [sum(routes), sum(services), sum(bound.chain(tenants)), evacuations];
-    StateDigest { revision: mark, digests }
+    let bound =
+        std::iter::once(Form::default().number(f64::from(u8::from(config.tenants.is_some()))));
+    let digests = [
+        sum(routes),
+        sum(services),
+        sum(bound.chain(tenants)),
+        evacuations,
+    ];
+    StateDigest {
+        revision: mark,
+        digests,
+    }
 }
--- a/crates/aspendrum-reconcile/src/verdict.rs
+++ b/crates/aspendrum-reconcile/src/verdict.rs
@@ -53,7 +53,10 @@
 impl Bounds {
     pub fn of(apply_ms: Ms, stretch_ms: Ms) -> Bounds {
         let lasts = (apply_ms - MARGIN).max(0.0);
-        Bounds { lasts, stretched: lasts + stretch_ms.max(0.0) }
+        Bounds {
+            lasts,
+            stretched: lasts + stretch_ms.max(0.0),
+        }
     }
 }
 
@@ -67,20 +70,37 @@
 
 impl Verdict {
     /// Before any word.
-    pub const NONE: Verdict = Verdict { standing: Standing::Alone, until: f64::NEG_INFINITY };
+    pub const NONE: Verdict = Verdict {
+        standing: Standing::Alone,
+        until: f64::NEG_INFINITY,
+    };
 
     /// `deserted`: half of the fleet or more has no word either.
-    pub fn of(applied: &StateDigest, word: Option<&Word>, deserted: bool, bounds: &Bounds) -> Verdict {
-        let Some(word) = word else { return Verdict::NONE };
-        let until = word.as_of + if deserted { bounds.stretched } else { bounds.lasts };
-        let decided = &word.decided;
-        let standing =
-            match (applied.revision.covers(&decided.revision), applied.revision == decided.revision) {
-                (false, _) => Standing::Behind,
-                (true, true) if applied.digests != decided.digests => Standing::Differs,
-                // What it applied is newer than the word; only what was decided is ever told.
-                (true, _) => Standing::Current,
+    pub fn of(
+        applied: &StateDigest,
+        word: Option<&Word>,
+        deserted: bool,
+        bounds: &Bounds,
+    ) -> Verdict {
+        let Some(word) = word else {
+            return Verdict::NONE;
+        };
+        let until = word.as_of
+            + if deserted {
+                bounds.stretched
+            } else {
+                bounds.lasts
             };
+        let decided = &word.decided;
+        let standing = match (
+            applied.revision.covers(&decided.revision),
+            applied.revision == decided.revision,
+        ) {
+            (false, _) => Standing::Behind,
+            (true, true) if applied.digests != decided.digests => Standing::Differs,
+            // What it applied is newer than the word; only what was decided is ever told.
+            (true, _) => Standing::Current,
+        };
         Verdict { standing, until }
     }
 
--- a/crates/aspendrum-reconcile/tests/collation.rs
+++ b/crates/aspendrum-reconcile/tests/collation.rs
@@ -12,7 +12,11 @@
 "pools":[{"name":"s","check":"/healthz","max-conns":130,"warmup-s":3.0,"warm-rate-s":7.1},{"name":"t","check":"/healthz"}]}"#;
 
 fn of(text: &str) -> StateDigest {
-    edition(Some(&Config::read(text.as_bytes()).unwrap()), 3, &["poa-a".to_string()])
+    edition(
+        Some(&Config::read(text.as_bytes()).unwrap()),
+        3,
+        &["poa-a".to_string()],
+    )
 }
 
 #[test]
@@ -22,10 +26,22 @@
         ("/send/", "/sent/", Section::Routes),
         (r#""mutating""#, r#""idem""#, Section::Routes),
         (r#""wt":90"#, r#""wt":80"#, Section::Routes),
-        (r#"{"svc":"s","limit-ms":2000"#, r#"{"svc":"t","limit-ms":2000"#, Section::Routes),
+        (
+            r#"{"svc":"s","limit-ms":2000"#,
+            r#"{"svc":"t","limit-ms":2000"#,
+            Section::Routes,
+        ),
         (r#""homes":["x"]"#, r#""homes":["y"]"#, Section::Routes),
-        (r#""limit-ms":2000,"tries":2,"homes""#, r#""limit-ms":1500,"tries":2,"homes""#, Section::Routes),
-        (r#""warm-rate-s":7.1"#, r#""warm-rate-s":7.2"#, Section::Services),
+        (
+            r#""limit-ms":2000,"tries":2,"homes""#,
+            r#""limit-ms":1500,"tries":2,"homes""#,
+            Section::Routes,
+        ),
+        (
+            r#""warm-rate-s":7.1"#,
+            r#""warm-rate-s":7.2"#,
+            Section::Services,
+        ),
         (r#"["k1","k2"]"#, r#"["k1"]"#, Section::Tenants),
         (r#"["k1","k2"]"#, r#"["k1","k2x"]"#, Section::Tenants),
         (r#""rate-s":61"#, r#""rate-s":60"#, Section::Tenants),
@@ -36,13 +52,21 @@
         assert_eq!(differ, [section], "{from} -> {to}");
     }
     let emptied = edition(Some(&Config::read(TEXT.as_bytes()).unwrap()), 3, &[]);
-    assert_eq!(Section::differing(&of(TEXT), &emptied), [Section::Evacuations]);
+    assert_eq!(
+        Section::differing(&of(TEXT), &emptied),
+        [Section::Evacuations]
+    );
 }
 
 #[test]
 fn order_and_spacing_do_not_show() {
-    let other = TEXT.replace(r#"["k1","k2"]"#, r#"[ "k2", "k1" ]"#).replace("\n", " \n ");
-    let swapped = other.replace(r#"{"name":"bob","keys":["k3"]}"#, r#"{"keys":["k3"],"name":"bob"}"#);
+    let other = TEXT
+        .replace(r#"["k1","k2"]"#, r#"[ "k2", "k1" ]"#)
+        .replace("\n", " \n ");
+    let swapped = other.replace(
+        r#"{"name":"bob","keys":["k3"]}"#,
+        r#"{"keys":["k3"],"name":"bob"}"#,
+    );
     assert_eq!(of(TEXT), of(&swapped));
 }
 
@@ -55,28 +79,63 @@
     assert_eq!(Section::differing(&of(TEXT), &corrupt), [Section::Routes]);
 }
 
-const BOUNDS: Bounds = Bounds { lasts: 2000.0, stretched: 10_000.0 };
+const BOUNDS: Bounds = Bounds {
+    lasts: 2000.0,
+    stretched: 10_000.0,
+};
 
 fn at(config: u32, digest: u64) -> StateDigest {
-    StateDigest { revision: Revision { config, evacuation: 1 }, digests: [digest, 0, 0, 0] }
+    StateDigest {
+        revision: Revision {
+            config,
+            evacuation: 1,
+        },
+        digests: [digest, 0, 0, 0],
+    }
 }
 
 fn word(config: u32, digest: u64, as_of: f64) -> Word {
-    Word { decided: at(config, digest), as_of }
+    Word {
+        decided: at(config, digest),
+        as_of,
+    }
 }
 
 #[test]
 fn a_verdict_follows_the_word_and_ends_by_itself() {
-    let of = |applied: StateDigest, word: Option<Word>| Verdict::of(&applied, word.as_ref(), false, &BOUNDS);
+    let of = |applied: StateDigest, word: Option<Word>| {
+        Verdict::of(&applied, word.as_ref(), false, &BOUNDS)
+    };
     let current = of(at(4, 9), Some(word(4, 9, 1000.0)));
-    assert_eq!([current.at(1000.0), current.at(2999.0)], [Standing::Current; 2]);
+    assert_eq!(
+        [current.at(1000.0), current.at(2999.0)],
+        [Standing::Current; 2]
+    );
     assert_eq!(current.at(3000.0), Standing::Alone, "nobody had to tell it");
-    assert_eq!(of(at(4, 9), Some(word(7, 9, 1000.0))).at(1500.0), Standing::Behind);
-    assert_eq!(of(at(4, 8), Some(word(4, 9, 1000.0))).at(1500.0), Standing::Differs);
+    assert_eq!(
+        of(at(4, 9), Some(word(7, 9, 1000.0))).at(1500.0),
+        Standing::Behind
+    );
+    assert_eq!(
+        of(at(4, 8), Some(word(4, 9, 1000.0))).at(1500.0),
+        Standing::Differs
+    );
     // The word is older than what was applied since: what is told is decided.
-    assert_eq!(of(at(7, 8), Some(word(4, 9, 1000.0))).at(1500.0), Standing::Current);
-    let emptied = StateDigest { revision: Revision { config: 4, evacuation: 2 }, digests: [9, 0, 0, 5] };
-    let decided = Word { decided: emptied, as_of: 1000.0 };
+    assert_eq!(
+        of(at(7, 8), Some(word(4, 9, 1000.0))).at(1500.0),
+        Standing::Current
+    );
+    let emptied = StateDigest {
+        revision: Revision {
+            config: 4,
+            evacuation: 2,
+        },
+        digests: [9, 0, 0, 5],
+    };
+    let decided = Word {
+        decided: emptied,
+        as_of: 1000.0,
+    };
     assert_eq!(of(at(4, 9), Some(decided)).at(1500.0), Standing::Behind);
     assert_eq!(of(at(4, 9), None).at(0.0), Standing::Alone);
 }
@@ -89,8 +148,19 @@
         (Standing::Differs, false),
         (Standing::Alone, false),
     ] {
-        assert_eq!(Verdict { standing, until: 10.0 }.runs_once_only(5.0), runs);
-        assert!(!Verdict { standing, until: 10.0 }.runs_once_only(10.0));
+        assert_eq!(
+            Verdict {
+                standing,
+                until: 10.0
+            }
+            .runs_once_only(5.0),
+            runs
+        );
+        assert!(!Verdict {
+            standing,
+            until: 10.0
+        }
+        .runs_once_only(10.0));
     }
 }
 
@@ -115,20 +185,46 @@
     for n in 0..60 {
         steps.extend(mending.look(f64::from(n) * 100.0, Standing::Differs, &differing));
     }
-    let [first, second, third, rest @ ..] = &steps[..] else { panic!("{steps:?}") };
-    assert_eq!([first, second, third], [&Step::Sections(differing.to_vec()), &Step::Snapshot, &Step::Anew]);
-    assert_eq!(rest.iter().filter(|s| **s == Step::Tell).count(), 1, "{steps:?}");
+    let [first, second, third, rest @ ..] = &steps[..] else {
+        panic!("{steps:?}")
+    };
+    assert_eq!(
+        [first, second, third],
+        [
+            &Step::Sections(differing.to_vec()),
+            &Step::Snapshot,
+            &Step::Anew
+        ]
+    );
+    assert_eq!(
+        rest.iter().filter(|s| **s == Step::Tell).count(),
+        1,
+        "{steps:?}"
+    );
     assert!(rest.len() < 10, "bounded: {steps:?}");
     // News that are on their way are no difference, and whoever is alone has nobody to be told by.
     let mut mending = Mending::default();
     for n in 0..50 {
-        let standing = if n % 5 == 4 { Standing::Current } else { Standing::Behind };
+        let standing = if n % 5 == 4 {
+            Standing::Current
+        } else {
+            Standing::Behind
+        };
         assert_eq!(mending.look(f64::from(n) * 100.0, standing, &[]), None);
-        assert_eq!(Mending::default().look(f64::from(n) * 100.0, Standing::Alone, &differing), None);
+        assert_eq!(
+            Mending::default().look(f64::from(n) * 100.0, Standing::Alone, &differing),
+            None
+        );
     }
     assert_eq!(mending.repairs, 0);
     mending.look(6000.0, Standing::Behind, &differing);
-    assert_eq!(mending.look(6700.0, Standing::Behind, &differing), Some(Step::Sections(differing.to_vec())));
+    assert_eq!(
+        mending.look(6700.0, Standing::Behind, &differing),
+        Some(Step::Sections(differing.to_vec()))
+    );
     mending.look(6800.0, Standing::Current, &[]);
-    assert_eq!((mending.repairs, mending.mended, mending.since()), (1, Some(6800.0), None));
+    assert_eq!(
+        (mending.repairs, mending.mended, mending.since()),
+        (1, Some(6800.0), None)
+    );
 }
--- a/crates/aspendrum-reconcile/tests/model.rs
+++ b/crates/aspendrum-reconcile/tests/model.rs
@@ -12,7 +12,10 @@
 const TICK: f64 = 1000.0;
 const LASTS: u8 = 2;
 const LAST: u8 = 5;
-const BOUNDS: Bounds = Bounds { lasts: LASTS as f64 * TICK, stretched: 8.0 * TICK };
+const BOUNDS: Bounds = Bounds {
+    lasts: LASTS as f64 * TICK,
+    stretched: 8.0 * TICK,
+};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Node {
@@ -54,13 +57,19 @@
 
 fn edition(version: u8) -> StateDigest {
     StateDigest {
-        revision: Revision { config: u32::from(version), evacuation: 0 },
+        revision: Revision {
+            config: u32::from(version),
+            evacuation: 0,
+        },
         digests: [u64::from(version), 0, 0, 0],
     }
 }
 
 fn runs(node: &Node, now: u8, trusts_pushes: bool) -> bool {
-    let word = node.word.map(|(v, at)| Word { decided: edition(v), as_of: f64::from(at) * TICK });
+    let word = node.word.map(|(v, at)| Word {
+        decided: edition(v),
+        as_of: f64::from(at) * TICK,
+    });
     let verdict = Verdict::of(&edition(node.applied), word.as_ref(), false, &BOUNDS);
     let trusted = trusts_pushes && verdict.standing != Standing::Behind;
     !node.frozen && (trusted || verdict.runs_once_only(f64::from(now) * TICK))
@@ -71,7 +80,11 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        vec![State { now: 0, acked: vec![0], nodes: vec![Node::default(); NODES] }]
+        vec![State {
+            now: 0,
+            acked: vec![0],
+            nodes: vec![Node::default(); NODES],
+        }]
     }
 
     fn actions(&self, s: &State, steps: &mut Vec<Step>) {
@@ -135,15 +148,21 @@
             Property::always(
                 "no once-only request by a version overtaken long ago",
                 |system: &System, s: &State| {
-                    s.nodes.iter().filter(|n| runs(n, s.now, system.trusts_pushes)).all(|n| {
-                        let next = s.acked.get(usize::from(n.applied) + 1);
-                        next.is_none_or(|acked| s.now < acked + LASTS)
-                    })
+                    s.nodes
+                        .iter()
+                        .filter(|n| runs(n, s.now, system.trusts_pushes))
+                        .all(|n| {
+                            let next = s.acked.get(usize::from(n.applied) + 1);
+                            next.is_none_or(|acked| s.now < acked + LASTS)
+                        })
                 },
             ),
             Property::sometimes("a node runs the newest", |system: &System, s: &State| {
                 let newest = |n: &Node| usize::from(n.applied) == s.acked.len() - 1;
-                s.acked.len() > 2 && s.nodes.iter().any(|n| newest(n) && runs(n, s.now, system.trusts_pushes))
+                s.acked.len() > 2
+                    && s.nodes
+                        .iter()
+                        .any(|n| newest(n) && runs(n, s.now, system.trusts_pushes))
             }),
         ]
     }
@@ -156,13 +175,31 @@
 
 #[test]
 fn no_state_runs_what_was_overtaken() {
-    let checked = System { trusts_pushes: false }.checker().target_max_depth(9).spawn_bfs().join();
+    let checked = System {
+        trusts_pushes: false,
+    }
+    .checker()
+    .target_max_depth(9)
+    .spawn_bfs()
+    .join();
     checked.assert_properties();
-    assert!(checked.unique_state_count() > 10_000, "{}", checked.unique_state_count());
+    assert!(
+        checked.unique_state_count() > 10_000,
+        "{}",
+        checked.unique_state_count()
+    );
 }
 
 #[test]
 fn a_node_that_trusts_the_last_push_is_found_by_the_model() {
-    let checked = System { trusts_pushes: true }.checker().target_max_depth(9).spawn_bfs().join();
-    assert!(checked.discovery("no once-only request by a version overtaken long ago").is_some());
+    let checked = System {
+        trusts_pushes: true,
+    }
+    .checker()
+    .target_max_depth(9)
+    .spawn_bfs()
+    .join();
+    assert!(checked
+        .discovery("no once-only request by a version overtaken long ago")
+        .is_some());
 }
--- a/crates/aspendrum-reconcile/tests/overnight.rs
+++ b/crates/aspendrum-reconcile/tests/overnight.rs
@@ -12,9 +12,17 @@
         let mut night = Night::new(70, seed, Kind::Built);
         let agreed = night.pass(0.5, 40);
         assert_eq!(night.astray, 0, "seed {seed}");
-        assert!(agreed.is_some_and(|ms| ms <= AGREED), "seed {seed}: {agreed:?}");
+        assert!(
+            agreed.is_some_and(|ms| ms <= AGREED),
+            "seed {seed}: {agreed:?}"
+        );
         // It must not keep so by holding everything back.
-        assert!(night.held * 2 < night.asked, "seed {seed}: {} of {} held", night.held, night.asked);
+        assert!(
+            night.held * 2 < night.asked,
+            "seed {seed}: {} of {} held",
+            night.held,
+            night.asked
+        );
     }
 }
 
--- a/crates/aspendrum-simulator-adapter/src/frame.rs
+++ b/crates/aspendrum-simulator-adapter/src/frame.rs
@@ -66,7 +66,10 @@
         })
     }
     fn load(&self, at: usize) -> Result<Load, String> {
-        let mut load = Load { n: self.u8(at), values: [0.0; 4] };
+        let mut load = Load {
+            n: self.u8(at),
+            values: [0.0; 4],
+        };
         if load.n > 4 {
             return Err(format!("Load with {} values", load.n));
         }
@@ -91,13 +94,25 @@
         let head = Fields(frame);
         let (count, size) = (head.u32(0) as usize, head.u32(4) as usize);
         if size != frame.len() {
-            return Err(format!("frame length {size} disagrees with the {} bytes read", frame.len()));
+            return Err(format!(
+                "frame length {size} disagrees with the {} bytes read",
+                frame.len()
+            ));
         }
-        let end = count.checked_mul(EVENT).and_then(|n| n.checked_add(HEADER)).filter(|end| *end <= size);
+        let end = count
+            .checked_mul(EVENT)
+            .and_then(|n| n.checked_add(HEADER))
+            .filter(|end| *end <= size);
         let Some(end) = end else {
-            return Err(format!("record count {count} does not fit a frame of {size} bytes"));
+            return Err(format!(
+                "record count {count} does not fit a frame of {size} bytes"
+            ));
         };
-        Ok(Batch { now: head.ms(8, "clock")?, records: &frame[HEADER..end], tail: &frame[end..] })
+        Ok(Batch {
+            now: head.ms(8, "clock")?,
+            records: &frame[HEADER..end],
+            tail: &frame[end..],
+        })
     }
 
     pub fn now(&self) -> Ms {
@@ -110,14 +125,20 @@
 
     fn tail(&self, record: Fields, at: usize, width: usize) -> Result<&'a [u8], String> {
         let (offset, length) = (record.u32(at) as usize, record.u32(at + 4) as usize);
-        let end = length.checked_mul(width).and_then(|n| n.checked_add(offset));
+        let end = length
+            .checked_mul(width)
+            .and_then(|n| n.checked_add(offset));
         match end.and_then(|end| self.tail.get(offset..end)) {
             Some(part) => Ok(part),
             None => Err(format!("tail reference {offset}+{length} is out of bounds")),
         }
     }
 
-    pub fn event<'b>(&'b self, index: usize, members: &'b mut Vec<Member>) -> Result<WireEvent<'b>, String> {
+    pub fn event<'b>(
+        &'b self,
+        index: usize,
+        members: &'b mut Vec<Member>,
+    ) -> Result<WireEvent<'b>, String> {
         let f = Fields(&self.records[index * EVENT..(index + 1) * EVENT]);
         Ok(WireEvent::Told(match f.u8(0) {
             1 => Event::Probed {
@@ -128,7 +149,8 @@
             },
             2 => Event::Timer { token: f.u32(1) },
             3 => {
-                let text = std::str::from_utf8(self.tail(f, 9, 1)?).map_err(|e| format!("Settings: {e}"))?;
+                let text = std::str::from_utf8(self.tail(f, 9, 1)?)
+                    .map_err(|e| format!("Settings: {e}"))?;
                 return Ok(WireEvent::Begin(f.u64(1), Box::new(settings::read(text)?)));
             }
             4 => return Ok(WireEvent::Stop),
@@ -144,7 +166,11 @@
                     3 => ListKind::Failed,
                     other => return Err(format!("unknown Scope {other}")),
                 };
-                Event::Members { list, version: f.u32(2), entries: members }
+                Event::Members {
+                    list,
+                    version: f.u32(2),
+                    entries: members,
+                }
             }
             6 => Event::ClientLeft { id: f.u64(1) },
             7 => Event::Counted {
@@ -169,7 +195,10 @@
                 zones: u64::MAX,
                 most: u8::MAX,
             }),
-            10 => Event::PeerSaid { from: f.u16(1), data: self.tail(f, 3, 1)? },
+            10 => Event::PeerSaid {
+                from: f.u16(1),
+                data: self.tail(f, 3, 1)?,
+            },
             11 => Event::ForwardEnded {
                 id: f.u64(1),
                 forward: f.u8(9),
@@ -224,7 +253,12 @@
     pub fn begin(out: &'a mut Vec<u8>) -> Self {
         out.clear();
         out.extend_from_slice(&[0; 8]);
-        Reply { out, tail: Vec::new(), count: 0, context: None }
+        Reply {
+            out,
+            tail: Vec::new(),
+            count: 0,
+            context: None,
+        }
     }
 
     pub fn write(&mut self, limiter: u32, actions: &mut Vec<Action>) {
@@ -261,8 +295,15 @@
                 self.record(65, &[&to.unwrap_or(u32::MAX).to_be_bytes(), &at, &size]);
             }
             Action::Cancel { id, forward } => self.record(66, &[&id.to_be_bytes(), &[*forward]]),
-            Action::Forward { id, server, timeout } => {
-                self.record(67, &[&id.to_be_bytes(), &server.to_be_bytes(), &s(*timeout)]);
+            Action::Forward {
+                id,
+                server,
+                timeout,
+            } => {
+                self.record(
+                    67,
+                    &[&id.to_be_bytes(), &server.to_be_bytes(), &s(*timeout)],
+                );
             }
             Action::Count { name, add, ttl } => {
                 self.record(68, &[&add.to_be_bytes(), &s(*ttl), &name.to_be_bytes()]);
@@ -276,7 +317,9 @@
                 self.record(73, &[&at, &size]);
             }
             Action::Drop { id } => self.record(74, &[&id.to_be_bytes()]),
-            Action::Shed { id, retry_after, .. } => self.record(75, &[&id.to_be_bytes(), &s(*retry_after)]),
+            Action::Shed {
+                id, retry_after, ..
+            } => self.record(75, &[&id.to_be_bytes(), &s(*retry_after)]),
             Action::Watch { on } => self.record(76, &[&[u8::from(*on)]]),
             Action::Log(text) => {
                 let (at, size) = self.put(text.as_bytes());
--- a/crates/aspendrum-simulator-adapter/src/host.rs
+++ b/crates/aspendrum-simulator-adapter/src/host.rs
@@ -18,7 +18,9 @@
         let mut reply = Reply::begin(out);
         let mut current = None;
         for index in 0..batch.count() {
-            let event = batch.event(index, &mut self.members).map_err(|e| format!("record {index}: {e}"))?;
+            let event = batch
+                .event(index, &mut self.members)
+                .map_err(|e| format!("record {index}: {e}"))?;
             if let WireEvent::On(limiter) = event {
                 current = Some(limiter);
                 continue;
@@ -33,10 +35,15 @@
                     self.slots.insert(limiter, control);
                 }
                 WireEvent::Stop => {
-                    self.slots.remove(&limiter).ok_or_else(|| no_instance(index, limiter))?;
+                    self.slots
+                        .remove(&limiter)
+                        .ok_or_else(|| no_instance(index, limiter))?;
                 }
                 WireEvent::Told(event) => {
-                    let control = self.slots.get_mut(&limiter).ok_or_else(|| no_instance(index, limiter))?;
+                    let control = self
+                        .slots
+                        .get_mut(&limiter)
+                        .ok_or_else(|| no_instance(index, limiter))?;
                     control.handle(batch.now(), &event, &mut self.actions);
                 }
             }
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -13,17 +13,26 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
-    digits.chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
+        .collect()
 }
 
 /// A record of the fixture, filled up to its size, and its tail.
 fn fixture(name: &str, size: usize) -> (Vec<u8>, Vec<u8>) {
     let text = include_str!("fixtures/frames.txt");
-    let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(" = "));
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(" = "));
     let line = line.unwrap_or_else(|| panic!("no fixture {name}"));
     let line = line.replace("SIZE", &format!("{:08x}", SETTINGS.len()));
     let (record, tail) = line.split_once('|').unwrap();
-    let tail = if tail.trim() == "SETTINGS" { SETTINGS.into() } else { bytes(tail) };
+    let tail = if tail.trim() == "SETTINGS" {
+        SETTINGS.into()
+    } else {
+        bytes(tail)
+    };
     let mut record = bytes(record);
     record.resize(size, 0);
     (record, tail)
@@ -39,8 +48,14 @@
     out
 }
 
-const LOAD_OF_FOUR: Load = Load { n: 4, values: [0.5, 0.25, 0.125, 0.0625] };
-const LOAD_OF_TWO: Load = Load { n: 2, values: [0.5, 0.25, 0.0, 0.0] };
+const LOAD_OF_FOUR: Load = Load {
+    n: 4,
+    values: [0.5, 0.25, 0.125, 0.0625],
+};
+const LOAD_OF_TWO: Load = Load {
+    n: 2,
+    values: [0.5, 0.25, 0.0, 0.0],
+};
 
 fn query() -> NewQuery {
     NewQuery {
@@ -124,7 +139,9 @@
     let frame = frame(name);
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
     assert_eq!((batch.now(), batch.count()), (8412.25, 1));
-    let WireEvent::Told(event) = batch.event(0, &mut members).unwrap() else { panic!("not an event") };
+    let WireEvent::Told(event) = batch.event(0, &mut members).unwrap() else {
+        panic!("not an event")
+    };
     assert_eq!(event, expected);
 }
 
@@ -132,14 +149,19 @@
 fn the_instance_that_events_are_for_is_read_from_these_bytes() {
     let frame = frame("on");
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    assert!(matches!(batch.event(0, &mut members), Ok(WireEvent::On(NUMBER))));
+    assert!(matches!(
+        batch.event(0, &mut members),
+        Ok(WireEvent::On(NUMBER))
+    ));
 }
 
 #[test]
 fn a_start_carries_the_seed_and_the_settings() {
     let frame = frame("begin");
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Begin(seed, settings)) = batch.event(0, &mut members) else { panic!("not a start") };
+    let Ok(WireEvent::Begin(seed, settings)) = batch.event(0, &mut members) else {
+        panic!("not a start")
+    };
     assert_eq!(seed, ID);
     assert_eq!(Ok(*settings), aspendrum_core::settings::read(SETTINGS));
 }
@@ -191,7 +213,9 @@
     let mut frame = frame("query");
     frame[16 + 43] = flags;
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::Query(new))) = batch.event(0, &mut members) else { panic!("not a query") };
+    let Ok(WireEvent::Told(Event::Query(new))) = batch.event(0, &mut members) else {
+        panic!("not a query")
+    };
     assert_eq!((new.client_repeat, new.write), (repeat, writes));
 }
 
@@ -234,7 +258,14 @@
     reply.write(1, &mut vec![Action::Log("c".into())]);
     reply.write(2, &mut vec![Action::Fetch]);
     reply.finish().unwrap();
-    let records = ["4e 00000001", "4d 00000000 00000002", "46", "4d 00000002 00000001", "4e 00000002", "46"];
+    let records = [
+        "4e 00000001",
+        "4d 00000000 00000002",
+        "46",
+        "4d 00000002 00000001",
+        "4e 00000002",
+        "46",
+    ];
     let mut expected = bytes("00000006 0000009b");
     for record in records {
         let mut record = bytes(record);
--- a/crates/aspendrum-simulator-adapter/tests/wire.rs
+++ b/crates/aspendrum-simulator-adapter/tests/wire.rs
@@ -21,7 +21,10 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
-    digits.chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
+        .collect()
 }
 
 fn frame(records: &[&str], tail: &[u8]) -> Vec<u8> {
@@ -42,7 +45,8 @@
     let mut records = vec!["08 00000003", first.as_str()];
     records.extend_from_slice(extra);
     let mut reply = Vec::new();
-    host.answer(&frame(&records, SETTINGS.as_bytes()), &mut reply).map(|()| reply)
+    host.answer(&frame(&records, SETTINGS.as_bytes()), &mut reply)
+        .map(|()| reply)
 }
 
 #[test_case("09 000d9f1c5d3a91c4 0000 40214df3b645a1cb 91f03b7c55d20a64 00000000 40400000 40000000 3f800000 01",
@@ -59,7 +63,9 @@
     let frame = frame(&[record], b"");
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
     assert_eq!(batch.now(), 8412.25);
-    let WireEvent::Told(event) = batch.event(0, &mut members).unwrap() else { panic!("not an event") };
+    let WireEvent::Told(event) = batch.event(0, &mut members).unwrap() else {
+        panic!("not an event")
+    };
     assert!(format!("{event:?}").contains(shown), "{event:?}");
 }
 
@@ -71,9 +77,16 @@
     let frame = frame(&["05 02 00000029 00000000 00000002"], &tail);
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
     match batch.event(0, &mut members).unwrap() {
-        WireEvent::Told(Event::Members { list, version, entries }) => {
+        WireEvent::Told(Event::Members {
+            list,
+            version,
+            entries,
+        }) => {
             assert_eq!((list, version, entries.len()), (ListKind::Cached, 41, 2));
-            assert_eq!((entries[1].size, entries[1].started, entries[1].zone), (1.5, 6100.0, 1));
+            assert_eq!(
+                (entries[1].size, entries[1].started, entries[1].zone),
+                (1.5, 6100.0, 1)
+            );
         }
         _ => panic!("not a list"),
     }
@@ -111,7 +124,9 @@
 #[test]
 fn empty_batch_gets_an_empty_reply() {
     let mut reply = vec![1, 2, 3];
-    Host::default().answer(&frame(&[], b""), &mut reply).unwrap();
+    Host::default()
+        .answer(&frame(&[], b""), &mut reply)
+        .unwrap();
     assert_eq!(reply, bytes("00000000 00000008"));
 }
 
@@ -122,7 +137,8 @@
     let again = format!("03 0000000000000008 00000000 {:08x}", SETTINGS.len());
     let records = ["08 00000003", "04", again.as_str()];
     let mut reply = Vec::new();
-    host.answer(&frame(&records, SETTINGS.as_bytes()), &mut reply).unwrap();
+    host.answer(&frame(&records, SETTINGS.as_bytes()), &mut reply)
+        .unwrap();
     assert_eq!(reply[8], 78);
 }
 
@@ -134,7 +150,10 @@
 #[test_case("05 07 00000001", "record 2: unknown Scope 7" ; "list kind")]
 #[test_case("01 00000001 0001 0000000000000000 05", "record 2: Load with 5 values" ; "load")]
 fn bad_events_are_refused(record: &str, text: &str) {
-    assert_eq!(begin(&mut Host::default(), &[record]), Err(text.to_string()));
+    assert_eq!(
+        begin(&mut Host::default(), &[record]),
+        Err(text.to_string())
+    );
 }
 
 #[test_case("00000000 0000", "short frame: 6 bytes" ; "short")]
@@ -142,13 +161,22 @@
 #[test_case("00000002 00000010 4020d3126e978d50", "record count 2 does not fit a frame of 16 bytes" ; "count")]
 #[test_case("00000000 00000010 7ff0000000000000", "clock is not a finite number" ; "clock")]
 fn bad_frames_are_refused(hex: &str, text: &str) {
-    assert_eq!(Host::default().answer(&bytes(hex), &mut Vec::new()), Err(text.to_string()));
+    assert_eq!(
+        Host::default().answer(&bytes(hex), &mut Vec::new()),
+        Err(text.to_string())
+    );
 }
 
 #[test]
 fn an_event_for_no_instance_is_refused() {
-    let told = Host::default().answer(&frame(&["08 00000004", "02 00000001"], b""), &mut Vec::new());
-    assert_eq!(told, Err("record 1: On for no such instance: 4".to_string()));
+    let told = Host::default().answer(
+        &frame(&["08 00000004", "02 00000001"], b""),
+        &mut Vec::new(),
+    );
+    assert_eq!(
+        told,
+        Err("record 1: On for no such instance: 4".to_string())
+    );
 }
 
 #[test_case("Instances=3", "Instances=0", "setting Instances is absurd: 0" ; "zero instances")]
@@ -156,11 +184,17 @@
 #[test_case("TickS=0.004", "TickS=soon", "setting TickS is absurd: soon" ; "not a number")]
 #[test_case("Semantics=retryable", "Semantics=odd", "setting Profiles.0.Semantics is absurd: odd" ; "word")]
 fn bad_settings_are_refused_by_name(from: &str, to: &str, text: &str) {
-    assert_eq!(settings::read(&SETTINGS.replace(from, to)).map(|_| ()), Err(text.to_string()));
+    assert_eq!(
+        settings::read(&SETTINGS.replace(from, to)).map(|_| ()),
+        Err(text.to_string())
+    );
 }
 
 #[test]
 fn unknown_settings_and_load_values_are_ignored() {
     let read = settings::read(&SETTINGS.replace("Names=cpu_share", "Names=moon,pending")).unwrap();
-    assert_eq!((read.load_values.len(), read.counter_wait, read.zone), (2, 50.0, 1));
+    assert_eq!(
+        (read.load_values.len(), read.counter_wait, read.zone),
+        (2, 50.0, 1)
+    );
 }
--- a/crates/aspendrum-testbed/src/bench.rs
+++ b/crates/aspendrum-testbed/src/bench.rs
@@ -37,7 +37,15 @@
             cells[0], cells[1], cells[2], cells[3], cells[4], cells[5]
         );
     };
-    row(["", "answered", "p50, ms", "p99, ms", "queries a core s", "MB"].map(String::from));
+    row([
+        "",
+        "answered",
+        "p50, ms",
+        "p99, ms",
+        "queries a core s",
+        "MB",
+    ]
+    .map(String::from));
     let mut figures = [Vec::new(), Vec::new()];
     for play in 0..2 {
         for (n, pass_through) in [true, false].into_iter().enumerate() {
@@ -47,7 +55,11 @@
             let o = run::play(&s, &Start::of(&s, limiter.clone())?, folder.path(), &|_| {})?;
             let r = Row::of(&s, &o);
             let a_core = r.queries as f64 / o.cpu_s.max(0.01);
-            let name = if pass_through { "pass-through" } else { "limiter" };
+            let name = if pass_through {
+                "pass-through"
+            } else {
+                "limiter"
+            };
             let told = [r.p50_ms, r.p99_ms].map(|ms| format!("{ms:.2}"));
             let [p50, p99] = told;
             row([
--- a/crates/aspendrum-testbed/src/clients.rs
+++ b/crates/aspendrum-testbed/src/clients.rs
@@ -46,12 +46,23 @@
     let mut all = Vec::new();
     for (of, c) in s.customers.iter().enumerate() {
         let plan = s.plans.iter().position(|p| p.name == c.plan).unwrap_or(0);
-        let spread = ((c.spread * s.limiters.count as f64).round() as usize).clamp(1, s.limiters.count);
+        let spread =
+            ((c.spread * s.limiters.count as f64).round() as usize).clamp(1, s.limiters.count);
         for _ in 0..c.count {
             let n = all.len();
             // Whole fleets begin at the first limiter; parts are spread over the fleet.
-            let first = if spread == s.limiters.count { 0 } else { n * 7 % s.limiters.count };
-            all.push(Customer { of, acct: 0x1_0000 + n as u64 * 0x101, plan, first, spread });
+            let first = if spread == s.limiters.count {
+                0
+            } else {
+                n * 7 % s.limiters.count
+            };
+            all.push(Customer {
+                of,
+                acct: 0x1_0000 + n as u64 * 0x101,
+                plan,
+                first,
+                spread,
+            });
         }
     }
     all
@@ -63,11 +74,16 @@
     let mut all = Vec::new();
     for (number, customer) in customers.iter().enumerate() {
         let told: &Customers = &s.customers[customer.of];
-        let Ok(gap) = Exp::new(told.queries_per_s / 1000.0) else { continue };
+        let Ok(gap) = Exp::new(told.queries_per_s / 1000.0) else {
+            continue;
+        };
         let groups: Vec<usize> = if told.groups.is_empty() {
             (0..s.groups.len()).collect()
         } else {
-            told.groups.iter().filter_map(|g| s.groups.iter().position(|known| known.name == *g)).collect()
+            told.groups
+                .iter()
+                .filter_map(|g| s.groups.iter().position(|known| known.name == *g))
+                .collect()
         };
         let (mut at, mut busiest, mut moves) = (0.0, 0, told.moves_s * 1000.0);
         loop {
@@ -76,18 +92,34 @@
                 break;
             }
             while told.moves_s > 0.0 && at >= moves {
-                (busiest, moves) = (rng.random_range(0..customer.spread), moves + told.moves_s * 1000.0);
+                (busiest, moves) = (
+                    rng.random_range(0..customer.spread),
+                    moves + told.moves_s * 1000.0,
+                );
             }
             let even = rng.random::<f64>() >= told.uneven;
-            let place = if even { rng.random_range(0..customer.spread) } else { busiest };
+            let place = if even {
+                rng.random_range(0..customer.spread)
+            } else {
+                busiest
+            };
             let limiter = (customer.first + place) % s.limiters.count;
             let group = groups.choose(&mut rng).copied().unwrap_or(0);
-            let query = Planned { id: 0, at: from + at, customer: number, group, limiter, units: told.units };
+            let query = Planned {
+                id: 0,
+                at: from + at,
+                customer: number,
+                group,
+                limiter,
+                units: told.units,
+            };
             all.push(query);
         }
     }
     all.sort_by(|a, b| a.at.total_cmp(&b.at));
-    all.iter_mut().enumerate().for_each(|(n, q)| q.id = n as u64 + 1);
+    all.iter_mut()
+        .enumerate()
+        .for_each(|(n, q)| q.id = n as u64 + 1);
     all
 }
 
@@ -101,7 +133,11 @@
 impl Front {
     pub fn new(clock: Clock, limiters: Vec<SocketAddr>) -> Front {
         let idle = limiters.iter().map(|_| Mutex::default()).collect();
-        Front { clock, limiters, idle }
+        Front {
+            clock,
+            limiters,
+            idle,
+        }
     }
 
     /// One query from its sending to its end.
@@ -135,10 +171,12 @@
             let old = kept.is_some();
             let mut stream = match kept.take() {
                 Some(stream) => stream,
-                None => match timeout(CONNECT, TcpStream::connect(self.limiters[query.limiter])).await {
-                    Ok(Ok(stream)) => stream,
-                    _ => return Final::Unreached,
-                },
+                None => {
+                    match timeout(CONNECT, TcpStream::connect(self.limiters[query.limiter])).await {
+                        Ok(Ok(stream)) => stream,
+                        _ => return Final::Unreached,
+                    }
+                }
             };
             let _ = stream.set_nodelay(true);
             let mut rest = Vec::new();
@@ -184,7 +222,13 @@
     let (customer, group) = (&customers[query.customer], &s.groups[query.group]);
     let (method, more) = match group.repeats {
         Repeats::Repeatable => ("GET", String::new()),
-        Repeats::Keyed => ("POST", format!("Idempotency-Key: {:032x}\r\nContent-Length: 2\r\n", query.id)),
+        Repeats::Keyed => (
+            "POST",
+            format!(
+                "Idempotency-Key: {:032x}\r\nContent-Length: 2\r\n",
+                query.id
+            ),
+        ),
         Repeats::Mutating => ("POST", "Content-Length: 2\r\n".to_string()),
     };
     let body = if method == "GET" { "" } else { "hi" };
