--- a/crates/aspendrum-testbed/src/days.rs
+++ b/crates/aspendrum-testbed/src/days.rs
@@ -21,24 +21,41 @@
     /// `# sites: NAME ...` and `# seeds: NUMBER ...`; all other comments at its begin say what it aims at.
     pub fn read(name: &str, text: &str) -> Result<Day, String> {
         let (mut about, mut sites, mut seeds) = (Vec::new(), Vec::new(), Vec::new());
-        for line in text.lines().map_while(|l| l.strip_prefix('#')).map(str::trim) {
+        for line in text
+            .lines()
+            .map_while(|l| l.strip_prefix('#'))
+            .map(str::trim)
+        {
             if let Some(named) = line.strip_prefix("sites:") {
                 sites.extend(named.split_whitespace().map(str::to_string));
             } else if let Some(named) = line.strip_prefix("seeds:") {
-                let read = |n: &str| n.parse().map_err(|_| format!("{name}: the seed {n} is no number"));
-                seeds = named.split_whitespace().map(read).collect::<Result<_, String>>()?;
+                let read = |n: &str| {
+                    n.parse()
+                        .map_err(|_| format!("{name}: the seed {n} is no number"))
+                };
+                seeds = named
+                    .split_whitespace()
+                    .map(read)
+                    .collect::<Result<_, String>>()?;
             } else {
                 about.push(line);
             }
         }
         if about.is_empty() || sites.is_empty() || seeds.is_empty() {
-            return Err(format!("{name}: its comments must say what it aims at, its sites and its seeds"));
+            return Err(format!(
+                "{name}: its comments must say what it aims at, its sites and its seeds"
+            ));
         }
         let day: toml::Table = toml::from_str(text).map_err(|e| format!("{name}: {e}"))?;
         if day.get("name").and_then(|n| n.as_str()) != Some(name) {
             return Err(format!("{name}: the day's name must be that of its file"));
         }
-        Ok(Day { name: name.into(), about: about.join(" "), sites, seeds })
+        Ok(Day {
+            name: name.into(),
+            about: about.join(" "),
+            sites,
+            seeds,
+        })
     }
 }
 
@@ -54,12 +71,16 @@
     let mut days = Vec::new();
     for entry in std::fs::read_dir(&folder).map_err(failed)? {
         let path = entry.map_err(failed)?.path();
-        let (Some(name), Some("toml")) =
-            (path.file_stem().and_then(|n| n.to_str()), path.extension().and_then(|e| e.to_str()))
-        else {
+        let (Some(name), Some("toml")) = (
+            path.file_stem().and_then(|n| n.to_str()),
+            path.extension().and_then(|e| e.to_str()),
+        ) else {
             continue;
         };
-        days.push(Day::read(name, &std::fs::read_to_string(&path).map_err(failed)?)?);
+        days.push(Day::read(
+            name,
+            &std::fs::read_to_string(&path).map_err(failed)?,
+        )?);
     }
     days.sort_by(|a, b| a.name.cmp(&b.name));
     Ok(days)
@@ -103,11 +124,25 @@
     days.retain(|d| how.days.is_empty() || how.days.contains(&d.name));
     let mut plays = Vec::new();
     for day in &days {
-        for site in day.sites.iter().filter(|s| how.only.is_empty() || how.only.contains(s)) {
-            for seed in day.seeds.iter().take(if how.first { 1 } else { usize::MAX }) {
+        for site in day
+            .sites
+            .iter()
+            .filter(|s| how.only.is_empty() || how.only.contains(s))
+        {
+            for seed in day
+                .seeds
+                .iter()
+                .take(if how.first { 1 } else { usize::MAX })
+            {
                 let file = folder().join(format!("{}.toml", day.name));
                 let why = format!("own day {}", day.name);
-                plays.push(Play { day: day.name.clone(), file, site: site.clone(), seed: *seed, why });
+                plays.push(Play {
+                    day: day.name.clone(),
+                    file,
+                    site: site.clone(),
+                    seed: *seed,
+                    why,
+                });
             }
         }
     }
@@ -128,7 +163,13 @@
         let file = how.out.join(format!("{day}-{site}.toml"));
         let text = drawn::day(&day, seed, &contracts(&site_file(how, &site)?)?);
         std::fs::write(&file, text).map_err(failed)?;
-        plays.push(Play { day, file, site, seed, why: format!("day drawn from seed {seed}") });
+        plays.push(Play {
+            day,
+            file,
+            site,
+            seed,
+            why: format!("day drawn from seed {seed}"),
+        });
     }
     play_all(how, plays)
 }
@@ -149,12 +190,17 @@
     };
     std::thread::scope(|scope| {
         let lanes: Vec<_> = (0..how.at_once.max(1)).map(|_| scope.spawn(lane)).collect();
-        let ended = lanes.into_iter().map(|l| l.join().unwrap_or_else(|_| Err("a play failed".into())));
-        ended.collect::<Result<Vec<bool>, String>>().map(|all| all.into_iter().all(|good| good))
+        let ended = lanes
+            .into_iter()
+            .map(|l| l.join().unwrap_or_else(|_| Err("a play failed".into())));
+        ended
+            .collect::<Result<Vec<bool>, String>>()
+            .map(|all| all.into_iter().all(|good| good))
     })
 }
 
-const HEAD: &str = "| day | site | seed | score | served | broken, faults, gate |\n|---|---|---|---|---|---|";
+const HEAD: &str =
+    "| day | site | seed | score | served | broken, faults, gate |\n|---|---|---|---|---|---|";
 
 struct Came {
     line: String,
@@ -163,7 +209,9 @@
 
 fn site_file(how: &How, site: &str) -> Result<PathBuf, String> {
     let mut places = how.sites.iter().map(|f| f.join(format!("{site}.toml")));
-    places.find(|p| p.exists()).ok_or(format!("no site file of {site} was found"))
+    places
+        .find(|p| p.exists())
+        .ok_or(format!("no site file of {site} was found"))
 }
 
 /// The contracts that are in force on a site.
@@ -171,12 +219,25 @@
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", site.display());
     let text = std::fs::read_to_string(site).map_err(|e| failed(&e))?;
     let table: toml::Table = toml::from_str(&text).map_err(|e| failed(&e))?;
-    let named = table.get("contracts").and_then(|c| c.as_array()).ok_or(failed(&"no contracts"))?;
-    Ok(named.iter().filter_map(|c| c.as_str()).map(str::to_string).collect())
+    let named = table
+        .get("contracts")
+        .and_then(|c| c.as_array())
+        .ok_or(failed(&"no contracts"))?;
+    Ok(named
+        .iter()
+        .filter_map(|c| c.as_str())
+        .map(str::to_string)
+        .collect())
 }
 
 fn one(how: &How, play: &Play) -> Result<Came, String> {
-    let Play { day, file, site, seed, why } = play;
+    let Play {
+        day,
+        file,
+        site,
+        seed,
+        why,
+    } = play;
     let place = site_file(how, site)?;
     let base = how.out.join(format!("{day}-{site}-{seed}"));
     let (words, report) = (base.with_extension("txt"), base.with_extension("json"));
@@ -190,15 +251,29 @@
     if let Some(jobs) = how.jobs {
         command.args(["--jobs", &jobs.to_string()]);
     }
-    command.stdin(Stdio::null()).stdout(told.try_clone().map_err(failed)?).stderr(told);
-    let status = command.status().map_err(|e| format!("{}: {e}", how.bench.display()))?;
-    let told = std::fs::read_to_string(&report).ok().and_then(|t| serde_json::from_str(&t).ok());
-    let (text, good) = told.as_ref().map_or((format!("not played: {status}"), false), verdict);
+    command
+        .stdin(Stdio::null())
+        .stdout(told.try_clone().map_err(failed)?)
+        .stderr(told);
+    let status = command
+        .status()
+        .map_err(|e| format!("{}: {e}", how.bench.display()))?;
+    let told = std::fs::read_to_string(&report)
+        .ok()
+        .and_then(|t| serde_json::from_str(&t).ok());
+    let (text, good) = told
+        .as_ref()
+        .map_or((format!("not played: {status}"), false), verdict);
     let figure = |key: &str| {
-        told.as_ref().and_then(|t: &Value| t[key].as_f64()).map_or("-".into(), |v| format!("{v:.3}"))
+        told.as_ref()
+            .and_then(|t: &Value| t[key].as_f64())
+            .map_or("-".into(), |v| format!("{v:.3}"))
     };
     let (score, served) = (figure("G"), figure("served"));
-    Ok(Came { line: format!("| {day} | {site} | {seed} | {score} | {served} | {text} |"), good })
+    Ok(Came {
+        line: format!("| {day} | {site} | {seed} | {score} | {served} | {text} |"),
+        good,
+    })
 }
 
 /// What a report of the bench says was wrong, and whether all was well.
@@ -206,7 +281,10 @@
     let mut out = String::new();
     let (breaks, short) = (&report["breaks"], &report["short"]);
     if !breaks.is_object() || !short.is_array() || report.get("fault").is_none() {
-        return ("a report that says nothing of rules, faults or the gate".into(), false);
+        return (
+            "a report that says nothing of rules, faults or the gate".into(),
+            false,
+        );
     }
     for (rule, n) in breaks.as_object().into_iter().flatten() {
         // Writing to memory does not fail.
--- a/crates/aspendrum-testbed/src/main.rs
+++ b/crates/aspendrum-testbed/src/main.rs
@@ -144,13 +144,23 @@
     let done = match line.command {
         Command::Demo => demo(line.limiter),
         Command::Run { scenario, out } => one(line.limiter, &scenario, &out),
-        Command::Sweep { scenarios, over, plays, out } => {
+        Command::Sweep {
+            scenarios,
+            over,
+            plays,
+            out,
+        } => {
             let texts = library::texts(&scenarios);
             texts.and_then(|texts| sweep::play(&texts, &over, plays, line.limiter, &out))
         }
         Command::Check { scenario } => library::text(&scenario).and_then(|text| {
             let s = Scenario::read(&text)?;
-            println!("{}: well-formed, {} limiters, {} faults", s.name, s.limiters.count, s.faults.len());
+            println!(
+                "{}: well-formed, {} limiters, {} faults",
+                s.name,
+                s.limiters.count,
+                s.faults.len()
+            );
             Ok(true)
         }),
         Command::List => {
@@ -162,17 +172,51 @@
             Ok(true)
         }
         Command::System { scenario, out } => whole(&scenario, &out),
-        Command::Soak { seeds, cores, edges, seconds, at_once, out } => {
-            Ok(soaked(seeds, Size { cores, edges, seconds }, at_once, &out))
-        }
+        Command::Soak {
+            seeds,
+            cores,
+            edges,
+            seconds,
+            at_once,
+            out,
+        } => Ok(soaked(
+            seeds,
+            Size {
+                cores,
+                edges,
+                seconds,
+            },
+            at_once,
+            &out,
+        )),
         Command::Days { days, .. } if days == ["list"] => days::all().map(|all| {
-            all.iter().for_each(|d| println!("{:<20} {}", d.name, d.about));
+            all.iter()
+                .for_each(|d| println!("{:<20} {}", d.name, d.about));
             true
         }),
-        Command::Days { days, bench, sites, only, first, jobs, at_once, drawn, out } => {
+        Command::Days {
+            days,
+            bench,
+            sites,
+            only,
+            first,
+            jobs,
+            at_once,
+            drawn,
+            out,
+        } => {
             let bench = bench.ok_or("name the bench's program with --bench".to_string());
             bench.and_then(|bench| {
-                let how = days::How { bench, sites, days, only, first, jobs, at_once, out };
+                let how = days::How {
+                    bench,
+                    sites,
+                    days,
+                    only,
+                    first,
+                    jobs,
+                    at_once,
+                    out,
+                };
                 match drawn {
                     Some(seeds) => days::play_drawn(&how, seeds),
                     None => days::play(&how),
@@ -199,12 +243,18 @@
 fn soaked(seeds: RangeInclusive<u64>, size: Size, at_once: usize, out: &std::path::Path) -> bool {
     let waiting = Mutex::new(seeds);
     let kept = AtomicBool::new(true);
-    let next = || waiting.lock().unwrap_or_else(PoisonError::into_inner).next();
+    let next = || {
+        waiting
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .next()
+    };
     std::thread::scope(|scope| {
         for _ in 0..at_once.max(1) {
             scope.spawn(|| {
                 while let Some(seed) = next() {
-                    let (line, well) = soak(seed, size, &out.join(format!("{seed}-{}", size.edges)));
+                    let (line, well) =
+                        soak(seed, size, &out.join(format!("{seed}-{}", size.edges)));
                     println!("{line}");
                     kept.fetch_and(well, Ordering::Relaxed);
                 }
@@ -218,7 +268,9 @@
     let scenario = Scenario::read(library::DEMO)?;
     let start = Start::of(&scenario, limiter)?;
     let folder = tempfile::tempdir().map_err(|e| format!("a folder for the run: {e}"))?;
-    let outcome = run::play(&scenario, &start, folder.path(), &|text| eprintln!("{text}"))?;
+    let outcome = run::play(&scenario, &start, folder.path(), &|text| {
+        eprintln!("{text}")
+    })?;
     print!("{}", report::table(&scenario, &outcome));
     Ok(outcome.good(&scenario))
 }
@@ -227,7 +279,9 @@
     let scenario = Scenario::read(&library::text(name)?)?;
     let start = Start::of(&scenario, limiter)?;
     let folder = out.join(&scenario.name);
-    let outcome = run::play(&scenario, &start, &folder.join("limiters"), &|text| eprintln!("{text}"))?;
+    let outcome = run::play(&scenario, &start, &folder.join("limiters"), &|text| {
+        eprintln!("{text}")
+    })?;
     report::write(&scenario, &outcome, &folder)?;
     print!("{}", report::table(&scenario, &outcome));
     eprintln!("tables, charts and the report are in {}", folder.display());
--- a/crates/aspendrum-testbed/src/pass_through.rs
+++ b/crates/aspendrum-testbed/src/pass_through.rs
@@ -23,18 +23,27 @@
 /// Serves until SIGTERM.
 pub fn serve(config: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(config).map_err(|e| format!("{}: {e}", config.display()))?;
-    let told: Value = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", config.display()))?;
+    let told: Value =
+        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", config.display()))?;
     let address = |value: &Value| value.as_str().and_then(|t| t.parse::<SocketAddr>().ok());
     let listen = address(&told["listen"]).ok_or("listen is not an address")?;
-    let hosts = told["known"]["hosts"].as_array().ok_or("known.hosts is no list")?;
+    let hosts = told["known"]["hosts"]
+        .as_array()
+        .ok_or("known.hosts is no list")?;
     let dials: Vec<SocketAddr> = hosts.iter().filter_map(|h| address(&h["dial"])).collect();
     if dials.is_empty() {
         return Err("known.hosts names no server".into());
     }
     let idle = dials.iter().map(|_| Mutex::default()).collect();
-    let servers = Arc::new(Servers { dials, next: AtomicUsize::new(0), idle });
+    let servers = Arc::new(Servers {
+        dials,
+        next: AtomicUsize::new(0),
+        idle,
+    });
     // One thread: the limiter it is held against has one core too.
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("the runtime: {e}"))?;
     let failed = |e: io::Error| format!("{listen}: {e}");
     runtime.block_on(async {
@@ -85,12 +94,17 @@
         };
         stream.set_nodelay(true)?;
         let mut text = format!("{} {} HTTP/1.1\r\n", query.line.0, query.line.1);
-        query.headers.iter().for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
+        query
+            .headers
+            .iter()
+            .for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
         let mut bytes = (text + "\r\n").into_bytes();
         bytes.extend_from_slice(&query.body);
         stream.write_all(&bytes).await?;
         let ended = || io::Error::from(io::ErrorKind::UnexpectedEof);
-        let answer = http::next(&mut stream, &mut Vec::new(), false).await?.ok_or_else(ended)?;
+        let answer = http::next(&mut stream, &mut Vec::new(), false)
+            .await?
+            .ok_or_else(ended)?;
         lock(&self.idle[place]).push(stream);
         Ok(answer)
     }
--- a/crates/aspendrum-testbed/src/process.rs
+++ b/crates/aspendrum-testbed/src/process.rs
@@ -31,7 +31,8 @@
     /// What the scenario puts in the limiters' place: the limiter itself, or this program's own baseline.
     pub fn of(s: &Scenario, limiter: Option<PathBuf>) -> Result<Start, String> {
         if s.limiters.pass_through {
-            let program = std::env::current_exe().map_err(|e| format!("this program's own place: {e}"))?;
+            let program =
+                std::env::current_exe().map_err(|e| format!("this program's own place: {e}"))?;
             return Ok(Start::pass_through(program));
         }
         Start::limiter(limiter)
@@ -39,7 +40,11 @@
 
     /// The baseline, by the rig's program.
     pub fn pass_through(program: PathBuf) -> Start {
-        Start { program, arguments: vec!["pass-through".into()], told: Told::Argument }
+        Start {
+            program,
+            arguments: vec!["pass-through".into()],
+            told: Told::Argument,
+        }
     }
 
     /// `aspendrum serve` from that file, or from the one beside this program. Where none is there it is
@@ -47,18 +52,30 @@
     pub fn limiter(program: Option<PathBuf>) -> Result<Start, String> {
         let arguments = ["--log", "json", "serve"].map(String::from).to_vec();
         if let Some(program) = program {
-            return Ok(Start { program, arguments, told: Told::Argument });
+            return Ok(Start {
+                program,
+                arguments,
+                told: Told::Argument,
+            });
         }
         let program = beside("aspendrum")?;
         if !program.exists() {
             build(&["aspendrum"]).map_err(|e| format!("{e}; name a limiter with --limiter"))?;
         }
-        Ok(Start { program, arguments, told: Told::Argument })
+        Ok(Start {
+            program,
+            arguments,
+            told: Told::Argument,
+        })
     }
 
     /// A program of the system, as this checkout has it (see [`build`]).
     pub fn system(name: &str) -> Result<Start, String> {
-        Ok(Start { program: beside(name)?, arguments: vec!["serve".into()], told: Told::Variable })
+        Ok(Start {
+            program: beside(name)?,
+            arguments: vec!["serve".into()],
+            told: Told::Variable,
+        })
     }
 }
 
@@ -66,7 +83,11 @@
 fn beside(name: &str) -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| format!("this program's own place: {e}"))?;
     // Tests stand a folder deeper.
-    let folder = own.ancestors().skip(1).find(|f| !f.ends_with("deps")).unwrap_or(Path::new("."));
+    let folder = own
+        .ancestors()
+        .skip(1)
+        .find(|f| !f.ends_with("deps"))
+        .unwrap_or(Path::new("."));
     Ok(folder.join(name))
 }
 
@@ -76,7 +97,10 @@
     let mut command = std::process::Command::new(cargo);
     command.args(["build", "--locked", "--quiet", "--bins"]);
     command.args(packages.iter().flat_map(|p| ["--package", p]));
-    if beside("cargo")?.parent().is_some_and(|folder| folder.ends_with("release")) {
+    if beside("cargo")?
+        .parent()
+        .is_some_and(|folder| folder.ends_with("release"))
+    {
         command.arg("--release");
     }
     command.current_dir(env!("CARGO_MANIFEST_DIR"));
@@ -102,7 +126,11 @@
             Told::Argument => command.arg("--config").arg(config),
             Told::Variable => command.env("ASPENDRUM_SETTINGS", config),
         };
-        command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log).kill_on_drop(true);
+        command
+            .stdin(Stdio::null())
+            .stdout(log.try_clone()?)
+            .stderr(log)
+            .kill_on_drop(true);
         let rig = nix::unistd::getpid();
         let end_with_rig = move || {
             nix::sys::prctl::set_pdeathsig(Signal::SIGKILL)?;
@@ -114,9 +142,13 @@
         };
         // SAFETY: between fork and exec it makes two system calls and allocates nothing.
         unsafe { command.pre_exec(end_with_rig) };
-        let child =
-            command.spawn().map_err(|e| io::Error::new(e.kind(), format!("{:?}: {e}", how.program)))?;
-        let pid = child.id().and_then(|id| i32::try_from(id).ok()).map(Pid::from_raw);
+        let child = command
+            .spawn()
+            .map_err(|e| io::Error::new(e.kind(), format!("{:?}: {e}", how.program)))?;
+        let pid = child
+            .id()
+            .and_then(|id| i32::try_from(id).ok())
+            .map(Pid::from_raw);
         let pid = pid.ok_or(io::Error::from(io::ErrorKind::NotFound))?;
         Ok(Process { child, pid })
     }
--- a/crates/aspendrum-testbed/src/report.rs
+++ b/crates/aspendrum-testbed/src/report.rs
@@ -88,36 +88,85 @@
     let mut row = |name: &str, value: String| {
         let _ = writeln!(out, "{name:<36} {value}");
     };
-    row("scenario", format!("{}, {} limiters, {:.0} s", s.name, r.limiters, r.seconds));
-    let ends: Vec<String> =
-        v.outcomes.iter().filter(|o| o.1 > 0).map(|(kind, n)| format!("{kind:?} {n}")).collect();
+    row(
+        "scenario",
+        format!("{}, {} limiters, {:.0} s", s.name, r.limiters, r.seconds),
+    );
+    let ends: Vec<String> = v
+        .outcomes
+        .iter()
+        .filter(|o| o.1 > 0)
+        .map(|(kind, n)| format!("{kind:?} {n}"))
+        .collect();
     row("queries", ends.join(", "));
     row("granted over quota", format!("{:.2}", r.over_quota));
-    row("worst window over burst", format!("{:.2}", r.peak_over_burst));
+    row(
+        "worst window over burst",
+        format!("{:.2}", r.peak_over_burst),
+    );
     if r.peak_over_ceiling > 0.0 {
-        row("worst window over ceiling's burst", format!("{:.2}", r.peak_over_ceiling));
+        row(
+            "worst window over ceiling's burst",
+            format!("{:.2}", r.peak_over_ceiling),
+        );
     }
-    row("inside the quota", format!("{:.0} units of {:.0} that had room", v.whole.inside, v.whole.ideal));
-    row("refused with room, of what had room", format!("{:.3}", r.refused_with_room));
-    row("answered in, p50 and p99", format!("{:.1} ms, {:.1} ms", r.p50_ms, r.p99_ms));
+    row(
+        "inside the quota",
+        format!(
+            "{:.0} units of {:.0} that had room",
+            v.whole.inside, v.whole.ideal
+        ),
+    );
+    row(
+        "refused with room, of what had room",
+        format!("{:.3}", r.refused_with_room),
+    );
+    row(
+        "answered in, p50 and p99",
+        format!("{:.1} ms, {:.1} ms", r.p50_ms, r.p99_ms),
+    );
     row("forwards a query", format!("{:.3}", r.forwards_per_query));
     if r.cold_load > 0.0 {
-        row("worst load on a cold server", format!("{:.2} of what the rule allows", r.cold_load));
+        row(
+            "worst load on a cold server",
+            format!("{:.2} of what the rule allows", r.cold_load),
+        );
     }
     for (trouble, after) in &v.recoveries {
-        let told = after.map_or("not before the end".into(), |ms| format!("after {:.1} s", ms / 1000.0));
+        let told = after.map_or("not before the end".into(), |ms| {
+            format!("after {:.1} s", ms / 1000.0)
+        });
         row(&format!("recovered from fault {}", trouble.name), told);
     }
-    let told = format!("{:.1}, {:.0} bytes", r.datagrams_per_limiter_s, r.bytes_per_limiter_s);
+    let told = format!(
+        "{:.1}, {:.0} bytes",
+        r.datagrams_per_limiter_s, r.bytes_per_limiter_s
+    );
     row("datagrams a limiter a second", told);
     row("datagrams lost or cut off", r.datagrams_lost.to_string());
-    row("counter's calls a second", format!("{:.0}", r.counter_calls_per_s));
+    row(
+        "counter's calls a second",
+        format!("{:.0}", r.counter_calls_per_s),
+    );
     row("discovery's calls", r.discovery_calls.to_string());
     row("memory a limiter", format!("{:.1} MB", r.memory_mb));
-    row("processor a limiter", format!("{:.1} ms a second", r.cpu_ms_per_limiter_s));
+    row(
+        "processor a limiter",
+        format!("{:.1} ms a second", r.cpu_ms_per_limiter_s),
+    );
     let broken = o.broken(s);
-    row("verdict", if broken.is_empty() { "kept".into() } else { format!("{} BROKEN", broken.len()) });
-    broken.iter().take(20).for_each(|what| row("", what.clone()));
+    row(
+        "verdict",
+        if broken.is_empty() {
+            "kept".into()
+        } else {
+            format!("{} BROKEN", broken.len())
+        },
+    );
+    broken
+        .iter()
+        .take(20)
+        .for_each(|what| row("", what.clone()));
     out
 }
 
@@ -145,11 +194,17 @@
 pub fn rows(path: &Path, rows: &[Row]) -> Result<(), String> {
     let failed = |e: csv::Error| format!("{}: {e}", path.display());
     let mut out = csv::Writer::from_path(path).map_err(failed)?;
-    rows.iter().try_for_each(|row| out.serialize(row)).map_err(failed)?;
+    rows.iter()
+        .try_for_each(|row| out.serialize(row))
+        .map_err(failed)?;
     out.flush().map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn lines(path: &Path, head: &[&str], lines: impl Iterator<Item = Vec<String>>) -> Result<(), String> {
+fn lines(
+    path: &Path,
+    head: &[&str],
+    lines: impl Iterator<Item = Vec<String>>,
+) -> Result<(), String> {
     let failed = |e: csv::Error| format!("{}: {e}", path.display());
     let mut out = csv::Writer::from_path(path).map_err(failed)?;
     out.write_record(head).map_err(failed)?;
@@ -173,7 +228,9 @@
             format!("{:?}", q.outcome),
         ]
     };
-    let head = ["id", "customer", "group", "limiter", "units", "sent_ms", "ended_ms", "outcome"];
+    let head = [
+        "id", "customer", "group", "limiter", "units", "sent_ms", "ended_ms", "outcome",
+    ];
     lines(path, &head, r.queries.iter().map(line))
 }
 
@@ -191,21 +248,44 @@
     ];
     let line = |(c, u): (&aspendrum_checker::record::Customer, &quota::Use)| {
         let mut line = vec![c.name.clone()];
-        let figures = [u.asked, u.granted, u.inside, u.over_quota, u.peak_over_burst, u.peak_over_ceiling];
+        let figures = [
+            u.asked,
+            u.granted,
+            u.inside,
+            u.over_quota,
+            u.peak_over_burst,
+            u.peak_over_ceiling,
+        ];
         line.extend(figures.map(|f| format!("{f:.3}")));
-        line.extend([u.refused.to_string(), format!("{:.3}", u.refused_with_room())]);
+        line.extend([
+            u.refused.to_string(),
+            format!("{:.3}", u.refused_with_room()),
+        ]);
         line
     };
-    lines(path, &head, o.record.customers.iter().zip(&o.verdict.uses).map(line))
+    lines(
+        path,
+        &head,
+        o.record.customers.iter().zip(&o.verdict.uses).map(line),
+    )
 }
 
 fn recoveries(o: &Outcome, path: &Path) -> Result<(), String> {
     let line = |(t, after): &(aspendrum_checker::record::Trouble, Option<f64>)| {
         let (from, to) = (t.from - o.record.from, t.to - o.record.from);
         let after = after.map_or(String::new(), |ms| format!("{ms:.0}"));
-        vec![t.name.clone(), format!("{from:.0}"), format!("{to:.0}"), after]
+        vec![
+            t.name.clone(),
+            format!("{from:.0}"),
+            format!("{to:.0}"),
+            after,
+        ]
     };
-    lines(path, &["fault", "from_ms", "to_ms", "recovered_after_ms"], o.verdict.recoveries.iter().map(line))
+    lines(
+        path,
+        &["fault", "from_ms", "to_ms", "recovered_after_ms"],
+        o.verdict.recoveries.iter().map(line),
+    )
 }
 
 const SIZE: (u32, u32) = (900, 420);
@@ -231,14 +311,22 @@
     let draw = || -> Result<(), Box<dyn std::error::Error>> {
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
-            .caption(format!("{}: units granted, {} limiters", s.name, s.limiters.count), ("sans-serif", 20))
+            .caption(
+                format!("{}: units granted, {} limiters", s.name, s.limiters.count),
+                ("sans-serif", 20),
+            )
             .margin(12)
             .x_label_area_size(40)
             .y_label_area_size(60)
             .build_cartesian_2d(0.0..seconds, 0.0..top.max(1.0))?;
-        chart.configure_mesh().x_desc("seconds").y_desc("units").draw()?;
+        chart
+            .configure_mesh()
+            .x_desc("seconds")
+            .y_desc("units")
+            .draw()?;
         for trouble in crate::timeline::spans(s) {
-            let shade = Rectangle::new([(trouble.0, 0.0), (trouble.1, top)], RED.mix(0.08).filled());
+            let shade =
+                Rectangle::new([(trouble.0, 0.0), (trouble.1, top)], RED.mix(0.08).filled());
             chart.draw_series([shade])?;
         }
         let may = [(0.0, burst), (seconds, burst + rate * seconds)];
@@ -251,7 +339,10 @@
             .label("granted, by what servers saw")
             .legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], BLUE));
         let mut labels = chart.configure_series_labels();
-        labels.position(SeriesLabelPosition::UpperLeft).background_style(WHITE.mix(0.8)).draw()?;
+        labels
+            .position(SeriesLabelPosition::UpperLeft)
+            .background_style(WHITE.mix(0.8))
+            .draw()?;
         area.present()?;
         Ok(())
     };
@@ -271,7 +362,11 @@
     if left > right {
         return Ok(());
     }
-    let (left, right) = if left == right { (left - 1.0, right + 1.0) } else { (left, right) };
+    let (left, right) = if left == right {
+        (left - 1.0, right + 1.0)
+    } else {
+        (left, right)
+    };
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     let draw = || -> Result<(), Box<dyn std::error::Error>> {
         area.fill(&WHITE)?;
@@ -282,16 +377,25 @@
             .y_label_area_size(60)
             .right_y_label_area_size(160)
             .build_cartesian_2d(left..right, 0.0..top)?;
-        chart.configure_mesh().x_desc(axes.0).y_desc(axes.1).draw()?;
+        chart
+            .configure_mesh()
+            .x_desc(axes.0)
+            .y_desc(axes.1)
+            .draw()?;
         for (n, (name, points)) in series.iter().enumerate() {
             let color = Palette99::pick(n).to_rgba();
             chart
-                .draw_series(LineSeries::new(points.iter().copied(), color.stroke_width(2)).point_size(3))?
+                .draw_series(
+                    LineSeries::new(points.iter().copied(), color.stroke_width(2)).point_size(3),
+                )?
                 .label(name)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], color));
         }
         let mut labels = chart.configure_series_labels();
-        labels.position(SeriesLabelPosition::Coordinate(690, 0)).background_style(WHITE).draw()?;
+        labels
+            .position(SeriesLabelPosition::Coordinate(690, 0))
+            .background_style(WHITE)
+            .draw()?;
         area.present()?;
         Ok(())
     };
--- a/crates/aspendrum-testbed/src/run.rs
+++ b/crates/aspendrum-testbed/src/run.rs
@@ -73,7 +73,12 @@
     pub fn broken(&self, s: &Scenario) -> Vec<String> {
         let mut all = self.failures.clone();
         let rule = |b: &aspendrum_checker::rules::Breach| {
-            format!("rule {} at {:.1} s: {}", b.rule, (b.at - self.record.from) / 1000.0, b.what)
+            format!(
+                "rule {} at {:.1} s: {}",
+                b.rule,
+                (b.at - self.record.from) / 1000.0,
+                b.what
+            )
         };
         all.extend(self.verdict.breaches.iter().map(rule));
         let (v, b) = (&self.verdict, &s.bounds);
@@ -82,13 +87,34 @@
             all.extend(passed.map(|most| format!("{name} is {value:.3}, and may be {most}")));
         };
         over("granted over quota", v.whole.over_quota, b.over_quota);
-        over("the worst window over burst", v.whole.peak_over_burst, b.peak_over_burst);
-        over("refused with room, of what had room,", v.refused_with_room(), b.refused_with_room);
-        over("forwards a query", v.forwards_per_query, b.forwards_per_query);
-        let late = v.recoveries.iter().map(|r| r.1.unwrap_or(f64::INFINITY) / 1000.0).fold(0.0, f64::max);
+        over(
+            "the worst window over burst",
+            v.whole.peak_over_burst,
+            b.peak_over_burst,
+        );
+        over(
+            "refused with room, of what had room,",
+            v.refused_with_room(),
+            b.refused_with_room,
+        );
+        over(
+            "forwards a query",
+            v.forwards_per_query,
+            b.forwards_per_query,
+        );
+        let late = v
+            .recoveries
+            .iter()
+            .map(|r| r.1.unwrap_or(f64::INFINITY) / 1000.0)
+            .fold(0.0, f64::max);
         over("seconds to recover", late, b.recovery_s);
         let short = b.under_quota.filter(|least| v.whole.over_quota < *least);
-        let told = |least| format!("granted over quota is {:.3}, and must be {least}", v.whole.over_quota);
+        let told = |least| {
+            format!(
+                "granted over quota is {:.3}, and must be {least}",
+                v.whole.over_quota
+            )
+        };
         all.extend(short.map(told));
         all
     }
@@ -105,7 +131,9 @@
     folder: &Path,
     progress: &(dyn Fn(&str) + Sync),
 ) -> Result<Outcome, String> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("the runtime: {e}"))?;
     runtime.block_on(async {
         tokio::select! {
@@ -155,7 +183,11 @@
     let told = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
     raise_descriptors();
     std::fs::create_dir_all(folder).map_err(told("the folder of the run"))?;
-    let fleet = Arc::new(Fleet::build(scenario, start, folder).await.map_err(told("the stand-ins"))?);
+    let fleet = Arc::new(
+        Fleet::build(scenario, start, folder)
+            .await
+            .map_err(told("the stand-ins"))?,
+    );
     progress(&format!("{} limiters start", scenario.limiters.count));
     fleet.start_all().await?;
     sleep(SETTLE).await;
@@ -165,7 +197,11 @@
     let front = Arc::new(Front::new(fleet.clock, addrs));
     let from = fleet.clock.now();
     let plan = clients::plan(scenario, &customers, from);
-    progress(&format!("{} queries over {:.0} s", plan.len(), scenario.seconds));
+    progress(&format!(
+        "{} queries over {:.0} s",
+        plan.len(),
+        scenario.seconds
+    ));
     let faults = tokio::spawn(fleet.clone().play(from));
     let queries = traffic(&fleet, &front, &customers, plan).await;
     let to = from + scenario.seconds * 1000.0;
@@ -175,7 +211,14 @@
     fleet.end_all().await;
     let record = fleet.record(&customers, queries, from, to);
     let failures = fleet.failures();
-    Ok(Outcome { verdict: judge(&record), record, traffic: fleet.traffic(), memory_kb, cpu_s, failures })
+    Ok(Outcome {
+        verdict: judge(&record),
+        record,
+        traffic: fleet.traffic(),
+        memory_kb,
+        cpu_s,
+        failures,
+    })
 }
 
 /// A run of forty limiters holds some thousands of sockets.
@@ -190,7 +233,9 @@
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let mut last = None;
     for _ in 0..200 {
-        let n = std::process::id().wrapping_mul(31).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
+        let n = std::process::id()
+            .wrapping_mul(31)
+            .wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
         let (a, b) = (64 + (n / 250 % 100) as u8, (n % 250) as u8);
         match TcpListener::bind((Ipv4Addr::new(127, a, b, 254), CLAIM)) {
             Ok(held) => return Ok((a, b, held)),
@@ -209,7 +254,8 @@
     let mut tasks = JoinSet::new();
     for query in plan {
         sleep_until(moment(fleet.clock, query.at)).await;
-        let (front, customers, scenario) = (front.clone(), customers.clone(), fleet.scenario.clone());
+        let (front, customers, scenario) =
+            (front.clone(), customers.clone(), fleet.scenario.clone());
         tasks.spawn(async move { front.ask(&scenario, &customers, &query).await });
     }
     tasks.join_all().await
@@ -221,7 +267,9 @@
 
 #[expect(clippy::disallowed_methods, reason = "discovery tells moments so")]
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64)
 }
 
 impl Fleet {
@@ -241,7 +289,8 @@
         let counter = Counter::start(HERE, told, clock).await?;
         let zones: Vec<usize> = (0..s.servers.count).map(|server| s.zone(server)).collect();
         let discovery = Discovery::new(clock, &zones);
-        discovery.ail(|a| (a.late_ms, a.calls_per_s) = (s.discovery.late_ms, s.discovery.calls_per_s));
+        discovery
+            .ail(|a| (a.late_ms, a.calls_per_s) = (s.discovery.late_ms, s.discovery.calls_per_s));
         let listens: Vec<SocketAddr> = (0..n).map(|n| own(n, LISTEN)).collect();
         let peer_listens: Vec<SocketAddr> = (0..n).map(|n| own(n, PEER_LISTEN)).collect();
         let mut mesh = Mesh::bind(HERE, n).await?;
@@ -254,12 +303,20 @@
                 relays.push(Relay::start(HERE, server.addr()).await?);
             }
             let dials = relays.iter().map(Relay::addr).collect();
-            to_discovery.push(Relay::start(HERE, discovery.agent(HERE, limiter, dials).await?).await?);
+            to_discovery
+                .push(Relay::start(HERE, discovery.agent(HERE, limiter, dials).await?).await?);
             to_counter.push(Relay::start(HERE, counter.addr()).await?);
             front.push(Relay::start(HERE, *listen).await?);
             to_servers.push(relays);
         }
-        let slots = (0..n).map(|_| tokio::sync::Mutex::new(Slot { process: None, starts: 0 })).collect();
+        let slots = (0..n)
+            .map(|_| {
+                tokio::sync::Mutex::new(Slot {
+                    process: None,
+                    starts: 0,
+                })
+            })
+            .collect();
         Ok(Fleet {
             scenario: Arc::new(s.clone()),
             clock,
@@ -356,7 +413,19 @@
             standing.extend((m.begins && !what.at_once()).then_some(m));
         }
         match &s.faults[m.fault].what {
-            What::Link { path, of, to, way, reset, cut, lose, delay_ms, jitter_ms, reorder, twice } => {
+            What::Link {
+                path,
+                of,
+                to,
+                way,
+                reset,
+                cut,
+                lose,
+                delay_ms,
+                jitter_ms,
+                reorder,
+                twice,
+            } => {
                 let fault = Fault {
                     cut: *cut,
                     refuse: false,
@@ -381,10 +450,18 @@
                     }
                 }
             }
-            What::Kill { of } => self.each(of, |me| self.down(me, Signal::SIGKILL, m.begins)).await,
-            What::Term { of } => self.each(of, |me| self.down(me, Signal::SIGTERM, m.begins)).await,
+            What::Kill { of } => {
+                self.each(of, |me| self.down(me, Signal::SIGKILL, m.begins))
+                    .await
+            }
+            What::Term { of } => {
+                self.each(of, |me| self.down(me, Signal::SIGTERM, m.begins))
+                    .await
+            }
             What::Stall { of } => self.each(of, |me| self.stall(me, m)).await,
-            What::Server { of, drain, gone, .. } => {
+            What::Server {
+                of, drain, gone, ..
+            } => {
                 self.ail_servers();
                 if *drain || *gone {
                     for n in of.of(s.servers.count, s.limiters.zones) {
@@ -392,7 +469,9 @@
                     }
                 }
             }
-            What::Counter { emptied, replaced, .. } => {
+            What::Counter {
+                emptied, replaced, ..
+            } => {
                 self.ail_counter();
                 match (m.begins, emptied, replaced) {
                     (true, _, true) => self.counter.replace(),
@@ -406,7 +485,10 @@
 
     /// The faults that stand now.
     fn standing(&self) -> Vec<&What> {
-        lock(&self.standing).iter().map(|m| &self.scenario.faults[m.fault].what).collect()
+        lock(&self.standing)
+            .iter()
+            .map(|m| &self.scenario.faults[m.fault].what)
+            .collect()
     }
 
     /// Sums of the faults that stand on each server: the slowest, and every share by itself.
@@ -414,7 +496,18 @@
         let s = &self.scenario;
         let mut all = vec![server::Ails::default(); s.servers.count];
         for what in self.standing() {
-            let What::Server { of, slow, failing, resetting, silent, drain, .. } = what else { continue };
+            let What::Server {
+                of,
+                slow,
+                failing,
+                resetting,
+                silent,
+                drain,
+                ..
+            } = what
+            else {
+                continue;
+            };
             for n in of.of(s.servers.count, s.limiters.zones) {
                 let a = &mut all[n];
                 a.slow = a.slow.max(*slow);
@@ -431,7 +524,15 @@
     fn ail_counter(&self) {
         let mut all = counter::Ails::default();
         for what in self.standing() {
-            let What::Counter { silent, slow_ms, busy, .. } = what else { continue };
+            let What::Counter {
+                silent,
+                slow_ms,
+                busy,
+                ..
+            } = what
+            else {
+                continue;
+            };
             (all.silent, all.busy) = (all.silent || *silent, all.busy || *busy);
             all.slow_ms = all.slow_ms.max(*slow_ms);
         }
@@ -441,12 +542,29 @@
     fn ail_discovery(&self) {
         let usual = &self.scenario.discovery;
         let (late_ms, calls_per_s) = (usual.late_ms, usual.calls_per_s);
-        let mut all = discovery::Ails { silent: false, late_ms, stale: false, calls_per_s };
+        let mut all = discovery::Ails {
+            silent: false,
+            late_ms,
+            stale: false,
+            calls_per_s,
+        };
         for what in self.standing() {
-            let What::Discovery { silent, late_ms, stale, calls_per_s } = what else { continue };
+            let What::Discovery {
+                silent,
+                late_ms,
+                stale,
+                calls_per_s,
+            } = what
+            else {
+                continue;
+            };
             (all.silent, all.stale) = (all.silent || *silent, all.stale || *stale);
             all.late_ms = all.late_ms.max(*late_ms);
-            all.calls_per_s = if *calls_per_s > 0.0 { *calls_per_s } else { all.calls_per_s };
+            all.calls_per_s = if *calls_per_s > 0.0 {
+                *calls_per_s
+            } else {
+                all.calls_per_s
+            };
         }
         self.discovery.ail(|a| *a = all);
     }
@@ -454,7 +572,12 @@
     /// The same for each of these limiters, all at once.
     async fn each<F: Future<Output = ()>>(&self, of: &Which, what: impl Fn(usize) -> F) {
         let s = &self.scenario;
-        join_all(of.of(s.limiters.count, s.limiters.zones).into_iter().map(what)).await;
+        join_all(
+            of.of(s.limiters.count, s.limiters.zones)
+                .into_iter()
+                .map(what),
+        )
+        .await;
     }
 
     /// Ends it, or starts it again.
@@ -469,7 +592,9 @@
                 Err(text) => self.failed(text),
             };
         }
-        let Some(process) = slot.process.as_mut() else { return };
+        let Some(process) = slot.process.as_mut() else {
+            return;
+        };
         let asked = self.clock.now();
         let _ = process.signal(signal);
         let ended = process.end().await;
@@ -482,7 +607,9 @@
         }
         if let Ok(status) = ended {
             if signal == Signal::SIGTERM && !status.success() {
-                self.failed(format!("limiter {me} ended badly after a SIGTERM: {status}"));
+                self.failed(format!(
+                    "limiter {me} ended badly after a SIGTERM: {status}"
+                ));
             }
         }
     }
@@ -490,7 +617,11 @@
     async fn stall(&self, me: usize, m: Moment) {
         let slot = self.slots[me].lock().await;
         let Some(process) = &slot.process else { return };
-        let signal = if m.begins { Signal::SIGSTOP } else { Signal::SIGCONT };
+        let signal = if m.begins {
+            Signal::SIGSTOP
+        } else {
+            Signal::SIGCONT
+        };
         if m.begins {
             self.excuse(me, None, self.clock.now(), f64::INFINITY);
         }
@@ -504,7 +635,11 @@
 
     async fn replace(&self, n: usize, drain: bool, begins: bool) {
         if begins {
-            let health = if drain { Health::Terminating } else { Health::Terminated };
+            let health = if drain {
+                Health::Terminating
+            } else {
+                Health::Terminated
+            };
             self.discovery.change(n, health, None);
             if !drain {
                 self.servers[n].die();
@@ -520,20 +655,30 @@
     }
 
     fn excuse(&self, limiter: usize, server: Option<usize>, from: Ms, to: Ms) {
-        lock(&self.excuses).push(Excuse { limiter, server, from, to });
+        lock(&self.excuses).push(Excuse {
+            limiter,
+            server,
+            from,
+            to,
+        });
     }
 
     /// It takes queries again.
     fn pardon(&self, me: usize) {
         let now = self.clock.now();
         let open = |e: &&mut Excuse| e.limiter == me && e.server.is_none() && e.to == f64::INFINITY;
-        lock(&self.excuses).iter_mut().filter(open).for_each(|e| e.to = now);
+        lock(&self.excuses)
+            .iter_mut()
+            .filter(open)
+            .for_each(|e| e.to = now);
     }
 
     fn excuse_links(&self, path: LinkPath, of: &Which, to: &Which, m: Moment) {
         let s = &self.scenario;
         let now = self.clock.now();
-        let until = s.faults[m.fault].for_s.map_or(f64::INFINITY, |lasts| now + lasts * 1000.0 + HEALING);
+        let until = s.faults[m.fault]
+            .for_s
+            .map_or(f64::INFINITY, |lasts| now + lasts * 1000.0 + HEALING);
         for me in of.of(s.limiters.count, s.limiters.zones) {
             match path {
                 LinkPath::Front => self.excuse(me, None, now, until),
@@ -564,7 +709,11 @@
         for a in of.of(s.limiters.count, s.limiters.zones) {
             let relays: Vec<&Relay> = match path {
                 LinkPath::Limiters => {
-                    for b in to.of(s.limiters.count, s.limiters.zones).into_iter().filter(|b| *b != a) {
+                    for b in to
+                        .of(s.limiters.count, s.limiters.zones)
+                        .into_iter()
+                        .filter(|b| *b != a)
+                    {
                         links.extend(there.then(|| self.mesh.link(a, b).clone()));
                         links.extend(back.then(|| self.mesh.link(b, a).clone()));
                     }
@@ -573,7 +722,11 @@
                 LinkPath::Counter => vec![&self.to_counter[a]],
                 LinkPath::Discovery => vec![&self.to_discovery[a]],
                 LinkPath::Front => vec![&self.front[a]],
-                LinkPath::Servers => self.to_which(to).into_iter().map(|n| &self.to_servers[a][n]).collect(),
+                LinkPath::Servers => self
+                    .to_which(to)
+                    .into_iter()
+                    .map(|n| &self.to_servers[a][n])
+                    .collect(),
             };
             for relay in relays {
                 links.extend(there.then(|| relay.there.clone()));
@@ -588,7 +741,9 @@
         let (mut memory, mut cpu) = (Vec::new(), 0.0);
         for (me, slot) in self.slots.iter().enumerate() {
             let mut slot = slot.lock().await;
-            let Some(process) = slot.process.as_mut() else { continue };
+            let Some(process) = slot.process.as_mut() else {
+                continue;
+            };
             if let Some(status) = process.ended() {
                 self.failed(format!("limiter {me} ended unasked: {status}"));
                 slot.process = None;
@@ -605,22 +760,29 @@
         let all = Which::all();
         self.each(&all, |me| async move {
             let mut slot = self.slots[me].lock().await;
-            let Some(mut process) = slot.process.take() else { return };
+            let Some(mut process) = slot.process.take() else {
+                return;
+            };
             let _ = process.signal(Signal::SIGCONT);
             let _ = process.signal(Signal::SIGTERM);
             match timeout(END, process.end()).await {
                 Ok(Ok(status)) if status.success() => {}
-                Ok(Ok(status)) => self.failed(format!("limiter {me} ended badly after a SIGTERM: {status}")),
+                Ok(Ok(status)) => self.failed(format!(
+                    "limiter {me} ended badly after a SIGTERM: {status}"
+                )),
                 Ok(Err(e)) => self.failed(format!("limiter {me}: {e}")),
                 Err(_) => {
-                    self.failed(format!("limiter {me} had not ended {END:?} after a SIGTERM"));
+                    self.failed(format!(
+                        "limiter {me} had not ended {END:?} after a SIGTERM"
+                    ));
                     process.kill().await;
                 }
             }
         })
         .await;
         for me in 0..self.slots.len() {
-            let log = std::fs::read_to_string(self.folder.join(format!("n{me}.log"))).unwrap_or_default();
+            let log =
+                std::fs::read_to_string(self.folder.join(format!("n{me}.log"))).unwrap_or_default();
             if let Some(line) = log.lines().find(|line| bad(line)) {
                 self.failed(format!("limiter {me}: {line}"));
             }
@@ -641,7 +803,11 @@
                 datagrams.lost += c.lost;
             }
         }
-        Traffic { datagrams, counter: self.counter.seen(), discovery: self.discovery.seen() }
+        Traffic {
+            datagrams,
+            counter: self.counter.seen(),
+            discovery: self.discovery.seen(),
+        }
     }
 
     fn record(&self, customers: &[Customer], queries: Vec<Query>, from: Ms, to: Ms) -> Record {
@@ -692,7 +858,10 @@
 }
 
 fn figures(s: &Scenario) -> server::Figures {
-    let groups = s.groups.iter().map(|g| (g.name.clone(), (g.work_ms, g.repeats)));
+    let groups = s
+        .groups
+        .iter()
+        .map(|g| (g.name.clone(), (g.work_ms, g.repeats)));
     server::Figures {
         cores: s.servers.cores,
         queue: s.servers.queue,
@@ -721,7 +890,9 @@
 async fn ready(at: SocketAddr) -> bool {
     let ask = async {
         let mut stream = TcpStream::connect(at).await?;
-        stream.write_all(b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await?;
+        stream
+            .write_all(b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+            .await?;
         let mut told = Vec::new();
         stream.read_to_end(&mut told).await?;
         Ok::<bool, std::io::Error>(told.starts_with(b"HTTP/1.1 200"))
--- a/crates/aspendrum-testbed/src/scenario.rs
+++ b/crates/aspendrum-testbed/src/scenario.rs
@@ -100,7 +100,12 @@
 
 impl Default for Counter {
     fn default() -> Counter {
-        Counter { there: true, calls_per_s: 1000.0, busy_after_ms: 200.0, wait_ms: 30.0 }
+        Counter {
+            there: true,
+            calls_per_s: 1000.0,
+            busy_after_ms: 200.0,
+            wait_ms: 30.0,
+        }
     }
 }
 
@@ -124,7 +129,11 @@
 
 impl Default for Rules {
     fn default() -> Rules {
-        Rules { drain_grace_s: 2.0, fall_multiple: 3.0, fall_s: 3.0 }
+        Rules {
+            drain_grace_s: 2.0,
+            fall_multiple: 3.0,
+            fall_s: 3.0,
+        }
     }
 }
 
@@ -144,7 +153,14 @@
     fn usual() -> Vec<Group> {
         let name = "look".to_string();
         let repeats = Repeats::Repeatable;
-        vec![Group { name, repeats, work_ms: 5.0, slo_s: 0.4, limit_s: 2.0, importance: 1.0 }]
+        vec![Group {
+            name,
+            repeats,
+            work_ms: 5.0,
+            slo_s: 0.4,
+            limit_s: 2.0,
+            importance: 1.0,
+        }]
     }
 }
 
@@ -285,11 +301,25 @@
     /// Whether it has happened, and is over, as soon as it begins; else it stands until it is ended.
     pub fn at_once(&self) -> bool {
         match self {
-            What::Link { reset, cut, lose, delay_ms, jitter_ms, reorder, twice, .. } => {
+            What::Link {
+                reset,
+                cut,
+                lose,
+                delay_ms,
+                jitter_ms,
+                reorder,
+                twice,
+                ..
+            } => {
                 let sum = lose + delay_ms + jitter_ms + reorder + twice;
                 *reset && !cut && sum == 0.0
             }
-            What::Counter { silent, slow_ms, busy, .. } => !silent && !busy && *slow_ms == 0.0,
+            What::Counter {
+                silent,
+                slow_ms,
+                busy,
+                ..
+            } => !silent && !busy && *slow_ms == 0.0,
             _ => false,
         }
     }
@@ -349,7 +379,10 @@
         let bad = || format!("\"{text}\" names nobody: use all, zone 1, 0-4,7 or 0%-50%");
         let number = |word: &str| word.trim().parse::<usize>().ok();
         let part = |word: &str| {
-            let told = word.trim().strip_suffix('%').and_then(|n| n.parse::<f64>().ok());
+            let told = word
+                .trim()
+                .strip_suffix('%')
+                .and_then(|n| n.parse::<f64>().ok());
             told.filter(|n| (0.0..=100.0).contains(n))
         };
         let piece = |word: &str| {
@@ -404,7 +437,9 @@
             Piece::Numbers(a, b) => (a..=b).contains(&n),
             Piece::Part(a, b) => (place(a)..place(b)).contains(&n),
         };
-        (0..count).filter(|n| self.0.iter().any(|piece| has(piece, *n))).collect()
+        (0..count)
+            .filter(|n| self.0.iter().any(|piece| has(piece, *n)))
+            .collect()
     }
 
     pub fn all() -> Which {
@@ -493,9 +528,9 @@
                     table.insert(word.to_string(), parsed);
                     break;
                 }
-                toml::Value::Table(table) => {
-                    table.entry(word.to_string()).or_insert_with(|| toml::Value::Table(toml::Table::new()))
-                }
+                toml::Value::Table(table) => table
+                    .entry(word.to_string())
+                    .or_insert_with(|| toml::Value::Table(toml::Table::new())),
                 toml::Value::Array(list) => {
                     let place = word.parse::<usize>().ok();
                     let item = place.and_then(|n| list.get_mut(n)).ok_or_else(missing)?;
@@ -508,7 +543,9 @@
                 _ => return Err(missing()),
             };
         }
-        let scenario: Scenario = root.try_into().map_err(|e: toml::de::Error| format!("{key}: {e}"))?;
+        let scenario: Scenario = root
+            .try_into()
+            .map_err(|e: toml::de::Error| format!("{key}: {e}"))?;
         scenario.check()?;
         Ok(scenario)
     }
@@ -516,25 +553,73 @@
     fn check(&self) -> Result<(), String> {
         let fits = |key: &str, value: f64, least: f64, most: f64| {
             let fits = value.is_finite() && value >= least && value <= most;
-            fits.then_some(()).ok_or(format!("{key} must be from {least} to {most}, and is {value}"))
+            fits.then_some(()).ok_or(format!(
+                "{key} must be from {least} to {most}, and is {value}"
+            ))
         };
-        let there = |key: &str, empty: bool| (!empty).then_some(()).ok_or(format!("{key} is empty"));
+        let there =
+            |key: &str, empty: bool| (!empty).then_some(()).ok_or(format!("{key} is empty"));
         fits("seconds", self.seconds, 0.5, LONGEST_S)?;
-        fits("limiters.count", self.limiters.count as f64, 1.0, MOST_LIMITERS as f64)?;
-        fits("limiters.zones", self.limiters.zones as f64, 1.0, self.limiters.count as f64)?;
-        fits("limiters.sockets", self.limiters.sockets as f64, 64.0, 65_536.0)?;
-        fits("limiters.datagrams_per_s", self.limiters.datagrams_per_s, 0.0, 1e6)?;
-        fits("servers.count", self.servers.count as f64, 1.0, MOST_SERVERS as f64)?;
+        fits(
+            "limiters.count",
+            self.limiters.count as f64,
+            1.0,
+            MOST_LIMITERS as f64,
+        )?;
+        fits(
+            "limiters.zones",
+            self.limiters.zones as f64,
+            1.0,
+            self.limiters.count as f64,
+        )?;
+        fits(
+            "limiters.sockets",
+            self.limiters.sockets as f64,
+            64.0,
+            65_536.0,
+        )?;
+        fits(
+            "limiters.datagrams_per_s",
+            self.limiters.datagrams_per_s,
+            0.0,
+            1e6,
+        )?;
+        fits(
+            "servers.count",
+            self.servers.count as f64,
+            1.0,
+            MOST_SERVERS as f64,
+        )?;
         fits("servers.cores", self.servers.cores as f64, 1.0, 1024.0)?;
         fits("servers.cold_share", self.servers.cold_share, 0.01, 1.0)?;
         fits("servers.ramp_s", self.servers.ramp_s, 0.0, LONGEST_S)?;
-        fits("servers.connections", self.servers.connections as f64, 1.0, 65_536.0)?;
-        fits("servers.handshake_ms", self.servers.handshake_ms, 0.0, 10_000.0)?;
+        fits(
+            "servers.connections",
+            self.servers.connections as f64,
+            1.0,
+            65_536.0,
+        )?;
+        fits(
+            "servers.handshake_ms",
+            self.servers.handshake_ms,
+            0.0,
+            10_000.0,
+        )?;
         fits("counter.calls_per_s", self.counter.calls_per_s, 1.0, 1e6)?;
-        fits("counter.busy_after_ms", self.counter.busy_after_ms, 0.0, 60_000.0)?;
+        fits(
+            "counter.busy_after_ms",
+            self.counter.busy_after_ms,
+            0.0,
+            60_000.0,
+        )?;
         fits("counter.wait_ms", self.counter.wait_ms, 1.0, 10_000.0)?;
         fits("discovery.late_ms", self.discovery.late_ms, 0.0, 60_000.0)?;
-        fits("discovery.calls_per_s", self.discovery.calls_per_s, 0.0, 1e6)?;
+        fits(
+            "discovery.calls_per_s",
+            self.discovery.calls_per_s,
+            0.0,
+            1e6,
+        )?;
         fits("rules.drain_grace_s", self.rules.drain_grace_s, 0.0, 600.0)?;
         fits("rules.fall_multiple", self.rules.fall_multiple, 0.1, 1000.0)?;
         fits("rules.fall_s", self.rules.fall_s, 0.1, 600.0)?;
@@ -543,32 +628,75 @@
         there("customers", self.customers.is_empty())?;
         for (n, group) in self.groups.iter().enumerate() {
             fits(&format!("groups.{n}.work_ms"), group.work_ms, 0.0, 60_000.0)?;
-            fits(&format!("groups.{n}.slo_s"), group.slo_s, 0.001, group.limit_s)?;
+            fits(
+                &format!("groups.{n}.slo_s"),
+                group.slo_s,
+                0.001,
+                group.limit_s,
+            )?;
             fits(&format!("groups.{n}.limit_s"), group.limit_s, 0.001, 600.0)?;
         }
         for (n, plan) in self.plans.iter().enumerate() {
             fits(&format!("plans.{n}.rate"), plan.rate, 0.0, 1e6)?;
             fits(&format!("plans.{n}.burst"), plan.burst, 0.0, 1e6)?;
-            fits(&format!("plans.{n}.ceiling_rate"), plan.ceiling_rate, 0.0, 1e6)?;
-            fits(&format!("plans.{n}.ceiling_burst"), plan.ceiling_burst, 0.0, 1e6)?;
+            fits(
+                &format!("plans.{n}.ceiling_rate"),
+                plan.ceiling_rate,
+                0.0,
+                1e6,
+            )?;
+            fits(
+                &format!("plans.{n}.ceiling_burst"),
+                plan.ceiling_burst,
+                0.0,
+                1e6,
+            )?;
         }
         for (n, c) in self.customers.iter().enumerate() {
             let known = self.plans.iter().any(|p| p.name == c.plan);
-            known.then_some(()).ok_or(format!("customers.{n}.plan is no plan: {}", c.plan))?;
-            let unknown = c.groups.iter().find(|g| self.groups.iter().all(|known| known.name != **g));
-            unknown.map_or(Ok(()), |g| Err(format!("customers.{n}.groups names no endpoint group: {g}")))?;
-            fits(&format!("customers.{n}.count"), c.count as f64, 1.0, 10_000.0)?;
+            known
+                .then_some(())
+                .ok_or(format!("customers.{n}.plan is no plan: {}", c.plan))?;
+            let unknown = c
+                .groups
+                .iter()
+                .find(|g| self.groups.iter().all(|known| known.name != **g));
+            unknown.map_or(Ok(()), |g| {
+                Err(format!("customers.{n}.groups names no endpoint group: {g}"))
+            })?;
+            fits(
+                &format!("customers.{n}.count"),
+                c.count as f64,
+                1.0,
+                10_000.0,
+            )?;
             fits(&format!("customers.{n}.spread"), c.spread, 0.0, 1.0)?;
-            fits(&format!("customers.{n}.queries_per_s"), c.queries_per_s, 0.0, 100_000.0)?;
+            fits(
+                &format!("customers.{n}.queries_per_s"),
+                c.queries_per_s,
+                0.0,
+                100_000.0,
+            )?;
             fits(&format!("customers.{n}.units"), c.units, 0.001, 1000.0)?;
             fits(&format!("customers.{n}.uneven"), c.uneven, 0.0, 1.0)?;
             fits(&format!("customers.{n}.moves_s"), c.moves_s, 0.0, LONGEST_S)?;
         }
         for (n, fault) in self.faults.iter().enumerate() {
             fits(&format!("faults.{n}.at_s"), fault.at_s, 0.0, self.seconds)?;
-            fits(&format!("faults.{n}.for_s"), fault.for_s.unwrap_or(0.0), 0.0, LONGEST_S)?;
-            fits(&format!("faults.{n}.every_s"), fault.every_s.unwrap_or(1.0), 0.05, LONGEST_S)?;
-            self.check_fault(fault).map_err(|e| format!("faults.{n}.{e}"))?;
+            fits(
+                &format!("faults.{n}.for_s"),
+                fault.for_s.unwrap_or(0.0),
+                0.0,
+                LONGEST_S,
+            )?;
+            fits(
+                &format!("faults.{n}.every_s"),
+                fault.every_s.unwrap_or(1.0),
+                0.05,
+                LONGEST_S,
+            )?;
+            self.check_fault(fault)
+                .map_err(|e| format!("faults.{n}.{e}"))?;
         }
         Ok(())
     }
@@ -577,14 +705,27 @@
         let (limiters, servers) = (self.limiters.count, self.servers.count);
         let named = |key: &str, which: &Which, count: usize| {
             let nobody = which.of(count, self.limiters.zones).is_empty();
-            (!nobody).then_some(()).ok_or(format!("{key} names none of {count}: {which}"))
+            (!nobody)
+                .then_some(())
+                .ok_or(format!("{key} names none of {count}: {which}"))
         };
         let share = |key: &str, value: f64| {
             let fits = (0.0..=1.0).contains(&value);
-            fits.then_some(()).ok_or(format!("{key} must be from 0 to 1, and is {value}"))
+            fits.then_some(())
+                .ok_or(format!("{key} must be from 0 to 1, and is {value}"))
         };
         match &fault.what {
-            What::Link { path, of, to, lose, reorder, twice, delay_ms, jitter_ms, .. } => {
+            What::Link {
+                path,
+                of,
+                to,
+                lose,
+                reorder,
+                twice,
+                delay_ms,
+                jitter_ms,
+                ..
+            } => {
                 named("of", of, limiters)?;
                 match path {
                     Path::Limiters => named("to", to, limiters)?,
@@ -595,11 +736,19 @@
                 share("reorder", *reorder)?;
                 share("twice", *twice)?;
                 let late = delay_ms + jitter_ms;
-                let fits = late.is_finite() && *delay_ms >= 0.0 && *jitter_ms >= 0.0 && late <= 60_000.0;
-                fits.then_some(()).ok_or(format!("delay_ms and jitter_ms make {late}"))
+                let fits =
+                    late.is_finite() && *delay_ms >= 0.0 && *jitter_ms >= 0.0 && late <= 60_000.0;
+                fits.then_some(())
+                    .ok_or(format!("delay_ms and jitter_ms make {late}"))
             }
             What::Kill { of } | What::Term { of } | What::Stall { of } => named("of", of, limiters),
-            What::Server { of, failing, resetting, slow, .. } => {
+            What::Server {
+                of,
+                failing,
+                resetting,
+                slow,
+                ..
+            } => {
                 named("of", of, servers)?;
                 share("failing", *failing)?;
                 share("resetting", *resetting)?;
@@ -611,12 +760,20 @@
             }
             What::Counter { slow_ms, .. } => {
                 let fits = slow_ms.is_finite() && *slow_ms >= 0.0;
-                fits.then_some(()).ok_or(format!("slow_ms is absurd: {slow_ms}"))
-            }
-            What::Discovery { late_ms, calls_per_s, .. } => {
-                let fits = [late_ms, calls_per_s].iter().all(|n| n.is_finite() && **n >= 0.0);
                 fits.then_some(())
-                    .ok_or(format!("late_ms or calls_per_s is absurd: {late_ms}, {calls_per_s}"))
+                    .ok_or(format!("slow_ms is absurd: {slow_ms}"))
+            }
+            What::Discovery {
+                late_ms,
+                calls_per_s,
+                ..
+            } => {
+                let fits = [late_ms, calls_per_s]
+                    .iter()
+                    .all(|n| n.is_finite() && **n >= 0.0);
+                fits.then_some(()).ok_or(format!(
+                    "late_ms or calls_per_s is absurd: {late_ms}, {calls_per_s}"
+                ))
             }
         }
     }
--- a/crates/aspendrum-testbed/src/sweep.rs
+++ b/crates/aspendrum-testbed/src/sweep.rs
@@ -21,7 +21,10 @@
         if key.is_empty() || values.iter().any(String::is_empty) {
             return Err("it is KEY=a,b,c, and neither the key nor a value may be empty".into());
         }
-        Ok(Over { key: key.to_string(), values })
+        Ok(Over {
+            key: key.to_string(),
+            values,
+        })
     }
 }
 
@@ -46,13 +49,23 @@
     }
     let mut rows: Vec<(String, Row)> = Vec::new();
     for (n, (value, s)) in all.iter().enumerate() {
-        eprint!("{}/{} {} with {} = {value}, seed {} ... ", n + 1, all.len(), s.name, over.key, s.seed);
+        eprint!(
+            "{}/{} {} with {} = {value}, seed {} ... ",
+            n + 1,
+            all.len(),
+            s.name,
+            over.key,
+            s.seed
+        );
         let start = Start::of(s, limiter.clone())?;
         let folder = out.join(format!("{}-{value}-{}", s.name, s.seed));
         let o = run::play(s, &start, &folder.join("limiters"), &|_| {})?;
         report::write(s, &o, &folder)?;
         let row = Row::of(s, &o);
-        eprintln!("{:.2} of the quota granted, {} broken", row.over_quota, row.broken);
+        eprintln!(
+            "{:.2} of the quota granted, {} broken",
+            row.over_quota, row.broken
+        );
         rows.push((value.to_string(), row));
     }
     write(over, &rows, out)?;
@@ -66,14 +79,22 @@
     type Figure = (&'static str, &'static str, fn(&Row) -> f64);
     let figures: [Figure; 3] = [
         ("over_quota", "granted over quota", |r| r.over_quota),
-        ("refused_with_room", "refused with room, of what had room", |r| r.refused_with_room),
-        ("bytes", "bytes a limiter a second", |r| r.bytes_per_limiter_s),
+        (
+            "refused_with_room",
+            "refused with room, of what had room",
+            |r| r.refused_with_room,
+        ),
+        ("bytes", "bytes a limiter a second", |r| {
+            r.bytes_per_limiter_s
+        }),
     ];
     for (file, name, figure) in figures {
         let mut series: Vec<(String, Vec<(f64, f64)>)> = Vec::new();
         for (value, row) in rows {
             // A value that is no number has no place on an axis; the table has it all the same.
-            let Ok(x) = value.parse::<f64>() else { continue };
+            let Ok(x) = value.parse::<f64>() else {
+                continue;
+            };
             match series.iter_mut().find(|s| s.0 == row.scenario) {
                 Some(s) => s.1.push((x, figure(row))),
                 None => series.push((row.scenario.clone(), vec![(x, figure(row))])),
@@ -82,7 +103,8 @@
         let axes = (over.key.as_str(), name);
         report::lines_chart(&out.join(format!("{file}.svg")), name, axes, &series)?;
     }
-    std::fs::write(out.join("sweep.md"), markdown(over, rows)).map_err(|e| format!("{}: {e}", out.display()))
+    std::fs::write(out.join("sweep.md"), markdown(over, rows))
+        .map_err(|e| format!("{}: {e}", out.display()))
 }
 
 /// The table for a page.
@@ -122,7 +144,12 @@
             (over.key.as_str(), over.values),
             ("limiters.count", vec!["5".into(), "20".into(), "40".into()])
         );
-        for bad in ["limiters.count", "=5", "limiters.count=", "limiters.count=5,,6"] {
+        for bad in [
+            "limiters.count",
+            "=5",
+            "limiters.count=",
+            "limiters.count=5,,6",
+        ] {
             assert!(Over::read(bad).is_err(), "{bad}");
         }
     }
--- a/crates/aspendrum-testbed/src/system/clients.rs
+++ b/crates/aspendrum-testbed/src/system/clients.rs
@@ -65,7 +65,12 @@
     BehindBytes,
 }
 
-pub const MANNERS: [Manner; 4] = [Manner::Close, Manner::Reset, Manner::HalfClose, Manner::BehindBytes];
+pub const MANNERS: [Manner; 4] = [
+    Manner::Close,
+    Manner::Reset,
+    Manner::HalfClose,
+    Manner::BehindBytes,
+];
 
 /// A request sent ahead of its answer, and how it ended.
 struct Ahead {
@@ -84,7 +89,12 @@
 
 impl Came {
     fn of(end: End) -> Came {
-        Came { end, left: None, again: None, ahead: None }
+        Came {
+            end,
+            left: None,
+            again: None,
+            ahead: None,
+        }
     }
 }
 
@@ -104,7 +114,13 @@
 impl Crowd {
     pub fn new(fleet: Arc<Fleet>) -> Crowd {
         let ids = AtomicU64::new(1);
-        Crowd { fleet, ids, lists: Mutex::default(), idle: Mutex::default(), tries: Mutex::default() }
+        Crowd {
+            fleet,
+            ids,
+            lists: Mutex::default(),
+            idle: Mutex::default(),
+            tries: Mutex::default(),
+        }
     }
 
     pub fn tries(&self) -> Vec<Try> {
@@ -123,7 +139,9 @@
             let id = self.ids.fetch_add(1, Ordering::Relaxed);
             let number = *first.get_or_insert(id);
             let sent = self.now();
-            let Some((at, front, open)) = self.choose(wish, first == Some(id), &failed, until).await else {
+            let Some((at, front, open)) =
+                self.choose(wish, first == Some(id), &failed, until).await
+            else {
                 self.note(Try {
                     id,
                     wish: number,
@@ -138,14 +156,35 @@
             let next = wish.ahead.then(|| self.ids.fetch_add(1, Ordering::Relaxed));
             let exchange = self.exchange((at, open), (id, next), wish, until);
             let came = timeout_at(until + PATIENCE, exchange).await;
-            let silent =
-                || Came { ahead: next.map(|id| Ahead { id, end: End::Silent }), ..Came::of(End::Silent) };
+            let silent = || Came {
+                ahead: next.map(|id| Ahead {
+                    id,
+                    end: End::Silent,
+                }),
+                ..Came::of(End::Silent)
+            };
             let came = came.unwrap_or_else(|_| silent());
-            let Came { end, again, ahead, .. } = came;
+            let Came {
+                end, again, ahead, ..
+            } = came;
             let ended = came.left.unwrap_or_else(|| self.now());
-            self.note(Try { id, wish: number, front, ended, end, ..blank(wish, sent) });
+            self.note(Try {
+                id,
+                wish: number,
+                front,
+                ended,
+                end,
+                ..blank(wish, sent)
+            });
             if let Some(Ahead { id, end }) = ahead {
-                self.note(Try { id, wish: id, front, ended, end, ..blank(wish, sent) });
+                self.note(Try {
+                    id,
+                    wish: id,
+                    front,
+                    ended,
+                    end,
+                    ..blank(wish, sent)
+                });
             }
             let may = match end {
                 End::Answered | End::Left | End::Said(400 | 401 | 404 | 413 | 431) => false,
@@ -180,11 +219,20 @@
             }
         }
         let fronts = match wish.stubborn && first {
-            true => (0..self.fleet.scenario.edges).map(|n| self.fleet.front(n)).collect(),
+            true => (0..self.fleet.scenario.edges)
+                .map(|n| self.fleet.front(n))
+                .collect(),
             false => self.fronts(wish.zone, until).await,
         };
-        let well: Vec<SocketAddr> = fronts.iter().copied().filter(|f| !failed.contains(f)).collect();
-        let at = well.choose(&mut rand::rng()).or(fronts.choose(&mut rand::rng())).copied()?;
+        let well: Vec<SocketAddr> = fronts
+            .iter()
+            .copied()
+            .filter(|f| !failed.contains(f))
+            .collect();
+        let at = well
+            .choose(&mut rand::rng())
+            .or(fronts.choose(&mut rand::rng()))
+            .copied()?;
         let open = if wish.kept { self.kept(at) } else { None };
         Some((at, self.fleet.edge_at(at)?, open))
     }
@@ -200,13 +248,21 @@
         if let Some((_, fronts)) = held.as_ref().filter(|h| h.0 > Instant::now()) {
             return fronts.clone();
         }
-        let path = format!("/api/lookup?name=a.example&geo={}&az={}", region(of), zone(of));
+        let path = format!(
+            "/api/lookup?name=a.example&geo={}&az={}",
+            region(of),
+            zone(of)
+        );
         let members = self.fleet.members();
         let first = rand::rng().random_range(0..members.len());
         for n in (0..members.len().min(3)).map(|n| members[(first + n) % members.len()]) {
             let asked = timeout_at(until, call(self.fleet.dir(n), "GET", &path, "", CALL));
-            let Ok(Some((200, body))) = asked.await else { continue };
-            let Some((fronts, ttl)) = answer(&body) else { continue };
+            let Ok(Some((200, body))) = asked.await else {
+                continue;
+            };
+            let Some((fronts, ttl)) = answer(&body) else {
+                continue;
+            };
             lock(&self.lists).insert(of, (Instant::now() + ttl, fronts.clone()));
             return fronts;
         }
@@ -224,10 +280,15 @@
             Some(stream) => Ok(Ok(stream)),
             None => timeout(CONNECT, TcpStream::connect(at)).await,
         };
-        let Ok(Ok(mut stream)) = connected else { return Came::of(End::Unreached) };
+        let Ok(Ok(mut stream)) = connected else {
+            return Came::of(End::Unreached);
+        };
         let _ = stream.set_nodelay(true);
-        let text: String =
-            [Some(id), next].into_iter().flatten().map(|id| request(id, wish, until)).collect();
+        let text: String = [Some(id), next]
+            .into_iter()
+            .flatten()
+            .map(|id| request(id, wish, until))
+            .collect();
         let mut rest = Vec::new();
         let answer = async {
             stream.write_all(text.as_bytes()).await?;
@@ -238,7 +299,10 @@
             Some(leave) => match timeout(leave.after, answer).await {
                 Ok(answer) => answer,
                 Err(_) => {
-                    let (left, ahead) = (Some(self.now()), next.map(|id| Ahead { id, end: End::Left }));
+                    let (left, ahead) = (
+                        Some(self.now()),
+                        next.map(|id| Ahead { id, end: End::Left }),
+                    );
                     return Came {
                         end: leave_now(stream, rest, leave.manner, id).await,
                         left,
@@ -249,12 +313,21 @@
             },
         };
         let lost = next.map(|id| Ahead { id, end: End::Lost });
-        let Ok(Some(answer)) = answer else { return Came { ahead: lost, ..Came::of(End::Lost) } };
+        let Ok(Some(answer)) = answer else {
+            return Came {
+                ahead: lost,
+                ..Came::of(End::Lost)
+            };
+        };
         let mut closes = answer.closes();
         let mut ahead = None;
         if let Some(next) = next {
             // Behind an answer that closes the connection nothing of it is read any more (RFC 9112, 9.3.2).
-            let second = if closes { Ok(None) } else { http::next(&mut stream, &mut rest, false).await };
+            let second = if closes {
+                Ok(None)
+            } else {
+                http::next(&mut stream, &mut rest, false).await
+            };
             let unread = if closes { End::Unreached } else { End::Lost };
             let end = second.ok().flatten().map_or(unread, |answer| {
                 closes |= answer.closes();
@@ -266,9 +339,16 @@
         if (wish.kept || wish.faithful) && !closes && rest.is_empty() {
             lock(&self.idle).entry(at).or_default().push(stream);
         }
-        let again = answer.header("Retry-After").and_then(|t| t.parse::<f64>().ok());
+        let again = answer
+            .header("Retry-After")
+            .and_then(|t| t.parse::<f64>().ok());
         let again = again.map(|s| Duration::from_secs_f64(s.clamp(0.0, 60.0)));
-        Came { end: end(&answer, id), left: None, again, ahead }
+        Came {
+            end: end(&answer, id),
+            left: None,
+            again,
+            ahead,
+        }
     }
 
     /// A connection that stands idle, and that the proxy has not closed as far as can be seen.
@@ -287,7 +367,11 @@
 
 /// A request's bytes.
 fn request(id: u64, wish: Wish, until: Instant) -> String {
-    let (method, body) = if wish.once { ("POST", "pay") } else { ("GET", "") };
+    let (method, body) = if wish.once {
+        ("POST", "pay")
+    } else {
+        ("GET", "")
+    };
     let left = until.saturating_duration_since(Instant::now()).as_millis();
     format!(
         "{method} {}x HTTP/1.1\r\nHost: a.example\r\nTry-Id: {id:016x}\r\nBudget-Ms: {left}\r\n\
@@ -311,7 +395,11 @@
         Manner::HalfClose => {
             let _ = stream.shutdown().await;
             let answer = http::next(&mut stream, &mut rest, false).await;
-            if answer.ok().flatten().is_some_and(|answer| end(&answer, id) == End::Foreign) {
+            if answer
+                .ok()
+                .flatten()
+                .is_some_and(|answer| end(&answer, id) == End::Foreign)
+            {
                 return End::Foreign;
             }
         }
@@ -321,7 +409,16 @@
 
 fn blank(wish: Wish, sent: Ms) -> Try {
     let (route, tenant) = (wish.route, wish.tenant);
-    Try { id: 0, wish: 0, route, tenant, front: 0, sent, ended: sent, end: End::Lost }
+    Try {
+        id: 0,
+        wish: 0,
+        route,
+        tenant,
+        front: 0,
+        sent,
+        ended: sent,
+        end: End::Lost,
+    }
 }
 
 fn end(answer: &Message, id: u64) -> End {
@@ -336,8 +433,15 @@
 
 fn answer(body: &[u8]) -> Option<(Vec<SocketAddr>, Duration)> {
     let told: serde_json::Value = serde_json::from_slice(body).ok()?;
-    let fronts = told["ips"].as_array()?.iter().map(|a| a.as_str()?.parse().ok()).collect::<Option<_>>()?;
-    Some((fronts, Duration::from_secs_f64(told["ttl-s"].as_f64()?.clamp(0.0, 60.0))))
+    let fronts = told["ips"]
+        .as_array()?
+        .iter()
+        .map(|a| a.as_str()?.parse().ok())
+        .collect::<Option<_>>()?;
+    Some((
+        fronts,
+        Duration::from_secs_f64(told["ttl-s"].as_f64()?.clamp(0.0, 60.0)),
+    ))
 }
 
 /// One call on a connection of its own, with two redirections followed: the status and the body. `None`: nothing came
@@ -352,8 +456,13 @@
     let large = Duration::from_micros(body.len() as u64);
     let (mut at, mut path) = (at, path.to_string());
     for _ in 0..REDIRECTIONS {
-        let answer = timeout(patience + large, exchange(at, method, &path, body)).await.ok()??;
-        let location = answer.header("Location").filter(|_| answer.status() == 307).and_then(elsewhere);
+        let answer = timeout(patience + large, exchange(at, method, &path, body))
+            .await
+            .ok()??;
+        let location = answer
+            .header("Location")
+            .filter(|_| answer.status() == 307)
+            .and_then(elsewhere);
         match location {
             Some(next) => (at, path) = next,
             None => return Some((answer.status(), answer.body)),
--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -38,7 +38,9 @@
 /// The programs of the system, built once in this process' life.
 pub fn programs() -> Result<[Start; 3], String> {
     static BUILT: OnceLock<Result<(), String>> = OnceLock::new();
-    BUILT.get_or_init(|| build(&["aspendrum-proxy", "aspendrum-agent", "aspendrum-control"])).clone()?;
+    BUILT
+        .get_or_init(|| build(&["aspendrum-proxy", "aspendrum-agent", "aspendrum-control"]))
+        .clone()?;
     Ok([
         Start::system("aspendrum-proxy")?,
         Start::system("aspendrum-agent")?,
@@ -93,7 +95,14 @@
 
     /// The most violations of its invariants that one of its lives has told.
     pub fn violations(&self) -> u64 {
-        let told = |line: &str| line.split_once(" violations=")?.1.split(' ').next()?.parse().ok();
+        let told = |line: &str| {
+            line.split_once(" violations=")?
+                .1
+                .split(' ')
+                .next()?
+                .parse()
+                .ok()
+        };
         self.log().lines().filter_map(told).max().unwrap_or(0)
     }
 
@@ -165,7 +174,11 @@
                 drops: n % KEEPS_ON != KEEPS_ON - 1,
             };
             let at = IpAddr::V4(ip(net, 200, 0));
-            origins.push(Origin::start(at, n, figures, record.clone()).await.map_err(failed)?);
+            origins.push(
+                Origin::start(at, n, figures, record.clone())
+                    .await
+                    .map_err(failed)?,
+            );
         }
         let cloud = Cloud::start(IpAddr::V4(ip(net, 200, 0)), origins.clone(), 40.0, clock);
         let cloud = cloud.await.map_err(failed)?;
@@ -177,7 +190,11 @@
             for core in &cores {
                 let mut to = SocketAddr::from((*core, PORTS[0]));
                 if dialler >= s.machines() {
-                    tampers.push(Tamper::start(IpAddr::V4(*core), to, SERVICES).await.map_err(failed)?);
+                    tampers.push(
+                        Tamper::start(IpAddr::V4(*core), to, SERVICES)
+                            .await
+                            .map_err(failed)?,
+                    );
                     to = tampers.last().map_or(to, Tamper::addr);
                 }
                 row.push(relay(IpAddr::V4(*core), to).await?);
@@ -186,7 +203,11 @@
             if let Some(n) = dialler.checked_sub(s.machines()) {
                 pushes.push(tampers);
                 let agent = SocketAddr::from((ip(net, 102, n), AGENT));
-                feeds.push(Tamper::start(agent.ip(), agent, SERVICES).await.map_err(failed)?);
+                feeds.push(
+                    Tamper::start(agent.ip(), agent, SERVICES)
+                        .await
+                        .map_err(failed)?,
+                );
             }
         }
         let mut servers = Vec::new();
@@ -210,7 +231,10 @@
             loans.push(row);
         }
         let slot = |start: &Start, name: String, disk: Option<PathBuf>| {
-            let (settings, log) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.log")));
+            let (settings, log) = (
+                folder.join(format!("{name}.json")),
+                folder.join(format!("{name}.log")),
+            );
             tokio::sync::Mutex::new(Slot {
                 start: start.clone(),
                 settings,
@@ -224,10 +248,20 @@
             scenario: s.clone(),
             clock,
             cores: (0..s.machines())
-                .map(|n| slot(&control, format!("core-{n}"), Some(folder.join(format!("disk-{n}")))))
+                .map(|n| {
+                    slot(
+                        &control,
+                        format!("core-{n}"),
+                        Some(folder.join(format!("disk-{n}"))),
+                    )
+                })
+                .collect(),
+            proxies: (0..s.edges)
+                .map(|n| slot(&proxy, format!("proxy-{n}"), None))
+                .collect(),
+            agents: (0..s.edges)
+                .map(|n| slot(&agent, format!("agent-{n}"), None))
                 .collect(),
-            proxies: (0..s.edges).map(|n| slot(&proxy, format!("proxy-{n}"), None)).collect(),
-            agents: (0..s.edges).map(|n| slot(&agent, format!("agent-{n}"), None)).collect(),
             origins,
             record,
             net,
@@ -276,7 +310,10 @@
     /// The one that is asked after that one.
     pub fn after(&self, core: usize) -> usize {
         let members = lock(&self.members);
-        let at = members.iter().position(|n| *n == core).map_or(0, |at| at + 1);
+        let at = members
+            .iter()
+            .position(|n| *n == core)
+            .map_or(0, |at| at + 1);
         members[at % members.len()]
     }
 
@@ -291,7 +328,8 @@
         let mut members = lock(&self.members);
         let next = members.iter().max()? + 1;
         let new = (next.max(self.scenario.cores) < self.cores.len()).then_some(next)?;
-        let taken = |all: &mut Vec<usize>| all.iter_mut().filter(|n| **n == old).for_each(|n| *n = new);
+        let taken =
+            |all: &mut Vec<usize>| all.iter_mut().filter(|n| **n == old).for_each(|n| *n = new);
         taken(&mut members);
         if seeds {
             taken(&mut lock(&self.seeds));
@@ -304,12 +342,18 @@
         let seeds = &lock(&self.seeds).clone();
         for n in 0..self.cores.len() {
             let slot = self.cores[n].lock().await;
-            put(&slot.settings, &self.core_settings(n, init, seeds, &slot).to_string())?;
+            put(
+                &slot.settings,
+                &self.core_settings(n, init, seeds, &slot).to_string(),
+            )?;
         }
         for n in 0..self.scenario.edges {
             let agent = SocketAddr::from((ip(self.net, 102, n), AGENT));
             let text = |by| self.edge_settings(n, seeds, by).to_string();
-            put(&self.proxies[n].lock().await.settings, &text(self.feeds[n].addr()))?;
+            put(
+                &self.proxies[n].lock().await.settings,
+                &text(self.feeds[n].addr()),
+            )?;
             put(&self.agents[n].lock().await.settings, &text(agent))?;
         }
         Ok(())
@@ -317,7 +361,12 @@
 
     fn core_settings(&self, n: usize, init: bool, seeds: &[usize], slot: &Slot) -> Value {
         let ways = (0..self.cores.len()).filter(|to| *to != n);
-        let ways = ways.map(|to| way((self.core(to), PORTS[0]).into(), self.controls[n][to].addr()));
+        let ways = ways.map(|to| {
+            way(
+                (self.core(to), PORTS[0]).into(),
+                self.controls[n][to].addr(),
+            )
+        });
         let binds = json!({"ctl": self.ctl(n), "dir": self.dir(n)});
         let own = json!({"host-name": format!("core-{n}"), "ip": self.core(n), "quorum": true, "init": init,
             "datadir": slot.disk});
@@ -329,22 +378,41 @@
         let s = &self.scenario;
         let dialler = s.machines() + n;
         let mut ways: Map<String, Value> = (0..s.machines())
-            .map(|to| way((self.core(to), PORTS[0]).into(), self.controls[dialler][to].addr()))
+            .map(|to| {
+                way(
+                    (self.core(to), PORTS[0]).into(),
+                    self.controls[dialler][to].addr(),
+                )
+            })
             .collect();
         for (mesh, port) in [(&self.counts, COUNTS), (&self.words, WORDS)] {
             let peers = mesh.peers(n).unwrap_or_default();
             let at = |to| SocketAddr::from((ip(self.net, 101, to), port));
-            ways.extend(peers.into_iter().enumerate().map(|(to, by)| way(at(to), by)));
+            ways.extend(
+                peers
+                    .into_iter()
+                    .enumerate()
+                    .map(|(to, by)| way(at(to), by)),
+            );
         }
         let at = |to| SocketAddr::from((ip(self.net, 101, to), SNAPSHOTS));
-        ways.extend(self.loans[n].iter().enumerate().map(|(to, by)| way(at(to), by.addr())));
-        ways.extend(self.origins.iter().enumerate().map(|(to, o)| way(o.addr(), self.servers[n][to].addr())));
+        ways.extend(
+            self.loans[n]
+                .iter()
+                .enumerate()
+                .map(|(to, by)| way(at(to), by.addr())),
+        );
+        ways.extend(
+            self.origins
+                .iter()
+                .enumerate()
+                .map(|(to, o)| way(o.addr(), self.servers[n][to].addr())),
+        );
         // All machines of a run are one: each agent has an address of its own there.
         ways.extend([way((Ipv4Addr::LOCALHOST, AGENT).into(), agent)]);
         let own = json!({"host-name": format!("edge-{n}"), "ip": ip(self.net, 101, n),
             "caps": {"nofile": 1024, "mem-mb": 256}});
-        let binds =
-            json!({"front": self.front(n), "readyz": SocketAddr::from((ip(self.net, 101, n), READYZ))});
+        let binds = json!({"front": self.front(n), "readyz": SocketAddr::from((ip(self.net, 101, n), READYZ))});
         self.common(s.zone(n), own, binds, ways, seeds)
     }
 
@@ -386,7 +454,11 @@
     }
 
     pub async fn start(&self) -> Result<(), String> {
-        for slot in self.cores[..self.scenario.cores].iter().chain(&self.proxies).chain(&self.agents) {
+        for slot in self.cores[..self.scenario.cores]
+            .iter()
+            .chain(&self.proxies)
+            .chain(&self.agents)
+        {
             slot.lock().await.up().map_err(|e| format!("start: {e}"))?;
         }
         Ok(())
@@ -407,8 +479,14 @@
             all.push(&self.controls[d][from].back);
         }
         let linked = self.scenario.edge_links;
-        if let (Who::Edge(a) | Who::Agent(a), Who::Edge(b) | Who::Agent(b), true) = (from, to, linked) {
-            all.extend([self.words.link(a, b), &self.loans[a][b].there, &self.loans[b][a].back]);
+        if let (Who::Edge(a) | Who::Agent(a), Who::Edge(b) | Who::Agent(b), true) =
+            (from, to, linked)
+        {
+            all.extend([
+                self.words.link(a, b),
+                &self.loans[a][b].there,
+                &self.loans[b][a].back,
+            ]);
         }
         match (from, to) {
             (Who::Edge(a) | Who::Proxy(a), Who::Edge(b) | Who::Proxy(b)) if linked => {
@@ -434,12 +512,19 @@
     pub fn everyone(&self) -> Vec<Who> {
         let s = &self.scenario;
         let cores = (0..s.machines()).map(Who::Core);
-        cores.chain((0..s.edges).map(Who::Edge)).chain((0..s.origins()).map(Who::Origin)).collect()
+        cores
+            .chain((0..s.edges).map(Who::Edge))
+            .chain((0..s.origins()).map(Who::Origin))
+            .collect()
     }
 
     /// Cuts what the ones say to the others, and back unless `one_way`; [`Fleet::heal`] with the same number.
     pub fn cut(&self, of: &[Who], from: &[Who], one_way: bool, form: Form, number: u32) {
-        let fault = if form == Form::Refuse { Fault::REFUSE } else { Fault::CUT };
+        let fault = if form == Form::Refuse {
+            Fault::REFUSE
+        } else {
+            Fault::CUT
+        };
         self.each_link(of, from, one_way, |link| {
             link.put(number, fault);
             if form != Form::Silent {
@@ -455,8 +540,15 @@
     fn each_link(&self, of: &[Who], from: &[Who], one_way: bool, what: impl Fn(&Link)) {
         for a in of {
             for b in from.iter().filter(|b| !of.contains(b)) {
-                let back = if one_way { Vec::new() } else { self.links(*b, *a) };
-                self.links(*a, *b).into_iter().chain(back).for_each(|link| what(link));
+                let back = if one_way {
+                    Vec::new()
+                } else {
+                    self.links(*b, *a)
+                };
+                self.links(*a, *b)
+                    .into_iter()
+                    .chain(back)
+                    .for_each(|link| what(link));
             }
         }
     }
@@ -475,13 +567,18 @@
 
 async fn mesh(members: &[IpAddr], port: u16) -> io::Result<Mesh> {
     let mut mesh = Mesh::among(members).await?;
-    let listens: Vec<SocketAddr> = members.iter().map(|ip| SocketAddr::from((*ip, port))).collect();
+    let listens: Vec<SocketAddr> = members
+        .iter()
+        .map(|ip| SocketAddr::from((*ip, port)))
+        .collect();
     mesh.carry(&listens);
     Ok(mesh)
 }
 
 async fn relay(at: IpAddr, to: SocketAddr) -> Result<Relay, String> {
-    Relay::start(at, to).await.map_err(|e| format!("a link: {e}"))
+    Relay::start(at, to)
+        .await
+        .map_err(|e| format!("a link: {e}"))
 }
 
 fn ip(net: u8, kind: u8, n: usize) -> Ipv4Addr {
--- a/crates/aspendrum-testbed/src/system/operator.rs
+++ b/crates/aspendrum-testbed/src/system/operator.rs
@@ -61,7 +61,10 @@
 
 impl Operator {
     pub fn new(fleet: Arc<Fleet>) -> Operator {
-        Operator { fleet, calls: Mutex::default() }
+        Operator {
+            fleet,
+            calls: Mutex::default(),
+        }
     }
 
     /// All calls so far, but for those about zones.
@@ -75,9 +78,18 @@
             let sent = self.fleet.clock.now();
             let answer = call(self.fleet.ctl(core), "POST", "/api/Cfg.Set", text, CALL).await;
             let status = answer.map(|a| a.0);
-            let asked = Asked::Set { number, text: text.clone() };
+            let asked = Asked::Set {
+                number,
+                text: text.clone(),
+            };
             let ended = self.fleet.clock.now();
-            lock(&self.calls).push(Call { core, sent, ended, asked, status });
+            lock(&self.calls).push(Call {
+                core,
+                sent,
+                ended,
+                asked,
+                status,
+            });
             status
         };
         self.order(first, ORDER, one).await
@@ -88,7 +100,9 @@
         let path = format!("/api/Evac.{}/{zone}", if on { "Begin" } else { "Finish" });
         let path = path.as_str();
         let one = |core: usize| async move {
-            call(self.fleet.ctl(core), "POST", path, "", CALL).await.map(|answer| answer.0)
+            call(self.fleet.ctl(core), "POST", path, "", CALL)
+                .await
+                .map(|answer| answer.0)
         };
         let longest = Duration::from_secs_f64(self.fleet.scenario.terms.ack / 1000.0);
         self.order(first, longest, one).await
@@ -117,10 +131,20 @@
         let sent = self.fleet.clock.now();
         let answer = call(self.fleet.ctl(core), "GET", "/api/Cfg.Show", "", patience).await;
         let (status, body) = answer.map_or((None, Vec::new()), |a| (Some(a.0), a.1));
-        let shown = if status == Some(200) { shown(&body) } else { None };
+        let shown = if status == Some(200) {
+            shown(&body)
+        } else {
+            None
+        };
         let number = shown.as_ref().map(|s| s.0);
         let ended = self.fleet.clock.now();
-        lock(&self.calls).push(Call { core, sent, ended, asked: Asked::Show(shown), status });
+        lock(&self.calls).push(Call {
+            core,
+            sent,
+            ended,
+            asked: Asked::Show(shown),
+            status,
+        });
         number
     }
 
--- a/crates/aspendrum-testbed/src/system/play.rs
+++ b/crates/aspendrum-testbed/src/system/play.rs
@@ -44,7 +44,11 @@
 impl Outcome {
     /// So long do nineteen of twenty refusals for a quota take at the most, milliseconds.
     pub fn refusals(&self) -> Ms {
-        let refused = self.record.tries.iter().filter(|t| t.end == End::Promise(429));
+        let refused = self
+            .record
+            .tries
+            .iter()
+            .filter(|t| t.end == End::Promise(429));
         let mut took: Vec<Ms> = refused.map(|t| t.ended - t.sent).collect();
         took.sort_by(f64::total_cmp);
         took.get(took.len() * 19 / 20).copied().unwrap_or(0.0)
@@ -52,7 +56,11 @@
 
     /// Configurations that were acknowledged, and the milliseconds that the slowest of them took.
     pub fn acknowledged(&self) -> (usize, Ms) {
-        let took = self.record.versions.iter().filter_map(|v| Some(v.acked? - v.sent));
+        let took = self
+            .record
+            .versions
+            .iter()
+            .filter_map(|v| Some(v.acked? - v.sent));
         took.fold((0, 0.0), |(n, most), took| (n + 1, most.max(took)))
     }
 
@@ -72,33 +80,64 @@
             all.extend(short.map(|least| format!("{name} is {value:.3}, and must be {least}")));
         };
         least("the share served", v.share(), b.served);
-        least("the share of once-only wishes served", v.share_once(), b.served_once);
+        least(
+            "the share of once-only wishes served",
+            v.share_once(),
+            b.served_once,
+        );
         let share = |part: (usize, usize)| part.1 as f64 / part.0.max(1) as f64;
-        least("the share served in the end", share(self.last), b.served_last);
-        least("the share of the second tenant", share(self.second), b.served_second);
+        least(
+            "the share served in the end",
+            share(self.last),
+            b.served_last,
+        );
+        least(
+            "the share of the second tenant",
+            share(self.second),
+            b.served_second,
+        );
         let refused = self.refusals();
         let late = b.refused_ms.filter(|most| refused > *most);
-        all.extend(late.map(|most| format!("refusals take {refused:.0} ms, and may take {most:.0}")));
+        all.extend(
+            late.map(|most| format!("refusals take {refused:.0} ms, and may take {most:.0}")),
+        );
         let mut most = |name: &str, n: usize, most: Option<usize>| {
             let over = most.filter(|most| n > *most);
             all.extend(over.map(|most| format!("{n} {name}, and {most} may be")));
         };
         most("connections were lost", v.count(End::Lost), b.lost);
-        most("tries were refused with 503", v.count(End::Promise(503)), b.unready);
-        let over = b.violations.filter(|most| self.violations > *most);
-        all.extend(
-            over.map(|most| format!("{} violations of invariants, and {most} may be", self.violations)),
+        most(
+            "tries were refused with 503",
+            v.count(End::Promise(503)),
+            b.unready,
         );
+        let over = b.violations.filter(|most| self.violations > *most);
+        all.extend(over.map(|most| {
+            format!(
+                "{} violations of invariants, and {most} may be",
+                self.violations
+            )
+        }));
         let acked = self.acknowledged().1;
         let late = b.acked_ms.filter(|most| acked > *most);
-        all.extend(late.map(|most| format!("an acknowledgement took {acked:.0} ms, and may take {most:.0}")));
+        all.extend(
+            late.map(|most| {
+                format!("an acknowledgement took {acked:.0} ms, and may take {most:.0}")
+            }),
+        );
         all
     }
 }
 
 /// [`run`] on a runtime of its own, ended by an interrupt like by any other failure: with all it has started.
-pub fn play(scenario: &Scenario, folder: &Path, progress: &(dyn Fn(&str) + Sync)) -> Result<Outcome, String> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+pub fn play(
+    scenario: &Scenario,
+    folder: &Path,
+    progress: &(dyn Fn(&str) + Sync),
+) -> Result<Outcome, String> {
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("the runtime: {e}"))?;
     runtime.block_on(async {
         tokio::select! {
@@ -108,20 +147,34 @@
     })
 }
 
-pub async fn run(s: &Scenario, folder: &Path, progress: &(dyn Fn(&str) + Sync)) -> Result<Outcome, String> {
-    progress(&format!("{} cores, {} proxies, {} servers start", s.cores, s.edges, s.origins()));
+pub async fn run(
+    s: &Scenario,
+    folder: &Path,
+    progress: &(dyn Fn(&str) + Sync),
+) -> Result<Outcome, String> {
+    progress(&format!(
+        "{} cores, {} proxies, {} servers start",
+        s.cores,
+        s.edges,
+        s.origins()
+    ));
     let fleet = Arc::new(Fleet::prepare(s, folder).await?);
     let run = Arc::new(Run::new(fleet.clone()));
     let begun = fleet.clock.now();
     fleet.start().await?;
     run.change(0, |_| {}).await;
     for n in 0..s.edges {
-        ready(&fleet, n).await.map_err(|e| format!("{e}\n{}", folder.display()))?;
+        ready(&fleet, n)
+            .await
+            .map_err(|e| format!("{e}\n{}", folder.display()))?;
     }
     // Only a first start of the whole system is one.
     fleet.settings(false).await.map_err(|e| e.to_string())?;
     let from = fleet.clock.now();
-    progress(&format!("ready after {:.0} ms; traffic begins", from - begun));
+    progress(&format!(
+        "ready after {:.0} ms; traffic begins",
+        from - begun
+    ));
     let crowd = Arc::new(Crowd::new(fleet.clone()));
     let (mut wishes, mut steps) = (JoinSet::new(), JoinSet::new());
     let start = Instant::now();
@@ -136,9 +189,18 @@
     let gap = 1.0 / s.queries_per_s;
     for n in 0..(s.seconds * s.queries_per_s) as u32 {
         sleep_until(start + Duration::from_secs_f64(f64::from(n) * gap)).await;
-        let (route, tenant) = (usize::from(rng.random::<f64>() < 0.4), rng.random::<f64>() * (1.0 + s.hot));
+        let (route, tenant) = (
+            usize::from(rng.random::<f64>() < 0.4),
+            rng.random::<f64>() * (1.0 + s.hot),
+        );
         let (tenant, zone) = (usize::from(tenant >= s.hot), rng.random_range(0..s.zones));
-        let wish = Wish { route, once: route == 1, tenant, zone, ..habit(&mut rng, &s.habits) };
+        let wish = Wish {
+            route,
+            once: route == 1,
+            tenant,
+            zone,
+            ..habit(&mut rng, &s.habits)
+        };
         let crowd = crowd.clone();
         wishes.spawn(async move { crowd.want(wish).await });
         while wishes.try_join_next().is_some() {}
@@ -169,20 +231,51 @@
         quota_excess: 0.1,
         quota_slack: 20.0,
     };
-    let Book { versions, evacuations, troubles, failures } = book;
+    let Book {
+        versions,
+        evacuations,
+        troubles,
+        failures,
+    } = book;
     let (tries, runs) = (crowd.tries(), fleet.record.runs());
-    let record = Record { from, to, bounds, tries, runs, versions, evacuations, calls, troubles, read_back };
+    let record = Record {
+        from,
+        to,
+        bounds,
+        tries,
+        runs,
+        versions,
+        evacuations,
+        calls,
+        troubles,
+        read_back,
+    };
     let verdict = judge(&record);
-    let served: HashSet<u64> =
-        record.tries.iter().filter(|t| t.end == End::Answered).map(|t| t.wish).collect();
+    let served: HashSet<u64> = record
+        .tries
+        .iter()
+        .filter(|t| t.end == End::Answered)
+        .map(|t| t.wish)
+        .collect();
     let part = |of: &dyn Fn(&Try) -> bool| {
         // Nothing is owed to a client that left.
         let first = |t: &&Try| t.id == t.wish && t.end != End::Left && of(t) && record.owed(t);
         let wishes: Vec<&Try> = record.tries.iter().filter(first).collect();
-        (wishes.len(), wishes.iter().filter(|t| served.contains(&t.wish)).count())
+        (
+            wishes.len(),
+            wishes.iter().filter(|t| served.contains(&t.wish)).count(),
+        )
     };
     let (last, second) = (part(&|t| t.sent > to - LAST), part(&|t| t.tenant == 1));
-    Ok(Outcome { record, verdict, last, second, failures, ready: from - begun, violations })
+    Ok(Outcome {
+        record,
+        verdict,
+        last,
+        second,
+        failures,
+        ready: from - begun,
+        violations,
+    })
 }
 
 /// What a client does beside its request.
@@ -193,9 +286,22 @@
     let leaves = leaves.then(|| {
         let after_ms = rng.random_range(habits.leave_least_ms..=habits.leave_most_ms);
         let manner = MANNERS[rng.random_range(0..MANNERS.len())];
-        Leave { after: Duration::from_secs_f64(after_ms / 1000.0), manner }
+        Leave {
+            after: Duration::from_secs_f64(after_ms / 1000.0),
+            manner,
+        }
     });
-    Wish { route: 0, once: false, tenant: 0, zone: 0, kept, stubborn, faithful, ahead, leaves }
+    Wish {
+        route: 0,
+        once: false,
+        tenant: 0,
+        zone: 0,
+        kept,
+        stubborn,
+        faithful,
+        ahead,
+        leaves,
+    }
 }
 
 /// The nodes that do not apply what was decided, as control knows them, once they have had a moment.
@@ -211,7 +317,10 @@
             let nodes = told["nodes"].as_array().cloned().unwrap_or_default();
             known += nodes.len();
             all.extend(
-                nodes.iter().filter(|n| n["standing"] != "current").map(|n| format!("disagrees: {n}")),
+                nodes
+                    .iter()
+                    .filter(|n| n["standing"] != "current")
+                    .map(|n| format!("disagrees: {n}")),
             );
         }
         if known < fleet.scenario.edges {
@@ -241,9 +350,11 @@
 async fn end(fleet: &Fleet, failures: &mut Vec<String>) -> u64 {
     let mut violations = 0;
     let named = |kind: &'static str, slots| (kind, slots);
-    for (kind, slots) in
-        [named("proxy", &fleet.proxies), named("agent", &fleet.agents), named("core", &fleet.cores)]
-    {
+    for (kind, slots) in [
+        named("proxy", &fleet.proxies),
+        named("agent", &fleet.agents),
+        named("core", &fleet.cores),
+    ] {
         for (n, slot) in slots.iter().enumerate() {
             let mut slot = slot.lock().await;
             if let Some(how) = slot.process.as_mut().and_then(|p| p.ended()) {
--- a/crates/aspendrum-testbed/src/system/report.rs
+++ b/crates/aspendrum-testbed/src/system/report.rs
@@ -11,25 +11,55 @@
         // Writing to memory does not fail.
         let _ = writeln!(out, "| {name:<44} | {value:>14} |");
     };
-    line("machines of control, proxies, servers", format!("{}, {}, {}", s.cores, s.edges, s.origins()));
-    line("ready after all processes started, ms", format!("{:.0}", o.ready));
+    line(
+        "machines of control, proxies, servers",
+        format!("{}, {}, {}", s.cores, s.edges, s.origins()),
+    );
+    line(
+        "ready after all processes started, ms",
+        format!("{:.0}", o.ready),
+    );
     line("wishes, served", format!("{}, {:.3}", v.wishes, v.share()));
-    line("once-only wishes, served", format!("{}, {:.3}", v.once.0, v.share_once()));
-    line("wishes of the last two seconds, served", format!("{}, {}", o.last.0, o.last.1));
-    line("the second tenant's wishes, served", format!("{}, {}", o.second.0, o.second.1));
+    line(
+        "once-only wishes, served",
+        format!("{}, {:.3}", v.once.0, v.share_once()),
+    );
+    line(
+        "wishes of the last two seconds, served",
+        format!("{}, {}", o.last.0, o.last.1),
+    );
+    line(
+        "the second tenant's wishes, served",
+        format!("{}, {}", o.second.0, o.second.1),
+    );
     line("ran, and no client heard of it", v.unheard.to_string());
     line("doubled", v.broke("TWICE").to_string());
     line("refused, and ran", v.broke("REFUSED").to_string());
-    line("astray", (v.broke("CONFIG") + v.broke("ROUTE") + v.broke("EVAC")).to_string());
+    line(
+        "astray",
+        (v.broke("CONFIG") + v.broke("ROUTE") + v.broke("EVAC")).to_string(),
+    );
     let gone = o.departed();
-    line("clients that left, sent 500 ms later", format!("{}, {}", gone.left, gone.sent_late));
-    line("runs to be broken off, that went on", format!("{}, {}", gone.lasting, gone.lasted));
+    line(
+        "clients that left, sent 500 ms later",
+        format!("{}, {}", gone.left, gone.sent_late),
+    );
+    line(
+        "runs to be broken off, that went on",
+        format!("{}, {}", gone.lasting, gone.lasted),
+    );
     line("violations of invariants", o.violations.to_string());
     line("lost without any trouble", v.broke("LOST").to_string());
     let (acked, slowest) = o.acknowledged();
-    line("configurations sent, acknowledged", format!("{}, {acked}", o.record.versions.len()));
+    line(
+        "configurations sent, acknowledged",
+        format!("{}, {acked}", o.record.versions.len()),
+    );
     line("the slowest acknowledgement, ms", format!("{slowest:.0}"));
-    line("refusals for a quota, 95th percentile, ms", format!("{:.1}", o.refusals()));
+    line(
+        "refusals for a quota, 95th percentile, ms",
+        format!("{:.1}", o.refusals()),
+    );
     for (end, n) in &v.ends {
         line(&format!("tries: {end:?}"), n.to_string());
     }
@@ -37,6 +67,14 @@
     for text in broken.iter().take(20) {
         let _ = writeln!(out, "broken: {text}");
     }
-    let _ = writeln!(out, "{}", if broken.is_empty() { "all bounds kept" } else { "bounds or rules broken" });
+    let _ = writeln!(
+        out,
+        "{}",
+        if broken.is_empty() {
+            "all bounds kept"
+        } else {
+            "bounds or rules broken"
+        }
+    );
     out
 }
--- a/crates/aspendrum-testbed/src/system/scenario.rs
+++ b/crates/aspendrum-testbed/src/system/scenario.rs
@@ -315,7 +315,10 @@
     pub fn read(text: &str) -> Result<Scenario, String> {
         let s: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
         if s.cores == 0 || s.edges == 0 || s.zones == 0 || s.servers == 0 {
-            return Err(format!("{}: cores, edges, zones and servers must be 1 or more", s.name));
+            return Err(format!(
+                "{}: cores, edges, zones and servers must be 1 or more",
+                s.name
+            ));
         }
         if s.machines() > 100 || s.edges > 150 {
             return Err(format!("{}: at most 100 cores and 150 edges", s.name));
@@ -329,11 +332,17 @@
             }
             let cores = matches!(step.what, What::Replace | What::Race);
             if cores && (of.is_empty() || !of.iter().all(|who| matches!(who, Who::Core(_)))) {
-                return Err(format!("{}: {:?} is of machines of control", s.name, step.what));
+                return Err(format!(
+                    "{}: {:?} is of machines of control",
+                    s.name, step.what
+                ));
             }
         }
         if replaced > s.spares {
-            return Err(format!("{}: {replaced} are replaced, and there are {} spares", s.name, s.spares));
+            return Err(format!(
+                "{}: {replaced} are replaced, and there are {} spares",
+                s.name, s.spares
+            ));
         }
         Ok(s)
     }
@@ -359,8 +368,10 @@
             let bad = || format!("{}: {part} names nobody here", self.name);
             let (kind, which) = part.split_once(' ').ok_or_else(bad)?;
             let (first, last) = which.split_once('-').unwrap_or((which, which));
-            let (first, last): (usize, usize) =
-                (first.parse().map_err(|_| bad())?, last.parse().map_err(|_| bad())?);
+            let (first, last): (usize, usize) = (
+                first.parse().map_err(|_| bad())?,
+                last.parse().map_err(|_| bad())?,
+            );
             let (of, many): (fn(usize) -> Who, usize) = match kind {
                 "core" => (Who::Core, self.machines()),
                 "edge" => (Who::Edge, self.edges),
--- a/crates/aspendrum-testbed/src/system/soak.rs
+++ b/crates/aspendrum-testbed/src/system/soak.rs
@@ -35,7 +35,11 @@
 
 /// Draws a scenario.
 pub fn draw(seed: u64, size: Size) -> Scenario {
-    let mut draw = Draw { rng: SmallRng::seed_from_u64(seed), size, core_free_s: CALM_START_S };
+    let mut draw = Draw {
+        rng: SmallRng::seed_from_u64(seed),
+        size,
+        core_free_s: CALM_START_S,
+    };
     let troubles = draw.rng.random_range(7..=12);
     let mut steps: Vec<Step> = (0..troubles).flat_map(|_| draw.trouble()).collect();
     steps.extend((0..SLOW_SPELLS).map(|_| draw.slow_spell()));
@@ -98,12 +102,15 @@
     /// A moment for a trouble that lasts so long.
     fn at(&mut self, lasts_s: f64) -> f64 {
         let last = self.size.seconds - CALM_END_S - lasts_s;
-        self.rng.random_range(CALM_START_S..last.max(CALM_START_S + 0.1))
+        self.rng
+            .random_range(CALM_START_S..last.max(CALM_START_S + 0.1))
     }
 
     /// One to four machines at the edge, with their agents or one of the two programs alone.
     fn edges(&mut self) -> String {
-        let kind = *["edge", "edge", "proxy", "agent"].choose(&mut self.rng).unwrap_or(&"edge");
+        let kind = *["edge", "edge", "proxy", "agent"]
+            .choose(&mut self.rng)
+            .unwrap_or(&"edge");
         let first = self.rng.random_range(0..self.size.edges);
         let last = (first + self.rng.random_range(0..4)).min(self.size.edges - 1);
         format!("{kind} {first}-{last}")
@@ -117,12 +124,18 @@
 
     fn lasting(&mut self, what: What, of: String, most_s: f64) -> Step {
         let lasts = self.rng.random_range(0.3..most_s);
-        Step { for_s: Some(lasts), ..Step::new(self.at(lasts), what, of) }
+        Step {
+            for_s: Some(lasts),
+            ..Step::new(self.at(lasts), what, of)
+        }
     }
 
     fn killed(&mut self) -> Vec<Step> {
         let of = self.edges();
-        vec![Step { gap_s: self.rng.random_range(0.0..0.4), ..self.lasting(What::Kill, of, 1.5) }]
+        vec![Step {
+            gap_s: self.rng.random_range(0.0..0.4),
+            ..self.lasting(What::Kill, of, 1.5)
+        }]
     }
 
     /// One after the other, and now and then twice.
@@ -130,8 +143,14 @@
         let of = self.edges();
         let gap_s = self.rng.random_range(0.0..0.7);
         // Each ends within half of its grace, if it has nothing in hand.
-        let first = Step { gap_s, ..Step::new(self.at(4.0), What::Term, of) };
-        let again = Step { at_s: first.at_s + self.rng.random_range(0.2..2.0), ..first.clone() };
+        let first = Step {
+            gap_s,
+            ..Step::new(self.at(4.0), What::Term, of)
+        };
+        let again = Step {
+            at_s: first.at_s + self.rng.random_range(0.2..2.0),
+            ..first.clone()
+        };
         if self.rng.random_bool(0.3) {
             vec![first, again]
         } else {
@@ -140,10 +159,20 @@
     }
 
     fn told_to_reload(&mut self) -> Vec<Step> {
-        let of =
-            if self.rng.random_bool(0.5) { format!("edge 0-{}", self.size.edges - 1) } else { self.edges() };
-        let (count, gap_s) = (self.rng.random_range(2..6), self.rng.random_range(0.05..0.4));
-        vec![Step { count, gap_s, ..Step::new(self.at(2.0), What::Hup, of) }]
+        let of = if self.rng.random_bool(0.5) {
+            format!("edge 0-{}", self.size.edges - 1)
+        } else {
+            self.edges()
+        };
+        let (count, gap_s) = (
+            self.rng.random_range(2..6),
+            self.rng.random_range(0.05..0.4),
+        );
+        vec![Step {
+            count,
+            gap_s,
+            ..Step::new(self.at(2.0), What::Hup, of)
+        }]
     }
 
     fn frozen(&mut self) -> Vec<Step> {
@@ -159,17 +188,28 @@
             1 => format!("core 0-{}", self.size.cores - 1),
             _ => String::new(),
         };
-        let form = *[Form::Silent, Form::Reset, Form::Refuse].choose(&mut self.rng).unwrap_or(&Form::Silent);
+        let form = *[Form::Silent, Form::Reset, Form::Refuse]
+            .choose(&mut self.rng)
+            .unwrap_or(&Form::Silent);
         let one_way = self.rng.random_bool(0.2);
-        vec![Step { from, form, one_way, ..self.lasting(What::Cut, of, 2.5) }]
+        vec![Step {
+            from,
+            form,
+            one_way,
+            ..self.lasting(What::Cut, of, 2.5)
+        }]
     }
 
     /// One machine of control.
     fn core(&mut self) -> Vec<Step> {
         let of = format!("core {}", self.rng.random_range(0..self.size.cores));
-        let what =
-            *[What::Kill, What::Freeze, What::Term, What::Cut].choose(&mut self.rng).unwrap_or(&What::Kill);
-        let step = Step { at_s: self.core_free_s, ..self.lasting(what, of, 1.5) };
+        let what = *[What::Kill, What::Freeze, What::Term, What::Cut]
+            .choose(&mut self.rng)
+            .unwrap_or(&What::Kill);
+        let step = Step {
+            at_s: self.core_free_s,
+            ..self.lasting(what, of, 1.5)
+        };
         self.core_free_s += step.for_s.unwrap_or_default() + Terms::default().sync_s + 1.0;
         if step.at_s + CALM_END_S + 2.0 > self.size.seconds {
             return Vec::new();
@@ -184,20 +224,36 @@
         }
         if self.rng.random_bool(0.3) {
             let zone = format!("zone-{}", self.rng.random_range(0..ZONES));
-            return vec![Step { zone, ..self.lasting(What::Evacuate, of, 3.0) }];
+            return vec![Step {
+                zone,
+                ..self.lasting(What::Evacuate, of, 3.0)
+            }];
         }
-        let (count, gap_s) = (self.rng.random_range(3..12), self.rng.random_range(0.05..0.3));
-        vec![Step { count, gap_s, ..Step::new(self.at(4.0), What::Changes, of) }]
+        let (count, gap_s) = (
+            self.rng.random_range(3..12),
+            self.rng.random_range(0.05..0.3),
+        );
+        vec![Step {
+            count,
+            gap_s,
+            ..Step::new(self.at(4.0), What::Changes, of)
+        }]
     }
 
     fn slow_spell(&mut self) -> Step {
         let all = format!("origin 0-{}", 2 * ZONES * SERVERS - 1);
-        Step { times: self.rng.random_range(20.0..60.0), ..self.lasting(What::Slow, all, 4.0) }
+        Step {
+            times: self.rng.random_range(20.0..60.0),
+            ..self.lasting(What::Slow, all, 4.0)
+        }
     }
 
     fn servers(&mut self) -> Vec<Step> {
         let of = self.origins();
-        let (share, times) = (self.rng.random_range(0.1..0.5), self.rng.random_range(10.0..60.0));
+        let (share, times) = (
+            self.rng.random_range(0.1..0.5),
+            self.rng.random_range(10.0..60.0),
+        );
         let what = match self.rng.random_range(0..10) {
             0..=3 => What::Slow,
             4..=5 => What::Stall,
@@ -206,7 +262,11 @@
             8 => What::Reset,
             _ => What::Die,
         };
-        vec![Step { share, times, ..self.lasting(what, of, 4.0) }]
+        vec![Step {
+            share,
+            times,
+            ..self.lasting(what, of, 4.0)
+        }]
     }
 }
 
@@ -238,7 +298,10 @@
             } else {
                 // Beside the logs, for whoever traces it: what happened when.
                 let _ = std::fs::write(folder.join("scenario.txt"), format!("{scenario:#?}\n"));
-                (format!("{begun}; {told}; FAILED: {}; {again}", broken.join("; ")), false)
+                (
+                    format!("{begun}; {told}; FAILED: {}; {again}", broken.join("; ")),
+                    false,
+                )
             }
         }
     }
--- a/crates/aspendrum-testbed/src/system/steps.rs
+++ b/crates/aspendrum-testbed/src/system/steps.rs
@@ -52,7 +52,11 @@
 
 impl Run {
     pub fn new(fleet: Arc<Fleet>) -> Run {
-        Run { operator: Operator::new(fleet.clone()), fleet, book: Mutex::default() }
+        Run {
+            operator: Operator::new(fleet.clone()),
+            fleet,
+            book: Mutex::default(),
+        }
     }
 
     /// All of it, taken out.
@@ -107,10 +111,13 @@
             let under_way = &under_way;
             async move {
                 sleep(Duration::from_secs_f64(step.gap_s * n as f64)).await;
-                let Ok(_turn) = under_way.acquire().await else { return };
+                let Ok(_turn) = under_way.acquire().await else {
+                    return;
+                };
                 let members = self.fleet.members();
                 let first = members[(first + n) % members.len()];
-                if let (number, Came::Refused(_) | Came::Unclear) = self.change(first, |_| {}).await {
+                if let (number, Came::Refused(_) | Came::Unclear) = self.change(first, |_| {}).await
+                {
                     self.note(&format!("the change {number:08x} was not acknowledged"));
                 }
             }
@@ -130,7 +137,9 @@
             });
             let (a, b) = tokio::join!(self.send(one, &a), self.send(other, &b));
             if [a, b].contains(&Came::Unclear) {
-                self.note(&format!("the race {round} ended without a clear answer: {a:?}, {b:?}"));
+                self.note(&format!(
+                    "the race {round} ended without a clear answer: {a:?}, {b:?}"
+                ));
             }
             sleep(Duration::from_secs_f64(step.gap_s)).await;
         }
@@ -169,8 +178,13 @@
 
     /// SIGHUP to all.
     async fn reload(&self) {
-        let all = self.fleet.everyone().into_iter().filter(|w| !matches!(w, Who::Origin(_)));
-        self.signal(&all.collect::<Vec<Who>>(), Signal::SIGHUP).await;
+        let all = self
+            .fleet
+            .everyone()
+            .into_iter()
+            .filter(|w| !matches!(w, Who::Origin(_)));
+        self.signal(&all.collect::<Vec<Who>>(), Signal::SIGHUP)
+            .await;
     }
 
     pub fn note(&self, what: &str) {
@@ -209,7 +223,9 @@
             What::Race => self.race(of, step).await,
             What::Resend => self.resend(first, step.all).await,
             What::Show => {
-                self.operator.show(first, Duration::from_secs_f64(step.wait_s)).await;
+                self.operator
+                    .show(first, Duration::from_secs_f64(step.wait_s))
+                    .await;
             }
             What::Evacuate => {
                 self.evacuate(first, &step.zone, true).await;
@@ -219,7 +235,8 @@
                 }
             }
             What::Begin | What::Finish => {
-                self.evacuate(first, &step.zone, step.what == What::Begin).await;
+                self.evacuate(first, &step.zone, step.what == What::Begin)
+                    .await;
             }
             What::Replace => {
                 self.trouble(of, over + self.fleet.scenario.terms.contact);
@@ -233,7 +250,8 @@
             What::Kill | What::Wipe => {
                 self.trouble(of, over + self.fleet.scenario.terms.contact);
                 let wipe = step.what == What::Wipe;
-                self.each(of, step.gap_s, |who| self.kill(who, wipe, lasts)).await;
+                self.each(of, step.gap_s, |who| self.kill(who, wipe, lasts))
+                    .await;
             }
             What::Term => self.each(of, step.gap_s, |who| self.term(who)).await,
             What::Freeze => {
@@ -243,7 +261,11 @@
                 self.signal(of, Signal::SIGCONT).await;
             }
             What::Cut => {
-                let from = if from.is_empty() { self.fleet.everyone() } else { from };
+                let from = if from.is_empty() {
+                    self.fleet.everyone()
+                } else {
+                    from
+                };
                 self.trouble(of, over);
                 self.fleet.cut(of, &from, step.one_way, step.form, number);
                 sleep(lasts.unwrap_or_default()).await;
@@ -264,7 +286,12 @@
             }
             What::Hup => {
                 for n in 0..step.count {
-                    sleep(Duration::from_secs_f64(if n > 0 { step.gap_s } else { 0.0 })).await;
+                    sleep(Duration::from_secs_f64(if n > 0 {
+                        step.gap_s
+                    } else {
+                        0.0
+                    }))
+                    .await;
                     self.signal(of, Signal::SIGHUP).await;
                 }
             }
@@ -341,7 +368,9 @@
         loop {
             let mut held = slot.lock().await;
             // Another one may have waited for the same end, and have started it again.
-            let Some(process) = held.process.as_mut().filter(|p| Some(p.id()) == id) else { return };
+            let Some(process) = held.process.as_mut().filter(|p| Some(p.id()) == id) else {
+                return;
+            };
             if let Some(how) = process.ended() {
                 held.process = None;
                 if !how.success() {
@@ -370,7 +399,13 @@
         let (sent, ended, zone) = (self.now(), f64::INFINITY, zone.to_string());
         let at = {
             let orders = &mut lock(&self.book).evacuations;
-            orders.push(Evacuation { zone: zone.clone(), on, sent, acked: None, ended });
+            orders.push(Evacuation {
+                zone: zone.clone(),
+                on,
+                sent,
+                acked: None,
+                ended,
+            });
             orders.len() - 1
         };
         let came = self.operator.evacuate(first, &zone, on).await;
@@ -444,8 +479,18 @@
         let keys = if *held { vec![KEYS[n]] } else { Vec::new() };
         json!({"name": name, "keys": keys, "prio": 0, "rate-s": s.quota_per_s, "burst": s.quota_per_s, "homes": []})
     };
-    let rules: Vec<Value> = v.routes.iter().enumerate().map(|(n, r)| rule(n, r)).collect();
-    let tenants: Vec<Value> = v.tenants.iter().enumerate().map(|(n, t)| tenant(n, t)).collect();
+    let rules: Vec<Value> = v
+        .routes
+        .iter()
+        .enumerate()
+        .map(|(n, r)| rule(n, r))
+        .collect();
+    let tenants: Vec<Value> = v
+        .tenants
+        .iter()
+        .enumerate()
+        .map(|(n, t)| tenant(n, t))
+        .collect();
     let pools: Vec<Value> = SERVICES
         .iter()
         .map(|s| json!({"name": s, "check": "/healthz", "max-conns": 130, "warmup-s": 0.0, "warm-rate-s": 50.0}))
--- a/crates/aspendrum-testbed/src/system/tamper.rs
+++ b/crates/aspendrum-testbed/src/system/tamper.rs
@@ -49,18 +49,28 @@
 impl Tamper {
     /// Listens there and leads to `to`; what comes back from there is what can be tampered with. `services`: the two
     /// that a torn configuration mixes up.
-    pub async fn start(at: IpAddr, to: SocketAddr, services: [&'static str; 2]) -> io::Result<Tamper> {
+    pub async fn start(
+        at: IpAddr,
+        to: SocketAddr,
+        services: [&'static str; 2],
+    ) -> io::Result<Tamper> {
         let listener = TcpListener::bind((at, 0)).await?;
         let addr = listener.local_addr()?;
         let how = Arc::new(Mutex::new(None));
         let own = how.clone();
         let run = async move {
             loop {
-                let Ok((near, _)) = listener.accept().await else { continue };
+                let Ok((near, _)) = listener.accept().await else {
+                    continue;
+                };
                 tokio::spawn(carry(near, to, own.clone(), services));
             }
         };
-        Ok(Tamper { addr, how, task: tokio::spawn(run).abort_handle() })
+        Ok(Tamper {
+            addr,
+            how,
+            task: tokio::spawn(run).abort_handle(),
+        })
     }
 
     pub fn addr(&self) -> SocketAddr {
@@ -72,8 +82,15 @@
     }
 }
 
-async fn carry(near: TcpStream, to: SocketAddr, how: Arc<Mutex<Option<How>>>, services: [&'static str; 2]) {
-    let Ok(far) = TcpStream::connect(to).await else { return };
+async fn carry(
+    near: TcpStream,
+    to: SocketAddr,
+    how: Arc<Mutex<Option<How>>>,
+    services: [&'static str; 2],
+) {
+    let Ok(far) = TcpStream::connect(to).await else {
+        return;
+    };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((mut near_in, near_out), (far_in, mut far_out)) = (near.into_split(), far.into_split());
     // Either direction's end is both ends'.
@@ -117,7 +134,9 @@
                 },
             };
             let how = *lock(how);
-            let config = frames::read_frame::<FromControl>(&mut &frame[..]).ok().filter(is_config);
+            let config = frames::read_frame::<FromControl>(&mut &frame[..])
+                .ok()
+                .filter(is_config);
             match (config, how) {
                 (Some(_), Some(How::Drop)) => {}
                 (Some(_), Some(How::Delay)) => {
@@ -129,7 +148,8 @@
                 }
                 (Some(_), Some(How::Reorder)) if held.is_none() => held = Some(frame),
                 (Some(news), Some(How::Torn)) => {
-                    to.write_all(&frames::encode_frame(&torn(news, services))).await?
+                    to.write_all(&frames::encode_frame(&torn(news, services)))
+                        .await?
                 }
                 (Some(_), _) => {
                     to.write_all(&frame).await?;
@@ -148,20 +168,40 @@
 }
 
 fn is_config(word: &FromControl) -> bool {
-    matches!(word, FromControl::Update { part: StateSection::Config { .. }, .. })
+    matches!(
+        word,
+        FromControl::Update {
+            part: StateSection::Config { .. },
+            ..
+        }
+    )
 }
 
 fn torn(word: FromControl, [one, other]: [&str; 2]) -> FromControl {
-    let FromControl::Update { number, part: StateSection::Config { version, text, checksum: seal } } = word
+    let FromControl::Update {
+        number,
+        part:
+            StateSection::Config {
+                version,
+                text,
+                checksum: seal,
+            },
+    } = word
     else {
         return word;
     };
     let named = |s: &str| format!("\"svc\":\"{s}\"");
     let text = String::from_utf8(unpack(&text).unwrap_or_default()).unwrap_or_default();
-    let text = text.replace(&named(one), "\"svc\":\"?\"").replace(&named(other), &named(one));
+    let text = text
+        .replace(&named(one), "\"svc\":\"?\"")
+        .replace(&named(other), &named(one));
     let text = text.replace("\"svc\":\"?\"", &named(other));
     FromControl::Update {
         number,
-        part: StateSection::Config { version, text: pack(text.as_bytes()), checksum: seal },
+        part: StateSection::Config {
+            version,
+            text: pack(text.as_bytes()),
+            checksum: seal,
+        },
     }
 }
--- a/crates/aspendrum-testbed/src/timeline.rs
+++ b/crates/aspendrum-testbed/src/timeline.rs
@@ -21,9 +21,19 @@
     for (fault, told) in s.faults.iter().enumerate() {
         for at in times(told, end) {
             number += 1;
-            all.push(Moment { at, fault, number, begins: true });
+            all.push(Moment {
+                at,
+                fault,
+                number,
+                begins: true,
+            });
             if let Some(lasts) = told.for_s {
-                all.push(Moment { at: at + lasts * 1000.0, fault, number, begins: false });
+                all.push(Moment {
+                    at: at + lasts * 1000.0,
+                    fault,
+                    number,
+                    begins: false,
+                });
             }
         }
     }
@@ -35,7 +45,9 @@
 fn times(fault: &Fault, end: Ms) -> impl Iterator<Item = Ms> {
     let (first, every) = (fault.at_s * 1000.0, fault.every_s.map(|s| s * 1000.0));
     let count = every.map_or(0, |every| ((end - first) / every).max(0.0) as u64);
-    (0..=count).map(move |n| first + n as f64 * every.unwrap_or(0.0)).filter(move |at| *at < end)
+    (0..=count)
+        .map(move |n| first + n as f64 * every.unwrap_or(0.0))
+        .filter(move |at| *at < end)
 }
 
 /// Each fault from its first beginning to its last end; one that stands to the end leaves nothing to recover
@@ -49,7 +61,11 @@
         let first = times(fault, end).next()?;
         let last = times(fault, end).last()? + fault.for_s.unwrap_or(0.0) * 1000.0;
         let name = format!("{} {}", n, fault.what.kind());
-        (last < end).then_some(Trouble { name, from: from + first, to: from + last })
+        (last < end).then_some(Trouble {
+            name,
+            from: from + first,
+            to: from + last,
+        })
     };
     s.faults.iter().enumerate().filter_map(trouble).collect()
 }
@@ -58,10 +74,18 @@
 pub fn spans(s: &Scenario) -> Vec<(f64, f64)> {
     const SEEN: f64 = 0.05;
     let all = moments(s);
-    let end = |m: &Moment| all.iter().find(|e| !e.begins && e.number == m.number).map(|e| e.at / 1000.0);
+    let end = |m: &Moment| {
+        all.iter()
+            .find(|e| !e.begins && e.number == m.number)
+            .map(|e| e.at / 1000.0)
+    };
     let span = |m: &Moment| {
         let (from, fault) = (m.at / 1000.0, &s.faults[m.fault]);
-        let to = if fault.what.at_once() { from + SEEN } else { end(m).unwrap_or(s.seconds) };
+        let to = if fault.what.at_once() {
+            from + SEEN
+        } else {
+            end(m).unwrap_or(s.seconds)
+        };
         (from, to.min(s.seconds))
     };
     all.iter().filter(|m| m.begins).map(span).collect()
@@ -82,11 +106,20 @@
 
     #[test]
     fn a_fault_that_comes_again_ends_before_it_begins_anew() {
-        let s =
-            scenario("[[faults]]\nat_s = 1.0\nfor_s = 4.0\nevery_s = 4.0\nkind = \"stall\"\nof = \"0\"\n");
-        let told: Vec<(f64, u32, bool)> = moments(&s).iter().map(|m| (m.at, m.number, m.begins)).collect();
-        let want =
-            [(1000.0, 1, true), (5000.0, 1, false), (5000.0, 2, true), (9000.0, 2, false), (9000.0, 3, true)];
+        let s = scenario(
+            "[[faults]]\nat_s = 1.0\nfor_s = 4.0\nevery_s = 4.0\nkind = \"stall\"\nof = \"0\"\n",
+        );
+        let told: Vec<(f64, u32, bool)> = moments(&s)
+            .iter()
+            .map(|m| (m.at, m.number, m.begins))
+            .collect();
+        let want = [
+            (1000.0, 1, true),
+            (5000.0, 1, false),
+            (5000.0, 2, true),
+            (9000.0, 2, false),
+            (9000.0, 3, true),
+        ];
         assert_eq!(told, want, "the third outlasts the run");
         assert!(troubles(&s, 0.0).is_empty(), "nothing to recover in");
     }
--- a/crates/aspendrum-testbed/tests/days.rs
+++ b/crates/aspendrum-testbed/tests/days.rs
@@ -9,13 +9,24 @@
     let days = all().unwrap();
     assert!(days.len() >= 20, "{}", days.len());
     for day in &days {
-        let aimed = ["Point", "Incident "].iter().any(|aim| day.about.starts_with(aim));
-        assert!(aimed && day.about.contains(':'), "{}: {}", day.name, day.about);
-        assert!(day.sites.iter().all(|s| s.starts_with("pampa-lb") || s.starts_with("tabua-sign-edge")));
+        let aimed = ["Point", "Incident "]
+            .iter()
+            .any(|aim| day.about.starts_with(aim));
+        assert!(
+            aimed && day.about.contains(':'),
+            "{}: {}",
+            day.name,
+            day.about
+        );
+        assert!(day
+            .sites
+            .iter()
+            .all(|s| s.starts_with("pampa-lb") || s.starts_with("tabua-sign-edge")));
     }
     for point in '1'..='5' {
         let of_points = days.iter().filter(|d| d.about.starts_with("Point"));
-        let aimed = of_points.filter(|d| d.about.split(':').next().is_some_and(|a| a.contains(point)));
+        let aimed =
+            of_points.filter(|d| d.about.split(':').next().is_some_and(|a| a.contains(point)));
         assert!(aimed.count() > 0, "no day aims at point {point}");
     }
     assert!(days.iter().any(|d| d.about.starts_with("Incident GONE: ")));
@@ -44,9 +55,18 @@
 
 #[test]
 fn a_broken_rule_a_fault_and_a_missed_gate_are_told() {
-    assert_eq!(verdict(&json!({"breaks": {}, "fault": null, "short": []})), ("none".into(), true));
+    assert_eq!(
+        verdict(&json!({"breaks": {}, "fault": null, "short": []})),
+        ("none".into(), true)
+    );
     let told = verdict(&json!({"breaks": {"CONFIG": 3}, "fault": "an end", "short": ["served"]}));
-    assert_eq!(told, ("CONFIG 3; fault: \"an end\"; gate: \"served\"".into(), false));
+    assert_eq!(
+        told,
+        (
+            "CONFIG 3; fault: \"an end\"; gate: \"served\"".into(),
+            false
+        )
+    );
     // A report without what it should hold is no clean bill.
     assert!(!verdict(&json!({})).1);
 }
@@ -66,8 +86,15 @@
             }
         }
     }
-    for kind in ["replace_core", "disk_slow", "disk_stall", "disk_full", "ack_lost", "zone_cut", "node_slow"]
-    {
+    for kind in [
+        "replace_core",
+        "disk_slow",
+        "disk_stall",
+        "disk_full",
+        "ack_lost",
+        "zone_cut",
+        "node_slow",
+    ] {
         assert!(kinds.contains(kind), "{kind}");
     }
     assert_eq!(kinds.len(), 44, "{kinds:?}");
--- a/crates/aspendrum-testbed/tests/faults.rs
+++ b/crates/aspendrum-testbed/tests/faults.rs
@@ -20,11 +20,22 @@
     let program = PROGRAM.get_or_init(|| {
         let rig = PathBuf::from(env!("CARGO_BIN_EXE_aspendrum-testbed"));
         let mut cargo = Command::new(env!("CARGO"));
-        cargo.args(["build", "--locked", "--package", "aspendrum", "--bin", "aspendrum"]);
+        cargo.args([
+            "build",
+            "--locked",
+            "--package",
+            "aspendrum",
+            "--bin",
+            "aspendrum",
+        ]);
         if rig.parent().unwrap().ends_with("release") {
             cargo.arg("--release");
         }
-        let built = cargo.current_dir(env!("CARGO_MANIFEST_DIR")).stderr(Stdio::null()).status().unwrap();
+        let built = cargo
+            .current_dir(env!("CARGO_MANIFEST_DIR"))
+            .stderr(Stdio::null())
+            .status()
+            .unwrap();
         assert!(built.success());
         rig.with_file_name("aspendrum")
     });
@@ -42,7 +53,12 @@
     let s = Scenario::read(text).unwrap();
     let o = play_with(&s, &limiter());
     let broken = o.broken(&s);
-    assert!(broken.is_empty(), "{}\n{}", broken.join("\n"), aspendrum_testbed::report::table(&s, &o));
+    assert!(
+        broken.is_empty(),
+        "{}\n{}",
+        broken.join("\n"),
+        aspendrum_testbed::report::table(&s, &o)
+    );
     // Whatever the faults did, the fleet was at work.
     assert!(o.verdict.count(Final::Answered) >= 5);
     o
@@ -66,7 +82,12 @@
     let faults = format!(
         "{SILENT}[[faults]]\nat_s = 0.0\nkind = 'link'\npath = 'limiters'\nof = '0%-50%'\nto = '50%-100%'\ncut = true\n"
     );
-    let o = play(&one_customer(20, 10.0, &faults, "over_quota = 1.0\nunder_quota = 0.5"));
+    let o = play(&one_customer(
+        20,
+        10.0,
+        &faults,
+        "over_quota = 1.0\nunder_quota = 0.5",
+    ));
     assert!(o.traffic.datagrams.lost > 0, "nothing was cut");
 }
 
@@ -77,7 +98,12 @@
         "{SILENT}[[faults]]\nat_s = 0.0\nkind = 'link'\npath = 'limiters'\nof = '0%-10%'\nto = '10%-100%'\nway = 'there'\n\
          cut = true\n"
     );
-    let o = play(&one_customer(20, 10.0, &faults, "over_quota = 1.0\nunder_quota = 0.5"));
+    let o = play(&one_customer(
+        20,
+        10.0,
+        &faults,
+        "over_quota = 1.0\nunder_quota = 0.5",
+    ));
     assert!(o.traffic.datagrams.lost > 0, "nothing was cut");
 }
 
@@ -85,8 +111,14 @@
 /// when it goes on.
 #[test]
 fn a_quarter_stopped_for_three_seconds_goes_on_within_the_quota() {
-    let faults = format!("{SILENT}[[faults]]\nat_s = 3.0\nfor_s = 3.0\nkind = 'stall'\nof = '0%-25%'\n");
-    play(&one_customer(20, 10.0, &faults, "over_quota = 1.0\nunder_quota = 0.5"));
+    let faults =
+        format!("{SILENT}[[faults]]\nat_s = 3.0\nfor_s = 3.0\nkind = 'stall'\nof = '0%-25%'\n");
+    play(&one_customer(
+        20,
+        10.0,
+        &faults,
+        "over_quota = 1.0\nunder_quota = 0.5",
+    ));
 }
 
 /// Halves that change every 2 s, so that each limiter hears each other one in turn.
@@ -104,7 +136,12 @@
         cut(2.0, "25%-75%", "0%-25%,75%-100%"),
         cut(4.0, "0%-25%,50%-75%", "25%-50%,75%-100%"),
     ];
-    play(&one_customer(20, 12.0, &faults.concat(), "over_quota = 1.0\nunder_quota = 0.4"));
+    play(&one_customer(
+        20,
+        12.0,
+        &faults.concat(),
+        "over_quota = 1.0\nunder_quota = 0.4",
+    ));
 }
 
 /// Healed links: what the fleet grants is back at 0.9 of what it granted whole, within a burst's refill or two.
@@ -114,7 +151,12 @@
         "{SILENT}[[faults]]\nat_s = 5.0\nfor_s = 4.0\nkind = 'link'\npath = 'limiters'\nof = '0%-25%'\n\
          to = '25%-100%'\ncut = true\n"
     );
-    play(&one_customer(20, 18.0, &faults, "over_quota = 1.0\nrecovery_s = 6.0"));
+    play(&one_customer(
+        20,
+        18.0,
+        &faults,
+        "over_quota = 1.0\nrecovery_s = 6.0",
+    ));
 }
 
 /// What an emptied counter forgot is granted again: a quota at once each time, beside what was granted
@@ -122,7 +164,12 @@
 #[test]
 fn an_emptied_counter_costs_a_burst_each_time() {
     let faults = "[[faults]]\nat_s = 3.0\nevery_s = 3.0\nkind = 'counter'\nemptied = true\n";
-    let o = play(&one_customer(20, 10.0, faults, "over_quota = 1.7\nunder_quota = 0.7"));
+    let o = play(&one_customer(
+        20,
+        10.0,
+        faults,
+        "over_quota = 1.7\nunder_quota = 0.7",
+    ));
     assert!(o.traffic.counter.calls > 0, "the counter decided nothing");
 }
 
@@ -133,19 +180,37 @@
     let faults = "[[faults]]\nat_s = 1.0\nfor_s = 8.0\nkind = 'discovery'\nsilent = true\n\
                   [[faults]]\nat_s = 2.0\nfor_s = 0.2\nkind = 'kill'\nof = '0%-50%'\n\
                   [[faults]]\nat_s = 3.0\nfor_s = 3.0\nkind = 'server'\nof = '0'\ngone = true\n";
-    let o =
-        play(&one_customer(8, 9.0, faults, "over_quota = 2.0\nunder_quota = 0.7\nforwards_per_query = 1.5"));
-    assert!(o.record.excuses.iter().filter(|e| e.to.is_finite()).count() >= 4, "four limiters were back");
+    let o = play(&one_customer(
+        8,
+        9.0,
+        faults,
+        "over_quota = 2.0\nunder_quota = 0.7\nforwards_per_query = 1.5",
+    ));
+    assert!(
+        o.record.excuses.iter().filter(|e| e.to.is_finite()).count() >= 4,
+        "four limiters were back"
+    );
 }
 
 /// A power loss: all limiters start again from nothing, and a start hands nothing out. Issues 29 and 30 are to have
 /// them trust what they knew.
 #[test]
 fn a_fleet_killed_at_once_is_back_within_the_quota() {
-    let faults = format!("{SILENT}[[faults]]\nat_s = 4.0\nfor_s = 0.3\nkind = 'kill'\nof = 'all'\n");
-    let o = play(&one_customer(20, 10.0, &faults, "over_quota = 1.0\nunder_quota = 0.5"));
+    let faults =
+        format!("{SILENT}[[faults]]\nat_s = 4.0\nfor_s = 0.3\nkind = 'kill'\nof = 'all'\n");
+    let o = play(&one_customer(
+        20,
+        10.0,
+        &faults,
+        "over_quota = 1.0\nunder_quota = 0.5",
+    ));
     let (trouble, after) = &o.verdict.recoveries[0];
-    assert!(after.is_some(), "in use again before the end, {:.1} s after {}", 6.0, trouble.name);
+    assert!(
+        after.is_some(),
+        "in use again before the end, {:.1} s after {}",
+        6.0,
+        trouble.name
+    );
 }
 
 /// Keyed and mutating queries through servers that reset connections in mid-answer, and links that lose,
@@ -220,11 +285,21 @@
 #[test]
 fn a_fleet_that_lets_all_in_is_caught() {
     let text = one_customer(5, 4.0, "", "over_quota = 3.0\npeak_over_burst = 3.0");
-    let text = text.replace("burst = 6.0 }", "burst = 6.0, ceiling_rate = 3.0, ceiling_burst = 9.0 }");
+    let text = text.replace(
+        "burst = 6.0 }",
+        "burst = 6.0, ceiling_rate = 3.0, ceiling_burst = 9.0 }",
+    );
     let s = Scenario::read(&text).unwrap();
-    let o = play_with(&s, &Start::pass_through(env!("CARGO_BIN_EXE_aspendrum-testbed").into()));
+    let o = play_with(
+        &s,
+        &Start::pass_through(env!("CARGO_BIN_EXE_aspendrum-testbed").into()),
+    );
     let broken = o.broken(&s).join("\n");
-    for what in ["rule 5", "granted over quota", "the worst window over burst"] {
+    for what in [
+        "rule 5",
+        "granted over quota",
+        "the worst window over burst",
+    ] {
         assert!(broken.contains(what), "{what} is not in:\n{broken}");
     }
     assert_eq!(o.failures, [] as [String; 0]);
@@ -235,19 +310,32 @@
 fn a_limiter_that_ends_unasked_fails_the_run() {
     let s = Scenario::read(&one_customer(2, 3.0, "", "")).unwrap();
     let folder = tempfile::tempdir().unwrap();
-    let nobody = Start { program: "/bin/false".into(), arguments: vec![], told: Told::Argument };
-    let text = run::play(&s, &nobody, folder.path(), &|_| {}).err().unwrap();
+    let nobody = Start {
+        program: "/bin/false".into(),
+        arguments: vec![],
+        told: Told::Argument,
+    };
+    let text = run::play(&s, &nobody, folder.path(), &|_| {})
+        .err()
+        .unwrap();
     assert!(text.contains("ended at its start"), "{text}");
     // Ends by itself a second after its start, whatever it is asked.
     let serve = limiter();
-    let script = format!("exec timeout -s KILL 1.5 {} serve \"$@\"", serve.program.display());
+    let script = format!(
+        "exec timeout -s KILL 1.5 {} serve \"$@\"",
+        serve.program.display()
+    );
     let short = Start {
         program: "/bin/sh".into(),
         arguments: vec!["-c".into(), script, "x".into()],
         told: Told::Argument,
     };
     let o = run::play(&s, &short, folder.path(), &|_| {}).unwrap();
-    assert!(o.failures.iter().any(|f| f.contains("ended unasked")), "{:?}", o.failures);
+    assert!(
+        o.failures.iter().any(|f| f.contains("ended unasked")),
+        "{:?}",
+        o.failures
+    );
 }
 
 /// Whatever the rig started ends with it, even when it is killed and can do nothing more.
@@ -257,7 +345,12 @@
     let file = folder.path().join("t.toml");
     std::fs::write(&file, one_customer(3, 60.0, "", "")).unwrap();
     let mut rig = Command::new(env!("CARGO_BIN_EXE_aspendrum-testbed"))
-        .args(["--limiter".as_ref(), limiter().program.as_os_str(), "run".as_ref(), file.as_os_str()])
+        .args([
+            "--limiter".as_ref(),
+            limiter().program.as_os_str(),
+            "run".as_ref(),
+            file.as_os_str(),
+        ])
         .args(["--out".as_ref(), folder.path().as_os_str()])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
@@ -280,7 +373,10 @@
 fn wait(what: impl Fn() -> bool, name: &str) {
     let begun = Instant::now();
     while !what() {
-        assert!(begun.elapsed() < Duration::from_secs(30), "{name}: not so after 30 s");
+        assert!(
+            begun.elapsed() < Duration::from_secs(30),
+            "{name}: not so after 30 s"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -306,12 +402,21 @@
         ("silent = true", "silnt = true", "silnt"),
         ("kind = 'counter'", "kind = 'counters'", "counters"),
         ("burst = 6.0", "burst = -6.0", "plans.0.burst"),
-        ("[bounds]", "[[faults]]\nat_s = 1.0\nkind = 'kill'\nof = 'zone 7'\n[bounds]", "faults.1.of"),
-        ("[bounds]", "[[faults]]\nat_s = 1.0\nkind = 'kill'\nof = 'sundry'\n[bounds]", "sundry"),
+        (
+            "[bounds]",
+            "[[faults]]\nat_s = 1.0\nkind = 'kill'\nof = 'zone 7'\n[bounds]",
+            "faults.1.of",
+        ),
+        (
+            "[bounds]",
+            "[[faults]]\nat_s = 1.0\nkind = 'kill'\nof = 'sundry'\n[bounds]",
+            "sundry",
+        ),
         ("[bounds]", "[bounds]\nover = 1.0", "over"),
     ];
-    let sound =
-        one_customer(4, 9.0, SILENT, "").replace("seconds = 9", "seconds = 9.0").replace("9.0.0", "9.0");
+    let sound = one_customer(4, 9.0, SILENT, "")
+        .replace("seconds = 9", "seconds = 9.0")
+        .replace("9.0.0", "9.0");
     Scenario::read(&sound).unwrap();
     for (from, to, key) in cases {
         assert!(sound.contains(from), "{from}");
@@ -321,5 +426,8 @@
     for key in ["limiters.cuont", "plans.3.rate", "customers.0.plan.x"] {
         assert!(Scenario::with(&sound, key, "3").is_err(), "{key}");
     }
-    assert_eq!(Scenario::with(&sound, "plans.0.rate", "4").unwrap().plans[0].rate, 4.0);
+    assert_eq!(
+        Scenario::with(&sound, "plans.0.rate", "4").unwrap().plans[0].rate,
+        4.0
+    );
 }
--- a/crates/aspendrum-testbed/tests/operator.rs
+++ b/crates/aspendrum-testbed/tests/operator.rs
@@ -16,8 +16,19 @@
         assert_eq!(once(status), Means::Again);
     }
     let mut others = 0;
-    let told: Vec<Means> = [404, 503, 403, 429, 404].map(|s| means(Some(s), &mut others)).to_vec();
-    assert_eq!(told, [Means::Again, Means::Again, Means::Again, Means::Again, Means::Refused(404)]);
+    let told: Vec<Means> = [404, 503, 403, 429, 404]
+        .map(|s| means(Some(s), &mut others))
+        .to_vec();
+    assert_eq!(
+        told,
+        [
+            Means::Again,
+            Means::Again,
+            Means::Again,
+            Means::Again,
+            Means::Refused(404)
+        ]
+    );
 }
 
 fn scenario(steps: &str) -> Result<Scenario, String> {
@@ -28,14 +39,32 @@
 #[test]
 fn a_scenario_that_names_nobody_is_refused() {
     assert!(scenario("{ at_s = 0.0, what = \"replace\", of = \"core 0\" }").is_ok());
-    assert!(scenario("{ at_s = 0.0, what = \"kill\", of = \"core 3\" }").is_ok(), "a spare one");
+    assert!(
+        scenario("{ at_s = 0.0, what = \"kill\", of = \"core 3\" }").is_ok(),
+        "a spare one"
+    );
     for (steps, why) in [
-        ("{ at_s = 0.0, what = \"replace\", of = \"core 0-1\" }", "1 spares"),
-        ("{ at_s = 0.0, what = \"replace\", of = \"edge 0\" }", "machines of control"),
-        ("{ at_s = 0.0, what = \"race\", of = \"origin 0\" }", "machines of control"),
+        (
+            "{ at_s = 0.0, what = \"replace\", of = \"core 0-1\" }",
+            "1 spares",
+        ),
+        (
+            "{ at_s = 0.0, what = \"replace\", of = \"edge 0\" }",
+            "machines of control",
+        ),
+        (
+            "{ at_s = 0.0, what = \"race\", of = \"origin 0\" }",
+            "machines of control",
+        ),
         ("{ at_s = 0.0, what = \"race\" }", "machines of control"),
-        ("{ at_s = 0.0, what = \"kill\", of = \"core 4\" }", "names nobody"),
-        ("{ at_s = 0.0, what = \"cut\", of = \"core 0\", form = \"loud\" }", "form"),
+        (
+            "{ at_s = 0.0, what = \"kill\", of = \"core 4\" }",
+            "names nobody",
+        ),
+        (
+            "{ at_s = 0.0, what = \"cut\", of = \"core 0\", form = \"loud\" }",
+            "form",
+        ),
     ] {
         let said = scenario(steps).unwrap_err();
         assert!(said.contains(why), "{steps}: {said}");
--- a/crates/aspendrum-token-bucket/src/purse.rs
+++ b/crates/aspendrum-token-bucket/src/purse.rs
@@ -105,14 +105,23 @@
 impl Purse {
     /// Empty at that moment; `begun`: this limiter's own start, before which it took no gift.
     pub fn empty(since: Ms, begun: Ms) -> Purse {
-        Purse { held: 0, as_of: since, rest: 0, begun, givers: Vec::new() }
+        Purse {
+            held: 0,
+            as_of: since,
+            rest: 0,
+            begun,
+            givers: Vec::new(),
+        }
     }
 
     /// Its own part of the burst, and one for each giver of the last window: what these gave they do not
     /// hold.
     fn parts(&self, terms: &Terms, now: Ms) -> Grains {
-        let fresh =
-            self.givers.iter().filter(|g| now.saturating_sub(g.taken) <= terms.window()).count() as u64;
+        let fresh = self
+            .givers
+            .iter()
+            .filter(|g| now.saturating_sub(g.taken) <= terms.window())
+            .count() as u64;
         terms.share(terms.burst, terms.own + terms.even * fresh)
     }
 
@@ -150,8 +159,8 @@
     pub fn set(&mut self, terms: &Terms, left: Grains, now: Ms) {
         self.fill(terms, now);
         let parts = self.parts(terms, now);
-        self.held = (u128::from(left.min(terms.burst)) * u128::from(parts) / u128::from(terms.burst.max(1)))
-            as Grains;
+        self.held = (u128::from(left.min(terms.burst)) * u128::from(parts)
+            / u128::from(terms.burst.max(1))) as Grains;
     }
 
     /// Puts back what was spent and went to no server.
@@ -166,8 +175,15 @@
     pub fn give(&mut self, terms: &Terms, now: Ms) -> u16 {
         self.fill(terms, now);
         let steps = self.held.min(self.parts(terms, now)) / terms.step();
-        let (steps, over) = (steps.min(u16::MAX.into()), self.held > self.parts(terms, now));
-        self.held = if over { 0 } else { self.held - steps * terms.step() };
+        let (steps, over) = (
+            steps.min(u16::MAX.into()),
+            self.held > self.parts(terms, now),
+        );
+        self.held = if over {
+            0
+        } else {
+            self.held - steps * terms.step()
+        };
         steps as u16
     }
 
@@ -183,19 +199,28 @@
         }
         // Whoever has not given for so long that nothing of it could be taken twice is forgotten.
         let keep = terms.window().max(LATEST + CLOCK_ERROR);
-        self.givers.retain(|g| g.number == from || now.saturating_sub(g.taken) <= keep);
+        self.givers
+            .retain(|g| g.number == from || now.saturating_sub(g.taken) <= keep);
         match self.givers.iter_mut().find(|g| g.number == from) {
             Some(giver) => (giver.at, giver.taken) = (gift.at, now),
-            None => self.givers.push(Giver { number: from, at: gift.at, taken: now }),
+            None => self.givers.push(Giver {
+                number: from,
+                at: gift.at,
+                taken: now,
+            }),
         }
-        self.held =
-            self.held.saturating_add(Grains::from(gift.steps) * terms.step()).min(self.cap(terms, now));
+        self.held = self
+            .held
+            .saturating_add(Grains::from(gift.steps) * terms.step())
+            .min(self.cap(terms, now));
         true
     }
 
     /// Whether that limiter gave within the last half of a window: it need not be asked for what it holds.
     pub fn heard(&self, terms: &Terms, from: u16, now: Ms) -> bool {
-        self.givers.iter().any(|g| g.number == from && now.saturating_sub(g.taken) <= terms.window() / 2)
+        self.givers
+            .iter()
+            .any(|g| g.number == from && now.saturating_sub(g.taken) <= terms.window() / 2)
     }
 
     /// What it holds, spent in turn or not.
--- a/crates/aspendrum-token-bucket/tests/model.rs
+++ b/crates/aspendrum-token-bucket/tests/model.rs
@@ -18,7 +18,15 @@
 
 fn terms(me: usize, customer: usize) -> Terms {
     let own = if KEEPER[customer] == me { 4 } else { 1 };
-    Terms { rate: RATE, burst: RATE * 2 * STEP, ways: LIMITERS as u64, own, even: 1, whole: 6, largest: STEP }
+    Terms {
+        rate: RATE,
+        burst: RATE * 2 * STEP,
+        ways: LIMITERS as u64,
+        own,
+        even: 1,
+        whole: 6,
+        largest: STEP,
+    }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -90,13 +98,21 @@
 }
 
 fn start(variant: Variant, me: usize, now: Ms) -> Limiter {
-    let begun = if variant == Variant::TakesAnothersLife { 0 } else { now };
+    let begun = if variant == Variant::TakesAnothersLife {
+        0
+    } else {
+        now
+    };
     let mut purses = vec![Purse::empty(now, begun); CUSTOMERS];
     if variant == Variant::StartsFull {
-        let full = |(c, purse): (usize, &mut Purse)| purse.put_back(&terms(me, c), RATE * STEP / 3, now);
+        let full =
+            |(c, purse): (usize, &mut Purse)| purse.put_back(&terms(me, c), RATE * STEP / 3, now);
         purses.iter_mut().enumerate().for_each(full);
     }
-    Limiter { purses, stalled: false }
+    Limiter {
+        purses,
+        stalled: false,
+    }
 }
 
 impl Model for Fleet {
@@ -107,7 +123,16 @@
         let begun = 10 * LATEST;
         let limiters = (0..LIMITERS).map(|me| start(self.0, me, begun)).collect();
         let (mail, granted, gifts) = (Vec::new(), [0; CUSTOMERS], [0; LIMITERS]);
-        vec![State { now: begun, limiters, mail, granted, gifts, crashes: 0, stalls: 0, doubles: 0 }]
+        vec![State {
+            now: begun,
+            limiters,
+            mail,
+            granted,
+            gifts,
+            crashes: 0,
+            stalls: 0,
+            doubles: 0,
+        }]
     }
 
     fn actions(&self, s: &State, steps: &mut Vec<Step>) {
@@ -149,23 +174,37 @@
         match step {
             Step::Tick => s.now += STEP,
             Step::Ask(from, customer) => {
-                let (purse, terms) = (&mut s.limiters[from].purses[customer], terms(from, customer));
+                let (purse, terms) = (
+                    &mut s.limiters[from].purses[customer],
+                    terms(from, customer),
+                );
                 let steps = purse.give(&terms, now);
                 s.gifts[from] += 1;
                 // As the limiter does: no two of its gifts name the same moment.
-                let gift = Gift { steps, at: now + s.gifts[from] };
+                let gift = Gift {
+                    steps,
+                    at: now + s.gifts[from],
+                };
                 if self.0 == Variant::KeepsGifts {
                     purse.put_back(&terms, steps.into(), now);
                 }
                 if gift.steps == 0 {
                     return None;
                 }
-                s.mail.push(Mail { customer, from, gift, copies: 1 });
+                s.mail.push(Mail {
+                    customer,
+                    from,
+                    gift,
+                    copies: 1,
+                });
             }
             Step::Arrive(n) => {
                 let m = s.mail[n].clone();
                 let keeper = KEEPER[m.customer];
-                let (purse, terms) = (&mut s.limiters[keeper].purses[m.customer], terms(keeper, m.customer));
+                let (purse, terms) = (
+                    &mut s.limiters[keeper].purses[m.customer],
+                    terms(keeper, m.customer),
+                );
                 if self.0 == Variant::TakesTwice {
                     purse.put_back(&terms, m.gift.steps.into(), now);
                 } else {
@@ -213,14 +252,19 @@
             Property::always("within the quota", |_, s: &State| {
                 (0..CUSTOMERS).all(|customer| {
                     let held: Grains = (0..LIMITERS).map(|me| held(s, me, customer)).sum();
-                    let mail = s.mail.iter().filter(|m| m.customer == customer && still_good(s, m));
+                    let mail = s
+                        .mail
+                        .iter()
+                        .filter(|m| m.customer == customer && still_good(s, m));
                     let under_way: Grains = mail.map(|m| Grains::from(m.gift.steps)).sum();
                     s.granted[customer] + held + under_way <= RATE * (s.now - 10 * LATEST)
                 })
             }),
             Property::always("within what purses may hold", |_, s: &State| {
                 (0..CUSTOMERS).all(|customer| {
-                    let held = (0..LIMITERS).map(|me| held(s, me, customer)).sum::<Grains>();
+                    let held = (0..LIMITERS)
+                        .map(|me| held(s, me, customer))
+                        .sum::<Grains>();
                     held <= terms(0, 0).most_in_hand(1)
                 })
             }),
@@ -229,7 +273,9 @@
                 s.granted[0] > RATE * 2 / 3 * (s.now - 10 * LATEST) && s.granted[0] > 0
             }),
             Property::sometimes("a gift outlives its worth", |_, s: &State| {
-                s.mail.iter().any(|m| m.gift.at + LATEST + CLOCK_ERROR < s.now)
+                s.mail
+                    .iter()
+                    .any(|m| m.gift.at + LATEST + CLOCK_ERROR < s.now)
             }),
         ]
     }
@@ -244,7 +290,11 @@
 
 fn check(variant: Variant) -> impl Checker<Fleet> {
     let checker = Fleet(variant).checker().threads(4).target_max_depth(9);
-    let enough = if variant == Variant::Sound { HasDiscoveries::All } else { HasDiscoveries::AnyFailures };
+    let enough = if variant == Variant::Sound {
+        HasDiscoveries::All
+    } else {
+        HasDiscoveries::AnyFailures
+    };
     checker.finish_when(enough).spawn_bfs().join()
 }
 
@@ -252,7 +302,11 @@
 fn no_order_of_events_grants_more_than_the_rate_brings() {
     let checker = check(Variant::Sound);
     checker.assert_properties();
-    assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
+    assert!(
+        checker.unique_state_count() > 10_000,
+        "{} states",
+        checker.unique_state_count()
+    );
 }
 
 #[test]
@@ -261,7 +315,10 @@
         ("takes twice", Variant::TakesTwice),
         ("keeps gifts", Variant::KeepsGifts),
         ("starts full", Variant::StartsFull),
-        ("takes what was given to its earlier life", Variant::TakesAnothersLife),
+        (
+            "takes what was given to its earlier life",
+            Variant::TakesAnothersLife,
+        ),
     ] {
         let found = check(variant).discovery("within the quota");
         assert!(found.is_some(), "a purse that {name} passed");
--- a/crates/aspendrum-token-bucket/tests/schedules.rs
+++ b/crates/aspendrum-token-bucket/tests/schedules.rs
@@ -15,8 +15,20 @@
 fn terms(me: usize) -> Terms {
     let (ways, even) = (LIMITERS as u64, 40);
     let whole = 100 * ways;
-    let own = if me == 0 { whole - even * ways + even } else { even };
-    Terms { rate: RATE, burst: BURST, ways, own, even, whole, largest: 2 * UNIT }
+    let own = if me == 0 {
+        whole - even * ways + even
+    } else {
+        even
+    };
+    Terms {
+        rate: RATE,
+        burst: BURST,
+        ways,
+        own,
+        even,
+        whole,
+        largest: 2 * UNIT,
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -37,8 +49,15 @@
 }
 
 fn event() -> impl Strategy<Value = (Ms, Event)> {
-    let ask = (0..LIMITERS, 0..3usize, any::<bool>(), 0..3 * LATEST, 0..3u8)
-        .prop_map(|(me, keeper, alone, late, copies)| Event::Ask { me, keeper, alone, late, copies });
+    let ask = (0..LIMITERS, 0..3usize, any::<bool>(), 0..3 * LATEST, 0..3u8).prop_map(
+        |(me, keeper, alone, late, copies)| Event::Ask {
+            me,
+            keeper,
+            alone,
+            late,
+            copies,
+        },
+    );
     let kinds = prop_oneof![
         20 => ask,
         10 => (0..LIMITERS).prop_map(Event::Spend),
--- a/crates/aspendrum-token-bucket/tests/wire_amounts.rs
+++ b/crates/aspendrum-token-bucket/tests/wire_amounts.rs
@@ -4,7 +4,15 @@
 use aspendrum_token_bucket::{Gift, Purse, Terms, UNIT};
 
 fn terms() -> Terms {
-    Terms { rate: UNIT / 500, burst: 6 * UNIT, ways: 3, own: 1, even: 1, whole: 3, largest: UNIT }
+    Terms {
+        rate: UNIT / 500,
+        burst: 6 * UNIT,
+        ways: 3,
+        own: 1,
+        even: 1,
+        whole: 3,
+        largest: UNIT,
+    }
 }
 
 #[test]
@@ -21,7 +29,13 @@
         let steps = purse.give(&terms(), 10_000 + waited);
         (steps, purse.held())
     };
-    let expected = [(0, 0), (7, 25_788), (728, 15_354), (21_845, 2_870), (21_845, 2_870)];
+    let expected = [
+        (0, 0),
+        (7, 25_788),
+        (728, 15_354),
+        (21_845, 2_870),
+        (21_845, 2_870),
+    ];
     assert_eq!([0, 1, 100, 3_000, 60_000].map(sent), expected);
 }
 
@@ -32,6 +46,11 @@
         let taken = purse.take(&terms(), 2, Gift { steps, at: 10_100 }, 10_101);
         (taken, purse.held())
     };
-    let expected = [(true, 67_333_333), (true, 67_424_887), (true, 2_067_330_463), (true, 4 * UNIT)];
+    let expected = [
+        (true, 67_333_333),
+        (true, 67_424_887),
+        (true, 2_067_330_463),
+        (true, 4 * UNIT),
+    ];
     assert_eq!([0, 1, 21_845, u16::MAX].map(received), expected);
 }
--- a/crates/aspendrum/src/backoff.rs
+++ b/crates/aspendrum/src/backoff.rs
@@ -15,12 +15,20 @@
 impl Backoff {
     /// `first` is the longest wait after no failure at all, `top` the longest of any.
     pub fn new(first: Duration, top: Duration, seed: u64) -> Backoff {
-        Backoff { first: first.min(top), top, failures: 0, chance: Rng::with_seed(seed) }
+        Backoff {
+            first: first.min(top),
+            top,
+            failures: 0,
+            chance: Rng::with_seed(seed),
+        }
     }
 
     /// From nothing to the longest wait there is now, alike likely; the next is up to twice as long.
     pub fn wait(&mut self) -> Duration {
-        let longest = self.first.saturating_mul(1 << self.failures.min(20)).min(self.top);
+        let longest = self
+            .first
+            .saturating_mul(1 << self.failures.min(20))
+            .min(self.top);
         self.failures = self.failures.saturating_add(1);
         longest.mul_f64(self.chance.f64())
     }
--- a/crates/aspendrum/src/client.rs
+++ b/crates/aspendrum/src/client.rs
@@ -39,7 +39,9 @@
     }
 
     pub fn turn(&self, from: u8, to: u8) -> bool {
-        self.state.compare_exchange(from, to, Ordering::AcqRel, Ordering::Acquire).is_ok()
+        self.state
+            .compare_exchange(from, to, Ordering::AcqRel, Ordering::Acquire)
+            .is_ok()
     }
 
     /// Writes one whole answer, and says whether the connection goes on. That nobody reads it any more is no
--- a/crates/aspendrum/src/clients.rs
+++ b/crates/aspendrum/src/clients.rs
@@ -47,7 +47,10 @@
     /// the other.
     fn of(shop: &Arc<Shop>, txn: &[u8]) -> Option<Claim> {
         let fresh = lock(&shop.clients.asked).insert(txn.to_vec());
-        fresh.then(|| Claim { shop: shop.clone(), txn: txn.to_vec() })
+        fresh.then(|| Claim {
+            shop: shop.clone(),
+            txn: txn.to_vec(),
+        })
     }
 }
 
@@ -68,7 +71,11 @@
 
     /// Those with a query in hand.
     pub fn in_hand(&self) -> Vec<Arc<Client>> {
-        self.open().values().filter(|c| c.presence.request().is_some()).cloned().collect()
+        self.open()
+            .values()
+            .filter(|c| c.presence.request().is_some())
+            .cloned()
+            .collect()
     }
 
     /// Whether there is room; where there is none, a connection between queries is closed for it.
@@ -90,15 +97,29 @@
     pub fn close_one(&self, shop: &Shop) -> Room {
         let (now, limits) = (shop.age(), &shop.limits);
         let open = self.open();
-        let idle = || open.values().filter(|c| c.state.load(Ordering::Acquire) == IDLE);
+        let idle = || {
+            open.values()
+                .filter(|c| c.state.load(Ordering::Acquire) == IDLE)
+        };
         let known = |c: &&Arc<Client>| c.known.load(Ordering::Relaxed);
         let age = |since: u64| Duration::from_millis(now.saturating_sub(since));
-        let stranger = idle().filter(|c| !known(c)).map(|c| (age(c.opened), c)).max_by_key(|c| c.0);
-        let client =
-            idle().filter(known).map(|c| (age(c.used.load(Ordering::Relaxed)), c)).max_by_key(|c| c.0);
-        let least = if stranger.is_some() { limits.settled } else { limits.fresh };
+        let stranger = idle()
+            .filter(|c| !known(c))
+            .map(|c| (age(c.opened), c))
+            .max_by_key(|c| c.0);
+        let client = idle()
+            .filter(known)
+            .map(|c| (age(c.used.load(Ordering::Relaxed)), c))
+            .max_by_key(|c| c.0);
+        let least = if stranger.is_some() {
+            limits.settled
+        } else {
+            limits.fresh
+        };
         let (soon, fresh) = (stranger.is_some(), limits.fresh_stranger);
-        let old = stranger.filter(|c| c.0 >= fresh).or(client.filter(|c| c.0 >= least));
+        let old = stranger
+            .filter(|c| c.0 >= fresh)
+            .or(client.filter(|c| c.0 >= least));
         match old {
             Some((_, c)) if c.turn(IDLE, CLOSED) => {
                 c.presence.end_idle();
@@ -129,12 +150,19 @@
                 next += 1;
                 shop.accepted.store(shop.age(), Ordering::Relaxed);
                 // A flood that says nothing is gone within this time, and nobody who asks is shed for it.
-                let (until, mut room) = (Instant::now() + limits.fresh_stranger, shop.clients.room(shop));
+                let (until, mut room) = (
+                    Instant::now() + limits.fresh_stranger,
+                    shop.clients.room(shop),
+                );
                 while room == Room::Soon && Instant::now() < until {
                     thread::sleep(limits.accept_pause);
                     room = shop.clients.room(shop);
                 }
-                let left = if room == Room::Made { seat(shop, stream, next) } else { Some(stream) };
+                let left = if room == Room::Made {
+                    seat(shop, stream, next)
+                } else {
+                    Some(stream)
+                };
                 if let Some(stream) = left {
                     // Nobody is free to read it: a spare thread answers that it is shed. While even those
                     // are behind, connections wait with the machine; dropped here, their queries were lost.
@@ -173,7 +201,9 @@
         let _seat = Seat { shop: &own, key };
         attend(&own, &theirs);
     };
-    let Err(body) = shop.workers.run(Box::new(body)) else { return None };
+    let Err(body) = shop.workers.run(Box::new(body)) else {
+        return None;
+    };
     drop(body);
     shop.clients.open().remove(&key);
     Arc::try_unwrap(client).ok().and_then(Client::into_stream)
@@ -199,7 +229,10 @@
         let mut out = RingBuffer::new(limits.ring, limits.head);
         let until = Instant::now() + limits.linger;
         let mut status = 408;
-        while let Some(left) = until.checked_duration_since(Instant::now()).filter(|d| !d.is_zero()) {
+        while let Some(left) = until
+            .checked_duration_since(Instant::now())
+            .filter(|d| !d.is_zero())
+        {
             match http::call(&mut ring, &shop.lanes, limits) {
                 Parsed::Complete(_) => status = 503,
                 Parsed::Invalid(bad) => status = bad,
@@ -225,7 +258,10 @@
 fn attend(shop: &Arc<Shop>, client: &Arc<Client>) {
     let limits = &shop.limits;
     let mut ring = RingBuffer::new(limits.ring, limits.ring_top);
-    let mut patience = Patience { begun: Some(Instant::now()), set: Duration::ZERO };
+    let mut patience = Patience {
+        begun: Some(Instant::now()),
+        set: Duration::ZERO,
+    };
     loop {
         match http::call(&mut ring, &shop.lanes, limits) {
             Parsed::Incomplete => match patience.more(&mut ring, client, shop) {
@@ -247,7 +283,9 @@
             }
             Parsed::Complete(Call::Query(asked)) => {
                 patience.begun = None;
-                let Some(claim) = Claim::of(shop, &asked.txn) else { return reject(shop, client, 409) };
+                let Some(claim) = Claim::of(shop, &asked.txn) else {
+                    return reject(shop, client, 409);
+                };
                 client.known.store(true, Ordering::Relaxed);
                 client.turn(IDLE, BUSY);
                 if !see_through(shop, client, &asked, claim) {
@@ -280,7 +318,11 @@
         // Connections kept for nothing hold what the usual clients may open: the more there are, the less
         // long. One that has sent a part of a query has its full time.
         let crowded = shop.clients.count() > limits.client_sockets / 2;
-        let left = if crowded && ring.is_empty() { left.min(limits.idle_crowded) } else { left };
+        let left = if crowded && ring.is_empty() {
+            left.min(limits.idle_crowded)
+        } else {
+            left
+        };
         if left.is_zero() {
             return Ok(false);
         }
--- a/crates/aspendrum/src/clock.rs
+++ b/crates/aspendrum/src/clock.rs
@@ -26,8 +26,13 @@
         reason = "the deployments in service tell moments so; read once, never after"
     )]
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, as_ms);
-        Clock { start: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0.0, as_ms);
+        Clock {
+            start: Instant::now(),
+            unix,
+        }
     }
 
     pub fn at(&self, when: Instant) -> Ms {
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -72,18 +72,31 @@
 }
 
 impl Counter {
-    pub fn start(addr: SocketAddr, door: &Arc<Door>, limits: &Arc<Limits>) -> std::io::Result<Counter> {
+    pub fn start(
+        addr: SocketAddr,
+        door: &Arc<Door>,
+        limits: &Arc<Limits>,
+    ) -> std::io::Result<Counter> {
         // Room for the lanes of two places: a move may find the old ones still waiting to be opened.
-        let opener =
-            mailbox::spawn_receiver(2 * limits.lanes, |lanes: mailbox::MailboxReceiver<Arc<Lane>>| {
+        let opener = mailbox::spawn_receiver(
+            2 * limits.lanes,
+            |lanes: mailbox::MailboxReceiver<Arc<Lane>>| {
                 spawn("counter", limits.stack, move || {
                     while let Ok(lane) = lanes.recv_deadline(None) {
                         lane.open();
                     }
                 })
-            })?;
+            },
+        )?;
         let (retired, door, limits) = (Vec::new(), door.clone(), limits.clone());
-        let mut counter = Counter { addr, lanes: Vec::new(), retired, opener, door, limits };
+        let mut counter = Counter {
+            addr,
+            lanes: Vec::new(),
+            retired,
+            opener,
+            door,
+            limits,
+        };
         counter.lanes = counter.lanes_to(addr);
         Ok(counter)
     }
@@ -91,7 +104,12 @@
     fn lanes_to(&self, addr: SocketAddr) -> Vec<Arc<Lane>> {
         let lane = |_| {
             let (state, door, limits) = (Mutex::default(), self.door.clone(), self.limits.clone());
-            Arc::new(Lane { state, door, limits, addr })
+            Arc::new(Lane {
+                state,
+                door,
+                limits,
+                addr,
+            })
         };
         (0..self.limits.lanes).map(lane).collect()
     }
@@ -131,8 +149,15 @@
 
     /// Makes one call. What becomes of it is told to the desk, in the order of the calls of its name.
     pub fn call(&self, name: u64, add: f32, ttl: Ms) {
-        let Some(lane) = self.lanes.get(name as usize % self.lanes.len().max(1)) else { return };
-        let call = Call { name, add, ttl, at: Instant::now() };
+        let Some(lane) = self.lanes.get(name as usize % self.lanes.len().max(1)) else {
+            return;
+        };
+        let call = Call {
+            name,
+            add,
+            ttl,
+            at: Instant::now(),
+        };
         let mut state = lane.state();
         // A call must not cross with an idle close, for nobody could tell whether it was added.
         let stale = |l: &Link| l.pending.is_empty() && l.used.elapsed() > lane.limits.counter_idle;
@@ -169,9 +194,21 @@
 
     /// Everything goes through the desk's inbox, under the lane's lock and without waiting: so outcomes of a
     /// name keep their order, and the desk, which takes this lock too, is never waited for.
-    fn tell(&self, late: &mut VecDeque<Note>, name: u64, at: Instant, outcome: Outcome, total: f32) {
+    fn tell(
+        &self,
+        late: &mut VecDeque<Note>,
+        name: u64,
+        at: Instant,
+        outcome: Outcome,
+        total: f32,
+    ) {
         let rtt = as_ms(at.elapsed());
-        late.push_back(Note::Told(Event::Counted { name, outcome, total, rtt }));
+        late.push_back(Note::Told(Event::Counted {
+            name,
+            outcome,
+            total,
+            rtt,
+        }));
         self.deliver(late);
     }
 
@@ -204,7 +241,10 @@
 
     /// Ends the connection, if it still is that one. What was written and not answered may have been added.
     fn broke(&self, state: &mut State, only: Option<&Arc<TcpStream>>) {
-        if let Some(link) = state.link.take_if(|l| only.is_none_or(|s| Arc::ptr_eq(s, &l.stream))) {
+        if let Some(link) = state
+            .link
+            .take_if(|l| only.is_none_or(|s| Arc::ptr_eq(s, &l.stream)))
+        {
             let _ = link.stream.shutdown(Shutdown::Both);
             for p in link.pending.iter().filter(|p| !p.told) {
                 self.tell(&mut state.late, p.name, p.at, Outcome::TimedOut, 0.0);
@@ -213,16 +253,28 @@
     }
 
     fn write(&self, state: &mut State, call: Call) {
-        let Some(link) = state.link.as_mut() else { return };
+        let Some(link) = state.link.as_mut() else {
+            return;
+        };
         resp::add(&mut link.outward, call.name, call.add, call.ttl);
         let written = link.outward.drain(&mut &*link.stream);
         link.used = Instant::now();
         if written.is_ok() {
-            return link.pending.push_back(Pending { name: call.name, at: call.at, told: false });
+            return link.pending.push_back(Pending {
+                name: call.name,
+                at: call.at,
+                told: false,
+            });
         }
         // Without its last byte it was not added. Those before it stand in line first.
         self.broke(state, None);
-        self.tell(&mut state.late, call.name, call.at, Outcome::ConnectFailed, 0.0);
+        self.tell(
+            &mut state.late,
+            call.name,
+            call.at,
+            Outcome::ConnectFailed,
+            0.0,
+        );
     }
 
     fn expire(&self) {
@@ -231,12 +283,19 @@
         let (wait, silence) = (self.limits.counter_wait, self.limits.counter_silence);
         self.deliver(&mut state.late);
         if let Some(link) = state.link.as_mut() {
-            for p in link.pending.iter_mut().filter(|p| !p.told && p.at.elapsed() >= wait) {
+            for p in link
+                .pending
+                .iter_mut()
+                .filter(|p| !p.told && p.at.elapsed() >= wait)
+            {
                 p.told = true;
                 self.tell(&mut state.late, p.name, p.at, Outcome::TimedOut, 0.0);
             }
             // A machine that vanished leaves its connections open and silent; only a new one finds it back.
-            let oldest = link.pending.front().map_or(Duration::ZERO, |p| p.at.elapsed());
+            let oldest = link
+                .pending
+                .front()
+                .map_or(Duration::ZERO, |p| p.at.elapsed());
             if oldest > silence && link.heard.elapsed() > silence {
                 self.broke(state, None);
             }
@@ -260,14 +319,22 @@
         if state.retired {
             return;
         }
-        let Ok(stream) = stream else { return self.unsent(&mut state) };
+        let Ok(stream) = stream else {
+            return self.unsent(&mut state);
+        };
         let (lane, theirs) = (self.clone(), stream.clone());
         if spawn("counter in", self.limits.stack, move || lane.read(&theirs)).is_err() {
             return self.unsent(&mut state);
         }
         let (now, pending) = (Instant::now(), VecDeque::new());
         let outward = RingBuffer::new(self.limits.ring, self.limits.head);
-        state.link = Some(Link { stream, outward, pending, used: now, heard: now });
+        state.link = Some(Link {
+            stream,
+            outward,
+            pending,
+            used: now,
+            heard: now,
+        });
         while let Some(call) = state.queued.pop_front() {
             if state.link.is_none() {
                 state.queued.push_front(call);
@@ -296,7 +363,13 @@
     fn replies(&self, stream: &Arc<TcpStream>, ring: &mut RingBuffer) -> bool {
         let mut place = self.state();
         let state = &mut *place;
-        let Some(link) = state.link.as_mut().filter(|l| Arc::ptr_eq(&l.stream, stream)) else { return false };
+        let Some(link) = state
+            .link
+            .as_mut()
+            .filter(|l| Arc::ptr_eq(&l.stream, stream))
+        else {
+            return false;
+        };
         (link.used, link.heard) = (Instant::now(), Instant::now());
         loop {
             let reply = match resp::reply(ring) {
@@ -304,7 +377,9 @@
                 Parsed::More => return true,
                 Parsed::Nonsense => return false,
             };
-            let Some(p) = link.pending.pop_front() else { return false };
+            let Some(p) = link.pending.pop_front() else {
+                return false;
+            };
             let (outcome, total) = match reply {
                 _ if p.at.elapsed() >= self.limits.counter_wait => (Outcome::TimedOut, 0.0),
                 Reply::Total(total) => (Outcome::Ok, total),
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -79,7 +79,10 @@
         self.act();
         loop {
             let clock = self.shop.door.clock;
-            let due = self.timers.peek().map(|Reverse((at, _))| clock.instant(*at as f64 / 1000.0));
+            let due = self
+                .timers
+                .peek()
+                .map(|Reverse((at, _))| clock.instant(*at as f64 / 1000.0));
             match notes.recv_deadline(due) {
                 Ok(Note::Stop) | Err(RecvError::Disconnected) => return,
                 Ok(note) => self.hear(note),
@@ -93,13 +96,15 @@
     }
 
     fn tell(&mut self, event: &Event) {
-        self.control.handle(self.shop.door.clock.now(), event, &mut self.actions);
+        self.control
+            .handle(self.shop.door.clock.now(), event, &mut self.actions);
         self.act();
     }
 
     fn due(&mut self) {
         let now = (self.shop.door.clock.now() * 1000.0) as u64;
-        while let Some(Reverse((_, token))) = self.timers.peek().filter(|t| t.0 .0 <= now).copied() {
+        while let Some(Reverse((_, token))) = self.timers.peek().filter(|t| t.0 .0 <= now).copied()
+        {
             self.timers.pop();
             if let Some(counter) = &mut self.counter {
                 counter.expire();
@@ -121,13 +126,18 @@
         let shop = self.shop.clone();
         let clients = shop.clients.in_hand();
         for client in shop.watch.poll_disconnects(&clients) {
-            let Some(id) = client.presence.request() else { continue };
+            let Some(id) = client.presence.request() else {
+                continue;
+            };
             if let Some(seat) = self.seats.get(&id) {
-                shop.departures.record_disconnect(seat.line.kind, seat.line.depart());
+                shop.departures
+                    .record_disconnect(seat.line.kind, seat.line.depart());
             }
             self.hear(Note::Left { id });
         }
-        clients.iter().for_each(|client| self.hold_to_bound(&client.presence));
+        clients
+            .iter()
+            .for_each(|client| self.hold_to_bound(&client.presence));
         if let Some(line) = self.report.line(&shop.departures) {
             tracing::info!("{line}");
         }
@@ -136,21 +146,42 @@
     /// The invariant: what has not left whole a while after a departure never leaves.
     fn hold_to_bound(&self, presence: &ClientConnection) {
         let watch = &self.shop.watch;
-        let left_for =
-            presence.time_since_disconnect(watch).filter(|left_for| !watch.is_late() && *left_for > BOUND);
-        let seat = presence.request().filter(|_| left_for.is_some()).and_then(|id| self.seats.get(&id));
-        let Some(line) = seat.map(|seat| &seat.line) else { return };
-        let Progress { stage, broken_off, returned_for } = line.progress();
+        let left_for = presence
+            .time_since_disconnect(watch)
+            .filter(|left_for| !watch.is_late() && *left_for > BOUND);
+        let seat = presence
+            .request()
+            .filter(|_| left_for.is_some())
+            .and_then(|id| self.seats.get(&id));
+        let Some(line) = seat.map(|seat| &seat.line) else {
+            return;
+        };
+        let Progress {
+            stage,
+            broken_off,
+            returned_for,
+        } = line.progress();
         let about_to_end = returned_for.is_some_and(|returned_for| returned_for <= BOUND);
         if stage != ForwardStage::AtServer && !about_to_end && presence.becomes_overdue() {
-            self.shop.departures.record_overdue(line.kind, stage, broken_off);
+            self.shop
+                .departures
+                .record_overdue(line.kind, stage, broken_off);
         }
     }
 
     fn hear(&mut self, note: Note) {
         match note {
             Note::Query { new, orders, line } => {
-                self.seats.insert(new.id, Seat { orders, line, forwards: 0, out: None, over: false });
+                self.seats.insert(
+                    new.id,
+                    Seat {
+                        orders,
+                        line,
+                        forwards: 0,
+                        out: None,
+                        over: false,
+                    },
+                );
                 self.tell(&Event::Query(new));
             }
             Note::Left { id } => {
@@ -163,7 +194,9 @@
                 }
             }
             Note::Quit { id } => {
-                let Some(seat) = self.seats.get_mut(&id) else { return };
+                let Some(seat) = self.seats.get_mut(&id) else {
+                    return;
+                };
                 let out = seat.out.take();
                 if !std::mem::replace(&mut seat.over, true) {
                     self.tell(&Event::ClientLeft { id });
@@ -172,13 +205,31 @@
                     // A forward that nobody took up never ran.
                     Some((forward, server)) => {
                         let (outcome, rtt, actual, load) = (Outcome::Moot, 0.0, 0, Load::default());
-                        self.hear(Note::Ended { id, forward, server, outcome, rtt, actual, load });
+                        self.hear(Note::Ended {
+                            id,
+                            forward,
+                            server,
+                            outcome,
+                            rtt,
+                            actual,
+                            load,
+                        });
                     }
                     None => self.leave(id),
                 }
             }
-            Note::Ended { id, forward, server, outcome, rtt, actual, load } => {
-                let Some(seat) = self.seats.get_mut(&id) else { return };
+            Note::Ended {
+                id,
+                forward,
+                server,
+                outcome,
+                rtt,
+                actual,
+                load,
+            } => {
+                let Some(seat) = self.seats.get_mut(&id) else {
+                    return;
+                };
                 seat.out = None;
                 seat.over |= outcome == Outcome::Ok;
                 let (over, used) = (seat.over, 0);
@@ -196,8 +247,16 @@
                 self.leave(id);
             }
             Note::Told(event) => self.tell(&event),
-            Note::Members { list, version, entries } => {
-                self.tell(&Event::Members { list, version, entries: &entries });
+            Note::Members {
+                list,
+                version,
+                entries,
+            } => {
+                self.tell(&Event::Members {
+                    list,
+                    version,
+                    entries: &entries,
+                });
             }
             Note::Peer { from, data } => self.tell(&Event::PeerSaid { from, data: &data }),
             Note::CounterMoved { to } => {
@@ -211,7 +270,11 @@
 
     /// Forgets a query once it is over and nothing of it is out.
     fn leave(&mut self, id: QueryId) {
-        if self.seats.get(&id).is_some_and(|s| s.over && s.out.is_none()) {
+        if self
+            .seats
+            .get(&id)
+            .is_some_and(|s| s.over && s.out.is_none())
+        {
             self.seats.remove(&id);
         }
     }
@@ -226,16 +289,37 @@
 
     fn one(&mut self, action: Action) {
         match action {
-            Action::Forward { id, server, timeout } => {
-                let Some(seat) = self.seats.get_mut(&id) else { return };
+            Action::Forward {
+                id,
+                server,
+                timeout,
+            } => {
+                let Some(seat) = self.seats.get_mut(&id) else {
+                    return;
+                };
                 let forward = seat.forwards;
                 seat.forwards += 1;
                 seat.out = Some((forward, server));
-                if seat.orders.try_send(Order::Forward { forward, server, timeout }).is_err() {
+                if seat
+                    .orders
+                    .try_send(Order::Forward {
+                        forward,
+                        server,
+                        timeout,
+                    })
+                    .is_err()
+                {
                     self.later.push(Note::Quit { id });
                 }
             }
-            Action::Shed { id, retry_after, .. } => self.finish(id, Order::Shed { advice: retry_after }),
+            Action::Shed {
+                id, retry_after, ..
+            } => self.finish(
+                id,
+                Order::Shed {
+                    advice: retry_after,
+                },
+            ),
             Action::Drop { id } => self.finish(id, Order::Drop),
             Action::Cancel { id, forward } => {
                 if let Some(seat) = self.seats.get(&id) {
@@ -266,7 +350,9 @@
     }
 
     fn finish(&mut self, id: QueryId, order: Order) {
-        let Some(seat) = self.seats.get_mut(&id) else { return };
+        let Some(seat) = self.seats.get_mut(&id) else {
+            return;
+        };
         seat.over = true;
         // A full channel means that the query answers nobody's orders: it ends by its own time.
         let _ = seat.orders.try_send(order);
--- a/crates/aspendrum/src/discovery.rs
+++ b/crates/aspendrum/src/discovery.rs
@@ -28,7 +28,11 @@
 
 impl Agent {
     pub fn at(addr: SocketAddr) -> Agent {
-        Agent(Mutex::new(Place { addr, stream: None, moved: false }))
+        Agent(Mutex::new(Place {
+            addr,
+            stream: None,
+            moved: false,
+        }))
     }
 
     /// Ends the connection to the old place at once: a watch there may say nothing for seconds, and whatever
@@ -123,7 +127,11 @@
                     if self.asks {
                         watching = false;
                         let (list, entries) = (ListKind::Failed, Vec::new());
-                        self.shop.door.tell(Note::Members { list, version: 0, entries });
+                        self.shop.door.tell(Note::Members {
+                            list,
+                            version: 0,
+                            entries,
+                        });
                     }
                     self.pause(&mut watching, &mut fetch);
                 }
@@ -149,17 +157,22 @@
         let limits = &self.shop.limits;
         let mut conn = match held.take() {
             Some(conn) => conn,
-            None => {
-                Connection::open_unpooled(self.agent.addr(), limits.connect_wait, self.shop.pool.limits())
-                    .map_err(|e| e.to_string())?
-            }
+            None => Connection::open_unpooled(
+                self.agent.addr(),
+                limits.connect_wait,
+                self.shop.pool.limits(),
+            )
+            .map_err(|e| e.to_string())?,
         };
         if !self.agent.reached(&conn) {
             return Err("its address has changed".into());
         }
         let (hold, path) = if watch {
             let hold = limits.watch_hold;
-            (hold, format!("{PATH}?from={}&hold_ms={}", self.version, hold.as_millis()))
+            (
+                hold,
+                format!("{PATH}?from={}&hold_ms={}", self.version, hold.as_millis()),
+            )
         } else {
             (Duration::ZERO, PATH.to_string())
         };
@@ -181,7 +194,11 @@
 
     fn pass_on(&mut self, roster: Roster) {
         self.version = roster.version;
-        let list = if roster.whole { ListKind::Full } else { ListKind::Delta };
+        let list = if roster.whole {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        };
         if roster.whole || !roster.entries.is_empty() {
             tell(&self.shop, list, roster);
         }
@@ -203,5 +220,9 @@
         shop.pool.retain(&named);
     }
     let entries = roster.entries.into_iter().map(|e| e.0).collect();
-    shop.door.tell(Note::Members { list, version: roster.version as u32, entries });
+    shop.door.tell(Note::Members {
+        list,
+        version: roster.version as u32,
+        entries,
+    });
 }
