--- a/crates/aspendrum-agent/src/control.rs
+++ b/crates/aspendrum-agent/src/control.rs
@@ -25,7 +25,7 @@
 
 /// Where control is, the nearest first.
 #[derive(Clone)]
-pub struct Route {
+pub(crate) struct Route {
     /// What control told last.
     told: Arc<Mutex<Vec<ControlAddress>>>,
     near: Arc<Mutex<Vec<Ipv4Addr>>>,
@@ -34,7 +34,7 @@
 }
 
 impl Route {
-    pub fn new(settings: &Settings) -> Route {
+    pub(crate) fn new(settings: &Settings) -> Route {
         let route = Route {
             told: Arc::default(),
             near: Arc::default(),
@@ -46,7 +46,7 @@
 
     /// Takes a list of machines, an empty one says nothing; an empty zone is not known. Those that are up come first; the settings' seeds are dialled
     /// when all that were told of fail. Agents of one zone spread over its machines by their hosts' names.
-    pub fn learn(&self, settings: &Settings, control: &[ControlAddress]) {
+    pub(crate) fn learn(&self, settings: &Settings, control: &[ControlAddress]) {
         let far = |zone: &str| match settings.zones.get(zone) {
             _ if zone == settings.zone => 0,
             Some(region) if *region == settings.region => 1,
@@ -80,12 +80,12 @@
     }
 
     /// That machine is of no use now.
-    pub fn shun(&self, ip: Ipv4Addr) {
+    pub(crate) fn shun(&self, ip: Ipv4Addr) {
         *lock(&self.left) = Some((ip, Instant::now()));
     }
 
     /// Whether no machine of control is nearer, as far as zones are known.
-    pub fn nearest(&self, ip: Ipv4Addr) -> bool {
+    pub(crate) fn nearest(&self, ip: Ipv4Addr) -> bool {
         lock(&self.near).first().is_none_or(|first| *first == ip)
     }
 
@@ -112,7 +112,7 @@
 }
 
 /// Keeps one link for as long as the process runs; the desk ends one that is of no use.
-pub fn hold(
+pub(crate) fn hold(
     route: &Route,
     settings: &Settings,
     notes: &Arc<MailboxSender<Note>>,
--- a/crates/aspendrum-agent/src/desk.rs
+++ b/crates/aspendrum-agent/src/desk.rs
@@ -75,7 +75,7 @@
     gone: bool,
 }
 
-pub struct Desk {
+pub(crate) struct Desk {
     settings: Settings,
     route: Route,
     begun: Instant,
@@ -104,7 +104,7 @@
 }
 
 impl Desk {
-    pub fn new(settings: Settings, route: Route, lender: Lender) -> Desk {
+    pub(crate) fn new(settings: Settings, route: Route, lender: Lender) -> Desk {
         Desk {
             bounds: Bounds::of(settings.apply_ms, settings.stretch_ms),
             circle: Circle::new(settings.ip, fastrand::u64(..)),
@@ -130,7 +130,7 @@
         self.begun.elapsed().as_secs_f64() * 1000.0
     }
 
-    pub fn run(mut self, notes: &MailboxReceiver<Note>) {
+    pub(crate) fn run(mut self, notes: &MailboxReceiver<Note>) {
         loop {
             let every = if self.as_of.is_some() { BEAT } else { FIRST };
             let due =
--- a/crates/aspendrum-agent/src/lend.rs
+++ b/crates/aspendrum-agent/src/lend.rs
@@ -22,7 +22,7 @@
 const SILENCE: Duration = Duration::from_millis(1500);
 
 #[derive(Clone)]
-pub struct Lender {
+pub(crate) struct Lender {
     socket: Arc<UdpSocket>,
     settings: Settings,
     notes: Arc<MailboxSender<Note>>,
@@ -30,7 +30,10 @@
 
 impl Lender {
     /// Listens for neighbours for as long as the process runs.
-    pub fn open(settings: &Settings, notes: &Arc<MailboxSender<Note>>) -> std::io::Result<Lender> {
+    pub(crate) fn open(
+        settings: &Settings,
+        notes: &Arc<MailboxSender<Note>>,
+    ) -> std::io::Result<Lender> {
         let [words, snapshots] = settings.lend_ports();
         let socket = Arc::new(UdpSocket::bind(SocketAddrV4::new(settings.ip, words))?);
         let listener = TcpListener::bind(SocketAddrV4::new(settings.ip, snapshots))?;
@@ -58,7 +61,7 @@
         })
     }
 
-    pub fn say(&self, to: Ipv4Addr, word: &Word) {
+    pub(crate) fn say(&self, to: Ipv4Addr, word: &Word) {
         let mut space = [0; LONGEST];
         let [port, _] = self.settings.lend_ports();
         if let Ok(bytes) = postcard::to_slice(word, &mut space) {
@@ -69,7 +72,7 @@
     }
 
     /// Asks that neighbour for all that it holds; the desk hears of each part.
-    pub fn fetch(&self, from: Ipv4Addr) {
+    pub(crate) fn fetch(&self, from: Ipv4Addr) {
         let [_, port] = self.settings.lend_ports();
         let (at, notes) = (
             self.settings.way(SocketAddrV4::new(from, port)),
--- a/crates/aspendrum-agent/src/notes.rs
+++ b/crates/aspendrum-agent/src/notes.rs
@@ -7,7 +7,7 @@
 use crossbeam_channel::Sender;
 use std::net::Ipv4Addr;
 
-pub enum Note {
+pub(crate) enum Note {
     Control {
         id: u64,
         ip: Ipv4Addr,
--- a/crates/aspendrum-agent/src/proxy.rs
+++ b/crates/aspendrum-agent/src/proxy.rs
@@ -15,7 +15,7 @@
 const SILENCE: Duration = Duration::from_secs(5);
 const ROOM: usize = 64;
 
-pub fn listen(at: SocketAddrV4, notes: &Arc<MailboxSender<Note>>) -> std::io::Result<()> {
+pub(crate) fn listen(at: SocketAddrV4, notes: &Arc<MailboxSender<Note>>) -> std::io::Result<()> {
     let listener = TcpListener::bind(at)?;
     let notes = notes.clone();
     spawn("proxy", STACK, move || {
--- a/crates/aspendrum-benchmarks/src/cores/consensus.rs
+++ b/crates/aspendrum-benchmarks/src/cores/consensus.rs
@@ -129,7 +129,7 @@
     line.number("cpu_ms", cpu_ms() - before).tell();
 }
 
-pub fn tell() {
+pub(super) fn tell() {
     [(3, 1), (4, 1), (4, 2), (5, 2), (6, 2), (7, 3)]
         .into_iter()
         .for_each(|(n, losses)| founded(n, losses));
--- a/crates/aspendrum-benchmarks/src/cores/finding.rs
+++ b/crates/aspendrum-benchmarks/src/cores/finding.rs
@@ -8,7 +8,7 @@
 const LIMITERS: [usize; 5] = [30, 100, 200, 430, 1_000];
 const CONTROL: usize = 4;
 
-pub fn tell() {
+pub(super) fn tell() {
     let regions = sizes::regions();
     for limiters in LIMITERS {
         let line = |name| Line::of(name).with("limiters", limiters);
--- a/crates/aspendrum-benchmarks/src/cores/gossip.rs
+++ b/crates/aspendrum-benchmarks/src/cores/gossip.rs
@@ -88,7 +88,7 @@
         .tell();
 }
 
-pub fn tell() {
+pub(super) fn tell() {
     for agents in AGENTS {
         for alone in [None, Some(9), Some(1)] {
             watch(agents, alone);
--- a/crates/aspendrum-benchmarks/src/cores/model.rs
+++ b/crates/aspendrum-benchmarks/src/cores/model.rs
@@ -26,7 +26,7 @@
     (1_900, 35_000, 250),
 ];
 
-pub fn configurations() {
+pub(super) fn configurations() {
     for (routes, tenants, hosts) in TEXTS {
         let size = Size {
             routes,
@@ -72,7 +72,7 @@
     }
 }
 
-pub fn lists() {
+pub(super) fn lists() {
     for size in GRADES {
         let list = sizes::servers(&size, sizes::apart);
         let line = |name| {
--- a/crates/aspendrum-benchmarks/src/cores/proxy.rs
+++ b/crates/aspendrum-benchmarks/src/cores/proxy.rs
@@ -431,7 +431,7 @@
     }
 }
 
-pub fn tell() {
+pub(super) fn tell() {
     for size in GRADES {
         beats(&size, 0);
         queries(&Size {
--- a/crates/aspendrum-benchmarks/src/hollow/fleet.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/fleet.rs
@@ -18,7 +18,7 @@
 const CHUNK: f64 = 16_384.0;
 
 /// One process of the system and where its log is.
-pub struct Member {
+pub(super) struct Member {
     pub name: String,
     start: Start,
     settings: PathBuf,
@@ -27,24 +27,24 @@
 }
 
 impl Member {
-    pub fn up(&mut self) -> Result<(), String> {
+    pub(super) fn up(&mut self) -> Result<(), String> {
         let process = Process::start(&self.start, &self.settings, &self.log);
         self.process = Some(process.map_err(|e| format!("{}: {e}", self.name))?);
         Ok(())
     }
 
-    pub async fn kill(&mut self) {
+    pub(super) async fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             process.kill().await;
         }
     }
 
     /// A line of its status, in kB or by number; nothing of a process that is down.
-    pub fn status(&self, name: &str) -> Option<u64> {
+    pub(super) fn status(&self, name: &str) -> Option<u64> {
         status(self.process.as_ref()?.id(), name)
     }
 
-    pub fn descriptors(&self) -> usize {
+    pub(super) fn descriptors(&self) -> usize {
         let of = |p: &Process| {
             std::fs::read_dir(format!("/proc/{}/fd", p.id())).map_or(0, Iterator::count)
         };
@@ -52,20 +52,20 @@
     }
 
     /// Processor time so far, seconds.
-    pub fn cpu_s(&self) -> f64 {
+    pub(super) fn cpu_s(&self) -> f64 {
         self.process
             .as_ref()
             .and_then(Process::cpu_s)
             .unwrap_or(0.0)
     }
 
-    pub fn logged(&self, what: &str) -> usize {
+    pub(super) fn logged(&self, what: &str) -> usize {
         std::fs::read_to_string(&self.log).map_or(0, |text| text.matches(what).count())
     }
 }
 
 /// A line of a process' status, in kB or by number.
-pub fn status(id: i32, name: &str) -> Option<u64> {
+pub(super) fn status(id: i32, name: &str) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let line = text.lines().find_map(|l| l.strip_prefix(name))?;
     line.trim_start_matches(':')
@@ -75,7 +75,7 @@
         .ok()
 }
 
-pub struct Fleet {
+pub(super) struct Fleet {
     pub controls: Vec<Member>,
     /// Proxies and agents of whole limiters, in turn.
     pub whole: Vec<Member>,
@@ -85,33 +85,33 @@
     pub behind: Vec<Relay>,
 }
 
-pub fn vault_ip(n: usize) -> Ipv4Addr {
+pub(super) fn vault_ip(n: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, 60, 1, n as u8 + 1)
 }
 
-pub fn platform_at() -> SocketAddrV4 {
+pub(super) fn platform_at() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, 60, 2, 1), 28_205)
 }
 
-pub fn control(n: usize) -> SocketAddr {
+pub(super) fn control(n: usize) -> SocketAddr {
     (vault_ip(n), PORTS[0]).into()
 }
 
-pub fn ctl(n: usize) -> SocketAddrV4 {
+pub(super) fn ctl(n: usize) -> SocketAddrV4 {
     SocketAddrV4::new(vault_ip(n), CTL)
 }
 
-pub fn dir(n: usize) -> SocketAddrV4 {
+pub(super) fn dir(n: usize) -> SocketAddrV4 {
     SocketAddrV4::new(vault_ip(n), DIR)
 }
 
 /// Where clients reach the whole limiter of that number.
-pub fn whole_front(n: usize) -> SocketAddrV4 {
+pub(super) fn whole_front(n: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, 60, 20, n as u8 + 1), 28_202)
 }
 
 /// Control stands in zones of regions of its own, as far as they go.
-pub fn place(n: usize) -> usize {
+pub(super) fn place(n: usize) -> usize {
     n * sizes::ZONES / sizes::REGIONS + n
 }
 
@@ -137,7 +137,7 @@
 
 impl Fleet {
     /// Everything stands and is linked; no process has been started yet.
-    pub async fn prepare(plan: &Plan, folder: &Path) -> Result<Fleet, String> {
+    pub(super) async fn prepare(plan: &Plan, folder: &Path) -> Result<Fleet, String> {
         build(&["aspendrum-proxy", "aspendrum-agent", "aspendrum-control"])?;
         let member = |program: &str, name: String, settings: Value| {
             let at = folder.join(format!("{name}.json"));
@@ -211,7 +211,7 @@
     }
 
     /// Bytes that control said to control so far.
-    pub fn between_bytes(&self) -> u64 {
+    pub(super) fn between_bytes(&self) -> u64 {
         self.between
             .iter()
             .map(|r| r.there.carried().bytes + r.back.carried().bytes)
--- a/crates/aspendrum-benchmarks/src/hollow/platform.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/platform.rs
@@ -14,7 +14,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-pub struct Platform {
+pub(super) struct Platform {
     /// Pages as they are told.
     pages: Mutex<Vec<Vec<u8>>>,
     servers: Mutex<Vec<ServerInstance>>,
@@ -31,7 +31,7 @@
 
 impl Platform {
     /// `rate`: calls a second. `slow`: between a page's question and its answer.
-    pub fn open(
+    pub(super) fn open(
         at: SocketAddrV4,
         servers: Vec<ServerInstance>,
         rate: f64,
@@ -95,7 +95,7 @@
     }
 
     /// That server drains from now on, or no more.
-    pub fn turn(&self, n: usize, draining: bool) {
+    pub(super) fn turn(&self, n: usize, draining: bool) {
         let mut servers = lock(&self.servers);
         if let Some(server) = servers.get_mut(n) {
             server.draining = draining;
--- a/crates/aspendrum-benchmarks/src/hollow/traffic.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/traffic.rs
@@ -26,10 +26,10 @@
 
 /// Connections that hollow servers took.
 #[derive(Default)]
-pub struct Taken(AtomicU64);
+pub(super) struct Taken(AtomicU64);
 
 /// Listens for all servers at once.
-pub fn serve() -> io::Result<Arc<Taken>> {
+pub(super) fn serve() -> io::Result<Arc<Taken>> {
     let listener = TcpListener::bind(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, SERVERS_PORT))?;
     let taken = Arc::new(Taken::default());
     let own = taken.clone();
@@ -104,7 +104,7 @@
 }
 
 /// What became of requests.
-pub struct Came {
+pub(super) struct Came {
     pub sent: usize,
     pub served: usize,
     pub refused: usize,
@@ -114,7 +114,7 @@
 }
 
 impl Came {
-    pub fn tell(&self, line: Line) {
+    pub(super) fn tell(&self, line: Line) {
         let line = line
             .with("sent", self.sent)
             .with("served", self.served)
@@ -128,7 +128,13 @@
 }
 
 /// Sends that many requests a second, evenly, on routes and with keys of the configuration in turn.
-pub fn send(to: SocketAddr, config: &Config, rate: f64, span: Duration, taken: &Taken) -> Came {
+pub(super) fn send(
+    to: SocketAddr,
+    config: &Config,
+    rate: f64,
+    span: Duration,
+    taken: &Taken,
+) -> Came {
     let before = taken.0.load(Relaxed);
     let mut places: Vec<(String, String)> = config
         .places()
--- a/crates/aspendrum-checker/src/orders.rs
+++ b/crates/aspendrum-checker/src/orders.rs
@@ -157,7 +157,7 @@
 type Shows<'a> = [(&'a Shown, &'a Call)];
 
 /// Whether a number was among the newest that had been sent by then.
-fn kept(sets: &Sets, number: u32, at: Ms) -> bool {
+fn kept(sets: &Sets<'_>, number: u32, at: Ms) -> bool {
     let above = sets
         .iter()
         .filter(|s| s.0 > number && s.2.sent < at)
@@ -166,7 +166,7 @@
 }
 
 /// No two texts under one number are both acknowledged.
-fn one_text(sets: &Sets, breaches: &mut Vec<Breach>) {
+fn one_text(sets: &Sets<'_>, breaches: &mut Vec<Breach>) {
     let mut told: HashMap<u32, &str> = HashMap::new();
     let mut acknowledged: Vec<&(u32, &str, &Call)> =
         sets.iter().filter(|s| s.2.acknowledged()).collect();
@@ -185,7 +185,7 @@
 }
 
 /// A text is acknowledged or refused, never both; it is refused only for another one, and is never in force then.
-fn refusals(sets: &Sets, shows: &Shows, breaches: &mut Vec<Breach>) {
+fn refusals(sets: &Sets<'_>, shows: &Shows<'_>, breaches: &mut Vec<Breach>) {
     let refused: HashSet<(u32, &str)> = sets
         .iter()
         .filter(|s| s.2.refused())
@@ -229,7 +229,7 @@
 
 /// Whoever reads back gets what was sent, nothing older than what was acknowledged or shown before he asked, and
 /// the text that was acknowledged under its number.
-fn read_back(sets: &Sets, shows: &Shows, breaches: &mut Vec<Breach>) {
+fn read_back(sets: &Sets<'_>, shows: &Shows<'_>, breaches: &mut Vec<Breach>) {
     let mut seen: HashMap<u32, &str> = HashMap::new();
     for (shown, call) in shows.iter().filter(|s| s.1.acknowledged()) {
         let core = call.core;
--- a/crates/aspendrum-checker/src/rules.rs
+++ b/crates/aspendrum-checker/src/rules.rs
@@ -16,7 +16,7 @@
 const HELD: Ms = 1000.0;
 
 /// Every breach, in the order of the rules.
-pub fn breaches(record: &Record, grants: &[Grants], cold: &[ColdLoad]) -> Vec<Breach> {
+pub fn breaches(record: &Record, grants: &[Grants], cold: &[ColdLoad<'_>]) -> Vec<Breach> {
     let by_id = by_id(record);
     let mut runs: HashMap<u64, Vec<&Forward>> = HashMap::new();
     for f in &record.forwards {
@@ -202,7 +202,7 @@
     work
 }
 
-fn cold_servers_stand(cold: &[ColdLoad], found: &mut Vec<Breach>) {
+fn cold_servers_stand(cold: &[ColdLoad<'_>], found: &mut Vec<Breach>) {
     for ColdLoad { life, load, at } in cold {
         if *load > 1.0 {
             let what = format!(
--- a/crates/aspendrum-checker/src/system.rs
+++ b/crates/aspendrum-checker/src/system.rs
@@ -131,7 +131,7 @@
 }
 
 impl fmt::Display for Breach {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "{} at {:.2} s: {}",
--- a/crates/aspendrum-checker/tests/common/mod.rs
+++ b/crates/aspendrum-checker/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use aspendrum_checker::system::Bounds;
 
 /// Terms without a bound on keys that were taken away.
-pub const BOUNDS: Bounds = Bounds {
+pub(crate) const BOUNDS: Bounds = Bounds {
     contact: 4000.0,
     apply: 3000.0,
     revoke: None,
--- a/crates/aspendrum-client/src/control.rs
+++ b/crates/aspendrum-client/src/control.rs
@@ -16,17 +16,22 @@
 /// An order that nobody can acknowledge is given up then; it may come to be held all the same.
 const ORDER: Duration = Duration::from_secs(15);
 
-pub struct Control {
+pub(crate) struct Control {
     at: Vec<SocketAddrV4>,
 }
 
 impl Control {
-    pub fn new(at: &[SocketAddrV4]) -> Control {
+    pub(crate) fn new(at: &[SocketAddrV4]) -> Control {
         Control { at: at.to_vec() }
     }
 
     /// Sends it until it is acknowledged or refused; the status and what was said.
-    pub fn order(&self, method: &str, path: &str, body: &[u8]) -> Result<(u16, String), String> {
+    pub(crate) fn order(
+        &self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Result<(u16, String), String> {
         let (begun, mut last) = (Instant::now(), String::new());
         while begun.elapsed() < ORDER {
             for at in &self.at {
@@ -51,7 +56,7 @@
         ))
     }
 
-    pub fn show(&self) -> Result<Vec<u8>, String> {
+    pub(crate) fn show(&self) -> Result<Vec<u8>, String> {
         match self.order("GET", "/api/Cfg.Show", b"")? {
             (200, text) => Ok(text.into_bytes()),
             (status, _) => Err(format!("status {status}")),
@@ -68,7 +73,7 @@
         }
     }
 
-    pub fn explain(&self, host: &str, path: &str) -> Result<Value, String> {
+    pub(crate) fn explain(&self, host: &str, path: &str) -> Result<Value, String> {
         let path = format!("/api/Explain?host={host}&path={path}");
         let mut last = String::new();
         for at in &self.at {
@@ -82,7 +87,7 @@
 
     /// What each machine of control that answers knows: those named, and those that they know of, whose ports are
     /// alike.
-    pub fn nodes(&self) -> Result<Vec<Value>, String> {
+    pub(crate) fn nodes(&self) -> Result<Vec<Value>, String> {
         let mut left: Vec<SocketAddrV4> = self.at.clone();
         let (mut seen, mut all, mut last) = (BTreeSet::new(), Vec::new(), String::new());
         while let Some(at) = left.pop() {
--- a/crates/aspendrum-client/src/shown.rs
+++ b/crates/aspendrum-client/src/shown.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-pub fn json(told: &impl serde::Serialize) -> String {
+pub(crate) fn json(told: &impl serde::Serialize) -> String {
     serde_json::to_string_pretty(told).unwrap_or_default() + "\n"
 }
 
-pub fn summary(c: &Config) -> String {
+pub(crate) fn summary(c: &Config) -> String {
     let tenants = c
         .tenants
         .as_ref()
@@ -30,7 +30,7 @@
 }
 
 /// What the new one would change, a line each.
-pub fn changes(old: &Config, new: &Config) -> Vec<String> {
+pub(crate) fn changes(old: &Config, new: &Config) -> Vec<String> {
     let (before, after) = (places(old), places(new));
     let mut all = Vec::new();
     for (place, route) in &after {
@@ -87,7 +87,7 @@
 }
 
 /// Whether every node that is known applies what was decided, and all of control decided the same.
-pub fn agree(told: &[Value]) -> bool {
+pub(crate) fn agree(told: &[Value]) -> bool {
     let current = rows(told).all(|n| n["standing"] == "current");
     current && told.windows(2).all(|w| w[0]["decided"] == w[1]["decided"])
 }
@@ -106,7 +106,7 @@
     format!(", {own}; epoch {}: {}", machine["epoch"], voters.join(" "))
 }
 
-pub fn nodes(told: &[Value]) -> String {
+pub(crate) fn nodes(told: &[Value]) -> String {
     let mut out = String::new();
     let text = |v: &Value| v.as_str().unwrap_or("").to_string();
     // Writing to memory does not fail.
@@ -154,7 +154,7 @@
     out
 }
 
-pub fn explained(told: &Value, nodes: &[Value]) -> String {
+pub(crate) fn explained(told: &Value, nodes: &[Value]) -> String {
     let mut out = String::new();
     for version in told["versions"].as_array().into_iter().flatten() {
         let applying = rows(nodes)
--- a/crates/aspendrum-consensus/src/lib.rs
+++ b/crates/aspendrum-consensus/src/lib.rs
@@ -3,6 +3,9 @@
 //! written by majorities, and ballots decide what needs agreement (the text under a version number, the voters of the
 //! next epoch). Without I/O and clock: the shell passes each event with its time and carries out the effects in order.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs)]
+
 pub mod ballot;
 pub mod campaign;
 pub mod holdings;
--- a/crates/aspendrum-consensus/tests/common/mod.rs
+++ b/crates/aspendrum-consensus/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const SEEDS: [Place; 3] = [1, 2, 3];
+pub(crate) const SEEDS: [Place; 3] = [1, 2, 3];
 /// Milliseconds that pass with each step of a schedule.
 const STEP_MS: f64 = 7.0;
 /// An order has ended after so many beats.
@@ -24,7 +24,7 @@
 };
 
 #[derive(Clone, Debug)]
-pub enum Step {
+pub(crate) enum Step {
     Order(u8),
     /// Two texts under one number, at two machines or one.
     Race(u8, u8),
@@ -75,7 +75,7 @@
 
 /// With all mechanisms, or without one: the schedules must tell these apart.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Variant {
+pub(crate) enum Variant {
     Sound,
     /// What is kept reaches the disk only with the next beat: a machine speaks before it has synced.
     LateSync,
@@ -89,7 +89,7 @@
     SameAfterWipe,
 }
 
-pub fn config(version: u32, digest: u64) -> Order {
+pub(crate) fn config(version: u32, digest: u64) -> Order {
     Order::Config {
         version,
         text: digest.to_le_bytes().to_vec(),
@@ -97,7 +97,7 @@
     }
 }
 
-pub struct World {
+pub(crate) struct World {
     pub variant: Variant,
     pub now: f64,
     pub up: BTreeMap<Place, Replica>,
@@ -126,7 +126,7 @@
 
 impl World {
     /// Three seeds and one machine more, all started for the first time; the first voters are settled.
-    pub fn new(variant: Variant) -> World {
+    pub(crate) fn new(variant: Variant) -> World {
         let mut world = World {
             variant,
             now: 0.0,
@@ -159,7 +159,7 @@
         world
     }
 
-    pub fn places(&self) -> Vec<Place> {
+    pub(crate) fn places(&self) -> Vec<Place> {
         self.disks.keys().copied().collect()
     }
 
@@ -169,13 +169,13 @@
     }
 
     /// The newest epoch that any machine knows of.
-    pub fn epoch(&self) -> Epoch {
+    pub(crate) fn epoch(&self) -> Epoch {
         let on_disks = self.disks.values().flatten().map(|s| &s.epoch);
         let all = self.up.values().map(Replica::epoch).chain(on_disks);
         all.max_by_key(|e| e.number).cloned().unwrap_or_default()
     }
 
-    pub fn start(&mut self, me: Place) {
+    pub(crate) fn start(&mut self, me: Place) {
         if self.up.contains_key(&me) || !self.disks.contains_key(&me) {
             return;
         }
@@ -195,7 +195,7 @@
         self.act(me, effects);
     }
 
-    pub fn act(&mut self, me: Place, effects: Vec<Effect>) {
+    pub(crate) fn act(&mut self, me: Place, effects: Vec<Effect>) {
         for effect in effects {
             if let Some(left) = self.crash_behind.get_mut(&me) {
                 if *left == 0 {
@@ -266,7 +266,7 @@
 
     /// All voters of the newest epoch are there with their disks and hold what was acknowledged, and no other voters
     /// are being decided on: one machine may be lost. By the terms so much is done within `sync-s`.
-    pub fn healed(&self) -> bool {
+    pub(crate) fn healed(&self) -> bool {
         let accepted = |s: &State| s.epoch == self.epoch() && s.successor.accepted.is_some();
         let under_way = |m: &Message| {
             matches!(
@@ -292,7 +292,7 @@
         places.into_iter().all(sound)
     }
 
-    pub fn step(&mut self, step: &Step) {
+    pub(crate) fn step(&mut self, step: &Step) {
         self.now += STEP_MS;
         match step {
             Step::Order(n) => {
@@ -366,7 +366,7 @@
         })
     }
 
-    pub fn order(&mut self, me: Place, order: Order) {
+    pub(crate) fn order(&mut self, me: Place, order: Order) {
         let ticket = self.asked.len() as u64;
         self.asked.insert(ticket, order.clone());
         if let Some(replica) = self.up.get_mut(&me) {
@@ -375,7 +375,7 @@
         }
     }
 
-    pub fn deliver(&mut self, from: Place, to: Place, message: Message) {
+    pub(crate) fn deliver(&mut self, from: Place, to: Place, message: Message) {
         let broken = match (&message, self.variant) {
             (Message::Request { epoch, request }, Variant::NoSeal) => {
                 self.answer_after_closing(from, to, *epoch, request.clone())
@@ -448,7 +448,7 @@
         }
     }
 
-    pub fn beat(&mut self, me: Place) {
+    pub(crate) fn beat(&mut self, me: Place) {
         if let Some(state) = self.unsynced.remove(&me) {
             if self.disks.contains_key(&me) {
                 self.disks.insert(me, Some(state));
@@ -468,7 +468,7 @@
     }
 
     /// What every machine knows of the others: who is up, with which disk.
-    pub fn present(&self) -> BTreeMap<Place, Presence> {
+    pub(crate) fn present(&self) -> BTreeMap<Place, Presence> {
         let mut all = BTreeMap::new();
         for place in self.epoch().voters.places().chain(self.places()) {
             let replica = self.up.get(&place);
@@ -493,7 +493,7 @@
     }
 
     /// Delivers messages, the oldest first, until none is left that the filter lets through.
-    pub fn deliver_where(&mut self, passes: impl Fn(Place, Place, &Message) -> bool) {
+    pub(crate) fn deliver_where(&mut self, passes: impl Fn(Place, Place, &Message) -> bool) {
         while let Some(n) = self.messages.iter().position(|m| passes(m.0, m.1, &m.2)) {
             let (from, to, message) = self.messages.remove(n);
             self.deliver(from, to, message);
@@ -501,7 +501,7 @@
     }
 
     /// So many beats of these machines, which alone hear each other.
-    pub fn pass_among(&mut self, among: &[Place], beats: usize) {
+    pub(crate) fn pass_among(&mut self, among: &[Place], beats: usize) {
         for _ in 0..beats {
             self.now += 160.0;
             among.iter().for_each(|p| self.beat(*p));
@@ -510,12 +510,12 @@
     }
 
     /// That machine was told to end: others take its place.
-    pub fn leave(&mut self, me: Place) {
+    pub(crate) fn leave(&mut self, me: Place) {
         self.leaving.insert(me);
     }
 
     /// The process ends; its disk stays as it is.
-    pub fn down(&mut self, me: Place) {
+    pub(crate) fn down(&mut self, me: Place) {
         if self.up.remove(&me).is_some() {
             self.down_since.insert(me, self.now);
         }
@@ -523,13 +523,13 @@
     }
 
     /// What was not synced is lost.
-    pub fn power(&mut self, me: Place) {
+    pub(crate) fn power(&mut self, me: Place) {
         self.unsynced.remove(&me);
         self.down(me);
     }
 
     /// The machine goes for good, and an empty one comes at another address.
-    pub fn replace(&mut self, me: Place) -> Place {
+    pub(crate) fn replace(&mut self, me: Place) -> Place {
         self.power(me);
         self.disks.remove(&me);
         let new = self.next_place;
@@ -551,7 +551,7 @@
     }
 
     /// Everybody is up and heard, for long enough that voters which are gone are replaced.
-    pub fn calm(&mut self) {
+    pub(crate) fn calm(&mut self) {
         self.crash_behind.clear();
         self.leaving.clear();
         self.places().iter().for_each(|p| self.start(*p));
@@ -559,7 +559,7 @@
     }
 
     /// So many beats of all, and every message arrives.
-    pub fn pass(&mut self, beats: usize) {
+    pub(crate) fn pass(&mut self, beats: usize) {
         for _ in 0..beats {
             self.now += 160.0;
             // Signs of life tell the epoch.
@@ -586,7 +586,7 @@
     }
 
     /// All power is lost and everything comes back; then each machine reads. None: it could not.
-    pub fn read_back(&mut self) -> Vec<Option<u32>> {
+    pub(crate) fn read_back(&mut self) -> Vec<Option<u32>> {
         let all = self.places();
         all.iter().for_each(|p| self.power(*p));
         self.calm();
@@ -609,7 +609,7 @@
     }
 
     /// Sends every configuration that was ever sent again, each to some machine.
-    pub fn send_all_again(&mut self) {
+    pub(crate) fn send_all_again(&mut self) {
         let config = |o: &&Order| matches!(o, Order::Config { .. });
         let orders: Vec<Order> = self.asked.values().filter(config).cloned().collect();
         for (n, order) in orders.into_iter().enumerate() {
@@ -620,7 +620,7 @@
     }
 
     /// One number, one text; what was acknowledged is never refused, and what was refused is never in force.
-    pub fn one_text_under_each(&self) -> bool {
+    pub(crate) fn one_text_under_each(&self) -> bool {
         let acked = self
             .acked
             .iter()
@@ -638,7 +638,7 @@
 }
 
 /// Plays a schedule; in the end what was acknowledged must be there, whoever is asked.
-pub fn play(variant: Variant, steps: &[Step]) -> bool {
+pub(crate) fn play(variant: Variant, steps: &[Step]) -> bool {
     let mut world = World::new(variant);
     steps.iter().for_each(|s| world.step(s));
     let acknowledged = world.config;
@@ -651,7 +651,7 @@
 }
 
 /// Drawn from one seed: the same schedules at every run. SCHEDULES_SEED and QUICKCHECK_TESTS ask for others and more.
-pub fn drawn(size: usize) -> Gen {
+pub(crate) fn drawn(size: usize) -> Gen {
     let seed = std::env::var("SCHEDULES_SEED")
         .ok()
         .and_then(|s| s.parse().ok());
--- a/crates/aspendrum-consensus/tests/pinned/mod.rs
+++ b/crates/aspendrum-consensus/tests/pinned/mod.rs
@@ -3,7 +3,7 @@
 use std::fmt::{Debug, Write};
 
 /// The named byte strings of one fixture file.
-pub struct Pinned {
+pub(crate) struct Pinned {
     file: &'static str,
     expected: Vec<(String, Vec<u8>)>,
     next: usize,
@@ -11,7 +11,7 @@
 
 impl Pinned {
     /// `file` names the fixture in failures; `content` is what it holds.
-    pub fn new(file: &'static str, content: &str) -> Pinned {
+    pub(crate) fn new(file: &'static str, content: &str) -> Pinned {
         let line = |line: &str| {
             let (name, hex) = line.split_once(' ').expect("each line is `name hex`");
             (name.to_string(), bytes(hex))
@@ -24,7 +24,7 @@
     }
 
     /// The next line of the fixture has that name and those bytes.
-    pub fn same_bytes(&mut self, name: &str, encoded: &[u8]) {
+    pub(crate) fn same_bytes(&mut self, name: &str, encoded: &[u8]) {
         let (expected_name, expected) = self
             .expected
             .get(self.next)
@@ -40,7 +40,7 @@
     }
 
     /// The next line of the fixture is what this value is encoded as, and is decoded as this value.
-    pub fn same<T>(&mut self, name: &str, value: &T)
+    pub(crate) fn same<T>(&mut self, name: &str, value: &T)
     where
         T: serde::Serialize + serde::de::DeserializeOwned + Debug,
     {
@@ -56,7 +56,7 @@
     }
 
     /// Every line of the fixture was compared.
-    pub fn complete(self) {
+    pub(crate) fn complete(self) {
         assert_eq!(
             self.next,
             self.expected.len(),
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -1,6 +1,9 @@
 //! Control of the system, one process on each core machine: takes orders and keeps them, knows servers and proxies, feeds
 //! agents, answers look-ups.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs)]
+
 pub mod agents;
 pub mod api;
 pub mod directory;
--- a/crates/aspendrum-control/src/store.rs
+++ b/crates/aspendrum-control/src/store.rs
@@ -7,7 +7,7 @@
 
 /// The file's name is that of the first versions, whose disks are read.
 const FILE: &str = "vault.redb";
-const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
+const TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("kept");
 const KEY: &str = "state-4";
 /// What is held is read once and written seldom.
 const CACHE: usize = 1 << 20;
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -215,7 +215,7 @@
     assert_eq!(store.read().unwrap(), Some(state()));
 }
 
-const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
+const TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("kept");
 
 /// What is on the disk under each key.
 fn keys(folder: &Folder) -> Vec<(String, Vec<u8>)> {
--- a/crates/aspendrum-core/src/control.rs
+++ b/crates/aspendrum-core/src/control.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    pub fn handle(&mut self, now: Ms, event: &Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Ms, event: &Event<'_>, out: &mut Vec<Action>) {
         self.now = now;
         std::mem::swap(&mut self.acts, out);
         match *event {
--- a/crates/aspendrum-core/src/lib.rs
+++ b/crates/aspendrum-core/src/lib.rs
@@ -1,5 +1,8 @@
 //! The decisions of the aspendrum quota gateway: `api` is the interface, `control` decides.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs, clippy::wildcard_imports)]
+
 pub mod api;
 pub mod control;
 pub mod settings;
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -63,7 +63,7 @@
     }
 }
 
-fn group(p: &Pairs, at: &str) -> Result<Group, String> {
+fn group(p: &Pairs<'_>, at: &str) -> Result<Group, String> {
     let semantics = [
         ("retryable", Semantics::Repeatable),
         ("dedup", Semantics::Keyed),
@@ -96,7 +96,7 @@
     })
 }
 
-fn plan(p: &Pairs, at: &str) -> Result<Plan, String> {
+fn plan(p: &Pairs<'_>, at: &str) -> Result<Plan, String> {
     Ok(Plan {
         windowed: false,
         rate: p.number(&format!("{at}.PerSecond"))?,
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -6,26 +6,26 @@
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-pub enum Breaker {
+pub(crate) enum Breaker {
     #[default]
     Closed,
     Open,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Signal {
+pub(crate) enum Signal {
     Failures,
     ProbeAnswered,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Effect {
+pub(crate) enum Effect {
     ProbeSoon,
     Replay,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-pub enum Standing {
+pub(crate) enum Standing {
     #[default]
     Ready,
     Aside,
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Mark {
+pub(crate) enum Mark {
     Good,
     Bad,
     Probes,
@@ -41,28 +41,28 @@
 
 /// What is known of a query's earlier forwards.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Known {
+pub(crate) enum Known {
     NeverRan,
     MayHaveRun,
     StillOut,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Resend {
+pub(crate) enum Resend {
     Anywhere,
     InGroup,
     No,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum May {
+pub(crate) enum May {
     Shed,
     ShedIfAll,
     Drop,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-pub enum Stage {
+pub(crate) enum Stage {
     #[default]
     Counting,
     Waiting,
@@ -71,7 +71,7 @@
 }
 
 #[derive(Default)]
-pub struct Server {
+pub(crate) struct Server {
     pub id: ServerId,
     pub pool: u16,
     pub health: Health,
@@ -99,12 +99,12 @@
 }
 
 impl Server {
-    pub fn serving(&self) -> bool {
+    pub(crate) fn serving(&self) -> bool {
         self.health == Health::Ready && self.standing != Standing::Aside
     }
 
     /// How long it has held something without any answer.
-    pub fn silent(&self, now: Ms) -> Ms {
+    pub(crate) fn silent(&self, now: Ms) -> Ms {
         if self.out > 0 {
             now - self.answered_at.max(self.sent_at)
         } else {
@@ -115,13 +115,13 @@
 
 /// Who waits for a counter call's answer.
 #[derive(Clone, Copy)]
-pub enum Asker {
+pub(crate) enum Asker {
     Query(usize),
     Settle,
     Probe,
 }
 
-pub struct Call {
+pub(crate) struct Call {
     pub asker: Asker,
     pub add: f64,
     pub name: u64,
@@ -129,13 +129,13 @@
 
 /// What is left of a part of a ceiling, and when.
 #[derive(Clone, Copy, Default)]
-pub struct Part {
+pub(crate) struct Part {
     pub left: f64,
     pub at: Ms,
 }
 
 #[derive(Default)]
-pub struct Acct {
+pub(crate) struct Acct {
     pub id: AcctId,
     pub plan: usize,
     pub spread: f64,
@@ -176,16 +176,16 @@
 }
 
 #[derive(Clone, Copy, Default)]
-pub struct Try {
+pub(crate) struct Try {
     pub server: usize,
     pub sent: Ms,
     pub end: Option<Outcome>,
 }
 
-pub const MOST_FORWARDS: usize = 8;
+pub(crate) const MOST_FORWARDS: usize = 8;
 
 #[derive(Default)]
-pub struct Query {
+pub(crate) struct Query {
     pub id: QueryId,
     pub group: usize,
     /// Whose servers may run it, in which zones, and how many of them may be tried.
@@ -221,7 +221,7 @@
 
 /// Another limiter, as a keeper of customers.
 #[derive(Clone, Copy, Default)]
-pub struct Peer {
+pub(crate) struct Peer {
     pub missed: u32,
     pub silent_until: Ms,
     /// It has answered the last question that is over.
@@ -230,7 +230,7 @@
     pub alone: bool,
 }
 
-pub struct Said {
+pub(crate) struct Said {
     pub id: QueryId,
     pub word: Word,
     pub acct: AcctId,
@@ -240,7 +240,7 @@
 
 impl Try {
     /// It has not ended, or not in a way that proves it never ran.
-    pub fn may_have_run(&self) -> bool {
+    pub(crate) fn may_have_run(&self) -> bool {
         !matches!(
             self.end,
             Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
@@ -249,7 +249,7 @@
 }
 
 impl Query {
-    pub fn new(new: &NewQuery, acct: usize, now: Ms) -> Self {
+    pub(crate) fn new(new: &NewQuery, acct: usize, now: Ms) -> Self {
         let (group, units) = (usize::from(new.group), f64::from(new.units).max(0.0));
         let (id, until, since, inside) = (new.id, new.until, now, true);
         let (pool, zones, most) = (new.pool, new.zones, usize::from(new.most));
@@ -268,7 +268,7 @@
         }
     }
 
-    pub fn known(&self) -> Known {
+    pub(crate) fn known(&self) -> Known {
         match (
             self.tries().iter().any(|t| t.end.is_none()),
             self.tries().iter().any(Try::may_have_run),
@@ -279,21 +279,21 @@
         }
     }
 
-    pub fn tries(&self) -> &[Try] {
+    pub(crate) fn tries(&self) -> &[Try] {
         &self.tries[..self.sent]
     }
 }
 
 /// Answer times of one endpoint group: a block in the making and the least block mean.
 #[derive(Default)]
-pub struct Pace {
+pub(crate) struct Pace {
     pub sum: Ms,
     pub n: f64,
     pub base: Ms,
     pub at: Ms,
 }
 
-pub struct GroupFig {
+pub(crate) struct GroupFig {
     pub slo: Ms,
     pub semantics: Semantics,
     pub repeat_group: RepeatGroup,
@@ -301,7 +301,7 @@
     pub importance: f64,
 }
 
-pub struct PlanFig {
+pub(crate) struct PlanFig {
     pub windowed: bool,
     pub rate: f64,
     pub burst: f64,
@@ -349,7 +349,7 @@
 
 /// The figures that decisions use, worked out of the settings at start.
 #[derive(Default)]
-pub struct Figures {
+pub(crate) struct Figures {
     pub groups: Vec<GroupFig>,
     pub plans: Vec<PlanFig>,
     pub report_busy: Option<usize>,
@@ -380,7 +380,7 @@
 }
 
 impl Figures {
-    pub fn new(s: &Settings) -> Self {
+    pub(crate) fn new(s: &Settings) -> Self {
         Figures {
             groups: s.groups.iter().map(GroupFig::of).collect(),
             plans: s.plans.iter().map(PlanFig::of).collect(),
@@ -539,7 +539,7 @@
 }
 
 impl Acct {
-    pub fn log_grant(&mut self, now: Ms, units: f64, window: Ms) {
+    pub(crate) fn log_grant(&mut self, now: Ms, units: f64, window: Ms) {
         self.log.push_back((now, units));
         while self.log.front().is_some_and(|g| g.0 < now - window) {
             self.log.pop_front();
@@ -548,7 +548,7 @@
 }
 
 /// Places found by id and used again once freed.
-pub struct Slab<T> {
+pub(crate) struct Slab<T> {
     pub items: Vec<T>,
     by_id: HashMap<u64, usize>,
     free: Vec<usize>,
@@ -565,11 +565,11 @@
 }
 
 impl<T> Slab<T> {
-    pub fn find(&self, id: u64) -> Option<usize> {
+    pub(crate) fn find(&self, id: u64) -> Option<usize> {
         self.by_id.get(&id).copied()
     }
 
-    pub fn add(&mut self, id: u64, item: T) -> usize {
+    pub(crate) fn add(&mut self, id: u64, item: T) -> usize {
         let at = self.free.pop().unwrap_or(self.items.len());
         if at < self.items.len() {
             self.items[at] = item;
@@ -581,7 +581,7 @@
     }
 
     /// False if the id holds no place.
-    pub fn remove(&mut self, id: u64) -> bool {
+    pub(crate) fn remove(&mut self, id: u64) -> bool {
         let at = self.by_id.remove(&id);
         self.free.extend(at);
         at.is_some()
@@ -603,14 +603,14 @@
 
 /// Multiply with carry.
 #[derive(Default)]
-pub struct Chance(u64);
+pub(crate) struct Chance(u64);
 
 impl Chance {
-    pub fn new(seed: u64) -> Self {
+    pub(crate) fn new(seed: u64) -> Self {
         Chance((seed | 1) & 0x7fff_ffff_ffff_ffff)
     }
 
-    pub fn roll(&mut self) -> f64 {
+    pub(crate) fn roll(&mut self) -> f64 {
         self.0 = 4_294_957_665 * (self.0 & 0xffff_ffff) + (self.0 >> 32);
         (self.0 & 0xffff_ffff) as f64 / 4_294_967_296.0
     }
--- a/crates/aspendrum-core/tests/common/mod.rs
+++ b/crates/aspendrum-core/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use aspendrum_core::api::*;
 
-pub fn settings(semantics: Semantics, repeat_group: RepeatGroup) -> Settings {
+pub(crate) fn settings(semantics: Semantics, repeat_group: RepeatGroup) -> Settings {
     Settings {
         me: 0,
         instances: 2,
--- a/crates/aspendrum-core/tests/decisions.rs
+++ b/crates/aspendrum-core/tests/decisions.rs
@@ -66,7 +66,7 @@
         Rig::new(Semantics::Repeatable, RepeatGroup::All)
     }
 
-    fn tell(&mut self, event: &Event) {
+    fn tell(&mut self, event: &Event<'_>) {
         let mut out = Vec::new();
         self.c.handle(self.now, event, &mut out);
         for action in &out {
--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/keepers.rs
@@ -108,7 +108,7 @@
         );
     }
 
-    fn tell(&mut self, me: usize, event: &Event) {
+    fn tell(&mut self, me: usize, event: &Event<'_>) {
         let mut out = Vec::new();
         let Some(control) = &mut self.limiters[me] else {
             return;
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    fn tell(&mut self, event: &Event) -> Vec<Action> {
+    fn tell(&mut self, event: &Event<'_>) -> Vec<Action> {
         self.out.clear();
         self.c.handle(self.now, event, &mut self.out);
         self.out.clone()
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -256,7 +256,7 @@
         limiter
     }
 
-    fn tell(&mut self, me: usize, event: &Event) {
+    fn tell(&mut self, me: usize, event: &Event<'_>) {
         let mut out = Vec::new();
         let now = self.now();
         self.limiters[me].handle(now, event, &mut out);
--- a/crates/aspendrum-fake-services/src/lib.rs
+++ b/crates/aspendrum-fake-services/src/lib.rs
@@ -1,6 +1,9 @@
 //! Stand-ins for what limiters and the system talk to, written from the protocols: servers, the shared counter,
 //! discovery, the platform. Each can fail in its own ways and records what reached it; none knows of limiters' insides.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs)]
+
 pub mod cloud;
 pub mod counter;
 pub mod discovery;
--- a/crates/aspendrum-fault-proxy/src/lib.rs
+++ b/crates/aspendrum-fault-proxy/src/lib.rs
@@ -2,6 +2,9 @@
 //! link can lose, delay, reorder, repeat, cut and heal what it carries. Which faults stand on a link at a
 //! moment is told by whoever holds the timeline; nothing here knows of time but the delays.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs)]
+
 mod mesh;
 mod relay;
 
--- a/crates/aspendrum-known-failures/src/lib.rs
+++ b/crates/aspendrum-known-failures/src/lib.rs
@@ -2,6 +2,9 @@
 //! one line each. The lines are read and held against what the workspace's test programs hold; nothing here runs
 //! anything.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs)]
+
 use serde_json::Value;
 use std::fmt;
 use std::path::PathBuf;
@@ -23,7 +26,7 @@
 }
 
 impl fmt::Display for Listed {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Listed {
             package,
             program,
--- a/crates/aspendrum-net/src/disconnects.rs
+++ b/crates/aspendrum-net/src/disconnects.rs
@@ -217,7 +217,7 @@
     if streams.is_empty() {
         return Vec::new();
     }
-    let mut asked: Vec<PollFd> = streams
+    let mut asked: Vec<PollFd<'_>> = streams
         .iter()
         .map(|s| PollFd::new(s, PollFlags::RDHUP))
         .collect();
--- a/crates/aspendrum-net/src/http1.rs
+++ b/crates/aspendrum-net/src/http1.rs
@@ -21,7 +21,7 @@
 pub struct FramingError;
 
 /// Two lengths, or a length beside chunks, are the door to smuggled queries.
-pub fn body_length(headers: &[httparse::Header]) -> Result<BodyLength, FramingError> {
+pub fn body_length(headers: &[httparse::Header<'_>]) -> Result<BodyLength, FramingError> {
     let mut found = BodyLength::Unknown;
     for h in headers {
         // Of the others none matters here: a good answer may bring a report that cannot be read.
@@ -104,7 +104,7 @@
         .map(str::trim)
 }
 
-pub fn wants_close(headers: &[httparse::Header], version: Option<u8>) -> bool {
+pub fn wants_close(headers: &[httparse::Header<'_>], version: Option<u8>) -> bool {
     let told = header(headers, "Connection").unwrap_or("");
     let says = |word: &str| told.split(',').any(|t| t.trim().eq_ignore_ascii_case(word));
     says("close") || version == Some(0) && !says("keep-alive")
@@ -177,7 +177,7 @@
     ALWAYS.iter().any(|a| a.eq_ignore_ascii_case(name)) || headers.iter().any(named)
 }
 
-fn owned(headers: &[httparse::Header]) -> Headers {
+fn owned(headers: &[httparse::Header<'_>]) -> Headers {
     headers
         .iter()
         .map(|h| (h.name.to_string(), h.value.to_vec()))
--- a/crates/aspendrum-net/src/lib.rs
+++ b/crates/aspendrum-net/src/lib.rs
@@ -1,6 +1,9 @@
 //! The plumbing that old and new programs share: rings, threads, letter boxes, connections to servers, HTTP
 //! framing, frames between own processes. Nothing here decides.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs)]
+
 pub mod daemon;
 pub mod disconnect_metrics;
 pub mod disconnects;
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -404,14 +404,14 @@
     }
 
     /// Tells the module, and carries out what it says.
-    fn handle(&self, inner: &mut Inner, now: Ms, event: &Event) {
+    fn handle(&self, inner: &mut Inner, now: Ms, event: &Event<'_>) {
         let mut acts = std::mem::take(&mut inner.acts);
         inner.control.handle(now, event, &mut acts);
         self.act(inner, now, &mut acts);
         inner.acts = acts;
     }
 
-    fn turn(&self, inner: &mut Inner, now: Ms, event: &Event) {
+    fn turn(&self, inner: &mut Inner, now: Ms, event: &Event<'_>) {
         self.handle(inner, now, event);
         // What an act led to comes once its event is through.
         while let Some(event) = inner.later.pop() {
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -1,6 +1,9 @@
 //! The proxy of the system: carries clients' queries to servers. What it needs to know its agent tells it ahead
 //! of time; what a query asks of others is its tenant's count.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs, clippy::wildcard_imports)]
+
 pub mod agent;
 pub mod answer;
 pub mod counts;
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -18,11 +18,11 @@
 use std::thread;
 use std::time::Instant;
 
-pub const BOUNDS: MessageLimits = MessageLimits {
+pub(crate) const BOUNDS: MessageLimits = MessageLimits {
     head: 16 << 10,
     body: 1 << 20,
 };
-pub const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":65536,"hdr-ms":3000,"idle-ms":15000},
+pub(crate) const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":65536,"hdr-ms":3000,"idle-ms":15000},
 "tenants":[{"name":"ann","keys":["k1"],"prio":0,"rate-s":0}],
 "ports":[{"vhost":"a.example","rules":[
 {"name":"read","type":"idem","goal-ms":800,"match":{"pfx":"/read/"},"action":{"svc":"s1","limit-ms":2000,"tries":3}},
@@ -31,10 +31,10 @@
 "pools":[{"name":"s1","check":"/healthz","warmup-s":3.0,"warm-rate-s":10.0}]}"#;
 
 /// Says what a server sends for a request, by its number: text, where {id} is the request's. `None`: it closes.
-pub type Says = fn(usize) -> Option<&'static str>;
+pub(crate) type Says = fn(usize) -> Option<&'static str>;
 
 /// Servers that answer in turn, and a proxy that knows them.
-pub struct Stage {
+pub(crate) struct Stage {
     pub shop: Arc<Shop>,
     pub seen: Arc<Mutex<Vec<String>>>,
     /// How often each try ran.
@@ -44,11 +44,11 @@
     _other_end: TcpListener,
 }
 
-pub fn stage(servers: usize, says: Says) -> Stage {
+pub(crate) fn stage(servers: usize, says: Says) -> Stage {
     stage_of("\"retry-slack\":100", servers, says)
 }
 
-pub fn stage_of(bounds: &str, servers: usize, says: Says) -> Stage {
+pub(crate) fn stage_of(bounds: &str, servers: usize, says: Says) -> Stage {
     let seen = Arc::new(Mutex::new(Vec::new()));
     let (ran, count) = (
         Arc::new(Mutex::new(HashMap::new())),
@@ -80,7 +80,7 @@
 
 /// A proxy with that configuration which knows servers at these addresses, `i-0` and so on, and has the word of
 /// control that all of it is in force.
-pub fn proxy(bounds: &str, config: &str, servers: &[SocketAddr]) -> Arc<Shop> {
+pub(crate) fn proxy(bounds: &str, config: &str, servers: &[SocketAddr]) -> Arc<Shop> {
     let settings = r#"{"self":{"host-name":"e1","ip":"127.0.0.1","az":"poa-a","geo":"poa"},"net":{"binds":{"front":"127.0.0.1:1"},
         "port-range":[7600,7615],"zones":{"poa-a":"poa"}},"terms":{"bounds":{"apply-ms":600000,BOUNDS}}}"#;
     let settings = Settings::read(settings.replace("BOUNDS", bounds).as_bytes());
@@ -126,7 +126,7 @@
     shop
 }
 
-pub fn play(
+pub(crate) fn play(
     server: usize,
     stream: &TcpStream,
     says: Says,
@@ -175,7 +175,7 @@
 }
 
 /// A request as a transcript has it; what differs from run to run is left out.
-pub fn shown(r: &Request) -> String {
+pub(crate) fn shown(r: &Request) -> String {
     let headers = r.headers.iter().map(|(name, value)| {
         let value = String::from_utf8_lossy(value);
         match name.as_str() {
@@ -195,7 +195,7 @@
 }
 
 impl Stage {
-    pub fn ask(&self, text: &str) -> String {
+    pub(crate) fn ask(&self, text: &str) -> String {
         let mut ring = RingBuffer::new(1024, 1 << 20);
         ring.write_all(text.replace('\n', "\r\n").as_bytes())
             .unwrap();
@@ -209,20 +209,20 @@
             .replace("\r\n", "\n")
     }
 
-    pub fn seen(&self) -> Vec<String> {
+    pub(crate) fn seen(&self) -> Vec<String> {
         self.seen.lock().unwrap().clone()
     }
 }
 
-pub const READ: &str =
+pub(crate) const READ: &str =
     "GET /read/1?x=2 HTTP/1.1\nHost: a.example\nTry-Id: t1\nBudget-Ms: 2000\nCredential: k1\n\
     Tenant: bob\nWant-Server: mine\nX-More: yes\nConnection: x-hop\nX-Hop: 1\n\n";
-pub const SEND: &str =
+pub(crate) const SEND: &str =
     "POST /send/1 HTTP/1.1\nHost: a.example\nTry-Id: t2\nBudget-Ms: 2000\nCredential: k1\n\
     Transfer-Encoding: chunked\n\n3\nabc\n0\n\n";
-pub const GOOD: &str =
+pub(crate) const GOOD: &str =
     "HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 3e1b.07\nServer-Load: 1,0,2\nContent-Length: 4\n\nbody";
-pub const GOOD_TO_T1: &str =
+pub(crate) const GOOD_TO_T1: &str =
     "HTTP/1.1 200 OK\nTry-Id: t1\nSeal: 3e1b.07\nContent-Length: 4\n\nbody";
-pub const GOOD_TO_T2: &str =
+pub(crate) const GOOD_TO_T2: &str =
     "HTTP/1.1 200 OK\nTry-Id: t2\nSeal: 3e1b.07\nContent-Length: 4\n\nbody";
--- a/crates/aspendrum-reconcile/examples/nights/mod.rs
+++ b/crates/aspendrum-reconcile/examples/nights/mod.rs
@@ -8,8 +8,8 @@
 use fastrand::Rng;
 use std::net::Ipv4Addr;
 
-pub const APPLY: Ms = 3000.0;
-pub const STRETCH: Ms = 8000.0;
+pub(crate) const APPLY: Ms = 3000.0;
+pub(crate) const STRETCH: Ms = 8000.0;
 /// Nodes take their beats so often; all that passes between two processes takes a step.
 const BEAT: Ms = 300.0;
 /// A majority's word is so old at the most when an agent hears it.
@@ -18,10 +18,10 @@
 /// Tables are collated again so often.
 const COLLATED: Ms = 2000.0;
 /// All nodes agree so long after the last fault.
-pub const AGREED: Ms = 20_000.0;
+pub(crate) const AGREED: Ms = 20_000.0;
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Kind {
+pub(crate) enum Kind {
     /// As it is built.
     Built,
     /// The broken variant: what was pushed last is taken for what was decided, as long as nobody says otherwise.
@@ -56,7 +56,7 @@
     faults: Faults,
 }
 
-pub struct Night {
+pub(crate) struct Night {
     rng: Rng,
     kind: Kind,
     now: Ms,
@@ -92,7 +92,7 @@
 }
 
 impl Night {
-    pub fn new(nodes: usize, seed: u64, kind: Kind) -> Night {
+    pub(crate) fn new(nodes: usize, seed: u64, kind: Kind) -> Night {
         let mut rng = Rng::with_seed(seed);
         let list: Vec<Ipv4Addr> = (0..nodes).map(ip).collect();
         let node = |n: usize, seed: u64| {
@@ -134,7 +134,7 @@
     }
 
     /// `hours` with `changes` changes and a fault a minute, then calm until all agree. Milliseconds that this took.
-    pub fn pass(&mut self, hours: f64, changes: u32) -> Option<Ms> {
+    pub(crate) fn pass(&mut self, hours: f64, changes: u32) -> Option<Ms> {
         let (end, mut change, mut fault) = (hours * 3_600_000.0, 0.0, 0.0);
         let gap = end / f64::from(changes);
         while self.now < end {
--- a/crates/aspendrum-simulator-adapter/src/frame.rs
+++ b/crates/aspendrum-simulator-adapter/src/frame.rs
@@ -123,7 +123,7 @@
         self.records.len() / EVENT
     }
 
-    fn tail(&self, record: Fields, at: usize, width: usize) -> Result<&'a [u8], String> {
+    fn tail(&self, record: Fields<'_>, at: usize, width: usize) -> Result<&'a [u8], String> {
         let (offset, length) = (record.u32(at) as usize, record.u32(at + 4) as usize);
         let end = length
             .checked_mul(width)
@@ -221,7 +221,7 @@
     }
 }
 
-fn member(f: Fields) -> Result<Member, String> {
+fn member(f: Fields<'_>) -> Result<Member, String> {
     let health = match f.u8(4) {
         0 => Health::Gone,
         1 => Health::Ready,
--- a/crates/aspendrum-testbed/src/lib.rs
+++ b/crates/aspendrum-testbed/src/lib.rs
@@ -1,6 +1,9 @@
 //! The rig: a fleet of limiters as processes, stand-ins around them, links between all, open-loop traffic and
 //! a timeline of faults; the record of it all and its judge's verdict.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs)]
+
 pub mod bench;
 pub mod clients;
 pub mod config;
--- a/crates/aspendrum-testbed/src/scenario.rs
+++ b/crates/aspendrum-testbed/src/scenario.rs
@@ -412,7 +412,7 @@
 }
 
 impl fmt::Display for Which {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, piece) in self.0.iter().enumerate() {
             f.write_str(if n > 0 { "," } else { "" })?;
             match piece {
--- a/crates/aspendrum-token-bucket/src/lib.rs
+++ b/crates/aspendrum-token-bucket/src/lib.rs
@@ -2,6 +2,9 @@
 //! whatever is lost, late, doubled or reordered between them and whoever stalls, dies or starts again. Free of I/O and
 //! clocks. docs/shared-state.md has the bound; docs/design-shared-counts.md the options weighed.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs)]
+
 pub mod purse;
 
 pub use purse::{Gift, Purse, Terms};
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    fn tell(&mut self, event: &Event) {
+    fn tell(&mut self, event: &Event<'_>) {
         self.control
             .handle(self.shop.door.clock.now(), event, &mut self.actions);
         self.act();
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -131,7 +131,7 @@
 
 /// Whatever is out of order is refused here, before the module hears of it: it may come in the name of a
 /// customer who has nothing to do with it, and must move none of what is known of that one.
-fn asked(head: &httparse::Request, body: &[u8], lanes: &Lanes) -> Option<Asked> {
+fn asked(head: &httparse::Request<'_, '_>, body: &[u8], lanes: &Lanes) -> Option<Asked> {
     let (method, path, headers) = (head.method?, head.path?, &*head.headers);
     let twice = |name: &&str| {
         headers
@@ -379,7 +379,7 @@
     write!(out, "GET {path} HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n").is_ok()
 }
 
-fn customer(headers: &[httparse::Header]) -> Option<u64> {
+fn customer(headers: &[httparse::Header<'_>]) -> Option<u64> {
     let cookies = headers
         .iter()
         .filter(|h| h.name.eq_ignore_ascii_case("cookie"));
--- a/crates/aspendrum/src/lib.rs
+++ b/crates/aspendrum/src/lib.rs
@@ -1,6 +1,9 @@
 //! The limiter on sockets, as a library: read a [`config::Config`], start a [`Limiter`], drain it in the end.
 //! Every decision is the module's (`aspendrum_core`); docs/architecture.md tells who owns what.
 
+// Not yet finished for readers: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs, clippy::wildcard_imports)]
+
 pub mod backoff;
 pub mod client;
 pub mod clients;
--- a/crates/aspendrum/src/logs.rs
+++ b/crates/aspendrum/src/logs.rs
@@ -13,13 +13,13 @@
 const USUAL_LEVELS: &str = "info";
 
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
-pub enum Form {
+pub(crate) enum Form {
     Text,
     Json,
 }
 
 /// From here on everything is logged. An error names what is wrong with the levels.
-pub fn start(form: Form) -> Result<(), String> {
+pub(crate) fn start(form: Form) -> Result<(), String> {
     let levels = std::env::var(LEVELS_VARIABLE).unwrap_or(USUAL_LEVELS.into());
     let levels =
         Targets::from_str(&levels).map_err(|e| format!("{LEVELS_VARIABLE}: {levels}: {e}"))?;
--- a/crates/aspendrum/tests/suite/helper.rs
+++ b/crates/aspendrum/tests/suite/helper.rs
@@ -12,7 +12,7 @@
 
 /// What a stand-in server does with a query.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Does {
+pub(crate) enum Does {
     Answers(&'static str),
     /// Answers, then closes the connection.
     AnswersAndCloses(&'static str),
@@ -26,13 +26,14 @@
     Trails(&'static str, u64, &'static str),
 }
 
-pub const MALFORMED: Does = Does::Answers("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
-pub const WELL: Does = Does::Answers("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
-pub const FULL: Does =
+pub(crate) const MALFORMED: Does =
+    Does::Answers("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
+pub(crate) const WELL: Does = Does::Answers("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
+pub(crate) const FULL: Does =
     Does::Answers("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
 
 #[derive(Default)]
-pub struct Seen {
+pub(crate) struct Seen {
     pub connections: AtomicUsize,
     pub queries: AtomicUsize,
     /// Connections that the other side ended.
@@ -40,7 +41,7 @@
 }
 
 /// Accepts for ever, each connection on a thread of its own.
-pub fn listen(each: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub(crate) fn listen(each: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let each = Arc::new(each);
@@ -54,7 +55,7 @@
 }
 
 /// One HTTP message, head and body. None: the connection has ended.
-pub fn message(stream: &mut TcpStream, rest: &mut Vec<u8>) -> Option<String> {
+pub(crate) fn message(stream: &mut TcpStream, rest: &mut Vec<u8>) -> Option<String> {
     let mut space = [0; 4096];
     loop {
         let text = String::from_utf8_lossy(rest).to_string();
@@ -77,7 +78,7 @@
     }
 }
 
-pub fn server(does: Does) -> (SocketAddr, Arc<Seen>) {
+pub(crate) fn server(does: Does) -> (SocketAddr, Arc<Seen>) {
     let seen = Arc::new(Seen::default());
     let own = seen.clone();
     let addr = listen(move |mut stream| {
@@ -112,7 +113,7 @@
 }
 
 /// A counter of one number that answers each call with `reply`, or adds if there is none.
-pub fn counter(reply: Option<&'static str>) -> SocketAddr {
+pub(crate) fn counter(reply: Option<&'static str>) -> SocketAddr {
     listen(move |mut stream| {
         let (mut rest, mut total, mut space) = (Vec::new(), 0.0, [0; 4096]);
         while let Ok(n) = stream.read(&mut space) {
@@ -134,7 +135,7 @@
     })
 }
 
-pub fn hosts(servers: &[SocketAddr]) -> Value {
+pub(crate) fn hosts(servers: &[SocketAddr]) -> Value {
     let host = |(i, dial): (usize, &SocketAddr)| {
         json!({"host": format!("s-{i}"), "dial": dial.to_string(), "site": "a", "class": "m2", "block": i,
                "health": "in_service", "share": 1.0, "born_ms": 0})
@@ -143,7 +144,7 @@
 }
 
 /// Discovery that answers the whole list with `text`, and no watch.
-pub fn discovery(text: String) -> SocketAddr {
+pub(crate) fn discovery(text: String) -> SocketAddr {
     listen(move |mut stream| {
         let mut rest = Vec::new();
         while let Some(call) = message(&mut stream, &mut rest) {
@@ -157,7 +158,7 @@
 }
 
 /// Three endpoint groups, one of each kind, and one plan with room for all.
-pub fn settings() -> Value {
+pub(crate) fn settings() -> Value {
     let group = |name, semantics| {
         json!({"AimS": 0.4, "Credit": 1.0, "Group": "all", "HardLimitS": 2.0, "Name": name,
                "RepeatWindowS": 5.0, "Semantics": semantics, "Stream": false})
@@ -176,7 +177,7 @@
     })
 }
 
-pub fn config(servers: &[SocketAddr], counter: SocketAddr, discovery: SocketAddr) -> Value {
+pub(crate) fn config(servers: &[SocketAddr], counter: SocketAddr, discovery: SocketAddr) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "seed": "5", "counter": counter.to_string(),
         "discovery": discovery.to_string(), "limits": {"memory_mb": 192, "sockets": 256},
@@ -185,17 +186,17 @@
 }
 
 /// A limiter before these servers, with a counter and a discovery that work.
-pub fn limiter(servers: &[SocketAddr]) -> Limiter {
+pub(crate) fn limiter(servers: &[SocketAddr]) -> Limiter {
     let list = json!({"seq": 2, "whole": true, "hosts": hosts(servers)}).to_string();
     start(&config(servers, counter(None), discovery(list)))
 }
 
-pub fn start(config: &Value) -> Limiter {
+pub(crate) fn start(config: &Value) -> Limiter {
     Limiter::start(Config::read(&config.to_string()).unwrap()).unwrap()
 }
 
 /// Each query has a name of its own, as clients give them.
-pub fn query(lane: &str) -> String {
+pub(crate) fn query(lane: &str) -> String {
     static NAMES: AtomicUsize = AtomicUsize::new(0);
     let txn = NAMES.fetch_add(1, Ordering::SeqCst);
     let (method, more) = if lane == "look" {
@@ -211,7 +212,7 @@
     )
 }
 
-pub fn connect(limiter: &Limiter) -> TcpStream {
+pub(crate) fn connect(limiter: &Limiter) -> TcpStream {
     let stream = TcpStream::connect(limiter.addr()).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
@@ -220,12 +221,12 @@
 }
 
 /// Sends that and reads one answer.
-pub fn ask(stream: &mut TcpStream, text: &str) -> String {
+pub(crate) fn ask(stream: &mut TcpStream, text: &str) -> String {
     let _ = stream.write_all(text.as_bytes());
     message(stream, &mut Vec::new()).unwrap_or_default()
 }
 
-pub fn status(answer: &str) -> u16 {
+pub(crate) fn status(answer: &str) -> u16 {
     answer
         .split(' ')
         .nth(1)
@@ -234,7 +235,7 @@
 }
 
 /// Waits a little for what another thread is about to do.
-pub fn soon(what: impl Fn() -> bool) -> bool {
+pub(crate) fn soon(what: impl Fn() -> bool) -> bool {
     let begun = Instant::now();
     while !what() && begun.elapsed() < Duration::from_secs(2) {
         thread::sleep(Duration::from_millis(5));
