--- a/crates/aspendrum-agent/src/control.rs
+++ b/crates/aspendrum-agent/src/control.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::{lock, spawn};
+use aspendrum_net::threads::{lock, spawn};
 use std::io::BufReader;
 use std::net::Ipv4Addr;
 use std::sync::{Arc, Mutex};
@@ -126,7 +126,7 @@
                 continue;
             };
             n += 1;
-            if let Ok(stream) = Link::dial(settings.control_at(ip), DIAL_WAIT) {
+            if let Ok(stream) = Link::connect(settings.control_at(ip), DIAL_WAIT) {
                 if let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) {
                     id += 1;
                     let since = Instant::now();
--- a/crates/aspendrum-agent/src/desk.rs
+++ b/crates/aspendrum-agent/src/desk.rs
@@ -537,7 +537,7 @@
             if stale {
                 control.leave();
             } else {
-                control.link.end();
+                control.link.close();
             }
             self.route.shun(control.ip);
             return self.leave();
--- a/crates/aspendrum-agent/src/lend.rs
+++ b/crates/aspendrum-agent/src/lend.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::bounded;
 use std::io::{BufReader, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddrV4, TcpListener, UdpSocket};
@@ -76,7 +76,7 @@
             self.notes.clone(),
         );
         let fetch = move || {
-            let Ok(stream) = Link::dial(at, DIAL_WAIT) else {
+            let Ok(stream) = Link::connect(at, DIAL_WAIT) else {
                 return;
             };
             let _ = stream.set_read_timeout(Some(SILENCE));
--- a/crates/aspendrum-agent/src/main.rs
+++ b/crates/aspendrum-agent/src/main.rs
@@ -8,9 +8,10 @@
 mod proxy;
 
 use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::{self, ProcessSignals};
+use aspendrum_net::daemon;
 use aspendrum_net::mailbox;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::process_signals::ProcessSignals;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::bounded;
 use desk::Desk;
 use notes::Note;
@@ -53,12 +54,13 @@
     give.send(desk).map_err(|e| e.to_string())?;
     log::info!("event=started host={}", settings.host);
 
-    let reload = || {
+    let reload = || -> Result<(), String> {
         let settings = Box::new(Settings::load()?);
         notes.send(Note::Settings(settings), None);
         Ok(())
     };
-    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
+    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)
+        .map_err(|e| e.to_string())?;
     // A proxy that ends finishes what it has in hand, and needs to hear of servers and orders meanwhile.
     let (done, left) = bounded(1);
     notes.send(Note::Leave { done }, None);
--- a/crates/aspendrum-agent/src/proxy.rs
+++ b/crates/aspendrum-agent/src/proxy.rs
@@ -4,7 +4,7 @@
 use aspendrum_model::message::ToControl;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use std::io::BufReader;
 use std::net::{SocketAddrV4, TcpListener};
 use std::sync::Arc;
--- a/crates/aspendrum-benchmarks/src/hollow/agent.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/agent.rs
@@ -6,7 +6,7 @@
     Envelope, FromControl, Readiness, StateDigest, StateSection, ToControl, SECTION_KINDS,
 };
 use aspendrum_net::frames;
-use aspendrum_net::workers::{lock, spawn};
+use aspendrum_net::threads::{lock, spawn};
 use std::io::{self, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering::Relaxed};
--- a/crates/aspendrum-benchmarks/src/hollow/mod.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/mod.rs
@@ -82,8 +82,8 @@
 /// Threads of control that are let be: the machine has 32,768 for all that runs on it.
 const THREADS: u64 = 10_000;
 const BOUNDS: MessageLimits = MessageLimits {
-    head: 8 << 10,
-    body: 32 << 20,
+    head_bytes: 8 << 10,
+    body_bytes: 32 << 20,
 };
 
 pub fn play(plan: &Plan) -> Result<(), String> {
--- a/crates/aspendrum-benchmarks/src/hollow/platform.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/platform.rs
@@ -6,8 +6,8 @@
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::http1::{MessageLimits, Request};
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
-use aspendrum_net::path_matcher::argument;
-use aspendrum_net::workers::lock;
+use aspendrum_net::path_matcher::query_parameter;
+use aspendrum_net::threads::lock;
 use std::net::SocketAddrV4;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -53,17 +53,17 @@
         });
         let (bounds, idle) = (
             MessageLimits {
-                head: 8 << 10,
-                body: 1 << 10,
+                head_bytes: 8 << 10,
+                body_bytes: 1 << 10,
             },
             Duration::from_secs(10),
         );
         let serving = own.clone();
         let terms = ServerOptions {
-            stack: 128 << 10,
-            bounds,
-            idle,
-            workers: idle,
+            stack_bytes: 128 << 10,
+            limits: bounds,
+            idle_timeout: idle,
+            worker_idle_timeout: idle,
         };
         http_server::listen(at, terms, move |request| serving.answer(&request))?;
         Ok(own)
@@ -83,7 +83,7 @@
         }
         sleep(self.slow);
         let query = request.path.split_once('?').map_or("", |q| q.1);
-        let from = argument(query, "page-tok")
+        let from = query_parameter(query, "page-tok")
             .and_then(|t| t.strip_prefix("p-")?.parse().ok())
             .unwrap_or(0);
         let pages = lock(&self.pages);
--- a/crates/aspendrum-benchmarks/src/hollow/traffic.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/traffic.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::config::Config;
 use aspendrum_net::http1::{self, encode_response, single_header, MessageLimits, Parsed};
 use aspendrum_net::ring_buffer::RingBuffer;
-use aspendrum_net::workers::{lock, spawn};
+use aspendrum_net::threads::{lock, spawn};
 use std::io::{self, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -16,8 +16,8 @@
 
 const STACK: usize = 128 << 10;
 const BOUNDS: MessageLimits = MessageLimits {
-    head: 8 << 10,
-    body: 1 << 20,
+    head_bytes: 8 << 10,
+    body_bytes: 1 << 20,
 };
 const WAIT: Duration = Duration::from_secs(2);
 const BODY: [u8; 1500] = [b'x'; 1500];
--- a/crates/aspendrum-client/src/control.rs
+++ b/crates/aspendrum-client/src/control.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 const BOUNDS: MessageLimits = MessageLimits {
-    head: 16 << 10,
-    body: 64 << 20,
+    head_bytes: 16 << 10,
+    body_bytes: 64 << 20,
 };
 /// A machine without a majority says so within a second; a large configuration takes longer on its way.
 const CALL: Duration = Duration::from_millis(1500);
--- a/crates/aspendrum-client/tests/transcripts.rs
+++ b/crates/aspendrum-client/tests/transcripts.rs
@@ -47,13 +47,13 @@
 /// Both machines, at ports that are alike.
 fn control() -> u16 {
     let terms = ServerOptions {
-        stack: 128 << 10,
-        bounds: MessageLimits {
-            head: 8 << 10,
-            body: 1 << 20,
+        stack_bytes: 128 << 10,
+        limits: MessageLimits {
+            head_bytes: 8 << 10,
+            body_bytes: 1 << 20,
         },
-        idle: Duration::from_secs(5),
-        workers: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(5),
+        worker_idle_timeout: Duration::from_secs(1),
     };
     let port = (20_000..30_000).find(|port| {
         let at = |n: u8| SocketAddrV4::new(Ipv4Addr::new(127, 0, 7, n), *port);
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -9,7 +9,7 @@
 use aspendrum_net::http1::Request;
 use aspendrum_net::http_server::Reply;
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::path_matcher::{argument, find, Found, Node};
+use aspendrum_net::path_matcher::{match_path, query_parameter, PathMatch, PathNode};
 use crossbeam_channel::bounded;
 use std::collections::BTreeMap;
 use std::sync::{Arc, RwLock};
@@ -29,33 +29,39 @@
     LookUp,
 }
 
-fn api(inner: Vec<Node<Call>>) -> Vec<Node<Call>> {
-    vec![Node::Word("api", inner)]
+fn api(inner: Vec<PathNode<Call>>) -> Vec<PathNode<Call>> {
+    vec![PathNode::Literal("api", inner)]
 }
 
 /// The calls of the operator.
-pub fn orders() -> Vec<Node<Call>> {
+pub fn orders() -> Vec<PathNode<Call>> {
     api(vec![
-        Node::Word("Cfg.Set", vec![Node::Leaf("POST", Call::Set)]),
-        Node::Word("Cfg.Show", vec![Node::Leaf("GET", Call::Show)]),
-        Node::Word("Nodes", vec![Node::Leaf("GET", Call::Nodes)]),
-        Node::Word("Explain", vec![Node::Leaf("GET", Call::Explain)]),
-        Node::Word(
+        PathNode::Literal("Cfg.Set", vec![PathNode::Endpoint("POST", Call::Set)]),
+        PathNode::Literal("Cfg.Show", vec![PathNode::Endpoint("GET", Call::Show)]),
+        PathNode::Literal("Nodes", vec![PathNode::Endpoint("GET", Call::Nodes)]),
+        PathNode::Literal("Explain", vec![PathNode::Endpoint("GET", Call::Explain)]),
+        PathNode::Literal(
             "Evac.Begin",
-            vec![Node::Any(vec![Node::Leaf("POST", Call::Begin)])],
+            vec![PathNode::Parameter(vec![PathNode::Endpoint(
+                "POST",
+                Call::Begin,
+            )])],
         ),
-        Node::Word(
+        PathNode::Literal(
             "Evac.Finish",
-            vec![Node::Any(vec![Node::Leaf("POST", Call::Finish)])],
+            vec![PathNode::Parameter(vec![PathNode::Endpoint(
+                "POST",
+                Call::Finish,
+            )])],
         ),
     ])
 }
 
 /// The calls of clients that ask where to go.
-pub fn look_ups() -> Vec<Node<Call>> {
-    api(vec![Node::Word(
+pub fn look_ups() -> Vec<PathNode<Call>> {
+    api(vec![PathNode::Literal(
         "lookup",
-        vec![Node::Leaf("GET", Call::LookUp)],
+        vec![PathNode::Endpoint("GET", Call::LookUp)],
     )])
 }
 
@@ -66,9 +72,11 @@
 }
 
 impl Orders {
-    pub fn answer(&self, tree: &[Node<Call>], request: &Request) -> Reply {
-        match find(tree, &request.method, &request.path) {
-            Found::Call(Call::Set, ..) => match Config::read(&request.body) {
+    pub fn answer(&self, tree: &[PathNode<Call>], request: &Request) -> Reply {
+        match match_path(tree, &request.method, &request.path) {
+            PathMatch::Call {
+                call: Call::Set, ..
+            } => match Config::read(&request.body) {
                 Ok(config) => {
                     let (version, digest) = (config.version, digest(&request.body));
                     log::info!("event=order call=set version={version:08x} digest={digest:016x}");
@@ -90,14 +98,18 @@
                     }
                 }
             },
-            Found::Call(Call::Show, ..) => {
-                self.order(Order::Read, |held| match held.config.version {
-                    0 => Reply::plain(503),
-                    _ => unpack(&held.config.text).map_or_else(|| Reply::plain(500), Reply::json),
-                })
-            }
-            Found::Call(call @ (Call::Begin | Call::Finish), zone, _) => {
-                let zone = zone[0].to_string();
+            PathMatch::Call {
+                call: Call::Show, ..
+            } => self.order(Order::Read, |held| match held.config.version {
+                0 => Reply::plain(503),
+                _ => unpack(&held.config.text).map_or_else(|| Reply::plain(500), Reply::json),
+            }),
+            PathMatch::Call {
+                call: call @ (Call::Begin | Call::Finish),
+                arguments,
+                ..
+            } => {
+                let zone = arguments[0].to_string();
                 if !self.zones.contains_key(&zone) {
                     return Reply::plain(404);
                 }
@@ -110,15 +122,27 @@
                     |_| Reply::plain(200),
                 )
             }
-            Found::Call(Call::Nodes, ..) => self.told(None),
-            Found::Call(Call::Explain, _, query) => {
-                match (argument(query, "host"), argument(query, "path")) {
+            PathMatch::Call {
+                call: Call::Nodes, ..
+            } => self.told(None),
+            PathMatch::Call {
+                call: Call::Explain,
+                query,
+                ..
+            } => {
+                match (
+                    query_parameter(query, "host"),
+                    query_parameter(query, "path"),
+                ) {
                     (Some(host), Some(path)) => self.told(Some((host.into(), path.into()))),
                     _ => Reply::plain(400),
                 }
             }
-            Found::Call(Call::LookUp, ..) | Found::Nothing => Reply::plain(404),
-            Found::OtherMethod => Reply::plain(405),
+            PathMatch::Call {
+                call: Call::LookUp, ..
+            }
+            | PathMatch::NotFound => Reply::plain(404),
+            PathMatch::MethodNotAllowed => Reply::plain(405),
         }
     }
 
@@ -167,14 +191,18 @@
 /// Answers a look-up: `ips` and `ttl-s`.
 pub fn look_up(
     directory: &RwLock<Directory>,
-    tree: &[Node<Call>],
+    tree: &[PathNode<Call>],
     request: &Request,
     now: Ms,
     ttl_s: f64,
 ) -> Reply {
-    match find(tree, &request.method, &request.path) {
-        Found::Call(Call::LookUp, _, query) => {
-            let told = |name| argument(query, name).unwrap_or("");
+    match match_path(tree, &request.method, &request.path) {
+        PathMatch::Call {
+            call: Call::LookUp,
+            query,
+            ..
+        } => {
+            let told = |name| query_parameter(query, name).unwrap_or("");
             let directory = directory.read().unwrap_or_else(|e| e.into_inner());
             let answer = directory.look_up(now, told("geo"), told("az"), ttl_s);
             if answer.addresses.is_empty() {
@@ -184,7 +212,7 @@
             let body = serde_json::json!({ "ips": ips, "ttl-s": answer.ttl_s });
             Reply::json(body.to_string().into_bytes())
         }
-        Found::Call(..) | Found::Nothing => Reply::plain(404),
-        Found::OtherMethod => Reply::plain(405),
+        PathMatch::Call { .. } | PathMatch::NotFound => Reply::plain(404),
+        PathMatch::MethodNotAllowed => Reply::plain(405),
     }
 }
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -18,12 +18,13 @@
 
 use aspendrum_consensus::Replica;
 use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::{self, ProcessSignals};
+use aspendrum_net::daemon;
 use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::http_client::HttpClient;
 use aspendrum_net::http_server::{self, ServerOptions};
 use aspendrum_net::mailbox::{self, MailboxSender};
-use aspendrum_net::workers::spawn;
+use aspendrum_net::process_signals::ProcessSignals;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::{bounded, Receiver};
 use directory::Directory;
 use event::Event;
@@ -46,12 +47,12 @@
 const PEER_SILENT: Duration = Duration::from_millis(1600);
 /// A configuration of thousands of routes takes a few megabytes.
 const ORDERS: MessageLimits = MessageLimits {
-    head: 16 << 10,
-    body: 16 << 20,
+    head_bytes: 16 << 10,
+    body_bytes: 16 << 20,
 };
 const LOOK_UPS: MessageLimits = MessageLimits {
-    head: 16 << 10,
-    body: 1 << 10,
+    head_bytes: 16 << 10,
+    body_bytes: 1 << 10,
 };
 
 /// Does what the command line says.
@@ -75,12 +76,13 @@
     let directory = Arc::new(RwLock::new(Directory::new(0.0, &settings.zones)));
     let events = start_server(&settings, &directory, begun)?;
     open_calls(&settings, &directory, &events, begun)?;
-    let reload = || {
+    let reload = || -> Result<(), String> {
         let settings = Box::new(Settings::load()?);
         events.send(Event::Settings(settings), None);
         Ok(())
     };
-    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
+    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)
+        .map_err(|e| e.to_string())?;
     // All that was acknowledged is on disks; what is left is a vote that another machine may take.
     let (done, left) = bounded(1);
     events.send(Event::Leave { done }, None);
@@ -148,7 +150,7 @@
     let mut platform = None;
     while let Ok(addr) = polls.recv() {
         let asked = Instant::now();
-        let known = platform.take().filter(|p: &HttpClient| p.to() == addr);
+        let known = platform.take().filter(|p: &HttpClient| p.server() == addr);
         let mut caller = known.unwrap_or_else(|| HttpClient::new(addr, platform::BOUNDS));
         let list = platform::list(&mut caller);
         platform = list.is_ok().then_some(caller);
@@ -164,10 +166,10 @@
     begun: Instant,
 ) -> Result<(), String> {
     let terms = |stack, bounds| ServerOptions {
-        stack,
-        bounds,
-        idle: Duration::from_secs(10),
-        workers: Duration::from_secs(3),
+        stack_bytes: stack,
+        limits: bounds,
+        idle_timeout: Duration::from_secs(10),
+        worker_idle_timeout: Duration::from_secs(3),
     };
     if let Some(ctl) = settings.ctl {
         let orders = api::Orders {
--- a/crates/aspendrum-control/src/links.rs
+++ b/crates/aspendrum-control/src/links.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::message;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use std::io::Read;
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -39,7 +39,7 @@
     let events = events.clone();
     spawn("peer", STACK, move || {
         while wanted.load(Ordering::Acquire) {
-            if let Ok(stream) = Link::dial(addr, DIAL_WAIT) {
+            if let Ok(stream) = Link::connect(addr, DIAL_WAIT) {
                 if let Ok(link) = Link::from_stream(stream.clone(), silence, ROOM) {
                     events.send(
                         Event::PeerLink {
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 pub const BOUNDS: MessageLimits = MessageLimits {
-    head: 8 << 10,
-    body: 4 << 20,
+    head_bytes: 8 << 10,
+    body_bytes: 4 << 20,
 };
 /// For a whole list: a page is answered in a round trip, and a list that takes longer is read anew.
 const WAIT: Duration = Duration::from_millis(1500);
@@ -21,7 +21,9 @@
             .as_ref()
             .map_or(String::new(), |t| format!("?page-tok={t}"));
         let left = until.saturating_duration_since(Instant::now());
-        let answer = platform.call("GET", &format!("/servers{query}"), b"", left)?;
+        let answer = platform
+            .call("GET", &format!("/servers{query}"), b"", left)
+            .map_err(|e| e.to_string())?;
         if answer.status != 200 {
             return Err(format!("status {}", answer.status));
         }
--- a/crates/aspendrum-control/src/storage.rs
+++ b/crates/aspendrum-control/src/storage.rs
@@ -5,7 +5,7 @@
 use crate::store::Store;
 use aspendrum_consensus::{Effect, State};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use std::collections::VecDeque;
 use std::path::PathBuf;
--- a/crates/aspendrum-net/src/daemon.rs
+++ b/crates/aspendrum-net/src/daemon.rs
@@ -1,17 +1,13 @@
-//! What every program of the system does alike: its log, its signals, its settings file.
+//! What every program of the system does alike: its command line, its log and its exit status.
 
-use crate::workers::spawn;
+use crate::process_signals::{ProcessSignals, SignalError};
 use bpaf::Bpaf;
-use crossbeam_channel::bounded;
-use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-use signal_hook::iterator::Signals;
+use derive_more::{Display, Error};
+use log::SetLoggerError;
 use simplelog::{ColorChoice, ConfigBuilder, LevelFilter, TermLogger, TerminalMode};
-use std::path::Path;
 use std::process::ExitCode;
-use std::thread::sleep;
-use std::time::{Duration, SystemTime};
 
-/// The command line of each program of the system.
+/// The command line of each program.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
@@ -23,28 +19,31 @@
     CheckSettings,
 }
 
-/// What the platform or an operator wants.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Request {
-    End,
-    Reload,
+/// Why a program failed. `C` and `S` are the errors of its own checks and of its service.
+#[derive(Debug, Display, Error)]
+enum DaemonError<C, S> {
+    #[display("{_0}")]
+    Log(#[error(not(source))] SetLoggerError),
+    #[display("{_0}")]
+    Signals(#[error(not(source))] SignalError),
+    #[display("{_0}")]
+    Settings(#[error(not(source))] C),
+    #[display("{_0}")]
+    Service(#[error(not(source))] S),
 }
 
-/// Does what the command line says. `check` names the host whose settings are well-formed.
-pub fn run(
+/// Runs a program as its command line says, and returns its exit status. `check` reads the settings and returns the
+/// host's name; `serve` runs until the process is to shut down.
+pub fn run<C: std::fmt::Display, S: std::fmt::Display>(
     program: &str,
-    about: &'static str,
-    check: fn() -> Result<String, String>,
-    serve: fn(ProcessSignals) -> Result<(), String>,
+    description: &'static str,
+    check: fn() -> Result<String, C>,
+    serve: fn(ProcessSignals) -> Result<(), S>,
 ) -> ExitCode {
-    // Before anything else: a signal that nobody has asked for ends the program with all that it holds.
-    let told = ProcessSignals::expect();
-    let line = command().descr(about).run();
-    let done = log(LevelFilter::Info).and_then(|()| match line {
-        Command::Serve => serve(told.map_err(|e| format!("signals: {e}"))?),
-        Command::CheckSettings => check().map(|host| println!("{host}: well-formed")),
-    });
-    match done {
+    // Before anything else: a signal that is not yet handled ends the process, with all that it holds.
+    let signals = ProcessSignals::register();
+    let command = command().descr(description).run();
+    match execute(&command, signals, check, serve) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("{program}: {why}");
@@ -53,42 +52,27 @@
     }
 }
 
-/// The signals, expected from the process' start on.
-pub struct ProcessSignals(Signals);
-
-impl ProcessSignals {
-    fn expect() -> std::io::Result<ProcessSignals> {
-        Signals::new([SIGTERM, SIGINT, SIGHUP]).map(ProcessSignals)
-    }
-
-    /// Returns when the process is to end. `reload` is called when the settings in that file may have changed: an error
-    /// leaves everything as it was.
-    pub fn wait_for_shutdown(
-        self,
-        file: String,
-        mut reload: impl FnMut() -> Result<(), String>,
-    ) -> Result<(), String> {
-        let (tell, wanted) = bounded(8);
-        // Waits for room: the word to end must not be lost behind a series of others.
-        let told = move |w| {
-            let _ = tell.send(w);
-        };
-        watch(self.0, file, SETTINGS_EVERY, told).map_err(|e| format!("signals: {e}"))?;
-        while let Ok(Request::Reload) = wanted.recv() {
-            if let Err(why) = reload() {
-                log::error!("event=settings_not_read why=\"{why}\"");
-            }
+fn execute<C, S>(
+    command: &Command,
+    signals: Result<ProcessSignals, SignalError>,
+    check: fn() -> Result<String, C>,
+    serve: fn(ProcessSignals) -> Result<(), S>,
+) -> Result<(), DaemonError<C, S>> {
+    start_log().map_err(DaemonError::Log)?;
+    match command {
+        Command::Serve => {
+            serve(signals.map_err(DaemonError::Signals)?).map_err(DaemonError::Service)
+        }
+        Command::CheckSettings => {
+            let host = check().map_err(DaemonError::Settings)?;
+            println!("{host}: well-formed");
+            Ok(())
         }
-        log::info!("event=told_to_end");
-        Ok(())
     }
 }
 
-/// Between two looks at a file that may be replaced without any signal.
-const SETTINGS_EVERY: Duration = Duration::from_millis(1000);
-
-/// One line of key=value pairs for each event, to standard error.
-fn log(level: LevelFilter) -> Result<(), String> {
+/// Writes one line of key=value pairs for each event to standard error.
+fn start_log() -> Result<(), SetLoggerError> {
     let mut config = ConfigBuilder::new();
     config
         .set_time_level(LevelFilter::Off)
@@ -97,45 +81,9 @@
         .set_target_level(LevelFilter::Off)
         .set_location_level(LevelFilter::Off);
     TermLogger::init(
-        level,
+        LevelFilter::Info,
         config.build(),
         TerminalMode::Stderr,
         ColorChoice::Never,
     )
-    .map_err(|e| e.to_string())
-}
-
-/// The signals, and a file that may be replaced without any: `told` hears of each.
-fn watch(
-    mut signals: Signals,
-    file: String,
-    every: Duration,
-    told: impl Fn(Request) + Send + Sync + Clone + 'static,
-) -> std::io::Result<()> {
-    let own = told.clone();
-    spawn("signals", 64 << 10, move || {
-        for signal in signals.forever() {
-            own(if signal == SIGHUP {
-                Request::Reload
-            } else {
-                Request::End
-            });
-        }
-    })?;
-    spawn("settings", 64 << 10, move || {
-        let mut last = changed(&file);
-        loop {
-            sleep(every);
-            let now = changed(&file);
-            if now != last {
-                last = now;
-                told(Request::Reload);
-            }
-        }
-    })?;
-    Ok(())
-}
-
-fn changed(file: &str) -> Option<SystemTime> {
-    Path::new(file).metadata().and_then(|m| m.modified()).ok()
 }
--- a/crates/aspendrum-net/src/disconnect_metrics.rs
+++ b/crates/aspendrum-net/src/disconnect_metrics.rs
@@ -1,25 +1,27 @@
-//! What became of requests whose clients had left, in numbers, and the invariant: half a second after a client's close
-//! was heard nothing is sent on for it, nothing waits to be, and no run that may be repeated is still under way because
-//! nobody broke it off.
+//! What became of requests whose clients had disconnected, as metrics, and the invariant they hold the process to: half a
+//! second after a disconnect was detected, nothing is forwarded for the client, nothing waits to be, and no attempt that
+//! may run more than once is still in progress because nobody aborted it.
 
 use crate::forward::{ForwardStage, RequestKind};
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// The invariant's bound, from the moment a close was heard.
-pub const BOUND: Duration = Duration::from_millis(500);
+/// The invariant holds so long after a disconnect was detected.
+pub const REACTION_DEADLINE: Duration = Duration::from_millis(500);
 
 /// Between two lines in the log.
-const REPORT_EVERY: Duration = Duration::from_millis(1000);
+const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
+/// The kinds of requests, in the order of their declaration, with the values of their metrics' label.
 const KINDS: [(RequestKind, &str); 2] = [
     (RequestKind::Idempotent, "repeatable"),
     (RequestKind::OnceOnly, "once_only"),
 ];
+/// The stages, in the order of their declaration, with the values of their metrics' label.
 const STAGES: [(ForwardStage, &str); 4] = [
     (ForwardStage::Waiting, "waiting"),
-    (ForwardStage::Dialling, "dialling"),
+    (ForwardStage::Connecting, "dialling"),
     (ForwardStage::Sending, "sending"),
     (ForwardStage::AtServer, "at_server"),
 ];
@@ -27,69 +29,70 @@
 /// Counters by kind, then by stage.
 type Counters = [[AtomicU64; STAGES.len()]; KINDS.len()];
 
-/// All of one process.
+/// The metrics of one process.
 #[derive(Default)]
 pub struct DisconnectMetrics {
-    heard: Counters,
+    disconnects: Counters,
     overdue: Counters,
-    /// Broken off in time, and their servers have not dropped them by [`BOUND`].
-    kept_on: Counters,
+    /// Aborted in time, but not dropped by their servers within [`REACTION_DEADLINE`].
+    kept_by_server: Counters,
     sent_late: [AtomicU64; KINDS.len()],
 }
 
 impl DisconnectMetrics {
-    /// A client has left while its request was at that stage.
+    /// Counts a client that disconnected while its request was at that stage.
     pub fn record_disconnect(&self, kind: RequestKind, stage: ForwardStage) {
-        self.heard[kind as usize][stage as usize].fetch_add(1, Relaxed);
+        self.disconnects[kind as usize][stage as usize].fetch_add(1, Relaxed);
     }
 
-    /// [`BOUND`] after the departure the request is still at that stage: a violation, unless it is broken off there and
-    /// its server works on.
-    pub fn record_overdue(&self, kind: RequestKind, stage: ForwardStage, broken_off: bool) {
-        let counters = if broken_off {
-            &self.kept_on
+    /// Counts a request that is still at that stage [`REACTION_DEADLINE`] after the disconnect: a violation, unless it was
+    /// aborted and its server goes on.
+    pub fn record_overdue(&self, kind: RequestKind, stage: ForwardStage, is_aborted: bool) {
+        let counters = if is_aborted {
+            &self.kept_by_server
         } else {
             &self.overdue
         };
         counters[kind as usize][stage as usize].fetch_add(1, Relaxed);
     }
 
-    /// A request is written to a server so long after its client's departure: a violation behind [`BOUND`].
-    pub fn record_sent_late(&self, kind: RequestKind, left_for: Duration) {
-        if left_for > BOUND {
+    /// Notes that a request is written to a server so long after its client disconnected, and counts it as a violation
+    /// after [`REACTION_DEADLINE`].
+    pub fn record_send(&self, kind: RequestKind, time_since_disconnect: Duration) {
+        if time_since_disconnect > REACTION_DEADLINE {
             self.sent_late[kind as usize].fetch_add(1, Relaxed);
         }
     }
 
-    /// Departures so far.
-    pub fn departures(&self) -> u64 {
-        self.heard.iter().flatten().map(|n| n.load(Relaxed)).sum()
-    }
-
-    /// Violations of the invariant so far.
-    pub fn violations(&self) -> u64 {
-        self.overdue
+    /// The disconnects so far.
+    pub fn disconnects(&self) -> u64 {
+        self.disconnects
             .iter()
             .flatten()
-            .chain(&self.sent_late)
-            .map(|n| n.load(Relaxed))
+            .map(|counter| counter.load(Relaxed))
             .sum()
     }
 
-    /// All that is not 0, as `name{kind="...",stage="..."} number` a line.
+    /// The violations of the invariant so far.
+    pub fn violations(&self) -> u64 {
+        let violations = self.overdue.iter().flatten().chain(&self.sent_late);
+        violations.map(|counter| counter.load(Relaxed)).sum()
+    }
+
+    /// All metrics that are not 0, as `name{kind="...",stage="..."} number` a line.
     pub fn text(&self) -> String {
-        let mut out = String::new();
+        let mut text = String::new();
         let all = [
-            ("departures_heard", &self.heard),
+            ("departures_heard", &self.disconnects),
             ("departures_overdue", &self.overdue),
-            ("departures_server_kept_on", &self.kept_on),
+            ("departures_server_kept_on", &self.kept_by_server),
         ];
         for (name, counters) in all {
-            for (kind, kind_name) in KINDS {
-                for (stage, stage_name) in STAGES {
-                    let labels = format!("kind=\"{kind_name}\",stage=\"{stage_name}\"");
-                    line(
-                        &mut out,
+            for (kind, kind_label) in KINDS {
+                for (stage, stage_label) in STAGES {
+                    let labels = format!("kind=\"{kind_label}\",stage=\"{stage_label}\"");
+                    write_metric(
+                        &mut text,
                         name,
                         &labels,
                         &counters[kind as usize][stage as usize],
@@ -97,50 +100,55 @@
                 }
             }
         }
-        for (kind, kind_name) in KINDS {
-            line(
-                &mut out,
+        for (kind, kind_label) in KINDS {
+            let labels = format!("kind=\"{kind_label}\"");
+            write_metric(
+                &mut text,
                 "departures_sent_late",
-                &format!("kind=\"{kind_name}\""),
+                &labels,
                 &self.sent_late[kind as usize],
             );
         }
-        out
+        text
     }
 }
 
-fn line(out: &mut String, name: &str, labels: &str, counter: &AtomicU64) {
+fn write_metric(text: &mut String, name: &str, labels: &str, counter: &AtomicU64) {
     let count = counter.load(Relaxed);
     if count > 0 {
         // Writing to memory does not fail.
-        let _ = writeln!(out, "{name}{{{labels}}} {count}");
+        let _ = writeln!(text, "{name}{{{labels}}} {count}");
     }
 }
 
-/// One line in the log for all departures of a while.
+/// Writes one line in the log for all disconnects of a while.
 #[derive(Default)]
 pub struct DisconnectReporter {
-    told_at: Option<Instant>,
-    departures: u64,
+    reported_at: Option<Instant>,
+    disconnects: u64,
     violations: u64,
 }
 
 impl DisconnectReporter {
-    /// The line, where there is something new and the last one is long enough ago.
-    pub fn line(&mut self, figures: &DisconnectMetrics) -> Option<String> {
-        let (departures, violations) = (figures.departures(), figures.violations());
-        let news = departures > self.departures || violations > self.violations;
-        if !news || self.told_at.is_some_and(|at| at.elapsed() < REPORT_EVERY) {
+    /// The next line, if a metric has changed and the previous line is long enough ago.
+    pub fn next_line(&mut self, metrics: &DisconnectMetrics) -> Option<String> {
+        let (disconnects, violations) = (metrics.disconnects(), metrics.violations());
+        let has_changed = disconnects > self.disconnects || violations > self.violations;
+        if !has_changed
+            || self
+                .reported_at
+                .is_some_and(|at| at.elapsed() < REPORT_INTERVAL)
+        {
             return None;
         }
         *self = DisconnectReporter {
-            told_at: Some(Instant::now()),
-            departures,
+            reported_at: Some(Instant::now()),
+            disconnects,
             violations,
         };
-        let text = figures.text().replace('"', "").replace('\n', " ");
+        let text = metrics.text().replace('"', "").replace('\n', " ");
         Some(format!(
-            "event=clients_left departures={departures} violations={violations} {text}"
+            "event=clients_left departures={disconnects} violations={violations} {text}"
         ))
     }
 }
--- a/crates/aspendrum-net/src/disconnects.rs
+++ b/crates/aspendrum-net/src/disconnects.rs
@@ -1,9 +1,9 @@
-//! Hears of clients that close their connections while a request of theirs is in hand (RFC 9112, 9.5: implementations
+//! Detects clients that close their connections while a request of theirs is in progress (RFC 9112, 9.5: implementations
 //! ought to monitor open connections for a received closure and respond to it).
 //!
-//! A thread that serves a request reads nothing of its client meanwhile. So one thread looks, each [`LOOK_EVERY`], with
-//! one poll for hang-ups, after all connections whose requests have been in hand for [`WAITED`] or longer: a request that
-//! ends sooner costs no system call. The poll tells a close also behind bytes of a next request that were sent ahead.
+//! A thread that serves a request reads nothing from its client meanwhile. So one thread checks, each [`POLL_INTERVAL`] and
+//! with one `poll`, all connections whose requests have been in progress for [`MIN_REQUEST_AGE`] or longer: a request that
+//! ends sooner costs no system call. The poll also reports a close behind bytes of a next request that were sent ahead.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::net::{recv, RecvFlags};
@@ -12,226 +12,232 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Requests that have been in hand for less are not looked after.
-pub const WAITED: Duration = Duration::from_millis(100);
-/// Between two looks.
-pub const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// A look that comes so much later than it should shows that this process had no turn: closes may have come meanwhile,
-/// and requests that are read now may have been left long ago.
-const LATE: Duration = Duration::from_millis(150);
-/// After a late look each client is asked after before its request is sent on, for so long.
-const CATCH_UP: Duration = Duration::from_millis(2000);
-/// No request is in hand, or no moment is known.
+/// Requests that have been in progress for less are not checked.
+pub const MIN_REQUEST_AGE: Duration = Duration::from_millis(100);
+/// Between two checks.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// A check that comes so much later than it should shows that this process was suspended: clients may have disconnected
+/// meanwhile, and requests that are read now may be of clients that have.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(150);
+/// For so long after a late check each client is checked before its request is forwarded.
+const CATCH_UP_PERIOD: Duration = Duration::from_millis(2000);
+/// In the atomics: no request is in progress, or the client has not disconnected.
 const NONE: u64 = 0;
 
-/// One connection of a client, and the request on it that is in hand.
+/// One connection of a client, and the request on it that is in progress.
 pub struct ClientConnection {
     stream: Arc<TcpStream>,
-    /// The number of the request in hand, and when it was read by the watch's clock.
+    /// The number of the request in progress, or [`NONE`].
     request: AtomicU64,
-    since: AtomicU64,
-    /// When the client's close was heard, by the watch's clock.
-    left_at: AtomicU64,
-    /// The side that is read was shut here: the system shows that as it shows a client's close.
-    ended_here: AtomicBool,
-    overdue: AtomicBool,
+    /// When it was read, by the watcher's clock.
+    read_at: AtomicU64,
+    /// When the client's close was detected, by the watcher's clock, or [`NONE`].
+    disconnected_at: AtomicU64,
+    /// Our receiving side was shut down here, which the system shows as it shows a client's close.
+    closed_here: AtomicBool,
+    is_overdue: AtomicBool,
 }
 
 impl ClientConnection {
+    /// A connection without a request.
     pub fn new(stream: Arc<TcpStream>) -> ClientConnection {
-        let [request, since, left_at] = [NONE; 3].map(AtomicU64::new);
-        let [ended_here, overdue] = [false; 2].map(AtomicBool::new);
         ClientConnection {
             stream,
-            request,
-            since,
-            left_at,
-            ended_here,
-            overdue,
+            request: AtomicU64::new(NONE),
+            read_at: AtomicU64::new(NONE),
+            disconnected_at: AtomicU64::new(NONE),
+            closed_here: AtomicBool::new(false),
+            is_overdue: AtomicBool::new(false),
         }
     }
 
-    /// A request is in hand, under a number that is not 0. False: its client has left, and nothing may be sent on for it.
-    pub fn begin(&self, request: u64, watch: &DisconnectWatcher) -> bool {
-        self.since.store(watch.clock(), Ordering::Relaxed);
+    /// Begins a request, under a number that is not 0. Returns false if its client is known to have disconnected: nothing
+    /// may be forwarded for it.
+    pub fn begin_request(&self, request: u64, watcher: &DisconnectWatcher) -> bool {
+        self.read_at.store(watcher.clock(), Ordering::Relaxed);
         self.request.store(request, Ordering::SeqCst);
-        if watch.is_behind() && self.has_hung_up() {
-            self.leave(watch);
+        if watcher.is_catching_up() && self.has_hung_up() {
+            self.mark_disconnected(watcher);
         }
         !self.has_disconnected()
     }
 
-    /// The request in hand has its answer, or needs none.
-    pub fn end(&self) {
+    /// Ends the request in progress: it has its response, or needs none.
+    pub fn end_request(&self) {
         self.request.store(NONE, Ordering::SeqCst);
     }
 
-    /// The request in hand.
+    /// The number of the request in progress.
     pub fn request(&self) -> Option<u64> {
         Some(self.request.load(Ordering::SeqCst)).filter(|request| *request != NONE)
     }
 
-    /// The client has closed its connection, or its sending side.
+    /// Whether the client has closed its connection, or its sending side.
     pub fn has_disconnected(&self) -> bool {
-        self.left_at.load(Ordering::SeqCst) != NONE
+        self.disconnected_at.load(Ordering::SeqCst) != NONE
     }
 
-    /// How long ago the client's close was heard.
-    pub fn time_since_disconnect(&self, watch: &DisconnectWatcher) -> Option<Duration> {
-        let at = self.left_at.load(Ordering::SeqCst);
-        (at != NONE).then(|| Duration::from_millis(watch.clock().saturating_sub(at)))
+    /// How long ago the client's close was detected.
+    pub fn time_since_disconnect(&self, watcher: &DisconnectWatcher) -> Option<Duration> {
+        let at = self.disconnected_at.load(Ordering::SeqCst);
+        (at != NONE).then(|| Duration::from_millis(watcher.clock().saturating_sub(at)))
     }
 
-    /// The request in hand has outlasted its client's departure. True once.
-    pub fn becomes_overdue(&self) -> bool {
-        !self.overdue.swap(true, Ordering::Relaxed)
+    /// Marks the request as still in progress long after its client disconnected. Returns true the first time.
+    pub fn mark_overdue(&self) -> bool {
+        !self.is_overdue.swap(true, Ordering::Relaxed)
     }
 
-    /// Ends a connection between requests: only the side that is read, and only where nothing has come, so that a
-    /// request which is on its way in is still answered.
-    pub fn end_idle(&self) {
-        if self.ended_here.load(Ordering::Relaxed) || self.has_bytes() {
+    /// Ends a connection between requests: shuts down the receiving side alone, and only if nothing has arrived, so that a
+    /// request that is on its way is still answered.
+    pub fn shut_down_if_idle(&self) {
+        if self.closed_here.load(Ordering::Relaxed) || self.has_received_bytes() {
             return;
         }
-        self.ended_here.store(true, Ordering::SeqCst);
+        self.closed_here.store(true, Ordering::SeqCst);
         let _ = self.stream.shutdown(Shutdown::Read);
     }
 
-    fn leave(&self, watch: &DisconnectWatcher) -> bool {
-        self.left_at
-            .compare_exchange(NONE, watch.clock(), Ordering::SeqCst, Ordering::SeqCst)
+    /// Returns true the first time.
+    fn mark_disconnected(&self, watcher: &DisconnectWatcher) -> bool {
+        let now = watcher.clock();
+        self.disconnected_at
+            .compare_exchange(NONE, now, Ordering::SeqCst, Ordering::SeqCst)
             .is_ok()
     }
 
-    fn has_bytes(&self) -> bool {
-        let looked = recv(
+    fn has_received_bytes(&self) -> bool {
+        let received = recv(
             &*self.stream,
             &mut [0_u8],
             RecvFlags::PEEK | RecvFlags::DONTWAIT,
         );
-        looked.is_ok_and(|(size, _)| size > 0)
+        received.is_ok_and(|(size, _)| size > 0)
     }
 
     fn has_hung_up(&self) -> bool {
-        !self.ended_here.load(Ordering::SeqCst) && has_hung_up(&self.stream)
+        !self.closed_here.load(Ordering::SeqCst) && has_hung_up(&self.stream)
     }
 
-    fn waits(&self, now: u64) -> bool {
-        let since = self.since.load(Ordering::Relaxed);
+    /// Whether its request has been in progress for long enough to be checked.
+    fn needs_check(&self, now: u64) -> bool {
+        let read_at = self.read_at.load(Ordering::Relaxed);
         self.request().is_some()
             && !self.has_disconnected()
-            && !self.ended_here.load(Ordering::SeqCst)
-            && now.saturating_sub(since) >= WAITED.as_millis() as u64
+            && !self.closed_here.load(Ordering::SeqCst)
+            && now.saturating_sub(read_at) >= MIN_REQUEST_AGE.as_millis() as u64
     }
 }
 
-/// The clock and the looks of one process.
+/// The clock and the checks of one process.
 pub struct DisconnectWatcher {
-    begun: Instant,
-    looked_at: AtomicU64,
-    behind_until: AtomicU64,
-    /// The last look came late.
-    late: AtomicBool,
+    started_at: Instant,
+    /// The last check, by this clock.
+    polled_at: AtomicU64,
+    catching_up_until: AtomicU64,
+    last_poll_was_late: AtomicBool,
 }
 
 impl Default for DisconnectWatcher {
     fn default() -> DisconnectWatcher {
-        let [looked_at, behind_until] = [0; 2].map(AtomicU64::new);
-        let watch = DisconnectWatcher {
-            begun: Instant::now(),
-            looked_at,
-            behind_until,
-            late: AtomicBool::new(false),
+        let watcher = DisconnectWatcher {
+            started_at: Instant::now(),
+            polled_at: AtomicU64::new(0),
+            catching_up_until: AtomicU64::new(0),
+            last_poll_was_late: AtomicBool::new(false),
         };
-        watch.looked_at.store(watch.clock(), Ordering::Relaxed);
-        watch
+        watcher.polled_at.store(watcher.clock(), Ordering::Relaxed);
+        watcher
     }
 }
 
 impl DisconnectWatcher {
-    /// Milliseconds, never [`NONE`].
+    /// Milliseconds since the start; never [`NONE`].
     fn clock(&self) -> u64 {
-        self.begun.elapsed().as_millis() as u64 + 1
+        self.started_at.elapsed().as_millis() as u64 + 1
     }
 
-    /// A look is due.
+    /// Whether it is time for the next check.
     pub fn is_due(&self) -> bool {
-        self.since_look() >= LOOK_EVERY
+        self.time_since_poll() >= POLL_INTERVAL
     }
 
-    fn since_look(&self) -> Duration {
+    fn time_since_poll(&self) -> Duration {
         Duration::from_millis(
             self.clock()
-                .saturating_sub(self.looked_at.load(Ordering::Relaxed)),
+                .saturating_sub(self.polled_at.load(Ordering::Relaxed)),
         )
     }
 
-    /// The last look came so late that this process had no turn for a while: nobody has had the time to do what was due.
-    pub fn is_late(&self) -> bool {
-        self.late.load(Ordering::Relaxed)
+    /// Whether this process was suspended before the last check: nobody has had the time to do what was due.
+    pub fn was_suspended(&self) -> bool {
+        self.last_poll_was_late.load(Ordering::Relaxed)
     }
 
-    /// This process had no turn for a while, and catches up.
-    fn is_behind(&self) -> bool {
-        if self.since_look() > LOOK_EVERY + LATE {
-            self.behind_until.store(
-                self.clock() + CATCH_UP.as_millis() as u64,
-                Ordering::Relaxed,
-            );
+    fn is_poll_late(&self) -> bool {
+        self.time_since_poll() > POLL_INTERVAL + SUSPENSION_THRESHOLD
+    }
+
+    /// Whether this process was suspended a short while ago.
+    fn is_catching_up(&self) -> bool {
+        self.note_suspension();
+        self.clock() < self.catching_up_until.load(Ordering::Relaxed)
+    }
+
+    fn note_suspension(&self) {
+        if self.is_poll_late() {
+            let until = self.clock() + CATCH_UP_PERIOD.as_millis() as u64;
+            self.catching_up_until.store(until, Ordering::Relaxed);
         }
-        self.clock() < self.behind_until.load(Ordering::Relaxed)
     }
 
-    /// Looks after connections: those whose clients are found to have left, each once.
+    /// Checks the connections. Returns those whose clients are now found to have disconnected, each once.
     pub fn poll_disconnects<C: AsRef<ClientConnection>>(
         &self,
         connections: &[Arc<C>],
     ) -> Vec<Arc<C>> {
-        self.late
-            .store(self.since_look() > LOOK_EVERY + LATE, Ordering::Relaxed);
-        self.is_behind();
+        self.last_poll_was_late
+            .store(self.is_poll_late(), Ordering::Relaxed);
+        self.note_suspension();
         let now = self.clock();
-        self.looked_at.store(now, Ordering::Relaxed);
-        let waiting: Vec<&Arc<C>> = connections
+        self.polled_at.store(now, Ordering::Relaxed);
+        let checked: Vec<&Arc<C>> = connections
             .iter()
-            .filter(|c| (***c).as_ref().waits(now))
+            .filter(|c| (***c).as_ref().needs_check(now))
             .collect();
-        let streams: Vec<&TcpStream> = waiting.iter().map(|c| &*(***c).as_ref().stream).collect();
-        let gone = hung_up(&streams)
+        let streams: Vec<&TcpStream> = checked.iter().map(|c| &*(***c).as_ref().stream).collect();
+        let hung_up = poll_hung_up(&streams)
             .into_iter()
-            .zip(waiting)
-            .filter(|(gone, _)| *gone);
-        gone.filter(|(_, c)| (***c).as_ref().leave(self))
-            .map(|(_, c)| c.clone())
-            .collect()
+            .zip(checked)
+            .filter(|(hung_up, _)| *hung_up);
+        let disconnected = hung_up.filter(|(_, c)| (***c).as_ref().mark_disconnected(self));
+        disconnected.map(|(_, c)| c.clone()).collect()
     }
 }
 
-/// Whether the other side has closed the connection, or its sending side, or reset it.
+/// Whether the peer has closed the connection, or its sending side, or has reset it.
 pub fn has_hung_up(stream: &TcpStream) -> bool {
-    hung_up(&[stream]) == [true]
+    poll_hung_up(&[stream]) == [true]
 }
 
-/// Whether the other side of each has closed it, or its sending side, or reset it.
-fn hung_up(streams: &[&TcpStream]) -> Vec<bool> {
+/// Whether the peer of each has closed it, or its sending side, or has reset it.
+fn poll_hung_up(streams: &[&TcpStream]) -> Vec<bool> {
     if streams.is_empty() {
         return Vec::new();
     }
-    let mut asked: Vec<PollFd> = streams
+    let mut polled: Vec<PollFd<'_>> = streams
         .iter()
         .map(|s| PollFd::new(s, PollFlags::RDHUP))
         .collect();
-    let at_once = Timespec {
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // A look that fails finds nobody; the next one is soon.
-    let _ = poll(&mut asked, Some(&at_once));
-    asked
+    // If the poll fails, nobody counts as disconnected; the next poll is soon.
+    let _ = poll(&mut polled, Some(&no_wait));
+    let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    polled
         .iter()
-        .map(|fd| {
-            fd.revents()
-                .intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
-        })
+        .map(|fd| fd.revents().intersects(hang_up))
         .collect()
 }
--- a/crates/aspendrum-net/src/forward.rs
+++ b/crates/aspendrum-net/src/forward.rs
@@ -1,6 +1,6 @@
-//! The request that is out at a server, as other threads see it: how far it has come, and the means to break it off.
+//! A request that is being forwarded to a server, as other threads see it: how far it has come, and the means to abort it.
 
-use crate::workers::lock;
+use crate::threads::lock;
 use std::net::{Shutdown, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -8,64 +8,74 @@
 /// How far a request is on its way to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardStage {
-    /// It waits for a place at a server, for the word of a counter, or for its turn to go to a further one.
+    /// It waits for capacity at a server, for the answer of a counter, or to be sent to a further server.
     Waiting,
-    /// A connection to a server is being taken or opened.
-    Dialling,
-    /// It is being written, and may not have left whole.
+    /// A connection to a server is being taken from the pool or opened.
+    Connecting,
+    /// It is being written, and may not have been sent completely.
     Sending,
-    /// It has left whole.
+    /// It has been sent completely.
     AtServer,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
+    /// It may run any number of times.
     Idempotent,
+    /// It may run once only.
     OnceOnly,
 }
 
-/// How far a request has come, as others see it.
+/// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
+    /// The stage of its present attempt.
     pub stage: ForwardStage,
-    /// It is broken off at that stage.
-    pub broken_off: bool,
-    /// How long ago its last forward came back, where that was behind its client's departure: it is about to end.
-    pub returned_for: Option<Duration>,
+    /// Whether that attempt was aborted at that stage.
+    pub is_aborted: bool,
+    /// How long ago its last attempt ended, if that was after its client disconnected: the request is about to end.
+    pub ended_ago: Option<Duration>,
 }
 
-/// A request's forwards, one after another. Their numbers begin at 0.
+/// A request's attempts to be forwarded, one after another, numbered from 0.
 pub struct ForwardHandle {
+    /// Whether the request may run more than once.
     pub kind: RequestKind,
     state: Mutex<State>,
 }
 
 #[derive(Default)]
 struct State {
-    /// Forwards below this number are called off.
-    cancelled: u16,
-    /// The client has left: no forward begins any more.
-    departed: bool,
-    /// When a forward that was out at the departure came back.
-    returned: Option<Instant>,
-    out: Option<Out>,
+    /// Attempts below this number are cancelled.
+    cancelled_below: u16,
+    /// The client has disconnected: no further attempt begins.
+    client_disconnected: bool,
+    /// When an attempt that was in flight at the disconnect ended.
+    ended_at: Option<Instant>,
+    in_flight: Option<InFlight>,
 }
 
-struct Out {
-    forward: u8,
+/// The attempt in flight.
+struct InFlight {
+    attempt: u8,
     stream: Arc<TcpStream>,
     stage: ForwardStage,
-    broken_off: bool,
+    is_aborted: bool,
 }
 
 impl State {
-    fn open(&self, forward: u8) -> bool {
-        !self.departed && self.cancelled <= u16::from(forward)
+    fn may_proceed(&self, attempt: u8) -> bool {
+        !self.client_disconnected && !self.is_cancelled(attempt)
+    }
+
+    fn is_cancelled(&self, attempt: u8) -> bool {
+        self.cancelled_below > u16::from(attempt)
     }
 }
 
 impl ForwardHandle {
+    /// The handle of a request without an attempt.
     pub fn new(kind: RequestKind) -> ForwardHandle {
         ForwardHandle {
             kind,
@@ -77,93 +87,92 @@
         lock(&self.state)
     }
 
-    /// The forward has a socket, connected or not. False: it was called off before.
-    pub fn enter(&self, forward: u8, stream: &Arc<TcpStream>) -> bool {
+    /// Begins an attempt, which has a socket, connected or not. Returns false if it was cancelled before.
+    pub fn begin_attempt(&self, attempt: u8, stream: &Arc<TcpStream>) -> bool {
         let mut state = self.state();
-        let open = state.open(forward);
-        if open {
-            let (stage, broken_off) = (ForwardStage::Dialling, false);
-            state.out = Some(Out {
-                forward,
+        let may_proceed = state.may_proceed(attempt);
+        if may_proceed {
+            let (stage, is_aborted) = (ForwardStage::Connecting, false);
+            state.in_flight = Some(InFlight {
+                attempt,
                 stream: stream.clone(),
                 stage,
-                broken_off,
+                is_aborted,
             });
         }
-        open
+        may_proceed
     }
 
-    /// The request is about to be written, or has been written whole. False: it was called off before.
-    pub fn reach(&self, forward: u8, stage: ForwardStage) -> bool {
+    /// Moves an attempt on to that stage: its request is about to be written, or has been written completely. Returns
+    /// false if it was cancelled before.
+    pub fn advance(&self, attempt: u8, stage: ForwardStage) -> bool {
         let mut state = self.state();
-        if let Some(out) = state.out.as_mut().filter(|o| o.forward == forward) {
-            out.stage = stage;
+        if let Some(in_flight) = state.in_flight.as_mut().filter(|f| f.attempt == attempt) {
+            in_flight.stage = stage;
         }
-        state.open(forward)
+        state.may_proceed(attempt)
     }
 
-    /// Behind this the connection is safe from a late cancellation. True: it was cancelled or broken off, or never began
-    /// for that.
-    pub fn leave(&self, forward: u8) -> bool {
+    /// Ends an attempt: from now on no late cancellation shuts down its connection. Returns true if it was cancelled or
+    /// aborted, or never began for that reason.
+    pub fn end_attempt(&self, attempt: u8) -> bool {
         let mut state = self.state();
-        if state.departed {
-            state.returned = Some(Instant::now());
+        if state.client_disconnected {
+            state.ended_at = Some(Instant::now());
         }
-        let broken_off = state
-            .out
+        let client_disconnected = state.client_disconnected;
+        let is_aborted = state
+            .in_flight
             .take()
-            .map_or(state.departed, |out| out.broken_off);
-        broken_off || state.cancelled > u16::from(forward)
+            .map_or(client_disconnected, |f| f.is_aborted);
+        is_aborted || state.is_cancelled(attempt)
     }
 
-    /// Calls off the forwards up to this one, and shuts the socket of the one that is out.
-    pub fn cancel(&self, forward: u8) {
+    /// Cancels the attempts up to this one, and shuts down the connection of the one in flight.
+    pub fn cancel_up_to(&self, attempt: u8) {
         let mut state = self.state();
-        state.cancelled = state.cancelled.max(u16::from(forward) + 1);
-        if let Some(out) = state.out.take_if(|o| o.forward <= forward) {
-            let _ = out.stream.shutdown(Shutdown::Both);
+        state.cancelled_below = state.cancelled_below.max(u16::from(attempt) + 1);
+        if let Some(in_flight) = state.in_flight.take_if(|f| f.attempt <= attempt) {
+            let _ = in_flight.stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// The client has left. Nothing more is sent for it, and what has not left whole is broken off: no server runs it
-    /// (RFC 9112, 8). What is at a server may still end by itself. Returns how far the request had come.
-    pub fn depart(&self) -> ForwardStage {
+    /// The client has disconnected. Nothing more is sent for it, and what has not been sent completely is aborted: no
+    /// server runs it (RFC 9112, 8). What is at a server may still end by itself. Returns how far the request had come.
+    pub fn handle_disconnect(&self) -> ForwardStage {
         let mut state = self.state();
-        state.departed = true;
-        let Some(out) = &mut state.out else {
+        state.client_disconnected = true;
+        let Some(in_flight) = &mut state.in_flight else {
             return ForwardStage::Waiting;
         };
-        if out.stage != ForwardStage::AtServer {
-            out.broken_off = true;
-            let _ = out.stream.shutdown(Shutdown::Both);
+        if in_flight.stage != ForwardStage::AtServer {
+            in_flight.is_aborted = true;
+            let _ = in_flight.stream.shutdown(Shutdown::Both);
         }
-        out.stage
+        in_flight.stage
     }
 
-    /// Breaks off a run that may be repeated, by an end of our sending side: its server drops it and closes, and until
-    /// then the place that it takes is not free. A once-only run is let finish.
-    pub fn break_off(&self) {
+    /// Aborts an idempotent attempt, by shutting down our sending side: its server drops it and closes, and its capacity is
+    /// in use until then. An attempt that may run once only is left to end.
+    pub fn abort_idempotent(&self) {
         let mut state = self.state();
-        let Some(out) = &mut state.out else { return };
-        if self.kind == RequestKind::Idempotent && !out.broken_off {
-            out.broken_off = true;
-            let _ = out.stream.shutdown(Shutdown::Write);
+        let Some(in_flight) = &mut state.in_flight else {
+            return;
+        };
+        if self.kind == RequestKind::Idempotent && !in_flight.is_aborted {
+            in_flight.is_aborted = true;
+            let _ = in_flight.stream.shutdown(Shutdown::Write);
         }
     }
 
     /// How far the request has come.
     pub fn progress(&self) -> Progress {
         let state = self.state();
-        let (stage, broken_off) = state
-            .out
-            .as_ref()
-            .map_or((ForwardStage::Waiting, false), |out| {
-                (out.stage, out.broken_off)
-            });
+        let in_flight = state.in_flight.as_ref();
         Progress {
-            stage,
-            broken_off,
-            returned_for: state.returned.map(|at| at.elapsed()),
+            stage: in_flight.map_or(ForwardStage::Waiting, |f| f.stage),
+            is_aborted: in_flight.is_some_and(|f| f.is_aborted),
+            ended_ago: state.ended_at.map(|at| at.elapsed()),
         }
     }
 }
--- a/crates/aspendrum-net/src/frames.rs
+++ b/crates/aspendrum-net/src/frames.rs
@@ -1,7 +1,8 @@
-//! Held connections between our own processes: frames of postcard behind a length of four bytes.
+//! Framed connections between the system's own processes: each message is encoded with postcard, behind its length in
+//! four bytes, little-endian.
 
-use crate::mailbox::{self, MailboxSender};
-use crate::workers::spawn;
+use crate::mailbox::{self, MailboxReceiver, MailboxSender};
+use crate::threads::spawn;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use socket2::SockRef;
@@ -11,21 +12,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// No frame is longer: a sender of nonsense must not make a reader take memory without end.
+/// No frame is longer, so that a faulty sender cannot make a receiver allocate without end.
 pub const MAX_FRAME_BYTES: usize = 32 << 20;
-const STACK: usize = 96 << 10;
+const LENGTH_BYTES: usize = 4;
+const WRITER_STACK_BYTES: usize = 96 << 10;
 
-/// A frame's bytes. What cannot be written as one is empty, and a link ends on it.
-pub fn encode_frame<T: Serialize>(word: &T) -> Vec<u8> {
-    let body = postcard::to_allocvec(word).unwrap_or_default();
-    let mut out = (body.len() as u32).to_le_bytes().to_vec();
-    out.extend_from_slice(&body);
-    out
+/// The bytes of a frame. A message that cannot be encoded gives an empty frame, which no receiver can decode.
+pub fn encode_frame<T: Serialize>(message: &T) -> Vec<u8> {
+    let body = postcard::to_allocvec(message).unwrap_or_default();
+    let mut frame = (body.len() as u32).to_le_bytes().to_vec();
+    frame.extend_from_slice(&body);
+    frame
 }
 
-/// Reads one frame. `InvalidData`: it is too long, or no word of ours.
+/// Reads one frame.
+///
+/// # Errors
+/// The error of the read; `UnexpectedEof` if the input ends before the frame does; `InvalidData` if the frame is too long
+/// or is not such a message.
 pub fn read_frame<T: DeserializeOwned>(from: &mut impl Read) -> io::Result<T> {
-    let mut length = [0; 4];
+    let mut length = [0; LENGTH_BYTES];
     from.read_exact(&mut length)?;
     let length = u32::from_le_bytes(length) as usize;
     if length > MAX_FRAME_BYTES {
@@ -39,68 +45,87 @@
     postcard::from_bytes(&body).map_err(|_| io::ErrorKind::InvalidData.into())
 }
 
-/// The writing side of a held connection. Whoever says something never waits: a peer that does not read loses
-/// the link.
+/// The sending half of a framed connection. A sender never waits: a peer that does not read fast enough loses the
+/// connection.
 pub struct Link {
-    post: MailboxSender<Vec<u8>>,
+    /// Encoded frames for the writer thread. An empty one, which encoding never gives, ends the connection.
+    frames: MailboxSender<Vec<u8>>,
     stream: Arc<TcpStream>,
-    /// The writing side ends it, behind what is still to be written.
+    /// The writer thread closes the connection, after all that is still to be written.
     finished: AtomicBool,
 }
 
 impl Link {
-    /// `silence`: so long may bytes stay without the peer's acknowledgement.
-    pub fn from_stream(stream: Arc<TcpStream>, silence: Duration, room: usize) -> io::Result<Link> {
+    /// The sending half over a stream, with a writer thread of its own. `ack_timeout`: the connection ends when sent bytes
+    /// stay unacknowledged by the peer's system for so long (TCP_USER_TIMEOUT). `capacity`: how many messages may wait.
+    ///
+    /// # Errors
+    /// The stream cannot be set up, or no thread can be spawned.
+    pub fn from_stream(
+        stream: Arc<TcpStream>,
+        ack_timeout: Duration,
+        capacity: usize,
+    ) -> io::Result<Link> {
         stream.set_nodelay(true)?;
-        let _ = SockRef::from(&*stream).set_tcp_user_timeout(Some(silence));
-        let own = stream.clone();
-        let post =
-            mailbox::spawn_receiver(room, move |inbox: mailbox::MailboxReceiver<Vec<u8>>| {
-                spawn("link", STACK, move || {
-                    while let Ok(bytes) = inbox.recv_deadline(None) {
-                        if bytes.is_empty() || (&*own).write_all(&bytes).is_err() {
-                            break;
-                        }
-                    }
-                    let _ = own.shutdown(Shutdown::Both);
-                })
-            })?;
+        let _ = SockRef::from(&*stream).set_tcp_user_timeout(Some(ack_timeout));
+        let written = stream.clone();
+        let frames = mailbox::spawn_receiver(capacity, move |frames| {
+            spawn("link", WRITER_STACK_BYTES, move || {
+                write_frames(&frames, &written)
+            })
+        })?;
         Ok(Link {
-            post,
+            frames,
             stream,
             finished: AtomicBool::new(false),
         })
     }
 
-    pub fn dial(to: SocketAddrV4, wait: Duration) -> io::Result<Arc<TcpStream>> {
-        TcpStream::connect_timeout(&to.into(), wait).map(Arc::new)
+    /// Connects to a peer.
+    ///
+    /// # Errors
+    /// The error of the connection attempt.
+    pub fn connect(peer: SocketAddrV4, timeout: Duration) -> io::Result<Arc<TcpStream>> {
+        TcpStream::connect_timeout(&peer.into(), timeout).map(Arc::new)
     }
 
-    pub fn send<T: Serialize>(&self, word: &T) {
-        if self.post.try_send(encode_frame(word)).is_err() {
-            self.end();
+    /// Sends a message, without waiting. If the peer has fallen too far behind, the connection is closed.
+    pub fn send<T: Serialize>(&self, message: &T) {
+        if self.frames.try_send(encode_frame(message)).is_err() {
+            self.close();
         }
     }
 
-    /// Ends the connection behind all that was said.
+    /// Closes the connection after all that was sent.
     pub fn finish(&self) {
-        if self.post.try_send(Vec::new()).is_ok() {
+        if self.frames.try_send(Vec::new()).is_ok() {
             self.finished.store(true, Ordering::Release);
         } else {
-            self.end();
+            self.close();
         }
     }
 
-    pub fn end(&self) {
+    /// Closes the connection now.
+    pub fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
+/// The body of the writer thread.
+fn write_frames(frames: &MailboxReceiver<Vec<u8>>, mut stream: &TcpStream) {
+    while let Ok(frame) = frames.recv_deadline(None) {
+        if frame.is_empty() || stream.write_all(&frame).is_err() {
+            break;
+        }
+    }
+    let _ = stream.shutdown(Shutdown::Both);
+}
+
 impl Drop for Link {
     fn drop(&mut self) {
         if !self.finished.load(Ordering::Acquire) {
-            self.end();
+            self.close();
         }
-        self.post.close();
+        self.frames.close();
     }
 }
--- /dev/null
+++ b/crates/aspendrum-net/src/http1/encode.rs
@@ -0,0 +1,44 @@
+//! Responses of our own.
+
+/// The reason phrase of a status (RFC 9110, 15).
+pub fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        307 => "Temporary Redirect",
+        400 => "Bad Request",
+        401 => "Unauthorized",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        408 => "Request Timeout",
+        413 => "Content Too Large",
+        421 => "Misdirected Request",
+        422 => "Unprocessable Content",
+        429 => "Too Many Requests",
+        431 => "Request Header Fields Too Large",
+        500 => "Internal Server Error",
+        502 => "Bad Gateway",
+        503 => "Service Unavailable",
+        504 => "Gateway Timeout",
+        _ => "Answer",
+    }
+}
+
+/// The bytes of a whole response. `close`: the connection is closed after it.
+pub fn encode_response(status: u16, headers: &[(&str, &str)], close: bool, body: &[u8]) -> Vec<u8> {
+    let reason = reason_phrase(status);
+    let mut head = format!(
+        "HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n",
+        body.len()
+    );
+    for (name, value) in headers {
+        head += &format!("{name}: {value}\r\n");
+    }
+    head += if close {
+        "Connection: close\r\n\r\n"
+    } else {
+        "\r\n"
+    };
+    let mut response = head.into_bytes();
+    response.extend_from_slice(body);
+    response
+}
--- a/crates/aspendrum-net/src/http_server.rs
+++ b/crates/aspendrum-net/src/http_server.rs
@@ -1,33 +1,43 @@
-//! A listener for short calls of servers, operators and the platform: each request is answered by one
-//! function, on a thread that is kept for the next connection.
+//! A server for short calls of servers, operators and the platform: one function answers each request, on a thread that
+//! is reused for later connections.
 
+use crate::connection::lingering_close;
 use crate::disconnects::has_hung_up;
-use crate::http1::{self, MessageLimits, Parsed, Request};
+use crate::http1::{encode_response, parse_request, MessageLimits, Parsed, Request};
 use crate::ring_buffer::RingBuffer;
-use crate::workers::{spawn, WorkerPool};
+use crate::threads::spawn;
+use crate::worker_pool::WorkerPool;
 use std::io::Write;
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::thread::sleep;
 use std::time::Duration;
 
+/// The memory, limits and times of a server.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    pub stack: usize,
-    pub bounds: MessageLimits,
-    /// A connection on which nothing comes for so long is closed.
-    pub idle: Duration,
-    pub workers: Duration,
+    /// The size of each thread's stack.
+    pub stack_bytes: usize,
+    /// The limits on each request.
+    pub limits: MessageLimits,
+    /// A connection on which nothing arrives for so long is closed.
+    pub idle_timeout: Duration,
+    /// A thread without work for so long ends.
+    pub worker_idle_timeout: Duration,
 }
 
-/// An answer of one call: status, headers, body.
+/// The answer to one request.
 pub struct Reply {
+    /// The status code.
     pub status: u16,
+    /// The header fields, but for those of the body's length and of the connection.
     pub headers: Vec<(&'static str, String)>,
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Reply {
+    /// A status alone.
     pub fn plain(status: u16) -> Reply {
         Reply {
             status,
@@ -36,6 +46,7 @@
         }
     }
 
+    /// Success, with a text.
     pub fn text(body: String) -> Reply {
         Reply {
             status: 200,
@@ -44,6 +55,7 @@
         }
     }
 
+    /// Success, with JSON.
     pub fn json(body: Vec<u8>) -> Reply {
         Reply {
             status: 200,
@@ -53,63 +65,83 @@
     }
 }
 
-/// Listens there and answers until the process ends.
+/// Between two attempts to accept where no descriptor is free.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+const INITIAL_BUFFER_BYTES: usize = 1 << 10;
+/// Chunk sizes and trailers may take up so much beyond a request's head and content.
+const FRAMING_BYTES: usize = 1024;
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+const LINGER_MAX_BYTES: usize = 64 << 10;
+
+/// Listens at that address, and answers requests by `serve` until the process ends.
+///
+/// # Errors
+/// The address cannot be bound, or no thread can be spawned.
 pub fn listen(
-    at: SocketAddrV4,
-    terms: ServerOptions,
+    address: SocketAddrV4,
+    options: ServerOptions,
     serve: impl Fn(Request) -> Reply + Send + Sync + 'static,
 ) -> std::io::Result<()> {
-    let listener = TcpListener::bind(at)?;
+    let listener = TcpListener::bind(address)?;
     let serve = Arc::new(serve);
-    let workers = WorkerPool::new(terms.stack, terms.workers);
-    spawn("reception", terms.stack, move || loop {
+    let workers = WorkerPool::new(options.stack_bytes, options.worker_idle_timeout);
+    spawn("http-server", options.stack_bytes, move || loop {
         let Ok((stream, _)) = listener.accept() else {
-            // No descriptor is free: one may be in a moment.
-            sleep(Duration::from_millis(20));
+            sleep(ACCEPT_RETRY);
             continue;
         };
-        let (serve, terms) = (serve.clone(), terms.clone());
-        // Without a thread the connection is closed, and its caller goes to another limiter.
-        let _ = workers.run(Box::new(move || attend(&stream, &terms, &*serve)));
+        let (serve, options) = (serve.clone(), options.clone());
+        // Without a thread the connection is closed, and its client tries another node.
+        let _ = workers.run(Box::new(move || {
+            serve_connection(&stream, &options, &*serve)
+        }));
     })?;
     Ok(())
 }
 
-fn attend(stream: &TcpStream, terms: &ServerOptions, serve: &dyn Fn(Request) -> Reply) {
-    let mut ring = RingBuffer::new(1 << 10, terms.bounds.head + terms.bounds.body + 1024);
-    let set = stream
-        .set_nodelay(true)
-        .and_then(|()| stream.set_read_timeout(Some(terms.idle)));
-    if set
-        .and_then(|()| stream.set_write_timeout(Some(terms.idle)))
-        .is_err()
-    {
+fn set_options(stream: &TcpStream, options: &ServerOptions) -> std::io::Result<()> {
+    stream.set_nodelay(true)?;
+    stream.set_read_timeout(Some(options.idle_timeout))?;
+    stream.set_write_timeout(Some(options.idle_timeout))
+}
+
+fn serve_connection(stream: &TcpStream, options: &ServerOptions, serve: &dyn Fn(Request) -> Reply) {
+    let limits = &options.limits;
+    let max_bytes = limits.head_bytes + limits.body_bytes + FRAMING_BYTES;
+    let mut buffer = RingBuffer::new(INITIAL_BUFFER_BYTES, max_bytes);
+    if set_options(stream, options).is_err() {
         return;
     }
     loop {
-        let (reply, close) = match http1::parse_request(&mut ring, &terms.bounds) {
-            Parsed::Incomplete => match ring.fill(&mut &*stream) {
-                Ok(n) if n > 0 => continue,
+        let (reply, close) = match parse_request(&mut buffer, limits) {
+            Parsed::Incomplete => match buffer.fill(&mut &*stream) {
+                Ok(read) if read > 0 => continue,
                 _ => return,
             },
             Parsed::Invalid(status) => (Reply::plain(status), true),
-            // An order that lay in the socket of a machine that stood still, and whose caller has gone: he may have
-            // given the opposite one elsewhere since. What only asks does no harm (RFC 9110, 9.2.1).
+            // An order that lay in the socket while this machine was suspended, and whose client has gone: the client may
+            // have given the opposite order elsewhere since. A GET has no effect, and is answered (RFC 9110, 9.2.1).
             Parsed::Complete(request) if request.method != "GET" && has_hung_up(stream) => return,
             Parsed::Complete(request) => {
                 let close = request.close;
                 (serve(request), close)
             }
         };
-        let headers: Vec<(&str, &str)> =
-            reply.headers.iter().map(|h| (h.0, h.1.as_str())).collect();
-        let bytes = http1::encode_response(reply.status, &headers, close, &reply.body);
-        if (&*stream).write_all(&bytes).is_err() {
+        if write_reply(stream, &reply, close).is_err() {
             return;
         }
         if close {
-            crate::pool::linger(stream, Duration::from_millis(200), 64 << 10);
+            lingering_close(stream, LINGER_TIMEOUT, LINGER_MAX_BYTES);
             return;
         }
     }
 }
+
+fn write_reply(mut stream: &TcpStream, reply: &Reply, close: bool) -> std::io::Result<()> {
+    let headers: Vec<(&str, &str)> = reply
+        .headers
+        .iter()
+        .map(|(name, value)| (*name, value.as_str()))
+        .collect();
+    stream.write_all(&encode_response(reply.status, &headers, close, &reply.body))
+}
--- a/crates/aspendrum-net/src/lib.rs
+++ b/crates/aspendrum-net/src/lib.rs
@@ -1,7 +1,10 @@
-//! The plumbing that old and new programs share: rings, threads, letter boxes, connections to servers, HTTP
-//! framing, frames between own processes. Nothing here decides.
+//! The networking that the programs share: HTTP/1.1 messages, a client and a server for short calls, pooled connections to
+//! servers, framed connections between the system's own processes, mailboxes and threads. Nothing here decides where a
+//! request goes.
 
+pub mod connection;
 pub mod daemon;
+mod descriptor_permit;
 pub mod disconnect_metrics;
 pub mod disconnects;
 pub mod forward;
@@ -12,5 +15,7 @@
 pub mod mailbox;
 pub mod path_matcher;
 pub mod pool;
+pub mod process_signals;
 pub mod ring_buffer;
-pub mod workers;
+pub mod threads;
+pub mod worker_pool;
--- a/crates/aspendrum-net/src/path_matcher.rs
+++ b/crates/aspendrum-net/src/path_matcher.rs
@@ -1,79 +1,99 @@
-//! Calls of servers and operators, told apart by a tree of matchers: each node fits one segment of the path,
-//! leaves name a method and what is called.
+//! Finds which call a request is for, by a tree of path segments whose leaves name a method and a call.
 
-/// A node of the tree. `C` names the calls.
-pub enum Node<C> {
-    /// A segment of just this text, and what may follow.
-    Word(&'static str, Vec<Node<C>>),
-    /// Any one segment, kept as the call's argument.
-    Any(Vec<Node<C>>),
-    /// The path ends here; called by this method.
-    Leaf(&'static str, C),
+/// A node of the tree. `C` identifies the calls.
+pub enum PathNode<C> {
+    /// A segment of exactly this text, and what may follow.
+    Literal(&'static str, Vec<PathNode<C>>),
+    /// Any one segment, which becomes an argument of the call, and what may follow.
+    Parameter(Vec<PathNode<C>>),
+    /// The path ends here: the method, and its call.
+    Endpoint(&'static str, C),
 }
 
-/// What a call came to.
+/// What a request is for.
 #[derive(Debug, PartialEq)]
-pub enum Found<'p, C> {
-    /// The call, its arguments from the path, and its query.
-    Call(C, Vec<&'p str>, &'p str),
-    /// The path is known, the method is not.
-    OtherMethod,
-    Nothing,
+pub enum PathMatch<'p, C> {
+    /// A call.
+    Call {
+        /// Which one.
+        call: C,
+        /// Its arguments out of the path.
+        arguments: Vec<&'p str>,
+        /// The query of the target.
+        query: &'p str,
+    },
+    /// The path is known, but not with this method.
+    MethodNotAllowed,
+    /// The path is unknown.
+    NotFound,
 }
 
-/// Finds what a request calls. `path` is the target as it came.
-pub fn find<'p, C: Copy>(tree: &[Node<C>], method: &str, path: &'p str) -> Found<'p, C> {
-    let (path, query) = path.split_once('?').unwrap_or((path, ""));
+/// Finds what a request is for. `target` is its target as it came.
+pub fn match_path<'p, C: Copy>(
+    tree: &[PathNode<C>],
+    method: &str,
+    target: &'p str,
+) -> PathMatch<'p, C> {
+    let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let Some(path) = path.strip_prefix('/') else {
-        return Found::Nothing;
+        return PathMatch::NotFound;
     };
     let segments: Vec<&str> = path.split('/').collect();
-    let (mut kept, mut known) = (Vec::new(), false);
-    match walk(tree, method, &segments, &mut kept, &mut known) {
-        Some(call) => Found::Call(call, kept, query),
-        None if known => Found::OtherMethod,
-        None => Found::Nothing,
+    let mut search = Search {
+        method,
+        arguments: Vec::new(),
+        is_path_known: false,
+    };
+    match search.visit(tree, &segments) {
+        Some(call) => PathMatch::Call {
+            call,
+            arguments: search.arguments,
+            query,
+        },
+        None if search.is_path_known => PathMatch::MethodNotAllowed,
+        None => PathMatch::NotFound,
     }
 }
 
-fn walk<'p, C: Copy>(
-    nodes: &[Node<C>],
-    method: &str,
-    rest: &[&'p str],
-    kept: &mut Vec<&'p str>,
-    known: &mut bool,
-) -> Option<C> {
-    for node in nodes {
-        let found = match (node, rest) {
-            (Node::Leaf(by, call), []) => {
-                *known = true;
-                Some(*call).filter(|_| *by == method)
+/// A depth-first search through the tree.
+struct Search<'m, 'p> {
+    method: &'m str,
+    arguments: Vec<&'p str>,
+    /// An endpoint of that path was seen, whatever its method.
+    is_path_known: bool,
+}
+
+impl<'p> Search<'_, 'p> {
+    fn visit<C: Copy>(&mut self, nodes: &[PathNode<C>], segments: &[&'p str]) -> Option<C> {
+        nodes
+            .iter()
+            .find_map(|node| self.visit_node(node, segments))
+    }
+
+    fn visit_node<C: Copy>(&mut self, node: &PathNode<C>, segments: &[&'p str]) -> Option<C> {
+        match (node, segments) {
+            (PathNode::Endpoint(method, call), []) => {
+                self.is_path_known = true;
+                Some(*call).filter(|_| *method == self.method)
             }
-            (Node::Word(word, next), [first, rest @ ..]) if word == first => {
-                walk(next, method, rest, kept, known)
+            (PathNode::Literal(text, next), [first, rest @ ..]) if text == first => {
+                self.visit(next, rest)
             }
-            (Node::Any(next), [first, rest @ ..]) if !first.is_empty() => {
-                kept.push(first);
-                let found = walk(next, method, rest, kept, known);
+            (PathNode::Parameter(next), [first, rest @ ..]) if !first.is_empty() => {
+                self.arguments.push(first);
+                let found = self.visit(next, rest);
                 if found.is_none() {
-                    kept.pop();
+                    self.arguments.pop();
                 }
                 found
             }
             _ => None,
-        };
-        if found.is_some() {
-            return found;
         }
     }
-    None
 }
 
-/// The value of a name in a query.
-pub fn argument<'q>(query: &'q str, name: &str) -> Option<&'q str> {
-    query
-        .split('&')
-        .filter_map(|pair| pair.split_once('='))
-        .find(|p| p.0 == name)
-        .map(|p| p.1)
+/// The value of a parameter in a query.
+pub fn query_parameter<'q>(query: &'q str, name: &str) -> Option<&'q str> {
+    let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
--- a/crates/aspendrum-net/src/ring_buffer.rs
+++ b/crates/aspendrum-net/src/ring_buffer.rs
@@ -1,94 +1,108 @@
-//! One ring buffer for one direction of a connection: starts small, grows to its limit, shrinks once empty.
+//! A ring buffer for one direction of a connection. It starts small, grows up to its limit, and frees its memory once it
+//! is empty.
 
 use std::io::{self, Read, Write};
 
+/// A ring buffer of bytes.
 pub struct RingBuffer {
-    buf: Vec<u8>,
+    storage: Vec<u8>,
     start: usize,
     len: usize,
-    small: usize,
-    top: usize,
+    initial_bytes: usize,
+    max_bytes: usize,
 }
 
+/// An empty buffer keeps its storage up to this many times its initial size.
+const KEPT_GROWTH: usize = 4;
+
 impl RingBuffer {
-    pub fn new(small: usize, top: usize) -> RingBuffer {
+    /// An empty buffer. It allocates at least `initial_bytes` when it is first used, and never more than `max_bytes`.
+    pub fn new(initial_bytes: usize, max_bytes: usize) -> RingBuffer {
+        let initial_bytes = initial_bytes.min(max_bytes);
         RingBuffer {
-            buf: Vec::new(),
+            storage: Vec::new(),
             start: 0,
             len: 0,
-            small: small.min(top),
-            top,
+            initial_bytes,
+            max_bytes,
         }
     }
 
+    /// Whether it holds nothing.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Reads once into free room. `Ok(0)` is the end of the input; a ring at its limit is an error, so that
-    /// no sender can make it grow.
+    /// Reads once into free space; `Ok(0)` is the end of the input.
+    ///
+    /// # Errors
+    /// The error of the read, or `OutOfMemory` if the buffer is full: no sender can make it grow beyond its limit.
     pub fn fill(&mut self, from: &mut impl Read) -> io::Result<usize> {
-        if self.len == self.top {
+        if self.len == self.max_bytes {
             return Err(io::Error::new(
                 io::ErrorKind::OutOfMemory,
                 "more than the ring may hold",
             ));
         }
-        self.room(1);
-        let (size, end) = (self.buf.len(), self.start + self.len);
+        self.reserve(1);
+        let (size, end) = (self.storage.len(), self.start + self.len);
         let free = if end < size {
             end..size
         } else {
             end - size..self.start
         };
-        let n = from.read(&mut self.buf[free])?;
-        self.len += n;
-        Ok(n)
+        let read = from.read(&mut self.storage[free])?;
+        self.len += read;
+        Ok(read)
     }
 
-    /// Puts all of it in; false, with nothing put, if it would pass the limit.
+    /// Appends all of the data. Returns false, with nothing appended, if that would exceed the limit.
     pub fn append(&mut self, data: &[u8]) -> bool {
-        if self.len + data.len() > self.top {
+        if self.len + data.len() > self.max_bytes {
             return false;
         }
-        self.room(data.len());
-        let size = self.buf.len();
-        let at = (self.start + self.len) % size.max(1);
-        let first = data.len().min(size - at);
-        self.buf[at..at + first].copy_from_slice(&data[..first]);
-        self.buf[..data.len() - first].copy_from_slice(&data[first..]);
+        self.reserve(data.len());
+        let size = self.storage.len();
+        let end = (self.start + self.len) % size.max(1);
+        let until_wrap = data.len().min(size - end);
+        self.storage[end..end + until_wrap].copy_from_slice(&data[..until_wrap]);
+        self.storage[..data.len() - until_wrap].copy_from_slice(&data[until_wrap..]);
         self.len += data.len();
         true
     }
 
-    /// All that it holds, in one piece.
+    /// All that it holds, in one slice; moves bytes if they wrap around.
     pub fn contiguous(&mut self) -> &[u8] {
-        if self.start + self.len > self.buf.len() {
-            self.buf.rotate_left(self.start);
+        if self.start + self.len > self.storage.len() {
+            self.storage.rotate_left(self.start);
             self.start = 0;
         }
-        &self.buf[self.start..self.start + self.len]
+        &self.storage[self.start..self.start + self.len]
     }
 
-    pub fn consume(&mut self, n: usize) {
-        let n = n.min(self.len);
-        self.len -= n;
+    /// Removes that many bytes from the front.
+    pub fn consume(&mut self, bytes: usize) {
+        let bytes = bytes.min(self.len);
+        self.len -= bytes;
         self.start = if self.len == 0 {
             0
         } else {
-            (self.start + n) % self.buf.len()
+            (self.start + bytes) % self.storage.len()
         };
-        if self.len == 0 && self.buf.len() > 4 * self.small {
-            self.buf = Vec::new();
+        if self.len == 0 && self.storage.len() > KEPT_GROWTH * self.initial_bytes {
+            self.storage = Vec::new();
         }
     }
 
-    /// Writes all it holds. On a failure it keeps what did not go out.
+    /// Writes all that it holds.
+    ///
+    /// # Errors
+    /// The error of the write; the buffer keeps what was not written.
     pub fn drain(&mut self, to: &mut impl Write) -> io::Result<()> {
         while self.len > 0 {
             match to.write(self.contiguous()) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(n) => self.consume(n),
+                Ok(written) => self.consume(written),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
@@ -96,27 +110,31 @@
         Ok(())
     }
 
-    fn room(&mut self, more: usize) {
-        let need = self.len + more;
-        if need <= self.buf.len() {
+    /// Makes free space for that many bytes more.
+    fn reserve(&mut self, additional: usize) {
+        let needed = self.len + additional;
+        if needed <= self.storage.len() {
             return;
         }
-        let size = need.next_power_of_two().clamp(self.small, self.top);
-        self.buf.rotate_left(self.start);
+        let size = needed
+            .next_power_of_two()
+            .clamp(self.initial_bytes, self.max_bytes);
+        self.storage.rotate_left(self.start);
         self.start = 0;
-        self.buf.reserve_exact(size - self.buf.len());
-        self.buf.resize(size, 0);
+        self.storage.reserve_exact(size - self.storage.len());
+        self.storage.resize(size, 0);
     }
 }
 
-/// The read ended with its time, not with the connection.
-pub fn is_timeout(e: &io::Error) -> bool {
+/// Whether a read ended by its time-out, and not with the connection.
+pub fn is_timeout(error: &io::Error) -> bool {
     matches!(
-        e.kind(),
+        error.kind(),
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
     )
 }
 
+/// Writes go to the end of the buffer, as a whole or not at all.
 impl Write for RingBuffer {
     fn write(&mut self, data: &[u8]) -> io::Result<usize> {
         if self.append(data) {
@@ -125,6 +143,7 @@
             Err(io::ErrorKind::OutOfMemory.into())
         }
     }
+
     fn flush(&mut self) -> io::Result<()> {
         Ok(())
     }
--- a/crates/aspendrum-net/tests/wire_bytes.rs
+++ b/crates/aspendrum-net/tests/wire_bytes.rs
@@ -1,12 +1,12 @@
 //! What is written to connections, byte by byte, and what is read from them: it stays, whatever a type is called.
 
-use aspendrum_net::disconnect_metrics::{DisconnectMetrics, BOUND};
+use aspendrum_net::disconnect_metrics::{DisconnectMetrics, REACTION_DEADLINE};
 use aspendrum_net::forward::{ForwardStage, RequestKind};
 use aspendrum_net::frames::{encode_frame, read_frame, Link};
 use aspendrum_net::http1::{self, MessageLimits, Parsed, Request, Response};
 use aspendrum_net::http_client::HttpClient;
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
-use aspendrum_net::path_matcher::{argument, find, Found, Node};
+use aspendrum_net::path_matcher::{match_path, query_parameter, PathMatch, PathNode};
 use aspendrum_net::ring_buffer::RingBuffer;
 use serde::{Deserialize, Serialize};
 use std::io::{ErrorKind, Read, Write};
@@ -17,8 +17,8 @@
 
 const PATIENCE: Duration = Duration::from_secs(20);
 const BOUNDS: MessageLimits = MessageLimits {
-    head: 256,
-    body: 64,
+    head_bytes: 256,
+    body_bytes: 64,
 };
 
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
@@ -368,10 +368,10 @@
         _ => Reply::plain(404),
     };
     let terms = ServerOptions {
-        stack: 128 << 10,
-        bounds: BOUNDS,
-        idle: PATIENCE,
-        workers: PATIENCE,
+        stack_bytes: 128 << 10,
+        limits: BOUNDS,
+        idle_timeout: PATIENCE,
+        worker_idle_timeout: PATIENCE,
     };
     let at = |port| SocketAddrV4::new(Ipv4Addr::new(127, 0, 8, 1), port);
     let port =
@@ -407,23 +407,23 @@
 
 #[test]
 fn figures_keep_their_names_and_labels() {
-    let figures = DisconnectMetrics::default();
+    let metrics = DisconnectMetrics::default();
     let kinds = [RequestKind::Idempotent, RequestKind::OnceOnly];
     for kind in kinds {
         for stage in [
             ForwardStage::Waiting,
-            ForwardStage::Dialling,
+            ForwardStage::Connecting,
             ForwardStage::Sending,
             ForwardStage::AtServer,
         ] {
-            figures.record_disconnect(kind, stage);
-            figures.record_overdue(kind, stage, false);
-            figures.record_overdue(kind, stage, true);
+            metrics.record_disconnect(kind, stage);
+            metrics.record_overdue(kind, stage, false);
+            metrics.record_overdue(kind, stage, true);
         }
-        figures.record_sent_late(kind, BOUND * 2);
+        metrics.record_send(kind, REACTION_DEADLINE * 2);
     }
     assert_eq!(
-        figures.text(),
+        metrics.text(),
         include_str!("fixtures/disconnect_figures.txt")
     );
 }
@@ -431,28 +431,39 @@
 #[test]
 fn calls_are_found_by_their_path_and_method() {
     let tree = [
-        Node::Word(
+        PathNode::Literal(
             "api",
             vec![
-                Node::Word("Show", vec![Node::Leaf("GET", 1)]),
-                Node::Any(vec![Node::Leaf("POST", 2)]),
+                PathNode::Literal("Show", vec![PathNode::Endpoint("GET", 1)]),
+                PathNode::Parameter(vec![PathNode::Endpoint("POST", 2)]),
             ],
         ),
-        Node::Leaf("GET", 3),
+        PathNode::Endpoint("GET", 3),
     ];
     assert_eq!(
-        find(&tree, "GET", "/api/Show?a=b"),
-        Found::Call(1, vec![], "a=b")
+        match_path(&tree, "GET", "/api/Show?a=b"),
+        PathMatch::Call {
+            call: 1,
+            arguments: vec![],
+            query: "a=b"
+        }
+    );
+    assert_eq!(
+        match_path(&tree, "POST", "/api/zone"),
+        PathMatch::Call {
+            call: 2,
+            arguments: vec!["zone"],
+            query: ""
+        }
     );
     assert_eq!(
-        find(&tree, "POST", "/api/zone"),
-        Found::Call(2, vec!["zone"], "")
+        match_path(&tree, "PUT", "/api/Show"),
+        PathMatch::MethodNotAllowed
     );
-    assert_eq!(find(&tree, "PUT", "/api/Show"), Found::OtherMethod);
-    assert_eq!(find(&tree, "GET", "/api/"), Found::Nothing);
-    assert_eq!(find(&tree, "GET", "api"), Found::Nothing);
+    assert_eq!(match_path(&tree, "GET", "/api/"), PathMatch::NotFound);
+    assert_eq!(match_path(&tree, "GET", "api"), PathMatch::NotFound);
     assert_eq!(
-        (argument("a=b&c=d", "c"), argument("a=b", "c")),
+        (query_parameter("a=b&c=d", "c"), query_parameter("a=b", "c")),
         (Some("d"), None)
     );
 }
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -4,7 +4,7 @@
 use aspendrum_model::message::{FromControl, Readiness, StateDigest, StateSection, ToControl};
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
-use aspendrum_net::workers::{lock, spawn};
+use aspendrum_net::threads::{lock, spawn};
 use std::io::BufReader;
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
@@ -39,7 +39,7 @@
     let (shop, at) = (shop.clone(), settings.agent_at());
     let (host, zone) = (settings.host.clone(), settings.zone.clone());
     spawn("agent", STACK, move || loop {
-        if let Ok(stream) = Link::dial(at, SILENCE) {
+        if let Ok(stream) = Link::connect(at, SILENCE) {
             if let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) {
                 let link = Arc::new(link);
                 link.send(&ToControl::Hello {
--- a/crates/aspendrum-proxy/src/departures.rs
+++ b/crates/aspendrum-proxy/src/departures.rs
@@ -3,7 +3,7 @@
 use crate::door::Client;
 use crate::Shop;
 use aspendrum_core::api::QueryId;
-use aspendrum_net::disconnect_metrics::BOUND;
+use aspendrum_net::disconnect_metrics::REACTION_DEADLINE;
 use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
 use std::time::Duration;
 
@@ -42,19 +42,19 @@
     let Some((kind, progress)) = shop
         .desk
         .progress(request)
-        .filter(|_| !shop.watch.is_late())
+        .filter(|_| !shop.watch.was_suspended())
     else {
         return;
     };
     let Progress {
         stage,
-        broken_off,
-        returned_for,
+        is_aborted: broken_off,
+        ended_ago: returned_for,
     } = progress;
     let let_finish = (kind, stage) == (RequestKind::OnceOnly, ForwardStage::AtServer);
     // A run that was let finish, and has just come back, ends a moment later.
     let due_for = returned_for.map_or(left_for, |returned_for| returned_for.min(left_for));
-    if due_for > BOUND && !let_finish && client.presence.becomes_overdue() {
+    if due_for > REACTION_DEADLINE && !let_finish && client.presence.mark_overdue() {
         shop.departures.record_overdue(kind, stage, broken_off);
     }
 }
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -12,7 +12,7 @@
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, Progress, RequestKind};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::lock;
+use aspendrum_net::threads::lock;
 use aspendrum_reconcile::edition;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4, UdpSocket};
@@ -274,7 +274,7 @@
         let now = self.now();
         let mut inner = lock(&self.inner);
         let seat = inner.seats.get(&id)?;
-        let (kind, stage) = (seat.forward.kind, seat.forward.depart());
+        let (kind, stage) = (seat.forward.kind, seat.forward.handle_disconnect());
         inner.say(id, Order::Gone);
         self.turn(&mut inner, now, &Event::ClientLeft { id });
         Some((kind, stage))
@@ -283,7 +283,7 @@
     /// The query's client has left a while ago: a run that may be repeated is broken off.
     pub fn break_off(&self, id: QueryId) {
         if let Some(seat) = lock(&self.inner).seats.get(&id) {
-            seat.forward.break_off();
+            seat.forward.abort_idempotent();
         }
     }
 
--- a/crates/aspendrum-proxy/src/door.rs
+++ b/crates/aspendrum-proxy/src/door.rs
@@ -3,11 +3,11 @@
 
 use crate::query;
 use crate::Shop;
+use aspendrum_net::connection::lingering_close;
 use aspendrum_net::disconnects::ClientConnection;
 use aspendrum_net::http1::{self, MessageLimits, Parsed};
-use aspendrum_net::pool::linger;
 use aspendrum_net::ring_buffer::{is_timeout, RingBuffer};
-use aspendrum_net::workers::lock;
+use aspendrum_net::threads::lock;
 use socket2::SockRef;
 use std::collections::HashMap;
 use std::io::Write;
@@ -83,7 +83,7 @@
             .values()
             .filter(|c| !c.busy.load(Ordering::Acquire))
         {
-            client.presence.end_idle();
+            client.presence.shut_down_if_idle();
         }
     }
 }
@@ -133,11 +133,12 @@
         let Some(view) = shop.desk.view() else { return };
         let caps = view.config.caps;
         let bounds = MessageLimits {
-            head: caps.hdr_bytes as usize,
-            body: caps.body_bytes as usize,
+            head_bytes: caps.hdr_bytes as usize,
+            body_bytes: caps.body_bytes as usize,
         };
-        let ring =
-            ring.get_or_insert_with(|| RingBuffer::new(RING, bounds.head + bounds.body + 1024));
+        let ring = ring.get_or_insert_with(|| {
+            RingBuffer::new(RING, bounds.head_bytes + bounds.body_bytes + 1024)
+        });
         match http1::parse_request(ring, &bounds) {
             Parsed::Complete(request) => {
                 client.busy.store(true, Ordering::Release);
@@ -155,13 +156,13 @@
                     return;
                 }
                 if !written || close {
-                    return linger(stream, LINGER, LINGER_BYTES);
+                    return lingering_close(stream, LINGER, LINGER_BYTES);
                 }
             }
             Parsed::Invalid(status) => {
                 let bytes = http1::encode_response(status, &[], true, b"");
                 let _ = (&**stream).write_all(&bytes);
-                return linger(stream, LINGER, LINGER_BYTES);
+                return lingering_close(stream, LINGER, LINGER_BYTES);
             }
             Parsed::Incomplete => {
                 let idle = ring.is_empty();
@@ -183,7 +184,7 @@
                     Err(e) if is_timeout(&e) => {
                         let bytes = http1::encode_response(408, &[], true, b"");
                         let _ = (&**stream).write_all(&bytes);
-                        return linger(stream, LINGER, LINGER_BYTES);
+                        return lingering_close(stream, LINGER, LINGER_BYTES);
                     }
                     Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
                     Err(_) => return,
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -17,13 +17,15 @@
 use agent::Agent;
 use aspendrum_model::message::{Readiness, StateDigest};
 use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::ProcessSignals;
+use aspendrum_net::connection::ConnectionOptions;
 use aspendrum_net::disconnect_metrics::{DisconnectMetrics, DisconnectReporter};
 use aspendrum_net::disconnects::DisconnectWatcher;
 use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
 use aspendrum_net::pool::{Pool, PoolLimits};
-use aspendrum_net::workers::{lock, spawn, WorkerPool};
+use aspendrum_net::process_signals::ProcessSignals;
+use aspendrum_net::threads::{lock, spawn};
+use aspendrum_net::worker_pool::WorkerPool;
 use aspendrum_reconcile::{Standing, Word};
 use desk::{Desk, BEAT_MS};
 use door::Clients;
@@ -238,7 +240,8 @@
 
     // Nothing in the settings that a proxy uses may change while it runs: seeds are its agent's.
     let reload = || Settings::load().map(|s| log::info!("event=settings_read host={}", s.host));
-    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
+    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)
+        .map_err(|e| e.to_string())?;
     drain(&shop, front, Duration::from_secs_f64(settings.grace_s));
     log::info!("event=ended");
     Ok(())
@@ -247,28 +250,30 @@
 /// Of short calls by the platform.
 fn terms() -> ServerOptions {
     let bounds = MessageLimits {
-        head: 8 << 10,
-        body: 1 << 10,
+        head_bytes: 8 << 10,
+        body_bytes: 1 << 10,
     };
     let (idle, workers) = (Duration::from_secs(10), Duration::from_secs(5));
     ServerOptions {
-        stack: STACK,
-        bounds,
-        idle,
-        workers,
+        stack_bytes: STACK,
+        limits: bounds,
+        idle_timeout: idle,
+        worker_idle_timeout: workers,
     }
 }
 
 fn lines(settings: &Settings) -> PoolLimits {
     PoolLimits {
-        sockets: settings.nofile as usize / 3,
-        ring: 4 << 10,
-        ring_top: 128 << 20,
-        shortest: Duration::from_millis(1),
-        write: Duration::from_secs(2),
-        read: Duration::from_secs(5),
-        idle: Duration::from_secs(4),
-        rest: Duration::from_millis(2),
+        max_connections: settings.nofile as usize / 3,
+        min_idle: Duration::from_millis(2),
+        connection: ConnectionOptions {
+            initial_buffer_bytes: 4 << 10,
+            max_buffer_bytes: 128 << 20,
+            min_timeout: Duration::from_millis(1),
+            write_timeout: Duration::from_secs(2),
+            read_timeout: Duration::from_secs(5),
+            idle_timeout: Duration::from_secs(4),
+        },
     }
 }
 
@@ -316,7 +321,7 @@
         if shop.watch.is_due() {
             departures::look(shop);
             report
-                .line(&shop.departures)
+                .next_line(&shop.departures)
                 .iter()
                 .for_each(|line| log::info!("{line}"));
         }
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -8,10 +8,10 @@
 use crate::wire::{self, Taken};
 use crate::Shop;
 use aspendrum_core::api::{Load, Ms, Outcome, QueryId, ServerId};
+use aspendrum_net::connection::Connection;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
 use aspendrum_net::http1::{self, MessageLimits, Request, Response};
 use aspendrum_net::mailbox;
-use aspendrum_net::pool::Connection;
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -120,7 +120,7 @@
         failure: None,
     };
     let answer = query.run(&view, route, pool, tenant, zones);
-    client.presence.end();
+    client.presence.end_request();
     answer
 }
 
@@ -146,7 +146,7 @@
             forward,
         };
         let id = self.shop.desk.ask(view, ask);
-        if !self.client.presence.begin(id, &self.shop.watch) {
+        if !self.client.presence.begin_request(id, &self.shop.watch) {
             departures::depart(self.shop, id);
         }
         let goal = view.config.routes[route].goal_ms;
@@ -319,23 +319,23 @@
         } else {
             shop.rest()
         };
-        let shown = |stream: &Arc<TcpStream>| self.forward.enter(forward, stream);
+        let shown = |stream: &Arc<TcpStream>| self.forward.begin_attempt(forward, stream);
         let taken = shop
             .pool
             .acquire(server, left.min(shop.connect_wait), most, shown);
         let mut conn = match taken {
             Ok(conn) => conn,
-            Err(_) if self.forward.leave(forward) => return (Outcome::Moot, None),
+            Err(_) if self.forward.end_attempt(forward) => return (Outcome::Moot, None),
             Err(outcome) => return (outcome, None),
         };
         let got = self.exchange(&mut conn, forward, &uid, until);
-        let broken_off = self.forward.leave(forward);
+        let broken_off = self.forward.end_attempt(forward);
         match got {
             Ok(response) => {
                 if !response.close && !broken_off {
                     let kept =
                         wire::keeps_for(&response).map(|s| Duration::from_secs_f64(s * KEPT_SHARE));
-                    conn.good_for = kept.map_or(conn.good_for, |k| k.min(MOST_IDLE));
+                    conn.idle_timeout = kept.map_or(conn.idle_timeout, |k| k.min(MOST_IDLE));
                     shop.pool.release(server, conn);
                 }
                 match wire::taken(&response) {
@@ -365,23 +365,23 @@
         let budget = (until.saturating_duration_since(Instant::now()).as_millis() as u64).max(1);
         let request = wire::forward(self.request, server, self.tenant, budget);
         let left_for = self.client.presence.time_since_disconnect(&shop.watch);
-        if !conn.outward.append(&request) || !self.forward.reach(forward, ForwardStage::Sending) {
+        if !conn.outgoing.append(&request) || !self.forward.advance(forward, ForwardStage::Sending)
+        {
             return Err(Outcome::Moot);
         }
-        left_for.iter().for_each(|left_for| {
-            shop.departures
-                .record_sent_late(self.forward.kind, *left_for)
-        });
+        left_for
+            .iter()
+            .for_each(|left_for| shop.departures.record_send(self.forward.kind, *left_for));
         conn.send()?;
-        self.forward.reach(forward, ForwardStage::AtServer);
+        self.forward.advance(forward, ForwardStage::AtServer);
         for _ in 0..=STRANGERS {
-            let got = conn.receive(until, shop.pool.limits(), |ring| {
+            let got = conn.receive(until, shop.pool.connection_options(), |ring| {
                 http1::parse_response(ring, &SERVER_BOUNDS)
             });
             let response = match got {
                 Ok(response) => response,
                 Err(outcome) => {
-                    let broken_off = self.forward.progress().broken_off;
+                    let broken_off = self.forward.progress().is_aborted;
                     if outcome == Outcome::Reset
                         && conn.nothing_received()
                         && !conn.idle_time().is_zero()
@@ -408,8 +408,8 @@
 
 /// Servers' answers are as large as the service makes them.
 pub const SERVER_BOUNDS: MessageLimits = MessageLimits {
-    head: 32 << 10,
-    body: 64 << 20,
+    head_bytes: 32 << 10,
+    body_bytes: 64 << 20,
 };
 /// Of the time that a server keeps an idle connection, how long we use it: a request on a connection that is
 /// being closed may or may not have run.
@@ -426,9 +426,9 @@
         let mut conn = shop
             .pool
             .acquire(server, shop.connect_wait, Duration::MAX, |_| true)?;
-        conn.outward.append(&wire::probe(&path, &addr.to_string()));
+        conn.outgoing.append(&wire::probe(&path, &addr.to_string()));
         conn.send()?;
-        let answer = conn.receive(until, shop.pool.limits(), |ring| {
+        let answer = conn.receive(until, shop.pool.connection_options(), |ring| {
             http1::parse_response(ring, &SERVER_BOUNDS)
         })?;
         let (load, left) = (wire::load(&answer), wire::warm_left(&answer));
--- a/crates/aspendrum-proxy/src/standing.rs
+++ b/crates/aspendrum-proxy/src/standing.rs
@@ -1,7 +1,7 @@
 //! How this proxy stands to what was decided, as its queries read it: one small verdict with an end.
 
 use aspendrum_model::message::StateDigest;
-use aspendrum_net::workers::lock;
+use aspendrum_net::threads::lock;
 use aspendrum_reconcile::{edition, Bounds, Ms, Standing, Verdict, Word};
 use std::sync::Mutex;
 
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -19,8 +19,8 @@
 use std::time::Instant;
 
 pub const BOUNDS: MessageLimits = MessageLimits {
-    head: 16 << 10,
-    body: 1 << 20,
+    head_bytes: 16 << 10,
+    body_bytes: 1 << 20,
 };
 pub const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":65536,"hdr-ms":3000,"idle-ms":15000},
 "tenants":[{"name":"ann","keys":["k1"],"prio":0,"rate-s":0}],
--- a/crates/aspendrum-proxy/tests/departures.rs
+++ b/crates/aspendrum-proxy/tests/departures.rs
@@ -208,7 +208,7 @@
     assert_eq!(server.next(), broken_off("a1"));
     connections_come_to(&shop, |open| open == 0);
     assert_eq!(
-        (shop.departures.departures(), shop.departures.violations()),
+        (shop.departures.disconnects(), shop.departures.violations()),
         (1, 0)
     );
 }
@@ -371,7 +371,7 @@
     server.read_exact(&mut [0; 64]).unwrap();
     drop(leaver);
     let until = Instant::now() + PATIENCE;
-    while shop.departures.departures() == 0 {
+    while shop.departures.disconnects() == 0 {
         assert!(Instant::now() < until, "the departure was not heard");
         thread::yield_now();
     }
--- a/crates/aspendrum-proxy/tests/trust.rs
+++ b/crates/aspendrum-proxy/tests/trust.rs
@@ -1,5 +1,6 @@
 //! Connections that a server may have forgotten: what goes over them, and for how long that is remembered.
 
+use aspendrum_net::connection::ConnectionOptions;
 use aspendrum_net::pool::{Pool, PoolLimits};
 use aspendrum_proxy::trust::Trust;
 use std::net::TcpListener;
@@ -25,18 +26,21 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let second = Duration::from_secs(1);
     let pool = Pool::new(PoolLimits {
-        sockets: 8,
-        ring: 1 << 10,
-        ring_top: 1 << 12,
-        shortest: Duration::from_millis(1),
-        write: second,
-        read: second,
-        idle: 60 * second,
-        rest: Duration::ZERO,
+        max_connections: 8,
+        min_idle: Duration::ZERO,
+        connection: ConnectionOptions {
+            initial_buffer_bytes: 1 << 10,
+            max_buffer_bytes: 1 << 12,
+            min_timeout: Duration::from_millis(1),
+            write_timeout: second,
+            read_timeout: second,
+            idle_timeout: 60 * second,
+        },
     });
     pool.set_address(1, listener.local_addr().unwrap());
     let take = |most| pool.acquire(1, second, most, |_| true).unwrap();
-    let own = |conn: &aspendrum_net::pool::Connection| conn.stream.local_addr().unwrap().port();
+    let own =
+        |conn: &aspendrum_net::connection::Connection| conn.stream.local_addr().unwrap().port();
     let first = take(Duration::MAX);
     let port = own(&first);
     assert!(first.idle_time().is_zero() && first.nothing_received());
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -390,7 +390,7 @@
     assert_eq!(shop.departures.text(), "", "what is 0 is not shown");
     let stages = [
         ForwardStage::Waiting,
-        ForwardStage::Dialling,
+        ForwardStage::Connecting,
         ForwardStage::Sending,
         ForwardStage::AtServer,
     ];
@@ -403,13 +403,13 @@
             shop.departures.record_overdue(kind, stage, true);
         }
         shop.departures
-            .record_sent_late(kind, Duration::from_millis(501));
+            .record_send(kind, Duration::from_millis(501));
         shop.departures
-            .record_sent_late(kind, Duration::from_millis(500));
+            .record_send(kind, Duration::from_millis(500));
     }
     assert_eq!(shop.departures.text(), METRICS);
     assert_eq!(
-        (shop.departures.departures(), shop.departures.violations()),
+        (shop.departures.disconnects(), shop.departures.violations()),
         (36, 10)
     );
 }
--- a/crates/aspendrum/src/client.rs
+++ b/crates/aspendrum/src/client.rs
@@ -1,11 +1,11 @@
 //! One connection of a client, and the answers that go out on it.
 
 use crate::http;
-use crate::ring_buffer::RingBuffer;
-use crate::workers::lock;
 use crate::Shop;
 use aspendrum_core::api::Ms;
 use aspendrum_net::disconnects::ClientConnection;
+use aspendrum_net::ring_buffer::RingBuffer;
+use aspendrum_net::threads::lock;
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/aspendrum/src/clients.rs
+++ b/crates/aspendrum/src/clients.rs
@@ -4,12 +4,12 @@
 use crate::client::{Client, BUSY, CLOSED, IDLE};
 use crate::http::{self, Asked, Call, Parsed};
 use crate::notes::Note;
-use crate::pool::linger;
 use crate::query;
-use crate::ring_buffer::{is_timeout, RingBuffer};
-use crate::workers::{lock, spawn};
 use crate::Shop;
+use aspendrum_net::connection::lingering_close;
 use aspendrum_net::disconnects::ClientConnection;
+use aspendrum_net::ring_buffer::{is_timeout, RingBuffer};
+use aspendrum_net::threads::{lock, spawn};
 use crossbeam_channel::{bounded, Receiver};
 use std::collections::{HashMap, HashSet};
 use std::io::{self, ErrorKind};
@@ -122,7 +122,7 @@
             .or(client.filter(|c| c.0 >= least));
         match old {
             Some((_, c)) if c.turn(IDLE, CLOSED) => {
-                c.presence.end_idle();
+                c.presence.shut_down_if_idle();
                 Room::Made
             }
             _ if soon => Room::Soon,
@@ -342,7 +342,7 @@
 
 fn reject(shop: &Shop, client: &Client, status: u16) {
     client.answer(shop, status, 0.0, true, b"", b"");
-    linger(&client.stream, shop.limits.linger, shop.limits.body);
+    lingering_close(&client.stream, shop.limits.linger, shop.limits.body);
 }
 
 /// Sees a query through. Whether its client stays the desk watches. False: the connection has come to its end.
@@ -354,7 +354,7 @@
         shop.door.tell(Note::Quit { id });
         client.answer(shop, 502, 0.0, true, b"", b"")
     });
-    client.presence.end();
+    client.presence.end_request();
     drop(claim);
     let stays = stays && !client.presence.has_disconnected();
     client.used.store(shop.age(), Ordering::Relaxed);
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -5,12 +5,12 @@
 
 use crate::clock::as_ms;
 use crate::limits::Limits;
-use crate::mailbox::{self, MailboxSender};
 use crate::notes::{Door, Note};
 use crate::resp::{self, Parsed, Reply};
-use crate::ring_buffer::RingBuffer;
-use crate::workers::{lock, spawn};
 use aspendrum_core::api::{Event, Ms, Outcome};
+use aspendrum_net::mailbox::{self, MailboxSender};
+use aspendrum_net::ring_buffer::RingBuffer;
+use aspendrum_net::threads::{lock, spawn};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use std::net::{Shutdown, SocketAddr, TcpStream};
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -3,16 +3,16 @@
 //! for anybody.
 
 use crate::counter::Counter;
-use crate::mailbox::{MailboxReceiver, MailboxSender, RecvError};
 use crate::notes::{Note, Order, Wish};
 use crate::peers::Peers;
 use crate::query;
 use crate::Shop;
 use aspendrum_core::api::*;
 use aspendrum_core::control::Control;
-use aspendrum_net::disconnect_metrics::{DisconnectReporter, BOUND};
+use aspendrum_net::disconnect_metrics::{DisconnectReporter, REACTION_DEADLINE};
 use aspendrum_net::disconnects::ClientConnection;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, Progress};
+use aspendrum_net::mailbox::{MailboxReceiver, MailboxSender, RecvError};
 use crossbeam_channel::Sender;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -131,14 +131,14 @@
             };
             if let Some(seat) = self.seats.get(&id) {
                 shop.departures
-                    .record_disconnect(seat.line.kind, seat.line.depart());
+                    .record_disconnect(seat.line.kind, seat.line.handle_disconnect());
             }
             self.hear(Note::Left { id });
         }
         clients
             .iter()
             .for_each(|client| self.hold_to_bound(&client.presence));
-        if let Some(line) = self.report.line(&shop.departures) {
+        if let Some(line) = self.report.next_line(&shop.departures) {
             tracing::info!("{line}");
         }
     }
@@ -148,7 +148,7 @@
         let watch = &self.shop.watch;
         let left_for = presence
             .time_since_disconnect(watch)
-            .filter(|left_for| !watch.is_late() && *left_for > BOUND);
+            .filter(|left_for| !watch.was_suspended() && *left_for > REACTION_DEADLINE);
         let seat = presence
             .request()
             .filter(|_| left_for.is_some())
@@ -158,11 +158,12 @@
         };
         let Progress {
             stage,
-            broken_off,
-            returned_for,
+            is_aborted: broken_off,
+            ended_ago: returned_for,
         } = line.progress();
-        let about_to_end = returned_for.is_some_and(|returned_for| returned_for <= BOUND);
-        if stage != ForwardStage::AtServer && !about_to_end && presence.becomes_overdue() {
+        let about_to_end =
+            returned_for.is_some_and(|returned_for| returned_for <= REACTION_DEADLINE);
+        if stage != ForwardStage::AtServer && !about_to_end && presence.mark_overdue() {
             self.shop
                 .departures
                 .record_overdue(line.kind, stage, broken_off);
@@ -323,7 +324,7 @@
             Action::Drop { id } => self.finish(id, Order::Drop),
             Action::Cancel { id, forward } => {
                 if let Some(seat) = self.seats.get(&id) {
-                    seat.line.cancel(forward);
+                    seat.line.cancel_up_to(forward);
                 }
             }
             Action::Count { name, add, ttl } => {
@@ -358,7 +359,7 @@
         let _ = seat.orders.try_send(order);
         if let Some((forward, _)) = seat.out {
             // The answer is given now, and nobody is left to read what the server still sends.
-            seat.line.cancel(forward);
+            seat.line.cancel_up_to(forward);
         }
         self.leave(id);
     }
--- a/crates/aspendrum/src/discovery.rs
+++ b/crates/aspendrum/src/discovery.rs
@@ -4,11 +4,11 @@
 use crate::backoff::Backoff;
 use crate::http;
 use crate::notes::{Note, Wish};
-use crate::pool::Connection;
 use crate::roster::{Names, Roster};
-use crate::workers::lock;
 use crate::Shop;
 use aspendrum_core::api::{Health, ListKind, Outcome};
+use aspendrum_net::connection::Connection;
+use aspendrum_net::threads::lock;
 use crossbeam_channel::Receiver;
 use std::collections::HashSet;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -61,7 +61,7 @@
     /// False: it has moved meanwhile, and this connection is of no use.
     fn reached(&self, conn: &Connection) -> bool {
         let mut place = lock(&self.0);
-        place.stream = (place.addr == conn.dial).then(|| conn.stream.clone());
+        place.stream = (place.addr == conn.address).then(|| conn.stream.clone());
         place.stream.is_some()
     }
 }
@@ -160,7 +160,7 @@
             None => Connection::open_unpooled(
                 self.agent.addr(),
                 limits.connect_wait,
-                self.shop.pool.limits(),
+                self.shop.pool.connection_options(),
             )
             .map_err(|e| e.to_string())?,
         };
@@ -176,7 +176,7 @@
         } else {
             (Duration::ZERO, PATH.to_string())
         };
-        http::get(&mut conn.outward, &path);
+        http::get(&mut conn.outgoing, &path);
         let failed = |how: Outcome| format!("{how:?}");
         conn.send().map_err(failed)?;
         let until = Instant::now() + hold + limits.watch_late;
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -2,15 +2,15 @@
 //! here.
 
 use crate::limits::{Limits, HEADERS};
-use crate::pool::Connection;
-use crate::ring_buffer::RingBuffer;
 use crate::Shop;
 use aspendrum_core::api::{Load, LoadValue, Ms, Outcome, Semantics};
 use aspendrum_core::settings::MS;
+use aspendrum_net::connection::Connection;
 pub use aspendrum_net::http1::Parsed;
 use aspendrum_net::http1::{
     body_length, header, parse_chunked, raw_header, wants_close, BodyLength,
 };
+use aspendrum_net::ring_buffer::RingBuffer;
 use std::collections::HashMap;
 use std::io::Write;
 use std::time::Instant;
@@ -235,7 +235,7 @@
 
 /// Reads one whole answer from a server, or from discovery.
 pub fn receive(conn: &mut Connection, until: Instant, shop: &Shop) -> Result<Answer, Outcome> {
-    conn.receive(until, shop.pool.limits(), |ring| {
+    conn.receive(until, shop.pool.connection_options(), |ring| {
         answer(ring, &shop.lanes, &shop.limits)
     })
 }
@@ -269,7 +269,7 @@
             Ok(BodyLength::Known(n)) if bytes.len() < at + n => return Parsed::Incomplete,
             Ok(BodyLength::Known(n)) => (at + n, bytes[at..at + n].to_vec()),
             Ok(BodyLength::Chunked) => match parse_chunked(&bytes[at..], limits.body) {
-                Parsed::Complete((size, body)) => (at + size, body),
+                Parsed::Complete(body) => (at + body.end, body.content),
                 Parsed::Incomplete => return Parsed::Incomplete,
                 Parsed::Invalid(status) => return Parsed::Invalid(status),
             },
--- a/crates/aspendrum/src/lib.rs
+++ b/crates/aspendrum/src/lib.rs
@@ -21,8 +21,9 @@
 use aspendrum_core::api::ListKind;
 use aspendrum_net::disconnect_metrics::DisconnectMetrics;
 use aspendrum_net::disconnects::DisconnectWatcher;
-pub(crate) use aspendrum_net::workers;
-pub use aspendrum_net::{mailbox, pool, ring_buffer};
+use aspendrum_net::pool::Pool;
+use aspendrum_net::threads::spawn;
+use aspendrum_net::worker_pool::WorkerPool;
 use backoff::Backoff;
 use clients::Clients;
 use clock::Clock;
@@ -35,13 +36,11 @@
 use limits::Limits;
 use notes::{Door, Note, Wish};
 use peers::Peers;
-use pool::Pool;
 use socket2::SockRef;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Instant;
-use workers::{spawn, WorkerPool};
 
 /// What the limiter's threads share.
 pub struct Shop {
@@ -111,7 +110,8 @@
                 std::mem::forget(guard);
             })
         };
-        let notes = mailbox::spawn_receiver(limits.desk_queue, start).map_err(failed("desk"))?;
+        let notes = aspendrum_net::mailbox::spawn_receiver(limits.desk_queue, start)
+            .map_err(failed("desk"))?;
         let door = Arc::new(Door::new(notes, Clock::start()));
         let shop = Arc::new(Shop {
             lanes: Lanes {
--- a/crates/aspendrum/src/limits.rs
+++ b/crates/aspendrum/src/limits.rs
@@ -3,6 +3,7 @@
 
 use crate::clock::ms;
 use crate::config::Config;
+use aspendrum_net::connection::ConnectionOptions;
 use aspendrum_net::pool::PoolLimits;
 use std::time::Duration;
 
@@ -85,14 +86,16 @@
     /// What the pool of connections to servers needs of them.
     pub fn lines(&self) -> PoolLimits {
         PoolLimits {
-            sockets: self.server_sockets,
-            ring: self.ring,
-            ring_top: self.ring_top,
-            shortest: self.shortest,
-            write: self.server_write,
-            read: self.server_read,
-            idle: self.idle_server,
-            rest: self.rest,
+            max_connections: self.server_sockets,
+            min_idle: self.rest,
+            connection: ConnectionOptions {
+                initial_buffer_bytes: self.ring,
+                max_buffer_bytes: self.ring_top,
+                min_timeout: self.shortest,
+                write_timeout: self.server_write,
+                read_timeout: self.server_read,
+                idle_timeout: self.idle_server,
+            },
         }
     }
 
--- a/crates/aspendrum/src/notes.rs
+++ b/crates/aspendrum/src/notes.rs
@@ -1,9 +1,9 @@
 //! The words between the desk and all others: what it is told, what it orders and wishes.
 
 use crate::clock::Clock;
-use crate::mailbox::MailboxSender;
 use aspendrum_core::api::*;
 use aspendrum_net::forward::ForwardHandle;
+use aspendrum_net::mailbox::MailboxSender;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/aspendrum/src/peers.rs
+++ b/crates/aspendrum/src/peers.rs
@@ -1,7 +1,7 @@
 //! Datagrams between limiters, where the settings allow them.
 
 use crate::notes::{Door, Note};
-use crate::workers::spawn;
+use aspendrum_net::threads::spawn;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
--- a/crates/aspendrum/src/query.rs
+++ b/crates/aspendrum/src/query.rs
@@ -4,11 +4,11 @@
 use crate::client::Client;
 use crate::clock::{as_ms, ms};
 use crate::http::{self, Answer, Asked};
-use crate::mailbox;
 use crate::notes::{Note, Order};
 use crate::Shop;
 use aspendrum_core::api::*;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
+use aspendrum_net::mailbox;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -27,7 +27,7 @@
     } else {
         RequestKind::OnceOnly
     }));
-    client.presence.begin(id, &shop.watch);
+    client.presence.begin_request(id, &shop.watch);
     let new = NewQuery {
         id,
         group: asked.group,
@@ -54,7 +54,8 @@
     );
     // The desk may have heard of the departure before it knew the query.
     if client.presence.has_disconnected() {
-        shop.departures.record_disconnect(line.kind, line.depart());
+        shop.departures
+            .record_disconnect(line.kind, line.handle_disconnect());
         shop.door.tell(Note::Left { id });
     }
 
@@ -153,12 +154,12 @@
     // a server that never comes up.
     let wait = left().min(shop.limits.connect_wait);
     let mut conn = match shop.pool.acquire(server, wait, Duration::MAX, |stream| {
-        line.enter(forward, stream)
+        line.begin_attempt(forward, stream)
     }) {
         Ok(conn) => conn,
         Err(outcome) => {
             return (
-                if line.leave(forward) {
+                if line.end_attempt(forward) {
                     Outcome::Moot
                 } else {
                     outcome
@@ -170,19 +171,19 @@
     let wait = as_ms(left());
     let left_for = client.presence.time_since_disconnect(&shop.watch);
     let written =
-        asked.forward(wait, &mut conn.outward) && line.reach(forward, ForwardStage::Sending);
+        asked.forward(wait, &mut conn.outgoing) && line.advance(forward, ForwardStage::Sending);
     left_for
         .iter()
         .filter(|_| written)
-        .for_each(|left_for| shop.departures.record_sent_late(line.kind, *left_for));
+        .for_each(|left_for| shop.departures.record_send(line.kind, *left_for));
     let sent = if written {
         conn.send()
     } else {
         Err(Outcome::Moot)
     };
-    line.reach(forward, ForwardStage::AtServer);
+    line.advance(forward, ForwardStage::AtServer);
     let got = sent.and_then(|()| http::receive(&mut conn, until, shop));
-    let cut = line.leave(forward);
+    let cut = line.end_attempt(forward);
     match got {
         // What came back whole counts, even if the cut came in the same moment.
         Ok(answer) => {
@@ -251,7 +252,7 @@
     };
     let wait = || until.saturating_duration_since(Instant::now());
     let mut conn = shop.pool.acquire(server, wait(), Duration::MAX, |_| true)?;
-    http::get(&mut conn.outward, path);
+    http::get(&mut conn.outgoing, path);
     conn.send()?;
     let answer = http::receive(&mut conn, until, shop)?;
     let load = match answer.load.n {
--- a/crates/aspendrum/src/resp.rs
+++ b/crates/aspendrum/src/resp.rs
@@ -1,7 +1,7 @@
 //! The counter's protocol, RESP2: calls out, replies in.
 
-use crate::ring_buffer::RingBuffer;
 use aspendrum_core::api::Ms;
+use aspendrum_net::ring_buffer::RingBuffer;
 use std::io::Write;
 
 const VERB: &str = "CNT.ADD";
--- a/crates/aspendrum/tests/suite/pieces.rs
+++ b/crates/aspendrum/tests/suite/pieces.rs
@@ -7,13 +7,13 @@
 use aspendrum::counter::Counter;
 use aspendrum::http::{self, Lanes};
 use aspendrum::limits::Limits;
-use aspendrum::mailbox::{self, MailboxReceiver};
 use aspendrum::notes::{Door, Note};
 use aspendrum::resp::{self, Parsed, Reply};
-use aspendrum::ring_buffer::RingBuffer;
 use aspendrum::roster::{Names, Roster};
 use aspendrum_core::api::{Event, Health, LoadValue, Outcome};
 use aspendrum_net::forward::{ForwardHandle, RequestKind};
+use aspendrum_net::mailbox::{self, MailboxReceiver};
+use aspendrum_net::ring_buffer::RingBuffer;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -151,15 +151,15 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = Arc::new(std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap());
     let line = ForwardHandle::new(RequestKind::Idempotent);
-    assert!(line.enter(0, &stream) && !line.leave(0));
-    line.cancel(0);
+    assert!(line.begin_attempt(0, &stream) && !line.end_attempt(0));
+    line.cancel_up_to(0);
     assert!((&*stream).write(b"x").is_ok());
-    assert!(line.enter(1, &stream));
-    line.cancel(0);
+    assert!(line.begin_attempt(1, &stream));
+    line.cancel_up_to(0);
     assert!((&*stream).write(b"x").is_ok());
-    line.cancel(1);
-    assert!((&*stream).write(b"x").is_err() && line.leave(1));
-    assert!(!line.enter(1, &stream));
+    line.cancel_up_to(1);
+    assert!((&*stream).write(b"x").is_err() && line.end_attempt(1));
+    assert!(!line.begin_attempt(1, &stream));
 }
 
 fn calls(counter: SocketAddr, wait_s: f64) -> (Counter, MailboxReceiver<Note>) {
