--- a/crates/aspendrum-agent/src/control.rs
+++ b/crates/aspendrum-agent/src/control.rs
@@ -47,13 +47,13 @@
     /// Takes a list of machines, an empty one says nothing; an empty zone is not known. Those that are up come first; the settings' seeds are dialled
     /// when all that were told of fail. Agents of one zone spread over its machines by their hosts' names.
     pub fn learn(&self, settings: &Settings, control: &[ControlAddress]) {
-        let far = |zone: &str| match settings.zones.get(zone) {
+        let far = |zone: &str| match settings.zone_regions.get(zone) {
             _ if zone == settings.zone => 0,
             Some(region) if *region == settings.region => 1,
             Some(_) => 3,
             None => 2,
         };
-        let own = digest(settings.host.as_bytes());
+        let own = digest(settings.host_name.as_bytes());
         let mut told = lock(&self.told);
         if !control.is_empty() {
             *told = control.to_vec();
@@ -126,7 +126,7 @@
                 continue;
             };
             n += 1;
-            if let Ok(stream) = Link::connect(settings.control_at(ip), DIAL_WAIT) {
+            if let Ok(stream) = Link::connect(settings.control_addr(ip), DIAL_WAIT) {
                 if let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) {
                     id += 1;
                     let since = Instant::now();
--- a/crates/aspendrum-agent/src/desk.rs
+++ b/crates/aspendrum-agent/src/desk.rs
@@ -5,11 +5,11 @@
 use crate::lend::Lender;
 use crate::notes::Note;
 use aspendrum_gossip::{Act, Circle};
+use aspendrum_model::compression::decompress;
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{
     FromControl, Readiness, StateDigest, StateSection, ToControl, SECTION_KINDS,
 };
-use aspendrum_model::packed::unpack;
 use aspendrum_model::servers::ServerList;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
@@ -106,7 +106,7 @@
 impl Desk {
     pub fn new(settings: Settings, route: Route, lender: Lender) -> Desk {
         Desk {
-            bounds: Bounds::of(settings.apply_ms, settings.stretch_ms),
+            bounds: Bounds::of(settings.apply_deadline_ms, settings.unsettled_extension_ms),
             circle: Circle::new(settings.ip, fastrand::u64(..)),
             lender,
             settings,
@@ -207,8 +207,8 @@
             }
             Note::Borrower(answer) => {
                 let parts = (0..SECTION_KINDS).filter_map(|kind| self.told(kind));
-                let news = (1..).zip(parts).map(|(number, part)| {
-                    frames::encode_frame(&FromControl::Update { number, part })
+                let news = (1..).zip(parts).map(|(number, section)| {
+                    frames::encode_frame(&FromControl::Update { number, section })
                 });
                 let _ = answer.try_send(news.flatten().collect());
             }
@@ -237,7 +237,7 @@
         }
         match said {
             FromControl::Heartbeat {
-                stamp,
+                sent_at_ms: stamp,
                 majority_age: age,
                 decided: of,
                 ..
@@ -275,9 +275,9 @@
                     }
                 }
             }
-            FromControl::Update { number, part } => {
+            FromControl::Update { number, section } => {
                 self.last = number;
-                self.take(part, true);
+                self.take(section, true);
             }
             // Agents are told that by nobody.
             FromControl::Resync => {}
@@ -287,13 +287,14 @@
     /// What is held here, as it would be in force.
     fn collate(&mut self) {
         let config = self.held.iter().flatten().find_map(|part| match part {
-            StateSection::Config { text, .. } => {
-                unpack(text).and_then(|text| Config::read(&text).ok())
-            }
+            StateSection::Config {
+                compressed_text: text,
+                ..
+            } => decompress(text).and_then(|text| Config::read(&text).ok()),
             _ => None,
         });
         let emptied = self.held.iter().flatten().find_map(|part| match part {
-            StateSection::Evacuated { number, zones } => Some((*number, zones.as_slice())),
+            StateSection::Evacuated { order, zones } => Some((*order, zones.as_slice())),
             _ => None,
         });
         let (number, zones) = emptied.unwrap_or_default();
@@ -378,12 +379,12 @@
                 }),
             ) => new > old || (new == old && control && seal != held),
             (
-                StateSection::Evacuated { number: new, .. },
-                Some(StateSection::Evacuated { number: old, .. }),
+                StateSection::Evacuated { order: new, .. },
+                Some(StateSection::Evacuated { order: old, .. }),
             ) => new > old,
-            (StateSection::Servers { age, list }, _) => {
+            (StateSection::Servers { age_ms, list }, _) => {
                 self.roster
-                    .replace(now, list.clone(), now - f64::from(*age));
+                    .replace(now, list.clone(), now - f64::from(*age_ms));
                 true
             }
             (StateSection::Proxies(fronts), _) => {
@@ -428,10 +429,10 @@
     /// One kind of what is held, as it is to be told now.
     fn told(&self, kind: usize) -> Option<StateSection> {
         let (now, mut part) = (self.now(), self.held[kind].clone()?);
-        if let (StateSection::Servers { age, list }, Some(polled)) =
+        if let (StateSection::Servers { age_ms, list }, Some(polled)) =
             (&mut part, self.roster.polled_at)
         {
-            (*age, *list) = ((now - polled).max(0.0) as u32, self.roster.snapshot(now));
+            (*age_ms, *list) = ((now - polled).max(0.0) as u32, self.roster.snapshot(now));
         }
         Some(part)
     }
@@ -443,7 +444,7 @@
             proxy.said += 1;
             proxy.link.send(&FromControl::Update {
                 number: proxy.said,
-                part,
+                section: part,
             });
         }
     }
@@ -462,18 +463,22 @@
         };
         proxy.heard = now;
         match said {
-            ToControl::Hello { host, front, .. } => {
+            ToControl::Hello {
+                host,
+                proxy_addr: front,
+                ..
+            } => {
                 (proxy.host, proxy.front) = (host, Some(front));
                 (0..SECTION_KINDS).for_each(|kind| self.feed(kind));
                 self.beat();
             }
             ToControl::Heartbeat {
-                stamp,
+                sent_at_ms,
                 readiness,
                 applied,
             } => {
                 proxy.link.send(&FromControl::Heartbeat {
-                    stamp,
+                    sent_at_ms,
                     majority_age: age,
                     decided: of,
                     control_reachable: heard,
@@ -547,7 +552,7 @@
             control.told = Some(front);
             control.link.send(&up(ToControl::Hello {
                 host: proxy.host.clone(),
-                front,
+                proxy_addr: front,
                 zone,
             }));
         }
@@ -559,7 +564,7 @@
                 Readiness::Closed
             };
             control.link.send(&up(ToControl::Heartbeat {
-                stamp: now as u64,
+                sent_at_ms: now as u64,
                 readiness,
                 applied: proxy.applied,
             }));
--- a/crates/aspendrum-agent/src/lend.rs
+++ b/crates/aspendrum-agent/src/lend.rs
@@ -31,7 +31,7 @@
 impl Lender {
     /// Listens for neighbours for as long as the process runs.
     pub fn open(settings: &Settings, notes: &Arc<MailboxSender<Note>>) -> std::io::Result<Lender> {
-        let [words, snapshots] = settings.lend_ports();
+        let (words, snapshots) = (settings.gossip_port(), settings.snapshot_port());
         let socket = Arc::new(UdpSocket::bind(SocketAddrV4::new(settings.ip, words))?);
         let listener = TcpListener::bind(SocketAddrV4::new(settings.ip, snapshots))?;
         let (own, told) = (socket.clone(), notes.clone());
@@ -60,19 +60,19 @@
 
     pub fn say(&self, to: Ipv4Addr, word: &Word) {
         let mut space = [0; LONGEST];
-        let [port, _] = self.settings.lend_ports();
+        let port = self.settings.gossip_port();
         if let Ok(bytes) = postcard::to_slice(word, &mut space) {
             let _ = self
                 .socket
-                .send_to(bytes, self.settings.way(SocketAddrV4::new(to, port)));
+                .send_to(bytes, self.settings.dial_addr(SocketAddrV4::new(to, port)));
         }
     }
 
     /// Asks that neighbour for all that it holds; the desk hears of each part.
     pub fn fetch(&self, from: Ipv4Addr) {
-        let [_, port] = self.settings.lend_ports();
+        let port = self.settings.snapshot_port();
         let (at, notes) = (
-            self.settings.way(SocketAddrV4::new(from, port)),
+            self.settings.dial_addr(SocketAddrV4::new(from, port)),
             self.notes.clone(),
         );
         let fetch = move || {
@@ -81,7 +81,7 @@
             };
             let _ = stream.set_read_timeout(Some(SILENCE));
             let mut from = BufReader::with_capacity(4 << 10, &*stream);
-            while let Ok(FromControl::Update { part, .. }) =
+            while let Ok(FromControl::Update { section: part, .. }) =
                 frames::read_frame::<FromControl>(&mut from)
             {
                 notes.send(Note::Lent(part), None);
--- a/crates/aspendrum-agent/src/main.rs
+++ b/crates/aspendrum-agent/src/main.rs
@@ -7,7 +7,7 @@
 mod notes;
 mod proxy;
 
-use aspendrum_model::settings::{Settings, VARIABLE};
+use aspendrum_model::settings::{Settings, SETTINGS_VARIABLE};
 use aspendrum_net::daemon;
 use aspendrum_net::mailbox;
 use aspendrum_net::process_signals::ProcessSignals;
@@ -28,13 +28,13 @@
     daemon::run(
         "aspendrum-agent",
         about,
-        || Settings::load().map(|s| s.host),
+        || Settings::load().map(|s| s.host_name),
         serve,
     )
 }
 
 fn serve(told: ProcessSignals) -> Result<(), String> {
-    let settings = Settings::load()?;
+    let settings = Settings::load().map_err(|e| e.to_string())?;
     let failed = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
     let (give, take) = bounded::<Desk>(1);
     let start = |inbox| {
@@ -48,22 +48,24 @@
     let notes = Arc::new(mailbox::spawn_receiver(NOTES, start).map_err(failed("desk"))?);
     let route = control::Route::new(&settings);
     control::hold(&route, &settings, &notes).map_err(failed("control"))?;
-    proxy::listen(settings.agent_at(), &notes).map_err(failed("agent port"))?;
+    proxy::listen(settings.agent_addr(), &notes).map_err(failed("agent port"))?;
     let lender = lend::Lender::open(&settings, &notes).map_err(failed("lending ports"))?;
     let desk = Desk::new(settings.clone(), route, lender);
     give.send(desk).map_err(|e| e.to_string())?;
-    log::info!("event=started host={}", settings.host);
+    log::info!("event=started host={}", settings.host_name);
 
     let reload = || -> Result<(), String> {
-        let settings = Box::new(Settings::load()?);
+        let settings = Box::new(Settings::load().map_err(|e| e.to_string())?);
         notes.send(Note::Settings(settings), None);
         Ok(())
     };
-    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)
+    told.wait_for_shutdown(std::env::var(SETTINGS_VARIABLE).unwrap_or_default(), reload)
         .map_err(|e| e.to_string())?;
     // A proxy that ends finishes what it has in hand, and needs to hear of servers and orders meanwhile.
     let (done, left) = bounded(1);
     notes.send(Note::Leave { done }, None);
-    let _ = left.recv_timeout(Duration::from_secs_f64(LEAVE_SHARE * settings.grace_s));
+    let _ = left.recv_timeout(Duration::from_secs_f64(
+        LEAVE_SHARE * settings.shutdown_grace_s,
+    ));
     Ok(())
 }
--- a/crates/aspendrum-agent/tests/wire_bytes.rs
+++ b/crates/aspendrum-agent/tests/wire_bytes.rs
@@ -48,13 +48,13 @@
         zone: "poa-a".into(),
         slots: 400,
         draining: true,
-        warm_left_ms: 3000,
+        slow_start_left_ms: 3000,
     };
     let front = |readiness, current| ProxyEndpoint {
         addr: address(),
         zone: "poa-a".into(),
         readiness,
-        current,
+        is_current: current,
     };
     let fronts = vec![
         front(Readiness::Closed, false),
@@ -66,9 +66,12 @@
         zone: "poa-a".into(),
         reachable: true,
     };
-    let news = |number, part| FromControl::Update { number, part };
+    let news = |number, part| FromControl::Update {
+        number,
+        section: part,
+    };
     let beat = |age, heard, deserted| FromControl::Heartbeat {
-        stamp: 300,
+        sent_at_ms: 300,
         majority_age: age,
         decided: edition(),
         control_reachable: heard,
@@ -81,7 +84,7 @@
                 1,
                 StateSection::Config {
                     version: 0xabcd,
-                    text: vec![1, 2, 255],
+                    compressed_text: vec![1, 2, 255],
                     checksum: u64::MAX,
                 },
             ),
@@ -91,7 +94,7 @@
             news(
                 300,
                 StateSection::Evacuated {
-                    number: 7,
+                    order: 7,
                     zones: vec!["poa-a".into(), String::new()],
                 },
             ),
@@ -101,7 +104,7 @@
             news(
                 3,
                 StateSection::Servers {
-                    age: 1500,
+                    age_ms: 1500,
                     list: vec![server],
                 },
             ),
@@ -120,7 +123,7 @@
 /// What flows from a proxy to its agent and from an agent to control.
 fn upward() -> Vec<(&'static str, ToControl)> {
     let beat = |readiness| ToControl::Heartbeat {
-        stamp: 300,
+        sent_at_ms: 300,
         readiness,
         applied: edition(),
     };
@@ -129,7 +132,7 @@
             "hello",
             ToControl::Hello {
                 host: "edge-1".into(),
-                front: address(),
+                proxy_addr: address(),
                 zone: "poa-a".into(),
             },
         ),
--- a/crates/aspendrum-benchmarks/src/cores/consensus.rs
+++ b/crates/aspendrum-benchmarks/src/cores/consensus.rs
@@ -5,8 +5,8 @@
 use crate::sizes::{self, GRADES};
 use aspendrum_consensus::membership::voters_for;
 use aspendrum_consensus::{Effect, Order, Place, Replica, Voters};
+use aspendrum_model::compression::compress;
 use aspendrum_model::hash::digest;
-use aspendrum_model::packed::pack;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -135,7 +135,7 @@
         .for_each(|(n, losses)| founded(n, losses));
     for size in GRADES {
         let sent = sizes::config(&size, size.services, 1);
-        let (text, digest) = (pack(sent.as_bytes()), digest(sent.as_bytes()));
+        let (text, digest) = (compress(sent.as_bytes()), digest(sent.as_bytes()));
         for voters in [3, 4, 5, 7] {
             let config = |n: usize| Order::Config {
                 version: n as u32 + 1,
@@ -155,7 +155,7 @@
     }
     // A read by a machine that holds the target's configuration, as all others do.
     let sent = sizes::config(&GRADES[2], 250, 1);
-    let (text, digest) = (pack(sent.as_bytes()), digest(sent.as_bytes()));
+    let (text, digest) = (compress(sent.as_bytes()), digest(sent.as_bytes()));
     for voters in [3, 4, 5, 7] {
         let order = |n: usize| match n {
             0 => Order::Config {
--- a/crates/aspendrum-benchmarks/src/cores/model.rs
+++ b/crates/aspendrum-benchmarks/src/cores/model.rs
@@ -2,11 +2,11 @@
 
 use crate::measure::{batches, each, memory, Line};
 use crate::sizes::{self, Size, GRADES};
+use aspendrum_model::compression::{compress, decompress};
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{
     Envelope, FromControl, Readiness, StateDigest, StateSection, ToControl,
 };
-use aspendrum_model::packed::{pack, unpack};
 use aspendrum_model::servers::{parse_page, ServerInstance, ServerList};
 use aspendrum_net::frames::encode_frame;
 use aspendrum_reconcile::edition;
@@ -40,10 +40,10 @@
                 .with("hosts", hosts)
         };
         let text = sizes::config(&size, hosts, 1);
-        let packed = pack(text.as_bytes());
+        let packed = compress(text.as_bytes());
         let whole = encode_frame(&FromControl::Update {
             number: 1,
-            part: StateSection::config(1, packed.clone()),
+            section: StateSection::config(1, packed.clone()),
         });
         let bytes = line("model.config.bytes")
             .with("text", text.len())
@@ -51,10 +51,10 @@
         bytes.with("frame", whole.len()).tell();
         let repeats = if tenants > 5_000 { 5 } else { 15 };
         line("model.pack")
-            .ms("cpu", &each(repeats, |_| pack(text.as_bytes())))
+            .ms("cpu", &each(repeats, |_| compress(text.as_bytes())))
             .tell();
         line("model.unpack")
-            .ms("cpu", &each(repeats, |_| unpack(&packed)))
+            .ms("cpu", &each(repeats, |_| decompress(&packed)))
             .tell();
         let (config, held, most) = memory(|| Config::read(text.as_bytes()));
         line("model.config.memory")
@@ -87,8 +87,8 @@
         let bytes: usize = pages.iter().map(String::len).sum();
         let told = encode_frame(&FromControl::Update {
             number: 1,
-            part: StateSection::Servers {
-                age: 0,
+            section: StateSection::Servers {
+                age_ms: 0,
                 list: list.clone(),
             },
         });
@@ -101,7 +101,7 @@
             pages
                 .iter()
                 .filter_map(|p| parse_page(p.as_bytes()).ok())
-                .map(|p| p.0.len())
+                .map(|p| p.servers.len())
                 .sum::<usize>()
         };
         line("lists.pages.read")
@@ -131,7 +131,7 @@
         let fronts = sizes::fronts(size.limiters);
         let told = encode_frame(&FromControl::Update {
             number: 1,
-            part: StateSection::Proxies(fronts),
+            section: StateSection::Proxies(fronts),
         });
         Line::of("lists.fronts.bytes")
             .with("limiters", size.limiters)
@@ -143,13 +143,13 @@
         ..StateDigest::default()
     };
     let up = encode_frame(&Envelope::<()>::Agent(ToControl::Heartbeat {
-        stamp: 86_400_000,
+        sent_at_ms: 86_400_000,
         readiness: Readiness::Ready,
         applied: edition,
     }));
     let age = Some(400);
     let beat = FromControl::Heartbeat {
-        stamp: 86_400_000,
+        sent_at_ms: 86_400_000,
         majority_age: age,
         decided: edition,
         control_reachable: true,
--- a/crates/aspendrum-benchmarks/src/cores/proxy.rs
+++ b/crates/aspendrum-benchmarks/src/cores/proxy.rs
@@ -4,10 +4,10 @@
 use crate::measure::{batches, cpu_ms, each, memory, Line, Samples};
 use crate::sizes::{self, front_at, Size, GRADES};
 use aspendrum_core::api::{Load, Outcome};
+use aspendrum_model::compression::compress;
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{ProxyEndpoint, Readiness, StateSection};
-use aspendrum_model::packed::pack;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardHandle, RequestKind};
 use aspendrum_net::mailbox;
@@ -40,7 +40,7 @@
 }
 
 fn news(text: &str, version: u32) -> StateSection {
-    StateSection::config(version, pack(text.as_bytes()))
+    StateSection::config(version, compress(text.as_bytes()))
 }
 
 /// Fronts of which one is not ready, another in each list.
@@ -91,7 +91,7 @@
     let mut copies: Vec<Vec<_>> = (0..9).map(|_| list.clone()).collect();
     let ((), held, _) = memory(|| {
         desk.apply(StateSection::Servers {
-            age: 0,
+            age_ms: 0,
             list: list.clone(),
         })
     });
@@ -101,7 +101,7 @@
             "cpu",
             &each(9, |_| {
                 desk.apply(StateSection::Servers {
-                    age: 0,
+                    age_ms: 0,
                     list: copies.pop().unwrap_or_default(),
                 })
             }),
@@ -138,8 +138,8 @@
     let mut list = sizes::servers(size, sizes::apart);
     list.iter_mut()
         .take(cold)
-        .for_each(|s| s.warm_left_ms = 60_000);
-    desk.apply(StateSection::Servers { age: 0, list });
+        .for_each(|s| s.slow_start_left_ms = 60_000);
+    desk.apply(StateSection::Servers { age_ms: 0, list });
     desk.apply(StateSection::Proxies(sizes::fronts(size.limiters)));
     let (begun, before, mut beats) = (Instant::now(), cpu_ms(), Vec::new());
     while begun.elapsed() < WATCHED {
@@ -166,7 +166,7 @@
     desk.apply(StateSection::Proxies(sizes::fronts(1)));
     desk.apply(news(&sizes::config(size, size.services, 1), 1));
     desk.apply(StateSection::Servers {
-        age: 0,
+        age_ms: 0,
         list: sizes::servers(size, sizes::apart),
     });
     desk.beat();
@@ -235,7 +235,7 @@
     desk.apply(StateSection::Proxies(sizes::fronts(size.limiters)));
     desk.apply(news(&sizes::config(size, size.services, 1), 1));
     desk.apply(StateSection::Servers {
-        age: 0,
+        age_ms: 0,
         list: sizes::servers(size, sizes::apart),
     });
     desk.beat();
@@ -309,7 +309,7 @@
             .into_iter()
             .filter(|s| s.service != name)
             .collect();
-        desk.apply(StateSection::Servers { age: 0, list });
+        desk.apply(StateSection::Servers { age_ms: 0, list });
         desk.beat();
         let Some(view) = desk.view() else { return };
         let place = |n: usize| view.pools.get(format!("svc{n:03}a").as_str()).copied();
@@ -325,7 +325,7 @@
                     .config
                     .routes
                     .iter()
-                    .position(|r| view.pools.get(&r.services[0].0) == Some(&service));
+                    .position(|r| view.pools.get(&r.services[0].service) == Some(&service));
                 let until = Instant::now() + Duration::from_secs(2);
                 let tenant = Some(n % size.tenants);
                 let ask = Ask {
--- a/crates/aspendrum-benchmarks/src/hollow/agent.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/agent.rs
@@ -144,7 +144,14 @@
             (state.since, state.answered, state.as_of, state.beaten) = (now, now, None, None);
         }
         let (host, front, zone) = (format!("edge-{}", self.n), front_at(self.n), zone(self.n));
-        self.say(counts, ToControl::Hello { host, front, zone });
+        self.say(
+            counts,
+            ToControl::Hello {
+                host,
+                proxy_addr: front,
+                zone,
+            },
+        );
         let mut from = Counting {
             from: BufReader::with_capacity(4 << 10, &*stream),
             read: 0,
@@ -163,7 +170,7 @@
     fn hear(&self, counts: &Counts, down: FromControl, bytes: u64) {
         let now = Instant::now();
         let kind = match &down {
-            FromControl::Update { part, .. } => part.kind(),
+            FromControl::Update { section: part, .. } => part.kind(),
             FromControl::Heartbeat { .. } | FromControl::Resync => BEATS,
         };
         counts.down[kind].fetch_add(bytes, Relaxed);
@@ -171,7 +178,10 @@
         let mut state = lock(&self.state);
         state.answered = Some(now);
         match down {
-            FromControl::Update { number, part } => {
+            FromControl::Update {
+                number,
+                section: part,
+            } => {
                 match part {
                     StateSection::Config { version, .. } if version > state.held.config => {
                         (state.held.config, state.held.at[0]) = (version, Some(now));
@@ -181,7 +191,7 @@
                         (state.held.draining, state.held.at[1]) = (draining, Some(now));
                     }
                     StateSection::Proxies(fronts) => {
-                        let ready = fronts.iter().filter(|f| f.ready()).count();
+                        let ready = fronts.iter().filter(|f| f.is_ready()).count();
                         (state.held.ready, state.held.at[2]) = (ready, Some(now));
                     }
                     _ => {}
@@ -190,7 +200,7 @@
                 self.say(counts, ToControl::Applied { number });
             }
             FromControl::Heartbeat {
-                stamp,
+                sent_at_ms: stamp,
                 majority_age: age,
                 decided: of,
                 ..
@@ -218,7 +228,7 @@
     /// A sign of life when it is due, or the end of a link that is of no use.
     fn beat(&self, counts: &Counts) {
         let now = Instant::now();
-        let (stamp, applied) = {
+        let (sent_at_ms, applied) = {
             let mut state = lock(&self.state);
             let Some(stream) = &state.stream else { return };
             let over = |at: Option<Instant>, most: Duration| at.is_none_or(|at| now - at > most);
@@ -244,7 +254,7 @@
         self.say(
             counts,
             ToControl::Heartbeat {
-                stamp,
+                sent_at_ms,
                 readiness: Readiness::Ready,
                 applied,
             },
--- a/crates/aspendrum-benchmarks/src/hollow/traffic.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/traffic.rs
@@ -131,8 +131,8 @@
 pub fn send(to: SocketAddr, config: &Config, rate: f64, span: Duration, taken: &Taken) -> Came {
     let before = taken.0.load(Relaxed);
     let mut places: Vec<(String, String)> = config
-        .places()
-        .map(|p| (p.0.to_string(), format!("{}x", p.1)))
+        .route_entries()
+        .map(|p| (p.host.to_string(), format!("{}x", p.prefix)))
         .collect();
     places.sort();
     let keys: Vec<String> = config
--- a/crates/aspendrum-benchmarks/src/sizes.rs
+++ b/crates/aspendrum-benchmarks/src/sizes.rs
@@ -147,7 +147,7 @@
         zone: zone(n / size.services + n % size.services),
         slots: 2,
         draining: false,
-        warm_left_ms: 0,
+        slow_start_left_ms: 0,
     };
     (0..size.servers).map(of).collect()
 }
@@ -176,7 +176,7 @@
         addr: front_at(n),
         zone: zone(n),
         readiness: Readiness::Ready,
-        current: true,
+        is_current: true,
     };
     (0..limiters).map(of).collect()
 }
@@ -186,7 +186,7 @@
     let entry = |s: &ServerInstance| {
         serde_json::json!({"uid": s.uid, "svc": s.service, "addr": s.addr, "az": s.zone, "gen": "v1",
             "slots": s.slots, "phase": if s.draining { "drain" } else { "up" },
-            "warm-left-ms": s.warm_left_ms})
+            "warm-left-ms": s.slow_start_left_ms})
     };
     let servers: Vec<serde_json::Value> = list.iter().map(entry).collect();
     serde_json::json!({"servers": servers, "next": next}).to_string()
--- a/crates/aspendrum-benchmarks/tests/agents.rs
+++ b/crates/aspendrum-benchmarks/tests/agents.rs
@@ -52,12 +52,12 @@
         &link,
         FromControl::Update {
             number: 4,
-            part: StateSection::config(7, vec![1, 2, 3]),
+            section: StateSection::config(7, vec![1, 2, 3]),
         },
     );
     let stamp = loop {
         if let ToControl::Heartbeat {
-            stamp,
+            sent_at_ms: stamp,
             readiness: Readiness::Ready,
             ..
         } = next(&mut link)
@@ -65,8 +65,8 @@
             break stamp;
         }
     };
-    let beat = |stamp, config| FromControl::Heartbeat {
-        stamp,
+    let beat = |sent_at_ms, config| FromControl::Heartbeat {
+        sent_at_ms,
         majority_age: Some(1),
         decided: of(config),
         control_reachable: true,
--- a/crates/aspendrum-benchmarks/tests/sizes.rs
+++ b/crates/aspendrum-benchmarks/tests/sizes.rs
@@ -3,7 +3,7 @@
 use aspendrum_benchmarks::measure::Samples;
 use aspendrum_benchmarks::sizes::{self, Size, GRADES, REGIONS, ZONES};
 use aspendrum_model::config::Config;
-use aspendrum_model::servers::parse_page;
+use aspendrum_model::servers::{parse_page, ServerPage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Danger: a figure for 35,000 tenants out of a text that holds fewer, or that control would refuse.
@@ -30,8 +30,10 @@
         );
         let names: BTreeSet<&str> = tenants.iter().map(|t| t.name.as_str()).collect();
         assert_eq!(names.len(), size.tenants);
-        assert!(tenants.iter().all(|t| t.keys.len() == 2 && t.rate_s > 0.0));
-        let at: BTreeSet<&str> = config.places().map(|p| p.0).collect();
+        assert!(tenants
+            .iter()
+            .all(|t| t.keys.len() == 2 && t.rate_per_second > 0.0));
+        let at: BTreeSet<&str> = config.route_entries().map(|entry| entry.host).collect();
         assert_eq!(at.len(), hosts);
         assert_eq!(
             text,
@@ -77,9 +79,12 @@
 #[test]
 fn a_page_is_read_as_the_platforms_is() {
     let list = sizes::servers(&GRADES[0], sizes::apart);
-    let (read, next) =
+    let ServerPage { servers, next_page } =
         parse_page(sizes::page(&list[..50], Some("p-50".into())).as_bytes()).unwrap();
-    assert_eq!((read, next.as_deref()), (list[..50].to_vec(), Some("p-50")));
+    assert_eq!(
+        (servers, next_page.as_deref()),
+        (list[..50].to_vec(), Some("p-50"))
+    );
 }
 
 #[test]
--- a/crates/aspendrum-client/src/control.rs
+++ b/crates/aspendrum-client/src/control.rs
@@ -1,107 +1,161 @@
-//! Calls to control: to one machine after another until one answers.
+//! Calls to control: to one of its nodes after another until one answers.
 
-use aspendrum_net::http1::MessageLimits;
+use crate::error::{CallError, ClientError};
+use aspendrum_net::http1::{MessageLimits, Response};
 use aspendrum_net::http_client::HttpClient;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
+use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const BOUNDS: MessageLimits = MessageLimits {
+const LIMITS: MessageLimits = MessageLimits {
     head_bytes: 16 << 10,
     body_bytes: 64 << 20,
 };
-/// A machine without a majority says so within a second; a large configuration takes longer on its way.
-const CALL: Duration = Duration::from_millis(1500);
-/// An order that nobody can acknowledge is given up then; it may come to be held all the same.
-const ORDER: Duration = Duration::from_secs(15);
+/// A control node without a majority says so within a second; a large configuration takes longer on its way.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// An order that no node acknowledges is given up then; it may be committed all the same.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(15);
+/// Control nodes that have just lost their leader need a moment to elect another.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const STATUS_OK: u16 = 200;
+const STATUS_REQUEST_TIMEOUT: u16 = 408;
+const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 
-pub struct Control {
-    at: Vec<SocketAddrV4>,
+/// The answer to an order: an acknowledgement, or a refusal that is final.
+pub(crate) struct OrderReply {
+    /// The status code.
+    pub(crate) status: u16,
+    /// The body.
+    pub(crate) text: String,
+}
+
+/// The control nodes that the operator named.
+pub(crate) struct Control {
+    nodes: Vec<SocketAddrV4>,
 }
 
 impl Control {
-    pub fn new(at: &[SocketAddrV4]) -> Control {
-        Control { at: at.to_vec() }
+    /// Control, by the operators' addresses of some of its nodes.
+    pub(crate) fn new(nodes: &[SocketAddrV4]) -> Control {
+        Control {
+            nodes: nodes.to_vec(),
+        }
     }
 
-    /// Sends it until it is acknowledged or refused; the status and what was said.
-    pub fn order(&self, method: &str, path: &str, body: &[u8]) -> Result<(u16, String), String> {
-        let (begun, mut last) = (Instant::now(), String::new());
-        while begun.elapsed() < ORDER {
-            for at in &self.at {
-                match HttpClient::new(*at, BOUNDS).call(method, path, body, CALL) {
-                    Ok(answer)
-                        if answer.status < 500 && answer.status != 429 && answer.status != 408 =>
-                    {
-                        return Ok((
-                            answer.status,
-                            String::from_utf8_lossy(&answer.body).into_owned(),
-                        ));
-                    }
-                    Ok(answer) => last = format!("{at} answered {}", answer.status),
-                    Err(why) => last = format!("{at}: {why}"),
+    /// Sends an order until a node acknowledges or refuses it.
+    ///
+    /// # Errors
+    /// [`ClientError::NotAcknowledged`] if none did in time: the order may be committed all the same.
+    pub(crate) fn send_order(
+        &self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Result<OrderReply, ClientError> {
+        let started_at = Instant::now();
+        let mut last_failure = CallError::NoNode;
+        while started_at.elapsed() < ORDER_TIMEOUT {
+            for node in &self.nodes {
+                match send_order_to(*node, method, path, body) {
+                    Ok(reply) => return Ok(reply),
+                    Err(failure) => last_failure = failure,
                 }
             }
-            // They need a moment to find each other.
-            std::thread::sleep(Duration::from_millis(200));
+            sleep(RETRY_PAUSE);
         }
-        Err(format!(
-            "no machine of control acknowledged it within {ORDER:?}; it may be held all the same; {last}"
-        ))
+        Err(ClientError::NotAcknowledged {
+            timeout: ORDER_TIMEOUT,
+            last_failure,
+        })
     }
 
-    pub fn show(&self) -> Result<Vec<u8>, String> {
-        match self.order("GET", "/api/Cfg.Show", b"")? {
-            (200, text) => Ok(text.into_bytes()),
-            (status, _) => Err(format!("status {status}")),
+    /// The newest configuration, as an operator sent it.
+    pub(crate) fn newest_config(&self) -> Result<Vec<u8>, ClientError> {
+        let reply = self.send_order("GET", "/api/Cfg.Show", b"")?;
+        match reply.status {
+            STATUS_OK => Ok(reply.text.into_bytes()),
+            status => Err(ClientError::Refused { status }),
         }
     }
 
-    fn ask(at: SocketAddrV4, path: &str) -> Result<Value, String> {
-        let answer = HttpClient::new(at, BOUNDS)
-            .call("GET", path, b"", CALL)
-            .map_err(|e| format!("{at}: {e}"))?;
-        match answer.status {
-            200 => serde_json::from_slice(&answer.body).map_err(|e| format!("{at}: {e}")),
-            status => Err(format!("{at} answered {status}")),
-        }
-    }
-
-    pub fn explain(&self, host: &str, path: &str) -> Result<Value, String> {
+    /// What each version of the configuration that some node applies would do with a request, as JSON.
+    pub(crate) fn explain(&self, host: &str, path: &str) -> Result<Value, ClientError> {
         let path = format!("/api/Explain?host={host}&path={path}");
-        let mut last = String::new();
-        for at in &self.at {
-            match Control::ask(*at, &path) {
-                Ok(told) => return Ok(told),
-                Err(why) => last = why,
+        let mut last_failure = CallError::NoNode;
+        for node in &self.nodes {
+            match query(*node, &path) {
+                Ok(explanation) => return Ok(explanation),
+                Err(failure) => last_failure = failure,
             }
         }
-        Err(last)
+        Err(ClientError::NoAnswer(last_failure))
     }
 
-    /// What each machine of control that answers knows: those named, and those that they know of, whose ports are
-    /// alike.
-    pub fn nodes(&self) -> Result<Vec<Value>, String> {
-        let mut left: Vec<SocketAddrV4> = self.at.clone();
-        let (mut seen, mut all, mut last) = (BTreeSet::new(), Vec::new(), String::new());
-        while let Some(at) = left.pop() {
-            if !seen.insert(at) {
+    /// What each control node that answers knows of the system's nodes, as JSON: of those that the operator named, and of
+    /// those that they know of in turn. The ports of all control nodes are alike.
+    pub(crate) fn node_reports(&self) -> Result<Vec<Value>, ClientError> {
+        let mut pending: Vec<SocketAddrV4> = self.nodes.clone();
+        let (mut visited, mut reports) = (BTreeSet::new(), Vec::new());
+        let mut last_failure = CallError::NoNode;
+        while let Some(node) = pending.pop() {
+            if !visited.insert(node) {
                 continue;
             }
-            match Control::ask(at, "/api/Nodes") {
-                Ok(told) => {
-                    let others = told["control"].as_array().into_iter().flatten();
-                    let ips = others.filter_map(|ip| ip.as_str()?.parse::<Ipv4Addr>().ok());
-                    left.extend(ips.map(|ip| SocketAddrV4::new(ip, at.port())));
-                    all.push(told);
+            match query(node, "/api/Nodes") {
+                Ok(report) => {
+                    pending.extend(control_nodes(&report, node.port()));
+                    reports.push(report);
                 }
-                Err(why) => last = why,
+                Err(failure) => last_failure = failure,
             }
         }
-        if all.is_empty() {
-            return Err(last);
+        if reports.is_empty() {
+            return Err(ClientError::NoAnswer(last_failure));
+        }
+        Ok(reports)
+    }
+}
+
+/// The control nodes that a report names.
+fn control_nodes(report: &Value, port: u16) -> Vec<SocketAddrV4> {
+    let names = report["control"].as_array().into_iter().flatten();
+    let ips = names.filter_map(|ip| ip.as_str()?.parse::<Ipv4Addr>().ok());
+    ips.map(|ip| SocketAddrV4::new(ip, port)).collect()
+}
+
+fn call(node: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> Result<Response, CallError> {
+    let response = HttpClient::new(node, LIMITS).call(method, path, body, CALL_TIMEOUT);
+    response.map_err(|source| CallError::NoResponse { node, source })
+}
+
+/// Sends an order to one node. An error may pass, at this node or at another one.
+fn send_order_to(
+    node: SocketAddrV4,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> Result<OrderReply, CallError> {
+    let response = call(node, method, path, body)?;
+    let status = response.status;
+    if status >= 500 || status == STATUS_TOO_MANY_REQUESTS || status == STATUS_REQUEST_TIMEOUT {
+        return Err(CallError::Status { node, status });
+    }
+    Ok(OrderReply {
+        status,
+        text: String::from_utf8_lossy(&response.body).into_owned(),
+    })
+}
+
+/// Asks one node.
+fn query(node: SocketAddrV4, path: &str) -> Result<Value, CallError> {
+    let response = call(node, "GET", path, b"")?;
+    match response.status {
+        STATUS_OK => {
+            let json = serde_json::from_slice(&response.body);
+            json.map_err(|source| CallError::InvalidJson { node, source })
         }
-        Ok(all)
+        status => Err(CallError::Status { node, status }),
     }
 }
--- a/crates/aspendrum-client/src/main.rs
+++ b/crates/aspendrum-client/src/main.rs
@@ -1,187 +1,143 @@
-//! The operators' client. Ends with 0 when all is well, 1 when something was refused or differs, 2 when nobody
-//! answered or a file cannot be read.
+//! The operators' client. Its exit status is 0 when all is well, 1 when control refused something or nodes differ, and 2
+//! when nobody answered or a file cannot be read.
 
+mod arguments;
 mod control;
-mod shown;
+mod error;
+mod node_table;
+mod output;
 
+use arguments::{arguments, Arguments, Command, EvacuationStep};
 use aspendrum_model::config::Config;
-use bpaf::Bpaf;
-use control::Control;
-use std::net::SocketAddrV4;
-use std::path::PathBuf;
+use control::{Control, OrderReply};
+use error::ClientError;
+use serde_json::Value;
+use std::path::Path;
 use std::process::ExitCode;
 
-/// The operators' client of the system
-#[derive(Clone, Debug, Bpaf)]
-#[bpaf(options, version)]
-struct Line {
-    /// A machine of control, its ctl address; the next one named is asked where one does not answer
-    #[bpaf(
-        long("at"),
-        argument("IP:PORT"),
-        some("name a machine of control with --at IP:PORT")
-    )]
-    at: Vec<SocketAddrV4>,
-    /// Prints what control said as it is
-    #[bpaf(long("json"))]
-    json: bool,
-    #[bpaf(external)]
-    what: What,
-}
-
-#[derive(Clone, Debug, Bpaf)]
-enum What {
-    /// Sends a configuration until a majority of disks holds it, or it is refused
-    #[bpaf(command)]
-    Put {
-        #[bpaf(positional("FILE"))]
-        file: PathBuf,
-    },
-    /// The newest configuration, as it was sent
-    #[bpaf(command)]
-    Show,
-    /// Checks a configuration as control does, without asking anybody
-    #[bpaf(command)]
-    Check {
-        #[bpaf(positional("FILE"))]
-        file: PathBuf,
-    },
-    /// What a configuration would change of the newest one; ends with 1 if it would
-    #[bpaf(command)]
-    Diff {
-        #[bpaf(positional("FILE"))]
-        file: PathBuf,
-    },
-    /// Begins or finishes the evacuation of a zone
-    #[bpaf(command)]
-    Evacuate {
-        #[bpaf(external)]
-        turn: Turn,
-    },
-    /// Each node: what was decided, what it applied, since when it differs; ends with 1 if any does
-    #[bpaf(command)]
-    Nodes,
-    /// What each version would do with a request, and how many nodes apply which
-    #[bpaf(command)]
-    Explain {
-        #[bpaf(positional("HOST"))]
-        host: String,
-        #[bpaf(positional("PATH"))]
-        path: String,
-    },
-}
-
-#[derive(Clone, Debug, Bpaf)]
-enum Turn {
-    /// Nothing more is sent to the zone's servers
-    #[bpaf(command)]
-    Begin {
-        #[bpaf(positional("ZONE"))]
-        zone: String,
-    },
-    /// The zone is taken back
-    #[bpaf(command)]
-    Finish {
-        #[bpaf(positional("ZONE"))]
-        zone: String,
-    },
-}
+/// Control did not answer, or a file cannot be read.
+const EXIT_NO_ANSWER: u8 = 2;
+const STATUS_OK: u16 = 200;
 
 fn main() -> ExitCode {
-    let line = line().run();
-    match run(&line) {
+    match run(&arguments().run()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
             eprintln!("aspendrum-client: {why}");
-            ExitCode::from(2)
+            ExitCode::from(EXIT_NO_ANSWER)
         }
     }
 }
 
-fn run(line: &Line) -> Result<bool, String> {
-    let control = Control::new(&line.at);
-    match &line.what {
-        What::Check { file } => Ok(checked(file)?
-            .map(|c| println!("{}", shown::summary(&c)))
-            .is_some()),
-        What::Put { file } => {
-            let Some(config) = checked(file)? else {
-                return Ok(false);
-            };
-            let version = config.version;
-            ordered(
-                control.order("POST", "/api/Cfg.Set", &read(file)?)?,
-                &format!("version {version:08x} is held"),
-            )
-        }
-        What::Show => {
-            println!("{}", String::from_utf8_lossy(&control.show()?));
-            Ok(true)
-        }
-        What::Diff { file } => {
-            let Some(new) = checked(file)? else {
-                return Ok(false);
-            };
-            let old = Config::read(&control.show()?).map_err(|e| e.to_string())?;
-            let changes = shown::changes(&old, &new);
-            changes.iter().for_each(|c| println!("{c}"));
-            Ok(changes.is_empty())
-        }
-        What::Evacuate { turn } => {
-            let (word, zone) = match turn {
-                Turn::Begin { zone } => ("Begin", zone),
-                Turn::Finish { zone } => ("Finish", zone),
-            };
-            let done = format!("the evacuation's {} in {zone} is held", word.to_lowercase());
-            ordered(
-                control.order("POST", &format!("/api/Evac.{word}/{zone}"), b"")?,
-                &done,
-            )
-        }
-        What::Nodes => {
-            let told = control.nodes()?;
-            print!(
-                "{}",
-                if line.json {
-                    shown::json(&told)
-                } else {
-                    shown::nodes(&told)
-                }
-            );
-            Ok(shown::agree(&told))
-        }
-        What::Explain { host, path } => {
-            let told = control.explain(host, path)?;
-            let nodes = control.nodes()?;
-            print!(
-                "{}",
-                if line.json {
-                    shown::json(&told)
-                } else {
-                    shown::explained(&told, &nodes)
-                }
-            );
-            Ok(true)
-        }
+/// Runs one command. Returns whether all is well: nothing was refused, and nothing differs.
+fn run(arguments: &Arguments) -> Result<bool, ClientError> {
+    let control = Control::new(&arguments.control_nodes);
+    match &arguments.command {
+        Command::Check { file } => check(file),
+        Command::Put { file } => put(&control, file),
+        Command::Show => show(&control),
+        Command::Diff { file } => diff(&control, file),
+        Command::Evacuate { step } => evacuate(&control, step),
+        Command::Nodes => nodes(&control, arguments.json),
+        Command::Explain { host, path } => explain(&control, host, path, arguments.json),
     }
 }
 
-fn read(file: &PathBuf) -> Result<Vec<u8>, String> {
-    std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))
+fn check(file: &Path) -> Result<bool, ClientError> {
+    let Some(config) = read_valid_config(file)? else {
+        return Ok(false);
+    };
+    println!("{}", output::summary(&config));
+    Ok(true)
+}
+
+fn put(control: &Control, file: &Path) -> Result<bool, ClientError> {
+    let Some(config) = read_valid_config(file)? else {
+        return Ok(false);
+    };
+    let reply = control.send_order("POST", "/api/Cfg.Set", &read_file(file)?)?;
+    Ok(print_order_result(
+        &reply,
+        &format!("version {:08x} is held", config.version),
+    ))
+}
+
+fn show(control: &Control) -> Result<bool, ClientError> {
+    println!("{}", String::from_utf8_lossy(&control.newest_config()?));
+    Ok(true)
 }
 
-/// None: it is invalid, and why was said.
-fn checked(file: &PathBuf) -> Result<Option<Config>, String> {
-    Ok(Config::read(&read(file)?)
-        .map_err(|fault| eprintln!("{}: {fault}", file.display()))
-        .ok())
+fn diff(control: &Control, file: &Path) -> Result<bool, ClientError> {
+    let Some(new) = read_valid_config(file)? else {
+        return Ok(false);
+    };
+    let old = Config::read(&control.newest_config()?)?;
+    let changes = output::changes(&old, &new);
+    changes.iter().for_each(|change| println!("{change}"));
+    Ok(changes.is_empty())
+}
+
+fn evacuate(control: &Control, step: &EvacuationStep) -> Result<bool, ClientError> {
+    let (verb, zone) = match step {
+        EvacuationStep::Begin { zone } => ("Begin", zone),
+        EvacuationStep::Finish { zone } => ("Finish", zone),
+    };
+    let reply = control.send_order("POST", &format!("/api/Evac.{verb}/{zone}"), b"")?;
+    let done = format!("the evacuation's {} in {zone} is held", verb.to_lowercase());
+    Ok(print_order_result(&reply, &done))
+}
+
+fn nodes(control: &Control, json: bool) -> Result<bool, ClientError> {
+    let reports = control.node_reports()?;
+    print!(
+        "{}",
+        if json {
+            output::json(&reports)
+        } else {
+            node_table::node_table(&reports)
+        }
+    );
+    Ok(node_table::all_agree(&reports))
+}
+
+fn explain(control: &Control, host: &str, path: &str, json: bool) -> Result<bool, ClientError> {
+    let explanation: Value = control.explain(host, path)?;
+    let reports = control.node_reports()?;
+    let text = if json {
+        output::json(&explanation)
+    } else {
+        output::explanation(&explanation, &reports)
+    };
+    print!("{text}");
+    Ok(true)
+}
+
+fn read_file(file: &Path) -> Result<Vec<u8>, ClientError> {
+    std::fs::read(file).map_err(|source| ClientError::UnreadableFile {
+        file: file.to_path_buf(),
+        source,
+    })
+}
+
+/// The configuration in a file. `None` if it is invalid; why was printed.
+fn read_valid_config(file: &Path) -> Result<Option<Config>, ClientError> {
+    match Config::read(&read_file(file)?) {
+        Ok(config) => Ok(Some(config)),
+        Err(why) => {
+            eprintln!("{}: {why}", file.display());
+            Ok(None)
+        }
+    }
 }
 
-fn ordered((status, text): (u16, String), done: &str) -> Result<bool, String> {
-    match status {
-        200 => println!("{done} by a majority of control's disks"),
-        _ => eprintln!("refused with {status}: {}", text.trim()),
+/// Prints what control answered to an order, and returns whether it was acknowledged.
+fn print_order_result(reply: &OrderReply, done: &str) -> bool {
+    let is_acknowledged = reply.status == STATUS_OK;
+    if is_acknowledged {
+        println!("{done} by a majority of control's disks");
+    } else {
+        eprintln!("refused with {}: {}", reply.status, reply.text.trim());
     }
-    Ok(status == 200)
+    is_acknowledged
 }
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -67,7 +67,7 @@
             self.said += 1;
             self.link.send(&FromControl::Update {
                 number: self.said,
-                part: part.clone(),
+                section: part.clone(),
             });
             *told = Some(part.clone());
         }
@@ -129,30 +129,34 @@
         };
         session.heard = now;
         match message {
-            ToControl::Hello { host, front, zone } => {
-                log::info!("event=agent_came host={host} front={front} zone={zone}");
+            ToControl::Hello {
+                host,
+                proxy_addr,
+                zone,
+            } => {
+                log::info!("event=agent_came host={host} front={proxy_addr} zone={zone}");
                 session.host = host;
                 let readiness = Readiness::Closed;
                 session.front = Some(ProxyEndpoint {
-                    addr: front,
+                    addr: proxy_addr,
                     zone,
                     readiness,
-                    current: true,
+                    is_current: true,
                 });
                 self.own_fronts_changed();
                 self.tell_agents();
             }
             ToControl::Heartbeat {
-                stamp,
+                sent_at_ms,
                 readiness,
                 applied,
-            } => self.agent_beat(id, stamp, readiness, applied),
+            } => self.agent_beat(id, sent_at_ms, readiness, applied),
             ToControl::Disconnecting => session.moving = true,
             ToControl::Applied { number } => session.applied = session.applied.max(number),
         }
     }
 
-    fn agent_beat(&mut self, id: u64, stamp: u64, readiness: Readiness, applied: StateDigest) {
+    fn agent_beat(&mut self, id: u64, sent_at_ms: u64, readiness: Readiness, applied: StateDigest) {
         let now = self.now();
         let age = self
             .replica
@@ -163,7 +167,7 @@
             return;
         };
         session.link.send(&FromControl::Heartbeat {
-            stamp,
+            sent_at_ms,
             majority_age: age,
             decided: of,
             control_reachable: true,
@@ -183,12 +187,12 @@
         // News that are on their way are no reason to send clients elsewhere.
         let current = session
             .off
-            .is_none_or(|at| now - at < OFF_SHARE * self.settings.apply_ms);
+            .is_none_or(|at| now - at < OFF_SHARE * self.settings.apply_deadline_ms);
         let standing = session.standing.word();
         let turned = session
             .front
             .as_mut()
-            .filter(|f| (f.readiness, f.current) != (readiness, current));
+            .filter(|f| (f.readiness, f.is_current) != (readiness, current));
         let Some(front) = turned else { return };
         if front.readiness != readiness {
             let is = if readiness == Readiness::Ready {
@@ -198,10 +202,10 @@
             };
             log::info!("event=front_{is} front={} is={readiness:?}", front.addr);
         }
-        if front.current != current {
+        if front.is_current != current {
             log::info!("event=front_standing front={} is={standing}", front.addr);
         }
-        (front.readiness, front.current) = (readiness, current);
+        (front.readiness, front.is_current) = (readiness, current);
         self.own_fronts_changed();
     }
 
@@ -259,8 +263,8 @@
                 let config = &settled.config;
                 wanted.push(StateSection::config(config.version, config.text.clone()));
             }
-            let (number, zones) = settled.evacuated();
-            wanted.push(StateSection::Evacuated { number, zones });
+            let (order, zones) = settled.evacuated();
+            wanted.push(StateSection::Evacuated { order, zones });
         }
         wanted.extend(self.servers.part(now));
         // Without a majority it knows of its own agents only: what others were told of the rest stands.
@@ -292,7 +296,7 @@
                 host: s.host.clone(),
                 front: front.addr.to_string(),
                 zone: front.zone.clone(),
-                ready: front.ready(),
+                ready: front.is_ready(),
                 standing: s.standing,
                 off_ms: s.off.map_or(0, |at| (now - at).max(0.0) as u64),
                 applied: s.edition,
@@ -317,7 +321,7 @@
                 .collect(),
             joined: self.replica.joined(),
         };
-        report::nodes(&self.settings.host, &self.decided, age, &all, &members)
+        report::nodes(&self.settings.host_name, &self.decided, age, &all, &members)
     }
 }
 
@@ -339,9 +343,9 @@
         (StateSection::Servers { list: a, .. }, StateSection::Servers { list: b, .. }) => {
             let alike = |x: &Origin, y: &Origin| {
                 // A cold time that merely runs out is no news; one that begins is.
-                let later = y.warm_left_ms > x.warm_left_ms;
+                let later = y.slow_start_left_ms > x.slow_start_left_ms;
                 let plain = |s: &Origin| Origin {
-                    warm_left_ms: 0,
+                    slow_start_left_ms: 0,
                     ..s.clone()
                 };
                 !later && plain(x) == plain(y)
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -3,9 +3,9 @@
 use crate::directory::{Directory, Ms};
 use crate::event::Event;
 use aspendrum_consensus::{Order, Outcome};
+use aspendrum_model::compression::{compress, decompress};
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
-use aspendrum_model::packed::{pack, unpack};
 use aspendrum_net::http1::Request;
 use aspendrum_net::http_server::Reply;
 use aspendrum_net::mailbox::MailboxSender;
@@ -80,7 +80,7 @@
                 Ok(config) => {
                     let (version, digest) = (config.version, digest(&request.body));
                     log::info!("event=order call=set version={version:08x} digest={digest:016x}");
-                    let text = pack(&request.body);
+                    let text = compress(&request.body);
                     self.order(
                         Order::Config {
                             version,
@@ -102,7 +102,7 @@
                 call: Call::Show, ..
             } => self.order(Order::Read, |held| match held.config.version {
                 0 => Reply::plain(503),
-                _ => unpack(&held.config.text).map_or_else(|| Reply::plain(500), Reply::json),
+                _ => decompress(&held.config.text).map_or_else(|| Reply::plain(500), Reply::json),
             }),
             PathMatch::Call {
                 call: call @ (Call::Begin | Call::Finish),
--- a/crates/aspendrum-control/src/directory.rs
+++ b/crates/aspendrum-control/src/directory.rs
@@ -80,10 +80,10 @@
     /// Those that fit, without the ones that have not applied what was decided, where enough others are.
     fn named(&self, fits: impl Fn(&ProxyEndpoint) -> bool) -> Vec<SocketAddrV4> {
         let there: Vec<&ProxyEndpoint> = self.fronts.iter().filter(|f| fits(f)).collect();
-        let enough = there.iter().filter(|f| f.current).count() >= ENOUGH;
+        let enough = there.iter().filter(|f| f.is_current).count() >= ENOUGH;
         there
             .iter()
-            .filter(|f| f.current || !enough)
+            .filter(|f| f.is_current || !enough)
             .map(|f| f.addr)
             .take(MOST)
             .collect()
@@ -94,14 +94,14 @@
     /// has its home in a region must not be carried through others.
     pub fn look_up(&self, now: Ms, region: &str, zone: &str, ttl_s: f64) -> Answer {
         let at_home = |f: &ProxyEndpoint| self.region_of(f).is_some_and(|r| r == region);
-        let of_zone = self.named(|f| f.ready() && f.zone == zone);
+        let of_zone = self.named(|f| f.is_ready() && f.zone == zone);
         if of_zone.len() >= ENOUGH {
             return Answer {
                 addresses: of_zone,
                 ttl_s,
             };
         }
-        let of_region = self.named(|f| f.ready() && at_home(f));
+        let of_region = self.named(|f| f.is_ready() && at_home(f));
         if !of_region.is_empty() {
             return Answer {
                 addresses: of_region,
@@ -121,7 +121,7 @@
             };
         }
         Answer {
-            addresses: self.named(ProxyEndpoint::ready),
+            addresses: self.named(ProxyEndpoint::is_ready),
             ttl_s: away,
         }
     }
@@ -137,7 +137,7 @@
             *entry = known.clone();
         } else if known.connected == entry.connected {
             entry.front.readiness = entry.front.readiness.max(known.front.readiness);
-            entry.front.current |= known.front.current;
+            entry.front.is_current |= known.front.is_current;
         }
     }
     let mut all: Vec<ProxyEndpoint> = all.into_values().map(|known| known.front).collect();
--- a/crates/aspendrum-control/src/legacy.rs
+++ b/crates/aspendrum-control/src/legacy.rs
@@ -6,8 +6,8 @@
 use aspendrum_consensus::membership::{DiskId, Epoch};
 use aspendrum_consensus::numbers::{Numbers, Text};
 use aspendrum_consensus::{Place, State};
+use aspendrum_model::compression::decompress;
 use aspendrum_model::hash::digest;
-use aspendrum_model::packed::unpack;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -96,7 +96,7 @@
 fn before_ballots(mut held: Held, disk: &Disk, whole: bool) -> State {
     let Config { version, text } = std::mem::take(&mut held.config);
     let mut numbers = Numbers::default();
-    if let Some(plain) = unpack(&text).filter(|_| version > 0) {
+    if let Some(plain) = decompress(&text).filter(|_| version > 0) {
         let accepted = Text {
             digest: digest(&plain),
             packed: Some(text.clone()),
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod store;
 
 use aspendrum_consensus::Replica;
-use aspendrum_model::settings::{Settings, VARIABLE};
+use aspendrum_model::settings::{Settings, SETTINGS_VARIABLE};
 use aspendrum_net::daemon;
 use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::http_client::HttpClient;
@@ -61,7 +61,7 @@
     daemon::run(
         "aspendrum-control",
         about,
-        || Settings::load().map(|s| s.host),
+        || Settings::load().map(|s| s.host_name),
         serve,
     )
 }
@@ -71,22 +71,24 @@
 }
 
 fn serve(told: ProcessSignals) -> Result<(), String> {
-    let settings = Settings::load()?;
+    let settings = Settings::load().map_err(|e| e.to_string())?;
     let begun = Instant::now();
-    let directory = Arc::new(RwLock::new(Directory::new(0.0, &settings.zones)));
+    let directory = Arc::new(RwLock::new(Directory::new(0.0, &settings.zone_regions)));
     let events = start_server(&settings, &directory, begun)?;
     open_calls(&settings, &directory, &events, begun)?;
     let reload = || -> Result<(), String> {
-        let settings = Box::new(Settings::load()?);
+        let settings = Box::new(Settings::load().map_err(|e| e.to_string())?);
         events.send(Event::Settings(settings), None);
         Ok(())
     };
-    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)
+    told.wait_for_shutdown(std::env::var(SETTINGS_VARIABLE).unwrap_or_default(), reload)
         .map_err(|e| e.to_string())?;
     // All that was acknowledged is on disks; what is left is a vote that another machine may take.
     let (done, left) = bounded(1);
     events.send(Event::Leave { done }, None);
-    let _ = left.recv_timeout(Duration::from_secs_f64(HAND_OVER_SHARE * settings.grace_s));
+    let _ = left.recv_timeout(Duration::from_secs_f64(
+        HAND_OVER_SHARE * settings.shutdown_grace_s,
+    ));
     Ok(())
 }
 
@@ -97,19 +99,25 @@
     begun: Instant,
 ) -> Result<Arc<MailboxSender<Event>>, String> {
     let folder = settings
-        .datadir
+        .data_dir
         .as_ref()
         .map(|d| Path::new(d).to_path_buf());
     let store = folder.as_ref().map(|f| Store::open(f)).transpose()?;
     let held = store.as_ref().map_or(Ok(None), Store::read)?;
     let seeds: Vec<u32> = settings.seeds.iter().map(|s| u32::from(*s.ip())).collect();
     let (me, disk) = (u32::from(settings.ip), fastrand::u64(1..));
-    let (replica, first) =
-        Replica::start(me, held.clone(), settings.init, &seeds, disk, new_life());
+    let (replica, first) = Replica::start(
+        me,
+        held.clone(),
+        settings.is_first_start,
+        &seeds,
+        disk,
+        new_life(),
+    );
     log::info!(
         "event=started host={} init={} empty_disk={} epoch={} votes={}",
-        settings.host,
-        settings.init,
+        settings.host_name,
+        settings.is_first_start,
         held.is_none(),
         replica.epoch().number,
         replica.votes()
@@ -171,19 +179,19 @@
         idle_timeout: Duration::from_secs(10),
         worker_idle_timeout: Duration::from_secs(3),
     };
-    if let Some(ctl) = settings.ctl {
+    if let Some(ctl) = settings.operator_addr {
         let orders = api::Orders {
             events: events.clone(),
-            zones: settings.zones.clone(),
+            zones: settings.zone_regions.clone(),
         };
         let tree = api::orders();
         let serve = move |request| orders.answer(&tree, &request);
         http_server::listen(ctl, terms(ORDERS_STACK, ORDERS), serve).map_err(failed("ctl"))?;
     }
-    if let Some(dir) = settings.dir {
+    if let Some(dir) = settings.directory_addr {
         // As long as the terms let it count: a query waits for each look-up, and clients pass over addresses
         // that fail them.
-        let (tree, ttl, directory) = (api::look_ups(), settings.ttl_max_s, directory.clone());
+        let (tree, ttl, directory) = (api::look_ups(), settings.max_ttl_s, directory.clone());
         let now = move || begun.elapsed().as_secs_f64() * 1000.0;
         let serve = move |request| api::look_up(&directory, &tree, &request, now(), ttl);
         http_server::listen(dir, terms(STACK, LOOK_UPS), serve).map_err(failed("dir"))?;
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -91,7 +91,7 @@
                 continue;
             }
             let (wanted, silence) = (peer.wanted.clone(), Duration::from_millis(SILENT as u64));
-            let at = self.settings.control_at(Ipv4Addr::from(place));
+            let at = self.settings.control_addr(Ipv4Addr::from(place));
             if let Err(e) = links::hold(place, at, silence, wanted, &self.events) {
                 log::error!("event=link_not_started why=\"{e}\"");
             }
@@ -143,7 +143,7 @@
     }
 
     fn has_disk(&self) -> bool {
-        self.settings.datadir.is_some() && self.storage.health() != Health::Failed
+        self.settings.data_dir.is_some() && self.storage.health() != Health::Failed
     }
 
     /// Tells all what has changed about this machine.
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -27,9 +27,9 @@
         if answer.status != 200 {
             return Err(format!("status {}", answer.status));
         }
-        let (page, next) = servers::parse_page(&answer.body)?;
-        all.extend(page);
-        token = next;
+        let page = servers::parse_page(&answer.body).map_err(|e| e.to_string())?;
+        all.extend(page.servers);
+        token = page.next_page;
         if token.is_none() {
             return Ok(all);
         }
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -62,7 +62,7 @@
 }
 
 fn route(r: &Route) -> Value {
-    let may = if r.repeatable {
+    let may = if r.idempotent {
         "repeated freely"
     } else {
         "lands once: leaves only where decided is applied"
@@ -70,10 +70,10 @@
     let services: Vec<Value> = r
         .services
         .iter()
-        .map(|s| json!({"svc": s.0, "wt": s.1}))
+        .map(|s| json!({"svc": s.service, "wt": s.weight}))
         .collect();
-    json!({"name": r.name, "retries": may, "services": services, "tries": r.tries, "limit-ms": r.limit_ms,
-        "public": r.public, "homes": r.homes})
+    json!({"name": r.name, "retries": may, "services": services, "tries": r.max_attempts, "limit-ms": r.timeout_ms,
+        "public": r.is_public, "homes": r.home_regions})
 }
 
 /// What each version would do with a request, the newest first.
--- a/crates/aspendrum-control/src/server.rs
+++ b/crates/aspendrum-control/src/server.rs
@@ -14,9 +14,9 @@
 use crate::storage::{After, Health, Storage};
 use aspendrum_consensus::reconfigure::{next_voters, Reconfigure, Rules};
 use aspendrum_consensus::{Effect, Message, Order, Outcome, Place, Replica, State};
+use aspendrum_model::compression::decompress;
 use aspendrum_model::config::Config;
 use aspendrum_model::message::StateDigest;
-use aspendrum_model::packed::unpack;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::mailbox::{MailboxReceiver, MailboxSender};
 use aspendrum_reconcile::{edition, Bounds};
@@ -106,7 +106,7 @@
         let me = u32::from(settings.ip);
         let reconfigure = Reconfigure::new(me, rules(&settings), 0.0);
         Server {
-            bounds: Bounds::of(settings.apply_ms, settings.stretch_ms),
+            bounds: Bounds::of(settings.apply_deadline_ms, settings.unsettled_extension_ms),
             settings,
             storage,
             replica,
@@ -323,7 +323,8 @@
         let settled = self.replica.settled();
         let (number, zones) = settled.evacuated();
         // Only what was found valid is held; of anything else nothing is in force anywhere.
-        let config = unpack(&settled.config.text).and_then(|text| Config::read(&text).ok());
+        let config = decompress(&settled.config.text)
+            .and_then(|compressed_text| Config::read(&compressed_text).ok());
         self.decided = edition(config.as_ref(), number, &zones);
         let Some(config) = config else { return };
         self.versions.retain(|held| held.version != config.version);
@@ -437,7 +438,10 @@
 }
 
 fn rules(settings: &Settings) -> Rules {
-    Rules::of(settings.losses as usize, settings.sync_s * 1000.0)
+    Rules::of(
+        settings.tolerated_losses as usize,
+        settings.rejoin_s * 1000.0,
+    )
 }
 
 /// Tells rounds and ballots of this life from those of earlier ones.
--- a/crates/aspendrum-control/src/servers.rs
+++ b/crates/aspendrum-control/src/servers.rs
@@ -66,7 +66,7 @@
     pub fn part(&self, now: Ms) -> Option<StateSection> {
         let polled = self.roster.polled_at?;
         Some(StateSection::Servers {
-            age: (now - polled).max(0.0) as u32,
+            age_ms: (now - polled).max(0.0) as u32,
             list: self.roster.snapshot(now),
         })
     }
@@ -108,12 +108,16 @@
     }
 
     pub(crate) fn poll_if_due(&mut self, now: Ms) {
-        let Some(cloud) = self.settings.cloud.filter(|_| !self.servers.polling) else {
+        let Some(cloud) = self
+            .settings
+            .cloud_api_addr
+            .filter(|_| !self.servers.polling)
+        else {
             return;
         };
         let live: Vec<Place> = self.peers.up(now).map(|p| *p.0).collect();
-        let every = (POLL_SHARE * self.settings.drain_ms)
-            .max(1000.0 / (RATE_SHARE * self.settings.cloud_rate));
+        let every = (POLL_SHARE * self.settings.drain_deadline_ms)
+            .max(1000.0 / (RATE_SHARE * self.settings.cloud_api_rate));
         let age = self.servers.polled.map(|at| now - at);
         let due = directory::polls(self.me, &live, age, every, POLL_STEP);
         if due && self.servers.poll.try_send(cloud).is_ok() {
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -6,9 +6,9 @@
 use aspendrum_control::directory::{Directory, HELD};
 use aspendrum_control::event::Event;
 use aspendrum_control::report::{self, Membership, Node};
+use aspendrum_model::compression::compress;
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{ProxyEndpoint, Readiness, Revision, StateDigest};
-use aspendrum_model::packed::pack;
 use aspendrum_net::http1::Request;
 use aspendrum_net::http_server::Reply;
 use aspendrum_net::mailbox;
@@ -99,7 +99,7 @@
         orders,
         [Order::Config {
             version: 0x0107,
-            text: pack(CONFIG.as_bytes()),
+            text: compress(CONFIG.as_bytes()),
             digest
         }]
     );
@@ -120,7 +120,7 @@
 #[test]
 fn the_configuration_in_force_is_shown_as_it_was_sent() {
     let show = request("GET", "/api/Cfg.Show", "");
-    let in_force = done(0x0107, &pack(CONFIG.as_bytes()));
+    let in_force = done(0x0107, &compress(CONFIG.as_bytes()));
     let expected = format!("200 Content-Type: application/json; {CONFIG}");
     assert_eq!(answer(&in_force, &show), (expected, vec![Order::Read]));
     assert_eq!(answer(&done(0, b""), &show).0, "503 ");
@@ -230,7 +230,7 @@
         addr: format!("10.0.0.{n}:80").parse().unwrap(),
         zone: "z1".into(),
         readiness: Readiness::Ready,
-        current: true,
+        is_current: true,
     };
     directory.update(0.0, &[front(1), front(2)]);
     let known = RwLock::new(directory);
--- a/crates/aspendrum-control/tests/directory.rs
+++ b/crates/aspendrum-control/tests/directory.rs
@@ -9,7 +9,7 @@
         addr: format!("10.0.0.{n}:80").parse().unwrap(),
         zone: zone.into(),
         readiness,
-        current: true,
+        is_current: true,
     }
 }
 
@@ -56,12 +56,12 @@
     assert_eq!(told(&fronts, "a", "a1"), [1, 2]);
     // What has not applied the newest is left out only where a choice is left without it.
     fronts.push(ready(5, "a1"));
-    fronts[4].current = false;
+    fronts[4].is_current = false;
     assert_eq!(told(&fronts, "a", "a1"), [1, 2]);
-    fronts[1].current = false;
+    fronts[1].is_current = false;
     assert_eq!(told(&fronts, "a", "a1"), [1, 2, 5]);
     fronts.pop();
-    fronts[1].current = true;
+    fronts[1].is_current = true;
     fronts[0].readiness = Readiness::Closed;
     assert_eq!(told(&fronts, "a", "a1"), [2, 3]);
     fronts
--- a/crates/aspendrum-control/tests/processes.rs
+++ b/crates/aspendrum-control/tests/processes.rs
@@ -1,9 +1,9 @@
 //! Control as processes on loopback, killed and robbed of disks: what was acknowledged is shown again.
 
+use aspendrum_model::compression::decompress;
 use aspendrum_model::message::{
     Envelope, FromControl, ProxyEndpoint, Readiness, StateDigest, StateSection, ToControl,
 };
-use aspendrum_model::packed::unpack;
 use aspendrum_net::frames;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -265,7 +265,7 @@
 fn version(down: &FromControl) -> Option<u32> {
     match down {
         FromControl::Update {
-            part: StateSection::Config { version, .. },
+            section: StateSection::Config { version, .. },
             ..
         } => Some(*version),
         _ => None,
@@ -283,24 +283,27 @@
         link.write_all(&frames::encode_frame(&Envelope::<()>::Agent(up)))
             .unwrap()
     };
-    let front = "10.0.0.9:80".parse().unwrap();
+    let proxy_addr = "10.0.0.9:80".parse().unwrap();
     say(
         &link,
         ToControl::Hello {
             host: "e1".into(),
-            front,
+            proxy_addr,
             zone: "a".into(),
         },
     );
     let mut all = told(&mut link, |d| version(d) == Some(4));
     let Some(FromControl::Update {
-        part: StateSection::Config { text, .. },
+        section: StateSection::Config {
+            compressed_text: text,
+            ..
+        },
         ..
     }) = all.last()
     else {
         panic!("{all:?}")
     };
-    assert_eq!(unpack(text).unwrap(), config(4).into_bytes());
+    assert_eq!(decompress(text).unwrap(), config(4).into_bytes());
     // An older one is acknowledged and is no news; what a beat brings back tells how old control's word is.
     control.done(2, "POST", "/api/Cfg.Set", &config(3));
     control.done(0, "POST", "/api/Cfg.Set", &config(6));
@@ -308,16 +311,16 @@
     say(
         &link,
         ToControl::Heartbeat {
-            stamp: 42,
+            sent_at_ms: 42,
             readiness: Readiness::Ready,
             applied: StateDigest::default(),
         },
     );
-    let is_answer = |d: &FromControl| matches!(d, FromControl::Heartbeat { stamp: 42, majority_age: Some(age), decided: of, .. } if *age < 5000 && of.revision.config == 6);
+    let is_answer = |d: &FromControl| matches!(d, FromControl::Heartbeat { sent_at_ms: 42, majority_age: Some(age), decided: of, .. } if *age < 5000 && of.revision.config == 6);
     all.extend(told(&mut link, is_answer));
     assert_eq!(all.iter().filter_map(version).collect::<Vec<_>>(), [4, 6]);
     // It is ready now, and hears of itself among the proxies.
-    let ready = |d: &FromControl| matches!(d, FromControl::Update { part: StateSection::Proxies(f), .. } if f.iter().any(ProxyEndpoint::ready));
+    let ready = |d: &FromControl| matches!(d, FromControl::Update { section: StateSection::Proxies(f), .. } if f.iter().any(ProxyEndpoint::is_ready));
     all.extend(told(&mut link, ready));
     let numbers = all.iter().filter_map(|d| match d {
         FromControl::Update { number, .. } => Some(*number),
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -12,9 +12,9 @@
 use aspendrum_control::links;
 use aspendrum_control::peer_message::{Hello, PeerMessage};
 use aspendrum_control::store::Store;
+use aspendrum_model::compression::{compress, decompress};
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{Envelope, ProxyEndpoint, Readiness, ToControl};
-use aspendrum_model::packed::{pack, unpack};
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::frames;
 use pinned::Pinned;
@@ -32,7 +32,7 @@
         addr: "10.0.0.9:8080".parse().unwrap(),
         zone: "z1".into(),
         readiness,
-        current,
+        is_current: current,
     }
 }
 
@@ -119,7 +119,7 @@
         zone: "z1".into(),
         slots: 300,
         draining,
-        warm_left_ms,
+        slow_start_left_ms: warm_left_ms,
     };
     let list = vec![server(false, 0), server(true, 2500)];
     peer_message(
@@ -170,7 +170,7 @@
         ballot,
         Text {
             digest: 5,
-            packed: Some(pack(b"other")),
+            packed: Some(compress(b"other")),
         },
         0x0107,
     );
@@ -192,7 +192,7 @@
 fn held() -> Holdings {
     let config = Config {
         version: 0x0107,
-        text: pack(TEXT),
+        text: compress(TEXT),
     };
     let evacuations = [("z1", 3, false), ("z2", 4, true)];
     let evacuations =
@@ -208,7 +208,7 @@
 fn a_disk_as_it_was_written_before_is_read() {
     let folder = Folder::new("written-before");
     // The file is 3.6 MB of almost nothing but zeros, so the fixture is its raw DEFLATE stream.
-    let file = unpack(include_bytes!("fixtures/vault.redb.deflate")).unwrap();
+    let file = decompress(include_bytes!("fixtures/vault.redb.deflate")).unwrap();
     assert_eq!((file.len(), digest(&file)), (3_686_400, VAULT_DIGEST));
     std::fs::write(folder.0.join("vault.redb"), file).unwrap();
     let store = Store::open(&folder.0).unwrap();
@@ -333,9 +333,9 @@
     let mut numbers = Numbers::default();
     let accepted = Text {
         digest: digest(TEXT),
-        packed: Some(pack(TEXT)),
+        packed: Some(compress(TEXT)),
     };
-    numbers.held_before(0x0107, digest(&pack(TEXT)), accepted);
+    numbers.held_before(0x0107, digest(&compress(TEXT)), accepted);
     let held = Holdings {
         config: Config::default(),
         ..held()
--- a/crates/aspendrum-model/src/config.rs
+++ b/crates/aspendrum-model/src/config.rs
@@ -1,305 +1,187 @@
-//! The operator's configuration: read whole, checked whole, and looked up by host, path and key.
+//! The operators' configuration: parsed and validated completely, then looked up by host, path and credential.
 
-use derive_more::{Display, Error};
-use serde::Deserialize;
-use std::collections::{HashMap, HashSet};
-
-/// Why a configuration is refused.
-#[derive(Debug, Display, Error, PartialEq)]
-pub enum ConfigError {
-    #[display("it cannot be read whole: {_0}")]
-    Unreadable(#[error(not(source))] String),
-    #[display("route {route} names the service {service}, which is not there")]
-    UnknownService { route: String, service: String },
-    #[display("two routes have the host {host} and the prefix {prefix}")]
-    SamePlace { host: String, prefix: String },
-    #[display("the weights of route {_0} come to nothing")]
-    NoWeight(#[error(not(source))] String),
-    #[display("the aim of route {_0} is a minute or more above its limit")]
-    AimOver(#[error(not(source))] String),
-    #[display("route {_0} has no tries")]
-    NoTries(#[error(not(source))] String),
-    #[display("the prefix {_0} does not begin with a slash")]
-    BarePrefix(#[error(not(source))] String),
-    #[display("two tenants have one key")]
-    SharedKey,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct Doc {
-    gen: String,
-    caps: Caps,
-    tenants: Option<Vec<Tenant>>,
-    ports: Vec<Port>,
-    pools: Vec<Service>,
-}
-
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-#[serde(rename_all = "kebab-case")]
-pub struct Caps {
-    pub hdr_bytes: u64,
-    pub body_bytes: u64,
-    pub hdr_ms: f64,
-    pub idle_ms: f64,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Tenant {
-    pub name: String,
-    #[serde(default)]
-    pub keys: Vec<String>,
-    #[serde(default)]
-    pub prio: f64,
-    #[serde(default)]
-    pub rate_s: f64,
-    #[serde(default)]
-    pub burst: f64,
-    #[serde(default)]
-    pub homes: Vec<String>,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-struct Port {
-    vhost: String,
-    rules: Vec<Rule>,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct Rule {
-    name: String,
-    #[serde(rename = "type")]
-    kind: String,
-    goal_ms: f64,
-    #[serde(default)]
-    prio: f64,
-    #[serde(default)]
-    public: bool,
-    #[serde(rename = "match")]
-    place: Place,
-    action: Action,
-}
+mod document;
+mod error;
+mod route;
 
-#[derive(Clone, Debug, Deserialize)]
-struct Place {
-    pfx: String,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct Action {
-    svc: Option<String>,
-    split: Option<Vec<Part>>,
-    limit_ms: f64,
-    tries: u32,
-    #[serde(default)]
-    homes: Vec<String>,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-struct Part {
-    svc: String,
-    wt: f64,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Service {
-    pub name: String,
-    pub check: String,
-    #[serde(default)]
-    pub max_conns: u32,
-    #[serde(default)]
-    pub warmup_s: f64,
-    #[serde(default)]
-    pub warm_rate_s: f64,
-}
+pub use document::{RequestLimits, Service, Tenant};
+pub use error::ConfigError;
+pub use route::{Route, WeightedService};
 
-/// An endpoint group: the queries of one host under one prefix.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Route {
-    pub name: String,
-    pub repeatable: bool,
-    pub goal_ms: f64,
-    pub limit_ms: f64,
-    pub prio: f64,
-    pub public: bool,
-    pub tries: u32,
-    pub homes: Vec<String>,
-    /// Services and their weights, which come to more than nothing.
-    pub services: Vec<(String, f64)>,
-}
+use document::{Document, Listener};
+use std::cmp::Reverse;
+use std::collections::{HashMap, HashSet};
 
-/// A configuration that was read and found valid.
+/// A configuration that was parsed and found valid.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// Its version; the higher one supersedes the lower one.
     pub version: u32,
-    pub caps: Caps,
-    /// None: requests carry no keys.
+    /// The limits on each client's request.
+    pub limits: RequestLimits,
+    /// The tenants; `None` if requests carry no credentials.
     pub tenants: Option<Vec<Tenant>>,
+    /// The services that routes lead to.
     pub services: Vec<Service>,
+    /// The routes; their indices are theirs in this configuration only.
     pub routes: Vec<Route>,
-    /// Each host's prefixes, the longest first, and the number of the route.
-    places: HashMap<String, Vec<(String, usize)>>,
-    /// The number of each key's tenant.
-    keys: HashMap<String, usize>,
+    routing_table: RoutingTable,
+    /// The index of each credential's tenant.
+    tenant_by_key: HashMap<String, usize>,
+}
+
+/// One host and path prefix, and the index of the route there.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RouteEntry<'c> {
+    /// The host, in lower case.
+    pub host: &'c str,
+    /// The prefix of the path.
+    pub prefix: &'c str,
+    /// The index in [`Config::routes`].
+    pub route: usize,
+}
+
+/// A path prefix of one host, and the index of its route.
+#[derive(Clone, Debug)]
+struct PrefixRoute {
+    prefix: String,
+    route: usize,
 }
 
+/// The prefixes of each host, the longest first.
+type RoutingTable = HashMap<String, Vec<PrefixRoute>>;
+
 impl Config {
-    /// Reads and checks. Nothing of an invalid one is of any use.
+    /// Parses and validates a configuration in JSON.
+    ///
+    /// # Errors
+    /// [`ConfigError`] names the first fault that is found. Nothing of an invalid configuration is ever used.
     pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
-        let doc: Doc =
+        let document: Document =
             serde_json::from_slice(text).map_err(|e| ConfigError::Unreadable(e.to_string()))?;
-        let version = u32::from_str_radix(&doc.gen, 16)
-            .ok()
-            .filter(|_| doc.gen.len() == 8);
-        let version = version.ok_or_else(|| ConfigError::Unreadable(format!("gen {}", doc.gen)))?;
-        let known: HashSet<&str> = doc.pools.iter().map(|s| s.name.as_str()).collect();
-        let (mut routes, mut places) = (Vec::new(), HashMap::<String, Vec<(String, usize)>>::new());
-        for port in &doc.ports {
-            for rule in &port.rules {
-                let route = rule.check(&known)?;
-                let (host, prefix) = (port.vhost.to_ascii_lowercase(), rule.place.pfx.clone());
-                let at = places.entry(host.clone()).or_default();
-                if at.iter().any(|p| p.0 == prefix) {
-                    return Err(ConfigError::SamePlace { host, prefix });
-                }
-                at.push((prefix, routes.len()));
-                routes.push(route);
-            }
-        }
-        for at in places.values_mut() {
-            at.sort_by_key(|p| std::cmp::Reverse(p.0.len()));
-        }
-        let mut keys = HashMap::new();
-        for (n, tenant) in doc.tenants.iter().flatten().enumerate() {
-            for key in &tenant.keys {
-                if keys.insert(key.clone(), n).is_some_and(|other| other != n) {
-                    return Err(ConfigError::SharedKey);
-                }
-            }
-        }
-        let (caps, tenants, services) = (doc.caps, doc.tenants, doc.pools);
+        let version = parse_version(&document.version)?;
+        let (routes, routing_table) = build_routes(&document)?;
+        let tenant_by_key = index_keys(document.tenants.as_deref().unwrap_or_default())?;
+        let Document {
+            limits,
+            tenants,
+            services,
+            ..
+        } = document;
         Ok(Config {
             version,
-            caps,
+            limits,
             tenants,
             services,
             routes,
-            places,
-            keys,
+            routing_table,
+            tenant_by_key,
         })
     }
 
-    /// The number of the route with the longest prefix that begins the path. `host` may carry a port.
+    /// The index of the route with the longest prefix of the path. `host` may carry a port, `path` a query.
     pub fn route(&self, host: &str, path: &str) -> Option<usize> {
         let host = host
             .rsplit_once(':')
             .map_or(host, |(name, _)| name)
             .to_ascii_lowercase();
         let path = path.split('?').next().unwrap_or(path);
-        self.places
-            .get(&host)?
+        let prefixes = self.routing_table.get(&host)?;
+        prefixes
             .iter()
-            .find(|p| path.starts_with(&p.0))
-            .map(|p| p.1)
+            .find(|entry| path.starts_with(&entry.prefix))
+            .map(|entry| entry.route)
     }
 
-    /// Each host and prefix, and the number of the route there, in no order.
-    pub fn places(&self) -> impl Iterator<Item = (&str, &str, usize)> {
-        self.places
-            .iter()
-            .flat_map(|(host, at)| at.iter().map(|p| (host.as_str(), p.0.as_str(), p.1)))
+    /// Each host and prefix with its route, in no particular order.
+    pub fn route_entries(&self) -> impl Iterator<Item = RouteEntry<'_>> {
+        self.routing_table.iter().flat_map(|(host, prefixes)| {
+            prefixes.iter().map(move |p| RouteEntry {
+                host,
+                prefix: &p.prefix,
+                route: p.route,
+            })
+        })
     }
 
-    /// The keys by which that tenant is found, in no order.
+    /// The credentials of the tenant with that index, in no particular order.
     pub fn keys_of(&self, tenant: usize) -> impl Iterator<Item = &String> {
-        self.keys
+        self.tenant_by_key
             .iter()
-            .filter(move |k| *k.1 == tenant)
-            .map(|k| k.0)
+            .filter(move |(_, owner)| **owner == tenant)
+            .map(|(key, _)| key)
     }
 
-    /// The number of the tenant that holds a key.
+    /// The index of the tenant that a credential belongs to.
     pub fn tenant(&self, key: &str) -> Option<usize> {
-        self.keys.get(key).copied()
+        self.tenant_by_key.get(key).copied()
     }
 
+    /// The service of that name.
     pub fn service(&self, name: &str) -> Option<&Service> {
-        self.services.iter().find(|s| s.name == name)
+        self.services.iter().find(|service| service.name == name)
     }
 }
 
-impl Rule {
-    fn check(&self, known: &HashSet<&str>) -> Result<Route, ConfigError> {
-        let (name, action) = (self.name.clone(), &self.action);
-        let services: Vec<(String, f64)> = match (&action.svc, &action.split) {
-            (Some(service), _) => vec![(service.clone(), 1.0)],
-            (None, Some(parts)) => parts.iter().map(|p| (p.svc.clone(), p.wt)).collect(),
-            (None, None) => {
-                return Err(ConfigError::Unreadable(format!(
-                    "route {name} goes nowhere"
-                )))
-            }
-        };
-        if let Some((service, _)) = services.iter().find(|s| !known.contains(s.0.as_str())) {
-            return Err(ConfigError::UnknownService {
-                route: name,
-                service: service.clone(),
-            });
-        }
-        if services.iter().any(|s| s.1.is_nan() || s.1 < 0.0)
-            || services.iter().map(|s| s.1).sum::<f64>() <= 0.0
-        {
-            return Err(ConfigError::NoWeight(name));
-        }
-        if !self.place.pfx.starts_with('/') {
-            return Err(ConfigError::BarePrefix(self.place.pfx.clone()));
-        }
-        if action.tries == 0 {
-            return Err(ConfigError::NoTries(name));
-        }
-        // So the protocol words it: a typing error of a unit, not a matter of taste.
-        if self.goal_ms >= action.limit_ms + 60_000.0 {
-            return Err(ConfigError::AimOver(name));
+/// The number of hexadecimal digits of a version.
+const VERSION_DIGITS: usize = 8;
+
+fn parse_version(text: &str) -> Result<u32, ConfigError> {
+    let version = u32::from_str_radix(text, 16)
+        .ok()
+        .filter(|_| text.len() == VERSION_DIGITS);
+    version.ok_or_else(|| ConfigError::Unreadable(format!("gen {text}")))
+}
+
+fn build_routes(document: &Document) -> Result<(Vec<Route>, RoutingTable), ConfigError> {
+    let services: HashSet<&str> = document
+        .services
+        .iter()
+        .map(|service| service.name.as_str())
+        .collect();
+    let (mut routes, mut table) = (Vec::new(), RoutingTable::new());
+    for listener in &document.listeners {
+        add_listener(listener, &services, &mut routes, &mut table)?;
+    }
+    for prefixes in table.values_mut() {
+        prefixes.sort_by_key(|entry| Reverse(entry.prefix.len()));
+    }
+    Ok((routes, table))
+}
+
+fn add_listener(
+    listener: &Listener,
+    services: &HashSet<&str>,
+    routes: &mut Vec<Route>,
+    table: &mut RoutingTable,
+) -> Result<(), ConfigError> {
+    let host = listener.host.to_ascii_lowercase();
+    for rule in &listener.rules {
+        let route = rule.validate(services)?;
+        let prefix = rule.condition.prefix.clone();
+        let prefixes = table.entry(host.clone()).or_default();
+        if prefixes.iter().any(|entry| entry.prefix == prefix) {
+            return Err(ConfigError::DuplicateRoute { host, prefix });
         }
-        let repeatable = match self.kind.as_str() {
-            "idem" => true,
-            "mutating" => false,
-            other => {
-                return Err(ConfigError::Unreadable(format!(
-                    "route {name} is of the type {other}"
-                )))
-            }
-        };
-        Ok(Route {
-            name,
-            repeatable,
-            goal_ms: self.goal_ms,
-            limit_ms: action.limit_ms,
-            prio: self.prio,
-            public: self.public,
-            tries: action.tries,
-            homes: action.homes.clone(),
-            services,
-        })
+        prefixes.push(PrefixRoute {
+            prefix,
+            route: routes.len(),
+        });
+        routes.push(route);
     }
+    Ok(())
 }
 
-impl Route {
-    /// The service that a query goes to; `chance` is between 0 and 1.
-    pub fn service(&self, chance: f64) -> &str {
-        let mut left = chance * self.services.iter().map(|s| s.1).sum::<f64>();
-        for (name, weight) in &self.services {
-            left -= weight;
-            if left < 0.0 {
-                return name;
+/// The index of each credential's tenant. A tenant may name one of its credentials twice.
+fn index_keys(tenants: &[Tenant]) -> Result<HashMap<String, usize>, ConfigError> {
+    let mut tenant_by_key = HashMap::new();
+    for (index, tenant) in tenants.iter().enumerate() {
+        for key in &tenant.keys {
+            let previous = tenant_by_key.insert(key.clone(), index);
+            if previous.is_some_and(|other| other != index) {
+                return Err(ConfigError::SharedKey);
             }
         }
-        // Weightless ones get nothing, also where the chance was rounded up to one.
-        let weighty = self.services.iter().rev().find(|s| s.1 > 0.0);
-        weighty.map_or("", |s| &s.0)
     }
+    Ok(tenant_by_key)
 }
--- a/crates/aspendrum-model/src/lib.rs
+++ b/crates/aspendrum-model/src/lib.rs
@@ -1,9 +1,11 @@
-//! What the programs of the system know and tell each other: their settings, the operator's configuration,
-//! the platform's list of servers, and the words on held connections. No I/O.
+//! The data model that the programs of the system share: the settings file of a process, the operator's
+//! configuration, the platform's list of servers, and the messages between control, agents and proxies.
+//!
+//! This crate does no I/O, but for [`settings::Settings::load`].
 
+pub mod compression;
 pub mod config;
 pub mod hash;
 pub mod message;
-pub mod packed;
 pub mod servers;
 pub mod settings;
--- a/crates/aspendrum-model/src/message.rs
+++ b/crates/aspendrum-model/src/message.rs
@@ -1,124 +1,145 @@
-//! The words on the held connections between control, agents and proxies. All times in milliseconds; ages,
-//! never times of day: no two clocks here agree.
+//! The messages on the connections between control, agents and proxies.
+//!
+//! They are encoded with postcard, which writes a variant's position and a struct's fields in their order: renaming is
+//! safe; reordering, splitting or changing a type breaks nodes of other versions. All times are ages in milliseconds,
+//! never times of day, since no two clocks here agree.
 
 use crate::hash::digest;
 use crate::servers::ServerInstance;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Whether clients may be sent to a proxy; what is better comes later.
+/// Whether clients may be sent to a proxy, from worst to best.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Readiness {
-    /// It lacks something that requests need, or takes none any more.
+    /// It lacks state that requests need, or accepts no requests any more.
     #[default]
     Closed,
-    /// It was told to end, and takes requests for a little longer.
+    /// It is shutting down gracefully, and accepts requests for a little longer.
     Draining,
+    /// It accepts requests.
     Ready,
 }
 
-/// A proxy that takes queries.
+/// A proxy that clients can be sent to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProxyEndpoint {
+    /// Where it accepts clients.
     pub addr: SocketAddrV4,
+    /// The zone that it is in.
     pub zone: String,
+    /// Whether clients may be sent to it.
     pub readiness: Readiness,
-    /// What it applied is what was decided, or was so a moment ago.
-    pub current: bool,
+    /// Whether what it has applied is what was decided, or was so a moment ago.
+    pub is_current: bool,
 }
 
 impl ProxyEndpoint {
-    /// New clients may be sent to it.
-    pub fn ready(&self) -> bool {
+    /// Whether new clients may be sent to it.
+    pub fn is_ready(&self) -> bool {
         self.readiness == Readiness::Ready
     }
 }
 
-/// How far orders have come: the version of the configuration, and the number of the last evacuation order.
+/// The version of the operators' orders that a state contains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
+    /// The version of the configuration.
     pub config: u32,
+    /// The number of the last evacuation order.
     pub evacuation: u64,
 }
 
-/// The sections of a configuration and of what operators ordered besides, each with a digest of its own.
+impl Revision {
+    /// Whether nothing in `other` is newer.
+    pub fn covers(&self, other: &Revision) -> bool {
+        self.config >= other.config && self.evacuation >= other.evacuation
+    }
+}
+
+/// The number of digests in a [`StateDigest`]: routes, services, tenants and evacuations have one each.
 pub const DIGEST_SECTIONS: usize = 4;
 
-/// What was decided, or what is in force: how far it has come, and a digest of each section's canonical form. Two
-/// texts under one number differ in these.
+/// What a decided or applied state contains: its revision, and a digest of each section's canonical form. Two texts of
+/// one version differ in the digests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDigest {
+    /// The versions of the orders in it.
     pub revision: Revision,
+    /// A digest of each section.
     pub digests: [u64; DIGEST_SECTIONS],
 }
 
-impl Revision {
-    /// Nothing in the other is newer.
-    pub fn covers(&self, other: &Revision) -> bool {
-        self.config >= other.config && self.evacuation >= other.evacuation
-    }
+/// Where a control node is.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ControlAddress {
+    /// Its address; its ports follow from the settings.
+    pub ip: Ipv4Addr,
+    /// The zone that it is in.
+    pub zone: String,
+    /// Whether the sender has heard from it of late, and it is not shutting down.
+    pub reachable: bool,
 }
 
-/// Part of what is decided, each whole and newer than the one before.
+/// One section of the state that proxies apply. Each is complete, and supersedes the previous one of its kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StateSection {
-    /// A configuration, packed. `seal`: of the text that was decided; what does not bear it is never applied.
+    /// The operators' configuration.
     Config {
+        /// Its version.
         version: u32,
-        text: Vec<u8>,
+        /// Its text, compressed.
+        compressed_text: Vec<u8>,
+        /// The digest of the compressed text that was decided. A text with another digest is never applied.
         checksum: u64,
     },
-    /// The zones that are evacuated, and the number of the last order about any zone.
+    /// The zones that are evacuated.
     Evacuated {
-        number: u64,
+        /// The number of the last evacuation order, for any zone.
+        order: u64,
+        /// The names of the zones.
         zones: Vec<String>,
     },
-    /// The platform's list, and its age when it was said.
+    /// The platform's list of servers.
     Servers {
-        age: u32,
+        /// The age of the list when it was sent, in milliseconds.
+        age_ms: u32,
+        /// The servers.
         list: Vec<ServerInstance>,
     },
+    /// The proxies that clients can be sent to.
     Proxies(Vec<ProxyEndpoint>),
+    /// The control nodes.
     Control(Vec<ControlAddress>),
 }
 
-/// Where a machine of control is.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ControlAddress {
-    pub ip: Ipv4Addr,
-    pub zone: String,
-    /// Whoever tells this has heard of it of late, and it does not end.
-    pub reachable: bool,
-}
+/// The number of kinds of sections.
+pub const SECTION_KINDS: usize = 5;
 
 impl StateSection {
-    /// A configuration as it is told, out of its packed text.
-    pub fn config(version: u32, text: Vec<u8>) -> StateSection {
-        let seal = digest(&text);
+    /// The section of a configuration, with the checksum of its compressed text.
+    pub fn config(version: u32, compressed_text: Vec<u8>) -> StateSection {
+        let checksum = digest(&compressed_text);
         StateSection::Config {
             version,
-            text,
-            checksum: seal,
+            compressed_text,
+            checksum,
         }
     }
 
-    /// It is what whoever sealed it told.
+    /// Whether a configuration's text has the checksum that was decided with it; true for all other sections.
     pub fn has_valid_checksum(&self) -> bool {
         match self {
             StateSection::Config {
-                text,
-                checksum: seal,
+                compressed_text,
+                checksum,
                 ..
-            } => digest(text) == *seal,
+            } => digest(compressed_text) == *checksum,
             _ => true,
         }
     }
-}
-
-/// The kinds of parts: numbered changes of one kind supersede each other.
-pub const SECTION_KINDS: usize = 5;
 
-impl StateSection {
+    /// The position of the section's kind, below [`SECTION_KINDS`].
     pub fn kind(&self) -> usize {
         match self {
             StateSection::Config { .. } => 0,
@@ -130,53 +151,69 @@
     }
 }
 
-/// What flows down: from control to an agent, from an agent to its proxy.
+/// A message from control to an agent, or from an agent to its proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromControl {
+    /// A section of the state changed.
     Update {
+        /// The sequence number of the update on this connection.
         number: u64,
-        part: StateSection,
+        /// The new section.
+        section: StateSection,
     },
-    /// Answers a beat. `age`: that long ago a majority of control's disks held nothing above `of`; none if that
-    /// was never so.
+    /// The answer to a heartbeat.
     Heartbeat {
-        stamp: u64,
+        /// `sent_at_ms` of the heartbeat that is answered.
+        sent_at_ms: u64,
+        /// How many milliseconds ago a majority of control's disks held nothing newer than `decided`; `None` if that was
+        /// never confirmed.
         majority_age: Option<u32>,
+        /// The state that was decided.
         decided: StateDigest,
-        /// Control is heard of; an agent says no while it has no answer of any machine of control.
+        /// Whether any control node answers; false from an agent that has no answer of any.
         control_reachable: bool,
-        /// Half of the agents or more have no majority's word either.
+        /// Whether half of the agents or more lack a recent confirmation by a majority, too.
         most_agents_isolated: bool,
     },
-    /// Forget what was applied: all of it follows.
+    /// Forget what was applied: the whole state follows.
     Resync,
 }
 
-/// What flows up: from a proxy to its agent, from an agent to control.
+/// A message from a proxy to its agent, or from an agent to control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToControl {
-    /// The first word: who speaks, and from where.
+    /// The first message on a connection: who sends.
     Hello {
+        /// The host's name.
         host: String,
-        front: SocketAddrV4,
+        /// Where its proxy accepts clients.
+        proxy_addr: SocketAddrV4,
+        /// The zone that it is in.
         zone: String,
     },
-    /// `stamp` comes back with the answer. `applied`: what is in force at the proxy, out of its tables.
+    /// The proxy is alive.
     Heartbeat {
-        stamp: u64,
+        /// When it was sent, by the sender's monotonic clock; the answer repeats it.
+        sent_at_ms: u64,
+        /// Whether clients may be sent to the proxy.
         readiness: Readiness,
+        /// The state that the proxy has applied, computed from its tables.
         applied: StateDigest,
     },
-    /// The last word on this connection: the agent goes to another machine of control.
+    /// The last message on this connection: the agent moves to another control node.
     Disconnecting,
-    /// All news up to that number are in force.
-    Applied { number: u64 },
+    /// All updates up to that sequence number are applied.
+    Applied {
+        /// The sequence number of the last one.
+        number: u64,
+    },
 }
 
-/// A word on a connection to control: an agent's, or that of another machine of control, whose words only
-/// control can read.
+/// A message that arrives at control: of an agent, or of another control node, whose messages `P` only control can read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Envelope<B = ()> {
+pub enum Envelope<P = ()> {
+    /// From an agent.
     Agent(ToControl),
-    Peer(B),
+    /// From another control node.
+    Peer(P),
 }
--- a/crates/aspendrum-model/src/servers.rs
+++ b/crates/aspendrum-model/src/servers.rs
@@ -1,111 +1,166 @@
-//! The platform's list of servers.
+//! The platform's list of servers: its JSON form, and the list as a process keeps it.
 
+use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// One life of a server.
+/// One incarnation of a server. Encoded with postcard: fields may be renamed, not reordered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerInstance {
+    /// Identifies the incarnation; a server that restarts gets a new one.
     pub uid: String,
+    /// The service that it belongs to.
     pub service: String,
+    /// Where it accepts requests.
     pub addr: SocketAddrV4,
+    /// The zone that it is in.
     pub zone: String,
+    /// How many requests it runs at once.
     pub slots: u16,
+    /// Whether it is shutting down gracefully, or gone, and takes no new requests.
     pub draining: bool,
-    /// Milliseconds for which it is still cold, from when this was said.
-    pub warm_left_ms: u32,
+    /// For how many milliseconds it is still in slow start, from the moment when the list was sent.
+    pub slow_start_left_ms: u32,
 }
 
-/// One page of the list as the platform words it.
+/// One page of the platform's list.
+#[derive(Debug, PartialEq)]
+pub struct ServerPage {
+    /// The servers on this page.
+    pub servers: Vec<ServerInstance>,
+    /// The token with which to ask for the next page; `None` on the last one.
+    pub next_page: Option<String>,
+}
+
+/// A page of the platform's list that is not the expected JSON.
+#[derive(Debug, Display, Error)]
+#[display("{_0}")]
+pub struct InvalidServerPage(serde_json::Error);
+
 #[derive(Debug, Deserialize)]
-struct Page {
-    servers: Vec<Entry>,
-    next: Option<String>,
+struct PageDocument {
+    servers: Vec<ServerEntry>,
+    #[serde(rename = "next")]
+    next_page: Option<String>,
 }
 
 #[derive(Debug, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct Entry {
+struct ServerEntry {
     uid: String,
-    svc: String,
+    #[serde(rename = "svc")]
+    service: String,
     addr: SocketAddrV4,
-    az: String,
+    #[serde(rename = "az")]
+    zone: String,
     #[serde(default)]
     slots: u16,
     phase: String,
-    #[serde(default)]
-    warm_left_ms: f64,
+    #[serde(rename = "warm-left-ms", default)]
+    slow_start_left_ms: f64,
+}
+
+/// The phase of a server that takes requests; in any other it is draining.
+const PHASE_UP: &str = "up";
+/// A slow start that the platform reports as longer than a day counts as a day.
+const MAX_SLOW_START_MS: f64 = 86_400_000.0;
+
+impl From<ServerEntry> for ServerInstance {
+    fn from(entry: ServerEntry) -> ServerInstance {
+        ServerInstance {
+            draining: entry.phase != PHASE_UP,
+            uid: entry.uid,
+            service: entry.service,
+            addr: entry.addr,
+            zone: entry.zone,
+            slots: entry.slots,
+            slow_start_left_ms: entry.slow_start_left_ms.clamp(0.0, MAX_SLOW_START_MS) as u32,
+        }
+    }
 }
 
-/// A page's servers, and the token of the page that follows. An error says what cannot be read; nothing of
-/// such a page is of any use.
-pub fn parse_page(text: &[u8]) -> Result<(Vec<ServerInstance>, Option<String>), String> {
-    let page: Page = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    let servers = page.servers.into_iter().map(|e| ServerInstance {
-        draining: e.phase != "up",
-        uid: e.uid,
-        service: e.svc,
-        addr: e.addr,
-        zone: e.az,
-        slots: e.slots,
-        warm_left_ms: e.warm_left_ms.clamp(0.0, 86_400_000.0) as u32,
-    });
-    Ok((servers.collect(), page.next))
+/// Reads one page of the platform's list.
+///
+/// # Errors
+/// [`InvalidServerPage`] if any part of the page cannot be read; nothing of such a page is used.
+pub fn parse_page(text: &[u8]) -> Result<ServerPage, InvalidServerPage> {
+    let page: PageDocument = serde_json::from_slice(text).map_err(InvalidServerPage)?;
+    let servers = page.servers.into_iter().map(ServerInstance::from).collect();
+    Ok(ServerPage {
+        servers,
+        next_page: page.next_page,
+    })
 }
 
-/// A list that is kept, each server's cold time as the end of it on the keeper's own steady clock, in
-/// milliseconds.
+/// A server, and when its slow start ends by the list's clock.
+#[derive(Clone, Debug, PartialEq)]
+struct ListedServer {
+    /// Its own time of slow start is 0; `slow_start_end_ms` counts.
+    server: ServerInstance,
+    /// Milliseconds by the monotonic clock of the process; 0 if the server was never in slow start.
+    slow_start_end_ms: f64,
+}
+
+/// The newest list that a process has received. Remaining times of slow start are kept as points in time by the monotonic
+/// clock of this process, in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
-    servers: BTreeMap<String, (ServerInstance, f64)>,
-    /// When the platform was asked for it, by the keeper's clock.
+    servers: BTreeMap<String, ListedServer>,
+    /// When the platform was asked for the list, by the clock of this process, in milliseconds; `None` without a list.
     pub polled_at: Option<f64>,
 }
 
-/// The end of a cold time is known to the list's own grain: less than this is no news.
-const SAME_END_MS: f64 = 400.0;
+/// Two reports of one slow start may differ by less than this, in milliseconds, without any change: the list is no finer.
+const SLOW_START_TOLERANCE_MS: f64 = 400.0;
 
 impl ServerList {
-    /// Takes a whole list in that the platform was asked for at `polled` and that is said now. True: something in
-    /// it is new.
-    pub fn replace(&mut self, now: f64, list: Vec<ServerInstance>, polled: f64) -> bool {
-        if self.polled_at.is_some_and(|last| last >= polled) {
+    /// Replaces the list by one that was received at `now` and that the platform was asked for at `polled_at`, unless that
+    /// was no later than for the present one. Returns whether anything but the passage of time changed.
+    pub fn replace(&mut self, now: f64, servers: Vec<ServerInstance>, polled_at: f64) -> bool {
+        if self.polled_at.is_some_and(|last| last >= polled_at) {
             return false;
         }
-        self.polled_at = Some(polled);
-        let mut next = BTreeMap::new();
-        for mut server in list {
-            let left = f64::from(std::mem::take(&mut server.warm_left_ms));
-            // Counted from when it was said, not from when the platform was asked.
-            let mut end = if left > 0.0 { now + left } else { 0.0 };
-            if let Some((_, known)) = self.servers.get(&server.uid) {
-                let past = end == 0.0 && *known <= now;
-                end = if (end - known).abs() < SAME_END_MS || past {
-                    *known
-                } else {
-                    end
-                };
+        self.polled_at = Some(polled_at);
+        let listed = servers
+            .into_iter()
+            .map(|server| (server.uid.clone(), self.listed(now, server)));
+        let servers: BTreeMap<String, ListedServer> = listed.collect();
+        let changed = servers != self.servers;
+        self.servers = servers;
+        changed
+    }
+
+    /// The entry of a server that was reported at `now`. It keeps the known end of its slow start where the report agrees.
+    fn listed(&self, now: f64, mut server: ServerInstance) -> ListedServer {
+        let left_ms = f64::from(std::mem::take(&mut server.slow_start_left_ms));
+        // Counted from the moment when the list was sent, not from when the platform was asked.
+        let mut slow_start_end_ms = if left_ms > 0.0 { now + left_ms } else { 0.0 };
+        if let Some(known) = self.servers.get(&server.uid) {
+            let known_end_ms = known.slow_start_end_ms;
+            let both_over = slow_start_end_ms == 0.0 && known_end_ms <= now;
+            if both_over || (slow_start_end_ms - known_end_ms).abs() < SLOW_START_TOLERANCE_MS {
+                slow_start_end_ms = known_end_ms;
             }
-            next.insert(server.uid.clone(), (server, end));
         }
-        let changed = next != self.servers;
-        self.servers = next;
-        changed
+        ListedServer {
+            server,
+            slow_start_end_ms,
+        }
     }
 
-    /// The list as it is said now.
+    /// The list as it is sent at `now`.
     pub fn snapshot(&self, now: f64) -> Vec<ServerInstance> {
-        let left = |end: f64| (end - now).max(0.0) as u32;
-        self.servers
-            .values()
-            .map(|(s, end)| ServerInstance {
-                warm_left_ms: left(*end),
-                ..s.clone()
-            })
-            .collect()
+        let snapshot = |listed: &ListedServer| {
+            let slow_start_left_ms = (listed.slow_start_end_ms - now).max(0.0) as u32;
+            ServerInstance {
+                slow_start_left_ms,
+                ..listed.server.clone()
+            }
+        };
+        self.servers.values().map(snapshot).collect()
     }
 
+    /// Whether no server is listed.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
--- a/crates/aspendrum-model/src/settings.rs
+++ b/crates/aspendrum-model/src/settings.rs
@@ -1,119 +1,49 @@
-//! The settings file of a process, as the platform writes it: one macro declares each setting with its place,
-//! type, default and check. Fields that are not known are ignored.
+//! The settings file of a process, as the platform writes it (JSON).
+//!
+//! [`Settings`] declares each setting with its place in the file, type, default and range. Fields of the file that are
+//! not declared are ignored.
+
+mod error;
+mod value;
+
+pub use error::{InvalidSetting, SettingsError};
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
+use value::find_setting;
 
-/// The variable that names the file.
-pub const VARIABLE: &str = "ASPENDRUM_SETTINGS";
-
-/// A type that a setting can have.
-trait Setting: Sized {
-    const KIND: &'static str;
-    fn read(value: &Value) -> Option<Self>;
-}
+/// The environment variable that holds the file's path.
+pub const SETTINGS_VARIABLE: &str = "ASPENDRUM_SETTINGS";
 
-macro_rules! kinds {
-    ($($kind:ty, $name:literal, |$value:ident| $read:expr;)*) => {
-        $(impl Setting for $kind {
-            const KIND: &'static str = $name;
-            fn read($value: &Value) -> Option<Self> {
-                $read
-            }
-        })*
-    };
-}
-
-kinds! {
-    String, "text", |v| v.as_str().map(str::to_string);
-    bool, "true or false", |v| v.as_bool();
-    u64, "a whole number", |v| v.as_u64();
-    f64, "a number", |v| v.as_f64();
-    Ipv4Addr, "an IP number", |v| v.as_str()?.parse().ok();
-    SocketAddrV4, "an address with a port", |v| v.as_str()?.parse().ok();
-    (u16, u16), "two ports", |v| {
-        let port = |n: usize| u16::try_from(v.get(n)?.as_u64()?).ok();
-        Some((port(0)?, port(1)?))
-    };
-    Vec<SocketAddrV4>, "addresses with ports",
-        |v| v.as_array()?.iter().map(|a| a.as_str()?.parse().ok()).collect();
-    BTreeMap<SocketAddrV4, SocketAddrV4>, "addresses by addresses",
-        |v| v.as_object()?.iter().map(|(k, t)| Some((k.parse().ok()?, t.as_str()?.parse().ok()?))).collect();
-    BTreeSet<String>, "a list of texts",
-        |v| v.as_array()?.iter().map(|t| t.as_str().map(str::to_string)).collect();
-    BTreeMap<String, String>, "texts by name",
-        |v| v.as_object()?.iter().map(|(k, t)| Some((k.clone(), t.as_str()?.to_string()))).collect();
-}
-
-impl<T: Setting> Setting for Option<T> {
-    const KIND: &'static str = T::KIND;
-    fn read(value: &Value) -> Option<Self> {
-        if value.is_null() {
-            Some(None)
-        } else {
-            T::read(value).map(Some)
-        }
-    }
-}
-
-/// `field: type = "place", default or required, check`.
+/// Declares the settings, one a line: `field: type = "place", default or required, check of the range`.
 macro_rules! settings {
-    ($(#[$doc:meta])* $name:ident { $($(#[$about:meta])* $field:ident: $kind:ty = $place:literal, $default:expr,
+    ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $type:ty = $place:literal, $default:expr,
         $check:expr;)* }) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq)]
         pub struct $name {
-            $($(#[$about])* pub $field: $kind,)*
+            $($(#[$field_doc])* pub $field: $type,)*
         }
 
         impl $name {
-            /// Reads the whole file, and says all that is wrong with it, each by its place.
-            pub fn read(text: &[u8]) -> Result<$name, String> {
-                let doc: Value = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
-                let mut wrong = Vec::new();
-                $(let $field: Option<$kind> = find(&doc, $place, $default, $check, &mut wrong);)*
+            /// Reads the text of a settings file.
+            ///
+            /// # Errors
+            /// [`SettingsError::Syntax`] if it is not JSON, or [`SettingsError::Invalid`] with all settings that are wrong.
+            pub fn read(text: &[u8]) -> Result<$name, SettingsError> {
+                let document: Value = serde_json::from_slice(text).map_err(SettingsError::Syntax)?;
+                let mut invalid = Vec::new();
+                $(let $field: Option<$type> = find_setting(&document, $place, $default, $check, &mut invalid);)*
                 match ($($field,)*) {
-                    ($(Some($field),)*) if wrong.is_empty() => Ok($name { $($field,)* }),
-                    _ => Err(wrong.join("; ")),
+                    ($(Some($field),)*) if invalid.is_empty() => Ok($name { $($field,)* }),
+                    _ => Err(SettingsError::Invalid(invalid)),
                 }
             }
         }
     };
 }
 
-fn find<T: Setting>(
-    doc: &Value,
-    place: &str,
-    default: Option<T>,
-    check: fn(&T) -> bool,
-    wrong: &mut Vec<String>,
-) -> Option<T> {
-    let found = place.split('.').try_fold(doc, |at, key| at.get(key));
-    let value = match found {
-        Some(value) => match T::read(value) {
-            Some(value) => value,
-            None => {
-                wrong.push(format!("{place} must be {}", T::KIND));
-                return None;
-            }
-        },
-        None => match default {
-            Some(value) => value,
-            None => {
-                wrong.push(format!("{place} is missing"));
-                return None;
-            }
-        },
-    };
-    if check(&value) {
-        Some(value)
-    } else {
-        wrong.push(format!("{place} is out of range"));
-        None
-    }
-}
-
 fn required<T>() -> Option<T> {
     None
 }
@@ -130,114 +60,173 @@
     *value >= 0.0 && value.is_finite()
 }
 
+/// The tolerated losses are fewer than this.
+const MAX_TOLERATED_LOSSES: u64 = 50;
+/// The offsets of ports in the range that the machine keeps free; the last port of the range serves metrics.
+const CONTROL_PORT: u16 = 0;
+const COUNTER_PORT: u16 = 1;
+const AGENT_PORT: u16 = 2;
+const GOSSIP_PORT: u16 = 3;
+const SNAPSHOT_PORT: u16 = 4;
+
 settings! {
-    /// What a process is told at its start and by each new version of its settings file.
+    /// What the platform tells a process at its start, and by each new version of the file.
     Settings {
-        host: String = "self.host-name", required(), |h| !h.is_empty();
+        /// The machine's name.
+        host_name: String = "self.host-name", required(), |name| !name.is_empty();
+        /// The machine's address.
         ip: Ipv4Addr = "self.ip", required(), any;
-        zone: String = "self.az", required(), |z| !z.is_empty();
+        /// The zone that the machine is in.
+        zone: String = "self.az", required(), |zone| !zone.is_empty();
+        /// The region that the machine is in.
         region: String = "self.geo", required(), any;
-        /// It is one of the machines whose loss is counted.
-        quorum: bool = "self.quorum", Some(false), any;
-        /// The first start of the whole system, on empty disks.
-        init: bool = "self.init", Some(false), any;
-        datadir: Option<String> = "self.datadir", Some(None), any;
-        mem_mb: u64 = "self.caps.mem-mb", Some(128), |n| *n > 0;
-        nofile: u64 = "self.caps.nofile", Some(1024), |n| *n > 0;
-        front: Option<SocketAddrV4> = "net.binds.front", Some(None), any;
-        readyz: Option<SocketAddrV4> = "net.binds.readyz", Some(None), any;
-        ctl: Option<SocketAddrV4> = "net.binds.ctl", Some(None), any;
-        dir: Option<SocketAddrV4> = "net.binds.dir", Some(None), any;
-        /// The first and the last port for words between limiters; alike on all machines.
-        ports: (u16, u16) = "net.port-range", required(), |p| p.0 > 0 && p.1 >= p.0 + 4;
-        /// `ctl` addresses of a few machines.
+        /// Whether the machine is one of those whose loss counts, see `tolerated_losses`.
+        counts_as_loss: bool = "self.quorum", Some(false), any;
+        /// Whether this is the first start of the whole system, on empty disks.
+        is_first_start: bool = "self.init", Some(false), any;
+        /// The directory on the machine's disk; `None`: it has no disk.
+        data_dir: Option<String> = "self.datadir", Some(None), any;
+        /// The most memory that the process may use, in MB.
+        memory_limit_mb: u64 = "self.caps.mem-mb", Some(128), |megabytes| *megabytes > 0;
+        /// The most descriptors that the process may open.
+        max_open_files: u64 = "self.caps.nofile", Some(1024), |files| *files > 0;
+        /// Where the proxy accepts clients.
+        proxy_addr: Option<SocketAddrV4> = "net.binds.front", Some(None), any;
+        /// Where the proxy answers whether it is ready.
+        readiness_addr: Option<SocketAddrV4> = "net.binds.readyz", Some(None), any;
+        /// Where control takes operators' orders.
+        operator_addr: Option<SocketAddrV4> = "net.binds.ctl", Some(None), any;
+        /// Where control tells clients which proxies to use.
+        directory_addr: Option<SocketAddrV4> = "net.binds.dir", Some(None), any;
+        /// The first and the last port that machines keep free for the system's own connections; alike on all machines.
+        port_range: (u16, u16) = "net.port-range", required(), |p| p.0 > 0 && p.1 >= p.0 + SNAPSHOT_PORT;
+        /// `operator_addr` of a few control nodes.
         seeds: Vec<SocketAddrV4> = "net.seeds", Some(Vec::new()), any;
-        /// Where another address is to be dialled than a peer's or a server's own: a forwarded port, or the rig's links.
-        ways: BTreeMap<SocketAddrV4, SocketAddrV4> = "net.ways", Some(BTreeMap::new()), any;
+        /// Where to connect instead of a peer's or a server's own address: a forwarded port, or a link of the testbed.
+        address_overrides: BTreeMap<SocketAddrV4, SocketAddrV4> = "net.ways", Some(BTreeMap::new()), any;
         /// The region of each zone.
-        zones: BTreeMap<String, String> = "net.zones", required(), |z: &BTreeMap<_, _>| !z.is_empty();
-        cloud: Option<SocketAddrV4> = "plat.cloud-api.addr", Some(None), any;
-        /// Calls a second that the platform's list takes from all limiters together.
-        cloud_rate: f64 = "plat.cloud-api.rate-s", Some(1.0), positive;
-        cloud_lag_ms: f64 = "plat.cloud-api.lag-ms", Some(0.0), not_negative;
-        /// Machines with a disk that may be lost at once.
-        losses: u64 = "terms.tolerate.machs", Some(1), |n| *n < 50;
+        zone_regions: BTreeMap<String, String> = "net.zones", required(), |zones: &BTreeMap<_, _>| !zones.is_empty();
+        /// Where the platform answers with its list of servers.
+        cloud_api_addr: Option<SocketAddrV4> = "plat.cloud-api.addr", Some(None), any;
+        /// The calls a second that the platform takes from all processes together.
+        cloud_api_rate: f64 = "plat.cloud-api.rate-s", Some(1.0), positive;
+        /// How far the platform's list lags behind, in milliseconds.
+        cloud_api_lag_ms: f64 = "plat.cloud-api.lag-ms", Some(0.0), not_negative;
+        /// How many machines with a disk may be lost at once.
+        tolerated_losses: u64 = "terms.tolerate.machs", Some(1), |losses| *losses < MAX_TOLERATED_LOSSES;
+        /// The parts of the rules that are in force.
         contracts: BTreeSet<String> = "terms.contracts", Some(BTreeSet::new()), any;
-        ack_ms: f64 = "terms.bounds.ack-ms", Some(5000.0), positive;
-        /// A machine counts as lost for so long after its start.
-        sync_s: f64 = "terms.bounds.sync-s", Some(4.0), positive;
-        drain_ms: f64 = "terms.bounds.drain-ms", Some(3000.0), positive;
-        grace_s: f64 = "terms.bounds.grace-s", Some(5.0), positive;
-        apply_ms: f64 = "terms.bounds.apply-ms", Some(3000.0), positive;
-        /// While the core is unsettled the bounds of configurations stretch by so much.
-        stretch_ms: f64 = "terms.bounds.stretch-ms", Some(0.0), not_negative;
-        /// Keys that are taken away bind every limiter within `revoke_ms`, in touch or not.
-        revoked: bool = "terms.bounds.revoked", Some(false), any;
-        revoke_ms: f64 = "terms.bounds.revoke-ms", Some(5000.0), positive;
-        retry_ratio: f64 = "terms.bounds.retry-ratio", Some(0.2), not_negative;
-        retry_win_s: f64 = "terms.bounds.retry-win-s", Some(10.0), positive;
-        retry_slack: f64 = "terms.bounds.retry-slack", Some(0.0), not_negative;
-        quota_win_s: f64 = "terms.bounds.quota-win-s", Some(5.0), positive;
+        /// For how long an order that is no configuration may be repeated, in milliseconds.
+        order_timeout_ms: f64 = "terms.bounds.ack-ms", Some(5000.0), positive;
+        /// For how long a machine still counts as lost after its return, in seconds.
+        rejoin_s: f64 = "terms.bounds.sync-s", Some(4.0), positive;
+        /// Within how many milliseconds a draining server receives no more requests.
+        drain_deadline_ms: f64 = "terms.bounds.drain-ms", Some(3000.0), positive;
+        /// How long a process has for its graceful shutdown, in seconds.
+        shutdown_grace_s: f64 = "terms.bounds.grace-s", Some(5.0), positive;
+        /// Within how many milliseconds a configuration is applied.
+        apply_deadline_ms: f64 = "terms.bounds.apply-ms", Some(3000.0), positive;
+        /// By how many milliseconds that deadline is extended while control is unsettled.
+        unsettled_extension_ms: f64 = "terms.bounds.stretch-ms", Some(0.0), not_negative;
+        /// Whether removed credentials stop working within `revocation_deadline_ms` at every proxy, connected or not.
+        enforces_revocation: bool = "terms.bounds.revoked", Some(false), any;
+        /// Within how many milliseconds a removed credential stops working.
+        revocation_deadline_ms: f64 = "terms.bounds.revoke-ms", Some(5000.0), positive;
+        /// The retry budget of a service: retries as a share of its requests, in each window, plus a constant.
+        retry_budget_ratio: f64 = "terms.bounds.retry-ratio", Some(0.2), not_negative;
+        /// The window of the retry budget, in seconds.
+        retry_budget_window_s: f64 = "terms.bounds.retry-win-s", Some(10.0), positive;
+        /// The constant of the retry budget, in requests a window.
+        retry_budget_slack: f64 = "terms.bounds.retry-slack", Some(0.0), not_negative;
+        /// The window in which a tenant's quota is checked, in seconds.
+        quota_window_s: f64 = "terms.bounds.quota-win-s", Some(5.0), positive;
+        /// By what share of itself a quota may be exceeded in a window.
         quota_excess: f64 = "terms.bounds.quota-excess", Some(0.0), not_negative;
+        /// By how many requests more a quota may be exceeded in a window.
         quota_slack: f64 = "terms.bounds.quota-slack", Some(0.0), not_negative;
-        warm_excess: f64 = "terms.bounds.warm-excess", Some(1.0), positive;
-        warm_slack: f64 = "terms.bounds.warm-slack", Some(0.0), not_negative;
-        evac_ms: f64 = "terms.bounds.evac-ms", Some(5000.0), positive;
-        heal_s: f64 = "terms.bounds.heal-s", Some(15.0), positive;
-        ttl_max_s: f64 = "terms.bounds.ttl_max_s", Some(5.0), positive;
+        /// The factor by which a server's rate of requests during slow start may be exceeded in a second.
+        slow_start_excess: f64 = "terms.bounds.warm-excess", Some(1.0), positive;
+        /// By how many requests more that rate may be exceeded in a second.
+        slow_start_slack: f64 = "terms.bounds.warm-slack", Some(0.0), not_negative;
+        /// Within how many milliseconds an evacuated zone receives no more requests.
+        evacuation_deadline_ms: f64 = "terms.bounds.evac-ms", Some(5000.0), positive;
+        /// Within how many seconds the system serves again after machines have returned.
+        recovery_deadline_s: f64 = "terms.bounds.heal-s", Some(15.0), positive;
+        /// The longest that a client may use an answer of the directory, in seconds.
+        max_ttl_s: f64 = "terms.bounds.ttl_max_s", Some(5.0), positive;
     }
 }
 
 impl Settings {
-    /// Reads the file that the variable names.
-    pub fn load() -> Result<Settings, String> {
-        let path = std::env::var(VARIABLE).map_err(|_| format!("{VARIABLE} is not set"))?;
-        Settings::read(&std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?)
+    /// Reads the file whose path [`SETTINGS_VARIABLE`] holds.
+    ///
+    /// # Errors
+    /// [`SettingsError`] says what is wrong with the variable, the file or its settings.
+    pub fn load() -> Result<Settings, SettingsError> {
+        let path = std::env::var(SETTINGS_VARIABLE).map_err(|_| SettingsError::VariableNotSet)?;
+        match std::fs::read(&path) {
+            Ok(text) => Settings::read(&text),
+            Err(source) => Err(SettingsError::UnreadableFile { path, source }),
+        }
     }
 
-    /// The port on which control hears control and agents.
+    /// The port on which control accepts agents and other control nodes.
     pub fn control_port(&self) -> u16 {
-        self.ports.0
+        self.port_range.0 + CONTROL_PORT
+    }
+
+    /// The port on which proxies ask each other for shares of quotas.
+    pub fn counter_port(&self) -> u16 {
+        self.port_range.0 + COUNTER_PORT
     }
 
-    /// The port on which proxies ask each other for counts.
-    pub fn count_port(&self) -> u16 {
-        self.ports.0 + 1
+    /// Where an agent accepts the proxy of its machine: on loopback, unless overridden.
+    pub fn agent_addr(&self) -> SocketAddrV4 {
+        self.dial_addr(SocketAddrV4::new(
+            Ipv4Addr::LOCALHOST,
+            self.port_range.0 + AGENT_PORT,
+        ))
     }
 
-    /// Where an agent awaits the proxy of its machine: on loopback, unless there is another way there.
-    pub fn agent_at(&self) -> SocketAddrV4 {
-        self.way(SocketAddrV4::new(Ipv4Addr::LOCALHOST, self.ports.0 + 2))
+    /// The port on which agents gossip.
+    pub fn gossip_port(&self) -> u16 {
+        self.port_range.0 + GOSSIP_PORT
     }
 
-    /// The port on which agents exchange words with each other, and the one where they hand out snapshots.
-    pub fn lend_ports(&self) -> [u16; 2] {
-        [self.ports.0 + 3, self.ports.0 + 4]
+    /// The port on which agents send snapshots of their state to each other.
+    pub fn snapshot_port(&self) -> u16 {
+        self.port_range.0 + SNAPSHOT_PORT
     }
 
-    /// The port on which a proxy tells its figures.
+    /// The port on which a proxy serves its metrics.
     pub fn metrics_port(&self) -> u16 {
-        self.ports.1
+        self.port_range.1
     }
 
-    /// Where to dial for that address.
-    pub fn way(&self, to: SocketAddrV4) -> SocketAddrV4 {
-        self.ways.get(&to).copied().unwrap_or(to)
+    /// Where to connect in order to reach that address.
+    pub fn dial_addr(&self, address: SocketAddrV4) -> SocketAddrV4 {
+        self.address_overrides
+            .get(&address)
+            .copied()
+            .unwrap_or(address)
     }
 
-    /// Where to dial another machine's control.
-    pub fn control_at(&self, ip: Ipv4Addr) -> SocketAddrV4 {
-        self.way(SocketAddrV4::new(ip, self.control_port()))
+    /// Where to connect in order to reach the control node of another machine.
+    pub fn control_addr(&self, ip: Ipv4Addr) -> SocketAddrV4 {
+        self.dial_addr(SocketAddrV4::new(ip, self.control_port()))
     }
 
-    /// A region's number, the same at every limiter.
+    /// A region's number, the same at every node.
     pub fn region_number(&self, region: &str) -> Option<u8> {
-        let regions: BTreeSet<&String> = self.zones.values().collect();
-        regions.iter().position(|r| *r == region).map(|n| n as u8)
+        let regions: BTreeSet<&String> = self.zone_regions.values().collect();
+        regions
+            .iter()
+            .position(|known| *known == region)
+            .map(|number| number as u8)
     }
 
     /// The number of a zone's region.
     pub fn region_of(&self, zone: &str) -> Option<u8> {
-        self.region_number(self.zones.get(zone)?)
+        self.region_number(self.zone_regions.get(zone)?)
     }
 }
--- /dev/null
+++ b/crates/aspendrum-model/src/settings/error.rs
@@ -0,0 +1,65 @@
+//! Why the settings of a process cannot be used.
+
+use super::SETTINGS_VARIABLE;
+use derive_more::{Display, Error};
+use std::fmt;
+
+/// Why the settings of a process cannot be used. Operators see its text.
+#[derive(Debug, Display, Error)]
+pub enum SettingsError {
+    /// The environment variable with the file's path is not set.
+    #[display("{SETTINGS_VARIABLE} is not set")]
+    VariableNotSet,
+    /// The file cannot be read.
+    #[display("{path}: {source}")]
+    UnreadableFile {
+        /// The file's path.
+        path: String,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// The file is not JSON.
+    #[display("settings: {_0}")]
+    Syntax(serde_json::Error),
+    /// These settings are wrong.
+    #[display("{}", DisplayAll(_0))]
+    Invalid(#[error(not(source))] Vec<InvalidSetting>),
+}
+
+/// A setting that is wrong, by its place in the file.
+#[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
+pub enum InvalidSetting {
+    /// It is required, and not there.
+    #[display("{place} is missing")]
+    Missing {
+        /// Its keys, from the outermost on, joined by dots.
+        place: &'static str,
+    },
+    /// It has another type.
+    #[display("{place} must be {expected}")]
+    WrongType {
+        /// Its keys, from the outermost on, joined by dots.
+        place: &'static str,
+        /// What it should be, in words.
+        expected: &'static str,
+    },
+    /// Its value is not allowed.
+    #[display("{place} is out of range")]
+    OutOfRange {
+        /// Its keys, from the outermost on, joined by dots.
+        place: &'static str,
+    },
+}
+
+/// All of them on one line.
+struct DisplayAll<'e>(&'e [InvalidSetting]);
+
+impl fmt::Display for DisplayAll<'_> {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (index, invalid) in self.0.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "; " };
+            write!(formatter, "{separator}{invalid}")?;
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-model/src/settings/value.rs
@@ -0,0 +1,94 @@
+//! The types that a setting can have, and the search for a setting in the file.
+
+use super::error::InvalidSetting;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+/// A type that a setting can have.
+pub(super) trait Setting: Sized {
+    /// What operators read where the value is of another type.
+    const EXPECTED: &'static str;
+    /// The value, if the JSON is of this type.
+    fn from_json(json: &Value) -> Option<Self>;
+}
+
+macro_rules! setting_types {
+    ($($type:ty, $expected:literal, |$json:ident| $value:expr;)*) => {
+        $(impl Setting for $type {
+            const EXPECTED: &'static str = $expected;
+            fn from_json($json: &Value) -> Option<Self> {
+                $value
+            }
+        })*
+    };
+}
+
+setting_types! {
+    String, "text", |json| json.as_str().map(str::to_string);
+    bool, "true or false", |json| json.as_bool();
+    u64, "a whole number", |json| json.as_u64();
+    f64, "a number", |json| json.as_f64();
+    Ipv4Addr, "an IP number", |json| json.as_str()?.parse().ok();
+    SocketAddrV4, "an address with a port", |json| json.as_str()?.parse().ok();
+    (u16, u16), "two ports", |json| Some((port(json, 0)?, port(json, 1)?));
+    Vec<SocketAddrV4>, "addresses with ports",
+        |json| json.as_array()?.iter().map(SocketAddrV4::from_json).collect();
+    BTreeMap<SocketAddrV4, SocketAddrV4>, "addresses by addresses",
+        |json| json.as_object()?.iter().map(|(from, to)| Some((from.parse().ok()?, SocketAddrV4::from_json(to)?))).collect();
+    BTreeSet<String>, "a list of texts",
+        |json| json.as_array()?.iter().map(String::from_json).collect();
+    BTreeMap<String, String>, "texts by name",
+        |json| json.as_object()?.iter().map(|(name, text)| Some((name.clone(), String::from_json(text)?))).collect();
+}
+
+/// A setting that may be null, or left out where that is its default.
+impl<T: Setting> Setting for Option<T> {
+    const EXPECTED: &'static str = T::EXPECTED;
+    fn from_json(json: &Value) -> Option<Self> {
+        if json.is_null() {
+            Some(None)
+        } else {
+            T::from_json(json).map(Some)
+        }
+    }
+}
+
+fn port(json: &Value, index: usize) -> Option<u16> {
+    u16::try_from(json.get(index)?.as_u64()?).ok()
+}
+
+/// The setting at that place of the file, or its default. `None` adds to `invalid` why there is none; a setting without
+/// default is required.
+pub(super) fn find_setting<T: Setting>(
+    document: &Value,
+    place: &'static str,
+    default: Option<T>,
+    is_in_range: fn(&T) -> bool,
+    invalid: &mut Vec<InvalidSetting>,
+) -> Option<T> {
+    let found = place
+        .split('.')
+        .try_fold(document, |object, key| object.get(key));
+    let value = match found {
+        Some(json) => T::from_json(json).ok_or(InvalidSetting::WrongType {
+            place,
+            expected: T::EXPECTED,
+        }),
+        None => default.ok_or(InvalidSetting::Missing { place }),
+    };
+    let in_range = |value| {
+        if is_in_range(&value) {
+            Ok(value)
+        } else {
+            Err(InvalidSetting::OutOfRange { place })
+        }
+    };
+    match value.and_then(in_range) {
+        Ok(value) => Some(value),
+        Err(reason) => {
+            invalid.push(reason);
+            None
+        }
+    }
+}
--- a/crates/aspendrum-model/tests/config.rs
+++ b/crates/aspendrum-model/tests/config.rs
@@ -1,7 +1,7 @@
 //! Configurations and settings: what is read, and what is refused.
 
 use aspendrum_model::config::{Config, ConfigError};
-use aspendrum_model::servers::{parse_page, ServerInstance, ServerList};
+use aspendrum_model::servers::{parse_page, ServerInstance, ServerList, ServerPage};
 use aspendrum_model::settings::Settings;
 use test_case::test_case;
 
@@ -47,11 +47,11 @@
 }
 
 #[test_case("\"svc\":\"s2\"", "\"svc\":\"s3\"" => matches ConfigError::UnknownService { .. } ; "unknown service")]
-#[test_case("\"pfx\":\"/a/b/\"", "\"pfx\":\"/a/\"" => matches ConfigError::SamePlace { .. } ; "same place")]
+#[test_case("\"pfx\":\"/a/b/\"", "\"pfx\":\"/a/\"" => matches ConfigError::DuplicateRoute { .. } ; "same place")]
 #[test_case("\"wt\":90},{\"svc\":\"s2\",\"wt\":10", "\"wt\":0},{\"svc\":\"s2\",\"wt\":0" => matches ConfigError::NoWeight(_) ; "no weight")]
-#[test_case("\"goal-ms\":500,\"prio\":1", "\"goal-ms\":62000,\"prio\":1" => matches ConfigError::AimOver(_) ; "aim a minute above the limit")]
-#[test_case("\"tries\":2,\"homes\":[]", "\"tries\":0,\"homes\":[]" => matches ConfigError::NoTries(_) ; "no tries")]
-#[test_case("\"/a/b/\"", "\"a/b/\"" => matches ConfigError::BarePrefix(_) ; "bare prefix")]
+#[test_case("\"goal-ms\":500,\"prio\":1", "\"goal-ms\":62000,\"prio\":1" => matches ConfigError::LatencyTargetAboveTimeout(_) ; "aim a minute above the limit")]
+#[test_case("\"tries\":2,\"homes\":[]", "\"tries\":0,\"homes\":[]" => matches ConfigError::NoAttempts(_) ; "no tries")]
+#[test_case("\"/a/b/\"", "\"a/b/\"" => matches ConfigError::RelativePrefix(_) ; "bare prefix")]
 #[test_case("\"k3\"", "\"k1\"" => matches ConfigError::SharedKey ; "shared key")]
 #[test_case("}]}]", "}" => matches ConfigError::Unreadable(_) ; "cut short")]
 #[test_case("\"0000000c\"", "\"c\"" => matches ConfigError::Unreadable(_) ; "a version of another form")]
@@ -83,14 +83,14 @@
     let s = Settings::read(SETTINGS.as_bytes()).unwrap();
     assert_eq!(
         (
-            s.count_port(),
-            s.agent_at().to_string().as_str(),
+            s.counter_port(),
+            s.agent_addr().to_string().as_str(),
             s.region_of("cwb-a")
         ),
         (7601, "127.0.0.1:7602", Some(0))
     );
-    assert!(s.revoked && s.ctl.is_none() && s.datadir.is_none());
-    assert_eq!(s.drain_ms, 3000.0);
+    assert!(s.enforces_revocation && s.operator_addr.is_none() && s.data_dir.is_none());
+    assert_eq!(s.drain_deadline_ms, 3000.0);
 }
 
 #[test_case("\"10.1.0.31\"", "\"ten\"", "self.ip must be an IP number")]
@@ -103,7 +103,9 @@
 )]
 fn a_faulty_setting_is_named(from: &str, to: &str, told: &str) {
     assert_eq!(
-        Settings::read(SETTINGS.replacen(from, to, 1).as_bytes()).unwrap_err(),
+        Settings::read(SETTINGS.replacen(from, to, 1).as_bytes())
+            .unwrap_err()
+            .to_string(),
         told
     );
 }
@@ -113,7 +115,7 @@
     let text = SETTINGS
         .replace("\"az\":\"poa-a\",", "")
         .replace("\"rate-s\":47.0", "\"rate-s\":0");
-    let told = Settings::read(text.as_bytes()).unwrap_err();
+    let told = Settings::read(text.as_bytes()).unwrap_err().to_string();
     assert_eq!(
         told,
         "self.az is missing; plat.cloud-api.rate-s is out of range"
@@ -123,16 +125,16 @@
 #[test]
 fn a_page_of_the_list_is_read_whole_or_not_at_all() {
     let text = r#"{"servers":[{"svc":"s1","addr":"10.128.0.9:8080","az":"poa-a","gen":"v1","slots":2,"phase":"drain","warm-left-ms":1200,"uid":"i-7"}],"next":"p-50"}"#;
-    let (servers, next) = parse_page(text.as_bytes()).unwrap();
+    let ServerPage { servers, next_page } = parse_page(text.as_bytes()).unwrap();
     assert_eq!(
         (
             servers[0].uid.as_str(),
             servers[0].draining,
-            servers[0].warm_left_ms
+            servers[0].slow_start_left_ms
         ),
         ("i-7", true, 1200)
     );
-    assert_eq!(next.as_deref(), Some("p-50"));
+    assert_eq!(next_page.as_deref(), Some("p-50"));
     assert!(parse_page(text.replace("10.128.0.9:8080", "there").as_bytes()).is_err());
 }
 
@@ -149,7 +151,7 @@
         zone,
         slots: 2,
         draining: false,
-        warm_left_ms,
+        slow_start_left_ms: warm_left_ms,
     }
 }
 
@@ -160,7 +162,7 @@
     let mut roster = ServerList::default();
     assert!(roster.replace(110.0, vec![server("a", 3000)], 100.0));
     assert!(!roster.replace(1110.0, vec![server("a", 2000)], 1100.0));
-    assert_eq!(roster.snapshot(1610.0)[0].warm_left_ms, 1500);
+    assert_eq!(roster.snapshot(1610.0)[0].slow_start_left_ms, 1500);
     assert!(
         !roster.replace(1200.0, vec![server("b", 0)], 900.0),
         "an older list"
@@ -184,5 +186,5 @@
     // 700 ms later an agent's link comes up; its clock began elsewhere.
     let (age, list) = (1700.0 - 990.0, control.snapshot(1700.0));
     agent.replace(50.0, list, 50.0 - age);
-    assert_eq!(agent.snapshot(50.0)[0].warm_left_ms, 2300);
+    assert_eq!(agent.snapshot(50.0)[0].slow_start_left_ms, 2300);
 }
--- a/crates/aspendrum-model/tests/config_values.rs
+++ b/crates/aspendrum-model/tests/config_values.rs
@@ -1,6 +1,6 @@
 //! One full configuration and each value read of it, by the keys that operators write; and each refusal's text.
 
-use aspendrum_model::config::{Caps, Config};
+use aspendrum_model::config::{Config, RequestLimits, RouteEntry};
 use test_case::test_case;
 
 const CONFIG: &str = include_str!("fixtures/config.json");
@@ -13,13 +13,13 @@
 fn version_and_limits_of_requests_are_read() {
     let config = config();
     assert_eq!(config.version, 300);
-    let caps = Caps {
-        hdr_bytes: 16_384,
+    let caps = RequestLimits {
+        header_bytes: 16_384,
         body_bytes: 1_048_576,
-        hdr_ms: 3000.0,
-        idle_ms: 15_000.5,
+        header_timeout_ms: 3000.0,
+        idle_timeout_ms: 15_000.5,
     };
-    assert_eq!(config.caps, caps);
+    assert_eq!(config.limits, caps);
 }
 
 #[test]
@@ -33,10 +33,13 @@
         (ann.keys.join(" "), bob.keys.join(" ")),
         ("k1 k2".into(), "k3".into())
     );
-    assert_eq!([ann.prio, ann.rate_s, ann.burst], [3.0, 61.5, 122.0]);
-    assert_eq!([bob.prio, bob.rate_s, bob.burst], [0.0; 3]);
     assert_eq!(
-        (ann.homes.join(" "), bob.homes.join(" ")),
+        [ann.priority, ann.rate_per_second, ann.burst],
+        [3.0, 61.5, 122.0]
+    );
+    assert_eq!([bob.priority, bob.rate_per_second, bob.burst], [0.0; 3]);
+    assert_eq!(
+        (ann.home_regions.join(" "), bob.home_regions.join(" ")),
         ("poa cwb".into(), String::new())
     );
     assert_eq!(
@@ -63,16 +66,24 @@
         panic!("two services")
     };
     assert_eq!(
-        [&s1.name, &s1.check, &s2.name, &s2.check],
+        [
+            &s1.name,
+            &s1.health_check_path,
+            &s2.name,
+            &s2.health_check_path
+        ],
         ["s1", "/healthz", "s2", "/ready"]
     );
     assert_eq!(
-        (s1.max_conns, s1.warmup_s, s1.warm_rate_s),
+        (s1.max_connections, s1.slow_start_s, s1.slow_start_rate),
         (110, 3.5, 10.5)
     );
-    assert_eq!((s2.max_conns, s2.warmup_s, s2.warm_rate_s), (0, 0.0, 0.0));
     assert_eq!(
-        config.service("s2").map(|s| s.check.as_str()),
+        (s2.max_connections, s2.slow_start_s, s2.slow_start_rate),
+        (0, 0.0, 0.0)
+    );
+    assert_eq!(
+        config.service("s2").map(|s| s.health_check_path.as_str()),
         Some("/ready")
     );
     assert!(config.service("s3").is_none());
@@ -85,17 +96,23 @@
         panic!("three routes")
     };
     assert_eq!([&r1.name, &r2.name, &r3.name], ["r1", "r2", "r3"]);
-    assert_eq!([r1, r2, r3].map(|r| r.repeatable), [true, false, false]);
-    assert_eq!([r1, r2, r3].map(|r| r.goal_ms), [500.0, 250.5, 400.0]);
-    assert_eq!([r1, r2, r3].map(|r| r.limit_ms), [2000.0, 1000.0, 1500.0]);
-    assert_eq!([r1, r2, r3].map(|r| r.prio), [2.0, 0.0, 1.0]);
-    assert_eq!([r1, r2, r3].map(|r| r.public), [true, false, false]);
-    assert_eq!([r1, r2, r3].map(|r| r.tries), [3, 1, 2]);
-    assert_eq!([r1, r2, r3].map(|r| r.homes.join(" ")), ["poa", "", ""]);
+    assert_eq!([r1, r2, r3].map(|r| r.idempotent), [true, false, false]);
+    assert_eq!(
+        [r1, r2, r3].map(|r| r.latency_target_ms),
+        [500.0, 250.5, 400.0]
+    );
+    assert_eq!([r1, r2, r3].map(|r| r.timeout_ms), [2000.0, 1000.0, 1500.0]);
+    assert_eq!([r1, r2, r3].map(|r| r.priority), [2.0, 0.0, 1.0]);
+    assert_eq!([r1, r2, r3].map(|r| r.is_public), [true, false, false]);
+    assert_eq!([r1, r2, r3].map(|r| r.max_attempts), [3, 1, 2]);
+    assert_eq!(
+        [r1, r2, r3].map(|r| r.home_regions.join(" ")),
+        ["poa", "", ""]
+    );
     let services = [r1, r2, r3].map(|r| {
         r.services
             .iter()
-            .map(|s| (s.0.as_str(), s.1))
+            .map(|s| (s.service.as_str(), s.weight))
             .collect::<Vec<_>>()
     });
     assert_eq!(
@@ -111,10 +128,14 @@
 #[test]
 fn routes_are_found_by_host_and_prefix() {
     let config = config();
-    let mut places: Vec<(&str, &str, usize)> = config.places().collect();
-    places.sort();
+    let mut entries: Vec<RouteEntry> = config.route_entries().collect();
+    entries.sort();
+    let entries: Vec<(&str, &str, usize)> = entries
+        .iter()
+        .map(|e| (e.host, e.prefix, e.route))
+        .collect();
     assert_eq!(
-        places,
+        entries,
         [
             ("a.example", "/a/", 0),
             ("a.example", "/a/b/", 1),
--- a/crates/aspendrum-model/tests/settings_values.rs
+++ b/crates/aspendrum-model/tests/settings_values.rs
@@ -20,61 +20,84 @@
 fn each_value_of_a_full_file_is_read() {
     let s = Settings::read(SETTINGS.as_bytes()).unwrap();
     assert_eq!(
-        (s.host.as_str(), s.ip),
+        (s.host_name.as_str(), s.ip),
         ("edge-1", Ipv4Addr::new(10, 1, 0, 31))
     );
     assert_eq!((s.zone.as_str(), s.region.as_str()), ("poa-a", "poa"));
-    assert!(s.quorum && s.init && s.revoked);
+    assert!(s.counts_as_loss && s.is_first_start && s.enforces_revocation);
     assert_eq!(
-        (s.datadir.as_deref(), s.mem_mb, s.nofile),
+        (s.data_dir.as_deref(), s.memory_limit_mb, s.max_open_files),
         (Some("/data"), 260, 4100)
     );
-    assert_eq!(s.front, Some(address("10.1.0.31:8206")));
-    assert_eq!(s.readyz, Some(address("10.1.0.31:8207")));
-    assert_eq!(s.ctl, Some(address("10.1.0.31:8200")));
-    assert_eq!(s.dir, Some(address("10.1.0.31:8201")));
-    assert_eq!(s.ports, (7600, 7615));
+    assert_eq!(s.proxy_addr, Some(address("10.1.0.31:8206")));
+    assert_eq!(s.readiness_addr, Some(address("10.1.0.31:8207")));
+    assert_eq!(s.operator_addr, Some(address("10.1.0.31:8200")));
+    assert_eq!(s.directory_addr, Some(address("10.1.0.31:8201")));
+    assert_eq!(s.port_range, (7600, 7615));
     assert_eq!(
         s.seeds,
         [address("10.1.0.34:8200"), address("10.1.0.35:8200")]
     );
-    let ways: Vec<_> = s.ways.iter().map(|(from, to)| (*from, *to)).collect();
+    let ways: Vec<_> = s
+        .address_overrides
+        .iter()
+        .map(|(from, to)| (*from, *to))
+        .collect();
     assert_eq!(
         ways,
         [(address("10.1.0.34:7600"), address("127.0.0.1:9000"))]
     );
     let zones: Vec<_> = s
-        .zones
+        .zone_regions
         .iter()
         .map(|(zone, region)| (zone.as_str(), region.as_str()))
         .collect();
     assert_eq!(zones, [("cwb-a", "cwb"), ("poa-a", "poa")]);
     assert_eq!(
-        (s.cloud, s.cloud_rate, s.cloud_lag_ms),
+        (s.cloud_api_addr, s.cloud_api_rate, s.cloud_api_lag_ms),
         (Some(address("10.200.0.187:8205")), 47.5, 800.0)
     );
     assert_eq!(
-        (s.losses, s.contracts.iter().map(String::as_str).collect()),
+        (
+            s.tolerated_losses,
+            s.contracts.iter().map(String::as_str).collect()
+        ),
         (2, vec!["base", "quota"])
     );
     assert_eq!(
-        [s.ack_ms, s.sync_s, s.drain_ms, s.grace_s],
+        [
+            s.order_timeout_ms,
+            s.rejoin_s,
+            s.drain_deadline_ms,
+            s.shutdown_grace_s
+        ],
         [6000.0, 4.5, 3100.0, 6.0]
     );
     assert_eq!(
-        [s.apply_ms, s.stretch_ms, s.revoke_ms],
+        [
+            s.apply_deadline_ms,
+            s.unsettled_extension_ms,
+            s.revocation_deadline_ms
+        ],
         [3200.0, 8000.0, 5100.0]
     );
     assert_eq!(
-        [s.retry_ratio, s.retry_win_s, s.retry_slack],
+        [
+            s.retry_budget_ratio,
+            s.retry_budget_window_s,
+            s.retry_budget_slack
+        ],
         [0.25, 11.0, 58.0]
     );
     assert_eq!(
-        [s.quota_win_s, s.quota_excess, s.quota_slack],
+        [s.quota_window_s, s.quota_excess, s.quota_slack],
         [5.5, 0.1, 20.0]
     );
-    assert_eq!([s.warm_excess, s.warm_slack], [1.5, 5.0]);
-    assert_eq!([s.evac_ms, s.heal_s, s.ttl_max_s], [5200.0, 16.0, 7.0]);
+    assert_eq!([s.slow_start_excess, s.slow_start_slack], [1.5, 5.0]);
+    assert_eq!(
+        [s.evacuation_deadline_ms, s.recovery_deadline_s, s.max_ttl_s],
+        [5200.0, 16.0, 7.0]
+    );
 }
 
 const SMALLEST: &str = r#"{"self":{"host-name":"edge-1","ip":"10.1.0.31","az":"poa-a","geo":"poa"},
@@ -83,52 +106,86 @@
 #[test]
 fn each_value_that_a_file_leaves_out_has_its_default() {
     let s = Settings::read(SMALLEST.as_bytes()).unwrap();
-    assert!(!s.quorum && !s.init && !s.revoked);
-    assert_eq!((s.datadir, s.mem_mb, s.nofile), (None, 128, 1024));
-    assert_eq!([s.front, s.readyz, s.ctl, s.dir, s.cloud], [None; 5]);
-    assert!(s.seeds.is_empty() && s.ways.is_empty() && s.contracts.is_empty());
-    assert_eq!((s.cloud_rate, s.cloud_lag_ms, s.losses), (1.0, 0.0, 1));
+    assert!(!s.counts_as_loss && !s.is_first_start && !s.enforces_revocation);
+    assert_eq!(
+        (s.data_dir, s.memory_limit_mb, s.max_open_files),
+        (None, 128, 1024)
+    );
+    assert_eq!(
+        [
+            s.proxy_addr,
+            s.readiness_addr,
+            s.operator_addr,
+            s.directory_addr,
+            s.cloud_api_addr
+        ],
+        [None; 5]
+    );
+    assert!(s.seeds.is_empty() && s.address_overrides.is_empty() && s.contracts.is_empty());
+    assert_eq!(
+        (s.cloud_api_rate, s.cloud_api_lag_ms, s.tolerated_losses),
+        (1.0, 0.0, 1)
+    );
     assert_eq!(
-        [s.ack_ms, s.sync_s, s.drain_ms, s.grace_s],
+        [
+            s.order_timeout_ms,
+            s.rejoin_s,
+            s.drain_deadline_ms,
+            s.shutdown_grace_s
+        ],
         [5000.0, 4.0, 3000.0, 5.0]
     );
     assert_eq!(
-        [s.apply_ms, s.stretch_ms, s.revoke_ms],
+        [
+            s.apply_deadline_ms,
+            s.unsettled_extension_ms,
+            s.revocation_deadline_ms
+        ],
         [3000.0, 0.0, 5000.0]
     );
     assert_eq!(
-        [s.retry_ratio, s.retry_win_s, s.retry_slack],
+        [
+            s.retry_budget_ratio,
+            s.retry_budget_window_s,
+            s.retry_budget_slack
+        ],
         [0.2, 10.0, 0.0]
     );
     assert_eq!(
-        [s.quota_win_s, s.quota_excess, s.quota_slack],
+        [s.quota_window_s, s.quota_excess, s.quota_slack],
         [5.0, 0.0, 0.0]
     );
-    assert_eq!([s.warm_excess, s.warm_slack], [1.0, 0.0]);
-    assert_eq!([s.evac_ms, s.heal_s, s.ttl_max_s], [5000.0, 15.0, 5.0]);
+    assert_eq!([s.slow_start_excess, s.slow_start_slack], [1.0, 0.0]);
+    assert_eq!(
+        [s.evacuation_deadline_ms, s.recovery_deadline_s, s.max_ttl_s],
+        [5000.0, 15.0, 5.0]
+    );
 }
 
 #[test]
 fn ports_and_addresses_are_derived_from_the_port_range() {
     let s = Settings::read(SETTINGS.as_bytes()).unwrap();
     assert_eq!(
-        (s.control_port(), s.count_port(), s.metrics_port()),
+        (s.control_port(), s.counter_port(), s.metrics_port()),
         (7600, 7601, 7615)
     );
     assert_eq!(
-        (s.agent_at(), s.lend_ports()),
+        (s.agent_addr(), [s.gossip_port(), s.snapshot_port()]),
         (address("127.0.0.1:7602"), [7603, 7604])
     );
     assert_eq!(
-        s.control_at(Ipv4Addr::new(10, 1, 0, 34)),
+        s.control_addr(Ipv4Addr::new(10, 1, 0, 34)),
         address("127.0.0.1:9000"),
         "a forwarded port"
     );
     assert_eq!(
-        s.control_at(Ipv4Addr::new(10, 1, 0, 35)),
+        s.control_addr(Ipv4Addr::new(10, 1, 0, 35)),
         address("10.1.0.35:7600")
     );
-    assert_eq!(s.way(address("10.1.0.34:7600")), address("127.0.0.1:9000"));
+    assert_eq!(
+        s.dial_addr(address("10.1.0.34:7600")),
+        address("127.0.0.1:9000")
+    );
     assert_eq!(
         ["cwb", "poa", "else"].map(|region| s.region_number(region)),
         [Some(0), Some(1), None]
--- a/crates/aspendrum-model/tests/wire_bytes.rs
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -1,12 +1,12 @@
 //! The bytes that processes of different versions exchange. Postcard writes a variant's position and a struct's fields
 //! in their order: the fixture of bytes stays as it is, whatever a type or a field is called.
 
+use aspendrum_model::compression::{compress, decompress};
 use aspendrum_model::hash::{digest, highest_ranked, rank};
 use aspendrum_model::message::{
     ControlAddress, Envelope, FromControl, ProxyEndpoint, Readiness, Revision, StateDigest,
     StateSection, ToControl,
 };
-use aspendrum_model::packed::{pack, unpack};
 use aspendrum_model::servers::ServerInstance;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -53,26 +53,26 @@
     );
 }
 
-fn mark() -> Revision {
+fn revision() -> Revision {
     Revision {
         config: 300,
         evacuation: 7,
     }
 }
 
-fn edition() -> StateDigest {
+fn state_digest() -> StateDigest {
     StateDigest {
-        revision: mark(),
+        revision: revision(),
         digests: [1, 0x80, 0xffff_ffff_ffff_ffff, 0],
     }
 }
 
-fn front(readiness: Readiness, current: bool) -> ProxyEndpoint {
+fn proxy(readiness: Readiness, is_current: bool) -> ProxyEndpoint {
     ProxyEndpoint {
         addr: "10.1.0.31:8206".parse().unwrap(),
         zone: "poa-a".into(),
         readiness,
-        current,
+        is_current,
     }
 }
 
@@ -92,7 +92,7 @@
         zone: "poa-a".into(),
         slots: 300,
         draining: true,
-        warm_left_ms: 1200,
+        slow_start_left_ms: 1200,
     }
 }
 
@@ -102,20 +102,20 @@
         (
             "evacuated",
             StateSection::Evacuated {
-                number: 9,
+                order: 9,
                 zones: vec!["poa-a".into(), "poa-b".into()],
             },
         ),
         (
             "servers",
             StateSection::Servers {
-                age: 450,
+                age_ms: 450,
                 list: vec![server()],
             },
         ),
         (
             "proxies",
-            StateSection::Proxies(vec![front(Readiness::Ready, true)]),
+            StateSection::Proxies(vec![proxy(Readiness::Ready, true)]),
         ),
         ("control", StateSection::Control(vec![control_address()])),
     ]
@@ -126,11 +126,11 @@
     check("readiness.closed", Readiness::Closed);
     check("readiness.draining", Readiness::Draining);
     check("readiness.ready", Readiness::Ready);
-    check("proxy.closed", front(Readiness::Closed, false));
-    check("proxy.draining", front(Readiness::Draining, true));
-    check("proxy.ready", front(Readiness::Ready, true));
-    check("revision", mark());
-    check("state_digest", edition());
+    check("proxy.closed", proxy(Readiness::Closed, false));
+    check("proxy.draining", proxy(Readiness::Draining, true));
+    check("proxy.ready", proxy(Readiness::Ready, true));
+    check("revision", revision());
+    check("state_digest", state_digest());
     check("control_address", control_address());
     check("server", server());
     for (name, section) in sections() {
@@ -140,19 +140,23 @@
 
 #[test]
 fn messages_to_an_agent_or_a_proxy_keep_their_bytes() {
-    for (name, part) in sections() {
+    for (name, section) in sections() {
         check(
             &format!("down.update.{name}"),
-            FromControl::Update { number: 1000, part },
+            FromControl::Update {
+                number: 1000,
+                section,
+            },
         );
     }
-    let heartbeat = |age, heard, deserted| FromControl::Heartbeat {
-        stamp: 5,
-        majority_age: age,
-        decided: edition(),
-        control_reachable: heard,
-        most_agents_isolated: deserted,
-    };
+    let heartbeat =
+        |majority_age, control_reachable, most_agents_isolated| FromControl::Heartbeat {
+            sent_at_ms: 5,
+            majority_age,
+            decided: state_digest(),
+            control_reachable,
+            most_agents_isolated,
+        };
     check(
         "down.heartbeat.confirmed",
         heartbeat(Some(1500), true, false),
@@ -162,19 +166,26 @@
 }
 
 fn messages_from_an_agent_or_a_proxy() -> [(&'static str, ToControl); 4] {
-    let (host, front, zone) = (
+    let (host, proxy_addr, zone) = (
         "edge-1".to_string(),
         "10.1.0.31:8206".parse().unwrap(),
         "poa-a".to_string(),
     );
     [
-        ("hello", ToControl::Hello { host, front, zone }),
+        (
+            "hello",
+            ToControl::Hello {
+                host,
+                proxy_addr,
+                zone,
+            },
+        ),
         (
             "heartbeat",
             ToControl::Heartbeat {
-                stamp: 5,
+                sent_at_ms: 5,
                 readiness: Readiness::Draining,
-                applied: edition(),
+                applied: state_digest(),
             },
         ),
         ("disconnecting", ToControl::Disconnecting),
@@ -219,7 +230,7 @@
         .all(|(_, section)| section.has_valid_checksum()));
     let damaged = StateSection::Config {
         version: 12,
-        text: b"packet".to_vec(),
+        compressed_text: b"packet".to_vec(),
         checksum: digest(b"packed"),
     };
     assert!(!damaged.has_valid_checksum());
@@ -229,7 +240,9 @@
 fn readiness_is_ordered_from_closed_to_ready() {
     assert!(Readiness::Closed < Readiness::Draining && Readiness::Draining < Readiness::Ready);
     assert_eq!(Readiness::default(), Readiness::Closed);
-    assert!(front(Readiness::Ready, false).ready() && !front(Readiness::Draining, true).ready());
+    assert!(
+        proxy(Readiness::Ready, false).is_ready() && !proxy(Readiness::Draining, true).is_ready()
+    );
 }
 
 #[test]
@@ -245,7 +258,7 @@
         },
         Revision::default(),
     ];
-    assert!(older.iter().all(|other| mark().covers(other)));
+    assert!(older.iter().all(|other| revision().covers(other)));
     let newer = [
         Revision {
             config: 301,
@@ -256,7 +269,7 @@
             evacuation: 8,
         },
     ];
-    assert!(newer.iter().all(|other| !mark().covers(other)));
+    assert!(newer.iter().all(|other| !revision().covers(other)));
 }
 
 const DIGEST: u64 = 0x963e_db87_da3f_fe7d;
@@ -279,16 +292,16 @@
     assert_eq!(highest_ranked::<u64>(1, std::iter::empty()), None);
 }
 
-/// Packed configurations are digested as they are and lie on disks: a text is packed as before, and what was packed
-/// before can be read.
+/// Compressed configurations are digested as they are and lie on disks: a text is compressed as before, and what was
+/// compressed before can be read.
 #[test]
-fn packed_texts_stay() {
+fn compressed_texts_stay() {
     let text = include_str!("fixtures/config.json");
-    assert_eq!(hexadecimal(&pack(text.as_bytes())), PACKED.trim());
-    assert_eq!(unpack(&bytes(PACKED.trim())).unwrap(), text.as_bytes());
+    assert_eq!(hexadecimal(&compress(text.as_bytes())), PACKED.trim());
+    assert_eq!(decompress(&bytes(PACKED.trim())).unwrap(), text.as_bytes());
     assert_eq!(
-        (hexadecimal(&pack(b"")), unpack(&[0x03, 0x00])),
+        (hexadecimal(&compress(b"")), decompress(&[0x03, 0x00])),
         ("0300".to_string(), Some(Vec::new()))
     );
-    assert_eq!(unpack(b"no packed text"), None);
+    assert_eq!(decompress(b"no packed text"), None);
 }
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -21,12 +21,12 @@
 pub struct Agent(Mutex<Option<Arc<Link>>>);
 
 impl Agent {
-    /// A sign of life. The stamp comes back with the licence's age.
-    pub fn beat(&self, stamp: u64, readiness: Readiness, applied: StateDigest) {
+    /// A sign of life. The time comes back with the licence's age.
+    pub fn beat(&self, sent_at_ms: u64, readiness: Readiness, applied: StateDigest) {
         let link = lock(&self.0).clone();
         if let Some(link) = link {
             link.send(&ToControl::Heartbeat {
-                stamp,
+                sent_at_ms,
                 readiness,
                 applied,
             });
@@ -35,28 +35,32 @@
 }
 
 /// Keeps the link for as long as the process runs.
-pub fn hold(shop: &Arc<Shop>, settings: &Settings, front: SocketAddrV4) -> std::io::Result<()> {
-    let (shop, at) = (shop.clone(), settings.agent_at());
-    let (host, zone) = (settings.host.clone(), settings.zone.clone());
+pub fn hold(
+    shop: &Arc<Shop>,
+    settings: &Settings,
+    proxy_addr: SocketAddrV4,
+) -> std::io::Result<()> {
+    let (shop, at) = (shop.clone(), settings.agent_addr());
+    let (host, zone) = (settings.host_name.clone(), settings.zone.clone());
     spawn("agent", STACK, move || loop {
         if let Ok(stream) = Link::connect(at, SILENCE) {
             if let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) {
                 let link = Arc::new(link);
                 link.send(&ToControl::Hello {
                     host: host.clone(),
-                    front,
+                    proxy_addr,
                     zone: zone.clone(),
                 });
                 *lock(&shop.agent.0) = Some(link.clone());
                 let mut from = BufReader::with_capacity(4 << 10, &*stream);
                 while let Ok(said) = frames::read_frame::<FromControl>(&mut from) {
                     match said {
-                        FromControl::Update { number, part } => {
+                        FromControl::Update { number, section } => {
                             let orders = matches!(
-                                part,
+                                section,
                                 StateSection::Config { .. } | StateSection::Evacuated { .. }
                             );
-                            shop.desk.apply(part);
+                            shop.desk.apply(section);
                             if orders {
                                 shop.collate();
                             }
@@ -64,7 +68,7 @@
                         }
                         FromControl::Resync => shop.desk.anew(),
                         FromControl::Heartbeat {
-                            stamp,
+                            sent_at_ms: stamp,
                             majority_age: age,
                             decided: of,
                             control_reachable: heard,
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -5,10 +5,10 @@
 use crate::stacks::{Stacks, Terms, Warmth};
 use aspendrum_core::api::*;
 use aspendrum_core::control::Control;
+use aspendrum_model::compression::decompress;
 use aspendrum_model::config::{Config, Route, Tenant};
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{ProxyEndpoint, StateDigest, StateSection};
-use aspendrum_model::packed::unpack;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, Progress, RequestKind};
 use aspendrum_net::mailbox::MailboxSender;
@@ -164,7 +164,7 @@
             view: Mutex::default(),
             begun: Instant::now(),
             me: settings.ip,
-            count_port: settings.count_port(),
+            count_port: settings.counter_port(),
             socket,
             settings: settings.clone(),
         }
@@ -211,7 +211,9 @@
             write: false,
             pool: ask.service,
             zones: ask.zones,
-            most: view.config.routes[ask.route].tries.min(u32::from(u8::MAX)) as u8,
+            most: view.config.routes[ask.route]
+                .max_attempts
+                .min(u32::from(u8::MAX)) as u8,
         };
         let Ask {
             orders,
@@ -302,7 +304,7 @@
         inner
             .stacks
             .book(id)
-            .map(|b| (self.settings.way(b.addr()), b.server.uid.clone()))
+            .map(|b| (self.settings.dial_addr(b.addr()), b.server.uid.clone()))
     }
 
     /// A server's address, name and the path of its health check.
@@ -311,12 +313,17 @@
             let inner = lock(&self.inner);
             let book = inner.stacks.book(id)?;
             (
-                self.settings.way(book.addr()),
+                self.settings.dial_addr(book.addr()),
                 book.server.uid.clone(),
                 book.server.service.clone(),
             )
         };
-        let check = self.view()?.config.service(&service)?.check.clone();
+        let check = self
+            .view()?
+            .config
+            .service(&service)?
+            .health_check_path
+            .clone();
         Some((addr, uid, check))
     }
 
@@ -533,7 +540,8 @@
         if let Ok(bytes) = postcard::to_slice(word, &mut space) {
             let _ = self.socket.send_to(
                 bytes,
-                self.settings.way(SocketAddrV4::new(to, self.count_port)),
+                self.settings
+                    .dial_addr(SocketAddrV4::new(to, self.count_port)),
             );
         }
     }
@@ -545,8 +553,12 @@
             StateSection::Config { .. } if !part.has_valid_checksum() => {
                 log::warn!("event=torn_push")
             }
-            StateSection::Config { version, text, .. } => {
-                match Config::read(&unpack(&text).unwrap_or_default()) {
+            StateSection::Config {
+                version,
+                compressed_text: text,
+                ..
+            } => {
+                match Config::read(&decompress(&text).unwrap_or_default()) {
                     Ok(config) => self.configure(config),
                     // Control checked it by the same reader.
                     Err(fault) => {
@@ -554,14 +566,14 @@
                     }
                 }
             }
-            StateSection::Evacuated { number, zones } => {
+            StateSection::Evacuated { order, zones } => {
                 let mut inner = lock(&self.inner);
-                inner.emptied = number;
+                inner.emptied = order;
                 inner.stacks.evacuate(now, &zones);
                 inner.members = inner.stacks.beat(now);
                 self.members(&mut inner, now);
             }
-            StateSection::Servers { age, list } => {
+            StateSection::Servers { age_ms: age, list } => {
                 let mut inner = lock(&self.inner);
                 let place = |zone: &str| {
                     let region = self.settings.region_of(zone).unwrap_or(u8::MAX);
@@ -594,7 +606,7 @@
             ips
         };
         // Those that are about to be ready share too: after a start of all, nobody is ready yet.
-        let (all, ready) = (ips(&|_| true), ips(&ProxyEndpoint::ready));
+        let (all, ready) = (ips(&|_| true), ips(&ProxyEndpoint::is_ready));
         let mut inner = lock(&self.inner);
         inner.told_fronts = true;
         if let Some(lost) = inner.calls.holders(ready) {
@@ -625,15 +637,15 @@
         }
         for service in &config.services {
             let warmth = Warmth {
-                warmup: service.warmup_s * 1000.0,
-                rate: service.warm_rate_s,
+                warmup: service.slow_start_s * 1000.0,
+                rate: service.slow_start_rate,
             };
             inner.stacks.warmth(&service.name, warmth);
         }
         let tenants: &[Tenant] = config.tenants.as_deref().unwrap_or(&[]);
         let groups = config.routes.iter().map(|r| inner.group(r)).collect();
         let leave = self.leave();
-        let quota = |t: &Tenant| Quota::of(t.rate_s, t.burst, &leave);
+        let quota = |t: &Tenant| Quota::of(t.rate_per_second, t.burst, &leave);
         let plans = tenants
             .iter()
             .map(|t| inner.plan(&t.name, quota(t)))
@@ -664,8 +676,12 @@
                     .fold(0, |bits, n| bits | 1 << n)
             }
         };
-        let route_zones = config.routes.iter().map(|r| zones(&r.homes)).collect();
-        let tenant_zones = tenants.iter().map(|t| zones(&t.homes)).collect();
+        let route_zones = config
+            .routes
+            .iter()
+            .map(|r| zones(&r.home_regions))
+            .collect();
+        let tenant_zones = tenants.iter().map(|t| zones(&t.home_regions)).collect();
         let Inner {
             control,
             groups: all,
@@ -693,7 +709,7 @@
     fn leave(&self) -> Leave {
         let s = &self.settings;
         Leave {
-            win: s.quota_win_s,
+            win: s.quota_window_s,
             excess: s.quota_excess,
             slack: s.quota_slack,
         }
@@ -740,10 +756,10 @@
 
     fn group(&mut self, route: &Route) -> u16 {
         let key = (
-            route.goal_ms.to_bits(),
-            route.limit_ms.to_bits(),
-            route.repeatable,
-            route.prio.to_bits(),
+            route.latency_target_ms.to_bits(),
+            route.timeout_ms.to_bits(),
+            route.idempotent,
+            route.priority.to_bits(),
         );
         if let Some(n) = self.group_of.get(&key) {
             return *n;
@@ -751,14 +767,14 @@
         let n = self.groups.len() as u16;
         self.groups.push(Group {
             // Late answers have their worth: servers are not left idle for an aim that cannot be met.
-            slo: route.limit_ms,
-            limit: route.limit_ms,
-            semantics: if route.repeatable {
+            slo: route.timeout_ms,
+            limit: route.timeout_ms,
+            semantics: if route.idempotent {
                 Semantics::Repeatable
             } else {
                 Semantics::Mutating
             },
-            importance: 1.0 / (1.0 + route.prio),
+            importance: 1.0 / (1.0 + route.priority),
             ..self.groups[0].clone()
         });
         self.group_of.insert(key, n);
--- a/crates/aspendrum-proxy/src/door.rs
+++ b/crates/aspendrum-proxy/src/door.rs
@@ -131,9 +131,9 @@
     let mut begun: Option<Instant> = None;
     loop {
         let Some(view) = shop.desk.view() else { return };
-        let caps = view.config.caps;
+        let caps = view.config.limits;
         let bounds = MessageLimits {
-            head_bytes: caps.hdr_bytes as usize,
+            head_bytes: caps.header_bytes as usize,
             body_bytes: caps.body_bytes as usize,
         };
         let ring = ring.get_or_insert_with(|| {
@@ -169,7 +169,13 @@
                 // A request that has begun to arrive is awaited, also by a proxy that ends.
                 client.busy.store(!idle, Ordering::Release);
                 let wait = Duration::from_secs_f64(
-                    if idle { caps.idle_ms } else { caps.hdr_ms }.max(1.0) / 1000.0,
+                    if idle {
+                        caps.idle_timeout_ms
+                    } else {
+                        caps.header_timeout_ms
+                    }
+                    .max(1.0)
+                        / 1000.0,
                 );
                 if wait != limited {
                     let _ = stream.set_read_timeout(Some(wait));
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -16,7 +16,7 @@
 
 use agent::Agent;
 use aspendrum_model::message::{Readiness, StateDigest};
-use aspendrum_model::settings::{Settings, VARIABLE};
+use aspendrum_model::settings::{Settings, SETTINGS_VARIABLE};
 use aspendrum_net::connection::ConnectionOptions;
 use aspendrum_net::disconnect_metrics::{DisconnectMetrics, DisconnectReporter};
 use aspendrum_net::disconnects::DisconnectWatcher;
@@ -95,13 +95,15 @@
             trust: Mutex::default(),
             watch: DisconnectWatcher::default(),
             departures: DisconnectMetrics::default(),
-            stand: Stand::new(settings.apply_ms, settings.stretch_ms),
+            stand: Stand::new(settings.apply_deadline_ms, settings.unsettled_extension_ms),
             connect_wait: CONNECT_WAIT,
             begun: Instant::now(),
             draining: AtomicBool::new(false),
             takes_until: AtomicU64::new(u64::MAX),
             licensed: AtomicU64::new(0),
-            revoke_ms: settings.revoked.then_some(settings.revoke_ms),
+            revoke_ms: settings
+                .enforces_revocation
+                .then_some(settings.revocation_deadline_ms),
             accepted: AtomicU64::new(0),
             heard_at: AtomicU64::new(0),
         }
@@ -126,7 +128,7 @@
             v.config
                 .routes
                 .iter()
-                .map(|r| r.limit_ms)
+                .map(|r| r.timeout_ms)
                 .fold(0.0, f64::max)
         });
         let drain = Drain::new(grace.as_secs_f64() * 1000.0, limits.unwrap_or(0.0));
@@ -204,14 +206,14 @@
 
 /// Runs the proxy until it is told to end.
 pub fn serve(told: ProcessSignals) -> Result<(), String> {
-    let settings = Settings::load()?;
+    let settings = Settings::load().map_err(|e| e.to_string())?;
     let failed = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
-    let front = settings.front.ok_or("net.binds.front is missing")?;
-    let socket = UdpSocket::bind(SocketAddrV4::new(settings.ip, settings.count_port()));
+    let front = settings.proxy_addr.ok_or("net.binds.front is missing")?;
+    let socket = UdpSocket::bind(SocketAddrV4::new(settings.ip, settings.counter_port()));
     let socket = socket.map_err(failed("count port"))?;
     let heard = socket.try_clone().map_err(failed("count port"))?;
     let shop = Arc::new(Shop::new(&settings, socket));
-    if let Some(at) = settings.readyz {
+    if let Some(at) = settings.readiness_addr {
         let own = shop.clone();
         let serve = move |request: aspendrum_net::http1::Request| match request.path.as_str() {
             "/api/readyz" => Reply::plain(if own.ready() { 200 } else { 503 }),
@@ -236,13 +238,18 @@
     spawn("beat", STACK, move || beat(&own)).map_err(failed("beat"))?;
     let own = shop.clone();
     spawn("door", STACK, move || open(&own, front)).map_err(failed("door"))?;
-    log::info!("event=started host={} front={front}", settings.host);
+    log::info!("event=started host={} front={front}", settings.host_name);
 
     // Nothing in the settings that a proxy uses may change while it runs: seeds are its agent's.
-    let reload = || Settings::load().map(|s| log::info!("event=settings_read host={}", s.host));
-    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)
+    let reload =
+        || Settings::load().map(|s| log::info!("event=settings_read host={}", s.host_name));
+    told.wait_for_shutdown(std::env::var(SETTINGS_VARIABLE).unwrap_or_default(), reload)
         .map_err(|e| e.to_string())?;
-    drain(&shop, front, Duration::from_secs_f64(settings.grace_s));
+    drain(
+        &shop,
+        front,
+        Duration::from_secs_f64(settings.shutdown_grace_s),
+    );
     log::info!("event=ended");
     Ok(())
 }
@@ -264,7 +271,7 @@
 
 fn lines(settings: &Settings) -> PoolLimits {
     PoolLimits {
-        max_connections: settings.nofile as usize / 3,
+        max_connections: settings.max_open_files as usize / 3,
         min_idle: Duration::from_millis(2),
         connection: ConnectionOptions {
             initial_buffer_bytes: 4 << 10,
--- a/crates/aspendrum-proxy/src/main.rs
+++ b/crates/aspendrum-proxy/src/main.rs
@@ -9,7 +9,7 @@
     daemon::run(
         "aspendrum-proxy",
         about,
-        || Settings::load().map(|s| s.host),
+        || Settings::load().map(|s| s.host_name),
         aspendrum_proxy::serve,
     )
 }
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -74,10 +74,10 @@
     let rule = &view.config.routes[route];
     let tenant = match (view.config.tenants.is_some(), asked.key) {
         (true, Some(key)) => match view.config.tenant(key) {
-            None if !rule.public => return own(401, asked.id),
+            None if !rule.is_public => return own(401, asked.id),
             found => found,
         },
-        (true, None) if !rule.public => return own(401, asked.id),
+        (true, None) if !rule.is_public => return own(401, asked.id),
         _ => None,
     };
     // A key may have been taken away unheard: the licence says that none was, up to now.
@@ -85,7 +85,7 @@
         return turned_away();
     }
     // It may be meant for elsewhere by now: another proxy knows. Repeatable ones flow on.
-    if !rule.repeatable && !shop.runs_once_only() {
+    if !rule.idempotent && !shop.runs_once_only() {
         return turned_away();
     }
     let zones = view.route_zones[route] & tenant.map_or(u64::MAX, |n| view.tenant_zones[n]);
@@ -95,11 +95,11 @@
     };
     let wait = asked
         .budget
-        .unwrap_or(rule.limit_ms)
-        .min(rule.limit_ms)
+        .unwrap_or(rule.timeout_ms)
+        .min(rule.timeout_ms)
         .clamp(0.0, 3_600_000.0);
     let until = at + Duration::from_secs_f64(wait / 1000.0);
-    let kind = if rule.repeatable {
+    let kind = if rule.idempotent {
         RequestKind::Idempotent
     } else {
         RequestKind::OnceOnly
@@ -110,7 +110,7 @@
         forward: Arc::new(ForwardHandle::new(kind)),
         request,
         id: asked.id,
-        repeatable: rule.repeatable,
+        repeatable: rule.idempotent,
         tenant: tenant.and_then(|n| Some(view.config.tenants.as_ref()?[n].name.as_str())),
         host: asked.host,
         key: asked.key.filter(|_| tenant.is_some()),
@@ -149,7 +149,7 @@
         if !self.client.presence.begin_request(id, &self.shop.watch) {
             departures::depart(self.shop, id);
         }
-        let goal = view.config.routes[route].goal_ms;
+        let goal = view.config.routes[route].latency_target_ms;
         loop {
             // A query that no server can take now is better asked of another proxy, while its aim can be met.
             let held = Instant::now() + Duration::from_secs_f64(goal * HELD_SHARE / 1000.0);
--- a/crates/aspendrum-proxy/src/stacks.rs
+++ b/crates/aspendrum-proxy/src/stacks.rs
@@ -34,12 +34,12 @@
 impl Terms {
     pub fn of(s: &Settings) -> Terms {
         Terms {
-            warm_excess: s.warm_excess,
-            warm_slack: s.warm_slack,
-            retry_ratio: s.retry_ratio,
-            retry_win: s.retry_win_s * 1000.0,
-            retry_slack: s.retry_slack,
-            list_lag: s.cloud_lag_ms,
+            warm_excess: s.slow_start_excess,
+            warm_slack: s.slow_start_slack,
+            retry_ratio: s.retry_budget_ratio,
+            retry_win: s.retry_budget_window_s * 1000.0,
+            retry_slack: s.retry_budget_slack,
+            list_lag: s.cloud_api_lag_ms,
         }
     }
 }
@@ -147,7 +147,7 @@
                 self.next += 1;
             }
             named.insert(id);
-            let cold_until = match server.warm_left_ms {
+            let cold_until = match server.slow_start_left_ms {
                 0 => 0.0,
                 left => now + f64::from(left),
             };
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)]
 
+use aspendrum_model::compression::compress;
 use aspendrum_model::message::{ProxyEndpoint, Readiness, StateSection};
-use aspendrum_model::packed::pack;
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::http1::{parse_request, MessageLimits, Parsed, Request};
@@ -93,18 +93,18 @@
         zone: "poa-a".into(),
         slots: 2,
         draining: false,
-        warm_left_ms: 0,
+        slow_start_left_ms: 0,
     });
     let front = ProxyEndpoint {
         addr: "127.0.0.1:1".parse().unwrap(),
         zone: "poa-a".into(),
         readiness: Readiness::Ready,
-        current: true,
+        is_current: true,
     };
     shop.desk
-        .apply(StateSection::config(1, pack(config.as_bytes())));
+        .apply(StateSection::config(1, compress(config.as_bytes())));
     shop.desk.apply(StateSection::Servers {
-        age: 0,
+        age_ms: 0,
         list: list.collect(),
     });
     // Danger: a proxy that knows of no other takes the whole of every quota for its part.
--- a/crates/aspendrum-proxy/tests/exchanges.rs
+++ b/crates/aspendrum-proxy/tests/exchanges.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
+use aspendrum_model::compression::compress;
 use aspendrum_model::message::{Revision, StateDigest, StateSection};
-use aspendrum_model::packed::pack;
 use aspendrum_proxy::Shop;
 use aspendrum_reconcile::Word;
 use common::*;
@@ -342,7 +342,7 @@
     stage
         .shop
         .desk
-        .apply(StateSection::config(1, pack(corrupt.as_bytes())));
+        .apply(StateSection::config(1, compress(corrupt.as_bytes())));
     stage.shop.collate();
     held_back(&stage.ask(SEND));
     flows(READ, GOOD_TO_T1);
@@ -350,7 +350,7 @@
     stage
         .shop
         .desk
-        .apply(StateSection::config(1, pack(CONFIG.as_bytes())));
+        .apply(StateSection::config(1, compress(CONFIG.as_bytes())));
     stage.shop.collate();
     flows(SEND, GOOD_TO_T2);
     // The word is as old as it may be: nothing had to come for that.
@@ -372,13 +372,13 @@
         version,
         checksum: seal,
         ..
-    } = StateSection::config(1, pack(CONFIG.as_bytes()))
+    } = StateSection::config(1, compress(CONFIG.as_bytes()))
     else {
         return;
     };
     stage.shop.desk.apply(StateSection::Config {
         version: version + 1,
-        text: pack(corrupt.as_bytes()),
+        compressed_text: compress(corrupt.as_bytes()),
         checksum: seal,
     });
     stage.shop.desk.anew();
@@ -401,7 +401,7 @@
                 r#""pools":[{"name":"s2","check":"/healthz"},"#,
             );
             shop.desk
-                .apply(StateSection::config(2, pack(moved.as_bytes())));
+                .apply(StateSection::config(2, compress(moved.as_bytes())));
             shop.collate();
         }
         Some("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n")
--- a/crates/aspendrum-proxy/tests/process.rs
+++ b/crates/aspendrum-proxy/tests/process.rs
@@ -1,8 +1,8 @@
 //! The proxy as a process on loopback, beside an agent played by the test: its readiness and metrics pages, and what it
 //! says to its agent.
 
+use aspendrum_model::compression::compress;
 use aspendrum_model::message::{FromControl, ProxyEndpoint, Readiness, StateSection, ToControl};
-use aspendrum_model::packed::pack;
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::frames::{self, encode_frame};
 use std::io::{Read, Write};
@@ -92,18 +92,18 @@
         zone: "poa-a".into(),
         slots: 2,
         draining: false,
-        warm_left_ms: 0,
+        slow_start_left_ms: 0,
     };
     let front = ProxyEndpoint {
         addr: front,
         zone: "poa-a".into(),
         readiness: Readiness::Ready,
-        current: true,
+        is_current: true,
     };
     [
-        StateSection::config(1, pack(CONFIG.as_bytes())),
+        StateSection::config(1, compress(CONFIG.as_bytes())),
         StateSection::Servers {
-            age: 0,
+            age_ms: 0,
             list: vec![server],
         },
         StateSection::Proxies(vec![front]),
@@ -129,7 +129,7 @@
     let front = SocketAddrV4::new(IP, FRONT_PORT);
     let hello = ToControl::Hello {
         host: "edge-1".into(),
-        front,
+        proxy_addr: front,
         zone: "poa-a".into(),
     };
     assert_eq!(frames::read_frame::<ToControl>(&mut agent).unwrap(), hello);
@@ -143,7 +143,10 @@
     let mut applied_in_order = Vec::new();
     for (number, part) in (1..).zip(updates(front)) {
         agent
-            .write_all(&encode_frame(&FromControl::Update { number, part }))
+            .write_all(&encode_frame(&FromControl::Update {
+                number,
+                section: part,
+            }))
             .unwrap();
     }
     loop {
--- a/crates/aspendrum-proxy/tests/stacks.rs
+++ b/crates/aspendrum-proxy/tests/stacks.rs
@@ -24,7 +24,7 @@
         zone: zone.into(),
         slots: 2,
         draining: false,
-        warm_left_ms,
+        slow_start_left_ms: warm_left_ms,
     }
 }
 
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -354,7 +354,9 @@
         .desk
         .apply(aspendrum_model::message::StateSection::config(
             2,
-            aspendrum_model::packed::pack(config.replace("00000001", "00000002").as_bytes()),
+            aspendrum_model::compression::compress(
+                config.replace("00000001", "00000002").as_bytes(),
+            ),
         ));
     let answers = (0..50).map(|_| stage.ask(READ));
     let rejected = answers
--- a/crates/aspendrum-reconcile/src/edition.rs
+++ b/crates/aspendrum-reconcile/src/edition.rs
@@ -1,7 +1,7 @@
 //! The canonical form of what is in force, and its digests. Two nodes that would treat every request alike have one
 //! edition, however their tables came to be; whatever a request's way depends on is in it.
 
-use aspendrum_model::config::Config;
+use aspendrum_model::config::{Config, RouteEntry};
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{Revision, StateDigest, DIGEST_SECTIONS};
 
@@ -79,41 +79,47 @@
             digests: [0, 0, 0, evacuations],
         };
     };
-    let routes = config.places().map(|(host, prefix, n)| {
-        let r = &config.routes[n];
-        let form = Form::default()
-            .text(host)
-            .text(prefix)
-            .number(f64::from(u8::from(r.repeatable)));
-        let form = form
-            .number(f64::from(u8::from(r.public)))
-            .number(f64::from(r.tries));
-        let form = form
-            .number(r.goal_ms)
-            .number(r.limit_ms)
-            .number(r.prio)
-            .texts(r.homes.iter());
-        r.services.iter().fold(form, |form, (service, weight)| {
-            form.text(service).number(*weight)
-        })
-    });
+    let routes = config.route_entries().map(
+        |RouteEntry {
+             host,
+             prefix,
+             route,
+         }| {
+            let r = &config.routes[route];
+            let form = Form::default()
+                .text(host)
+                .text(prefix)
+                .number(f64::from(u8::from(r.idempotent)));
+            let form = form
+                .number(f64::from(u8::from(r.is_public)))
+                .number(f64::from(r.max_attempts));
+            let form = form
+                .number(r.latency_target_ms)
+                .number(r.timeout_ms)
+                .number(r.priority)
+                .texts(r.home_regions.iter());
+            r.services
+                .iter()
+                .fold(form, |form, s| form.text(&s.service).number(s.weight))
+        },
+    );
     let services = config.services.iter().map(|s| {
         let form = Form::default()
             .text(&s.name)
-            .text(&s.check)
-            .number(f64::from(s.max_conns));
-        form.number(s.warmup_s).number(s.warm_rate_s)
+            .text(&s.health_check_path)
+            .number(f64::from(s.max_connections));
+        form.number(s.slow_start_s).number(s.slow_start_rate)
     });
     // Whether there are tenants at all decides of requests without a key.
     let tenants = config.tenants.iter().flatten().enumerate().map(|(n, t)| {
         let form = Form::default()
             .text(&t.name)
-            .number(t.prio)
-            .number(t.rate_s)
+            .number(t.priority)
+            .number(t.rate_per_second)
             .number(t.burst);
         let mut keys: Vec<&String> = config.keys_of(n).collect();
         keys.sort_unstable();
-        form.texts(t.homes.iter()).texts(keys.into_iter())
+        form.texts(t.home_regions.iter()).texts(keys.into_iter())
     });
     let bound =
         std::iter::once(Form::default().number(f64::from(u8::from(config.tenants.is_some()))));
--- a/crates/aspendrum-reconcile/tests/collation.rs
+++ b/crates/aspendrum-reconcile/tests/collation.rs
@@ -74,7 +74,7 @@
 #[test]
 fn a_table_that_changed_under_its_proxy_shows() {
     let mut config = Config::read(TEXT.as_bytes()).unwrap();
-    config.routes[1].services[0].0 = "t".into();
+    config.routes[1].services[0].service = "t".into();
     let corrupt = edition(Some(&config), 3, &["poa-a".to_string()]);
     assert_eq!(Section::differing(&of(TEXT), &corrupt), [Section::Routes]);
 }
--- a/crates/aspendrum-testbed/src/system/tamper.rs
+++ b/crates/aspendrum-testbed/src/system/tamper.rs
@@ -2,8 +2,8 @@
 //! behind the next one, or say something else by their number, while every other word passes.
 
 use aspendrum_fake_services::lock;
+use aspendrum_model::compression::{compress, decompress};
 use aspendrum_model::message::{FromControl, StateSection};
-use aspendrum_model::packed::{pack, unpack};
 use aspendrum_net::frames;
 use serde::Deserialize;
 use std::io;
@@ -171,7 +171,7 @@
     matches!(
         word,
         FromControl::Update {
-            part: StateSection::Config { .. },
+            section: StateSection::Config { .. },
             ..
         }
     )
@@ -180,28 +180,28 @@
 fn torn(word: FromControl, [one, other]: [&str; 2]) -> FromControl {
     let FromControl::Update {
         number,
-        part:
+        section:
             StateSection::Config {
                 version,
-                text,
-                checksum: seal,
+                compressed_text: text,
+                checksum,
             },
     } = word
     else {
         return word;
     };
     let named = |s: &str| format!("\"svc\":\"{s}\"");
-    let text = String::from_utf8(unpack(&text).unwrap_or_default()).unwrap_or_default();
+    let text = String::from_utf8(decompress(&text).unwrap_or_default()).unwrap_or_default();
     let text = text
         .replace(&named(one), "\"svc\":\"?\"")
         .replace(&named(other), &named(one));
     let text = text.replace("\"svc\":\"?\"", &named(other));
     FromControl::Update {
         number,
-        part: StateSection::Config {
+        section: StateSection::Config {
             version,
-            text: pack(text.as_bytes()),
-            checksum: seal,
+            compressed_text: compress(text.as_bytes()),
+            checksum,
         },
     }
 }
