--- a/crates/aspendrum-known-failures/tests/list.rs
+++ b/crates/aspendrum-known-failures/tests/list.rs
@@ -1,6 +1,8 @@
-//! The list of known red tests: what is refused, and that exactly the listed tests are left out.
+//! The list of known failures: what is refused, and that exactly the listed tests are left out.
 
-use aspendrum_known_failures::*;
+use aspendrum_known_failures::{
+    lists_test, parse_list, parse_programs, plan_runs, test_outcome, TestOutcome, TestProgram,
+};
 use std::path::PathBuf;
 
 const GOOD: &str =
@@ -8,7 +10,7 @@
 
 #[test]
 fn a_line_is_a_test_a_cause_and_an_issue() {
-    let [one] = &read(GOOD).unwrap()[..] else {
+    let [one] = &parse_list(GOOD).unwrap()[..] else {
         panic!()
     };
     assert_eq!(
@@ -18,17 +20,17 @@
     assert_eq!((one.test.as_str(), one.issue), ("a::b", 42));
     assert_eq!(one.cause, "voters are settled once, and never change");
     assert_eq!(
-        read(&format!("{one}\n\n")).unwrap(),
+        parse_list(&format!("{one}\n\n")).unwrap(),
         std::slice::from_ref(one)
     );
-    assert_eq!(read("\n \n").unwrap(), []);
+    assert_eq!(parse_list("\n \n").unwrap(), []);
 }
 
-/// Danger: a list that grows, or that says nothing of why.
+/// Danger: a list that grows, or that does not say why a test fails.
 #[test]
 fn a_bad_line_and_a_fourth_are_refused() {
     let three = "p::t a, why, 1\np::t b, why, 2\n\np::t c, why, 3\n";
-    assert_eq!(read(three).unwrap().len(), 3);
+    assert_eq!(parse_list(three).unwrap().len(), 3);
     let refused = [
         ("p::t a", "TEST, CAUSE, ISSUE"),
         ("p::t a, why", "no issue"),
@@ -47,53 +49,57 @@
         ("# a comment", "TEST, CAUSE, ISSUE"),
     ];
     for (text, why) in refused {
-        let said = read(text).unwrap_err();
+        let said = parse_list(text).unwrap_err().to_string();
         assert!(said.contains(why), "{text:?}: {said}");
     }
-    let said = read(&format!("{three}p::t d, why, 4\n")).unwrap_err();
+    let said = parse_list(&format!("{three}p::t d, why, 4\n"))
+        .unwrap_err()
+        .to_string();
     assert!(said.contains("4 tests, and 3 may be"), "{said}");
-    let said = read("p::t a, why, 1\nnonsense\n").unwrap_err();
+    let said = parse_list("p::t a, why, 1\nnonsense\n")
+        .unwrap_err()
+        .to_string();
     assert!(said.contains("line 2"), "{said}");
 }
 
-fn built(package: &str, kind: &str, name: &str) -> Program {
-    let (executable, folder) = (
+fn built(package: &str, kind: &str, name: &str) -> TestProgram {
+    let (executable, working_dir) = (
         PathBuf::from(format!("/t/{name}-{kind}")),
         PathBuf::from("/p"),
     );
-    Program {
+    TestProgram {
         package: package.into(),
         kind: kind.into(),
         name: name.into(),
         executable,
-        folder,
+        working_dir,
     }
 }
 
 #[test]
-fn programs_are_told_from_what_cargo_says_of_its_builds() {
+fn test_programs_are_found_in_the_messages_of_cargo() {
     let said = r#"{"reason":"compiler-artifact","package_id":"path+file:///w/crates/one#0.1.0","manifest_path":"/w/crates/one/Cargo.toml","target":{"kind":["lib"],"name":"one"},"profile":{"test":true},"executable":"/t/one-1"}
 {"reason":"compiler-artifact","package_id":"path+file:///w/crates/x#two@0.1.0","manifest_path":"/w/crates/x/Cargo.toml","target":{"kind":["test"],"name":"deep"},"profile":{"test":true},"executable":"/t/deep-1"}
 {"reason":"compiler-artifact","package_id":"path+file:///w/crates/x#two@0.1.0","manifest_path":"/w/crates/x/Cargo.toml","target":{"kind":["bin"],"name":"two"},"profile":{"test":false},"executable":"/t/two"}
 {"reason":"build-finished","success":true}
 no message"#;
-    let all = programs(said);
-    let told: Vec<_> = all
+    let all = parse_programs(said);
+    let found: Vec<_> = all
         .iter()
-        .map(|p| (p.package.as_str(), p.called(), p.target()))
+        .map(|p| (p.package.as_str(), p.listed_name(), p.target_arguments()))
         .collect();
     let words = |w: &[&str]| w.iter().map(|w| w.to_string()).collect::<Vec<_>>();
     assert_eq!(
-        told,
+        found,
         [
             ("one", "lib", words(&["--lib"])),
             ("two", "deep", words(&["--test", "deep"]))
         ]
     );
-    assert_eq!(all[1].folder, PathBuf::from("/w/crates/x"));
+    assert_eq!(all[1].working_dir, PathBuf::from("/w/crates/x"));
 }
 
-/// Danger: a listed name leaves out others that are like it, in the same program or in another.
+/// Danger: a listed name leaves out other tests with similar names, in the same program or in another.
 #[test]
 fn only_the_listed_tests_of_the_listed_program_are_left_out() {
     let all = [
@@ -101,14 +107,14 @@
         built("one", "test", "deep"),
         built("two", "bin", "two"),
     ];
-    let listed = read("one::deep a::b, why, 4").unwrap();
-    let told: Vec<String> = runs(&listed, &all)
+    let listed = parse_list("one::deep a::b, why, 4").unwrap();
+    let found: Vec<String> = plan_runs(&listed, &all)
         .unwrap()
         .iter()
         .map(|r| r.join(" "))
         .collect();
     assert_eq!(
-        told,
+        found,
         [
             "test --workspace --locked --exclude one",
             "test --locked --package one --lib",
@@ -121,26 +127,35 @@
         "three::deep a, why, 4",
         "two::lib a, why, 4",
     ] {
-        assert!(runs(&read(missing).unwrap(), &all).is_err(), "{missing}");
+        assert!(
+            plan_runs(&parse_list(missing).unwrap(), &all).is_err(),
+            "{missing}"
+        );
     }
     let two = [built("one", "bin", "deep"), built("one", "test", "deep")];
-    assert!(runs(&listed, &two).unwrap_err().contains("several"));
+    assert!(plan_runs(&listed, &two)
+        .unwrap_err()
+        .to_string()
+        .contains("several"));
 }
 
 #[test]
-fn a_test_is_there_by_its_whole_name_only() {
+fn a_test_is_found_by_its_full_name_only() {
     let list = "a::b: test\na::bc: test\nd: benchmark\n";
-    assert!(holds(list, "a::b") && holds(list, "a::bc"));
+    assert!(lists_test(list, "a::b") && lists_test(list, "a::bc"));
     assert!(
-        !holds(list, "a") && !holds(list, "b") && !holds(list, "a::b: test") && !holds(list, "d")
+        !lists_test(list, "a")
+            && !lists_test(list, "b")
+            && !lists_test(list, "a::b: test")
+            && !lists_test(list, "d")
     );
-    assert_eq!(came(false, ""), Came::Red);
+    assert_eq!(test_outcome(false, ""), TestOutcome::Failed);
     assert_eq!(
-        came(true, "ok. 1 passed; 0 failed; 0 ignored"),
-        Came::Passes
+        test_outcome(true, "ok. 1 passed; 0 failed; 0 ignored"),
+        TestOutcome::Passed
     );
     assert_eq!(
-        came(true, "ok. 0 passed; 0 failed; 1 ignored"),
-        Came::Ignored
+        test_outcome(true, "ok. 0 passed; 0 failed; 1 ignored"),
+        TestOutcome::Ignored
     );
 }
--- a/crates/aspendrum-known-failures/tests/workspace.rs
+++ b/crates/aspendrum-known-failures/tests/workspace.rs
@@ -4,8 +4,9 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Two test programs with a test of the same name each; one of the two is red. A third test is like it by name.
-fn workspace(at: &Path, red: &str) {
+/// Writes a workspace with two test programs that have a test of the same name each; one of the two has the body `first`.
+/// A third test has a similar name.
+fn write_workspace(at: &Path, first: &str) {
     let manifest =
         "[package]\nname = \"small\"\nversion = \"0.1.0\"\nedition = \"2021\"\n[workspace]\n";
     write(at.join("Cargo.toml"), manifest).unwrap();
@@ -17,11 +18,11 @@
     write(at.join("src/lib.rs"), "").unwrap();
     let one =
         |body: &str| format!("#[test] fn same() {{ {body} }}\n#[test] fn same_but_longer() {{}}\n");
-    write(at.join("tests/one.rs"), one(red)).unwrap();
+    write(at.join("tests/one.rs"), one(first)).unwrap();
     write(at.join("tests/two.rs"), one("println!(\"the other ran\")")).unwrap();
 }
 
-fn play(at: &Path) -> (Output, String) {
+fn run_known_failures(at: &Path) -> (Output, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_known-failures"));
     command
         .arg(at)
@@ -33,18 +34,18 @@
     (done, text)
 }
 
-/// How often a line of that test's end stands in cargo's output.
-fn times(text: &str, end: &str) -> usize {
+/// How many lines of cargo's output are exactly this one.
+fn count_lines(text: &str, end: &str) -> usize {
     text.lines().filter(|l| l.trim() == end).count()
 }
 
-/// Danger: a list passes over more than it says, or over what it should not.
+/// Danger: a list skips more tests than it names, or others.
 #[test]
-fn exactly_the_listed_test_is_passed_over_and_told() {
+fn exactly_the_listed_test_is_skipped_and_reported() {
     let folder = tempfile::tempdir().unwrap();
     let at = folder.path();
-    workspace(at, "panic!()");
-    let (done, text) = play(at);
+    write_workspace(at, "panic!()");
+    let (done, text) = run_known_failures(at);
     assert!(!done.status.success(), "red, and not listed:\n{text}");
 
     write(
@@ -52,25 +53,29 @@
         "small::one same, it is made so, 4\n",
     )
     .unwrap();
-    let (done, text) = play(at);
+    let (done, text) = run_known_failures(at);
     assert!(done.status.success(), "{text}");
     assert!(
         text.contains("known red, passed over: small::one same, it is made so, #4"),
         "{text}"
     );
     assert_eq!(
-        times(&text, "test same ... ok"),
+        count_lines(&text, "test same ... ok"),
         1,
         "the other program's:\n{text}"
     );
-    assert_eq!(times(&text, "test same_but_longer ... ok"), 2, "{text}");
+    assert_eq!(
+        count_lines(&text, "test same_but_longer ... ok"),
+        2,
+        "{text}"
+    );
 
     write(
         at.join("KNOWN-RED.txt"),
         "small::one sam, it is made so, 4\n",
     )
     .unwrap();
-    let (done, text) = play(at);
+    let (done, text) = run_known_failures(at);
     assert!(
         !done.status.success() && text.contains("holds no test sam"),
         "{text}"
@@ -81,21 +86,21 @@
         "small::two same, it is made so, 4\n",
     )
     .unwrap();
-    let (done, text) = play(at);
+    let (done, text) = run_known_failures(at);
     assert!(
         !done.status.success(),
         "the red one is not the listed one:\n{text}"
     );
 
-    workspace(at, "");
-    let (done, text) = play(at);
+    write_workspace(at, "");
+    let (done, text) = run_known_failures(at);
     assert!(
         done.status.success() && text.contains("take its line out: small::two same"),
         "{text}"
     );
 
     write(at.join("KNOWN-RED.txt"), "\n").unwrap();
-    let (done, text) = play(at);
+    let (done, text) = run_known_failures(at);
     assert!(done.status.success() && text.contains("no test"), "{text}");
-    assert_eq!(times(&text, "test same ... ok"), 2, "{text}");
+    assert_eq!(count_lines(&text, "test same ... ok"), 2, "{text}");
 }
