--- a/crates/aspendrum-checker/src/lib.rs
+++ b/crates/aspendrum-checker/src/lib.rs
@@ -1,16 +1,11 @@
-//! The record of a run, from what clients and stand-ins saw and never from what limiters say of themselves,
-//! and its judge. Free of I/O and clocks: times are milliseconds since the run began.
+//! Checks the record of a test run against the rules that the system must keep.
+//!
+//! A record holds what clients, operators and fake services saw, and never what the system says of itself. There are two
+//! kinds of runs: of a fleet of rate limiters ([`limiter`]), and of the whole system ([`system`]). Nothing here does I/O or
+//! reads a clock; times are milliseconds since the run began.
 
-// Not yet finished for readers: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs, clippy::wildcard_imports)]
-
-pub mod departures;
-pub mod orders;
-pub mod quota;
-pub mod record;
-pub mod rules;
+pub mod limiter;
 pub mod system;
-pub mod verdict;
 
-pub use record::Record;
-pub use verdict::{judge, Verdict};
+/// Milliseconds: a point in time since the run began, or a duration.
+pub type Millis = f64;
--- /dev/null
+++ b/crates/aspendrum-checker/src/limiter.rs
@@ -0,0 +1,13 @@
+//! Runs of a fleet of rate limiters: their record, the five rules, and the use of quotas.
+
+pub mod quota;
+mod record;
+mod rules;
+mod verdict;
+
+pub use record::{
+    Customer, DiscoveryUpdate, ExemptPeriod, FaultPeriod, Forward, ForwardOutcome, Group, Query,
+    QueryOutcome, Record, RetrySafety, RuleLimits, Server, ServerIncarnation,
+};
+pub use rules::Breach;
+pub use verdict::{check, Recovery, Verdict};
--- /dev/null
+++ b/crates/aspendrum-checker/src/system/attempts.rs
@@ -0,0 +1,63 @@
+//! The rules about each attempt, by its outcome and its executions: TWICE, REFUSED, MIXED and LOST.
+
+use super::breach::Breach;
+use super::record::{Attempt, AttemptOutcome, Record};
+
+/// Checks one attempt, which ran so many times.
+pub(super) fn check_attempt(
+    record: &Record,
+    attempt: &Attempt,
+    executions: usize,
+    breaches: &mut Vec<Breach>,
+) {
+    let (id, outcome) = (attempt.id, attempt.outcome);
+    let mut add = |rule, at, description| breaches.push(Breach::new(rule, at, description));
+    let is_once_only = record.is_once_only(attempt.route);
+    let has_run = executions > 0;
+    if is_once_only && executions > 1 {
+        add(
+            "TWICE",
+            attempt.sent_at,
+            format!("{id:x} ran {executions} times"),
+        );
+    }
+    if let (true, AttemptOutcome::NotRun(status), true) = (is_once_only, outcome, has_run) {
+        add(
+            "REFUSED",
+            attempt.sent_at,
+            format!("{id:x} got {status} and ran"),
+        );
+    }
+    if outcome == AttemptOutcome::Foreign {
+        add(
+            "MIXED",
+            attempt.ended_at,
+            format!("{id:x} got another's answer"),
+        );
+    }
+    if outcome == AttemptOutcome::Unreached && has_run {
+        let description = format!("{id:x} ran, and its client was told that nobody had read it");
+        add("REFUSED", attempt.sent_at, description);
+    }
+    if is_lost(record, attempt, has_run) {
+        let waited = attempt.ended_at - attempt.sent_at;
+        let (request, proxy) = (attempt.request, attempt.proxy);
+        let description = format!(
+            "{id:x} of {request:x} at {proxy} got no answer in {waited:.0} ms, and ran {executions} times"
+        );
+        add("LOST", attempt.sent_at, description);
+    }
+}
+
+/// Whether its connection was lost without an excuse.
+fn is_lost(record: &Record, attempt: &Attempt, has_run: bool) -> bool {
+    let bounds = &record.bounds;
+    let counts = has_run || attempt.ended_at - attempt.sent_at > bounds.loss;
+    attempt.outcome == AttemptOutcome::Lost
+        && counts
+        && !record.is_faulty(
+            attempt.proxy,
+            attempt.sent_at - bounds.contact,
+            attempt.ended_at,
+        )
+}
--- /dev/null
+++ b/crates/aspendrum-checker/src/system/breach.rs
@@ -0,0 +1,34 @@
+//! Broken rules.
+
+use crate::Millis;
+use std::fmt;
+
+/// A rule that was broken.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Breach {
+    /// The operators' name of the rule.
+    pub rule: &'static str,
+    /// When it was broken.
+    pub at: Millis,
+    /// How, in words.
+    pub description: String,
+}
+
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+impl Breach {
+    pub(super) fn new(rule: &'static str, at: Millis, description: String) -> Breach {
+        Breach {
+            rule,
+            at,
+            description,
+        }
+    }
+}
+
+impl fmt::Display for Breach {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let seconds = self.at / MILLIS_PER_SECOND;
+        write!(f, "{} at {seconds:.2} s: {}", self.rule, self.description)
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-checker/src/system/configurations.rs
@@ -0,0 +1,257 @@
+//! The rule CONFIG for what operators are told: an acknowledgement is the only truth, one version number has one text, and a
+//! refusal is as final as an acknowledgement.
+
+use super::breach::Breach;
+use super::record::{ConfigText, ControlCall, OperatorCall, Record};
+use crate::Millis;
+use std::collections::{HashMap, HashSet};
+
+/// That one number has one text holds for so many of the newest numbers; control need not know the texts of older ones.
+pub const KEPT_VERSIONS: usize = 100;
+
+/// The texts that may be in force: sent, not refused, and without another acknowledged text under their number.
+pub struct ValidTexts<'a> {
+    acknowledged: HashMap<u32, Vec<&'a str>>,
+    refused: HashSet<(u32, &'a str)>,
+}
+
+impl<'a> ValidTexts<'a> {
+    /// What the answers to these calls say.
+    pub fn of(calls: &'a [ControlCall]) -> ValidTexts<'a> {
+        let mut acknowledged: HashMap<u32, Vec<&str>> = HashMap::new();
+        let mut refused = HashSet::new();
+        for sent in sent_texts(calls) {
+            let known = acknowledged.entry(sent.number).or_default();
+            if sent.call.is_acknowledged() && !known.contains(&sent.text) {
+                known.push(sent.text);
+            }
+            if sent.call.is_refused() {
+                refused.insert((sent.number, sent.text));
+            }
+        }
+        ValidTexts {
+            acknowledged,
+            refused,
+        }
+    }
+
+    /// Whether that text may be in force under that number.
+    pub fn may_be_in_force(&self, number: u32, text: &str) -> bool {
+        let acknowledged = self
+            .acknowledged
+            .get(&number)
+            .map_or(&[][..], Vec::as_slice);
+        let is_another = !acknowledged.is_empty() && !acknowledged.contains(&text);
+        !is_another && !self.refused.contains(&(number, text))
+    }
+}
+
+/// A call that sent a text.
+#[derive(Clone, Copy)]
+struct SentText<'a> {
+    number: u32,
+    text: &'a str,
+    call: &'a ControlCall,
+}
+
+/// A call that read the newest text.
+#[derive(Clone, Copy)]
+struct ReadText<'a> {
+    /// What came; `None`: nothing that can be read.
+    shown: Option<&'a ConfigText>,
+    call: &'a ControlCall,
+}
+
+fn sent_texts(calls: &[ControlCall]) -> impl Iterator<Item = SentText<'_>> {
+    calls.iter().filter_map(|call| match &call.call {
+        OperatorCall::Set { number, text } => Some(SentText {
+            number: *number,
+            text,
+            call,
+        }),
+        OperatorCall::Show(_) => None,
+    })
+}
+
+fn read_texts(calls: &[ControlCall]) -> impl Iterator<Item = ReadText<'_>> {
+    calls.iter().filter_map(|call| match &call.call {
+        OperatorCall::Show(shown) => Some(ReadText {
+            shown: shown.as_ref(),
+            call,
+        }),
+        OperatorCall::Set { .. } => None,
+    })
+}
+
+/// Compares all calls of operators with each other.
+pub fn check_configurations(record: &Record, breaches: &mut Vec<Breach>) {
+    let calls = OperatorCalls {
+        sent: sent_texts(&record.calls).collect(),
+        read: read_texts(&record.calls).collect(),
+    };
+    breaches.extend(calls.check_acknowledged_texts());
+    for sent in calls.distinct_refused() {
+        breaches.extend(calls.check_refusal(sent));
+    }
+    let mut first_shown: HashMap<u32, &str> = HashMap::new();
+    for read in calls.read.iter().filter(|read| read.call.is_acknowledged()) {
+        breaches.extend(calls.check_read(read, &mut first_shown));
+    }
+}
+
+struct OperatorCalls<'a> {
+    sent: Vec<SentText<'a>>,
+    read: Vec<ReadText<'a>>,
+}
+
+fn breach(at: Millis, description: String) -> Breach {
+    Breach::new("CONFIG", at, description)
+}
+
+impl<'a> OperatorCalls<'a> {
+    /// Whether a number was among the newest that had been sent by then.
+    fn is_kept(&self, number: u32, at: Millis) -> bool {
+        let newer = self
+            .sent
+            .iter()
+            .filter(|sent| sent.number > number && sent.call.sent_at < at);
+        let newer: HashSet<u32> = newer.map(|sent| sent.number).collect();
+        newer.len() < KEPT_VERSIONS
+    }
+
+    /// No two texts under one number are both acknowledged.
+    fn check_acknowledged_texts(&self) -> Vec<Breach> {
+        let mut acknowledged: Vec<&SentText<'_>> = self
+            .sent
+            .iter()
+            .filter(|sent| sent.call.is_acknowledged())
+            .collect();
+        acknowledged.sort_by(|a, b| a.call.ended_at.total_cmp(&b.call.ended_at));
+        let mut first: HashMap<u32, &str> = HashMap::new();
+        let mut reported = HashSet::new();
+        let mut breaches = Vec::new();
+        for SentText { number, text, call } in acknowledged {
+            let is_second = *first.entry(*number).or_insert(text) != *text;
+            if is_second && self.is_kept(*number, call.ended_at) && reported.insert(number) {
+                let node = call.control_node;
+                let description = format!(
+                    "two texts under {number:08x} are both acknowledged, one by core {node}"
+                );
+                breaches.push(breach(call.ended_at, description));
+            }
+        }
+        breaches
+    }
+
+    /// The first refused call for each number and text.
+    fn distinct_refused(&self) -> Vec<SentText<'a>> {
+        let mut known = HashSet::new();
+        let refused = self.sent.iter().filter(|sent| sent.call.is_refused());
+        refused
+            .filter(|sent| known.insert((sent.number, sent.text)))
+            .copied()
+            .collect()
+    }
+
+    fn is_text_refused(&self, number: u32, text: &str) -> bool {
+        let mut same = self
+            .sent
+            .iter()
+            .filter(|sent| sent.number == number && sent.text == text);
+        same.any(|sent| sent.call.is_refused())
+    }
+
+    /// A refused text is never acknowledged, is refused only for another one, and is never in force.
+    fn check_refusal(&self, refused: SentText<'_>) -> Vec<Breach> {
+        let SentText {
+            number,
+            text,
+            call: refusal,
+        } = refused;
+        let status = refusal.status.unwrap_or(0);
+        let mut breaches = Vec::new();
+        let of_number = || self.sent.iter().filter(|sent| sent.number == number);
+        let acknowledgement = of_number().find(|s| s.text == text && s.call.is_acknowledged());
+        if let Some(SentText { call, .. }) = acknowledgement {
+            let node = call.control_node;
+            let description =
+                format!("{number:08x} is acknowledged by core {node} and refused with {status}");
+            breaches.push(breach(refusal.ended_at.max(call.ended_at), description));
+        }
+        let may_be_the_reason = |other: &SentText<'_>| {
+            other.text != text
+                && other.call.sent_at < refusal.ended_at
+                && !self.is_text_refused(number, other.text)
+        };
+        if !of_number().any(may_be_the_reason) {
+            let description =
+                format!("{number:08x} is refused with {status}, and nothing else may be under it");
+            breaches.push(breach(refusal.ended_at, description));
+        }
+        let shows_it = |shown: &ConfigText| shown.number == number && *shown.text == *text;
+        if let Some(read) = self
+            .read
+            .iter()
+            .find(|read| read.shown.is_some_and(shows_it))
+        {
+            let node = read.call.control_node;
+            let description =
+                format!("{number:08x} is in force by core {node}, and was refused with {status}");
+            breaches.push(breach(read.call.ended_at, description));
+        }
+        breaches
+    }
+
+    /// Whoever reads gets what was sent, nothing older than what was acknowledged or shown before, and the text that was
+    /// acknowledged under its number. `first_shown`: the first text that was shown under each number.
+    fn check_read(
+        &self,
+        read: &ReadText<'a>,
+        first_shown: &mut HashMap<u32, &'a str>,
+    ) -> Vec<Breach> {
+        let (call, node) = (read.call, read.call.control_node);
+        let at = call.ended_at;
+        let Some(ConfigText { number, text }) = read.shown else {
+            return vec![breach(at, format!("core {node} shows what cannot be read"))];
+        };
+        let mut breaches = Vec::new();
+        let of_number = || self.sent.iter().filter(|sent| sent.number == *number);
+        if !of_number().any(|sent| sent.text == &**text && sent.call.sent_at < at) {
+            let description =
+                format!("core {node} shows a text under {number:08x} that nobody sent");
+            breaches.push(breach(at, description));
+        }
+        let is_other_acknowledged = |sent: &SentText<'_>| {
+            sent.text != &**text
+                && sent.call.is_acknowledged()
+                && self.is_kept(*number, sent.call.ended_at)
+        };
+        let is_other = of_number().any(is_other_acknowledged)
+            || *first_shown.entry(*number).or_insert(text) != &**text;
+        if is_other {
+            let description =
+                format!("core {node} shows another text under {number:08x} than was told before");
+            breaches.push(breach(at, description));
+        }
+        let newest = self.newest_known_before(call.sent_at);
+        if *number < newest {
+            let description =
+                format!("core {node} shows {number:08x}, and {newest:08x} was told before");
+            breaches.push(breach(at, description));
+        }
+        breaches
+    }
+
+    /// The newest number that an operator had been told by then.
+    fn newest_known_before(&self, at: Millis) -> u32 {
+        let is_before = |call: &ControlCall| call.is_acknowledged() && call.ended_at < at;
+        let acknowledged = self.sent.iter().filter(|sent| is_before(sent.call));
+        let shown = self.read.iter().filter(|read| is_before(read.call));
+        let shown = shown.filter_map(|read| read.shown.map(|config| config.number));
+        acknowledged
+            .map(|sent| sent.number)
+            .chain(shown)
+            .max()
+            .unwrap_or(0)
+    }
+}
--- a/crates/aspendrum-checker/tests/common/mod.rs
+++ b/crates/aspendrum-checker/tests/common/mod.rs
@@ -1,16 +1,19 @@
-//! What the judge's tests share.
+//! What the tests share.
 
-use aspendrum_checker::system::Bounds;
+use aspendrum_checker::system::{Quota, RuleBounds};
 
-/// Terms without a bound on keys that were taken away.
-pub(crate) const BOUNDS: Bounds = Bounds {
+/// Bounds without one for removed credentials.
+pub(crate) const BOUNDS: RuleBounds = RuleBounds {
     contact: 4000.0,
     apply: 3000.0,
     revoke: None,
     evac: 5000.0,
     loss: 200.0,
-    quota: (0.0, 0.0),
-    quota_win: 5000.0,
+    quota: Quota {
+        rate: 0.0,
+        burst: 0.0,
+    },
+    quota_window: 5000.0,
     quota_excess: 0.1,
     quota_slack: 2.0,
 };
--- a/crates/aspendrum-checker/tests/judge.rs
+++ b/crates/aspendrum-checker/tests/limiter.rs
@@ -1,50 +1,54 @@
-//! The judge on records that are sound but for one thing: each rule is broken once and must be found, and the
-//! sound record and what is excused must not be.
+//! Records that are sound but for one thing: each rule is broken once, which must be found, and nothing is found in the
+//! sound record or in what is exempt.
 
-use aspendrum_checker::record::*;
-use aspendrum_checker::{judge, quota, Record, Verdict};
+use aspendrum_checker::limiter::quota::{self, Grant};
+use aspendrum_checker::limiter::{
+    check, Customer, DiscoveryUpdate, ExemptPeriod, FaultPeriod, Forward, ForwardOutcome, Group,
+    Query, QueryOutcome, Record, RetrySafety, Server, ServerIncarnation, Verdict,
+};
+use aspendrum_checker::Millis;
 
 const REPEATABLE: usize = 0;
 const KEYED: usize = 1;
 const MUTATING: usize = 2;
 
 /// Ten queries a second for ten seconds, each answered 5 ms later by one of two servers, within a quota of 20
-/// a second at most 5 at once, and a ceiling of 30 a second at most 10 at once.
+/// a second at most 5 at once, and a hard limit of 30 a second at most 10 at once.
 fn sound() -> Record {
     let group = |name: &str, repeats| Group {
         name: name.into(),
-        repeats,
-        work: 100.0,
+        retry_safety: repeats,
+        mean_work: 100.0,
     };
     let customer = Customer {
         name: "c".into(),
         rate: 0.02,
         burst: 5.0,
-        ceiling_rate: 0.03,
-        ceiling_burst: 10.0,
-        asked: 0.01,
+        limit_rate: 0.03,
+        limit_burst: 10.0,
+        demand_rate: 0.01,
     };
     let mut record = Record {
         groups: vec![
-            group("look", Repeats::Repeatable),
-            group("book", Repeats::Keyed),
-            group("pay", Repeats::Mutating),
+            group("look", RetrySafety::Idempotent),
+            group("book", RetrySafety::Deduplicated),
+            group("pay", RetrySafety::NonIdempotent),
         ],
         customers: vec![customer],
         servers: vec![
             Server {
                 cores: 2.0,
-                cold_share: 0.2,
-                ramp: 4000.0
+                slow_start_capacity: 0.2,
+                slow_start: 4000.0
             };
             2
         ],
-        lives: (0..2)
-            .map(|server| Life {
+        incarnations: (0..2)
+            .map(|server| ServerIncarnation {
                 server,
                 from: 0.0,
-                cold: false,
-                fell: None,
+                is_cold_start: false,
+                collapsed_at: None,
             })
             .collect(),
         to: 10_000.0,
@@ -60,34 +64,34 @@
     record
 }
 
-fn query(id: u64, at: Ms, group: usize) -> Query {
+fn query(id: u64, at: Millis, group: usize) -> Query {
     Query {
         id,
         customer: 0,
         group,
         limiter: 0,
         units: 1.0,
-        sent: at,
-        until: at + 1000.0,
-        ended: at + 5.0,
-        outcome: Final::Answered,
+        sent_at: at,
+        deadline: at + 1000.0,
+        ended_at: at + 5.0,
+        outcome: QueryOutcome::Answered,
     }
 }
 
-fn forward(id: u64, at: Ms, server: usize) -> Forward {
+fn forward(id: u64, at: Millis, server: usize) -> Forward {
     Forward {
         id,
         server,
-        first: at,
-        whole: at,
-        fate: Fate::Ran,
-        two_lengths: false,
+        first_byte_at: at,
+        last_byte_at: at,
+        fate: ForwardOutcome::Ran,
+        has_two_lengths: false,
     }
 }
 
 /// The rules that were broken, each once.
 fn broken(record: &Record) -> Vec<u8> {
-    let mut rules: Vec<u8> = judge(record).breaches.iter().map(|b| b.rule).collect();
+    let mut rules: Vec<u8> = check(record).breaches.iter().map(|b| b.rule).collect();
     rules.dedup();
     rules
 }
@@ -101,94 +105,103 @@
 }
 
 #[test]
-fn a_sound_record_breaks_nothing_and_tells_its_figures() {
+fn a_sound_record_breaks_nothing_and_has_its_figures() {
     let record = sound();
     let Verdict {
         breaches,
-        whole,
+        total_use: whole,
         forwards_per_query,
         ..
-    } = judge(&record);
+    } = check(&record);
     assert_eq!(breaches, vec![]);
     assert_eq!(
-        (whole.granted, whole.inside, whole.refused_with_room()),
+        (
+            whole.granted,
+            whole.granted_within_quota,
+            whole.refused_with_room()
+        ),
         (100.0, 100.0, 0.0)
     );
     // 100 units of a burst of 5 and 20 a second for 10 s; never two at once.
-    assert!((whole.over_quota - 100.0 / 205.0).abs() < 1e-9);
-    assert!((whole.peak_over_burst - 0.2).abs() < 1e-9);
+    assert!((whole.quota_utilization - 100.0 / 205.0).abs() < 1e-9);
+    assert!((whole.peak_burst_ratio - 0.2).abs() < 1e-9);
     assert_eq!(forwards_per_query, 1.0);
 }
 
 #[test]
 fn rule_1_one_answer_in_time_and_only_its_own() {
-    for outcome in [Final::Lost, Final::Silent, Final::Foreign] {
+    for outcome in [
+        QueryOutcome::Lost,
+        QueryOutcome::Silent,
+        QueryOutcome::Foreign,
+    ] {
         let mut record = sound();
         record.queries[7].outcome = outcome;
         assert_eq!(broken(&record), [1], "{outcome:?}");
     }
     let mut record = sound();
-    record.queries[7].ended = record.queries[7].until + 501.0;
+    record.queries[7].ended_at = record.queries[7].deadline + 501.0;
     assert_eq!(broken(&record), [1]);
 }
 
 #[test]
-fn rule_1_does_not_ask_of_a_limiter_what_it_could_not_do() {
+fn rule_1_does_not_hold_for_a_limiter_that_could_not_answer() {
     let mut record = sound();
-    (record.queries[7].outcome, record.queries[9].outcome) = (Final::Lost, Final::Lost);
-    let at = record.queries[7].sent;
-    record.excuses.push(Excuse {
+    (record.queries[7].outcome, record.queries[9].outcome) =
+        (QueryOutcome::Lost, QueryOutcome::Lost);
+    let at = record.queries[7].sent_at;
+    record.exempt_periods.push(ExemptPeriod {
         limiter: 0,
         server: None,
         from: at + 2.0,
         to: at + 100.0,
     });
-    let found = judge(&record).breaches;
+    let found = check(&record).breaches;
     assert_eq!(
         found.len(),
         1,
         "the killed limiter's query is excused, the one 200 ms later is not: {found:?}"
     );
     // Nothing excuses an answer that belongs to somebody else.
-    record.queries[7].outcome = Final::Foreign;
-    assert_eq!(judge(&record).breaches.len(), 2);
+    record.queries[7].outcome = QueryOutcome::Foreign;
+    assert_eq!(check(&record).breaches.len(), 2);
 }
 
 #[test]
-fn rule_2_no_effect_twice() {
+fn rule_2_nothing_runs_twice() {
     for (group, rules) in [(REPEATABLE, vec![]), (KEYED, vec![2]), (MUTATING, vec![2])] {
         let mut record = sound();
         let n = first_of(&record, group);
-        let twice = forward(record.queries[n].id, record.queries[n].sent + 3.0, 1);
+        let twice = forward(record.queries[n].id, record.queries[n].sent_at + 3.0, 1);
         record.forwards.push(twice);
         assert_eq!(broken(&record), rules, "group {group} ran twice");
         // What was turned away, or dropped as a repeat, has not run.
-        for fate in [Fate::TurnedAway, Fate::Repeat] {
+        for fate in [ForwardOutcome::Rejected, ForwardOutcome::Deduplicated] {
             record.forwards.last_mut().unwrap().fate = fate;
             assert_eq!(broken(&record), [] as [u8; 0], "{fate:?}");
         }
     }
     let mut record = sound();
     let n = first_of(&record, MUTATING);
-    record.queries[n].outcome = Final::Shed;
+    record.queries[n].outcome = QueryOutcome::Shed;
     assert_eq!(
         broken(&record),
         [2],
         "shed, so that its client asks again, and it had run"
     );
     let mut record = sound();
-    record.forwards[3].two_lengths = true;
+    record.forwards[3].has_two_lengths = true;
     assert_eq!(broken(&record), [2]);
 }
 
 #[test]
-fn rule_3_nothing_new_to_a_server_that_was_told_of() {
+fn rule_3_nothing_is_sent_to_a_server_that_drains() {
     let tell = |record: &mut Record, limiter, at, well| {
-        record.told.push(Told {
+        record.discovery_updates.push(DiscoveryUpdate {
             limiter,
             server: 1,
             at,
-            well,
+            in_service: well,
         })
     };
     let mut record = sound();
@@ -197,7 +210,7 @@
     // The grace runs from the first word of it, not from each whole list that says it again.
     tell(&mut record, 0, 6900.0, false);
     assert_eq!(broken(&record), [3]);
-    let first = judge(&record).breaches[0].at;
+    let first = check(&record).breaches[0].at;
     assert!((7050.0..7400.0).contains(&first), "{first}");
     // Back in service, and then told of to another limiter only.
     tell(&mut record, 0, 7000.0, true);
@@ -206,33 +219,33 @@
 }
 
 #[test]
-fn rule_3_forgives_what_a_link_held_back() {
+fn rule_3_does_not_hold_for_what_a_faulty_link_delayed() {
     let mut record = sound();
-    record.told.push(Told {
+    record.discovery_updates.push(DiscoveryUpdate {
         limiter: 0,
         server: 1,
         at: 5000.0,
-        well: false,
+        in_service: false,
     });
-    record.excuses.push(Excuse {
+    record.exempt_periods.push(ExemptPeriod {
         limiter: 0,
         server: Some(1),
         from: 5000.0,
         to: 9500.0,
     });
     assert_eq!(broken(&record), [] as [u8; 0]);
-    record.excuses[0].server = Some(0);
+    record.exempt_periods[0].server = Some(0);
     assert_eq!(broken(&record), [3]);
 }
 
 #[test]
-fn rule_4_a_cold_server_is_not_pushed_over() {
+fn rule_4_a_server_in_slow_start_is_not_overloaded() {
     let mut record = sound();
-    record.lives.push(Life {
+    record.incarnations.push(ServerIncarnation {
         server: 1,
         from: 3000.0,
-        cold: true,
-        fell: None,
+        is_cold_start: true,
+        collapsed_at: None,
     });
     assert_eq!(
         broken(&record),
@@ -245,16 +258,16 @@
         .collect();
     for q in queries {
         record.forwards.push(Forward {
-            fate: Fate::TurnedAway,
-            ..forward(q.id, q.sent, 1)
+            fate: ForwardOutcome::Rejected,
+            ..forward(q.id, q.sent_at, 1)
         });
         record.queries.push(Query {
-            outcome: Final::Dropped,
+            outcome: QueryOutcome::Dropped,
             customer: 0,
             ..q
         });
     }
-    let verdict = judge(&record);
+    let verdict = check(&record);
     assert!(
         verdict.breaches.iter().any(|b| b.rule == 4),
         "turned away is sent all the same"
@@ -265,17 +278,17 @@
         verdict.cold_load
     );
     let mut record = sound();
-    record.lives.push(Life {
+    record.incarnations.push(ServerIncarnation {
         server: 1,
         from: 3000.0,
-        cold: true,
-        fell: Some(3500.0),
+        is_cold_start: true,
+        collapsed_at: Some(3500.0),
     });
     assert_eq!(broken(&record), [4]);
 }
 
 #[test]
-fn rule_5_a_ceiling_is_not_passed_in_any_window() {
+fn rule_5_a_hard_limit_is_not_exceeded_in_any_window() {
     let burst = |n: u64| {
         let mut record = sound();
         for id in 0..n {
@@ -288,29 +301,37 @@
     assert_eq!(broken(&burst(14)), [] as [u8; 0]);
     assert_eq!(broken(&burst(18)), [5]);
     let mut record = burst(18);
-    record.customers[0].ceiling_rate = 0.0;
+    record.customers[0].limit_rate = 0.0;
     assert_eq!(broken(&record), [] as [u8; 0], "no ceiling, no rule");
 }
 
 #[test]
-fn a_quota_is_kept_at_every_moment_or_the_worst_window_tells() {
+fn a_quota_is_kept_at_every_moment_or_the_worst_window_shows_it() {
     // 30 units in 10 s are well within the whole time's quota; 12 of them at once are not within the burst.
     let grants: quota::Grants = (0..30)
-        .map(|n| (if n < 12 { 1000.0 } else { n as f64 * 300.0 }, 1.0))
+        .map(|n| Grant {
+            at: if n < 12 { 1000.0 } else { n as f64 * 300.0 },
+            units: 1.0,
+        })
         .collect();
     assert_eq!(quota::peak(&grants, 0.02), 12.0);
-    let even: quota::Grants = (0..30).map(|n| (n as f64 * 50.0, 1.0)).collect();
+    let even: quota::Grants = (0..30)
+        .map(|n| Grant {
+            at: n as f64 * 50.0,
+            units: 1.0,
+        })
+        .collect();
     assert_eq!(quota::peak(&even, 0.02), 1.0);
 }
 
 #[test]
-fn units_refused_with_room_are_those_that_one_bucket_would_have_given() {
+fn units_refused_with_room_are_those_that_one_bucket_would_have_granted() {
     let mut record = sound();
     for q in record.queries.iter_mut().take(40).skip(20) {
-        q.outcome = Final::Shed;
+        q.outcome = QueryOutcome::Shed;
     }
     record.forwards.retain(|f| !(20..40).contains(&f.id));
-    let whole = judge(&record).whole;
+    let whole = check(&record).total_use;
     assert_eq!(
         (whole.granted, whole.refused, whole.refused_with_room()),
         (80.0, 20, 20.0)
@@ -322,20 +343,20 @@
     for id in 0..59 {
         let granted = id < 4;
         let outcome = if granted {
-            Final::Answered
+            QueryOutcome::Answered
         } else {
-            Final::Shed
+            QueryOutcome::Shed
         };
         record.queries.push(Query {
             outcome,
-            ended: 20.0,
+            ended_at: 20.0,
             ..query(100 + id, 2.0, REPEATABLE)
         });
         record
             .forwards
             .extend(granted.then(|| forward(100 + id, 2.0, 0)));
     }
-    let whole = judge(&record).whole;
+    let whole = check(&record).total_use;
     assert_eq!(
         (whole.granted, whole.refused, whole.refused_with_room()),
         (5.0, 55, 0.0)
@@ -343,21 +364,25 @@
 }
 
 #[test]
-fn recovery_is_told_from_the_end_of_the_fault() {
+fn recovery_is_counted_from_the_end_of_the_fault() {
     let mut record = sound();
     record
         .forwards
-        .retain(|f| !(4000.0..6000.0).contains(&f.whole));
-    record.troubles.push(Trouble {
+        .retain(|f| !(4000.0..6000.0).contains(&f.last_byte_at));
+    record.faults.push(FaultPeriod {
         name: "t".into(),
         from: 4000.0,
         to: 5000.0,
     });
-    let after = judge(&record).recoveries[0].1.unwrap();
+    let after = check(&record).recoveries[0].time.unwrap();
     assert!(
         (700.0..=1001.0).contains(&after),
         "use is back a second after the fault's end, not {after}"
     );
-    record.forwards.retain(|f| f.whole < 4000.0);
-    assert_eq!(judge(&record).recoveries[0].1, None, "it never came back");
+    record.forwards.retain(|f| f.last_byte_at < 4000.0);
+    assert_eq!(
+        check(&record).recoveries[0].time,
+        None,
+        "it never came back"
+    );
 }
--- a/crates/aspendrum-checker/tests/orders.rs
+++ b/crates/aspendrum-checker/tests/operators.rs
@@ -2,25 +2,28 @@
 
 mod common;
 
-use aspendrum_checker::orders::*;
-use aspendrum_checker::system::*;
+use aspendrum_checker::system::{
+    check, known_zone_states, Attempt, AttemptOutcome, ConfigText, ConfigVersion, ControlCall,
+    Evacuation, Execution, OperatorCall, ProxyFault, Record, RouteRule, TenantRule, KEPT_VERSIONS,
+};
+
 use common::BOUNDS;
 use std::sync::Arc;
 
-fn call(at: f64, asked: Asked, status: Option<u16>) -> Call {
-    Call {
-        core: 0,
-        sent: at,
-        ended: at + 10.0,
-        asked,
+fn call(at: f64, asked: OperatorCall, status: Option<u16>) -> ControlCall {
+    ControlCall {
+        control_node: 0,
+        sent_at: at,
+        ended_at: at + 10.0,
+        call: asked,
         status,
     }
 }
 
-fn set(at: f64, number: u32, text: &str, status: u16) -> Call {
+fn set(at: f64, number: u32, text: &str, status: u16) -> ControlCall {
     call(
         at,
-        Asked::Set {
+        OperatorCall::Set {
             number,
             text: text.into(),
         },
@@ -28,10 +31,10 @@
     )
 }
 
-fn lost(at: f64, number: u32, text: &str) -> Call {
+fn lost(at: f64, number: u32, text: &str) -> ControlCall {
     call(
         at,
-        Asked::Set {
+        OperatorCall::Set {
             number,
             text: text.into(),
         },
@@ -39,27 +42,34 @@
     )
 }
 
-fn show(at: f64, number: u32, text: &str) -> Call {
-    call(at, Asked::Show(Some((number, text.into()))), Some(200))
+fn show(at: f64, number: u32, text: &str) -> ControlCall {
+    call(
+        at,
+        OperatorCall::Show(Some(ConfigText {
+            number,
+            text: text.into(),
+        })),
+        Some(200),
+    )
 }
 
-fn record(calls: Vec<Call>) -> Record {
+fn record(calls: Vec<ControlCall>) -> Record {
     Record {
         from: 0.0,
         to: 30_000.0,
         bounds: BOUNDS,
-        tries: Vec::new(),
-        runs: Vec::new(),
+        attempts: Vec::new(),
+        executions: Vec::new(),
         versions: Vec::new(),
         evacuations: Vec::new(),
         calls,
-        troubles: Vec::new(),
-        read_back: None,
+        faults: Vec::new(),
+        final_version: None,
     }
 }
 
 /// Two texts race under 6, B wins; the loser is told so, and all orders come again.
-fn sound() -> Vec<Call> {
+fn sound() -> Vec<ControlCall> {
     vec![
         set(100.0, 3, "a", 200),
         lost(200.0, 6, "b"),
@@ -73,15 +83,15 @@
         set(610.0, 6, "c", 409),
         set(620.0, 3, "a", 200),
         show(700.0, 9, "d"),
-        call(800.0, Asked::Show(None), Some(503)),
-        call(900.0, Asked::Show(None), None),
+        call(800.0, OperatorCall::Show(None), Some(503)),
+        call(900.0, OperatorCall::Show(None), None),
     ]
 }
 
-fn found(calls: Vec<Call>) -> Vec<String> {
-    let breaches = judge(&record(calls)).breaches;
+fn found(calls: Vec<ControlCall>) -> Vec<String> {
+    let breaches = check(&record(calls)).breaches;
     assert!(breaches.iter().all(|b| b.rule == "CONFIG"), "{breaches:?}");
-    breaches.into_iter().map(|b| b.what).collect()
+    breaches.into_iter().map(|b| b.description).collect()
 }
 
 #[test]
@@ -90,8 +100,8 @@
 }
 
 #[test]
-fn each_way_to_be_told_wrong_is_found() {
-    let more: [(&str, Vec<Call>); 13] = [
+fn each_wrong_answer_is_found() {
+    let more: [(&str, Vec<ControlCall>); 13] = [
         (
             "two texts under 00000006 are both acknowledged",
             vec![set(650.0, 6, "e", 200)],
@@ -147,7 +157,7 @@
         ),
         (
             "core 0 shows what cannot be read",
-            vec![call(750.0, Asked::Show(None), Some(200))],
+            vec![call(750.0, OperatorCall::Show(None), Some(200))],
         ),
     ];
     for (what, more) in more {
@@ -161,14 +171,14 @@
     }
 }
 
-/// What overlaps may come either way, and what asks for another try refuses nothing.
+/// Calls that overlap may be answered either way, and an answer that asks for a retry refuses nothing.
 #[test]
-fn answers_that_cross_and_answers_that_ask_again_are_not_blamed() {
+fn answers_that_cross_and_answers_that_ask_for_a_retry_are_no_breach() {
     let mut calls = sound();
     // Begun before 9 was acknowledged, answered after it.
-    calls.push(Call {
-        sent: 505.0,
-        ended: 900.0,
+    calls.push(ControlCall {
+        sent_at: 505.0,
+        ended_at: 900.0,
         ..show(505.0, 6, "b")
     });
     calls.extend([408, 429, 500, 503].map(|status| set(640.0, 3, "a", status)));
@@ -180,14 +190,14 @@
 fn below_the_newest_hundred_numbers_texts_may_be_forgotten_but_not_refused() {
     let later = |n: u32| set(1000.0 + f64::from(n), 100 + n, "later", 200);
     let mut calls = sound();
-    calls.extend((0..KEPT as u32 - 2).map(later));
+    calls.extend((0..KEPT_VERSIONS as u32 - 2).map(later));
     calls.push(set(5000.0, 6, "e", 200));
     assert!(
         found(calls.clone())[0].starts_with("two texts under 00000006"),
         "one of the newest hundred"
     );
     calls.pop();
-    calls.push(later(KEPT as u32));
+    calls.push(later(KEPT_VERSIONS as u32));
     calls.push(set(5000.0, 6, "e", 200));
     assert_eq!(found(calls.clone()), [""; 0]);
     calls.push(set(5100.0, 3, "a", 409));
@@ -197,23 +207,23 @@
 fn order(on: bool, sent: f64, acked: Option<f64>, ended: f64) -> Evacuation {
     Evacuation {
         zone: "zone-1".into(),
-        on,
-        sent,
-        acked,
-        ended,
+        is_evacuated: on,
+        sent_at: sent,
+        acknowledged_at: acked,
+        ended_at: ended,
     }
 }
 
 #[test]
-fn what_is_in_force_for_a_zone_is_known_from_an_answer_to_the_next_call() {
+fn the_state_of_a_zone_is_known_from_an_answer_to_the_next_call() {
     let calm = [
         order(true, 1000.0, Some(1010.0), 1010.0),
         order(false, 9000.0, Some(9010.0), 9010.0),
     ];
     let spans = |orders: &[Evacuation]| -> Vec<(bool, f64, f64)> {
-        known(orders)
+        known_zone_states(orders)
             .into_iter()
-            .map(|k| (k.on, k.from, k.until))
+            .map(|k| (k.is_evacuated, k.from, k.until))
             .collect()
     };
     assert_eq!(
@@ -244,7 +254,7 @@
 }
 
 /// A request each 50 ms to either zone, and none to `zone-1` in those times.
-fn served(without: &[(u64, u64)]) -> Vec<Run> {
+fn served(without: &[(u64, u64)]) -> Vec<Execution> {
     let run = |n: u64| {
         let zone = if n.is_multiple_of(2) {
             "zone-0"
@@ -253,55 +263,68 @@
         };
         let (uid, service) = ("i".into(), "quotes".into());
         let at = n as f64 * 25.0;
-        Run {
+        Execution {
             id: n,
-            uid,
+            server_uid: uid,
             service,
             zone: zone.into(),
             tenant: None,
-            arrived: at,
-            at,
-            ended: at + 25.0,
-            whole: at + 25.0,
-            drops: true,
+            arrived_at: at,
+            started_at: at,
+            ended_at: at + 25.0,
+            would_end_at: at + 25.0,
+            drops_on_close: true,
         }
     };
-    let there = |r: &Run| {
-        r.zone == "zone-0" || !without.iter().any(|w| (w.0..w.1).contains(&(r.at as u64)))
+    let there = |r: &Execution| {
+        r.zone == "zone-0"
+            || !without
+                .iter()
+                .any(|w| (w.0..w.1).contains(&(r.started_at as u64)))
     };
     (0..1200).map(run).filter(there).collect()
 }
 
 fn evacuated(orders: Vec<Evacuation>, without: &[(u64, u64)]) -> Record {
     let mut record = record(Vec::new());
-    let version = Version {
+    let version = ConfigVersion {
         number: 3,
-        acked: Some(1.0),
-        routes: vec![("quotes".into(), false)],
-        ..Version::default()
+        acknowledged_at: Some(1.0),
+        routes: vec![RouteRule {
+            service: "quotes".into(),
+            is_once_only: false,
+        }],
+        ..ConfigVersion::default()
     };
-    record.versions = vec![Version {
-        tenants: vec![("ann".into(), true)],
+    record.versions = vec![ConfigVersion {
+        tenants: vec![TenantRule {
+            name: "ann".into(),
+            has_key: true,
+        }],
         ..version
     }];
-    record.read_back = Some(3);
-    record.runs = served(without);
-    let one = |id: u64, at: f64| Try {
+    record.final_version = Some(3);
+    record.executions = served(without);
+    let one = |id: u64, at: f64| Attempt {
         id,
-        wish: id,
+        request: id,
         route: 0,
         tenant: 0,
-        front: 0,
-        sent: at,
-        ended: at + 5.0,
-        end: End::Answered,
+        proxy: 0,
+        sent_at: at,
+        ended_at: at + 5.0,
+        outcome: AttemptOutcome::Answered,
     };
-    record.tries = record.runs.iter().map(|r| one(r.id, r.at)).collect();
+    record.attempts = record
+        .executions
+        .iter()
+        .map(|r| one(r.id, r.started_at))
+        .collect();
     record.evacuations = orders;
     record
 }
 
-/// Danger: an old order that waited in a frozen machine's socket comes into force behind a newer one.
+/// Danger: an old order that waited in a suspended machine's socket comes into force after a newer one.
 #[test]
 fn a_zone_is_served_as_the_last_acknowledged_order_says() {
     let orders = || {
@@ -311,10 +334,10 @@
         ]
     };
     let rules = |r: &Record| {
-        judge(r)
+        check(r)
             .breaches
             .iter()
-            .map(|b| (b.rule, b.what.clone()))
+            .map(|b| (b.rule, b.description.clone()))
             .collect::<Vec<_>>()
     };
     assert_eq!(rules(&evacuated(orders(), &[(5000, 10_000)])), []);
@@ -338,33 +361,39 @@
         []
     );
     let mut troubled = evacuated(orders(), &[(5000, 10_000), (20_000, 30_000)]);
-    troubled.troubles.push(Trouble {
-        front: None,
+    troubled.faults.push(ProxyFault {
+        proxy: None,
         from: 19_000.0,
         to: 26_500.0,
     });
     assert_eq!(rules(&troubled), []);
 }
 
-/// What a server runs is held against texts that may be in force: the loser of a race is none.
+/// What a server runs is compared with the texts that may be in force: the loser of a race is not.
 #[test]
 fn a_refused_text_allows_nothing() {
     let text = |service: &str| Arc::<str>::from(service);
-    let version = |number, service: &str, acked| Version {
+    let version = |number, service: &str, acked| ConfigVersion {
         number,
-        sent: 0.0,
-        acked,
+        sent_at: 0.0,
+        acknowledged_at: acked,
         text: text(service),
-        routes: vec![(service.into(), false)],
-        tenants: vec![("ann".into(), true)],
+        routes: vec![RouteRule {
+            service: service.into(),
+            is_once_only: false,
+        }],
+        tenants: vec![TenantRule {
+            name: "ann".into(),
+            has_key: true,
+        }],
     };
     let mut record = evacuated(Vec::new(), &[]);
-    record.runs.truncate(1);
-    record.tries.truncate(1);
+    record.executions.truncate(1);
+    record.attempts.truncate(1);
     record.versions = vec![version(3, "ledger", Some(20.0)), version(3, "quotes", None)];
     record.calls = vec![set(10.0, 3, "ledger", 200), set(10.0, 3, "quotes", 503)];
     assert_eq!(
-        judge(&record)
+        check(&record)
             .breaches
             .iter()
             .map(|b| b.rule)
@@ -372,12 +401,12 @@
         ["ROUTE"]
     );
     record.calls = vec![set(10.0, 3, "ledger", 503), set(10.0, 3, "quotes", 503)];
-    record.versions[0].acked = None;
-    record.read_back = None;
-    assert!(judge(&record).breaches.is_empty());
+    record.versions[0].acknowledged_at = None;
+    record.final_version = None;
+    assert!(check(&record).breaches.is_empty());
     record.calls.push(set(30.0, 3, "quotes", 409));
     assert_eq!(
-        judge(&record)
+        check(&record)
             .breaches
             .iter()
             .map(|b| b.rule)
--- a/crates/aspendrum-checker/tests/system.rs
+++ b/crates/aspendrum-checker/tests/system.rs
@@ -1,121 +1,152 @@
-//! The judge of the whole system: each rule is found broken where it is, and nowhere else.
+//! The rules for the whole system: each is found broken where it is, and nowhere else.
 
 mod common;
 
-use aspendrum_checker::orders::Evacuation;
-use aspendrum_checker::system::*;
+use aspendrum_checker::system::{
+    check, Attempt, AttemptOutcome, ConfigVersion, Evacuation, Execution, ProxyFault, Quota,
+    Record, RouteRule, RuleBounds, ServedCount, TenantRule,
+};
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: RuleBounds = RuleBounds {
     revoke: Some(5000.0),
     ..common::BOUNDS
 };
 
-fn version(number: u32, sent: f64, acked: Option<f64>, service: &str, keys: bool) -> Version {
-    Version {
+fn version(number: u32, sent: f64, acked: Option<f64>, service: &str, keys: bool) -> ConfigVersion {
+    ConfigVersion {
         number,
-        sent,
-        acked,
+        sent_at: sent,
+        acknowledged_at: acked,
         text: format!("{number}").into(),
-        routes: vec![("quotes".into(), false), (service.into(), true)],
-        tenants: vec![("ann".into(), keys)],
+        routes: vec![
+            RouteRule {
+                service: "quotes".into(),
+                is_once_only: false,
+            },
+            RouteRule {
+                service: service.into(),
+                is_once_only: true,
+            },
+        ],
+        tenants: vec![TenantRule {
+            name: "ann".into(),
+            has_key: keys,
+        }],
     }
 }
 
-fn one(id: u64, sent: f64, end: End) -> Try {
-    Try {
+fn attempt(id: u64, sent: f64, end: AttemptOutcome) -> Attempt {
+    Attempt {
         id,
-        wish: id,
+        request: id,
         route: 1,
         tenant: 0,
-        front: 0,
-        sent,
-        ended: sent + 50.0,
-        end,
+        proxy: 0,
+        sent_at: sent,
+        ended_at: sent + 50.0,
+        outcome: end,
     }
 }
 
-fn ran(id: u64, at: f64, service: &str) -> Run {
+fn execution(id: u64, at: f64, service: &str) -> Execution {
     let (uid, zone, tenant) = ("i-1".into(), "zone-0".into(), Some("ann".into()));
-    Run {
+    Execution {
         id,
-        uid,
+        server_uid: uid,
         service: service.into(),
         zone,
         tenant,
-        arrived: at,
-        at,
-        ended: at + 25.0,
-        whole: at + 25.0,
-        drops: true,
+        arrived_at: at,
+        started_at: at,
+        ended_at: at + 25.0,
+        would_end_at: at + 25.0,
+        drops_on_close: true,
     }
 }
 
-/// A route moves at 1 s, acknowledged at 1.1 s; a query before and one long after, each where it belongs.
+/// A route moves at 1 s, acknowledged at 1.1 s; a request before and one long after, each where it belongs.
 fn sound() -> Record {
     Record {
         from: 0.0,
         to: 20_000.0,
         bounds: BOUNDS,
-        tries: vec![one(1, 500.0, End::Answered), one(2, 9000.0, End::Answered)],
-        runs: vec![ran(1, 510.0, "payouts"), ran(2, 9010.0, "ledger")],
+        attempts: vec![
+            attempt(1, 500.0, AttemptOutcome::Answered),
+            attempt(2, 9000.0, AttemptOutcome::Answered),
+        ],
+        executions: vec![
+            execution(1, 510.0, "payouts"),
+            execution(2, 9010.0, "ledger"),
+        ],
         versions: vec![
             version(1, 0.0, Some(10.0), "payouts", true),
             version(4, 1000.0, Some(1100.0), "ledger", true),
         ],
         evacuations: Vec::new(),
         calls: Vec::new(),
-        troubles: Vec::new(),
-        read_back: Some(4),
+        faults: Vec::new(),
+        final_version: Some(4),
     }
 }
 
 fn rules(record: &Record) -> Vec<&'static str> {
-    judge(record).breaches.iter().map(|b| b.rule).collect()
+    check(record).breaches.iter().map(|b| b.rule).collect()
 }
 
 #[test]
 fn a_sound_run_breaks_nothing() {
-    let verdict = judge(&sound());
+    let verdict = check(&sound());
     assert!(verdict.breaches.is_empty(), "{:?}", verdict.breaches);
-    assert_eq!(
-        (verdict.wishes, verdict.served, verdict.once),
-        (2, 2, (2, 2))
-    );
+    let two = ServedCount {
+        requests: 2,
+        served: 2,
+    };
+    assert_eq!((verdict.all, verdict.once_only), (two, two));
 }
 
 #[test]
 fn each_broken_rule_is_named() {
     type Harm = fn(&mut Record);
     let harms: [(&str, Harm); 12] = [
-        ("TWICE", |r| r.runs.push(ran(1, 520.0, "payouts"))),
-        ("REFUSED", |r| r.tries[0].end = End::Promise(503)),
-        ("MIXED", |r| r.tries[0].end = End::Foreign),
-        ("UNASKED", |r| r.runs.push(ran(9, 600.0, "payouts"))),
-        ("UNASKED", |r| r.runs[0].tenant = Some("bob".into())),
-        ("ROUTE", |r| r.runs[0].service = "ledger".into()),
-        ("CONFIG", |r| r.runs[1].service = "payouts".into()),
+        ("TWICE", |r| {
+            r.executions.push(execution(1, 520.0, "payouts"))
+        }),
+        ("REFUSED", |r| {
+            r.attempts[0].outcome = AttemptOutcome::NotRun(503)
+        }),
+        ("MIXED", |r| r.attempts[0].outcome = AttemptOutcome::Foreign),
+        ("UNASKED", |r| {
+            r.executions.push(execution(9, 600.0, "payouts"))
+        }),
+        ("UNASKED", |r| r.executions[0].tenant = Some("bob".into())),
+        ("ROUTE", |r| r.executions[0].service = "ledger".into()),
+        ("CONFIG", |r| r.executions[1].service = "payouts".into()),
         ("CONFIG", |r| {
             r.versions
                 .push(version(7, 1500.0, Some(1600.0), "ledger", false));
-            r.read_back = Some(7);
+            r.final_version = Some(7);
         }),
-        ("CONFIG", |r| r.read_back = Some(1)),
+        ("CONFIG", |r| r.final_version = Some(1)),
         ("EVAC", |r| {
             let (zone, acked) = ("zone-0".into(), Some(3000.0));
             r.evacuations.push(Evacuation {
                 zone,
-                on: true,
-                sent: 2990.0,
-                acked,
-                ended: 3000.0,
+                is_evacuated: true,
+                sent_at: 2990.0,
+                acknowledged_at: acked,
+                ended_at: 3000.0,
             });
         }),
-        ("LOST", |r| r.tries[0].end = End::Lost),
+        ("LOST", |r| r.attempts[0].outcome = AttemptOutcome::Lost),
         ("QUOTA", |r| {
-            r.bounds.quota = (1.0, 1.0);
+            r.bounds.quota = Quota {
+                rate: 1.0,
+                burst: 1.0,
+            };
             for id in 10..20 {
-                r.tries.push(one(id, 9000.0, End::Answered));
-                r.runs.push(ran(id, 9020.0, "ledger"));
+                r.attempts
+                    .push(attempt(id, 9000.0, AttemptOutcome::Answered));
+                r.executions.push(execution(id, 9020.0, "ledger"));
             }
         }),
     ];
@@ -130,42 +161,46 @@
     }
 }
 
-/// A machine out of touch is bound by no time, but by what was taken away; a crossing change allows both.
+/// A proxy that is cut off is bound by no deadline, but by removed credentials; a change in progress allows both.
 #[test]
-fn what_is_out_of_touch_or_crosses_a_change_is_not_blamed() {
+fn what_is_cut_off_or_crosses_a_change_is_no_breach() {
     let mut record = sound();
-    record.runs[1].service = "payouts".into();
-    record.troubles.push(Trouble {
-        front: Some(0),
+    record.executions[1].service = "payouts".into();
+    record.faults.push(ProxyFault {
+        proxy: Some(0),
         from: 2000.0,
         to: 8000.0,
     });
     assert_eq!(rules(&record), ["CONFIG"], "once-only: in touch or not");
-    record.troubles[0].front = None;
+    record.faults[0].proxy = None;
     assert!(rules(&record).is_empty());
     for v in &mut record.versions {
-        v.routes[1].1 = false;
+        v.routes[1].is_once_only = false;
     }
-    record.troubles[0].front = Some(0);
+    record.faults[0].proxy = Some(0);
     assert!(rules(&record).is_empty());
-    record.troubles[0].front = Some(1);
+    record.faults[0].proxy = Some(1);
     assert_eq!(rules(&record), ["CONFIG"]);
     // A key that was taken away binds all the same.
     let mut record = sound();
     record
         .versions
         .push(version(7, 1500.0, Some(1600.0), "ledger", false));
-    record.read_back = Some(7);
-    record.troubles.push(Trouble {
-        front: None,
+    record.final_version = Some(7);
+    record.faults.push(ProxyFault {
+        proxy: None,
         from: 0.0,
         to: 20_000.0,
     });
     assert_eq!(rules(&record), ["CONFIG"]);
-    assert_eq!(judge(&record).wishes, 1, "nothing is owed without a key");
+    assert_eq!(
+        check(&record).all.requests,
+        1,
+        "nothing is owed without a key"
+    );
     // Within `apply` of its acknowledgement the older version may still be in force.
     let mut record = sound();
-    (record.tries[1].sent, record.runs[1].at) = (4000.0, 4010.0);
-    record.runs[1].service = "payouts".into();
+    (record.attempts[1].sent_at, record.executions[1].started_at) = (4000.0, 4010.0);
+    record.executions[1].service = "payouts".into();
     assert!(rules(&record).is_empty());
 }
--- a/crates/aspendrum-fake-services/src/discovery.rs
+++ b/crates/aspendrum-fake-services/src/discovery.rs
@@ -2,7 +2,8 @@
 //! silences. What each agent wrote to its limiter is recorded.
 
 use crate::{http, lock, Clock};
-use aspendrum_checker::record::{Ms, Told};
+use aspendrum_checker::limiter::DiscoveryUpdate;
+use aspendrum_checker::Millis;
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 use std::io;
@@ -15,7 +16,7 @@
 use tokio::time::{sleep, Instant};
 
 const PATH: &str = "/registry/instances";
-const LONGEST_HOLD: Ms = 60_000.0;
+const LONGEST_HOLD: Millis = 60_000.0;
 /// How often a waiting watch looks for what has become visible.
 const LOOK: Duration = Duration::from_millis(20);
 
@@ -63,11 +64,11 @@
 
 struct State {
     /// The list after each change, and when the change was made.
-    versions: Vec<(Ms, Vec<Entry>)>,
+    versions: Vec<(Millis, Vec<Entry>)>,
     /// The version that a stale one goes on telling.
     frozen: Option<usize>,
     lately: VecDeque<Instant>,
-    told: Vec<Told>,
+    told: Vec<DiscoveryUpdate>,
     seen: Seen,
 }
 
@@ -118,7 +119,7 @@
         state.versions.push((now, list));
     }
 
-    pub fn told(&self) -> Vec<Told> {
+    pub fn told(&self) -> Vec<DiscoveryUpdate> {
         lock(&self.state).told.clone()
     }
 
@@ -220,7 +221,7 @@
     async fn list(
         &self,
         from: Option<usize>,
-        hold: Ms,
+        hold: Millis,
         dials: &[SocketAddr],
         limiter: usize,
     ) -> Value {
@@ -237,11 +238,11 @@
         let mut state = lock(&self.state);
         let list = state.versions[version].1.clone();
         let at = self.clock.now();
-        let told = list.iter().map(|e| Told {
+        let told = list.iter().map(|e| DiscoveryUpdate {
             limiter,
             server: e.server,
             at,
-            well: e.health == Health::InService,
+            in_service: e.health == Health::InService,
         });
         state.told.extend(told);
         state.seen.lists += 1;
--- a/crates/aspendrum-fake-services/src/origin.rs
+++ b/crates/aspendrum-fake-services/src/origin.rs
@@ -3,7 +3,7 @@
 
 use crate::host::Host;
 use crate::{http, lock, Clock};
-use aspendrum_checker::system::Run;
+use aspendrum_checker::system::Execution;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::io;
@@ -51,7 +51,7 @@
 /// All servers' record of what ran.
 pub struct Record {
     clock: Clock,
-    runs: Mutex<Vec<Run>>,
+    runs: Mutex<Vec<Execution>>,
 }
 
 impl Record {
@@ -62,18 +62,18 @@
         })
     }
 
-    pub fn runs(&self) -> Vec<Run> {
+    pub fn runs(&self) -> Vec<Execution> {
         lock(&self.runs).clone()
     }
 
     /// A run begins that takes so many milliseconds; it ends when what is returned is dropped.
-    fn begin(&self, run: Run, work_ms: f64) -> Running<'_> {
+    fn begin(&self, run: Execution, work_ms: f64) -> Running<'_> {
         let at = self.clock.now();
         let mut runs = lock(&self.runs);
-        runs.push(Run {
-            at,
-            ended: f64::INFINITY,
-            whole: at + work_ms,
+        runs.push(Execution {
+            started_at: at,
+            ended_at: f64::INFINITY,
+            would_end_at: at + work_ms,
             ..run
         });
         Running {
@@ -92,7 +92,7 @@
 impl Drop for Running<'_> {
     fn drop(&mut self) {
         let now = self.record.clock.now();
-        lock(&self.record.runs)[self.number].ended = now;
+        lock(&self.record.runs)[self.number].ended_at = now;
     }
 }
 
@@ -279,17 +279,17 @@
         let Ok(slot) = slot else { return Came::Reset };
         let spread = lock(&self.state).rng.random_range(0.5..1.5);
         let work_ms = self.figures.work_ms * spread * ails.slow.max(1.0);
-        let run = Run {
+        let run = Execution {
             id,
-            uid: self.uid(),
+            server_uid: self.uid(),
             service: self.figures.service.clone(),
             zone: self.figures.zone.clone(),
             tenant: call.header("Tenant").map(str::to_string),
-            arrived,
-            at: 0.0,
-            ended: 0.0,
-            whole: 0.0,
-            drops: self.figures.drops,
+            arrived_at: arrived,
+            started_at: 0.0,
+            ended_at: 0.0,
+            would_end_at: 0.0,
+            drops_on_close: self.figures.drops,
         };
         let running = self.record.begin(run, work_ms);
         tokio::select! {
--- a/crates/aspendrum-fake-services/src/server.rs
+++ b/crates/aspendrum-fake-services/src/server.rs
@@ -2,7 +2,8 @@
 
 use crate::host::Host;
 use crate::{http, lock, Clock};
-use aspendrum_checker::record::{Fate, Forward, Life, Ms, Repeats};
+use aspendrum_checker::limiter::{Forward, ForwardOutcome, RetrySafety, ServerIncarnation};
+use aspendrum_checker::Millis;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use socket2::SockRef;
@@ -24,19 +25,19 @@
     pub queue: usize,
     pub connections: usize,
     /// What a new connection's first query takes longer, as a handshake would.
-    pub handshake: Ms,
+    pub handshake: Millis,
     pub cold_share: f64,
-    pub ramp: Ms,
+    pub ramp: Millis,
     /// It falls over under so many times what it can do, sent within this time.
     pub fall_multiple: f64,
-    pub fall_window: Ms,
+    pub fall_window: Millis,
     /// Answers carry load reports; else only probes do.
     pub reports_in_answers: bool,
     pub probes: bool,
     /// Milliseconds of one core for each endpoint group, by name, and how it may be repeated.
-    pub groups: HashMap<String, (Ms, Repeats)>,
+    pub groups: HashMap<String, (Millis, RetrySafety)>,
     /// A keyed query's repeat is dropped for so long.
-    pub repeat_window: Ms,
+    pub repeat_window: Millis,
 }
 
 /// The ways of failing that can stand at the same time.
@@ -57,7 +58,7 @@
 pub struct Shared {
     pub clock: Clock,
     forwards: Mutex<Vec<Forward>>,
-    keys: Mutex<HashMap<String, Ms>>,
+    keys: Mutex<HashMap<String, Millis>>,
 }
 
 impl Shared {
@@ -74,7 +75,7 @@
     }
 
     /// Whether a keyed query ran within the window; if not, it runs now.
-    fn ran(&self, key: &str, now: Ms, window: Ms) -> bool {
+    fn ran(&self, key: &str, now: Millis, window: Millis) -> bool {
         let mut keys = lock(&self.keys);
         if keys.get(key).is_some_and(|at| now - at < window) {
             return true;
@@ -95,13 +96,13 @@
 }
 
 struct State {
-    up: Ms,
+    up: Millis,
     cold: bool,
-    lives: Vec<Life>,
+    lives: Vec<ServerIncarnation>,
     in_hand: usize,
     connections: usize,
     /// Work that came lately: when, and core milliseconds.
-    lately: VecDeque<(Ms, Ms)>,
+    lately: VecDeque<(Millis, Millis)>,
     busy_ms: f64,
     rng: SmallRng,
 }
@@ -120,11 +121,11 @@
         let state = State {
             up: 0.0,
             cold: false,
-            lives: vec![Life {
+            lives: vec![ServerIncarnation {
                 server: number,
                 from: 0.0,
-                cold: false,
-                fell: None,
+                is_cold_start: false,
+                collapsed_at: None,
             }],
             in_hand: 0,
             connections: 0,
@@ -153,7 +154,7 @@
         &self.shared
     }
 
-    pub fn lives(&self) -> Vec<Life> {
+    pub fn lives(&self) -> Vec<ServerIncarnation> {
         lock(&self.state).lives.clone()
     }
 
@@ -167,7 +168,7 @@
     }
 
     /// Starts again at the same address, cold. Milliseconds of the run at which it did; `None`: it is up.
-    pub async fn back(self: &Arc<Server>) -> io::Result<Option<Ms>> {
+    pub async fn back(self: &Arc<Server>) -> io::Result<Option<Millis>> {
         let Some(listener) = self.host.back().await? else {
             return Ok(None);
         };
@@ -176,11 +177,11 @@
             let mut state = lock(&self.state);
             (state.up, state.cold, state.in_hand, state.connections) = (now, true, 0, 0);
             state.lately.clear();
-            state.lives.push(Life {
+            state.lives.push(ServerIncarnation {
                 server: self.number,
                 from: now,
-                cold: true,
-                fell: None,
+                is_cold_start: true,
+                collapsed_at: None,
             });
         }
         self.host.begin();
@@ -274,7 +275,7 @@
         id: u64,
         call: &http::Message,
         group: &str,
-        now: Ms,
+        now: Millis,
         crowded: bool,
         fresh: bool,
     ) -> Option<Vec<u8>> {
@@ -285,12 +286,13 @@
         let key = call.header("Idempotency-Key").unwrap_or("");
         let full = lock(&self.state).in_hand >= self.figures.cores + self.figures.queue;
         let fate = if crowded || full || ails.draining {
-            Fate::TurnedAway
-        } else if repeats == Repeats::Keyed && self.shared.ran(key, now, self.figures.repeat_window)
+            ForwardOutcome::Rejected
+        } else if repeats == RetrySafety::Deduplicated
+            && self.shared.ran(key, now, self.figures.repeat_window)
         {
-            Fate::Repeat
+            ForwardOutcome::Deduplicated
         } else {
-            Fate::Ran
+            ForwardOutcome::Ran
         };
         let two_lengths =
             call.header("Content-Length").is_some() && call.header("Transfer-Encoding").is_some();
@@ -298,20 +300,20 @@
         let forward = Forward {
             id,
             server: self.number,
-            first,
-            whole: now,
+            first_byte_at: first,
+            last_byte_at: now,
             fate,
-            two_lengths,
+            has_two_lengths: two_lengths,
         };
         lock(&self.shared.forwards).push(forward);
         self.weigh(now, work);
-        if fate == Fate::TurnedAway {
+        if fate == ForwardOutcome::Rejected {
             return Some(self.turned_away());
         }
         if fresh && self.figures.handshake > 0.0 {
             sleep(Duration::from_secs_f64(self.figures.handshake / 1000.0)).await;
         }
-        if fate == Fate::Ran {
+        if fate == ForwardOutcome::Ran {
             self.work(work, &ails).await;
         }
         if self.ails.borrow().silent {
@@ -337,7 +339,7 @@
     }
 
     /// The work on a core, with its turn waited for.
-    async fn work(&self, work: Ms, ails: &Ails) {
+    async fn work(&self, work: Millis, ails: &Ails) {
         struct Leave<'a>(&'a Server);
         impl Drop for Leave<'_> {
             fn drop(&mut self) {
@@ -359,7 +361,7 @@
     }
 
     /// Of its warm capacity, what it has now.
-    fn speed(&self, now: Ms) -> f64 {
+    fn speed(&self, now: Millis) -> f64 {
         let state = lock(&self.state);
         if !state.cold || self.figures.ramp <= 0.0 {
             return 1.0;
@@ -369,7 +371,7 @@
     }
 
     /// A cold server that is sent too much for too long falls over and stays down.
-    fn weigh(&self, now: Ms, work: Ms) {
+    fn weigh(&self, now: Millis, work: Millis) {
         let speed = self.speed(now);
         let mut state = lock(&self.state);
         if !state.cold || now - state.up > self.figures.ramp {
@@ -383,14 +385,14 @@
         {
             state.lately.pop_front();
         }
-        let sum: Ms = state.lately.iter().map(|w| w.1).sum();
+        let sum: Millis = state.lately.iter().map(|w| w.1).sum();
         let may = self.figures.fall_multiple
             * speed
             * self.figures.cores as f64
             * self.figures.fall_window;
         if sum > may {
             if let Some(life) = state.lives.last_mut() {
-                life.fell.get_or_insert(now);
+                life.collapsed_at.get_or_insert(now);
             }
             drop(state);
             self.die();
--- a/crates/aspendrum-fake-services/tests/standins.rs
+++ b/crates/aspendrum-fake-services/tests/standins.rs
@@ -1,7 +1,7 @@
 //! The stand-ins against a client that speaks the protocol plainly: each does what it is for, fails as it is
 //! told to, and records what reached it.
 
-use aspendrum_checker::record::{Fate, Repeats};
+use aspendrum_checker::limiter::{ForwardOutcome, RetrySafety};
 use aspendrum_fake_services::counter::{self, Counter};
 use aspendrum_fake_services::discovery::{Discovery, Health};
 use aspendrum_fake_services::server::{self, Server, Shared};
@@ -19,7 +19,10 @@
 const A_WHILE: Duration = Duration::from_millis(150);
 
 fn figures() -> server::Figures {
-    let groups = [("look", Repeats::Repeatable), ("book", Repeats::Keyed)];
+    let groups = [
+        ("look", RetrySafety::Idempotent),
+        ("book", RetrySafety::Deduplicated),
+    ];
     server::Figures {
         cores: 2,
         queue: 2,
@@ -76,9 +79,12 @@
         .unwrap()
         .starts_with("TEXT inflight=0"));
     let seen = shared.forwards();
-    assert_eq!((seen.len(), seen[0].id, seen[0].fate), (1, 7, Fate::Ran));
+    assert_eq!(
+        (seen.len(), seen[0].id, seen[0].fate),
+        (1, 7, ForwardOutcome::Ran)
+    );
     // A keyed query's repeat is dropped, and answered as the first was.
-    for fate in [Fate::Ran, Fate::Repeat] {
+    for fate in [ForwardOutcome::Ran, ForwardOutcome::Deduplicated] {
         assert_eq!(query(&server, 8, "book").await.unwrap().status(), 200);
         assert_eq!(shared.forwards().last().unwrap().fate, fate);
     }
@@ -111,7 +117,7 @@
     let ran = shared
         .forwards()
         .iter()
-        .filter(|f| f.fate == Fate::Ran)
+        .filter(|f| f.fate == ForwardOutcome::Ran)
         .count();
     assert!(
         ran >= 4 && ran + turned_away == 16,
@@ -151,7 +157,7 @@
         shared
             .forwards()
             .iter()
-            .filter(|f| f.fate == Fate::Ran)
+            .filter(|f| f.fate == ForwardOutcome::Ran)
             .count(),
         4
     );
@@ -178,7 +184,7 @@
     assert!(server.back().await.unwrap().is_some());
     assert!(server.back().await.unwrap().is_none(), "it is up");
     assert_eq!(query(&server, 1, "look").await.unwrap().status(), 200);
-    assert!(server.lives()[1].cold && server.lives()[1].fell.is_none());
+    assert!(server.lives()[1].is_cold_start && server.lives()[1].collapsed_at.is_none());
     // 3 times a fifth of two cores for 100 ms are 120 ms of work; eight queries of 20 ms are more.
     let calls: Vec<_> = (10..18)
         .map(|id| {
@@ -189,7 +195,7 @@
     for call in calls {
         let _ = call.await.unwrap();
     }
-    assert!(server.lives()[1].fell.is_some());
+    assert!(server.lives()[1].collapsed_at.is_some());
     assert!(query(&server, 30, "look").await.is_none(), "it stays down");
 }
 
@@ -353,7 +359,7 @@
     let told = discovery.told();
     assert!(told
         .iter()
-        .any(|t| t.limiter == 3 && t.server == 1 && !t.well));
+        .any(|t| t.limiter == 3 && t.server == 1 && !t.in_service));
     // Nothing new: the watch ends with no entries after its time.
     let (_, none) = agent.get("?from=2&hold_ms=50").await;
     assert_eq!(none["hosts"], Value::Array(vec![]));
--- a/crates/aspendrum-testbed/src/clients.rs
+++ b/crates/aspendrum-testbed/src/clients.rs
@@ -1,7 +1,8 @@
 //! The clients: open-loop traffic, each query sent at its moment whatever became of those before it.
 
 use crate::scenario::{Customers, Scenario};
-use aspendrum_checker::record::{Final, Ms, Query, Repeats};
+use aspendrum_checker::limiter::{Query, QueryOutcome, RetrySafety};
+use aspendrum_checker::Millis;
 use aspendrum_fake_services::{http, lock, Clock};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -23,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Planned {
     pub id: u64,
-    pub at: Ms,
+    pub at: Millis,
     pub customer: usize,
     pub group: usize,
     pub limiter: usize,
@@ -69,7 +70,7 @@
 }
 
 /// All queries of the run in the order of time, the same for the same seed.
-pub fn plan(s: &Scenario, customers: &[Customer], from: Ms) -> Vec<Planned> {
+pub fn plan(s: &Scenario, customers: &[Customer], from: Millis) -> Vec<Planned> {
     let mut rng = SmallRng::seed_from_u64(s.seed);
     let mut all = Vec::new();
     for (number, customer) in customers.iter().enumerate() {
@@ -147,10 +148,10 @@
         let sent = self.clock.now();
         let limit = Duration::from_secs_f64(group.limit_s);
         let until = Instant::now() + limit + PATIENCE;
-        let once = group.repeats == Repeats::Mutating;
+        let once = group.repeats == RetrySafety::NonIdempotent;
         let outcome = match timeout_at(until, self.exchange(query, text.as_bytes(), once)).await {
             Ok(outcome) => outcome,
-            Err(_) => Final::Silent,
+            Err(_) => QueryOutcome::Silent,
         };
         Query {
             id: query.id,
@@ -158,14 +159,14 @@
             group: query.group,
             limiter: query.limiter,
             units: query.units,
-            sent,
-            until: sent + group.limit_s * 1000.0,
-            ended: self.clock.now(),
+            sent_at: sent,
+            deadline: sent + group.limit_s * 1000.0,
+            ended_at: self.clock.now(),
             outcome,
         }
     }
 
-    async fn exchange(&self, query: &Planned, text: &[u8], once: bool) -> Final {
+    async fn exchange(&self, query: &Planned, text: &[u8], once: bool) -> QueryOutcome {
         let mut kept = self.kept(query.limiter);
         loop {
             let old = kept.is_some();
@@ -174,7 +175,7 @@
                 None => {
                     match timeout(CONNECT, TcpStream::connect(self.limiters[query.limiter])).await {
                         Ok(Ok(stream)) => stream,
-                        _ => return Final::Unreached,
+                        _ => return QueryOutcome::Unreached,
                     }
                 }
             };
@@ -191,16 +192,16 @@
                         lock(&self.idle[query.limiter]).push(stream);
                     }
                     return match answer.status() {
-                        200 if own => Final::Answered,
-                        200 => Final::Foreign,
-                        429 | 503 => Final::Shed,
-                        _ => Final::Dropped,
+                        200 if own => QueryOutcome::Answered,
+                        200 => QueryOutcome::Foreign,
+                        429 | 503 => QueryOutcome::Shed,
+                        _ => QueryOutcome::Dropped,
                     };
                 }
                 // The limiter closed it between queries, and the close has crossed this one: sent once more
                 // on a new connection, unless it must never run twice.
                 _ if old && rest.is_empty() && !once => {}
-                _ => return Final::Lost,
+                _ => return QueryOutcome::Lost,
             }
         }
     }
@@ -221,15 +222,15 @@
 fn request(s: &Scenario, customers: &[Customer], query: &Planned) -> String {
     let (customer, group) = (&customers[query.customer], &s.groups[query.group]);
     let (method, more) = match group.repeats {
-        Repeats::Repeatable => ("GET", String::new()),
-        Repeats::Keyed => (
+        RetrySafety::Idempotent => ("GET", String::new()),
+        RetrySafety::Deduplicated => (
             "POST",
             format!(
                 "Idempotency-Key: {:032x}\r\nContent-Length: 2\r\n",
                 query.id
             ),
         ),
-        Repeats::Mutating => ("POST", "Content-Length: 2\r\n".to_string()),
+        RetrySafety::NonIdempotent => ("POST", "Content-Length: 2\r\n".to_string()),
     };
     let body = if method == "GET" { "" } else { "hi" };
     let plan = &s.plans[customer.plan].name;
--- a/crates/aspendrum-testbed/src/config.rs
+++ b/crates/aspendrum-testbed/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration that each limiter of a scenario is started with, in the platform's form.
 
 use crate::scenario::{Group, Plan, Reports, Scenario};
-use aspendrum_checker::record::Repeats;
+use aspendrum_checker::limiter::RetrySafety;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -74,9 +74,9 @@
 
 fn group(g: &Group) -> Value {
     let semantics = match g.repeats {
-        Repeats::Repeatable => "retryable",
-        Repeats::Keyed => "dedup",
-        Repeats::Mutating => "fragile",
+        RetrySafety::Idempotent => "retryable",
+        RetrySafety::Deduplicated => "dedup",
+        RetrySafety::NonIdempotent => "fragile",
     };
     json!({
         "Name": g.name, "AimS": g.slo_s, "HardLimitS": g.limit_s, "Semantics": semantics, "Group": "all",
--- a/crates/aspendrum-testbed/src/report.rs
+++ b/crates/aspendrum-testbed/src/report.rs
@@ -2,8 +2,8 @@
 
 use crate::run::Outcome;
 use crate::scenario::Scenario;
-use aspendrum_checker::quota;
-use aspendrum_checker::record::Final;
+use aspendrum_checker::limiter::quota::{self, Grant};
+use aspendrum_checker::limiter::{QueryOutcome, Recovery};
 use plotters::prelude::*;
 use serde::Serialize;
 use std::fmt::Write;
@@ -47,27 +47,32 @@
         let (v, seconds, n) = (&o.verdict, o.seconds(), s.limiters.count as f64);
         let per = |count: u64| count as f64 / n / seconds;
         let weighed = o.memory_kb.len().max(1) as f64;
-        let last = v.recoveries.iter().max_by(|a, b| a.0.to.total_cmp(&b.0.to));
+        let last = v
+            .recoveries
+            .iter()
+            .max_by(|a, b| a.fault.to.total_cmp(&b.fault.to));
         Row {
             scenario: s.name.clone(),
             limiters: s.limiters.count,
             seconds,
             queries: o.record.queries.len(),
-            answered: v.count(Final::Answered),
-            shed: v.count(Final::Shed),
-            dropped: v.count(Final::Dropped) + v.count(Final::Foreign),
-            lost: v.count(Final::Lost),
-            unreached: v.count(Final::Unreached),
-            silent: v.count(Final::Silent),
-            over_quota: v.whole.over_quota,
-            peak_over_burst: v.whole.peak_over_burst,
-            peak_over_ceiling: v.whole.peak_over_ceiling,
+            answered: v.count(QueryOutcome::Answered),
+            shed: v.count(QueryOutcome::Shed),
+            dropped: v.count(QueryOutcome::Dropped) + v.count(QueryOutcome::Foreign),
+            lost: v.count(QueryOutcome::Lost),
+            unreached: v.count(QueryOutcome::Unreached),
+            silent: v.count(QueryOutcome::Silent),
+            over_quota: v.total_use.quota_utilization,
+            peak_over_burst: v.total_use.peak_burst_ratio,
+            peak_over_ceiling: v.total_use.peak_limit_ratio,
             refused_with_room: v.refused_with_room(),
-            p50_ms: v.time(0.5),
-            p99_ms: v.time(0.99),
+            p50_ms: v.response_time(0.5),
+            p99_ms: v.response_time(0.99),
             forwards_per_query: v.forwards_per_query,
             cold_load: v.cold_load,
-            recovery_s: last.and_then(|r| r.1).map(|ms| ms / 1000.0),
+            recovery_s: last
+                .and_then(|recovery| recovery.time)
+                .map(|ms| ms / 1000.0),
             datagrams_per_limiter_s: per(o.traffic.datagrams.messages),
             bytes_per_limiter_s: per(o.traffic.datagrams.bytes),
             datagrams_lost: o.traffic.datagrams.lost,
@@ -114,7 +119,7 @@
         "inside the quota",
         format!(
             "{:.0} units of {:.0} that had room",
-            v.whole.inside, v.whole.ideal
+            v.total_use.granted_within_quota, v.total_use.ideally_granted
         ),
     );
     row(
@@ -132,11 +137,11 @@
             format!("{:.2} of what the rule allows", r.cold_load),
         );
     }
-    for (trouble, after) in &v.recoveries {
-        let told = after.map_or("not before the end".into(), |ms| {
+    for Recovery { fault, time } in &v.recoveries {
+        let told = time.map_or("not before the end".into(), |ms| {
             format!("after {:.1} s", ms / 1000.0)
         });
-        row(&format!("recovered from fault {}", trouble.name), told);
+        row(&format!("recovered from fault {}", fault.name), told);
     }
     let told = format!(
         "{:.1}, {:.0} bytes",
@@ -216,15 +221,15 @@
 
 fn queries(o: &Outcome, path: &Path) -> Result<(), String> {
     let (from, r) = (o.record.from, &o.record);
-    let line = |q: &aspendrum_checker::record::Query| {
+    let line = |q: &aspendrum_checker::limiter::Query| {
         vec![
             q.id.to_string(),
             r.customers[q.customer].name.clone(),
             r.groups[q.group].name.clone(),
             q.limiter.to_string(),
             q.units.to_string(),
-            format!("{:.3}", q.sent - from),
-            format!("{:.3}", q.ended - from),
+            format!("{:.3}", q.sent_at - from),
+            format!("{:.3}", q.ended_at - from),
             format!("{:?}", q.outcome),
         ]
     };
@@ -246,15 +251,15 @@
         "refused",
         "refused_with_room",
     ];
-    let line = |(c, u): (&aspendrum_checker::record::Customer, &quota::Use)| {
+    let line = |(c, u): (&aspendrum_checker::limiter::Customer, &quota::QuotaUse)| {
         let mut line = vec![c.name.clone()];
         let figures = [
-            u.asked,
+            u.requested,
             u.granted,
-            u.inside,
-            u.over_quota,
-            u.peak_over_burst,
-            u.peak_over_ceiling,
+            u.granted_within_quota,
+            u.quota_utilization,
+            u.peak_burst_ratio,
+            u.peak_limit_ratio,
         ];
         line.extend(figures.map(|f| format!("{f:.3}")));
         line.extend([
@@ -266,16 +271,20 @@
     lines(
         path,
         &head,
-        o.record.customers.iter().zip(&o.verdict.uses).map(line),
+        o.record
+            .customers
+            .iter()
+            .zip(&o.verdict.quota_uses)
+            .map(line),
     )
 }
 
 fn recoveries(o: &Outcome, path: &Path) -> Result<(), String> {
-    let line = |(t, after): &(aspendrum_checker::record::Trouble, Option<f64>)| {
-        let (from, to) = (t.from - o.record.from, t.to - o.record.from);
-        let after = after.map_or(String::new(), |ms| format!("{ms:.0}"));
+    let line = |Recovery { fault, time }: &Recovery| {
+        let (from, to) = (fault.from - o.record.from, fault.to - o.record.from);
+        let after = time.map_or(String::new(), |ms| format!("{ms:.0}"));
         vec![
-            t.name.clone(),
+            fault.name.clone(),
             format!("{from:.0}"),
             format!("{to:.0}"),
             after,
@@ -295,9 +304,9 @@
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let (from, seconds) = (o.record.from, o.seconds());
     let mut all: quota::Grants = quota::grants(&o.record).into_iter().flatten().collect();
-    all.sort_by(|a, b| a.0.total_cmp(&b.0));
+    all.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut sum = 0.0;
-    let steps = all.iter().flat_map(|(at, units)| {
+    let steps = all.iter().flat_map(|Grant { at, units }| {
         let (x, before) = ((at - from) / 1000.0, sum);
         sum += units;
         [(x, before), (x, sum)]
--- a/crates/aspendrum-testbed/src/run.rs
+++ b/crates/aspendrum-testbed/src/run.rs
@@ -6,8 +6,8 @@
 use crate::process::{Process, Start};
 use crate::scenario::{Path as LinkPath, Scenario, Way, What, Which};
 use crate::timeline::{self, Moment};
-use aspendrum_checker::record::{self, Excuse, Ms, Query, Record};
-use aspendrum_checker::{judge, Verdict};
+use aspendrum_checker::limiter::{self, check, ExemptPeriod, Query, Record, RuleLimits, Verdict};
+use aspendrum_checker::Millis;
 use aspendrum_fake_services::counter::{self, Counter};
 use aspendrum_fake_services::discovery::{self, Discovery, Health};
 use aspendrum_fake_services::server::{self, Server, Shared};
@@ -37,9 +37,9 @@
 /// After a SIGTERM at the end of the run, until it must have ended.
 const END: Duration = Duration::from_secs(10);
 /// Between a listener's close and the end of its process, milliseconds.
-const CLOSING: Ms = 100.0;
+const CLOSING: Millis = 100.0;
 /// After a cut, until a relay has reset whoever tried to connect meanwhile, milliseconds.
-const HEALING: Ms = 200.0;
+const HEALING: Millis = 200.0;
 /// Between the fleet's readiness and the first query.
 const SETTLE: Duration = Duration::from_millis(300);
 
@@ -72,12 +72,12 @@
     /// Every failure, broken rule and passed bound, in words.
     pub fn broken(&self, s: &Scenario) -> Vec<String> {
         let mut all = self.failures.clone();
-        let rule = |b: &aspendrum_checker::rules::Breach| {
+        let rule = |b: &aspendrum_checker::limiter::Breach| {
             format!(
                 "rule {} at {:.1} s: {}",
                 b.rule,
                 (b.at - self.record.from) / 1000.0,
-                b.what
+                b.description
             )
         };
         all.extend(self.verdict.breaches.iter().map(rule));
@@ -86,10 +86,14 @@
             let passed = most.filter(|most| value > *most);
             all.extend(passed.map(|most| format!("{name} is {value:.3}, and may be {most}")));
         };
-        over("granted over quota", v.whole.over_quota, b.over_quota);
+        over(
+            "granted over quota",
+            v.total_use.quota_utilization,
+            b.over_quota,
+        );
         over(
             "the worst window over burst",
-            v.whole.peak_over_burst,
+            v.total_use.peak_burst_ratio,
             b.peak_over_burst,
         );
         over(
@@ -105,14 +109,16 @@
         let late = v
             .recoveries
             .iter()
-            .map(|r| r.1.unwrap_or(f64::INFINITY) / 1000.0)
+            .map(|r| r.time.unwrap_or(f64::INFINITY) / 1000.0)
             .fold(0.0, f64::max);
         over("seconds to recover", late, b.recovery_s);
-        let short = b.under_quota.filter(|least| v.whole.over_quota < *least);
+        let short = b
+            .under_quota
+            .filter(|least| v.total_use.quota_utilization < *least);
         let told = |least| {
             format!(
                 "granted over quota is {:.3}, and must be {least}",
-                v.whole.over_quota
+                v.total_use.quota_utilization
             )
         };
         all.extend(short.map(told));
@@ -168,7 +174,7 @@
     slots: Vec<tokio::sync::Mutex<Slot>>,
     /// The beginnings of the faults that have not ended.
     standing: Mutex<Vec<Moment>>,
-    excuses: Mutex<Vec<Excuse>>,
+    excuses: Mutex<Vec<ExemptPeriod>>,
     failures: Mutex<Vec<String>>,
     _claim: TcpListener,
 }
@@ -212,7 +218,7 @@
     let record = fleet.record(&customers, queries, from, to);
     let failures = fleet.failures();
     Ok(Outcome {
-        verdict: judge(&record),
+        verdict: check(&record),
         record,
         traffic: fleet.traffic(),
         memory_kb,
@@ -261,7 +267,7 @@
     tasks.join_all().await
 }
 
-fn moment(clock: Clock, at: Ms) -> Instant {
+fn moment(clock: Clock, at: Millis) -> Instant {
     Instant::from_std(clock.begun() + Duration::from_secs_f64(at.max(0.0) / 1000.0))
 }
 
@@ -393,7 +399,7 @@
     }
 
     /// The timeline, to its last moment.
-    async fn play(self: Arc<Fleet>, from: Ms) {
+    async fn play(self: Arc<Fleet>, from: Millis) {
         let mut tasks = JoinSet::new();
         for m in timeline::moments(&self.scenario) {
             sleep_until(moment(self.clock, from + m.at)).await;
@@ -654,8 +660,8 @@
         }
     }
 
-    fn excuse(&self, limiter: usize, server: Option<usize>, from: Ms, to: Ms) {
-        lock(&self.excuses).push(Excuse {
+    fn excuse(&self, limiter: usize, server: Option<usize>, from: Millis, to: Millis) {
+        lock(&self.excuses).push(ExemptPeriod {
             limiter,
             server,
             from,
@@ -666,7 +672,8 @@
     /// It takes queries again.
     fn pardon(&self, me: usize) {
         let now = self.clock.now();
-        let open = |e: &&mut Excuse| e.limiter == me && e.server.is_none() && e.to == f64::INFINITY;
+        let open =
+            |e: &&mut ExemptPeriod| e.limiter == me && e.server.is_none() && e.to == f64::INFINITY;
         lock(&self.excuses)
             .iter_mut()
             .filter(open)
@@ -810,47 +817,53 @@
         }
     }
 
-    fn record(&self, customers: &[Customer], queries: Vec<Query>, from: Ms, to: Ms) -> Record {
+    fn record(
+        &self,
+        customers: &[Customer],
+        queries: Vec<Query>,
+        from: Millis,
+        to: Millis,
+    ) -> Record {
         let s = &self.scenario;
         let customer = |(n, c): (usize, &Customer)| {
             let (plan, of) = (&s.plans[c.plan], &s.customers[c.of]);
-            record::Customer {
+            limiter::Customer {
                 name: format!("{}-{n}", plan.name),
                 rate: plan.rate / 1000.0,
                 burst: plan.burst,
-                ceiling_rate: plan.ceiling_rate / 1000.0,
-                ceiling_burst: plan.ceiling_burst,
-                asked: of.queries_per_s * of.units / 1000.0,
+                limit_rate: plan.ceiling_rate / 1000.0,
+                limit_burst: plan.ceiling_burst,
+                demand_rate: of.queries_per_s * of.units / 1000.0,
             }
         };
-        let server = record::Server {
+        let server = limiter::Server {
             cores: s.servers.cores as f64,
-            cold_share: s.servers.cold_share,
-            ramp: s.servers.ramp_s * 1000.0,
+            slow_start_capacity: s.servers.cold_share,
+            slow_start: s.servers.ramp_s * 1000.0,
         };
-        let group = |g: &crate::scenario::Group| record::Group {
+        let group = |g: &crate::scenario::Group| limiter::Group {
             name: g.name.clone(),
-            repeats: g.repeats,
-            work: g.work_ms,
+            retry_safety: g.repeats,
+            mean_work: g.work_ms,
         };
         let shared = self.servers.first().map(|s| s.shared());
         Record {
-            figures: record::Figures {
+            limits: RuleLimits {
                 drain_grace: s.rules.drain_grace_s * 1000.0 + 50.0,
-                fall_multiple: s.rules.fall_multiple,
-                fall_window: s.rules.fall_s * 1000.0,
-                ceiling_slack: config::CEILING_SLACK,
-                ..record::Figures::default()
+                collapse_multiple: s.rules.fall_multiple,
+                collapse_window: s.rules.fall_s * 1000.0,
+                limit_slack: config::CEILING_SLACK,
+                ..RuleLimits::default()
             },
             groups: s.groups.iter().map(group).collect(),
             customers: customers.iter().enumerate().map(customer).collect(),
             servers: vec![server; s.servers.count],
             queries,
             forwards: shared.map_or(Vec::new(), |s| s.forwards()),
-            told: self.discovery.told(),
-            lives: self.servers.iter().flat_map(|s| s.lives()).collect(),
-            excuses: lock(&self.excuses).clone(),
-            troubles: timeline::troubles(s, from),
+            discovery_updates: self.discovery.told(),
+            incarnations: self.servers.iter().flat_map(|s| s.lives()).collect(),
+            exempt_periods: lock(&self.excuses).clone(),
+            faults: timeline::troubles(s, from),
             from,
             to,
         }
--- a/crates/aspendrum-testbed/src/scenario.rs
+++ b/crates/aspendrum-testbed/src/scenario.rs
@@ -1,7 +1,7 @@
 //! A scenario: a fleet, what stands around it, its traffic, and a timeline of faults. Read from TOML, checked
 //! whole; a faulty key is refused by its name and place.
 
-use aspendrum_checker::record::Repeats;
+use aspendrum_checker::limiter::RetrySafety;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -141,7 +141,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Group {
     pub name: String,
-    pub repeats: Repeats,
+    pub repeats: RetrySafety,
     pub work_ms: f64,
     pub slo_s: f64,
     pub limit_s: f64,
@@ -152,7 +152,7 @@
 impl Group {
     fn usual() -> Vec<Group> {
         let name = "look".to_string();
-        let repeats = Repeats::Repeatable;
+        let repeats = RetrySafety::Idempotent;
         vec![Group {
             name,
             repeats,
--- a/crates/aspendrum-testbed/src/system/clients.rs
+++ b/crates/aspendrum-testbed/src/system/clients.rs
@@ -2,8 +2,8 @@
 //! further tries only where they may be made.
 
 use super::fleet::{region, zone, Fleet};
-use aspendrum_checker::record::Ms;
-use aspendrum_checker::system::{End, Try};
+use aspendrum_checker::system::{Attempt, AttemptOutcome};
+use aspendrum_checker::Millis;
 use aspendrum_fake_services::http::{self, Message};
 use aspendrum_fake_services::lock;
 use rand::seq::IndexedRandom;
@@ -75,20 +75,20 @@
 /// A request sent ahead of its answer, and how it ended.
 struct Ahead {
     id: u64,
-    end: End,
+    end: AttemptOutcome,
 }
 
 /// What came of one exchange.
 struct Came {
-    end: End,
+    end: AttemptOutcome,
     /// When the client left, if it did.
-    left: Option<Ms>,
+    left: Option<Millis>,
     again: Option<Duration>,
     ahead: Option<Ahead>,
 }
 
 impl Came {
-    fn of(end: End) -> Came {
+    fn of(end: AttemptOutcome) -> Came {
         Came {
             end,
             left: None,
@@ -104,7 +104,7 @@
     /// By zone: what a look-up said, and until when that is held.
     lists: Mutex<HashMap<usize, (Instant, Vec<SocketAddr>)>>,
     idle: Mutex<HashMap<SocketAddr, Vec<TcpStream>>>,
-    tries: Mutex<Vec<Try>>,
+    tries: Mutex<Vec<Attempt>>,
 }
 
 /// Keys of the tenants, by their number.
@@ -123,11 +123,11 @@
         }
     }
 
-    pub fn tries(&self) -> Vec<Try> {
+    pub fn tries(&self) -> Vec<Attempt> {
         lock(&self.tries).clone()
     }
 
-    fn now(&self) -> Ms {
+    fn now(&self) -> Millis {
         self.fleet.clock.now()
     }
 
@@ -142,11 +142,11 @@
             let Some((at, front, open)) =
                 self.choose(wish, first == Some(id), &failed, until).await
             else {
-                self.note(Try {
+                self.note(Attempt {
                     id,
-                    wish: number,
-                    front: usize::MAX,
-                    end: End::Unreached,
+                    request: number,
+                    proxy: usize::MAX,
+                    outcome: AttemptOutcome::Unreached,
                     ..blank(wish, sent)
                 });
                 sleep(FURTHER).await;
@@ -159,43 +159,45 @@
             let silent = || Came {
                 ahead: next.map(|id| Ahead {
                     id,
-                    end: End::Silent,
+                    end: AttemptOutcome::Silent,
                 }),
-                ..Came::of(End::Silent)
+                ..Came::of(AttemptOutcome::Silent)
             };
             let came = came.unwrap_or_else(|_| silent());
             let Came {
                 end, again, ahead, ..
             } = came;
             let ended = came.left.unwrap_or_else(|| self.now());
-            self.note(Try {
+            self.note(Attempt {
                 id,
-                wish: number,
-                front,
-                ended,
-                end,
+                request: number,
+                proxy: front,
+                ended_at: ended,
+                outcome: end,
                 ..blank(wish, sent)
             });
             if let Some(Ahead { id, end }) = ahead {
-                self.note(Try {
+                self.note(Attempt {
                     id,
-                    wish: id,
-                    front,
-                    ended,
-                    end,
+                    request: id,
+                    proxy: front,
+                    ended_at: ended,
+                    outcome: end,
                     ..blank(wish, sent)
                 });
             }
             let may = match end {
-                End::Answered | End::Left | End::Said(400 | 401 | 404 | 413 | 431) => false,
-                End::Promise(_) | End::Unreached => true,
+                AttemptOutcome::Answered
+                | AttemptOutcome::ClientDisconnected
+                | AttemptOutcome::OtherStatus(400 | 401 | 404 | 413 | 431) => false,
+                AttemptOutcome::NotRun(_) | AttemptOutcome::Unreached => true,
                 _ => !wish.once,
             };
             let left = until.saturating_duration_since(Instant::now());
             if !may || left.is_zero() {
                 return;
             }
-            if !matches!(end, End::Promise(429)) {
+            if !matches!(end, AttemptOutcome::NotRun(429)) {
                 failed.push(at);
             }
             sleep(again.unwrap_or(FURTHER).min(left / 3)).await;
@@ -237,9 +239,12 @@
         Some((at, self.fleet.edge_at(at)?, open))
     }
 
-    fn note(&self, t: Try) {
-        let ended = t.ended.max(t.sent);
-        lock(&self.tries).push(Try { ended, ..t });
+    fn note(&self, t: Attempt) {
+        let ended = t.ended_at.max(t.sent_at);
+        lock(&self.tries).push(Attempt {
+            ended_at: ended,
+            ..t
+        });
     }
 
     /// What look-ups say, held as long as they say; an old answer where none can be had.
@@ -281,7 +286,7 @@
             None => timeout(CONNECT, TcpStream::connect(at)).await,
         };
         let Ok(Ok(mut stream)) = connected else {
-            return Came::of(End::Unreached);
+            return Came::of(AttemptOutcome::Unreached);
         };
         let _ = stream.set_nodelay(true);
         let text: String = [Some(id), next]
@@ -301,7 +306,10 @@
                 Err(_) => {
                     let (left, ahead) = (
                         Some(self.now()),
-                        next.map(|id| Ahead { id, end: End::Left }),
+                        next.map(|id| Ahead {
+                            id,
+                            end: AttemptOutcome::ClientDisconnected,
+                        }),
                     );
                     return Came {
                         end: leave_now(stream, rest, leave.manner, id).await,
@@ -312,11 +320,14 @@
                 }
             },
         };
-        let lost = next.map(|id| Ahead { id, end: End::Lost });
+        let lost = next.map(|id| Ahead {
+            id,
+            end: AttemptOutcome::Lost,
+        });
         let Ok(Some(answer)) = answer else {
             return Came {
                 ahead: lost,
-                ..Came::of(End::Lost)
+                ..Came::of(AttemptOutcome::Lost)
             };
         };
         let mut closes = answer.closes();
@@ -328,12 +339,16 @@
             } else {
                 http::next(&mut stream, &mut rest, false).await
             };
-            let unread = if closes { End::Unreached } else { End::Lost };
+            let unread = if closes {
+                AttemptOutcome::Unreached
+            } else {
+                AttemptOutcome::Lost
+            };
             let end = second.ok().flatten().map_or(unread, |answer| {
                 closes |= answer.closes();
                 end(&answer, next)
             });
-            closes |= end == End::Lost;
+            closes |= end == AttemptOutcome::Lost;
             ahead = Some(Ahead { id: next, end });
         }
         if (wish.kept || wish.faithful) && !closes && rest.is_empty() {
@@ -374,7 +389,7 @@
     };
     let left = until.saturating_duration_since(Instant::now()).as_millis();
     format!(
-        "{method} {}x HTTP/1.1\r\nHost: a.example\r\nTry-Id: {id:016x}\r\nBudget-Ms: {left}\r\n\
+        "{method} {}x HTTP/1.1\r\nHost: a.example\r\nTry-Id: {id:016x}\r\nBudget-Millis: {left}\r\n\
          Credential: {}\r\nContent-Length: {}\r\n\r\n{body}",
         PATHS[wish.route],
         KEYS[wish.tenant],
@@ -383,7 +398,12 @@
 }
 
 /// Ends the connection in that manner. Whoever reads on holds what comes against his request.
-async fn leave_now(mut stream: TcpStream, mut rest: Vec<u8>, manner: Manner, id: u64) -> End {
+async fn leave_now(
+    mut stream: TcpStream,
+    mut rest: Vec<u8>,
+    manner: Manner,
+    id: u64,
+) -> AttemptOutcome {
     match manner {
         Manner::Close => {}
         Manner::Reset => {
@@ -398,36 +418,36 @@
             if answer
                 .ok()
                 .flatten()
-                .is_some_and(|answer| end(&answer, id) == End::Foreign)
+                .is_some_and(|answer| end(&answer, id) == AttemptOutcome::Foreign)
             {
-                return End::Foreign;
+                return AttemptOutcome::Foreign;
             }
         }
     }
-    End::Left
+    AttemptOutcome::ClientDisconnected
 }
 
-fn blank(wish: Wish, sent: Ms) -> Try {
+fn blank(wish: Wish, sent: Millis) -> Attempt {
     let (route, tenant) = (wish.route, wish.tenant);
-    Try {
+    Attempt {
         id: 0,
-        wish: 0,
+        request: 0,
         route,
         tenant,
-        front: 0,
-        sent,
-        ended: sent,
-        end: End::Lost,
+        proxy: 0,
+        sent_at: sent,
+        ended_at: sent,
+        outcome: AttemptOutcome::Lost,
     }
 }
 
-fn end(answer: &Message, id: u64) -> End {
+fn end(answer: &Message, id: u64) -> AttemptOutcome {
     let own = answer.header("Seal").is_some() && answer.body == format!("{id:016x}").as_bytes();
     match answer.status() {
-        200 if own => End::Answered,
-        200 => End::Foreign,
-        status @ (408 | 421 | 429 | 503) => End::Promise(status),
-        status => End::Said(status),
+        200 if own => AttemptOutcome::Answered,
+        200 => AttemptOutcome::Foreign,
+        status @ (408 | 421 | 429 | 503) => AttemptOutcome::NotRun(status),
+        status => AttemptOutcome::OtherStatus(status),
     }
 }
 
--- a/crates/aspendrum-testbed/src/system/operator.rs
+++ b/crates/aspendrum-testbed/src/system/operator.rs
@@ -3,8 +3,8 @@
 
 use super::clients::{call, CALL};
 use super::fleet::Fleet;
-use aspendrum_checker::orders::{Asked, Call};
-use aspendrum_checker::record::Ms;
+use aspendrum_checker::system::{ConfigText, ControlCall, OperatorCall};
+use aspendrum_checker::Millis;
 use aspendrum_fake_services::lock;
 use serde_json::Value;
 use std::sync::{Arc, Mutex};
@@ -48,7 +48,7 @@
 /// What came of an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Came {
-    Acknowledged(Ms),
+    Acknowledged(Millis),
     Refused(u16),
     /// Given up without a clear answer: it may be in force or not.
     Unclear,
@@ -56,7 +56,7 @@
 
 pub struct Operator {
     fleet: Arc<Fleet>,
-    calls: Mutex<Vec<Call>>,
+    calls: Mutex<Vec<ControlCall>>,
 }
 
 impl Operator {
@@ -68,7 +68,7 @@
     }
 
     /// All calls so far, but for those about zones.
-    pub fn calls(&self) -> Vec<Call> {
+    pub fn calls(&self) -> Vec<ControlCall> {
         lock(&self.calls).clone()
     }
 
@@ -78,16 +78,16 @@
             let sent = self.fleet.clock.now();
             let answer = call(self.fleet.ctl(core), "POST", "/api/Cfg.Set", text, CALL).await;
             let status = answer.map(|a| a.0);
-            let asked = Asked::Set {
+            let asked = OperatorCall::Set {
                 number,
                 text: text.clone(),
             };
             let ended = self.fleet.clock.now();
-            lock(&self.calls).push(Call {
-                core,
-                sent,
-                ended,
-                asked,
+            lock(&self.calls).push(ControlCall {
+                control_node: core,
+                sent_at: sent,
+                ended_at: ended,
+                call: asked,
                 status,
             });
             status
@@ -136,13 +136,13 @@
         } else {
             None
         };
-        let number = shown.as_ref().map(|s| s.0);
+        let number = shown.as_ref().map(|shown| shown.number);
         let ended = self.fleet.clock.now();
-        lock(&self.calls).push(Call {
-            core,
-            sent,
-            ended,
-            asked: Asked::Show(shown),
+        lock(&self.calls).push(ControlCall {
+            control_node: core,
+            sent_at: sent,
+            ended_at: ended,
+            call: OperatorCall::Show(shown),
             status,
         });
         number
@@ -163,8 +163,11 @@
 }
 
 /// A configuration as it was read back, whatever the order of its fields.
-fn shown(body: &[u8]) -> Option<(u32, Arc<str>)> {
+fn shown(body: &[u8]) -> Option<ConfigText> {
     let held: Value = serde_json::from_slice(body).ok()?;
     let number = u32::from_str_radix(held["gen"].as_str()?, 16).ok()?;
-    Some((number, held.to_string().into()))
+    Some(ConfigText {
+        number,
+        text: held.to_string().into(),
+    })
 }
--- a/crates/aspendrum-testbed/src/system/play.rs
+++ b/crates/aspendrum-testbed/src/system/play.rs
@@ -4,9 +4,11 @@
 use super::fleet::Fleet;
 use super::scenario::{Habits, Scenario};
 use super::steps::{Book, Run};
-use aspendrum_checker::departures::{departed, Departed};
-use aspendrum_checker::record::Ms;
-use aspendrum_checker::system::{judge, Bounds, End, Record, Try, Verdict};
+use aspendrum_checker::system::{
+    check, Attempt, AttemptOutcome, Quota, Record, RuleBounds, Verdict,
+};
+use aspendrum_checker::system::{count_disconnects, DisconnectCounts};
+use aspendrum_checker::Millis;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
@@ -25,7 +27,7 @@
 /// Steps are done so long after the traffic's end, or are given up.
 const STEPS: Duration = Duration::from_secs(6);
 /// The last part of the traffic, in which the system is to be back.
-const LAST: Ms = 2000.0;
+const LAST: Millis = 2000.0;
 
 pub struct Outcome {
     pub record: Record,
@@ -36,38 +38,39 @@
     /// Processes that ended unasked, or did not end when told.
     pub failures: Vec<String>,
     /// Milliseconds from the start of all processes until all proxies were ready.
-    pub ready: Ms,
+    pub ready: Millis,
     /// Violations of their own invariants that proxies have told.
     pub violations: u64,
 }
 
 impl Outcome {
     /// So long do nineteen of twenty refusals for a quota take at the most, milliseconds.
-    pub fn refusals(&self) -> Ms {
+    pub fn refusals(&self) -> Millis {
         let refused = self
             .record
-            .tries
+            .attempts
             .iter()
-            .filter(|t| t.end == End::Promise(429));
-        let mut took: Vec<Ms> = refused.map(|t| t.ended - t.sent).collect();
+            .filter(|t| t.outcome == AttemptOutcome::NotRun(429));
+        let mut took: Vec<Millis> = refused.map(|t| t.ended_at - t.sent_at).collect();
         took.sort_by(f64::total_cmp);
         took.get(took.len() * 19 / 20).copied().unwrap_or(0.0)
     }
 
     /// Configurations that were acknowledged, and the milliseconds that the slowest of them took.
-    pub fn acknowledged(&self) -> (usize, Ms) {
+    pub fn acknowledged(&self) -> (usize, Millis) {
         let took = self
             .record
             .versions
             .iter()
-            .filter_map(|v| Some(v.acked? - v.sent));
+            .filter_map(|v| Some(v.acknowledged_at? - v.sent_at));
         took.fold((0, 0.0), |(n, most), took| (n + 1, most.max(took)))
     }
 
     /// What went on for clients that had left.
-    pub fn departed(&self) -> Departed {
-        let tries: HashMap<u64, &Try> = self.record.tries.iter().map(|t| (t.id, t)).collect();
-        departed(&self.record, &tries)
+    pub fn departed(&self) -> DisconnectCounts {
+        let tries: HashMap<u64, &Attempt> =
+            self.record.attempts.iter().map(|t| (t.id, t)).collect();
+        count_disconnects(&self.record, &tries)
     }
 
     /// Every failure, broken rule and passed bound, in words.
@@ -79,10 +82,10 @@
             let short = least.filter(|least| value < *least);
             all.extend(short.map(|least| format!("{name} is {value:.3}, and must be {least}")));
         };
-        least("the share served", v.share(), b.served);
+        least("the share served", v.all.share(), b.served);
         least(
             "the share of once-only wishes served",
-            v.share_once(),
+            v.once_only.share(),
             b.served_once,
         );
         let share = |part: (usize, usize)| part.1 as f64 / part.0.max(1) as f64;
@@ -105,10 +108,14 @@
             let over = most.filter(|most| n > *most);
             all.extend(over.map(|most| format!("{n} {name}, and {most} may be")));
         };
-        most("connections were lost", v.count(End::Lost), b.lost);
+        most(
+            "connections were lost",
+            v.count(AttemptOutcome::Lost),
+            b.lost,
+        );
         most(
             "tries were refused with 503",
-            v.count(End::Promise(503)),
+            v.count(AttemptOutcome::NotRun(503)),
             b.unready,
         );
         let over = b.violations.filter(|most| self.violations > *most);
@@ -220,14 +227,17 @@
     }
     let violations = end(&fleet, &mut book.failures).await;
     let (t, terms) = (s.terms, s.quota_per_s);
-    let bounds = Bounds {
+    let bounds = RuleBounds {
         contact: t.contact,
         apply: t.apply,
         revoke: t.revoked.then_some(t.revoke),
         evac: t.evac,
         loss: t.loss,
-        quota: (terms, terms),
-        quota_win: 5000.0,
+        quota: Quota {
+            rate: terms,
+            burst: terms,
+        },
+        quota_window: 5000.0,
         quota_excess: 0.1,
         quota_slack: 20.0,
     };
@@ -242,31 +252,39 @@
         from,
         to,
         bounds,
-        tries,
-        runs,
+        attempts: tries,
+        executions: runs,
         versions,
         evacuations,
         calls,
-        troubles,
-        read_back,
+        faults: troubles,
+        final_version: read_back,
     };
-    let verdict = judge(&record);
+    let verdict = check(&record);
     let served: HashSet<u64> = record
-        .tries
+        .attempts
         .iter()
-        .filter(|t| t.end == End::Answered)
-        .map(|t| t.wish)
+        .filter(|t| t.outcome == AttemptOutcome::Answered)
+        .map(|t| t.request)
         .collect();
-    let part = |of: &dyn Fn(&Try) -> bool| {
+    let part = |of: &dyn Fn(&Attempt) -> bool| {
         // Nothing is owed to a client that left.
-        let first = |t: &&Try| t.id == t.wish && t.end != End::Left && of(t) && record.owed(t);
-        let wishes: Vec<&Try> = record.tries.iter().filter(first).collect();
+        let first = |t: &&Attempt| {
+            t.id == t.request
+                && t.outcome != AttemptOutcome::ClientDisconnected
+                && of(t)
+                && record.is_owed(t)
+        };
+        let wishes: Vec<&Attempt> = record.attempts.iter().filter(first).collect();
         (
             wishes.len(),
-            wishes.iter().filter(|t| served.contains(&t.wish)).count(),
+            wishes
+                .iter()
+                .filter(|t| served.contains(&t.request))
+                .count(),
         )
     };
-    let (last, second) = (part(&|t| t.sent > to - LAST), part(&|t| t.tenant == 1));
+    let (last, second) = (part(&|t| t.sent_at > to - LAST), part(&|t| t.tenant == 1));
     Ok(Outcome {
         record,
         verdict,
--- a/crates/aspendrum-testbed/src/system/report.rs
+++ b/crates/aspendrum-testbed/src/system/report.rs
@@ -19,10 +19,13 @@
         "ready after all processes started, ms",
         format!("{:.0}", o.ready),
     );
-    line("wishes, served", format!("{}, {:.3}", v.wishes, v.share()));
+    line(
+        "wishes, served",
+        format!("{}, {:.3}", v.all.requests, v.all.share()),
+    );
     line(
         "once-only wishes, served",
-        format!("{}, {:.3}", v.once.0, v.share_once()),
+        format!("{}, {:.3}", v.once_only.requests, v.once_only.share()),
     );
     line(
         "wishes of the last two seconds, served",
@@ -32,24 +35,28 @@
         "the second tenant's wishes, served",
         format!("{}, {}", o.second.0, o.second.1),
     );
-    line("ran, and no client heard of it", v.unheard.to_string());
-    line("doubled", v.broke("TWICE").to_string());
-    line("refused, and ran", v.broke("REFUSED").to_string());
+    line("ran, and no client heard of it", v.unreported.to_string());
+    line("doubled", v.count_breaches("TWICE").to_string());
+    line("refused, and ran", v.count_breaches("REFUSED").to_string());
     line(
         "astray",
-        (v.broke("CONFIG") + v.broke("ROUTE") + v.broke("EVAC")).to_string(),
+        (v.count_breaches("CONFIG") + v.count_breaches("ROUTE") + v.count_breaches("EVAC"))
+            .to_string(),
     );
     let gone = o.departed();
     line(
         "clients that left, sent 500 ms later",
-        format!("{}, {}", gone.left, gone.sent_late),
+        format!("{}, {}", gone.disconnected, gone.sent_late),
     );
     line(
         "runs to be broken off, that went on",
-        format!("{}, {}", gone.lasting, gone.lasted),
+        format!("{}, {}", gone.abortable, gone.not_aborted),
     );
     line("violations of invariants", o.violations.to_string());
-    line("lost without any trouble", v.broke("LOST").to_string());
+    line(
+        "lost without any trouble",
+        v.count_breaches("LOST").to_string(),
+    );
     let (acked, slowest) = o.acknowledged();
     line(
         "configurations sent, acknowledged",
@@ -60,7 +67,7 @@
         "refusals for a quota, 95th percentile, ms",
         format!("{:.1}", o.refusals()),
     );
-    for (end, n) in &v.ends {
+    for (end, n) in &v.outcomes {
         line(&format!("tries: {end:?}"), n.to_string());
     }
     let broken = o.broken(s);
--- a/crates/aspendrum-testbed/src/system/scenario.rs
+++ b/crates/aspendrum-testbed/src/system/scenario.rs
@@ -1,7 +1,7 @@
 //! A scenario of the system: its size, its terms, what happens when, and what must hold in the end.
 
 use super::tamper::How;
-use aspendrum_checker::record::Ms;
+use aspendrum_checker::Millis;
 use serde::Deserialize;
 
 #[derive(Clone, Debug, Deserialize)]
@@ -80,16 +80,16 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Terms {
-    pub contact: Ms,
-    pub ack: Ms,
+    pub contact: Millis,
+    pub ack: Millis,
     pub sync_s: f64,
-    pub apply: Ms,
+    pub apply: Millis,
     pub revoked: bool,
-    pub revoke: Ms,
-    pub evac: Ms,
-    pub drain: Ms,
+    pub revoke: Millis,
+    pub evac: Millis,
+    pub drain: Millis,
     pub grace_s: f64,
-    pub loss: Ms,
+    pub loss: Millis,
 }
 
 impl Default for Terms {
@@ -115,8 +115,8 @@
 pub struct Habits {
     /// They close their connection before they have an answer, between these moments after they have sent.
     pub leave: f64,
-    pub leave_least_ms: Ms,
-    pub leave_most_ms: Ms,
+    pub leave_least_ms: Millis,
+    pub leave_most_ms: Millis,
     /// They hold an old answer and go to any proxy, whatever look-ups say now.
     pub stubborn: f64,
     /// They use a connection that is open, to whichever proxy, until that closes it.
@@ -287,7 +287,7 @@
     /// Of the wishes of the last two seconds: the system is back.
     pub served_last: Option<f64>,
     /// Milliseconds until nineteen of twenty refusals for a quota are there: a client that is given up is told at once.
-    pub refused_ms: Option<Ms>,
+    pub refused_ms: Option<Millis>,
     /// In the end every node applies what was decided.
     #[serde(default)]
     pub agree: bool,
@@ -298,7 +298,7 @@
     /// Violations of the programs' own invariants.
     pub violations: Option<u64>,
     /// Milliseconds until the slowest acknowledgement of a configuration is there.
-    pub acked_ms: Option<Ms>,
+    pub acked_ms: Option<Millis>,
 }
 
 /// Who a step is about.
--- a/crates/aspendrum-testbed/src/system/soak.rs
+++ b/crates/aspendrum-testbed/src/system/soak.rs
@@ -311,11 +311,11 @@
     let gone = outcome.departed();
     format!(
         "{} tries, served {:.2}, {} left, {} sent late, {} of {} runs went on",
-        outcome.record.tries.len(),
-        outcome.verdict.share(),
-        gone.left,
+        outcome.record.attempts.len(),
+        outcome.verdict.all.share(),
+        gone.disconnected,
         gone.sent_late,
-        gone.lasted,
-        gone.lasting
+        gone.not_aborted,
+        gone.abortable
     )
 }
--- a/crates/aspendrum-testbed/src/system/steps.rs
+++ b/crates/aspendrum-testbed/src/system/steps.rs
@@ -4,9 +4,9 @@
 use super::fleet::{Fleet, Slot, SERVICES};
 use super::operator::{Came, Operator};
 use super::scenario::{Scenario, Step, What, Who};
-use aspendrum_checker::orders::Evacuation;
-use aspendrum_checker::record::Ms;
-use aspendrum_checker::system::{Trouble, Version};
+use aspendrum_checker::system::Evacuation;
+use aspendrum_checker::system::{ConfigVersion, ProxyFault, RouteRule, TenantRule};
+use aspendrum_checker::Millis;
 use aspendrum_fake_services::lock;
 use nix::sys::signal::Signal;
 use serde_json::{json, Value};
@@ -25,9 +25,9 @@
 /// What the operator has decided, and what went wrong for whom.
 #[derive(Default)]
 pub struct Book {
-    pub versions: Vec<Version>,
+    pub versions: Vec<ConfigVersion>,
     pub evacuations: Vec<Evacuation>,
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<ProxyFault>,
     pub failures: Vec<String>,
 }
 
@@ -45,9 +45,9 @@
 }
 
 /// The once-only route goes to the other service.
-fn moved(v: &mut Version) {
-    let other = usize::from(v.routes[1].0 == SERVICES[0]);
-    v.routes[1].0 = SERVICES[other].into();
+fn moved(v: &mut ConfigVersion) {
+    let other = usize::from(v.routes[1].service == SERVICES[0]);
+    v.routes[1].service = SERVICES[other].into();
 }
 
 impl Run {
@@ -64,22 +64,40 @@
         std::mem::take(&mut *lock(&self.book))
     }
 
-    fn now(&self) -> Ms {
+    fn now(&self) -> Millis {
         self.fleet.clock.now()
     }
 
     /// The next configuration, as the last one with that done to it. A number of its own, unless told otherwise.
-    fn next(&self, number: Option<u32>, how: impl FnOnce(&mut Version)) -> Version {
+    fn next(&self, number: Option<u32>, how: impl FnOnce(&mut ConfigVersion)) -> ConfigVersion {
         let mut book = lock(&self.book);
-        let mut next = book.versions.last().cloned().unwrap_or_else(|| Version {
-            routes: vec![(SERVICES[0].into(), false), (SERVICES[1].into(), true)],
-            tenants: vec![("ann".into(), true), ("bob".into(), true)],
-            ..Version::default()
-        });
+        let mut next = book
+            .versions
+            .last()
+            .cloned()
+            .unwrap_or_else(|| ConfigVersion {
+                routes: vec![
+                    RouteRule {
+                        service: SERVICES[0].into(),
+                        is_once_only: false,
+                    },
+                    RouteRule {
+                        service: SERVICES[1].into(),
+                        is_once_only: true,
+                    },
+                ],
+                tenants: ["ann", "bob"]
+                    .map(|name| TenantRule {
+                        name: name.into(),
+                        has_key: true,
+                    })
+                    .to_vec(),
+                ..ConfigVersion::default()
+            });
         // Versions go up in steps that are not even.
         let newest = book.versions.iter().map(|v| v.number).max().unwrap_or(0);
         next.number = number.unwrap_or(newest + if newest % 2 == 0 { 3 } else { 2 });
-        (next.sent, next.acked) = (self.now(), None);
+        (next.sent_at, next.acknowledged_at) = (self.now(), None);
         how(&mut next);
         next.text = configuration(&self.fleet.scenario, &next).into();
         book.versions.push(next.clone());
@@ -87,18 +105,18 @@
     }
 
     /// Sends the next configuration, beginning at that machine of control.
-    pub async fn change(&self, first: usize, how: impl FnOnce(&mut Version)) -> (u32, Came) {
+    pub async fn change(&self, first: usize, how: impl FnOnce(&mut ConfigVersion)) -> (u32, Came) {
         let next = self.next(None, how);
         (next.number, self.send(first, &next).await)
     }
 
-    async fn send(&self, first: usize, v: &Version) -> Came {
+    async fn send(&self, first: usize, v: &ConfigVersion) -> Came {
         let came = self.operator.set(first, v.number, &v.text).await;
         if let Came::Acknowledged(at) = came {
             let mut book = lock(&self.book);
-            let same = |k: &&mut Version| k.number == v.number && k.text == v.text;
+            let same = |k: &&mut ConfigVersion| k.number == v.number && k.text == v.text;
             if let Some(known) = book.versions.iter_mut().find(same) {
-                known.acked.get_or_insert(at);
+                known.acknowledged_at.get_or_insert(at);
             }
         }
         came
@@ -133,7 +151,7 @@
             let a = self.next(None, moved);
             let b = self.next(Some(a.number), |v| {
                 moved(v);
-                v.tenants[1].1 = !v.tenants[1].1;
+                v.tenants[1].has_key = !v.tenants[1].has_key;
             });
             let (a, b) = tokio::join!(self.send(one, &a), self.send(other, &b));
             if [a, b].contains(&Came::Unclear) {
@@ -192,7 +210,7 @@
     }
 
     /// Whoever is out of touch by this, from now on until `to`.
-    fn trouble(&self, of: &[Who], to: Ms) {
+    fn trouble(&self, of: &[Who], to: Millis) {
         let from = self.now();
         let cores = of.iter().filter(|w| matches!(w, Who::Core(_))).count();
         let edges = of.iter().filter_map(|w| match w {
@@ -201,7 +219,11 @@
         });
         // Fewer than half of control must do no harm.
         let all = (2 * cores >= self.fleet.scenario.cores).then_some(None);
-        let troubles = edges.chain(all).map(|front| Trouble { front, from, to });
+        let troubles = edges.chain(all).map(|front| ProxyFault {
+            proxy: front,
+            from,
+            to,
+        });
         lock(&self.book).troubles.extend(troubles);
     }
 
@@ -214,10 +236,10 @@
                 self.change(first, moved).await;
             }
             What::TakeKey => {
-                self.change(first, |v| v.tenants[1].1 = false).await;
+                self.change(first, |v| v.tenants[1].has_key = false).await;
             }
             What::GiveKey => {
-                self.change(first, |v| v.tenants[1].1 = true).await;
+                self.change(first, |v| v.tenants[1].has_key = true).await;
             }
             What::Changes => self.changes(first, step).await,
             What::Race => self.race(of, step).await,
@@ -401,10 +423,10 @@
             let orders = &mut lock(&self.book).evacuations;
             orders.push(Evacuation {
                 zone: zone.clone(),
-                on,
-                sent,
-                acked: None,
-                ended,
+                is_evacuated: on,
+                sent_at: sent,
+                acknowledged_at: None,
+                ended_at: ended,
             });
             orders.len() - 1
         };
@@ -414,9 +436,9 @@
             self.note(&format!("the evacuation of {zone}, begun {on}: {came:?}"));
         }
         let order = &mut lock(&self.book).evacuations[at];
-        order.ended = ended;
+        order.ended_at = ended;
         if let Came::Acknowledged(acked) = came {
-            order.acked = Some(acked);
+            order.acknowledged_at = Some(acked);
         }
     }
 
@@ -469,15 +491,23 @@
 }
 
 /// A configuration's text, as the operator words it.
-fn configuration(s: &Scenario, v: &Version) -> String {
-    let rule = |n: usize, (service, once): &(String, bool)| {
-        let kind = if *once { "mutating" } else { "idem" };
+fn configuration(s: &Scenario, v: &ConfigVersion) -> String {
+    let rule = |n: usize, rule: &RouteRule| {
+        let kind = if rule.is_once_only {
+            "mutating"
+        } else {
+            "idem"
+        };
         json!({"name": format!("r-{n}"), "type": kind, "goal-ms": 800, "prio": n, "public": false,
-            "match": {"pfx": PATHS[n]}, "action": {"svc": service, "limit-ms": 2000, "tries": 3, "homes": []}})
+            "match": {"pfx": PATHS[n]}, "action": {"svc": rule.service, "limit-ms": 2000, "tries": 3, "homes": []}})
     };
-    let tenant = |n: usize, (name, held): &(String, bool)| {
-        let keys = if *held { vec![KEYS[n]] } else { Vec::new() };
-        json!({"name": name, "keys": keys, "prio": 0, "rate-s": s.quota_per_s, "burst": s.quota_per_s, "homes": []})
+    let tenant = |n: usize, tenant: &TenantRule| {
+        let keys = if tenant.has_key {
+            vec![KEYS[n]]
+        } else {
+            Vec::new()
+        };
+        json!({"name": tenant.name, "keys": keys, "prio": 0, "rate-s": s.quota_per_s, "burst": s.quota_per_s, "homes": []})
     };
     let rules: Vec<Value> = v
         .routes
--- a/crates/aspendrum-testbed/src/system/tamper.rs
+++ b/crates/aspendrum-testbed/src/system/tamper.rs
@@ -183,7 +183,7 @@
         section:
             StateSection::Config {
                 version,
-                compressed_text: text,
+                compressed_text,
                 checksum,
             },
     } = word
@@ -191,7 +191,8 @@
         return word;
     };
     let named = |s: &str| format!("\"svc\":\"{s}\"");
-    let text = String::from_utf8(decompress(&text).unwrap_or_default()).unwrap_or_default();
+    let text =
+        String::from_utf8(decompress(&compressed_text).unwrap_or_default()).unwrap_or_default();
     let text = text
         .replace(&named(one), "\"svc\":\"?\"")
         .replace(&named(other), &named(one));
--- a/crates/aspendrum-testbed/src/timeline.rs
+++ b/crates/aspendrum-testbed/src/timeline.rs
@@ -1,13 +1,14 @@
 //! A scenario's faults as moments: what begins and what ends when.
 
 use crate::scenario::{Fault, Scenario};
-use aspendrum_checker::record::{Ms, Trouble};
+use aspendrum_checker::limiter::FaultPeriod;
+use aspendrum_checker::Millis;
 
 /// One fault's beginning or end. `number` tells its occurrences apart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moment {
     /// Milliseconds since the traffic's start.
-    pub at: Ms,
+    pub at: Millis,
     pub fault: usize,
     pub number: u32,
     pub begins: bool,
@@ -42,7 +43,7 @@
     all
 }
 
-fn times(fault: &Fault, end: Ms) -> impl Iterator<Item = Ms> {
+fn times(fault: &Fault, end: Millis) -> impl Iterator<Item = Millis> {
     let (first, every) = (fault.at_s * 1000.0, fault.every_s.map(|s| s * 1000.0));
     let count = every.map_or(0, |every| ((end - first) / every).max(0.0) as u64);
     (0..=count)
@@ -52,7 +53,7 @@
 
 /// Each fault from its first beginning to its last end; one that stands to the end leaves nothing to recover
 /// in.
-pub fn troubles(s: &Scenario, from: Ms) -> Vec<Trouble> {
+pub fn troubles(s: &Scenario, from: Millis) -> Vec<FaultPeriod> {
     let end = s.seconds * 1000.0;
     let trouble = |(n, fault): (usize, &Fault)| {
         if fault.for_s.is_none() && !fault.what.at_once() {
@@ -61,7 +62,7 @@
         let first = times(fault, end).next()?;
         let last = times(fault, end).last()? + fault.for_s.unwrap_or(0.0) * 1000.0;
         let name = format!("{} {}", n, fault.what.kind());
-        (last < end).then_some(Trouble {
+        (last < end).then_some(FaultPeriod {
             name,
             from: from + first,
             to: from + last,
--- a/crates/aspendrum-testbed/tests/faults.rs
+++ b/crates/aspendrum-testbed/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Fleets of real processes with faults between them. Figures that today's program keeps stand as bounds with
 //! the issue that is to tighten them; what a bound allows beyond the figure is its scatter over seeds.
 
-use aspendrum_checker::record::Final;
+use aspendrum_checker::limiter::{QueryOutcome, Recovery};
 use aspendrum_testbed::library;
 use aspendrum_testbed::process::{Start, Told};
 use aspendrum_testbed::run::{self, Outcome};
@@ -60,7 +60,7 @@
         aspendrum_testbed::report::table(&s, &o)
     );
     // Whatever the faults did, the fleet was at work.
-    assert!(o.verdict.count(Final::Answered) >= 5);
+    assert!(o.verdict.count(QueryOutcome::Answered) >= 5);
     o
 }
 
@@ -187,7 +187,12 @@
         "over_quota = 2.0\nunder_quota = 0.7\nforwards_per_query = 1.5",
     ));
     assert!(
-        o.record.excuses.iter().filter(|e| e.to.is_finite()).count() >= 4,
+        o.record
+            .exempt_periods
+            .iter()
+            .filter(|e| e.to.is_finite())
+            .count()
+            >= 4,
         "four limiters were back"
     );
 }
@@ -204,7 +209,10 @@
         &faults,
         "over_quota = 1.0\nunder_quota = 0.5",
     ));
-    let (trouble, after) = &o.verdict.recoveries[0];
+    let Recovery {
+        fault: trouble,
+        time: after,
+    } = &o.verdict.recoveries[0];
     assert!(
         after.is_some(),
         "in use again before the end, {:.1} s after {}",
@@ -275,7 +283,7 @@
         o.verdict.forwards_per_query
     );
     assert!(
-        o.verdict.count(Final::Dropped) > 0,
+        o.verdict.count(QueryOutcome::Dropped) > 0,
         "mutating queries whose connection was reset are not sent again"
     );
 }
