--- a/crates/aspendrum-benchmarks/src/cores/proxy.rs
+++ b/crates/aspendrum-benchmarks/src/cores/proxy.rs
@@ -3,7 +3,7 @@
 
 use crate::measure::{batches, cpu_ms, each, memory, Line, Samples};
 use crate::sizes::{self, front_at, Size, GRADES};
-use aspendrum_core::api::{Load, Outcome};
+use aspendrum_core::api::{LoadReport, Outcome};
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{ProxyEndpoint, Readiness, StateSection};
@@ -203,7 +203,7 @@
             id,
             forward,
             server,
-            (Outcome::Ok, 50.0, Load::default()),
+            (Outcome::Ok, 50.0, LoadReport::default()),
             true,
         );
         ended.push(cpu_ms() - before);
@@ -345,7 +345,7 @@
                             id,
                             forward,
                             server,
-                            (Outcome::Ok, 5.0, Load::default()),
+                            (Outcome::Ok, 5.0, LoadReport::default()),
                             true,
                         );
                     }
--- a/crates/aspendrum-core/src/api.rs
+++ b/crates/aspendrum-core/src/api.rs
@@ -1,11 +1,11 @@
 //! The interface of the decision module: what it is told, what it may do, how it is set up.
 //! Nothing here belongs to one protocol, and nothing here decides. Times are milliseconds.
 
-pub type Ms = f64;
-pub type QueryId = u64;
+pub type Millis = f64;
+pub type RequestId = u64;
 pub type ServerId = u32;
 /// At most 40 bits: names of counts hold it beside a window. Wider ones are mapped at the door.
-pub type AcctId = u64;
+pub type TenantId = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Semantics {
@@ -63,7 +63,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportsVia {
+pub enum LoadReportChannel {
     Answers,
     Probes,
     Nothing,
@@ -72,13 +72,13 @@
 /// A load report: `n` values in the order of `Settings::load_values`; none if `n` is 0. One that could not be
 /// read is not a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     pub n: u8,
     pub values: [f32; 4],
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Member {
+pub struct ServerEntry {
     pub server: ServerId,
     /// Queries of a pool go to its members only. 0 where there is one pool.
     pub pool: u16,
@@ -90,15 +90,15 @@
     pub size: f32,
     pub kind: u8,
     /// 0: long ago.
-    pub started: Ms,
+    pub started: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NewQuery {
-    pub id: QueryId,
+pub struct NewRequest {
+    pub id: RequestId,
     pub group: u16,
-    pub until: Ms,
-    pub acct: AcctId,
+    pub until: Millis,
+    pub acct: TenantId,
     pub plan: u32,
     pub spread: f32,
     pub units: f32,
@@ -117,41 +117,41 @@
     Members {
         list: ListKind,
         version: u32,
-        entries: &'a [Member],
+        entries: &'a [ServerEntry],
     },
-    Query(NewQuery),
+    Query(NewRequest),
     ForwardEnded {
-        id: QueryId,
+        id: RequestId,
         forward: u8,
         server: ServerId,
         outcome: Outcome,
-        rtt: Ms,
+        rtt: Millis,
         /// The query is over, by this outcome or earlier.
         over: bool,
         used: u16,
         actual: u16,
-        load: Load,
+        load: LoadReport,
     },
     StreamStarted {
-        id: QueryId,
+        id: RequestId,
         forward: u8,
         server: ServerId,
-        rtt: Ms,
+        rtt: Millis,
     },
     ClientLeft {
-        id: QueryId,
+        id: RequestId,
     },
     Counted {
         name: u64,
         outcome: Outcome,
         total: f32,
-        rtt: Ms,
+        rtt: Millis,
     },
     Probed {
         server: ServerId,
         outcome: Outcome,
-        rtt: Ms,
-        load: Load,
+        rtt: Millis,
+        load: LoadReport,
     },
     PeerSaid {
         from: u16,
@@ -166,27 +166,27 @@
 pub enum Action {
     /// `timeout` 0: until the client gives up.
     Forward {
-        id: QueryId,
+        id: RequestId,
         server: ServerId,
-        timeout: Ms,
+        timeout: Millis,
     },
     Shed {
-        id: QueryId,
-        retry_after: Ms,
+        id: RequestId,
+        retry_after: Millis,
         /// It was beyond its customer's quota.
         beyond: bool,
     },
     Drop {
-        id: QueryId,
+        id: RequestId,
     },
     Cancel {
-        id: QueryId,
+        id: RequestId,
         forward: u8,
     },
     Count {
         name: u64,
         add: f32,
-        ttl: Ms,
+        ttl: Millis,
     },
     Probe {
         server: ServerId,
@@ -196,7 +196,7 @@
     },
     Timer {
         token: u32,
-        wait: Ms,
+        wait: Millis,
     },
     Fetch,
     Watch {
@@ -212,19 +212,19 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Group {
-    pub slo: Ms,
-    pub limit: Ms,
+pub struct GroupSettings {
+    pub slo: Millis,
+    pub limit: Millis,
     pub semantics: Semantics,
     pub repeat_group: RepeatGroup,
-    pub repeat_window: Ms,
+    pub repeat_window: Millis,
     pub importance: f64,
     pub late_share: f64,
     pub stream: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct PlanSettings {
     /// Counted by windows of burst over rate whatever its size, as the source has it.
     pub windowed: bool,
     /// Units a second; 0: no such quota.
@@ -245,33 +245,33 @@
     pub me: u32,
     pub instances: u32,
     pub zone: u8,
-    pub tick: Ms,
-    pub groups: Vec<Group>,
-    pub plans: Vec<Plan>,
+    pub tick: Millis,
+    pub groups: Vec<GroupSettings>,
+    pub plans: Vec<PlanSettings>,
     pub load_values: Vec<LoadValue>,
-    pub reports: ReportsVia,
+    pub reports: LoadReportChannel,
     pub discovery_asks: bool,
-    pub must_ask_in: Ms,
-    pub drain_grace: Ms,
+    pub must_ask_in: Millis,
+    pub drain_grace: Millis,
     pub fall_multiple: f64,
-    pub fall_window: Ms,
+    pub fall_window: Millis,
     pub cold_share: f64,
-    pub cold_time: Ms,
-    pub answer_grace: Ms,
+    pub cold_time: Millis,
+    pub answer_grace: Millis,
     pub may_cancel: bool,
     pub may_probe: bool,
     pub may_tell: bool,
     pub second_copies: bool,
     pub send_cap: u32,
     pub retry_after: bool,
-    pub max_retry_after: Ms,
+    pub max_retry_after: Millis,
     pub counter: bool,
-    pub counter_wait: Ms,
+    pub counter_wait: Millis,
     pub counter_price: f64,
     pub probe_price: f64,
     pub cross_zone_price: f64,
     pub units_top: f64,
     pub cost_after: bool,
-    pub meter: Ms,
+    pub meter: Millis,
     pub peer_in_per_s: f64,
 }
--- a/crates/aspendrum-core/src/control.rs
+++ b/crates/aspendrum-core/src/control.rs
@@ -13,9 +13,9 @@
 mod keepers;
 mod servers;
 
-const BEAT: Ms = 5.0;
+const BEAT: Millis = 5.0;
 const GOLDEN: f64 = 0.618_033_988_75;
-const IDLE: Ms = 90_000.0;
+const IDLE: Millis = 90_000.0;
 
 /// Rules 1 and 2: the only place that says whether a query may be sent on again or shed.
 const RULES: [(Semantics, Known, Resend, May); 9] = [
@@ -71,7 +71,7 @@
 ];
 
 impl Control {
-    pub fn new(now: Ms, seed: u64, s: &Settings, out: &mut Vec<Action>) -> Self {
+    pub fn new(now: Millis, seed: u64, s: &Settings, out: &mut Vec<Action>) -> Self {
         out.push(Action::Timer {
             token: 0,
             wait: BEAT,
@@ -111,7 +111,7 @@
         }
     }
 
-    pub fn handle(&mut self, now: Ms, event: &Event<'_>, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Millis, event: &Event<'_>, out: &mut Vec<Action>) {
         self.now = now;
         std::mem::swap(&mut self.acts, out);
         match *event {
@@ -166,7 +166,7 @@
         std::mem::swap(&mut self.acts, out);
     }
 
-    fn take(&mut self, new: &NewQuery) {
+    fn take(&mut self, new: &NewRequest) {
         let (group, plan) = (usize::from(new.group), new.plan as usize);
         let known = self.queries.find(new.id).is_some();
         if known || group >= self.fig.groups.len() || plan >= self.fig.plans.len() {
@@ -301,7 +301,7 @@
         // Pools without a server that may be used now, and the last pool's free share.
         let (mut stuck, mut spare) = (0_u64, None);
         while !self.waiting.is_empty() {
-            let mut order: Option<(f64, Ms, usize)> = None;
+            let mut order: Option<(f64, Millis, usize)> = None;
             for (i, &slot) in self.waiting.iter().enumerate() {
                 let q = &self.queries[slot];
                 let a = &self.accts[q.acct];
@@ -335,13 +335,13 @@
     #[allow(clippy::too_many_arguments)]
     fn ended(
         &mut self,
-        id: QueryId,
+        id: RequestId,
         n: usize,
         how: Outcome,
-        rtt: Ms,
+        rtt: Millis,
         over: bool,
         actual: f64,
-        load: &Load,
+        load: &LoadReport,
     ) {
         let Some(slot) = self.queries.find(id) else {
             return;
@@ -370,7 +370,7 @@
     }
 
     /// The one place for final answers given here.
-    fn give_up(&mut self, slot: usize, advice: Ms) {
+    fn give_up(&mut self, slot: usize, advice: Millis) {
         let q = &self.queries[slot];
         let all = self.fig.groups[q.group].repeat_group == RepeatGroup::All;
         // Who comes back past the SLO time spends quota and servers on an answer that is worth nothing.
--- a/crates/aspendrum-core/src/control/counting.rs
+++ b/crates/aspendrum-core/src/control/counting.rs
@@ -5,7 +5,7 @@
 use crate::state::*;
 
 /// A name lives as long as the counter allows: each rebirth hides what others added just before it.
-const NAME_TTL: Ms = 60_000.0;
+const NAME_TTL: Millis = 60_000.0;
 /// Of a ceiling, what limiters split; the rest is slack for grants that wait and go out together.
 const CEILING_SHARE: f64 = 0.9;
 /// The share of queries that ask: more with each prompt answer and with time, less with each late one.
@@ -19,17 +19,17 @@
 /// Under this many units in a limiter's even part of the burst it sees a customer too seldom to follow it.
 pub(super) const SPARSE_PART: f64 = 1.0;
 pub(super) const ID_BITS: u32 = 40;
-const LATELY: Ms = 5000.0;
+const LATELY: Millis = 5000.0;
 /// Of a ceiling, what the first keeper grants from.
 pub(super) const LEAD_PART: f64 = 0.6;
-pub(super) const KEPT_FOR: Ms = 2000.0;
+pub(super) const KEPT_FOR: Millis = 2000.0;
 /// A window's name must outlive the window by more than the way to the counter.
-const SPARSE_TTL: Ms = 1000.0;
-pub(super) const SETTLE_AFTER: Ms = 200.0;
-const STRAINED_FOR: Ms = 2000.0;
+const SPARSE_TTL: Millis = 1000.0;
+pub(super) const SETTLE_AFTER: Millis = 200.0;
+const STRAINED_FOR: Millis = 2000.0;
 /// Three, as the source has it, swung open on a counter that still answered most of its calls.
 const FAILURES: u32 = 5;
-pub(super) const PROBE_EVERY: Ms = 1000.0;
+pub(super) const PROBE_EVERY: Millis = 1000.0;
 
 const BREAKER: [(Breaker, Signal, Breaker, Effect); 2] = [
     (
@@ -53,7 +53,7 @@
     share: f64,
     units: f64,
     keep: f64,
-    now: Ms,
+    now: Millis,
 ) -> bool {
     let share = CEILING_SHARE * share;
     part.left =
@@ -66,11 +66,11 @@
 
 /// Sparse customers' names: one a window of burst over rate, by the clock, set apart lest all turn at once.
 impl Acct {
-    pub(super) fn turn(&self, now: Ms, fig: &PlanFig) -> f64 {
+    pub(super) fn turn(&self, now: Millis, fig: &PlanFig) -> f64 {
         now / fig.window.max(1.0) + (self.id as f64 * GOLDEN).fract()
     }
 
-    pub(super) fn turn_window(&mut self, now: Ms, fig: &PlanFig) {
+    pub(super) fn turn_window(&mut self, now: Millis, fig: &PlanFig) {
         let window = self.turn(now, fig).floor();
         if self.sparse && window != self.window {
             (self.window, self.carry, self.seen) = (window, 0.0, false);
@@ -78,7 +78,7 @@
     }
 
     /// The local count: even parts of rate and burst, and whatever the last read left it.
-    pub(super) fn room_here(&mut self, fig: &PlanFig, units: f64, now: Ms) -> bool {
+    pub(super) fn room_here(&mut self, fig: &PlanFig, units: f64, now: Millis) -> bool {
         let cap = fig.burst / self.ways;
         let top = if self.sparse {
             cap
@@ -92,7 +92,7 @@
     }
 
     /// A count that goes over to one limiter, or back to all, knows nothing yet of what the others used.
-    pub(super) fn split(&mut self, fig: &PlanFig, ways: f64, now: Ms) {
+    pub(super) fn split(&mut self, fig: &PlanFig, ways: f64, now: Millis) {
         let known = fig.windowed && self.ways > 0.0;
         (self.ways, self.sparse) = (ways, fig.windowed || fig.burst < SPARSE_PART * ways);
         if known {
@@ -108,7 +108,7 @@
         (self.seen, self.total, self.carry, self.window) = (false, 0.0, 0.0, 0.0);
     }
 
-    pub(super) fn name(&mut self, now: Ms, fig: &PlanFig) -> (u64, Ms) {
+    pub(super) fn name(&mut self, now: Millis, fig: &PlanFig) -> (u64, Millis) {
         self.turn_window(now, fig);
         let window = (self.window as u64 + 1) & ((1 << (64 - ID_BITS)) - 1);
         let (sparse, plain) = (
@@ -203,7 +203,7 @@
         }
     }
 
-    pub(super) fn acct(&mut self, id: AcctId, plan: usize, spread: f64) -> usize {
+    pub(super) fn acct(&mut self, id: TenantId, plan: usize, spread: f64) -> usize {
         if let Some(at) = self.accts.find(id) {
             self.accts[at].spread = spread;
             return at;
@@ -251,7 +251,7 @@
         });
     }
 
-    pub(super) fn counted(&mut self, name: u64, outcome: Outcome, total: f64, rtt: Ms) {
+    pub(super) fn counted(&mut self, name: u64, outcome: Outcome, total: f64, rtt: Millis) {
         let Some(at) = self.accts.find(name & ((1 << ID_BITS) - 1)) else {
             return;
         };
--- a/crates/aspendrum-core/src/control/keepers.rs
+++ b/crates/aspendrum-core/src/control/keepers.rs
@@ -18,12 +18,12 @@
 const KEEPERS: u32 = 3;
 /// A keeper answers within its counter's time-out and the way there and back; two silences in a row are no
 /// loss on the way. Set beside the counter's, it is asked again after the same pause.
-const KEEPER_WAIT: Ms = 100.0;
+const KEEPER_WAIT: Millis = 100.0;
 const KEEPER_MISSES: u32 = 2;
 /// A question is asked once more before it counts as missed: datagrams get lost.
-const KEEPER_AGAIN: Ms = 50.0;
+const KEEPER_AGAIN: Millis = 50.0;
 /// While the breaker is open a probe a second asks the counter: two without a word, and it is silent.
-const SILENT_AFTER: Ms = 2.5 * PROBE_EVERY;
+const SILENT_AFTER: Millis = 2.5 * PROBE_EVERY;
 /// Of the words that a limiter takes in, those that it may ask for with `Want`, and how many at once.
 const WANTED_SHARE: f64 = 0.25;
 const WANTS: f64 = 8.0;
@@ -41,13 +41,13 @@
 }
 
 /// Another limiter's question, among all.
-fn said_id(from: u16, stamp: Stamp) -> QueryId {
+fn said_id(from: u16, stamp: Stamp) -> RequestId {
     1 << 63 | u64::from(from) << 32 | u64::from(stamp)
 }
 
 impl Control {
     /// The least time between two words that ask for gifts.
-    pub(super) fn want_every(peer_in_per_s: f64) -> Ms {
+    pub(super) fn want_every(peer_in_per_s: f64) -> Millis {
         if peer_in_per_s > 0.0 {
             1000.0 / (WANTED_SHARE * peer_in_per_s)
         } else {
@@ -57,7 +57,7 @@
 
     /// Where limiters speak to each other, each fills its purse from its start on: whatever it held before it
     /// has forgotten, and it may have spent or given all of that.
-    pub(super) fn purse(&self, since: Ms) -> Purse {
+    pub(super) fn purse(&self, since: Millis) -> Purse {
         Purse::empty(since as u64, self.begun as u64)
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// A word of the counter's, or none where one was due.
-    pub(super) fn told(&mut self, name: u64, outcome: Outcome, total: f64, rtt: Ms) {
+    pub(super) fn told(&mut self, name: u64, outcome: Outcome, total: f64, rtt: Millis) {
         if matches!(outcome, Outcome::Ok | Outcome::Full) {
             self.heard_at = Some(self.now);
         }
--- a/crates/aspendrum-core/src/control/servers.rs
+++ b/crates/aspendrum-core/src/control/servers.rs
@@ -28,7 +28,7 @@
 pub(super) const COLD_FAIR: f64 = 1.0;
 /// Under what an idle warm server's fading answer time comes to, in any zone.
 const COLD_TURN: f64 = 0.1;
-const CARRIED_TIME: Ms = 5000.0;
+const CARRIED_TIME: Millis = 5000.0;
 const BUSY_GAIN: f64 = 0.02;
 const BUSY_TOP: f64 = 5.0;
 
@@ -42,7 +42,7 @@
 ];
 
 impl Control {
-    pub(super) fn cold(&self, started: Ms) -> bool {
+    pub(super) fn cold(&self, started: Millis) -> bool {
         started > 0.0 && self.now - started < self.fig.cold_time
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Stands on the least block mean seen lately: under what an idle server needs it would starve the fleet.
-    pub(super) fn target(&mut self, group: usize, rtt: Ms) -> f64 {
+    pub(super) fn target(&mut self, group: usize, rtt: Millis) -> f64 {
         let slo = self.fig.groups[group].slo;
         let p = &mut self.paces[group];
         (p.sum, p.n) = (p.sum + rtt, p.n + 1.0);
@@ -112,7 +112,7 @@
         (BASE_TIMES * base).clamp(AIM_SHARE, TARGET_TOP.max(1.2 * base))
     }
 
-    pub(super) fn learn(&mut self, server: usize, how: Outcome, rtt: Ms, group: usize) {
+    pub(super) fn learn(&mut self, server: usize, how: Outcome, rtt: Millis, group: usize) {
         let slo = self.fig.groups[group].slo;
         let target = if how == Outcome::Ok {
             self.target(group, rtt)
@@ -193,7 +193,7 @@
         };
     }
 
-    pub(super) fn report(&mut self, server: usize, load: &Load) {
+    pub(super) fn report(&mut self, server: usize, load: &LoadReport) {
         let known = |at: &usize| *at < usize::from(load.n) && !load.values[*at].is_nan();
         let Some(at) = self.fig.report_busy.filter(known) else {
             return;
@@ -203,7 +203,7 @@
         self.busy += BUSY_GAIN * (busy - self.busy);
     }
 
-    pub(super) fn probed(&mut self, id: ServerId, outcome: Outcome, load: &Load) {
+    pub(super) fn probed(&mut self, id: ServerId, outcome: Outcome, load: &LoadReport) {
         let Some(at) = self.servers.find(u64::from(id)) else {
             return;
         };
@@ -222,7 +222,7 @@
         }
     }
 
-    pub(super) fn members(&mut self, list: ListKind, entries: &[Member]) {
+    pub(super) fn members(&mut self, list: ListKind, entries: &[ServerEntry]) {
         if list == ListKind::Failed {
             return self
                 .acts
@@ -246,7 +246,7 @@
         self.dispatch();
     }
 
-    pub(super) fn fresh(&self, m: &Member) -> Server {
+    pub(super) fn fresh(&self, m: &ServerEntry) -> Server {
         let credits = if self.cold(m.started) {
             1.0
         } else {
@@ -274,7 +274,7 @@
     }
 
     /// The least that the rules promise of a server's capacity now, as a share of the whole.
-    pub(super) fn present_share(&self, started: Ms) -> f64 {
+    pub(super) fn present_share(&self, started: Millis) -> f64 {
         let age = ((self.now - started) / self.fig.cold_time.max(1.0)).clamp(0.0, 1.0);
         self.fig.cold_share + (1.0 - self.fig.cold_share) * age
     }
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -63,7 +63,7 @@
     }
 }
 
-fn group(p: &Pairs<'_>, at: &str) -> Result<Group, String> {
+fn group(p: &Pairs<'_>, at: &str) -> Result<GroupSettings, String> {
     let semantics = [
         ("retryable", Semantics::Repeatable),
         ("dedup", Semantics::Keyed),
@@ -76,7 +76,7 @@
     ];
     let semantics = p.choice(&format!("{at}.Semantics"), &semantics)?;
     let keyed = semantics == Semantics::Keyed;
-    Ok(Group {
+    Ok(GroupSettings {
         slo: p.number(&format!("{at}.AimS"))? * MS,
         limit: p.number(&format!("{at}.HardLimitS"))? * MS,
         semantics,
@@ -96,8 +96,8 @@
     })
 }
 
-fn plan(p: &Pairs<'_>, at: &str) -> Result<Plan, String> {
-    Ok(Plan {
+fn plan(p: &Pairs<'_>, at: &str) -> Result<PlanSettings, String> {
+    Ok(PlanSettings {
         windowed: false,
         rate: p.number(&format!("{at}.PerSecond"))?,
         burst: p.number(&format!("{at}.Depth"))?,
@@ -130,9 +130,9 @@
             .collect(),
     );
     let via = [
-        ("inline", ReportsVia::Answers),
-        ("on_probe", ReportsVia::Probes),
-        ("off", ReportsVia::Nothing),
+        ("inline", LoadReportChannel::Answers),
+        ("on_probe", LoadReportChannel::Probes),
+        ("off", LoadReportChannel::Nothing),
     ];
     let names = p.0.get("Feedback.Names").copied().unwrap_or("");
     let counter = p.yes("Specifics.Counter")?;
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -80,22 +80,22 @@
     pub zone: u8,
     pub far: f64,
     pub size: f64,
-    pub started: Ms,
+    pub started: Millis,
     pub credits: f64,
     pub out: u32,
-    pub rtt: Ms,
-    pub answered_at: Ms,
-    pub sent_at: Ms,
+    pub rtt: Millis,
+    pub answered_at: Millis,
+    pub sent_at: Millis,
     pub bad: f64,
-    pub rest_until: Ms,
-    pub probed_at: Ms,
+    pub rest_until: Millis,
+    pub probed_at: Millis,
     pub probing: bool,
     pub probes: u32,
-    pub aside_for: Ms,
-    pub aside_at: Ms,
+    pub aside_for: Millis,
+    pub aside_at: Millis,
     pub busy: f64,
     pub cold_left: f64,
-    pub cold_at: Ms,
+    pub cold_at: Millis,
 }
 
 impl Server {
@@ -104,7 +104,7 @@
     }
 
     /// How long it has held something without any answer.
-    pub(crate) fn silent(&self, now: Ms) -> Ms {
+    pub(crate) fn silent(&self, now: Millis) -> Millis {
         if self.out > 0 {
             now - self.answered_at.max(self.sent_at)
         } else {
@@ -131,12 +131,12 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Part {
     pub left: f64,
-    pub at: Ms,
+    pub at: Millis,
 }
 
 #[derive(Default)]
 pub(crate) struct Acct {
-    pub id: AcctId,
+    pub id: TenantId,
     pub plan: usize,
     pub spread: f64,
     /// The limiters among which its local count is split: all of its set, or this one that keeps it for them.
@@ -144,41 +144,41 @@
     /// The number of the first limiter of its set.
     pub first: f64,
     /// When another limiter last asked here for it.
-    pub kept_at: Ms,
+    pub kept_at: Millis,
     /// Its keeper said that it has no room until then.
-    pub full_until: Ms,
+    pub full_until: Millis,
     /// Seen by each of its limiters too seldom to be followed.
     pub sparse: bool,
     pub window: f64,
     pub level: f64,
-    pub at: Ms,
+    pub at: Millis,
     pub total: f64,
     pub seen: bool,
     pub carry: f64,
     pub local: f64,
-    pub local_at: Ms,
+    pub local_at: Millis,
     /// This limiter's even part of the ceiling, and the keeper's part, which counts at the keeper alone.
     pub part: Part,
     pub lead: Part,
     /// What it may spend without the counter's word, where limiters speak to each other.
     pub purse: Purse,
     /// The last sign of life of the counter before its spare query was granted, and when that was.
-    pub spare: (Option<Ms>, Ms),
+    pub spare: (Option<Millis>, Millis),
     /// When a client last asked for it here.
-    pub asked_at: Ms,
+    pub asked_at: Millis,
     /// Whom of its set it asked last for what they hold, and when.
-    pub wanted: (u64, Ms),
-    pub log: VecDeque<(Ms, f64)>,
+    pub wanted: (u64, Millis),
+    pub log: VecDeque<(Millis, f64)>,
     pub calls: VecDeque<Call>,
     pub out: u32,
     pub in_hand: u32,
-    pub used_at: Ms,
+    pub used_at: Millis,
 }
 
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Try {
     pub server: usize,
-    pub sent: Ms,
+    pub sent: Millis,
     pub end: Option<Outcome>,
 }
 
@@ -186,7 +186,7 @@
 
 #[derive(Default)]
 pub(crate) struct Query {
-    pub id: QueryId,
+    pub id: RequestId,
     pub group: usize,
     /// Whose servers may run it, in which zones, and how many of them may be tried.
     pub pool: u16,
@@ -195,9 +195,9 @@
     pub acct: usize,
     pub units: f64,
     pub stage: Stage,
-    pub since: Ms,
-    pub until: Ms,
-    pub slo_at: Ms,
+    pub since: Millis,
+    pub until: Millis,
+    pub slo_at: Millis,
     pub counting: bool,
     pub added: f64,
     pub inside: bool,
@@ -223,7 +223,7 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Peer {
     pub missed: u32,
-    pub silent_until: Ms,
+    pub silent_until: Millis,
     /// It has answered the last question that is over.
     pub answers: bool,
     /// It said that it has no word of the counter's.
@@ -231,9 +231,9 @@
 }
 
 pub(crate) struct Said {
-    pub id: QueryId,
+    pub id: RequestId,
     pub word: Word,
-    pub acct: AcctId,
+    pub acct: TenantId,
     /// Granted, and not given back.
     pub units: f64,
 }
@@ -249,7 +249,7 @@
 }
 
 impl Query {
-    pub(crate) fn new(new: &NewQuery, acct: usize, now: Ms) -> Self {
+    pub(crate) fn new(new: &NewRequest, acct: usize, now: Millis) -> Self {
         let (group, units) = (usize::from(new.group), f64::from(new.units).max(0.0));
         let (id, until, since, inside) = (new.id, new.until, now, true);
         let (pool, zones, most) = (new.pool, new.zones, usize::from(new.most));
@@ -287,17 +287,17 @@
 /// Answer times of one endpoint group: a block in the making and the least block mean.
 #[derive(Default)]
 pub(crate) struct Pace {
-    pub sum: Ms,
+    pub sum: Millis,
     pub n: f64,
-    pub base: Ms,
-    pub at: Ms,
+    pub base: Millis,
+    pub at: Millis,
 }
 
 pub(crate) struct GroupFig {
-    pub slo: Ms,
+    pub slo: Millis,
     pub semantics: Semantics,
     pub repeat_group: RepeatGroup,
-    pub window: Ms,
+    pub window: Millis,
     pub importance: f64,
 }
 
@@ -305,7 +305,7 @@
     pub windowed: bool,
     pub rate: f64,
     pub burst: f64,
-    pub window: Ms,
+    pub window: Millis,
     pub price: f64,
     pub over_worth: f64,
     pub over_cost: f64,
@@ -315,7 +315,7 @@
 }
 
 impl GroupFig {
-    fn of(g: &Group) -> GroupFig {
+    fn of(g: &GroupSettings) -> GroupFig {
         GroupFig {
             slo: g.slo,
             semantics: g.semantics,
@@ -327,7 +327,7 @@
 }
 
 impl PlanFig {
-    fn of(p: &Plan) -> PlanFig {
+    fn of(p: &PlanSettings) -> PlanFig {
         PlanFig {
             windowed: p.windowed,
             rate: p.rate / 1000.0,
@@ -356,11 +356,11 @@
     pub report_probes: bool,
     pub asks: bool,
     pub counter: bool,
-    pub counter_wait: Ms,
+    pub counter_wait: Millis,
     pub may_cancel: bool,
     pub may_probe: bool,
     pub most: usize,
-    pub advice: Ms,
+    pub advice: Millis,
     pub zone: u8,
     pub cross: f64,
     pub units_top: f64,
@@ -369,14 +369,14 @@
     pub me: u16,
     pub keepers: bool,
     /// The least time between two words that ask for gifts.
-    pub want_every: Ms,
+    pub want_every: Millis,
     pub own_part: f64,
     pub cold_budget: f64,
     pub turn: f64,
     pub crowd: f64,
     pub cold_share: f64,
-    pub cold_time: Ms,
-    pub fall_window: Ms,
+    pub cold_time: Millis,
+    pub fall_window: Millis,
 }
 
 impl Figures {
@@ -385,7 +385,7 @@
             groups: s.groups.iter().map(GroupFig::of).collect(),
             plans: s.plans.iter().map(PlanFig::of).collect(),
             report_busy: s.load_values.iter().position(|v| *v == LoadValue::CpuShare),
-            report_probes: s.reports == ReportsVia::Probes,
+            report_probes: s.reports == LoadReportChannel::Probes,
             asks: s.discovery_asks,
             counter: s.counter,
             counter_wait: s.counter_wait,
@@ -414,40 +414,40 @@
 /// One limiter: all that it remembers. What it does with it stands in `control`.
 #[derive(Default)]
 pub struct Control {
-    pub(crate) now: Ms,
-    pub(crate) begun: Ms,
+    pub(crate) now: Millis,
+    pub(crate) begun: Millis,
     pub(crate) acts: Vec<Action>,
     pub(crate) fig: Figures,
     pub(crate) chance: Chance,
     pub(crate) breaker: Breaker,
     pub(crate) failures: u32,
     /// When the counter last gave a sign of life, be it that it turned a call away.
-    pub(crate) heard_at: Option<Ms>,
+    pub(crate) heard_at: Option<Millis>,
     pub(crate) ask: f64,
     /// What a query stakes on its decision, on average.
     pub(crate) stake: f64,
-    pub(crate) asked_at: Ms,
-    pub(crate) strained_until: Ms,
+    pub(crate) asked_at: Millis,
+    pub(crate) strained_until: Millis,
     pub(crate) probe_acct: usize,
-    pub(crate) counter_probe_at: Ms,
+    pub(crate) counter_probe_at: Millis,
     pub(crate) counter_probing: bool,
     /// Calls made before this are part of a failure that the share was cut for already.
-    pub(crate) cut_at: Ms,
+    pub(crate) cut_at: Millis,
     pub(crate) servers: Slab<Server>,
     pub(crate) accts: Slab<Acct>,
     pub(crate) queries: Slab<Query>,
     pub(crate) logged: Vec<usize>,
-    pub(crate) owed: VecDeque<(usize, Ms)>,
+    pub(crate) owed: VecDeque<(usize, Millis)>,
     pub(crate) waiting: Vec<usize>,
     pub(crate) live: Vec<usize>,
     pub(crate) paces: Vec<Pace>,
-    pub(crate) typical: Ms,
+    pub(crate) typical: Millis,
     /// The load report of a typical server.
     pub(crate) busy: f64,
     pub(crate) ease: f64,
     pub(crate) answered_rate: f64,
-    pub(crate) answered_at: Ms,
-    pub(crate) swept_at: Ms,
+    pub(crate) answered_at: Millis,
+    pub(crate) swept_at: Millis,
     pub(crate) peers: Vec<Peer>,
     /// The last answers given to other limiters, to be given again, with whose units were granted and how
     /// many.
@@ -461,7 +461,7 @@
 impl Control {
     /// A new configuration: endpoint groups and plans keep their numbers, and more may follow behind them.
     /// Fewer than before are not taken.
-    pub fn configure(&mut self, groups: &[Group], plans: &[Plan]) {
+    pub fn configure(&mut self, groups: &[GroupSettings], plans: &[PlanSettings]) {
         if groups.len() < self.fig.groups.len() || plans.len() < self.fig.plans.len() {
             return;
         }
@@ -499,7 +499,7 @@
     }
 
     /// Lets go of customers idle for that long and of servers gone for good, once nothing names them.
-    pub(crate) fn forget_idle(&mut self, idle: Ms) {
+    pub(crate) fn forget_idle(&mut self, idle: Millis) {
         if self.now - self.swept_at < idle / 10.0 {
             return;
         }
@@ -539,7 +539,7 @@
 }
 
 impl Acct {
-    pub(crate) fn log_grant(&mut self, now: Ms, units: f64, window: Ms) {
+    pub(crate) fn log_grant(&mut self, now: Millis, units: f64, window: Millis) {
         self.log.push_back((now, units));
         while self.log.front().is_some_and(|g| g.0 < now - window) {
             self.log.pop_front();
--- a/crates/aspendrum-core/src/word.rs
+++ b/crates/aspendrum-core/src/word.rs
@@ -5,12 +5,12 @@
 //! questions are understood, as questions without a gift; what they give back is not, since it could come
 //! twice. They in turn drop the kinds from 5 on.
 
-use crate::api::{AcctId, Ms};
+use crate::api::{Millis, TenantId};
 
 /// A customer as the one who asks for it sees it: its plan, and its set of `spread` limiters from `first` on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Whose {
-    pub acct: AcctId,
+    pub acct: TenantId,
     pub plan: u8,
     pub first: u16,
     pub spread: u16,
@@ -41,7 +41,7 @@
         seq: u16,
         granted: bool,
         alone: bool,
-        wait: Ms,
+        wait: Millis,
     },
     /// The units of that `Ask` were granted and went to no server.
     Back { stamp: Stamp },
@@ -81,7 +81,7 @@
 fn whose(data: &[u8]) -> Option<Whose> {
     let acct = data[..5]
         .iter()
-        .fold(0, |id, byte| id << 8 | AcctId::from(*byte));
+        .fold(0, |id, byte| id << 8 | TenantId::from(*byte));
     let two = |at: usize| u16::from_be_bytes([data[at], data[at + 1]]);
     Some(Whose {
         acct,
--- a/crates/aspendrum-core/tests/common/mod.rs
+++ b/crates/aspendrum-core/tests/common/mod.rs
@@ -8,7 +8,7 @@
         instances: 2,
         zone: 0,
         tick: 2.0,
-        groups: vec![Group {
+        groups: vec![GroupSettings {
             slo: 1000.0,
             limit: 3000.0,
             semantics,
@@ -18,7 +18,7 @@
             late_share: 0.0,
             stream: false,
         }],
-        plans: vec![Plan {
+        plans: vec![PlanSettings {
             windowed: false,
             rate: 2.0,
             burst: 4.0,
@@ -31,7 +31,7 @@
             ceiling_slack: 0.0,
         }],
         load_values: vec![LoadValue::CpuShare],
-        reports: ReportsVia::Answers,
+        reports: LoadReportChannel::Answers,
         discovery_asks: false,
         must_ask_in: 0.0,
         drain_grace: 250.0,
--- a/crates/aspendrum-core/tests/decisions.rs
+++ b/crates/aspendrum-core/tests/decisions.rs
@@ -9,17 +9,17 @@
 
 struct Rig {
     c: Control,
-    now: Ms,
+    now: Millis,
     calls: Vec<(u64, f32)>,
-    forwards: Vec<(QueryId, ServerId)>,
-    shed: Vec<QueryId>,
-    dropped: Vec<QueryId>,
+    forwards: Vec<(RequestId, ServerId)>,
+    shed: Vec<RequestId>,
+    dropped: Vec<RequestId>,
     probes: Vec<ServerId>,
     all: Vec<Action>,
 }
 
-fn member(server: ServerId, health: Health, cell: u16, started: Ms) -> Member {
-    Member {
+fn member(server: ServerId, health: Health, cell: u16, started: Millis) -> ServerEntry {
+    ServerEntry {
         server,
         pool: 0,
         far: 0.0,
@@ -33,7 +33,7 @@
 }
 
 impl Rig {
-    fn with(s: &Settings, servers: &[Member]) -> Rig {
+    fn with(s: &Settings, servers: &[ServerEntry]) -> Rig {
         let mut all = Vec::new();
         let c = Control::new(1000.0, 7, s, &mut all);
         let (calls, forwards, shed, dropped, probes) = Default::default();
@@ -56,7 +56,7 @@
     }
 
     fn new(semantics: Semantics, group: RepeatGroup) -> Rig {
-        let servers: Vec<Member> = (1..5)
+        let servers: Vec<ServerEntry> = (1..5)
             .map(|id| member(id, Health::Ready, (id % 2) as u16, 0.0))
             .collect();
         Rig::with(&settings(semantics, group), &servers)
@@ -82,15 +82,15 @@
         self.all.extend(out);
     }
 
-    fn ask(&mut self, id: QueryId, acct: AcctId) {
+    fn ask(&mut self, id: RequestId, acct: TenantId) {
         self.ask_of(id, acct, 2.0);
     }
 
     /// Asks for a customer that comes through `spread` limiters.
-    fn ask_of(&mut self, id: QueryId, acct: AcctId, spread: f32) {
+    fn ask_of(&mut self, id: RequestId, acct: TenantId, spread: f32) {
         let (until, units) = (self.now + 3000.0, 1.0);
         let (client_repeat, write) = (false, false);
-        let q = NewQuery {
+        let q = NewRequest {
             id,
             group: 0,
             until,
@@ -118,7 +118,7 @@
     }
 
     /// Asks until the counter is called, one call after another, and ends that call.
-    fn call_of(&mut self, acct: AcctId, outcome: Outcome) {
+    fn call_of(&mut self, acct: TenantId, outcome: Outcome) {
         let calls = self.calls.len();
         while self.calls.len() == calls {
             self.now += 2.0;
@@ -130,12 +130,12 @@
     }
 
     /// Asks with a counter that answers `total`.
-    fn ask_at(&mut self, id: QueryId, acct: AcctId, total: f32) {
+    fn ask_at(&mut self, id: RequestId, acct: TenantId, total: f32) {
         self.ask(id, acct);
         self.count(acct, Outcome::Ok, total);
     }
 
-    fn end(&mut self, id: QueryId, forward: u8, outcome: Outcome) {
+    fn end(&mut self, id: RequestId, forward: u8, outcome: Outcome) {
         let server = self
             .forwards
             .iter()
@@ -143,7 +143,7 @@
             .nth(usize::from(forward))
             .map_or(0, |f| f.1);
         let over = outcome == Outcome::Ok;
-        let load = Load::default();
+        let load = LoadReport::default();
         let (rtt, used, actual) = (50.0, 0, 0);
         self.tell(&Event::ForwardEnded {
             id,
@@ -158,7 +158,7 @@
         });
     }
 
-    fn wait(&mut self, ms: Ms) {
+    fn wait(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 5.0;
@@ -166,11 +166,11 @@
         }
     }
 
-    fn sent(&self, id: QueryId) -> usize {
+    fn sent(&self, id: RequestId) -> usize {
         self.forwards.iter().filter(|f| f.0 == id).count()
     }
 
-    fn finals(&self, id: QueryId) -> usize {
+    fn finals(&self, id: RequestId) -> usize {
         self.shed
             .iter()
             .chain(&self.dropped)
@@ -279,7 +279,7 @@
 
 fn ceiling() -> Settings {
     let mut s = settings(Semantics::Repeatable, RepeatGroup::All);
-    s.plans[0] = Plan {
+    s.plans[0] = PlanSettings {
         ceiling_rate: 4.0,
         ceiling_burst: 8.0,
         over_worth: 0.5,
@@ -296,7 +296,7 @@
 #[test_case(100, true ; "a hundred limiters")]
 #[test_case(100, false ; "a hundred limiters without a counter")]
 fn ceiling_holds_right_after_a_restart(limiters: usize, counter: bool) {
-    let servers: Vec<Member> = (1..40)
+    let servers: Vec<ServerEntry> = (1..40)
         .map(|id| member(id, Health::Ready, 0, 0.0))
         .collect();
     let mut s = ceiling();
@@ -492,7 +492,7 @@
             server: 1,
             outcome: Outcome::Ok,
             rtt: 1.0,
-            load: Load::default(),
+            load: LoadReport::default(),
         });
         rig.wait(250.0);
     }
@@ -518,7 +518,7 @@
         server: 99,
         outcome: Outcome::Ok,
         rtt: 1.0,
-        load: Load::default(),
+        load: LoadReport::default(),
     });
     assert_eq!(
         (rig.forwards.len(), rig.shed.len(), rig.dropped.len()),
@@ -730,7 +730,7 @@
 fn a_jam_is_drained_and_forgotten() {
     let mut rig = Rig::plain();
     let mut id = 0;
-    let mut fill = |rig: &mut Rig, rounds: u64, rtt: Ms| {
+    let mut fill = |rig: &mut Rig, rounds: u64, rtt: Millis| {
         let mut out = 0;
         for _ in 0..rounds {
             let first = id;
@@ -746,7 +746,7 @@
                 .collect();
             out = sent.len();
             for (id, server) in sent {
-                let load = Load::default();
+                let load = LoadReport::default();
                 let (forward, outcome, over, used, actual) = (0, Outcome::Ok, true, 0, 0);
                 let ended = Event::ForwardEnded {
                     id,
@@ -845,7 +845,7 @@
 /// Sends to fresh servers in the 3 s after their start, out of 600, when `limiters` share the load of `warm`
 /// warm ones and `fresh` more start.
 fn sent_to_fresh(limiters: u32, warm: u32, fresh: u32) -> f64 {
-    let servers: Vec<Member> = (1..=warm)
+    let servers: Vec<ServerEntry> = (1..=warm)
         .map(|id| member(id, Health::Ready, 0, 0.0))
         .collect();
     let s = |me| Settings {
@@ -856,7 +856,7 @@
     let mut rigs: Vec<Rig> = (0..limiters)
         .map(|me| Rig::with(&s(me), &servers))
         .collect();
-    let new: Vec<Member> = (0..fresh)
+    let new: Vec<ServerEntry> = (0..fresh)
         .map(|id| member(9 + id, Health::Ready, 0, 6000.0))
         .collect();
     let mut cold = 0.0;
@@ -914,7 +914,7 @@
 fn cold_servers_are_probed_for_reports_only_by_a_small_fleet(limiters: u32, probed: bool) {
     let s = Settings {
         instances: limiters,
-        reports: ReportsVia::Probes,
+        reports: LoadReportChannel::Probes,
         ..settings(Semantics::Repeatable, RepeatGroup::All)
     };
     let entries = [
--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/keepers.rs
@@ -8,13 +8,13 @@
 use test_case::test_case;
 
 const SERVERS: u32 = 40;
-const BEGUN: Ms = 100_000.0;
+const BEGUN: Millis = 100_000.0;
 /// Purses fill from a limiter's start: a burst's refill, and some.
-const FULL: Ms = 4000.0;
+const FULL: Millis = 4000.0;
 
 /// Limiters on one clock, and what is on its way between them.
 struct Fleet {
-    now: Ms,
+    now: Millis,
     settings: Settings,
     limiters: Vec<Option<Control>>,
     mail: Vec<(usize, usize, Vec<u8>)>,
@@ -22,17 +22,17 @@
     lose: usize,
     said: usize,
     /// Whether the second hears the first at that time since the start.
-    hears: fn(Ms, usize, usize) -> bool,
-    granted: Vec<QueryId>,
+    hears: fn(Millis, usize, usize) -> bool,
+    granted: Vec<RequestId>,
     sent: Vec<ServerId>,
-    shed: Vec<QueryId>,
-    open: Vec<(usize, QueryId, ServerId)>,
+    shed: Vec<RequestId>,
+    open: Vec<(usize, RequestId, ServerId)>,
 }
 
 fn settings(limiters: u32, counter: bool, ceiling: f64) -> Settings {
     let base = common::settings(Semantics::Repeatable, RepeatGroup::All);
     let (ceiling_rate, ceiling_burst) = (2.0 * ceiling, 6.0 * ceiling);
-    let plan = Plan {
+    let plan = PlanSettings {
         burst: 6.0,
         ceiling_rate,
         ceiling_burst,
@@ -43,7 +43,7 @@
         tick: 1.0,
         plans: vec![plan],
         load_values: vec![],
-        reports: ReportsVia::Nothing,
+        reports: LoadReportChannel::Nothing,
         may_probe: false,
         may_tell: true,
         retry_after: false,
@@ -86,7 +86,7 @@
             ..self.settings.clone()
         };
         self.limiters[me] = Some(Control::new(self.now, 7 + me as u64, &s, &mut Vec::new()));
-        let member = |server| Member {
+        let member = |server| ServerEntry {
             server,
             pool: 0,
             far: 0.0,
@@ -97,7 +97,7 @@
             kind: 0,
             started: 0.0,
         };
-        let entries: Vec<Member> = (1..=SERVERS).map(member).collect();
+        let entries: Vec<ServerEntry> = (1..=SERVERS).map(member).collect();
         self.tell(
             me,
             &Event::Members {
@@ -158,22 +158,22 @@
                     over: true,
                     used: 0,
                     actual: 0,
-                    load: Load::default(),
+                    load: LoadReport::default(),
                 },
             );
         }
         (0..self.limiters.len()).for_each(|me| self.tell(me, &Event::Timer { token: 0 }));
     }
 
-    fn wait(&mut self, ms: Ms) {
+    fn wait(&mut self, ms: Millis) {
         (0..(ms / 5.0) as u32).for_each(|_| self.step());
     }
 
-    fn ask(&mut self, me: usize, id: QueryId, acct: AcctId) {
+    fn ask(&mut self, me: usize, id: RequestId, acct: TenantId) {
         let spread = self.limiters.len() as f32;
         self.tell(
             me,
-            &Event::Query(NewQuery {
+            &Event::Query(NewRequest {
                 id,
                 group: 0,
                 until: self.now + 3000.0,
@@ -192,7 +192,7 @@
     }
 
     /// Customer 5 asks `n` times, `ms` apart, through each limiter in turn.
-    fn ask_in_turn(&mut self, from: QueryId, n: u64, ms: Ms) {
+    fn ask_in_turn(&mut self, from: RequestId, n: u64, ms: Millis) {
         for id in from..from + n {
             let me = id as usize % self.limiters.len();
             if self.limiters[me].is_some() {
@@ -393,7 +393,7 @@
                 Health::Ready
             }
         };
-        let member = |server, health, started| Member {
+        let member = |server, health, started| ServerEntry {
             server,
             pool: 0,
             far: 0.0,
@@ -405,7 +405,7 @@
             started,
         };
         let old = (1..=SERVERS).map(|s| member(s, health(s), 0.0));
-        let entries: Vec<Member> = old
+        let entries: Vec<ServerEntry> = old
             .chain((1..=gone).map(|s| member(100 + s, Health::Ready, fleet.now)))
             .collect();
         (0..40).for_each(|me| {
@@ -440,7 +440,7 @@
 /// Forty limiters through which one customer asks for twenty times its quota for 60 s while the counter says
 /// nothing; granted over quota. `kill`: all are killed and start again from nothing each time so long has
 /// passed.
-fn played(hears: fn(Ms, usize, usize) -> bool, lose: usize, kill: Option<Ms>) -> f64 {
+fn played(hears: fn(Millis, usize, usize) -> bool, lose: usize, kill: Option<Millis>) -> f64 {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     (fleet.hears, fleet.lose) = (hears, lose);
     fleet.wait(FULL);
@@ -478,9 +478,9 @@
 #[test_case(turning, 0, None, 0.75 ; "halves that change every 2 s")]
 #[test_case(|_, _, _| true, 0, Some(10_000.0), 0.85 ; "all killed every 10 s")]
 fn no_cut_of_the_links_grants_more_than_the_quota(
-    hears: fn(Ms, usize, usize) -> bool,
+    hears: fn(Millis, usize, usize) -> bool,
     lose: usize,
-    kill: Option<Ms>,
+    kill: Option<Millis>,
     least: f64,
 ) {
     let over = played(hears, lose, kill);
@@ -491,7 +491,7 @@
     );
 }
 
-fn turning(at: Ms, a: usize, b: usize) -> bool {
+fn turning(at: Millis, a: usize, b: usize) -> bool {
     let turn = (at / 2000.0) as usize;
     (a + turn * 7) % 40 / 20 == (b + turn * 7) % 40 / 20
 }
@@ -501,7 +501,10 @@
 #[test_case(|_, _, _| true, 0.93 ; "whole")]
 #[test_case(|_, a, b| a / 20 == b / 20, 0.85 ; "halves")]
 #[test_case(|_, _, _| false, 0.85 ; "every limiter alone")]
-fn even_parts_of_a_wide_quota_are_kept_and_used(hears: fn(Ms, usize, usize) -> bool, least: f64) {
+fn even_parts_of_a_wide_quota_are_kept_and_used(
+    hears: fn(Millis, usize, usize) -> bool,
+    least: f64,
+) {
     let mut settings = settings(40, false, 0.0);
     (settings.plans[0].rate, settings.plans[0].burst) = (20.0, 80.0);
     let mut fleet = Fleet::of(settings);
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -8,15 +8,15 @@
 
 struct Rig {
     c: Control,
-    now: Ms,
-    next: QueryId,
+    now: Millis,
+    next: RequestId,
     out: Vec<Action>,
 }
 
 impl Rig {
     fn new(windowed: bool, burst: f64) -> Rig {
         let mut s = settings(Semantics::Mutating, RepeatGroup::All);
-        s.plans[0] = Plan {
+        s.plans[0] = PlanSettings {
             windowed,
             rate: burst,
             burst,
@@ -38,7 +38,7 @@
     }
 
     fn servers(&mut self, servers: &[(ServerId, u16, u8)]) {
-        let member = |&(server, pool, zone): &(ServerId, u16, u8)| Member {
+        let member = |&(server, pool, zone): &(ServerId, u16, u8)| ServerEntry {
             server,
             pool,
             far: 0.0,
@@ -49,7 +49,7 @@
             kind: 0,
             started: 0.0,
         };
-        let entries: Vec<Member> = servers.iter().map(member).collect();
+        let entries: Vec<ServerEntry> = servers.iter().map(member).collect();
         self.tell(&Event::Members {
             list: ListKind::Delta,
             version: 1,
@@ -64,7 +64,7 @@
         let until = self.now + 3000.0;
         let (group, acct, plan, units, first) = (0, 5, 0, 1.0, 0.0);
         let (client_repeat, write, most) = (false, true, 3);
-        let new = NewQuery {
+        let new = NewRequest {
             id,
             group,
             until,
@@ -160,7 +160,7 @@
     rig.servers(&[(1, 0, 0)]);
     assert!(forwarded(&rig.ask(0, u64::MAX, 1.0)).is_some(), "no quota");
     let s = settings(Semantics::Mutating, RepeatGroup::All);
-    let plan = Plan {
+    let plan = PlanSettings {
         windowed: true,
         rate: 1.0,
         burst: 1.0,
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -7,8 +7,8 @@
 //! change the fixture; its commit says which.
 
 use aspendrum_core::api::{
-    Action, Event, Group, Health, ListKind, Load, LoadValue, Member, NewQuery, Outcome, Plan,
-    RepeatGroup, ReportsVia, Semantics, Settings,
+    Action, Event, GroupSettings, Health, ListKind, LoadReport, LoadReportChannel, LoadValue,
+    NewRequest, Outcome, PlanSettings, RepeatGroup, Semantics, ServerEntry, Settings,
 };
 use aspendrum_core::control::Control;
 use std::collections::HashMap;
@@ -500,31 +500,31 @@
         }
     }
 
-    fn load(&mut self) -> Load {
+    fn load(&mut self) -> LoadReport {
         let busy = self.draws.below(120) as f32 / 100.0;
         match self.draws.below(8) {
-            0 => Load::default(),
-            1 if self.draws.one_in(3) => Load {
+            0 => LoadReport::default(),
+            1 if self.draws.one_in(3) => LoadReport {
                 n: 1,
                 values: [9.0, 0.0, 0.0, 0.0],
             },
-            1 => Load {
+            1 => LoadReport {
                 n: 1,
                 values: [f32::NAN, 0.0, 0.0, 0.0],
             },
-            2..=4 => Load {
+            2..=4 => LoadReport {
                 n: 1,
                 values: [busy, 0.0, 0.0, 0.0],
             },
-            _ => Load {
+            _ => LoadReport {
                 n: 2,
                 values: [busy, busy / 2.0, 0.0, 0.0],
             },
         }
     }
 
-    fn members(&self) -> Vec<Member> {
-        let member = |(at, (health, started)): (usize, &(Health, f64))| Member {
+    fn members(&self) -> Vec<ServerEntry> {
+        let member = |(at, (health, started)): (usize, &(Health, f64))| ServerEntry {
             server: at as u32 + 1,
             pool: u16::from(at % 7 == 6),
             health: *health,
@@ -581,7 +581,7 @@
         let tenant = self.draws.below(self.script.tenants) + self.second() / 2;
         let spreads = self.script.spreads;
         let spread = spreads[(self.second() / 3) as usize % spreads.len()];
-        let new = NewQuery {
+        let new = NewRequest {
             id,
             group: self.draws.below(groups as u64) as u16,
             until: self.now() + 800.0 + self.draws.below(2000) as f64,
@@ -619,13 +619,13 @@
         let mut plans = self.script.settings.plans.clone();
         plans[0].rate *= 1.5;
         plans[0].burst *= 2.0;
-        plans.push(Plan {
+        plans.push(PlanSettings {
             rate: 9.0,
             burst: 3.0,
             ..plans[0].clone()
         });
         let mut groups = self.script.settings.groups.clone();
-        groups.push(Group {
+        groups.push(GroupSettings {
             slo: 400.0,
             ..groups[0].clone()
         });
@@ -690,8 +690,13 @@
     }
 }
 
-fn group(semantics: Semantics, repeat_group: RepeatGroup, slo: f64, importance: f64) -> Group {
-    Group {
+fn group(
+    semantics: Semantics,
+    repeat_group: RepeatGroup,
+    slo: f64,
+    importance: f64,
+) -> GroupSettings {
+    GroupSettings {
         slo,
         limit: 3.0 * slo,
         semantics,
@@ -703,8 +708,8 @@
     }
 }
 
-fn plan(rate: f64, burst: f64) -> Plan {
-    Plan {
+fn plan(rate: f64, burst: f64) -> PlanSettings {
+    PlanSettings {
         windowed: false,
         rate,
         burst,
@@ -725,24 +730,24 @@
         group(Semantics::Keyed, RepeatGroup::Cell, 300.0, 0.5),
         group(Semantics::Mutating, RepeatGroup::All, 600.0, 1.5),
     ];
-    let ceiling = Plan {
+    let ceiling = PlanSettings {
         ceiling_rate: 9.0,
         ceiling_burst: 18.0,
         ..plan(4.0, 8.0)
     };
-    let overdraft = Plan {
+    let overdraft = PlanSettings {
         over_worth: 0.8,
         over_cost: 0.2,
         ceiling_rate: 60.0,
         ceiling_burst: 50.0,
         ..plan(6.0, 6.0)
     };
-    let limited = Plan {
+    let limited = PlanSettings {
         open: 5,
         price: 2.0,
         ..plan(20.0, 40.0)
     };
-    let windowed = Plan {
+    let windowed = PlanSettings {
         windowed: true,
         ..plan(8.0, 8.0)
     };
@@ -806,7 +811,7 @@
         counter_wait: 0.0,
         may_cancel: false,
         retry_after: false,
-        reports: ReportsVia::Probes,
+        reports: LoadReportChannel::Probes,
         discovery_asks: true,
         send_cap: 2,
         cold_time: 4000.0,
--- a/crates/aspendrum-core/tests/settings.rs
+++ b/crates/aspendrum-core/tests/settings.rs
@@ -1,14 +1,16 @@
 //! Each key of the settings, as `fixtures/settings.txt` gives it one value, and what is read from it.
 
-use aspendrum_core::api::{Group, LoadValue, Plan, RepeatGroup, ReportsVia, Semantics, Settings};
+use aspendrum_core::api::{
+    GroupSettings, LoadReportChannel, LoadValue, PlanSettings, RepeatGroup, Semantics, Settings,
+};
 use aspendrum_core::settings::read;
 use test_case::test_case;
 
 const SETTINGS: &str = include_str!("fixtures/settings.txt");
 
-fn groups() -> Vec<Group> {
+fn groups() -> Vec<GroupSettings> {
     vec![
-        Group {
+        GroupSettings {
             slo: 500.0,
             limit: 1500.0,
             semantics: Semantics::Repeatable,
@@ -18,7 +20,7 @@
             late_share: 0.1,
             stream: false,
         },
-        Group {
+        GroupSettings {
             slo: 750.0,
             limit: 2250.0,
             semantics: Semantics::Keyed,
@@ -28,7 +30,7 @@
             late_share: 0.2,
             stream: true,
         },
-        Group {
+        GroupSettings {
             slo: 250.0,
             limit: 375.0,
             semantics: Semantics::Mutating,
@@ -41,9 +43,9 @@
     ]
 }
 
-fn plans() -> Vec<Plan> {
+fn plans() -> Vec<PlanSettings> {
     vec![
-        Plan {
+        PlanSettings {
             windowed: false,
             rate: 0.625,
             burst: 2.5,
@@ -55,7 +57,7 @@
             ceiling_burst: 4.5,
             ceiling_slack: 0.15,
         },
-        Plan {
+        PlanSettings {
             windowed: false,
             rate: 16.0,
             burst: 32.0,
@@ -87,7 +89,7 @@
             LoadValue::DroppedPerS,
             LoadValue::Unknown,
         ],
-        reports: ReportsVia::Probes,
+        reports: LoadReportChannel::Probes,
         discovery_asks: true,
         must_ask_in: 25.0,
         drain_grace: 125.0,
--- a/crates/aspendrum-proxy/src/answer.rs
+++ b/crates/aspendrum-proxy/src/answer.rs
@@ -1,7 +1,7 @@
 //! Answers to clients, and what becomes of their connections behind them.
 
 use crate::wire;
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_net::http1::Response;
 
 /// Whether a connection ends behind an answer.
@@ -26,7 +26,7 @@
     Own {
         status: u16,
         id: String,
-        again: Option<Ms>,
+        again: Option<Millis>,
     },
     /// A server's answer, under that status.
     Server { response: Response, status: u16 },
@@ -35,7 +35,7 @@
 }
 
 impl Answer {
-    pub fn own(status: u16, id: &str, again: Option<Ms>, then: Then) -> Answer {
+    pub fn own(status: u16, id: &str, again: Option<Millis>, then: Then) -> Answer {
         Answer {
             said: Said::Own {
                 status,
--- a/crates/aspendrum-proxy/src/counts.rs
+++ b/crates/aspendrum-proxy/src/counts.rs
@@ -1,7 +1,7 @@
 //! Tenants' counters inside proxies: which proxy holds a counter, what it holds, and the calls to others'. One
 //! datagram asks, one answers; the module decides by the total. No I/O, no clock.
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_model::hash::highest_ranked;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -43,7 +43,7 @@
     pub rate: f64,
     pub burst: f64,
     /// A counter's window.
-    pub window: Ms,
+    pub window: Millis,
 }
 
 /// What the terms leave above a tenant's quota, in any span of `win` seconds: `excess` of it, and `slack`.
@@ -86,7 +86,7 @@
 
 struct Counter {
     total: f64,
-    begun: Ms,
+    begun: Millis,
 }
 
 /// The counters held here.
@@ -96,13 +96,13 @@
     quotas: HashMap<u64, Quota>,
     /// Since when each name is to be held here. Of every name by itself: a list that changes for others' sake keeps
     /// no counter behind its fence.
-    since: HashMap<u64, Ms>,
+    since: HashMap<u64, Millis>,
     /// It is known who may hold counters.
     listed: bool,
 }
 
 /// Beyond a window: so long do others go by an older list of holders.
-const FENCE: Ms = 400.0;
+const FENCE: Millis = 400.0;
 
 impl Ledger {
     /// `holds`: whether a name is to be held here. A name that is new to the running process has been held nowhere.
@@ -121,7 +121,7 @@
 
     /// The list of those that may hold counters has changed. What goes to others: nothing is granted from it here
     /// any more, so its next holder goes on with it at once.
-    pub fn held(&mut self, now: Ms, holds: impl Fn(u64) -> bool) -> Vec<Handed> {
+    pub fn held(&mut self, now: Millis, holds: impl Fn(u64) -> bool) -> Vec<Handed> {
         self.listed = true;
         let mut handed = Vec::new();
         for name in self.quotas.keys() {
@@ -148,7 +148,7 @@
     }
 
     /// The last holder's word. What was granted here meanwhile stands beside it.
-    pub fn take(&mut self, now: Ms, handed: Handed) {
+    pub fn take(&mut self, now: Millis, handed: Handed) {
         let begun = now - f64::from(handed.age);
         match handed.total {
             _ if !self.quotas.contains_key(&handed.name) => {}
@@ -169,7 +169,7 @@
 
     /// The plain add: the total of the window with it. None: a counter that was not held here before may be
     /// granted from by its last holder until that one's window is over, unless that one has said otherwise.
-    pub fn add(&mut self, now: Ms, name: u64, add: f32) -> Option<f32> {
+    pub fn add(&mut self, now: Millis, name: u64, add: f32) -> Option<f32> {
         let quota = self.quotas.get(&name)?;
         if !self.counters.contains_key(&name) {
             let since = self.since.get(&name)?;
@@ -198,21 +198,21 @@
     /// The name as the module knows it.
     pub name: u64,
     pub holder: Ipv4Addr,
-    pub sent: Ms,
-    until: Ms,
+    pub sent: Millis,
+    until: Millis,
 }
 
 /// What a holder's answers take: mean and deviation (RFC 6298).
 #[derive(Clone, Copy)]
 struct Way {
-    mean: Ms,
-    dev: Ms,
+    mean: Millis,
+    dev: Millis,
 }
 
 /// The first time-out is the design's, on top of the longest way that a deployment has been seen to have.
-const FIRST_WAIT: Ms = 160.0;
-const LEAST_WAIT: Ms = 20.0;
-const MOST_WAIT: Ms = 300.0;
+const FIRST_WAIT: Millis = 160.0;
+const LEAST_WAIT: Millis = 20.0;
+const MOST_WAIT: Millis = 300.0;
 
 /// The calls to counters, here and elsewhere.
 #[derive(Default)]
@@ -253,7 +253,7 @@
     }
 
     /// Begins a call; the number that its answer bears.
-    pub fn begin(&mut self, now: Ms, holder: Ipv4Addr, name: u64) -> u32 {
+    pub fn begin(&mut self, now: Millis, holder: Ipv4Addr, name: u64) -> u32 {
         self.next = self.next.wrapping_add(1);
         let wait = self.ways.get(&holder).map_or(FIRST_WAIT, |w| {
             (2.0 * w.mean + 4.0 * w.dev + LEAST_WAIT).clamp(LEAST_WAIT, MOST_WAIT)
@@ -271,7 +271,7 @@
     }
 
     /// An answer came. None: nobody waits for it any more, or another was asked.
-    pub fn answered(&mut self, now: Ms, from: Ipv4Addr, call: u32) -> Option<Call> {
+    pub fn answered(&mut self, now: Millis, from: Ipv4Addr, call: u32) -> Option<Call> {
         self.waiting.get(&call).filter(|c| c.holder == from)?;
         let call = self.waiting.remove(&call)?;
         let rtt = now - call.sent;
@@ -285,7 +285,7 @@
     }
 
     /// Calls without an answer in time.
-    pub fn late(&mut self, now: Ms) -> Vec<Call> {
+    pub fn late(&mut self, now: Millis) -> Vec<Call> {
         let late: Vec<u32> = self
             .waiting
             .iter()
--- a/crates/aspendrum-proxy/src/departures.rs
+++ b/crates/aspendrum-proxy/src/departures.rs
@@ -2,7 +2,7 @@
 
 use crate::door::Client;
 use crate::Shop;
-use aspendrum_core::api::QueryId;
+use aspendrum_core::api::RequestId;
 use aspendrum_net::disconnect_metrics::BOUND;
 use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
 use std::time::Duration;
@@ -28,14 +28,14 @@
 }
 
 /// A request's client has left.
-pub fn depart(shop: &Shop, request: QueryId) {
+pub fn depart(shop: &Shop, request: RequestId) {
     if let Some((kind, stage)) = shop.desk.depart(request) {
         shop.departures.record_disconnect(kind, stage);
     }
 }
 
 /// What is due so long after a departure, and the invariant.
-fn follow_up(shop: &Shop, client: &Client, request: QueryId, left_for: Duration) {
+fn follow_up(shop: &Shop, client: &Client, request: RequestId, left_for: Duration) {
     if left_for >= LET_END {
         shop.desk.break_off(request);
     }
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -20,12 +20,12 @@
 use std::time::Instant;
 
 /// The module's beat, and how often servers' standing is looked at.
-pub const BEAT_MS: Ms = 5.0;
-const STACKS_EVERY: Ms = 20.0;
+pub const BEAT_MS: Millis = 5.0;
+const STACKS_EVERY: Millis = 20.0;
 /// Names of counters have 40 bits.
 const NAMES: u64 = (1 << 40) - 1;
 /// The module's clock does not begin at nothing: it takes that for long ago.
-const EPOCH: Ms = 1000.0;
+const EPOCH: Millis = 1000.0;
 /// The module sends to a server what it is paid back by answers; so many limiters share the first of it. More,
 /// and a few servers' first credits hold queries up at a proxy that sees a tenth of the traffic.
 const CREDIT_SHARERS: u32 = 2;
@@ -48,7 +48,7 @@
         server: ServerId,
     },
     Shed {
-        advice: Ms,
+        advice: Millis,
         beyond: bool,
     },
     Drop,
@@ -74,7 +74,7 @@
     pub config: Config,
     groups: Vec<u16>,
     plans: Vec<u32>,
-    accts: Vec<AcctId>,
+    accts: Vec<TenantId>,
     pub pools: HashMap<String, u16>,
     /// Regions in which a route's and a tenant's queries may be served, a bit each.
     pub route_zones: Vec<u64>,
@@ -92,9 +92,9 @@
     control: Control,
     acts: Vec<Action>,
     later: Vec<Event<'static>>,
-    members: Vec<Member>,
+    members: Vec<ServerEntry>,
     stacks: Stacks,
-    stacks_at: Ms,
+    stacks_at: Millis,
     calls: Calls,
     ledger: Ledger,
     /// Nothing is heard of control.
@@ -103,11 +103,11 @@
     /// The number of the last order about a zone.
     emptied: u64,
     anew: bool,
-    seats: HashMap<QueryId, Seat>,
-    next: QueryId,
-    groups: Vec<Group>,
+    seats: HashMap<RequestId, Seat>,
+    next: RequestId,
+    groups: Vec<GroupSettings>,
     group_of: HashMap<(u64, u64, bool, u64), u16>,
-    plans: Vec<Plan>,
+    plans: Vec<PlanSettings>,
     plan_of: HashMap<String, u32>,
     probes: Vec<ServerId>,
 }
@@ -125,7 +125,7 @@
 impl Desk {
     pub fn new(settings: &Settings, socket: UdpSocket) -> Desk {
         let region = settings.region_number(&settings.region).unwrap_or(0);
-        let group = Group {
+        let group = GroupSettings {
             slo: 400.0,
             limit: 2000.0,
             semantics: Semantics::Mutating,
@@ -174,16 +174,16 @@
         lock(&self.view).clone()
     }
 
-    pub fn at(&self, when: Instant) -> Ms {
+    pub fn at(&self, when: Instant) -> Millis {
         EPOCH + when.saturating_duration_since(self.begun).as_secs_f64() * 1000.0
     }
 
-    pub fn now(&self) -> Ms {
+    pub fn now(&self) -> Millis {
         self.at(Instant::now())
     }
 
     /// A query came. Its orders follow; the first may be there at once.
-    pub fn ask(&self, view: &View, ask: Ask) -> QueryId {
+    pub fn ask(&self, view: &View, ask: Ask) -> RequestId {
         let now = self.now();
         let mut inner = lock(&self.inner);
         let id = inner.next;
@@ -193,7 +193,7 @@
             Some(n) => (view.plans[n], view.accts[n]),
             None => (0, 0),
         };
-        let new = NewQuery {
+        let new = NewRequest {
             id,
             group: view.groups[ask.route],
             until: self.at(ask.until),
@@ -235,10 +235,10 @@
     /// A forward has ended.
     pub fn ended(
         &self,
-        id: QueryId,
+        id: RequestId,
         forward: u8,
         server: ServerId,
-        how: (Outcome, Ms, Load),
+        how: (Outcome, Millis, LoadReport),
         over: bool,
     ) {
         let (outcome, rtt, load) = how;
@@ -262,7 +262,7 @@
     }
 
     /// The query has its answer, and reads no orders any more.
-    pub fn quit(&self, id: QueryId) {
+    pub fn quit(&self, id: RequestId) {
         let now = self.now();
         let mut inner = lock(&self.inner);
         inner.seats.remove(&id);
@@ -270,7 +270,7 @@
     }
 
     /// The query's client has left: nothing more is sent for it. Says how far it had come; `None`: it is over.
-    pub fn depart(&self, id: QueryId) -> Option<(RequestKind, ForwardStage)> {
+    pub fn depart(&self, id: RequestId) -> Option<(RequestKind, ForwardStage)> {
         let now = self.now();
         let mut inner = lock(&self.inner);
         let seat = inner.seats.get(&id)?;
@@ -281,14 +281,14 @@
     }
 
     /// The query's client has left a while ago: a run that may be repeated is broken off.
-    pub fn break_off(&self, id: QueryId) {
+    pub fn break_off(&self, id: RequestId) {
         if let Some(seat) = lock(&self.inner).seats.get(&id) {
             seat.forward.break_off();
         }
     }
 
     /// How far a query has come. `None`: it is over.
-    pub fn progress(&self, id: QueryId) -> Option<(RequestKind, Progress)> {
+    pub fn progress(&self, id: RequestId) -> Option<(RequestKind, Progress)> {
         let inner = lock(&self.inner);
         inner
             .seats
@@ -324,9 +324,9 @@
         &self,
         server: ServerId,
         outcome: Outcome,
-        rtt: Ms,
-        load: Load,
-        warm_left: Option<Ms>,
+        rtt: Millis,
+        load: LoadReport,
+        warm_left: Option<Millis>,
     ) {
         let now = self.now();
         let mut inner = lock(&self.inner);
@@ -362,7 +362,7 @@
     }
 
     /// A call to a counter has ended.
-    fn counted(&self, inner: &mut Inner, now: Ms, call: Call, outcome: Outcome, total: f32) {
+    fn counted(&self, inner: &mut Inner, now: Millis, call: Call, outcome: Outcome, total: f32) {
         let (name, rtt) = (call.name, now - call.sent);
         self.turn(
             inner,
@@ -404,14 +404,14 @@
     }
 
     /// Tells the module, and carries out what it says.
-    fn handle(&self, inner: &mut Inner, now: Ms, event: &Event<'_>) {
+    fn handle(&self, inner: &mut Inner, now: Millis, event: &Event<'_>) {
         let mut acts = std::mem::take(&mut inner.acts);
         inner.control.handle(now, event, &mut acts);
         self.act(inner, now, &mut acts);
         inner.acts = acts;
     }
 
-    fn turn(&self, inner: &mut Inner, now: Ms, event: &Event<'_>) {
+    fn turn(&self, inner: &mut Inner, now: Millis, event: &Event<'_>) {
         self.handle(inner, now, event);
         // What an act led to comes once its event is through.
         while let Some(event) = inner.later.pop() {
@@ -420,7 +420,7 @@
         self.members(inner, now);
     }
 
-    fn members(&self, inner: &mut Inner, now: Ms) {
+    fn members(&self, inner: &mut Inner, now: Millis) {
         while !inner.members.is_empty() {
             let entries = std::mem::take(&mut inner.members);
             self.handle(
@@ -435,7 +435,7 @@
         }
     }
 
-    fn act(&self, inner: &mut Inner, now: Ms, acts: &mut Vec<Action>) {
+    fn act(&self, inner: &mut Inner, now: Millis, acts: &mut Vec<Action>) {
         for act in acts.drain(..) {
             match act {
                 Action::Forward { id, server, .. } => self.forward(inner, now, id, server),
@@ -469,7 +469,7 @@
         }
     }
 
-    fn forward(&self, inner: &mut Inner, now: Ms, id: QueryId, server: ServerId) {
+    fn forward(&self, inner: &mut Inner, now: Millis, id: RequestId, server: ServerId) {
         let Some(seat) = inner.seats.get_mut(&id) else {
             return;
         };
@@ -486,7 +486,7 @@
         }
         // It never left; without the budget for it the query is over.
         let (outcome, load, rtt, over, used, actual) =
-            (Outcome::Moot, Load::default(), 0.0, spent, 0, 0);
+            (Outcome::Moot, LoadReport::default(), 0.0, spent, 0, 0);
         inner.later.push(Event::ForwardEnded {
             id,
             forward,
@@ -500,7 +500,7 @@
         });
     }
 
-    fn count(&self, inner: &mut Inner, now: Ms, name: u64, add: f32) {
+    fn count(&self, inner: &mut Inner, now: Millis, name: u64, add: f32) {
         // The module's names bear its own window; the counter's window is its holder's.
         let tenant = name & NAMES;
         let total = match inner.calls.holder(tenant).filter(|_| !inner.alone) {
@@ -582,7 +582,7 @@
         }
     }
 
-    fn fronts(&self, now: Ms, fronts: &[ProxyEndpoint]) {
+    fn fronts(&self, now: Millis, fronts: &[ProxyEndpoint]) {
         let ips = |wanted: &dyn Fn(&ProxyEndpoint) -> bool| {
             let mut ips: Vec<Ipv4Addr> = fronts
                 .iter()
@@ -638,7 +638,7 @@
             .iter()
             .map(|t| inner.plan(&t.name, quota(t)))
             .collect();
-        let accts: Vec<AcctId> = tenants
+        let accts: Vec<TenantId> = tenants
             .iter()
             .map(|t| digest(t.name.as_bytes()) & NAMES)
             .collect();
@@ -731,7 +731,7 @@
 }
 
 impl Inner {
-    fn say(&mut self, id: QueryId, order: Order) {
+    fn say(&mut self, id: RequestId, order: Order) {
         if let Some(seat) = self.seats.get(&id) {
             // A full letter box means that nobody reads orders there any more.
             let _ = seat.orders.try_send(order);
@@ -749,7 +749,7 @@
             return *n;
         }
         let n = self.groups.len() as u16;
-        self.groups.push(Group {
+        self.groups.push(GroupSettings {
             // Late answers have their worth: servers are not left idle for an aim that cannot be met.
             slo: route.limit_ms,
             limit: route.limit_ms,
@@ -778,8 +778,8 @@
 }
 
 /// A plan of the module's: a quota, and nothing for what is beyond it.
-fn plan(rate: f64, burst: f64) -> Plan {
-    Plan {
+fn plan(rate: f64, burst: f64) -> PlanSettings {
+    PlanSettings {
         windowed: true,
         rate,
         burst,
@@ -794,7 +794,7 @@
 }
 
 /// The module's settings here. Regions are its zones.
-fn module(region: u8, group: &Group) -> aspendrum_core::api::Settings {
+fn module(region: u8, group: &GroupSettings) -> aspendrum_core::api::Settings {
     aspendrum_core::api::Settings {
         me: 0,
         instances: CREDIT_SHARERS,
@@ -803,7 +803,7 @@
         groups: vec![group.clone()],
         plans: vec![plan(0.0, 0.0)],
         load_values: vec![LoadValue::CpuShare],
-        reports: ReportsVia::Answers,
+        reports: LoadReportChannel::Answers,
         discovery_asks: false,
         must_ask_in: 0.0,
         drain_grace: 0.0,
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -7,7 +7,7 @@
 use crate::door::Client;
 use crate::wire::{self, Taken};
 use crate::Shop;
-use aspendrum_core::api::{Load, Ms, Outcome, QueryId, ServerId};
+use aspendrum_core::api::{LoadReport, Millis, Outcome, RequestId, ServerId};
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
 use aspendrum_net::http1::{self, MessageLimits, Request, Response};
 use aspendrum_net::mailbox;
@@ -21,7 +21,7 @@
 /// The client is answered so much before it gives up.
 const MARGIN: Duration = Duration::from_millis(12);
 /// When to come again where nothing is known that says when.
-const AGAIN_MS: Ms = 150.0;
+const AGAIN_MS: Millis = 150.0;
 /// Of a query's aim, how long it waits for a server at the most.
 const HELD_SHARE: f64 = 0.4;
 /// Without the desk's word a query ends so long after its time.
@@ -208,12 +208,12 @@
     }
 
     /// That forward never left, and the query is over.
-    fn moot(&self, id: QueryId, forward: u8, server: ServerId) {
+    fn moot(&self, id: RequestId, forward: u8, server: ServerId) {
         self.shop.desk.ended(
             id,
             forward,
             server,
-            (Outcome::Moot, 0.0, Load::default()),
+            (Outcome::Moot, 0.0, LoadReport::default()),
             true,
         );
     }
@@ -235,7 +235,7 @@
     }
 
     /// A promise that nothing ran, kept only where that is so.
-    fn refuse(&self, status: u16, again: Ms) -> Answer {
+    fn refuse(&self, status: u16, again: Millis) -> Answer {
         if self.may_have_run && !self.repeatable {
             return self.give_up();
         }
@@ -276,10 +276,10 @@
     }
 
     /// One forward. An answer that ends the query, if it brought one.
-    fn carry(&mut self, id: QueryId, forward: u8, server: ServerId) -> Option<Response> {
+    fn carry(&mut self, id: RequestId, forward: u8, server: ServerId) -> Option<Response> {
         let begun = Instant::now();
         let (outcome, response) = self.attempt(forward, server, begun);
-        let load = response.as_ref().map_or(Load::default(), wire::load);
+        let load = response.as_ref().map_or(LoadReport::default(), wire::load);
         let over = outcome == Outcome::Ok;
         let proven = matches!(
             outcome,
@@ -420,7 +420,7 @@
 pub fn probe(shop: &Shop, server: ServerId) {
     let begun = Instant::now();
     let until = begun + shop.connect_wait;
-    let told = || -> Result<(Outcome, Load, Option<Ms>), Outcome> {
+    let told = || -> Result<(Outcome, LoadReport, Option<Millis>), Outcome> {
         let (addr, uid, path) = shop.desk.check(server).ok_or(Outcome::Moot)?;
         shop.pool.set_address(server, addr.into());
         let mut conn = shop
@@ -438,7 +438,8 @@
         }
         Ok((if well { Outcome::Ok } else { Outcome::Error }, load, left))
     };
-    let (outcome, load, left) = told().unwrap_or_else(|outcome| (outcome, Load::default(), None));
+    let (outcome, load, left) =
+        told().unwrap_or_else(|outcome| (outcome, LoadReport::default(), None));
     shop.desk.probed(
         server,
         outcome,
--- a/crates/aspendrum-proxy/src/stacks.rs
+++ b/crates/aspendrum-proxy/src/stacks.rs
@@ -2,7 +2,7 @@
 //! zone, and are warm or have a turn left for this proxy. And how many further tries this proxy may make. No
 //! I/O, no clock.
 
-use aspendrum_core::api::{Health, Member, Ms, ServerId};
+use aspendrum_core::api::{Health, Millis, ServerEntry, ServerId};
 use aspendrum_model::hash::{digest, rank};
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
@@ -25,10 +25,10 @@
     pub warm_excess: f64,
     pub warm_slack: f64,
     pub retry_ratio: f64,
-    pub retry_win: Ms,
+    pub retry_win: Millis,
     pub retry_slack: f64,
     /// The list lags so far behind the servers.
-    pub list_lag: Ms,
+    pub list_lag: Millis,
 }
 
 impl Terms {
@@ -51,10 +51,10 @@
     pub pool: u16,
     pub region: u8,
     far: f32,
-    cold_until: Ms,
+    cold_until: Millis,
     /// Turns left while it is cold, as of when.
     turns: f64,
-    turns_at: Ms,
+    turns_at: Millis,
     /// As the module was told.
     shown: Health,
 }
@@ -68,7 +68,7 @@
 /// A service's figures out of the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Warmth {
-    pub warmup: Ms,
+    pub warmup: Millis,
     pub rate: f64,
 }
 
@@ -81,13 +81,13 @@
     warmth: HashMap<u16, Warmth>,
     evacuated: HashSet<String>,
     /// Zones taken back, and when: a list read before that does not know which of their servers are cold.
-    back: HashMap<String, Ms>,
+    back: HashMap<String, Millis>,
     /// All proxies that are there, ready or about to be.
     fronts: Vec<Ipv4Addr>,
     me: Ipv4Addr,
     /// First and further tries of each pool in the last window: when, how many.
-    firsts: HashMap<u16, VecDeque<(Ms, u32)>>,
-    further: HashMap<u16, VecDeque<(Ms, u32)>>,
+    firsts: HashMap<u16, VecDeque<(Millis, u32)>>,
+    further: HashMap<u16, VecDeque<(Millis, u32)>>,
 }
 
 impl Stacks {
@@ -131,8 +131,8 @@
     /// region, and how much dearer a server there is than one at hand.
     pub fn list(
         &mut self,
-        now: Ms,
-        age: Ms,
+        now: Millis,
+        age: Millis,
         list: Vec<ServerInstance>,
         place: impl Fn(&str) -> (u8, f32),
     ) {
@@ -214,7 +214,7 @@
     }
 
     /// The zones that are to get nothing. Those taken back may have turned cold meanwhile.
-    pub fn evacuate(&mut self, now: Ms, zones: &[String]) {
+    pub fn evacuate(&mut self, now: Millis, zones: &[String]) {
         let next: HashSet<String> = zones.iter().cloned().collect();
         for zone in self.evacuated.difference(&next) {
             self.back.insert(zone.clone(), now);
@@ -241,7 +241,7 @@
     }
 
     /// A server said itself for how long it is cold.
-    pub fn said_cold(&mut self, now: Ms, id: ServerId, left: Ms) {
+    pub fn said_cold(&mut self, now: Millis, id: ServerId, left: Millis) {
         if let Some(book) = self.books.get_mut(&id) {
             book.cold_until = if left > 0.0 {
                 book.cold_until.max(now + left)
@@ -271,7 +271,7 @@
         (bound / most as f64 - 1.0).max(0.0)
     }
 
-    fn wanted(&self, now: Ms, book: &Book) -> Health {
+    fn wanted(&self, now: Millis, book: &Book) -> Health {
         let out = book.server.draining || self.evacuated.contains(&book.server.zone);
         let turn = now >= book.cold_until || book.turns >= 1.0;
         if !out && turn {
@@ -282,7 +282,7 @@
     }
 
     /// Fills turns, and says what of the module's view is to change.
-    pub fn beat(&mut self, now: Ms) -> Vec<Member> {
+    pub fn beat(&mut self, now: Millis) -> Vec<ServerEntry> {
         let ids: Vec<ServerId> = self.books.keys().copied().collect();
         let mut changes = Vec::new();
         for id in ids {
@@ -303,7 +303,7 @@
         changes
     }
 
-    fn show(&mut self, id: ServerId, wanted: Health) -> Option<Member> {
+    fn show(&mut self, id: ServerId, wanted: Health) -> Option<ServerEntry> {
         let book = self.books.get_mut(&id)?;
         if book.shown == wanted {
             return None;
@@ -311,7 +311,7 @@
         book.shown = wanted;
         let (server, pool, zone, far) = (id, book.pool, book.region, book.far);
         let size = f32::from(book.server.slots.max(1));
-        Some(Member {
+        Some(ServerEntry {
             server,
             pool,
             health: wanted,
@@ -325,7 +325,7 @@
     }
 
     /// A forward goes there. None: it must not, whatever the module knew.
-    pub fn leave_for(&mut self, now: Ms, id: ServerId) -> (bool, Option<Member>) {
+    pub fn leave_for(&mut self, now: Millis, id: ServerId) -> (bool, Option<ServerEntry>) {
         let Some(book) = self.books.get(&id) else {
             return (false, None);
         };
@@ -339,7 +339,7 @@
     }
 
     /// A client's query for that pool. `tries`: 1 for the first forward.
-    pub fn first(&mut self, now: Ms, pool: u16) {
+    pub fn first(&mut self, now: Millis, pool: u16) {
         count(
             self.firsts.entry(pool).or_default(),
             now,
@@ -349,7 +349,7 @@
 
     /// Whether this proxy may send a query on to a further server: its own first ones earn it, and of the
     /// constant part it has an even share. So no word between proxies is needed.
-    pub fn further(&mut self, now: Ms, pool: u16) -> bool {
+    pub fn further(&mut self, now: Millis, pool: u16) -> bool {
         let win = self.terms.retry_win;
         let firsts = sum(self.firsts.entry(pool).or_default(), now, win);
         let further = sum(self.further.entry(pool).or_default(), now, win);
@@ -363,9 +363,9 @@
 }
 
 /// Counted by tenths of a second.
-const GRAIN: Ms = 100.0;
+const GRAIN: Millis = 100.0;
 
-fn count(counts: &mut VecDeque<(Ms, u32)>, now: Ms, win: Ms) {
+fn count(counts: &mut VecDeque<(Millis, u32)>, now: Millis, win: Millis) {
     let at = (now / GRAIN).floor() * GRAIN;
     match counts.back_mut().filter(|c| c.0 == at) {
         Some(last) => last.1 += 1,
@@ -376,7 +376,7 @@
     }
 }
 
-fn sum(counts: &VecDeque<(Ms, u32)>, now: Ms, win: Ms) -> f64 {
+fn sum(counts: &VecDeque<(Millis, u32)>, now: Millis, win: Millis) -> f64 {
     counts
         .iter()
         .filter(|c| c.0 >= now - win - GRAIN)
--- a/crates/aspendrum-proxy/src/wire.rs
+++ b/crates/aspendrum-proxy/src/wire.rs
@@ -1,7 +1,7 @@
 //! The names on the wire between clients, proxies and servers, and the messages built of them. No header's
 //! name stands anywhere else.
 
-use aspendrum_core::api::Load;
+use aspendrum_core::api::LoadReport;
 use aspendrum_net::http1::{
     encode_response, has_header, is_hop_by_hop, reason_phrase, single_header, Request, Response,
 };
@@ -139,7 +139,7 @@
 }
 
 /// Running, waiting and slots as a share of the slots; nothing if it cannot be read.
-pub fn load(response: &Response) -> Load {
+pub fn load(response: &Response) -> LoadReport {
     let read = || {
         let mut parts = single_header(&response.headers, LOAD)?
             .split(',')
@@ -147,7 +147,7 @@
         let (running, waiting, slots) = (parts.next()??, parts.next()??, parts.next()??);
         Some((running + waiting) / slots).filter(|l| l.is_finite() && *l >= 0.0)
     };
-    read().map_or(Load::default(), |share| Load {
+    read().map_or(LoadReport::default(), |share| LoadReport {
         n: 1,
         values: [share, 0.0, 0.0, 0.0],
     })
--- a/crates/aspendrum-proxy/tests/stacks.rs
+++ b/crates/aspendrum-proxy/tests/stacks.rs
@@ -1,6 +1,6 @@
 //! Which servers may be used: cold ones within the fleet's bound, none that drains, none of an evacuated zone.
 
-use aspendrum_core::api::{Health, Member, ServerId};
+use aspendrum_core::api::{Health, ServerEntry, ServerId};
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_proxy::stacks::{Stacks, Terms, Warmth};
 use std::collections::HashMap;
@@ -50,7 +50,7 @@
 struct Told(HashMap<ServerId, Health>);
 
 impl Told {
-    fn hear(&mut self, members: impl IntoIterator<Item = Member>) {
+    fn hear(&mut self, members: impl IntoIterator<Item = ServerEntry>) {
         self.0
             .extend(members.into_iter().map(|m| (m.server, m.health)));
     }
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use aspendrum_core::api::Load;
+use aspendrum_core::api::LoadReport;
 use aspendrum_net::forward::{ForwardStage, RequestKind};
 use aspendrum_net::http1::{parse_request, parse_response, Parsed, Request, Response};
 use aspendrum_net::ring_buffer::RingBuffer;
@@ -227,7 +227,7 @@
     assert_eq!(wire::server(&answer), Some("i-1"));
     assert_eq!(
         wire::load(&answer),
-        Load {
+        LoadReport {
             n: 1,
             values: [0.75, 0.0, 0.0, 0.0]
         }
@@ -240,7 +240,7 @@
     assert!(wire::nameless(&bare) && !wire::answers(&bare, ""));
     assert_eq!(
         (wire::server(&bare), wire::load(&bare)),
-        (None, Load::default())
+        (None, LoadReport::default())
     );
     assert_eq!(
         (wire::warm_left(&bare), wire::keeps_for(&bare)),
@@ -250,7 +250,7 @@
         let text = format!("HTTP/1.1 200 OK\nServer-Load: {unreadable}\nContent-Length: 0\n\n");
         assert_eq!(
             wire::load(&parse_whole_response(&text)),
-            Load::default(),
+            LoadReport::default(),
             "{unreadable}"
         );
     }
--- a/crates/aspendrum-simulator-adapter/src/frame.rs
+++ b/crates/aspendrum-simulator-adapter/src/frame.rs
@@ -65,8 +65,8 @@
             other => return Err(format!("unknown Rc {other}")),
         })
     }
-    fn load(&self, at: usize) -> Result<Load, String> {
-        let mut load = Load {
+    fn load(&self, at: usize) -> Result<LoadReport, String> {
+        let mut load = LoadReport {
             n: self.u8(at),
             values: [0.0; 4],
         };
@@ -81,7 +81,7 @@
 }
 
 pub struct Batch<'a> {
-    now: Ms,
+    now: Millis,
     records: &'a [u8],
     tail: &'a [u8],
 }
@@ -115,7 +115,7 @@
         })
     }
 
-    pub fn now(&self) -> Ms {
+    pub fn now(&self) -> Millis {
         self.now
     }
 
@@ -137,7 +137,7 @@
     pub fn event<'b>(
         &'b self,
         index: usize,
-        members: &'b mut Vec<Member>,
+        members: &'b mut Vec<ServerEntry>,
     ) -> Result<WireEvent<'b>, String> {
         let f = Fields(&self.records[index * EVENT..(index + 1) * EVENT]);
         Ok(WireEvent::Told(match f.u8(0) {
@@ -180,7 +180,7 @@
                 rtt: f.ms(15, "RttS")?,
             },
             8 => return Ok(WireEvent::On(f.u32(1))),
-            9 => Event::Query(NewQuery {
+            9 => Event::Query(NewRequest {
                 id: f.u64(1),
                 group: f.u16(9),
                 until: f.ms(11, "ValidUntilS")?,
@@ -221,14 +221,14 @@
     }
 }
 
-fn member(f: Fields<'_>) -> Result<Member, String> {
+fn member(f: Fields<'_>) -> Result<ServerEntry, String> {
     let health = match f.u8(4) {
         0 => Health::Gone,
         1 => Health::Ready,
         2 => Health::Draining,
         other => return Err(format!("unknown Health {other}")),
     };
-    Ok(Member {
+    Ok(ServerEntry {
         server: f.u32(0),
         pool: 0,
         far: 0.0,
@@ -288,7 +288,7 @@
     }
 
     fn action(&mut self, action: &Action) {
-        let s = |ms: Ms| (ms / MS).to_be_bytes();
+        let s = |ms: Millis| (ms / MS).to_be_bytes();
         match action {
             Action::Tell { to, data } => {
                 let (at, size) = self.put(data);
--- a/crates/aspendrum-simulator-adapter/src/host.rs
+++ b/crates/aspendrum-simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! Many instances behind one pair of pipes, each in a slot of its own.
 
 use crate::frame::{Batch, Reply, WireEvent};
-use aspendrum_core::api::{Action, Member};
+use aspendrum_core::api::{Action, ServerEntry};
 use aspendrum_core::control::Control;
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 pub struct Host {
     slots: HashMap<u32, Control>,
     actions: Vec<Action>,
-    members: Vec<Member>,
+    members: Vec<ServerEntry>,
 }
 
 impl Host {
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -1,6 +1,8 @@
 //! Each record of the simulator's frames, as `fixtures/frames.txt` pins its bytes.
 
-use aspendrum_core::api::{Action, Event, Health, ListKind, Load, Member, NewQuery, Outcome};
+use aspendrum_core::api::{
+    Action, Event, Health, ListKind, LoadReport, NewRequest, Outcome, ServerEntry,
+};
 use aspendrum_simulator_adapter::frame::{Batch, Reply, WireEvent};
 use test_case::test_case;
 
@@ -48,17 +50,17 @@
     out
 }
 
-const LOAD_OF_FOUR: Load = Load {
+const LOAD_OF_FOUR: LoadReport = LoadReport {
     n: 4,
     values: [0.5, 0.25, 0.125, 0.0625],
 };
-const LOAD_OF_TWO: Load = Load {
+const LOAD_OF_TWO: LoadReport = LoadReport {
     n: 2,
     values: [0.5, 0.25, 0.0, 0.0],
 };
 
-fn query() -> NewQuery {
-    NewQuery {
+fn query() -> NewRequest {
+    NewRequest {
         id: ID,
         group: 0x102,
         until: 8652.25,
@@ -89,8 +91,8 @@
     }
 }
 
-fn members() -> [Member; 3] {
-    let common = Member {
+fn members() -> [ServerEntry; 3] {
+    let common = ServerEntry {
         server: 1,
         pool: 0,
         health: Health::Gone,
@@ -103,7 +105,7 @@
     };
     [
         common,
-        Member {
+        ServerEntry {
             server: 2,
             health: Health::Ready,
             cell: 0x506,
@@ -113,7 +115,7 @@
             started: 0.0,
             ..common
         },
-        Member {
+        ServerEntry {
             server: 3,
             health: Health::Draining,
             cell: 0x90a,
--- a/crates/aspendrum-simulator-adapter/tests/wire.rs
+++ b/crates/aspendrum-simulator-adapter/tests/wire.rs
@@ -50,7 +50,7 @@
 }
 
 #[test_case("09 000d9f1c5d3a91c4 0000 40214df3b645a1cb 91f03b7c55d20a64 00000000 40400000 40000000 3f800000 01",
-    "Query(NewQuery { id: 3834118869258692, group: 0, until: 8652.25" ; "new request")]
+    "Query(NewRequest { id: 3834118869258692, group: 0, until: 8652.25" ; "new request")]
 #[test_case("02 0000004d", "Timer { token: 77 }" ; "elapsed")]
 #[test_case("06 000e6a560e6f2b19", "ClientLeft { id: 4057567515847449 }" ; "cancelled by client")]
 #[test_case("0b 000d9f1c5d3a91c4 00 03124a07 0001 3f92f1a9fbe76c8b 01 0056 0003 01 3f1eb852",
--- a/crates/aspendrum/src/client.rs
+++ b/crates/aspendrum/src/client.rs
@@ -4,7 +4,7 @@
 use crate::ring_buffer::RingBuffer;
 use crate::workers::lock;
 use crate::Shop;
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_net::disconnects::ClientConnection;
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicU8, Ordering};
@@ -50,7 +50,7 @@
         &self,
         shop: &Shop,
         status: u16,
-        advice: Ms,
+        advice: Millis,
         close: bool,
         kind: &[u8],
         body: &[u8],
--- a/crates/aspendrum/src/clock.rs
+++ b/crates/aspendrum/src/clock.rs
@@ -1,15 +1,15 @@
 //! Milliseconds, and a clock that never steps.
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_core::settings::MS;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Milliseconds as the standard library has them; what is below nothing counts as nothing.
-pub fn ms(ms: Ms) -> Duration {
+pub fn ms(ms: Millis) -> Duration {
     Duration::try_from_secs_f64(ms.max(0.0) / MS).unwrap_or(Duration::ZERO)
 }
 /// A duration in milliseconds, as the module has it.
-pub fn as_ms(duration: Duration) -> Ms {
+pub fn as_ms(duration: Duration) -> Millis {
     duration.as_secs_f64() * MS
 }
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    unix: Ms,
+    unix: Millis,
 }
 
 impl Clock {
@@ -35,15 +35,15 @@
         }
     }
 
-    pub fn at(&self, when: Instant) -> Ms {
+    pub fn at(&self, when: Instant) -> Millis {
         self.unix + as_ms(when.saturating_duration_since(self.start))
     }
 
-    pub fn now(&self) -> Ms {
+    pub fn now(&self) -> Millis {
         self.at(Instant::now())
     }
 
-    pub fn instant(&self, at: Ms) -> Instant {
+    pub fn instant(&self, at: Millis) -> Instant {
         self.start + ms(at - self.unix)
     }
 }
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -10,7 +10,7 @@
 use crate::resp::{self, Parsed, Reply};
 use crate::ring_buffer::RingBuffer;
 use crate::workers::{lock, spawn};
-use aspendrum_core::api::{Event, Ms, Outcome};
+use aspendrum_core::api::{Event, Millis, Outcome};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -20,7 +20,7 @@
 struct Call {
     name: u64,
     add: f32,
-    ttl: Ms,
+    ttl: Millis,
     at: Instant,
 }
 
@@ -148,7 +148,7 @@
     }
 
     /// Makes one call. What becomes of it is told to the desk, in the order of the calls of its name.
-    pub fn call(&self, name: u64, add: f32, ttl: Ms) {
+    pub fn call(&self, name: u64, add: f32, ttl: Millis) {
         let Some(lane) = self.lanes.get(name as usize % self.lanes.len().max(1)) else {
             return;
         };
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -39,7 +39,7 @@
     pub counter: Option<Counter>,
     pub wishes: Sender<Wish>,
     pub peers: Option<Peers>,
-    seats: HashMap<QueryId, Seat>,
+    seats: HashMap<RequestId, Seat>,
     timers: BinaryHeap<Reverse<(u64, u32)>>,
     actions: Vec<Action>,
     /// What carrying out an action led to: the module hears it once the action's event is through.
@@ -204,7 +204,8 @@
                 match out {
                     // A forward that nobody took up never ran.
                     Some((forward, server)) => {
-                        let (outcome, rtt, actual, load) = (Outcome::Moot, 0.0, 0, Load::default());
+                        let (outcome, rtt, actual, load) =
+                            (Outcome::Moot, 0.0, 0, LoadReport::default());
                         self.hear(Note::Ended {
                             id,
                             forward,
@@ -269,7 +270,7 @@
     }
 
     /// Forgets a query once it is over and nothing of it is out.
-    fn leave(&mut self, id: QueryId) {
+    fn leave(&mut self, id: RequestId) {
         if self
             .seats
             .get(&id)
@@ -349,7 +350,7 @@
         }
     }
 
-    fn finish(&mut self, id: QueryId, order: Order) {
+    fn finish(&mut self, id: RequestId, order: Order) {
         let Some(seat) = self.seats.get_mut(&id) else {
             return;
         };
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -5,7 +5,7 @@
 use crate::pool::Connection;
 use crate::ring_buffer::RingBuffer;
 use crate::Shop;
-use aspendrum_core::api::{Load, LoadValue, Ms, Outcome, Semantics};
+use aspendrum_core::api::{LoadReport, LoadValue, Millis, Outcome, Semantics};
 use aspendrum_core::settings::MS;
 pub use aspendrum_net::http1::Parsed;
 use aspendrum_net::http1::{
@@ -35,7 +35,7 @@
 /// Customers are numbers below this, written with this many digits.
 const CUSTOMERS: u64 = 1 << 33;
 const CUSTOMER_DIGITS: usize = 16;
-const LONGEST_WAIT: Ms = 3_600_000.0;
+const LONGEST_WAIT: Millis = 3_600_000.0;
 const METHODS: [&str; 5] = ["GET", "POST", "PUT", "PATCH", "DELETE"];
 /// Headers that decide. One that comes twice may be read one way here and another way behind us.
 const ONCE: [&str; 9] = [
@@ -62,7 +62,7 @@
     pub group: u16,
     pub plan: u32,
     pub acct: u64,
-    pub wait: Ms,
+    pub wait: Millis,
     pub units: f32,
     pub spread: f32,
     pub first: f32,
@@ -212,7 +212,7 @@
 
 impl Asked {
     /// Writes a forward that waits that long.
-    pub fn forward(&self, wait: Ms, out: &mut RingBuffer) -> bool {
+    pub fn forward(&self, wait: Millis, out: &mut RingBuffer) -> bool {
         let (us, body) = ((wait * 1000.0).max(1.0) as u64, self.body.len());
         out.append(&self.head)
             && write!(out, "{REMAINING}: {us}u\r\n").is_ok()
@@ -228,7 +228,7 @@
     pub turned_away: bool,
     pub close: bool,
     pub charged: Option<f32>,
-    pub load: Load,
+    pub load: LoadReport,
     pub content_type: Vec<u8>,
     pub body: Vec<u8>,
 }
@@ -296,12 +296,12 @@
 }
 
 /// A load report in a probe's body.
-pub fn load_of_body(body: &[u8], values: &[LoadValue]) -> Load {
+pub fn load_of_body(body: &[u8], values: &[LoadValue]) -> LoadReport {
     load(std::str::from_utf8(body).unwrap_or(""), values)
 }
 
-fn load(text: &str, values: &[LoadValue]) -> Load {
-    let mut load = Load::default();
+fn load(text: &str, values: &[LoadValue]) -> LoadReport {
+    let mut load = LoadReport::default();
     let text = text.trim().trim_start_matches("TEXT").trim_start();
     for (slot, value) in values.iter().enumerate().take(load.values.len()) {
         let told = text
@@ -320,7 +320,7 @@
         .take(usize::from(load.n))
         .all(|v| v.is_nan())
     {
-        return Load::default();
+        return LoadReport::default();
     }
     load
 }
@@ -342,7 +342,7 @@
 pub fn reply(
     out: &mut RingBuffer,
     status: u16,
-    advice: Ms,
+    advice: Millis,
     close: bool,
     content_type: &[u8],
     body: &[u8],
@@ -402,7 +402,7 @@
 }
 
 /// A number and its unit, in milliseconds.
-fn remaining(text: &str) -> Option<Ms> {
+fn remaining(text: &str) -> Option<Millis> {
     let ms = match text.as_bytes().last()? {
         b'm' => number(&text[..text.len() - 1])?,
         b'u' => number(&text[..text.len() - 1])? / 1000.0,
--- a/crates/aspendrum/src/notes.rs
+++ b/crates/aspendrum/src/notes.rs
@@ -12,34 +12,34 @@
 /// What the desk is told.
 pub enum Note {
     Query {
-        new: NewQuery,
+        new: NewRequest,
         orders: MailboxSender<Order>,
         line: Arc<ForwardHandle>,
     },
     /// The client went away while its query was in hand.
     Left {
-        id: QueryId,
+        id: RequestId,
     },
     /// The forward that was out has ended.
     Ended {
-        id: QueryId,
+        id: RequestId,
         forward: u8,
         server: ServerId,
         outcome: Outcome,
-        rtt: Ms,
+        rtt: Millis,
         actual: u16,
-        load: Load,
+        load: LoadReport,
     },
     /// The query got its answer without the desk; no order is read any more.
     Quit {
-        id: QueryId,
+        id: RequestId,
     },
     /// What goes to the module as it is.
     Told(Event<'static>),
     Members {
         list: ListKind,
         version: u32,
-        entries: Vec<Member>,
+        entries: Vec<ServerEntry>,
     },
     Peer {
         from: u16,
@@ -57,10 +57,10 @@
     Forward {
         forward: u8,
         server: ServerId,
-        timeout: Ms,
+        timeout: Millis,
     },
     Shed {
-        advice: Ms,
+        advice: Millis,
     },
     Drop,
     /// The client is gone: there is nobody to answer.
@@ -90,7 +90,7 @@
         }
     }
 
-    pub fn next_id(&self) -> QueryId {
+    pub fn next_id(&self) -> RequestId {
         self.ids.fetch_add(1, Ordering::Relaxed)
     }
 
--- a/crates/aspendrum/src/query.rs
+++ b/crates/aspendrum/src/query.rs
@@ -14,7 +14,7 @@
 
 /// From here to the end it is one query's life. `at` is when its last byte was read. True: its connection
 /// goes on.
-pub fn serve(shop: &Shop, client: &Client, asked: &Asked, id: QueryId, at: Instant) -> bool {
+pub fn serve(shop: &Shop, client: &Client, asked: &Asked, id: RequestId, at: Instant) -> bool {
     let limits = &shop.limits;
     let until = at + ms(asked.wait);
 
@@ -28,7 +28,7 @@
         RequestKind::OnceOnly
     }));
     client.presence.begin(id, &shop.watch);
-    let new = NewQuery {
+    let new = NewRequest {
         id,
         group: asked.group,
         until: shop.door.clock.at(until),
@@ -81,7 +81,7 @@
                 let begun = Instant::now();
                 let (outcome, answer) = carry(shop, client, &line, asked, (forward, server), wait);
                 let rtt = as_ms(begun.elapsed());
-                let load = answer.as_ref().map_or(Load::default(), |a| a.load);
+                let load = answer.as_ref().map_or(LoadReport::default(), |a| a.load);
                 // A server that names no units took those that were asked for.
                 let charged = answer.as_ref().filter(|_| outcome == Outcome::Ok);
                 let actual = charged
@@ -215,7 +215,7 @@
         let begun = Instant::now();
         let (outcome, load) = match ask(&own, server, begun + own.limits.probe_wait) {
             Ok(told) => told,
-            Err(outcome) => (outcome, Load::default()),
+            Err(outcome) => (outcome, LoadReport::default()),
         };
         let rtt = as_ms(begun.elapsed());
         let values = &load.values[..usize::from(load.n)];
@@ -233,7 +233,7 @@
         }));
     };
     if shop.workers.run(Box::new(job)).is_err() {
-        let (outcome, load) = (Outcome::ConnectFailed, Load::default());
+        let (outcome, load) = (Outcome::ConnectFailed, LoadReport::default());
         let _ = shop.door.offer(Note::Told(Event::Probed {
             server,
             outcome,
@@ -243,7 +243,7 @@
     }
 }
 
-fn ask(shop: &Shop, server: ServerId, until: Instant) -> Result<(Outcome, Load), Outcome> {
+fn ask(shop: &Shop, server: ServerId, until: Instant) -> Result<(Outcome, LoadReport), Outcome> {
     let path = if shop.lanes.load_values.is_empty() {
         http::LIVE
     } else {
--- a/crates/aspendrum/src/resp.rs
+++ b/crates/aspendrum/src/resp.rs
@@ -1,7 +1,7 @@
 //! The counter's protocol, RESP2: calls out, replies in.
 
 use crate::ring_buffer::RingBuffer;
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use std::io::Write;
 
 const VERB: &str = "CNT.ADD";
@@ -24,7 +24,7 @@
 }
 
 /// Writes one call that adds `add` to a number that lives `ttl` if it is new.
-pub fn add(out: &mut impl Write, name: u64, add: f32, ttl: Ms) {
+pub fn add(out: &mut impl Write, name: u64, add: f32, ttl: Millis) {
     let (name, add, ttl) = (
         name.to_string(),
         add.to_string(),
--- a/crates/aspendrum/src/roster.rs
+++ b/crates/aspendrum/src/roster.rs
@@ -1,6 +1,6 @@
 //! Lists of servers as discovery words them.
 
-use aspendrum_core::api::{Health, Member, Ms, ServerId};
+use aspendrum_core::api::{Health, Millis, ServerEntry, ServerId};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 pub struct Roster {
     pub version: u64,
     pub whole: bool,
-    pub entries: Vec<(Member, Option<SocketAddr>)>,
+    pub entries: Vec<(ServerEntry, Option<SocketAddr>)>,
 }
 
 impl Roster {
@@ -47,7 +47,7 @@
     }
 }
 
-fn entry(host: &Value, names: &Names) -> Result<(Member, Option<SocketAddr>), String> {
+fn entry(host: &Value, names: &Names) -> Result<(ServerEntry, Option<SocketAddr>), String> {
     let text = |key: &str| {
         host.get(key)
             .and_then(Value::as_str)
@@ -70,7 +70,7 @@
     if dial.is_none() && health != Health::Gone {
         return Err("dial is no address".into());
     }
-    let member = Member {
+    let member = ServerEntry {
         server: server_id(text("host")?),
         pool: 0,
         far: 0.0,
@@ -79,7 +79,7 @@
         zone: place(&names.zones, text("site").unwrap_or("")),
         size: number("share").unwrap_or(1.0) as f32,
         kind: place(&names.kinds, text("class").unwrap_or("")),
-        started: number("born_ms").ok_or("born_ms is no number")? as Ms,
+        started: number("born_ms").ok_or("born_ms is no number")? as Millis,
     };
     Ok((member, dial))
 }
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -15,7 +15,7 @@
 use aspendrum::resp::{self, Parsed, Reply};
 use aspendrum::ring_buffer::RingBuffer;
 use aspendrum::roster::{Names, Roster};
-use aspendrum_core::api::{Health, Load, LoadValue, Semantics};
+use aspendrum_core::api::{Health, LoadReport, LoadValue, Semantics};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::Write;
@@ -238,10 +238,10 @@
     assert_eq!(lines[1], bytes(REQUESTS, "load-report"));
 }
 
-fn load(values: &[f32]) -> Load {
-    let mut load = Load {
+fn load(values: &[f32]) -> LoadReport {
+    let mut load = LoadReport {
         n: values.len() as u8,
-        ..Load::default()
+        ..LoadReport::default()
     };
     load.values[..values.len()].copy_from_slice(values);
     load
@@ -276,7 +276,10 @@
         (refused.status, refused.turned_away, refused.close),
         (503, true, true)
     );
-    assert_eq!((refused.charged, refused.load), (None, Load::default()));
+    assert_eq!(
+        (refused.charged, refused.load),
+        (None, LoadReport::default())
+    );
 }
 
 #[test]
