--- a/crates/aspendrum-core/src/api.rs
+++ b/crates/aspendrum-core/src/api.rs
@@ -9,9 +9,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Semantics {
-    Repeatable,
-    Keyed,
-    Mutating,
+    Idempotent,
+    Deduplicated,
+    NonIdempotent,
 }
 
 /// The servers that know a keyed query's repeats.
@@ -27,7 +27,7 @@
     #[default]
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// How a forward, a probe or a counter call ended.
@@ -35,12 +35,12 @@
 pub enum Outcome {
     Ok,
     Error,
-    Full,
+    Rejected,
     TimedOut,
     ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
+    NotSent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,20 +53,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadValue {
-    InHand,
-    Waiting,
-    CpuShare,
-    ServiceMs,
-    AnsweredPerS,
-    DroppedPerS,
+    RequestsInFlight,
+    RequestsQueued,
+    CpuUtilization,
+    ServiceTimeMs,
+    ResponsesPerSecond,
+    FailuresPerSecond,
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportChannel {
-    Answers,
+    Responses,
     Probes,
-    Nothing,
+    Disabled,
 }
 
 /// A load report: `n` values in the order of `Settings::load_values`; none if `n` is 0. One that could not be
--- a/crates/aspendrum-core/src/control.rs
+++ b/crates/aspendrum-core/src/control.rs
@@ -20,54 +20,59 @@
 /// Rules 1 and 2: the only place that says whether a query may be sent on again or shed.
 const RULES: [(Semantics, Known, Resend, May); 9] = [
     (
-        Semantics::Repeatable,
+        Semantics::Idempotent,
         Known::NeverRan,
         Resend::Anywhere,
         May::Shed,
     ),
     (
-        Semantics::Repeatable,
+        Semantics::Idempotent,
         Known::MayHaveRun,
         Resend::Anywhere,
         May::Shed,
     ),
     (
-        Semantics::Repeatable,
+        Semantics::Idempotent,
         Known::StillOut,
         Resend::No,
         May::Shed,
     ),
     (
-        Semantics::Keyed,
+        Semantics::Deduplicated,
         Known::NeverRan,
         Resend::Anywhere,
         May::Shed,
     ),
     (
-        Semantics::Keyed,
+        Semantics::Deduplicated,
         Known::MayHaveRun,
         Resend::InGroup,
         May::ShedIfAll,
     ),
     (
-        Semantics::Keyed,
+        Semantics::Deduplicated,
         Known::StillOut,
         Resend::No,
         May::ShedIfAll,
     ),
     (
-        Semantics::Mutating,
+        Semantics::NonIdempotent,
         Known::NeverRan,
         Resend::Anywhere,
         May::Shed,
     ),
     (
-        Semantics::Mutating,
+        Semantics::NonIdempotent,
         Known::MayHaveRun,
         Resend::No,
         May::Drop,
     ),
-    (Semantics::Mutating, Known::StillOut, Resend::No, May::Drop),
+    (
+        Semantics::NonIdempotent,
+        Known::StillOut,
+        Resend::No,
+        May::Drop,
+    ),
 ];
 
 impl Control {
--- a/crates/aspendrum-core/src/control/keepers.rs
+++ b/crates/aspendrum-core/src/control/keepers.rs
@@ -210,7 +210,7 @@
 
     /// A word of the counter's, or none where one was due.
     pub(super) fn told(&mut self, name: u64, outcome: Outcome, total: f64, rtt: Millis) {
-        if matches!(outcome, Outcome::Ok | Outcome::Full) {
+        if matches!(outcome, Outcome::Ok | Outcome::Rejected) {
             self.heard_at = Some(self.now);
         }
         self.counted(name, outcome, total, rtt);
--- a/crates/aspendrum-core/src/control/servers.rs
+++ b/crates/aspendrum-core/src/control/servers.rs
@@ -138,8 +138,8 @@
                 self.answered_at = self.now;
                 return self.mark(server, Mark::Good);
             }
-            Outcome::Cancelled | Outcome::Moot => 0.0,
-            Outcome::Full => {
+            Outcome::Cancelled | Outcome::NotSent => 0.0,
+            Outcome::Rejected => {
                 // Turned away unseen: it rests for about as long as a place takes to come free.
                 s.rest_until = self.now + 0.5 * self.typical;
                 0.2
@@ -234,7 +234,7 @@
                 .items
                 .iter_mut()
                 .filter(absent)
-                .for_each(|s| s.health = Health::Gone);
+                .for_each(|s| s.health = Health::Removed);
         }
         for m in entries {
             let at = self.place(self.fresh(m));
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -65,9 +65,9 @@
 
 fn group(p: &Pairs<'_>, at: &str) -> Result<GroupSettings, String> {
     let semantics = [
-        ("retryable", Semantics::Repeatable),
-        ("dedup", Semantics::Keyed),
-        ("fragile", Semantics::Mutating),
+        ("retryable", Semantics::Idempotent),
+        ("dedup", Semantics::Deduplicated),
+        ("fragile", Semantics::NonIdempotent),
     ];
     let repeats = [
         ("all", RepeatGroup::All),
@@ -75,7 +75,7 @@
         ("cell", RepeatGroup::Cell),
     ];
     let semantics = p.choice(&format!("{at}.Semantics"), &semantics)?;
-    let keyed = semantics == Semantics::Keyed;
+    let keyed = semantics == Semantics::Deduplicated;
     Ok(GroupSettings {
         slo: p.number(&format!("{at}.AimS"))? * MS,
         limit: p.number(&format!("{at}.HardLimitS"))? * MS,
@@ -113,12 +113,12 @@
 
 fn load_value(word: &str) -> LoadValue {
     match word {
-        "busy_reqs" => LoadValue::InHand,
-        "pending" => LoadValue::Waiting,
-        "cpu_share" => LoadValue::CpuShare,
-        "svc_ms" => LoadValue::ServiceMs,
-        "served_ps" => LoadValue::AnsweredPerS,
-        "failed_ps" => LoadValue::DroppedPerS,
+        "busy_reqs" => LoadValue::RequestsInFlight,
+        "pending" => LoadValue::RequestsQueued,
+        "cpu_share" => LoadValue::CpuUtilization,
+        "svc_ms" => LoadValue::ServiceTimeMs,
+        "served_ps" => LoadValue::ResponsesPerSecond,
+        "failed_ps" => LoadValue::FailuresPerSecond,
         _ => LoadValue::Unknown,
     }
 }
@@ -130,9 +130,9 @@
             .collect(),
     );
     let via = [
-        ("inline", LoadReportChannel::Answers),
+        ("inline", LoadReportChannel::Responses),
         ("on_probe", LoadReportChannel::Probes),
-        ("off", LoadReportChannel::Nothing),
+        ("off", LoadReportChannel::Disabled),
     ];
     let names = p.0.get("Feedback.Names").copied().unwrap_or("");
     let counter = p.yes("Specifics.Counter")?;
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -243,7 +243,7 @@
     pub(crate) fn may_have_run(&self) -> bool {
         !matches!(
             self.end,
-            Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+            Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
         )
     }
 }
@@ -384,7 +384,10 @@
         Figures {
             groups: s.groups.iter().map(GroupFig::of).collect(),
             plans: s.plans.iter().map(PlanFig::of).collect(),
-            report_busy: s.load_values.iter().position(|v| *v == LoadValue::CpuShare),
+            report_busy: s
+                .load_values
+                .iter()
+                .position(|v| *v == LoadValue::CpuUtilization),
             report_probes: s.reports == LoadReportChannel::Probes,
             asks: s.discovery_asks,
             counter: s.counter,
@@ -515,7 +518,7 @@
         for at in 0..self.servers.items.len() {
             let id = u64::from(self.servers[at].id);
             let named = |slot: &usize| self.queries[*slot].tries().iter().any(|t| t.server == at);
-            let left = self.servers[at].health == Health::Gone && !self.live.iter().any(named);
+            let left = self.servers[at].health == Health::Removed && !self.live.iter().any(named);
             if left && self.servers.find(id) == Some(at) {
                 self.servers.remove(id);
             }
--- a/crates/aspendrum-core/tests/decisions.rs
+++ b/crates/aspendrum-core/tests/decisions.rs
@@ -63,7 +63,7 @@
     }
 
     fn plain() -> Rig {
-        Rig::new(Semantics::Repeatable, RepeatGroup::All)
+        Rig::new(Semantics::Idempotent, RepeatGroup::All)
     }
 
     fn tell(&mut self, event: &Event<'_>) {
@@ -202,10 +202,10 @@
     assert_eq!(rig.calls[2], (9, -1.0));
 }
 
-#[test_case(&[Outcome::Full], false ; "one failure")]
-#[test_case(&[Outcome::Full; 4], false ; "four in a row")]
-#[test_case(&[Outcome::Full, Outcome::TimedOut, Outcome::Ok, Outcome::Full, Outcome::Full, Outcome::Full], false ; "an answer between")]
-#[test_case(&[Outcome::Full, Outcome::TimedOut, Outcome::ConnectFailed, Outcome::Full, Outcome::Full], true ; "five in a row")]
+#[test_case(&[Outcome::Rejected], false ; "one failure")]
+#[test_case(&[Outcome::Rejected; 4], false ; "four in a row")]
+#[test_case(&[Outcome::Rejected, Outcome::TimedOut, Outcome::Ok, Outcome::Rejected, Outcome::Rejected, Outcome::Rejected], false ; "an answer between")]
+#[test_case(&[Outcome::Rejected, Outcome::TimedOut, Outcome::ConnectFailed, Outcome::Rejected, Outcome::Rejected], true ; "five in a row")]
 fn breaker_opens_on_five_failures(outcomes: &[Outcome], open: bool) {
     let mut rig = Rig::plain();
     outcomes
@@ -278,7 +278,7 @@
 }
 
 fn ceiling() -> Settings {
-    let mut s = settings(Semantics::Repeatable, RepeatGroup::All);
+    let mut s = settings(Semantics::Idempotent, RepeatGroup::All);
     s.plans[0] = PlanSettings {
         ceiling_rate: 4.0,
         ceiling_burst: 8.0,
@@ -310,7 +310,11 @@
             rig.ask_of(id, 9, limiters as f32);
             for i in before..rig.calls.len() {
                 total += rig.calls[i].1;
-                let outcome = if counter { Outcome::Ok } else { Outcome::Full };
+                let outcome = if counter {
+                    Outcome::Ok
+                } else {
+                    Outcome::Rejected
+                };
                 rig.count(rig.calls[i].0, outcome, total);
             }
             if rig.sent(id) > 0 {
@@ -327,24 +331,24 @@
     assert!(rigs.iter().map(|r| r.forwards.len()).sum::<usize>() >= 2);
 }
 
-#[test_case(Semantics::Repeatable, Outcome::Error, 2, 1, 0 ; "repeatable error")]
-#[test_case(Semantics::Repeatable, Outcome::TimedOut, 2, 1, 0 ; "repeatable timed out")]
-#[test_case(Semantics::Repeatable, Outcome::Cancelled, 2, 1, 0 ; "repeatable cancelled")]
-#[test_case(Semantics::Mutating, Outcome::Ok, 1, 0, 0 ; "mutating ok")]
-#[test_case(Semantics::Mutating, Outcome::Error, 1, 0, 1 ; "mutating error")]
-#[test_case(Semantics::Mutating, Outcome::Full, 2, 1, 0 ; "mutating full")]
-#[test_case(Semantics::Mutating, Outcome::TimedOut, 1, 0, 1 ; "mutating timed out")]
-#[test_case(Semantics::Mutating, Outcome::ConnectFailed, 2, 1, 0 ; "mutating connect failed")]
-#[test_case(Semantics::Mutating, Outcome::Reset, 1, 0, 1 ; "mutating reset")]
-#[test_case(Semantics::Mutating, Outcome::Cancelled, 1, 0, 1 ; "mutating cancelled")]
-#[test_case(Semantics::Mutating, Outcome::Moot, 2, 1, 0 ; "mutating moot")]
-#[test_case(Semantics::Keyed, Outcome::Error, 2, 0, 1 ; "keyed error stays in its cell")]
-#[test_case(Semantics::Keyed, Outcome::Reset, 2, 0, 1 ; "keyed reset stays in its cell")]
-#[test_case(Semantics::Keyed, Outcome::TimedOut, 2, 0, 1 ; "keyed timed out stays in its cell")]
-#[test_case(Semantics::Keyed, Outcome::Cancelled, 2, 0, 1 ; "keyed cancelled stays in its cell")]
-#[test_case(Semantics::Keyed, Outcome::Full, 2, 1, 0 ; "keyed full")]
-#[test_case(Semantics::Keyed, Outcome::ConnectFailed, 2, 1, 0 ; "keyed connect failed")]
-#[test_case(Semantics::Keyed, Outcome::Moot, 2, 1, 0 ; "keyed moot")]
+#[test_case(Semantics::Idempotent, Outcome::Error, 2, 1, 0 ; "repeatable error")]
+#[test_case(Semantics::Idempotent, Outcome::TimedOut, 2, 1, 0 ; "repeatable timed out")]
+#[test_case(Semantics::Idempotent, Outcome::Cancelled, 2, 1, 0 ; "repeatable cancelled")]
+#[test_case(Semantics::NonIdempotent, Outcome::Ok, 1, 0, 0 ; "mutating ok")]
+#[test_case(Semantics::NonIdempotent, Outcome::Error, 1, 0, 1 ; "mutating error")]
+#[test_case(Semantics::NonIdempotent, Outcome::Rejected, 2, 1, 0 ; "mutating full")]
+#[test_case(Semantics::NonIdempotent, Outcome::TimedOut, 1, 0, 1 ; "mutating timed out")]
+#[test_case(Semantics::NonIdempotent, Outcome::ConnectFailed, 2, 1, 0 ; "mutating connect failed")]
+#[test_case(Semantics::NonIdempotent, Outcome::Reset, 1, 0, 1 ; "mutating reset")]
+#[test_case(Semantics::NonIdempotent, Outcome::Cancelled, 1, 0, 1 ; "mutating cancelled")]
+#[test_case(Semantics::NonIdempotent, Outcome::NotSent, 2, 1, 0 ; "mutating moot")]
+#[test_case(Semantics::Deduplicated, Outcome::Error, 2, 0, 1 ; "keyed error stays in its cell")]
+#[test_case(Semantics::Deduplicated, Outcome::Reset, 2, 0, 1 ; "keyed reset stays in its cell")]
+#[test_case(Semantics::Deduplicated, Outcome::TimedOut, 2, 0, 1 ; "keyed timed out stays in its cell")]
+#[test_case(Semantics::Deduplicated, Outcome::Cancelled, 2, 0, 1 ; "keyed cancelled stays in its cell")]
+#[test_case(Semantics::Deduplicated, Outcome::Rejected, 2, 1, 0 ; "keyed full")]
+#[test_case(Semantics::Deduplicated, Outcome::ConnectFailed, 2, 1, 0 ; "keyed connect failed")]
+#[test_case(Semantics::Deduplicated, Outcome::NotSent, 2, 1, 0 ; "keyed moot")]
 fn repeat_rules(semantics: Semantics, outcome: Outcome, least: usize, shed: usize, dropped: usize) {
     let mut rig = Rig::new(semantics, RepeatGroup::Cell);
     rig.ask_at(1, 9, 1.0);
@@ -365,9 +369,9 @@
     }
     let never = matches!(
         outcome,
-        Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
     );
-    if semantics == Semantics::Keyed && !never {
+    if semantics == Semantics::Deduplicated && !never {
         assert!(
             rig.forwards
                 .iter()
@@ -380,7 +384,7 @@
 
 #[test]
 fn a_keyed_query_is_not_sent_again_after_its_window() {
-    let mut rig = Rig::new(Semantics::Keyed, RepeatGroup::All);
+    let mut rig = Rig::new(Semantics::Deduplicated, RepeatGroup::All);
     rig.ask_at(1, 9, 1.0);
     rig.wait(600.0);
     rig.end(1, 0, Outcome::Reset);
@@ -389,7 +393,7 @@
 }
 
 #[test_case(Health::Draining ; "draining")]
-#[test_case(Health::Gone ; "gone")]
+#[test_case(Health::Removed ; "gone")]
 fn nothing_new_goes_to_a_server_that_leaves(health: Health) {
     let mut rig = Rig::plain();
     let entries = [member(1, health, 1, 0.0), member(2, health, 0, 0.0)];
@@ -425,13 +429,13 @@
 
 /// Instant answers of any kind must not pull work to a server that has just started.
 #[test_case(Outcome::Ok ; "quick answers")]
-#[test_case(Outcome::Full ; "quick refusals")]
+#[test_case(Outcome::Rejected ; "quick refusals")]
 fn a_cold_server_gets_its_part_of_the_budget(outcome: Outcome) {
     let entries = [
         member(1, Health::Ready, 0, 0.0),
         member(2, Health::Ready, 0, 900.0),
     ];
-    let mut rig = Rig::with(&settings(Semantics::Repeatable, RepeatGroup::All), &entries);
+    let mut rig = Rig::with(&settings(Semantics::Idempotent, RepeatGroup::All), &entries);
     for id in 0..300 {
         rig.ask_at(id, 1000 + id, 1.0);
         rig.wait(10.0);
@@ -538,7 +542,7 @@
 
 #[test]
 fn each_query_waiting_without_servers_is_shed_once_in_time() {
-    let mut rig = Rig::with(&settings(Semantics::Mutating, RepeatGroup::All), &[]);
+    let mut rig = Rig::with(&settings(Semantics::NonIdempotent, RepeatGroup::All), &[]);
     for id in 0..50 {
         rig.ask_at(id, 1000 + id, 1.0);
     }
@@ -551,7 +555,7 @@
     let mut rig = Rig::plain();
     rig.ask_at(1, 9, 1.0);
     let first = rig.forwards[0].1;
-    rig.end(1, 0, Outcome::Full);
+    rig.end(1, 0, Outcome::Rejected);
     rig.end(1, 1, Outcome::Ok);
     for id in 2..5 {
         rig.wait(500.0);
@@ -681,7 +685,7 @@
 fn an_amount_that_was_turned_away_is_settled() {
     let mut rig = Rig::plain();
     rig.ask(1, 9);
-    rig.count(9, Outcome::Full, 0.0);
+    rig.count(9, Outcome::Rejected, 0.0);
     rig.wait(2000.0);
     assert_eq!(rig.calls, [(9, 1.0), (9, 1.0)]);
 }
@@ -693,7 +697,7 @@
     rig.ask_at(1, 9, 1.0);
     rig.ask_at(4, 9, 40.0);
     rig.ask(2, 10);
-    rig.count(10, Outcome::Full, 0.0);
+    rig.count(10, Outcome::Rejected, 0.0);
     let calls = rig.calls.len();
     rig.ask(3, 9);
     assert_eq!((rig.calls.len(), rig.finals(3)), (calls, 1));
@@ -820,7 +824,7 @@
 fn without_a_counter_none_is_called() {
     let s = Settings {
         counter: false,
-        ..settings(Semantics::Repeatable, RepeatGroup::All)
+        ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let mut rig = Rig::with(&s, &[]);
     (0..20).for_each(|id| rig.ask(id, 9));
@@ -851,7 +855,7 @@
     let s = |me| Settings {
         me,
         instances: limiters,
-        ..settings(Semantics::Repeatable, RepeatGroup::All)
+        ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let mut rigs: Vec<Rig> = (0..limiters)
         .map(|me| Rig::with(&s(me), &servers))
@@ -915,7 +919,7 @@
     let s = Settings {
         instances: limiters,
         reports: LoadReportChannel::Probes,
-        ..settings(Semantics::Repeatable, RepeatGroup::All)
+        ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let entries = [
         member(1, Health::Ready, 0, 0.0),
--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/keepers.rs
@@ -30,7 +30,7 @@
 }
 
 fn settings(limiters: u32, counter: bool, ceiling: f64) -> Settings {
-    let base = common::settings(Semantics::Repeatable, RepeatGroup::All);
+    let base = common::settings(Semantics::Idempotent, RepeatGroup::All);
     let (ceiling_rate, ceiling_burst) = (2.0 * ceiling, 6.0 * ceiling);
     let plan = PlanSettings {
         burst: 6.0,
@@ -43,7 +43,7 @@
         tick: 1.0,
         plans: vec![plan],
         load_values: vec![],
-        reports: LoadReportChannel::Nothing,
+        reports: LoadReportChannel::Disabled,
         may_probe: false,
         may_tell: true,
         retry_after: false,
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -15,7 +15,7 @@
 
 impl Rig {
     fn new(windowed: bool, burst: f64) -> Rig {
-        let mut s = settings(Semantics::Mutating, RepeatGroup::All);
+        let mut s = settings(Semantics::NonIdempotent, RepeatGroup::All);
         s.plans[0] = PlanSettings {
             windowed,
             rate: burst,
@@ -159,7 +159,7 @@
     let mut rig = Rig::new(true, 0.0);
     rig.servers(&[(1, 0, 0)]);
     assert!(forwarded(&rig.ask(0, u64::MAX, 1.0)).is_some(), "no quota");
-    let s = settings(Semantics::Mutating, RepeatGroup::All);
+    let s = settings(Semantics::NonIdempotent, RepeatGroup::All);
     let plan = PlanSettings {
         windowed: true,
         rate: 1.0,
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -366,11 +366,11 @@
         let outcome = if self.draws.one_in(failing) {
             let failures = [
                 Outcome::Error,
-                Outcome::Full,
+                Outcome::Rejected,
                 Outcome::TimedOut,
                 Outcome::ConnectFailed,
                 Outcome::Reset,
-                Outcome::Moot,
+                Outcome::NotSent,
             ];
             failures[self.draws.below(6) as usize]
         } else {
@@ -400,7 +400,7 @@
         let (outcome, steps) = match state {
             Counter::Answers => (Outcome::Ok, 1),
             Counter::Slow => (Outcome::Ok, 2 + self.draws.below(4)),
-            Counter::Overfull if self.draws.one_in(3) => (Outcome::Full, 1),
+            Counter::Overfull if self.draws.one_in(3) => (Outcome::Rejected, 1),
             Counter::Overfull => (Outcome::Ok, 2),
             Counter::Silent => (Outcome::TimedOut, 6),
             Counter::Refuses => (Outcome::ConnectFailed, 1),
@@ -557,8 +557,8 @@
         self.health[at] = match self.health[at].0 {
             Health::Ready if self.draws.one_in(2) => (Health::Draining, self.health[at].1),
             Health::Ready => (Health::Ready, self.now()),
-            Health::Draining => (Health::Gone, self.health[at].1),
-            Health::Gone => (Health::Ready, self.now() - self.draws.below(3000) as f64),
+            Health::Draining => (Health::Removed, self.health[at].1),
+            Health::Removed => (Health::Ready, self.now() - self.draws.below(3000) as f64),
         };
         let kinds = [
             ListKind::Delta,
@@ -725,10 +725,10 @@
 
 fn base() -> Settings {
     let groups = vec![
-        group(Semantics::Repeatable, RepeatGroup::All, 500.0, 1.0),
-        group(Semantics::Keyed, RepeatGroup::Zone, 800.0, 2.0),
-        group(Semantics::Keyed, RepeatGroup::Cell, 300.0, 0.5),
-        group(Semantics::Mutating, RepeatGroup::All, 600.0, 1.5),
+        group(Semantics::Idempotent, RepeatGroup::All, 500.0, 1.0),
+        group(Semantics::Deduplicated, RepeatGroup::Zone, 800.0, 2.0),
+        group(Semantics::Deduplicated, RepeatGroup::Cell, 300.0, 0.5),
+        group(Semantics::NonIdempotent, RepeatGroup::All, 600.0, 1.5),
     ];
     let ceiling = PlanSettings {
         ceiling_rate: 9.0,
@@ -765,7 +765,7 @@
         cross_zone_price: 0.02,
         units_top: 2.0,
         max_retry_after: 900.0,
-        ..common::settings(Semantics::Repeatable, RepeatGroup::All)
+        ..common::settings(Semantics::Idempotent, RepeatGroup::All)
     }
 }
 
@@ -859,7 +859,7 @@
     let settings = Settings {
         instances: 40,
         may_tell: true,
-        load_values: vec![LoadValue::Unknown, LoadValue::CpuShare],
+        load_values: vec![LoadValue::Unknown, LoadValue::CpuUtilization],
         peer_in_per_s: 60.0,
         ..base()
     };
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -259,12 +259,12 @@
                     return if shown(&conn.stream) {
                         Ok(conn)
                     } else {
-                        Err(Outcome::Moot)
+                        Err(Outcome::NotSent)
                     };
                 }
                 Some(_) => {}
                 None => {
-                    let place = self.seat().ok_or(Outcome::Moot)?;
+                    let place = self.seat().ok_or(Outcome::NotSent)?;
                     let opened = Connection::open(dial, wait, &self.lines, place, shown);
                     return opened.map_err(|_| Outcome::ConnectFailed);
                 }
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -128,7 +128,7 @@
         let group = GroupSettings {
             slo: 400.0,
             limit: 2000.0,
-            semantics: Semantics::Mutating,
+            semantics: Semantics::NonIdempotent,
             repeat_group: RepeatGroup::All,
             repeat_window: 0.0,
             importance: 1.0,
@@ -486,7 +486,7 @@
         }
         // It never left; without the budget for it the query is over.
         let (outcome, load, rtt, over, used, actual) =
-            (Outcome::Moot, LoadReport::default(), 0.0, spent, 0, 0);
+            (Outcome::NotSent, LoadReport::default(), 0.0, spent, 0, 0);
         inner.later.push(Event::ForwardEnded {
             id,
             forward,
@@ -754,9 +754,9 @@
             slo: route.limit_ms,
             limit: route.limit_ms,
             semantics: if route.repeatable {
-                Semantics::Repeatable
+                Semantics::Idempotent
             } else {
-                Semantics::Mutating
+                Semantics::NonIdempotent
             },
             importance: 1.0 / (1.0 + route.prio),
             ..self.groups[0].clone()
@@ -802,8 +802,8 @@
         tick: BEAT_MS,
         groups: vec![group.clone()],
         plans: vec![plan(0.0, 0.0)],
-        load_values: vec![LoadValue::CpuShare],
-        reports: LoadReportChannel::Answers,
+        load_values: vec![LoadValue::CpuUtilization],
+        reports: LoadReportChannel::Responses,
         discovery_asks: false,
         must_ask_in: 0.0,
         drain_grace: 0.0,
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -213,7 +213,7 @@
             id,
             forward,
             server,
-            (Outcome::Moot, 0.0, LoadReport::default()),
+            (Outcome::NotSent, 0.0, LoadReport::default()),
             true,
         );
     }
@@ -283,7 +283,7 @@
         let over = outcome == Outcome::Ok;
         let proven = matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         self.may_have_run |= !proven;
         let rtt = begun.elapsed().as_secs_f64() * 1000.0;
@@ -308,10 +308,10 @@
         let (shop, until) = (self.shop, self.until - MARGIN);
         let left = until.saturating_duration_since(begun);
         if left.is_zero() {
-            return (Outcome::Moot, None);
+            return (Outcome::NotSent, None);
         }
         let Some((addr, uid)) = shop.desk.server(server) else {
-            return (Outcome::Moot, None);
+            return (Outcome::NotSent, None);
         };
         shop.pool.set_address(server, addr.into());
         let most = if self.repeatable {
@@ -325,7 +325,7 @@
             .acquire(server, left.min(shop.connect_wait), most, shown);
         let mut conn = match taken {
             Ok(conn) => conn,
-            Err(_) if self.forward.leave(forward) => return (Outcome::Moot, None),
+            Err(_) if self.forward.leave(forward) => return (Outcome::NotSent, None),
             Err(outcome) => return (outcome, None),
         };
         let got = self.exchange(&mut conn, forward, &uid, until);
@@ -340,14 +340,16 @@
                 }
                 match wire::taken(&response) {
                     Taken::Final => (Outcome::Ok, Some(response)),
-                    Taken::Full => (Outcome::Full, None),
+                    Taken::Full => (Outcome::Rejected, None),
                     Taken::Misdirected => (Outcome::ConnectFailed, None),
                     Taken::Failed => (Outcome::Error, Some(response)),
                     Taken::Spoilt => (Outcome::Error, None),
                 }
             }
             // It never left whole. That it was broken off is not its server's doing.
-            Err(Outcome::ConnectFailed | Outcome::Moot) if broken_off => (Outcome::Moot, None),
+            Err(Outcome::ConnectFailed | Outcome::NotSent) if broken_off => {
+                (Outcome::NotSent, None)
+            }
             Err(_) if broken_off => (Outcome::Cancelled, None),
             Err(outcome) => (outcome, None),
         }
@@ -366,7 +368,7 @@
         let request = wire::forward(self.request, server, self.tenant, budget);
         let left_for = self.client.presence.time_since_disconnect(&shop.watch);
         if !conn.outward.append(&request) || !self.forward.reach(forward, ForwardStage::Sending) {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         left_for.iter().for_each(|left_for| {
             shop.departures
@@ -421,7 +423,7 @@
     let begun = Instant::now();
     let until = begun + shop.connect_wait;
     let told = || -> Result<(Outcome, LoadReport, Option<Millis>), Outcome> {
-        let (addr, uid, path) = shop.desk.check(server).ok_or(Outcome::Moot)?;
+        let (addr, uid, path) = shop.desk.check(server).ok_or(Outcome::NotSent)?;
         shop.pool.set_address(server, addr.into());
         let mut conn = shop
             .pool
--- a/crates/aspendrum-proxy/src/stacks.rs
+++ b/crates/aspendrum-proxy/src/stacks.rs
@@ -166,7 +166,7 @@
                 cold_until,
                 turns: 0.0,
                 turns_at: now,
-                shown: Health::Gone,
+                shown: Health::Removed,
             };
             let book = self.books.entry(id).or_insert(fresh);
             let unknown = self
--- a/crates/aspendrum-simulator-adapter/src/frame.rs
+++ b/crates/aspendrum-simulator-adapter/src/frame.rs
@@ -56,12 +56,12 @@
         Ok(match self.u16(at) {
             0 => Outcome::Error,
             1 => Outcome::Ok,
-            2 => Outcome::Full,
+            2 => Outcome::Rejected,
             3 => Outcome::TimedOut,
             4 => Outcome::ConnectFailed,
             5 => Outcome::Reset,
             6 => Outcome::Cancelled,
-            7 => Outcome::Moot,
+            7 => Outcome::NotSent,
             other => return Err(format!("unknown Rc {other}")),
         })
     }
@@ -223,7 +223,7 @@
 
 fn member(f: Fields<'_>) -> Result<ServerEntry, String> {
     let health = match f.u8(4) {
-        0 => Health::Gone,
+        0 => Health::Removed,
         1 => Health::Ready,
         2 => Health::Draining,
         other => return Err(format!("unknown Health {other}")),
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -95,7 +95,7 @@
     let common = ServerEntry {
         server: 1,
         pool: 0,
-        health: Health::Gone,
+        health: Health::Removed,
         cell: 0x102,
         zone: 3,
         far: 0.0,
@@ -132,7 +132,7 @@
 #[test_case("timer", Event::Timer { token: NUMBER } ; "timer")]
 #[test_case("members", Event::Members { list: ListKind::Full, version: NUMBER, entries: &members() } ; "members")]
 #[test_case("client_left", Event::ClientLeft { id: ID } ; "client left")]
-#[test_case("counted", Event::Counted { name: ID, outcome: Outcome::Full, total: 38.0, rtt: 2.15 } ; "counted")]
+#[test_case("counted", Event::Counted { name: ID, outcome: Outcome::Rejected, total: 38.0, rtt: 2.15 } ; "counted")]
 #[test_case("query", Event::Query(query()) ; "query")]
 #[test_case("peer", Event::PeerSaid { from: 0x102, data: &[1, 2, 3] } ; "peer")]
 #[test_case("ended", ended() ; "forward ended")]
@@ -177,12 +177,12 @@
 
 #[test_case(0, Outcome::Error)]
 #[test_case(1, Outcome::Ok)]
-#[test_case(2, Outcome::Full)]
+#[test_case(2, Outcome::Rejected)]
 #[test_case(3, Outcome::TimedOut)]
 #[test_case(4, Outcome::ConnectFailed)]
 #[test_case(5, Outcome::Reset)]
 #[test_case(6, Outcome::Cancelled)]
-#[test_case(7, Outcome::Moot)]
+#[test_case(7, Outcome::NotSent)]
 fn each_outcome_has_its_number(number: u8, expected: Outcome) {
     let mut frame = frame("counted");
     frame[16 + 10] = number;
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -383,7 +383,7 @@
             let (outcome, total) = match reply {
                 _ if p.at.elapsed() >= self.limits.counter_wait => (Outcome::TimedOut, 0.0),
                 Reply::Total(total) => (Outcome::Ok, total),
-                Reply::TurnedAway => (Outcome::Full, 0.0),
+                Reply::TurnedAway => (Outcome::Rejected, 0.0),
             };
             if !p.told {
                 self.tell(&mut state.late, p.name, p.at, outcome, total);
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -205,7 +205,7 @@
                     // A forward that nobody took up never ran.
                     Some((forward, server)) => {
                         let (outcome, rtt, actual, load) =
-                            (Outcome::Moot, 0.0, 0, LoadReport::default());
+                            (Outcome::NotSent, 0.0, 0, LoadReport::default());
                         self.hear(Note::Ended {
                             id,
                             forward,
--- a/crates/aspendrum/src/discovery.rs
+++ b/crates/aspendrum/src/discovery.rs
@@ -209,7 +209,7 @@
 pub fn tell(shop: &Shop, list: ListKind, roster: Roster) {
     let mut named = HashSet::new();
     for (member, dial) in &roster.entries {
-        if let Some(dial) = dial.filter(|_| member.health != Health::Gone) {
+        if let Some(dial) = dial.filter(|_| member.health != Health::Removed) {
             named.insert(member.server);
             shop.pool.set_address(member.server, dial);
         } else {
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -151,11 +151,11 @@
     // The group fixes the path's first part and the method; sent on with another, a query that may run only
     // once could pass for one that may be repeated. Without its key nothing would drop a keyed one's repeat.
     let fits = match semantics {
-        Semantics::Repeatable => method == "GET" && body.is_empty(),
-        Semantics::Keyed => {
+        Semantics::Idempotent => method == "GET" && body.is_empty(),
+        Semantics::Deduplicated => {
             method == "POST" && header(headers, KEY).is_some_and(|key| !key.is_empty())
         }
-        Semantics::Mutating => method != "GET",
+        Semantics::NonIdempotent => method != "GET",
     };
     if !fits || path.strip_prefix('/')?.split(['/', '?']).next() != Some(lane) {
         return None;
@@ -328,12 +328,12 @@
 /// Servers name the values as the deployment does, settings as the simulator's wire does.
 fn load_value(name: &str) -> LoadValue {
     match name.trim() {
-        "inflight" | "busy_reqs" => LoadValue::InHand,
-        "queue" | "pending" => LoadValue::Waiting,
-        "util" | "cpu_share" => LoadValue::CpuShare,
-        "latency_ms" | "svc_ms" => LoadValue::ServiceMs,
-        "qps" | "served_ps" => LoadValue::AnsweredPerS,
-        "eps" | "failed_ps" => LoadValue::DroppedPerS,
+        "inflight" | "busy_reqs" => LoadValue::RequestsInFlight,
+        "queue" | "pending" => LoadValue::RequestsQueued,
+        "util" | "cpu_share" => LoadValue::CpuUtilization,
+        "latency_ms" | "svc_ms" => LoadValue::ServiceTimeMs,
+        "qps" | "served_ps" => LoadValue::ResponsesPerSecond,
+        "eps" | "failed_ps" => LoadValue::FailuresPerSecond,
         _ => LoadValue::Unknown,
     }
 }
--- a/crates/aspendrum/src/query.rs
+++ b/crates/aspendrum/src/query.rs
@@ -21,7 +21,7 @@
     // The desk hears of it, and the module decides when it may go on and where.
     let (desk, orders) = mailbox::for_current_thread(limits.orders);
     let repeatable =
-        shop.lanes.semantics.get(usize::from(asked.group)) == Some(&Semantics::Repeatable);
+        shop.lanes.semantics.get(usize::from(asked.group)) == Some(&Semantics::Idempotent);
     let line = Arc::new(ForwardHandle::new(if repeatable {
         RequestKind::Idempotent
     } else {
@@ -89,7 +89,7 @@
                     .ceil() as u16;
                 let proven = matches!(
                     outcome,
-                    Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+                    Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
                 );
                 may_have_run |= !proven;
                 // A server that takes the query for malformed says nothing of itself, and another would say
@@ -147,7 +147,7 @@
 ) -> (Outcome, Option<Answer>) {
     let left = || until.saturating_duration_since(Instant::now());
     if left().is_zero() {
-        return (Outcome::Moot, None);
+        return (Outcome::NotSent, None);
     }
     // The line has the socket before it is connected: a query that is given up meanwhile must not wait for
     // a server that never comes up.
@@ -159,7 +159,7 @@
         Err(outcome) => {
             return (
                 if line.leave(forward) {
-                    Outcome::Moot
+                    Outcome::NotSent
                 } else {
                     outcome
                 },
@@ -178,7 +178,7 @@
     let sent = if written {
         conn.send()
     } else {
-        Err(Outcome::Moot)
+        Err(Outcome::NotSent)
     };
     line.reach(forward, ForwardStage::AtServer);
     let got = sent.and_then(|()| http::receive(&mut conn, until, shop));
@@ -193,8 +193,8 @@
             (outcome, Some(answer))
         }
         // Its last byte was not written. That it was cut is not the server's doing.
-        Err(Outcome::ConnectFailed | Outcome::Moot) if cut => (Outcome::Moot, None),
-        Err(outcome @ (Outcome::ConnectFailed | Outcome::Moot)) => (outcome, None),
+        Err(Outcome::ConnectFailed | Outcome::NotSent) if cut => (Outcome::NotSent, None),
+        Err(outcome @ (Outcome::ConnectFailed | Outcome::NotSent)) => (outcome, None),
         Err(_) if cut => (Outcome::Cancelled, None),
         Err(outcome) => (outcome, None),
     }
@@ -203,7 +203,7 @@
 fn outcome(answer: &Answer) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
-        503 | 504 if answer.turned_away => Outcome::Full,
+        503 | 504 if answer.turned_away => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
@@ -263,7 +263,7 @@
     }
     let outcome = match answer.status {
         200 => Outcome::Ok,
-        503 => Outcome::Full,
+        503 => Outcome::Rejected,
         _ => Outcome::Error,
     };
     Ok((outcome, load))
--- a/crates/aspendrum/src/roster.rs
+++ b/crates/aspendrum/src/roster.rs
@@ -63,11 +63,11 @@
     let health = match text("health")? {
         "in_service" => Health::Ready,
         "terminating" => Health::Draining,
-        "terminated" => Health::Gone,
+        "terminated" => Health::Removed,
         other => return Err(format!("health is unknown: {other}")),
     };
     let dial = text("dial").ok().and_then(|d| d.parse().ok());
-    if dial.is_none() && health != Health::Gone {
+    if dial.is_none() && health != Health::Removed {
         return Err("dial is no address".into());
     }
     let member = ServerEntry {
--- a/crates/aspendrum/tests/suite/pieces.rs
+++ b/crates/aspendrum/tests/suite/pieces.rs
@@ -295,7 +295,7 @@
 fn an_unreadable_figure_costs_only_itself(bytes: &[u8], expected: Option<(u8, Option<f32>)>) {
     let here: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let limits = Limits::of(&Config::read(&config(&[], here, here).to_string()).unwrap());
-    let load_values = vec![LoadValue::CpuShare, LoadValue::Waiting];
+    let load_values = vec![LoadValue::CpuUtilization, LoadValue::RequestsQueued];
     let (groups, plans, semantics) = Default::default();
     let lanes = Lanes {
         groups,
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -101,14 +101,18 @@
     Lanes {
         groups: by_name(["look", "book", "pay"]),
         plans: HashMap::from([("free".to_string(), 0), ("team".to_string(), 1)]),
-        semantics: vec![Semantics::Repeatable, Semantics::Keyed, Semantics::Mutating],
+        semantics: vec![
+            Semantics::Idempotent,
+            Semantics::Deduplicated,
+            Semantics::NonIdempotent,
+        ],
         instances: 3.0,
         units_top: 4.0,
         load_values: vec![
-            LoadValue::InHand,
-            LoadValue::Waiting,
-            LoadValue::CpuShare,
-            LoadValue::ServiceMs,
+            LoadValue::RequestsInFlight,
+            LoadValue::RequestsQueued,
+            LoadValue::CpuUtilization,
+            LoadValue::ServiceTimeMs,
         ],
     }
 }
@@ -284,7 +288,7 @@
 
 #[test]
 fn a_load_report_names_each_value_in_two_ways() {
-    let values = [LoadValue::AnsweredPerS, LoadValue::DroppedPerS];
+    let values = [LoadValue::ResponsesPerSecond, LoadValue::FailuresPerSecond];
     for body in ["qps=90,eps=2", "TEXT served_ps=90\nfailed_ps=2"] {
         assert_eq!(
             http::load_of_body(body.as_bytes(), &values),
@@ -367,7 +371,7 @@
                 0.0,
                 dial("[::1]:9001")
             ),
-            (0x1b9b_b25d, Health::Gone, 0, 0, 65_535, 0.5, 7.5, None),
+            (0x1b9b_b25d, Health::Removed, 0, 0, 65_535, 0.5, 7.5, None),
         ]
     );
 }
