--- a/crates/aspendrum-core/src/api.rs
+++ b/crates/aspendrum-core/src/api.rs
@@ -114,13 +114,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    Members {
+    ServerList {
         list: ListKind,
         version: u32,
         entries: &'a [ServerEntry],
     },
-    Query(NewRequest),
-    ForwardEnded {
+    Request(NewRequest),
+    AttemptEnded {
         id: RequestId,
         forward: u8,
         server: ServerId,
@@ -138,22 +138,22 @@
         server: ServerId,
         rtt: Millis,
     },
-    ClientLeft {
+    ClientDisconnected {
         id: RequestId,
     },
-    Counted {
+    CounterReplied {
         name: u64,
         outcome: Outcome,
         total: f32,
         rtt: Millis,
     },
-    Probed {
+    ProbeEnded {
         server: ServerId,
         outcome: Outcome,
         rtt: Millis,
         load: LoadReport,
     },
-    PeerSaid {
+    DatagramReceived {
         from: u16,
         data: &'a [u8],
     },
@@ -183,7 +183,7 @@
         id: RequestId,
         forward: u8,
     },
-    Count {
+    AddToCounter {
         name: u64,
         add: f32,
         ttl: Millis,
@@ -191,19 +191,19 @@
     Probe {
         server: ServerId,
     },
-    Close {
+    CloseConnections {
         server: ServerId,
     },
     Timer {
         token: u32,
         wait: Millis,
     },
-    Fetch,
-    Watch {
+    FetchServers,
+    WatchServers {
         on: bool,
     },
     /// `to` absent: every peer.
-    Tell {
+    SendDatagram {
         to: Option<u32>,
         data: Vec<u8>,
     },
--- a/crates/aspendrum-core/src/control.rs
+++ b/crates/aspendrum-core/src/control.rs
@@ -81,7 +81,10 @@
             token: 0,
             wait: BEAT,
         });
-        out.extend(s.discovery_asks.then_some(Action::Watch { on: true }));
+        out.extend(
+            s.discovery_asks
+                .then_some(Action::WatchServers { on: true }),
+        );
         let mut fig = Figures::new(s);
         fig.crowd = (fig.instances / PROBERS).max(1.0);
         (fig.keepers, fig.want_every) = (
@@ -120,9 +123,9 @@
         self.now = now;
         std::mem::swap(&mut self.acts, out);
         match *event {
-            Event::Members { list, entries, .. } => self.members(list, entries),
-            Event::Query(ref new) => self.take(new),
-            Event::ForwardEnded {
+            Event::ServerList { list, entries, .. } => self.members(list, entries),
+            Event::Request(ref new) => self.take(new),
+            Event::AttemptEnded {
                 id,
                 forward,
                 outcome,
@@ -148,25 +151,25 @@
                     .into_iter()
                     .for_each(|slot| self.queries[slot].streaming = true);
             }
-            Event::ClientLeft { id } => self
+            Event::ClientDisconnected { id } => self
                 .queries
                 .find(id)
                 .into_iter()
                 .for_each(|slot| self.close(slot)),
-            Event::Counted {
+            Event::CounterReplied {
                 name,
                 outcome,
                 total,
                 rtt,
             } => self.told(name, outcome, total.into(), rtt),
-            Event::Probed {
+            Event::ProbeEnded {
                 server,
                 outcome,
                 load,
                 ..
             } => self.probed(server, outcome, &load),
             Event::Timer { .. } => self.beat(),
-            Event::PeerSaid { from, data } => self.hear(from, data),
+            Event::DatagramReceived { from, data } => self.hear(from, data),
         }
         std::mem::swap(&mut self.acts, out);
     }
--- a/crates/aspendrum-core/src/control/counting.rs
+++ b/crates/aspendrum-core/src/control/counting.rs
@@ -244,7 +244,7 @@
         let a = &mut self.accts[acct];
         let (name, ttl) = a.name(self.now, &self.fig.plans[a.plan]);
         a.calls.push_back(Call { asker, add, name });
-        self.acts.push(Action::Count {
+        self.acts.push(Action::AddToCounter {
             name,
             add: add as f32,
             ttl,
--- a/crates/aspendrum-core/src/control/keepers.rs
+++ b/crates/aspendrum-core/src/control/keepers.rs
@@ -334,7 +334,7 @@
     }
 
     pub(super) fn say(&mut self, to: u16, word: Word) {
-        self.acts.push(Action::Tell {
+        self.acts.push(Action::SendDatagram {
             to: Some(to.into()),
             data: word.write(),
         });
--- a/crates/aspendrum-core/src/control/servers.rs
+++ b/crates/aspendrum-core/src/control/servers.rs
@@ -226,7 +226,7 @@
         if list == ListKind::Failed {
             return self
                 .acts
-                .extend(self.fig.asks.then_some(Action::Watch { on: true }));
+                .extend(self.fig.asks.then_some(Action::WatchServers { on: true }));
         }
         if list != ListKind::Delta {
             let absent = |s: &&mut Server| !entries.iter().any(|m| m.server == s.id);
--- a/crates/aspendrum-core/tests/decisions.rs
+++ b/crates/aspendrum-core/tests/decisions.rs
@@ -47,7 +47,7 @@
             probes,
             all,
         };
-        rig.tell(&Event::Members {
+        rig.tell(&Event::ServerList {
             list: ListKind::Cached,
             version: 1,
             entries: servers,
@@ -71,7 +71,7 @@
         self.c.handle(self.now, event, &mut out);
         for action in &out {
             match *action {
-                Action::Count { name, add, .. } => self.calls.push((name, add)),
+                Action::AddToCounter { name, add, .. } => self.calls.push((name, add)),
                 Action::Forward { id, server, .. } => self.forwards.push((id, server)),
                 Action::Shed { id, .. } => self.shed.push(id),
                 Action::Drop { id } => self.dropped.push(id),
@@ -105,11 +105,11 @@
             zones: u64::MAX,
             most: u8::MAX,
         };
-        self.tell(&Event::Query(q));
+        self.tell(&Event::Request(q));
     }
 
     fn count(&mut self, name: u64, outcome: Outcome, total: f32) {
-        self.tell(&Event::Counted {
+        self.tell(&Event::CounterReplied {
             name,
             outcome,
             total,
@@ -145,7 +145,7 @@
         let over = outcome == Outcome::Ok;
         let load = LoadReport::default();
         let (rtt, used, actual) = (50.0, 0, 0);
-        self.tell(&Event::ForwardEnded {
+        self.tell(&Event::AttemptEnded {
             id,
             forward,
             server,
@@ -397,7 +397,7 @@
 fn nothing_new_goes_to_a_server_that_leaves(health: Health) {
     let mut rig = Rig::plain();
     let entries = [member(1, health, 1, 0.0), member(2, health, 0, 0.0)];
-    rig.tell(&Event::Members {
+    rig.tell(&Event::ServerList {
         list: ListKind::Delta,
         version: 2,
         entries: &entries,
@@ -416,7 +416,7 @@
 fn a_full_list_takes_away_what_it_does_not_name() {
     let mut rig = Rig::plain();
     let entries = [member(3, Health::Ready, 1, 0.0)];
-    rig.tell(&Event::Members {
+    rig.tell(&Event::ServerList {
         list: ListKind::Full,
         version: 2,
         entries: &entries,
@@ -492,7 +492,7 @@
     assert!((3..=8).contains(&before), "{before}");
     assert!(rig.probes.contains(&1));
     for _ in 0..8 {
-        rig.tell(&Event::Probed {
+        rig.tell(&Event::ProbeEnded {
             server: 1,
             outcome: Outcome::Ok,
             rtt: 1.0,
@@ -515,10 +515,10 @@
     rig.end(1, 0, Outcome::Ok);
     let seen = (rig.forwards.len(), rig.shed.len(), rig.dropped.len());
     rig.end(1, 0, Outcome::Error);
-    rig.tell(&Event::ClientLeft { id: 1 });
+    rig.tell(&Event::ClientDisconnected { id: 1 });
     rig.count(9, Outcome::Ok, 7.0);
     rig.count(777, Outcome::Ok, 7.0);
-    rig.tell(&Event::Probed {
+    rig.tell(&Event::ProbeEnded {
         server: 99,
         outcome: Outcome::Ok,
         rtt: 1.0,
@@ -534,7 +534,7 @@
 fn a_query_its_client_left_is_not_answered_and_not_sent_on() {
     let mut rig = Rig::plain();
     rig.ask(1, 9);
-    rig.tell(&Event::ClientLeft { id: 1 });
+    rig.tell(&Event::ClientDisconnected { id: 1 });
     rig.count(9, Outcome::Ok, 1.0);
     rig.wait(3000.0);
     assert_eq!((rig.sent(1), rig.finals(1)), (0, 0));
@@ -626,7 +626,7 @@
     (0..4).for_each(|id| rig.ask(id, 100 + id));
     rig.wait(30.0);
     for id in 0..4 {
-        rig.tell(&Event::Counted {
+        rig.tell(&Event::CounterReplied {
             name: 100 + id,
             outcome: Outcome::TimedOut,
             total: 0.0,
@@ -646,7 +646,7 @@
     (0..8).for_each(|id| rig.ask(id, 100 + id));
     rig.now += 10.0;
     for id in 0..8 {
-        rig.tell(&Event::Counted {
+        rig.tell(&Event::CounterReplied {
             name: 100 + id,
             outcome: Outcome::TimedOut,
             total: 0.0,
@@ -706,7 +706,7 @@
         rig.ask(id, id);
         if rig.calls.len() > calls {
             rig.now += 30.0;
-            rig.tell(&Event::Counted {
+            rig.tell(&Event::CounterReplied {
                 name: id,
                 outcome: Outcome::Ok,
                 total: 1.0,
@@ -752,7 +752,7 @@
             for (id, server) in sent {
                 let load = LoadReport::default();
                 let (forward, outcome, over, used, actual) = (0, Outcome::Ok, true, 0, 0);
-                let ended = Event::ForwardEnded {
+                let ended = Event::AttemptEnded {
                     id,
                     forward,
                     server,
@@ -805,7 +805,7 @@
         if rig.calls.len() > before {
             let name = rig.calls[before].0;
             rig.now += 30.0;
-            rig.tell(&Event::Counted {
+            rig.tell(&Event::CounterReplied {
                 name,
                 outcome: Outcome::Ok,
                 total: 1.0,
@@ -868,7 +868,7 @@
         for rig in &mut rigs {
             rig.wait(5.0);
             if step == 1000 {
-                rig.tell(&Event::Members {
+                rig.tell(&Event::ServerList {
                     list: ListKind::Delta,
                     version: 2,
                     entries: &new,
@@ -940,7 +940,7 @@
     for id in 0..12 {
         rig.now += 30.0;
         rig.ask_of(id, 50 + id, 2.0);
-        rig.tell(&Event::Counted {
+        rig.tell(&Event::CounterReplied {
             name: 50 + id,
             outcome: Outcome::Ok,
             total: 1.0,
--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/keepers.rs
@@ -100,7 +100,7 @@
         let entries: Vec<ServerEntry> = (1..=SERVERS).map(member).collect();
         self.tell(
             me,
-            &Event::Members {
+            &Event::ServerList {
                 list: ListKind::Cached,
                 version: 1,
                 entries: &entries,
@@ -122,7 +122,7 @@
                     self.open.push((me, id, server));
                 }
                 Action::Shed { id, .. } => self.shed.push(id),
-                Action::Tell { to: Some(to), data } => {
+                Action::SendDatagram { to: Some(to), data } => {
                     self.said += 1;
                     let heard = (self.hears)(self.now - BEGUN, me, to as usize);
                     if heard && (self.lose == 0 || !self.said.is_multiple_of(self.lose)) {
@@ -140,7 +140,7 @@
         for (from, to, data) in std::mem::take(&mut self.mail) {
             self.tell(
                 to,
-                &Event::PeerSaid {
+                &Event::DatagramReceived {
                     from: from as u16,
                     data: &data,
                 },
@@ -149,7 +149,7 @@
         for (me, id, server) in std::mem::take(&mut self.open) {
             self.tell(
                 me,
-                &Event::ForwardEnded {
+                &Event::AttemptEnded {
                     id,
                     forward: 0,
                     server,
@@ -173,7 +173,7 @@
         let spread = self.limiters.len() as f32;
         self.tell(
             me,
-            &Event::Query(NewRequest {
+            &Event::Request(NewRequest {
                 id,
                 group: 0,
                 until: self.now + 3000.0,
@@ -322,8 +322,8 @@
     fleet.wait(FULL - 250.0);
     for _ in 0..50 {
         for me in 0..40 {
-            fleet.tell(me, &Event::PeerSaid { from: 3, data });
-            fleet.tell(me, &Event::PeerSaid { from: 40_000, data });
+            fleet.tell(me, &Event::DatagramReceived { from: 3, data });
+            fleet.tell(me, &Event::DatagramReceived { from: 40_000, data });
         }
         fleet.step();
     }
@@ -345,7 +345,7 @@
     for _ in 0..20 {
         fleet.tell(
             3,
-            &Event::PeerSaid {
+            &Event::DatagramReceived {
                 from: 8,
                 data: &ask,
             },
@@ -355,7 +355,7 @@
     let other = [1, 0, 2, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
     fleet.tell(
         3,
-        &Event::PeerSaid {
+        &Event::DatagramReceived {
             from: 8,
             data: &other,
         },
@@ -411,7 +411,7 @@
         (0..40).for_each(|me| {
             fleet.tell(
                 me,
-                &Event::Members {
+                &Event::ServerList {
                     list: ListKind::Full,
                     version: 2 + gone,
                     entries: &entries,
@@ -550,7 +550,7 @@
             .filter(|n| {
                 fleet.tell(
                     3,
-                    &Event::PeerSaid {
+                    &Event::DatagramReceived {
                         from: 8,
                         data: &ask(*n),
                     },
@@ -564,21 +564,21 @@
     for _ in 0..10 {
         fleet.tell(
             3,
-            &Event::PeerSaid {
+            &Event::DatagramReceived {
                 from: 8,
                 data: &[7, 0, 0, 0, 1],
             },
         );
         fleet.tell(
             3,
-            &Event::PeerSaid {
+            &Event::DatagramReceived {
                 from: 9,
                 data: &[7, 0, 0, 0, 2],
             },
         );
         fleet.tell(
             3,
-            &Event::PeerSaid {
+            &Event::DatagramReceived {
                 from: 8,
                 data: &[7, 0, 0, 0, 99],
             },
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -50,7 +50,7 @@
             started: 0.0,
         };
         let entries: Vec<ServerEntry> = servers.iter().map(member).collect();
-        self.tell(&Event::Members {
+        self.tell(&Event::ServerList {
             list: ListKind::Delta,
             version: 1,
             entries: &entries,
@@ -79,13 +79,13 @@
             zones,
             most,
         };
-        let mut acts = self.tell(&Event::Query(new));
+        let mut acts = self.tell(&Event::Request(new));
         let call = acts.iter().find_map(|a| match a {
-            Action::Count { name, .. } => Some(*name),
+            Action::AddToCounter { name, .. } => Some(*name),
             _ => None,
         });
         if let Some(name) = call {
-            let failed = Event::Counted {
+            let failed = Event::CounterReplied {
                 name,
                 outcome: Outcome::ConnectFailed,
                 total: 0.0,
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -100,7 +100,7 @@
                 self.number((*forward).into());
                 3
             }
-            Action::Count { name, add, ttl } => {
+            Action::AddToCounter { name, add, ttl } => {
                 self.number(*name);
                 self.number(add.to_bits().into());
                 self.float(*ttl);
@@ -110,7 +110,7 @@
                 self.number((*server).into());
                 5
             }
-            Action::Close { server } => {
+            Action::CloseConnections { server } => {
                 self.number((*server).into());
                 6
             }
@@ -119,12 +119,12 @@
                 self.float(*wait);
                 7
             }
-            Action::Fetch => 8,
-            Action::Watch { on } => {
+            Action::FetchServers => 8,
+            Action::WatchServers { on } => {
                 self.number((*on).into());
                 9
             }
-            Action::Tell { to, data } => {
+            Action::SendDatagram { to, data } => {
                 self.number(to.map_or(u64::MAX, u64::from));
                 data.iter().for_each(|byte| self.number((*byte).into()));
                 10
@@ -297,7 +297,7 @@
                     }
                 }
             }
-            Action::Count { name, add, .. } => self.count(me, name, add),
+            Action::AddToCounter { name, add, .. } => self.count(me, name, add),
             Action::Probe { server } => {
                 let outcome = if self.draws.one_in(4) {
                     Outcome::TimedOut
@@ -306,7 +306,7 @@
                 };
                 self.later(3, me, Arrival::Probe { server, outcome });
             }
-            Action::Tell {
+            Action::SendDatagram {
                 to: Some(to),
                 ref data,
             } => {
@@ -442,7 +442,7 @@
                 let used = actual;
                 self.tell(
                     me,
-                    &Event::ForwardEnded {
+                    &Event::AttemptEnded {
                         id,
                         forward,
                         server,
@@ -474,7 +474,7 @@
             } => {
                 self.tell(
                     me,
-                    &Event::Counted {
+                    &Event::CounterReplied {
                         name,
                         outcome,
                         total,
@@ -486,7 +486,7 @@
                 let load = self.load();
                 self.tell(
                     me,
-                    &Event::Probed {
+                    &Event::ProbeEnded {
                         server,
                         outcome,
                         rtt: 3.0,
@@ -495,7 +495,7 @@
                 );
             }
             Arrival::Datagram { from, data } => {
-                self.tell(me, &Event::PeerSaid { from, data: &data })
+                self.tell(me, &Event::DatagramReceived { from, data: &data })
             }
         }
     }
@@ -543,7 +543,7 @@
         let version = self.step as u32;
         self.tell(
             me,
-            &Event::Members {
+            &Event::ServerList {
                 list,
                 version,
                 entries: &entries,
@@ -601,9 +601,9 @@
             zones: if self.draws.one_in(10) { 2 } else { u64::MAX },
             most: if self.draws.one_in(10) { 1 } else { u8::MAX },
         };
-        self.tell(me, &Event::Query(new));
+        self.tell(me, &Event::Request(new));
         if self.draws.one_in(40) {
-            self.tell(me, &Event::ClientLeft { id });
+            self.tell(me, &Event::ClientDisconnected { id });
         }
         // One that is known already.
         let open = self
@@ -611,7 +611,7 @@
             .get(&(me, id))
             .is_some_and(|sent| sent.iter().any(|forward| forward.1));
         if open && self.draws.one_in(50) {
-            self.tell(me, &Event::Query(new));
+            self.tell(me, &Event::Request(new));
         }
     }
 
@@ -655,7 +655,7 @@
                 .collect();
             let me = self.draws.below(self.limiters.len() as u64) as usize;
             let from = self.draws.below(60) as u16;
-            self.tell(me, &Event::PeerSaid { from, data: &data });
+            self.tell(me, &Event::DatagramReceived { from, data: &data });
         }
         (0..self.limiters.len()).for_each(|me| self.tell(me, &Event::Timer { token: 0 }));
         if self.step.is_multiple_of(SECOND) {
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -228,7 +228,7 @@
                 forwards: 0,
             },
         );
-        self.turn(&mut inner, now, &Event::Query(new));
+        self.turn(&mut inner, now, &Event::Request(new));
         id
     }
 
@@ -244,7 +244,7 @@
         let (outcome, rtt, load) = how;
         let now = self.now();
         let mut inner = lock(&self.inner);
-        let event = Event::ForwardEnded {
+        let event = Event::AttemptEnded {
             id,
             forward,
             server,
@@ -266,7 +266,7 @@
         let now = self.now();
         let mut inner = lock(&self.inner);
         inner.seats.remove(&id);
-        self.turn(&mut inner, now, &Event::ClientLeft { id });
+        self.turn(&mut inner, now, &Event::ClientDisconnected { id });
     }
 
     /// The query's client has left: nothing more is sent for it. Says how far it had come; `None`: it is over.
@@ -276,7 +276,7 @@
         let seat = inner.seats.get(&id)?;
         let (kind, stage) = (seat.forward.kind, seat.forward.depart());
         inner.say(id, Order::Gone);
-        self.turn(&mut inner, now, &Event::ClientLeft { id });
+        self.turn(&mut inner, now, &Event::ClientDisconnected { id });
         Some((kind, stage))
     }
 
@@ -336,7 +336,7 @@
         self.turn(
             &mut inner,
             now,
-            &Event::Probed {
+            &Event::ProbeEnded {
                 server,
                 outcome,
                 rtt,
@@ -367,7 +367,7 @@
         self.turn(
             inner,
             now,
-            &Event::Counted {
+            &Event::CounterReplied {
                 name,
                 outcome,
                 total,
@@ -426,7 +426,7 @@
             self.handle(
                 inner,
                 now,
-                &Event::Members {
+                &Event::ServerList {
                     list: ListKind::Delta,
                     version: 0,
                     entries: &entries,
@@ -453,18 +453,18 @@
                     );
                 }
                 Action::Drop { id } => inner.say(id, Order::Drop),
-                Action::Count { name, add, .. } => self.count(inner, now, name, add),
+                Action::AddToCounter { name, add, .. } => self.count(inner, now, name, add),
                 Action::Probe { server } => inner.probes.push(server),
                 Action::Fault(text) => log::error!("event=module_fault text=\"{text}\""),
                 Action::Log(text) => log::debug!("event=module text=\"{text}\""),
                 // A forward that is given up ends by its own time, and one whose client left is broken off by
                 // `break_off`; the beat is this shell's; the rest is for other fleets.
                 Action::Cancel { .. }
-                | Action::Close { .. }
+                | Action::CloseConnections { .. }
                 | Action::Timer { .. }
-                | Action::Fetch
-                | Action::Watch { .. }
-                | Action::Tell { .. } => {}
+                | Action::FetchServers
+                | Action::WatchServers { .. }
+                | Action::SendDatagram { .. } => {}
             }
         }
     }
@@ -487,7 +487,7 @@
         // It never left; without the budget for it the query is over.
         let (outcome, load, rtt, over, used, actual) =
             (Outcome::NotSent, LoadReport::default(), 0.0, spent, 0, 0);
-        inner.later.push(Event::ForwardEnded {
+        inner.later.push(Event::AttemptEnded {
             id,
             forward,
             server,
@@ -520,7 +520,7 @@
         };
         let (outcome, total) =
             total.map_or((Outcome::ConnectFailed, 0.0), |total| (Outcome::Ok, total));
-        inner.later.push(Event::Counted {
+        inner.later.push(Event::CounterReplied {
             name,
             outcome,
             total,
--- a/crates/aspendrum-simulator-adapter/src/frame.rs
+++ b/crates/aspendrum-simulator-adapter/src/frame.rs
@@ -141,7 +141,7 @@
     ) -> Result<WireEvent<'b>, String> {
         let f = Fields(&self.records[index * EVENT..(index + 1) * EVENT]);
         Ok(WireEvent::Told(match f.u8(0) {
-            1 => Event::Probed {
+            1 => Event::ProbeEnded {
                 server: f.u32(1),
                 outcome: f.outcome(5)?,
                 rtt: f.ms(7, "RttS")?,
@@ -166,21 +166,21 @@
                     3 => ListKind::Failed,
                     other => return Err(format!("unknown Scope {other}")),
                 };
-                Event::Members {
+                Event::ServerList {
                     list,
                     version: f.u32(2),
                     entries: members,
                 }
             }
-            6 => Event::ClientLeft { id: f.u64(1) },
-            7 => Event::Counted {
+            6 => Event::ClientDisconnected { id: f.u64(1) },
+            7 => Event::CounterReplied {
                 name: f.u64(1),
                 outcome: f.outcome(9)?,
                 total: f.f32(11, "Level")?,
                 rtt: f.ms(15, "RttS")?,
             },
             8 => return Ok(WireEvent::On(f.u32(1))),
-            9 => Event::Query(NewRequest {
+            9 => Event::Request(NewRequest {
                 id: f.u64(1),
                 group: f.u16(9),
                 until: f.ms(11, "ValidUntilS")?,
@@ -195,11 +195,11 @@
                 zones: u64::MAX,
                 most: u8::MAX,
             }),
-            10 => Event::PeerSaid {
+            10 => Event::DatagramReceived {
                 from: f.u16(1),
                 data: self.tail(f, 3, 1)?,
             },
-            11 => Event::ForwardEnded {
+            11 => Event::AttemptEnded {
                 id: f.u64(1),
                 forward: f.u8(9),
                 server: f.u32(10),
@@ -290,7 +290,7 @@
     fn action(&mut self, action: &Action) {
         let s = |ms: Millis| (ms / MS).to_be_bytes();
         match action {
-            Action::Tell { to, data } => {
+            Action::SendDatagram { to, data } => {
                 let (at, size) = self.put(data);
                 self.record(65, &[&to.unwrap_or(u32::MAX).to_be_bytes(), &at, &size]);
             }
@@ -305,11 +305,11 @@
                     &[&id.to_be_bytes(), &server.to_be_bytes(), &s(*timeout)],
                 );
             }
-            Action::Count { name, add, ttl } => {
+            Action::AddToCounter { name, add, ttl } => {
                 self.record(68, &[&add.to_be_bytes(), &s(*ttl), &name.to_be_bytes()]);
             }
-            Action::Close { server } => self.record(69, &[&server.to_be_bytes()]),
-            Action::Fetch => self.record(70, &[]),
+            Action::CloseConnections { server } => self.record(69, &[&server.to_be_bytes()]),
+            Action::FetchServers => self.record(70, &[]),
             Action::Timer { token, wait } => self.record(71, &[&token.to_be_bytes(), &s(*wait)]),
             Action::Probe { server } => self.record(72, &[&server.to_be_bytes()]),
             Action::Fault(text) => {
@@ -320,7 +320,7 @@
             Action::Shed {
                 id, retry_after, ..
             } => self.record(75, &[&id.to_be_bytes(), &s(*retry_after)]),
-            Action::Watch { on } => self.record(76, &[&[u8::from(*on)]]),
+            Action::WatchServers { on } => self.record(76, &[&[u8::from(*on)]]),
             Action::Log(text) => {
                 let (at, size) = self.put(text.as_bytes());
                 self.record(77, &[&at, &size]);
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -78,7 +78,7 @@
 }
 
 fn ended() -> Event<'static> {
-    Event::ForwardEnded {
+    Event::AttemptEnded {
         id: ID,
         forward: 9,
         server: NUMBER,
@@ -128,13 +128,13 @@
     ]
 }
 
-#[test_case("probed", Event::Probed { server: NUMBER, outcome: Outcome::TimedOut, rtt: 1.0, load: LOAD_OF_FOUR } ; "probed")]
+#[test_case("probed", Event::ProbeEnded { server: NUMBER, outcome: Outcome::TimedOut, rtt: 1.0, load: LOAD_OF_FOUR } ; "probed")]
 #[test_case("timer", Event::Timer { token: NUMBER } ; "timer")]
-#[test_case("members", Event::Members { list: ListKind::Full, version: NUMBER, entries: &members() } ; "members")]
-#[test_case("client_left", Event::ClientLeft { id: ID } ; "client left")]
-#[test_case("counted", Event::Counted { name: ID, outcome: Outcome::Rejected, total: 38.0, rtt: 2.15 } ; "counted")]
-#[test_case("query", Event::Query(query()) ; "query")]
-#[test_case("peer", Event::PeerSaid { from: 0x102, data: &[1, 2, 3] } ; "peer")]
+#[test_case("members", Event::ServerList { list: ListKind::Full, version: NUMBER, entries: &members() } ; "members")]
+#[test_case("client_left", Event::ClientDisconnected { id: ID } ; "client left")]
+#[test_case("counted", Event::CounterReplied { name: ID, outcome: Outcome::Rejected, total: 38.0, rtt: 2.15 } ; "counted")]
+#[test_case("query", Event::Request(query()) ; "query")]
+#[test_case("peer", Event::DatagramReceived { from: 0x102, data: &[1, 2, 3] } ; "peer")]
 #[test_case("ended", ended() ; "forward ended")]
 #[test_case("stream", Event::StreamStarted { id: ID, forward: 9, server: NUMBER, rtt: 18.5 } ; "stream started")]
 fn each_event_is_read_from_these_bytes(name: &str, expected: Event<'_>) {
@@ -187,7 +187,8 @@
     let mut frame = frame("counted");
     frame[16 + 10] = number;
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::Counted { outcome, .. })) = batch.event(0, &mut members) else {
+    let Ok(WireEvent::Told(Event::CounterReplied { outcome, .. })) = batch.event(0, &mut members)
+    else {
         panic!("not counted")
     };
     assert_eq!(outcome, expected);
@@ -201,7 +202,7 @@
     let mut frame = frame("members");
     frame[16 + 1] = number;
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::Members { list, .. })) = batch.event(0, &mut members) else {
+    let Ok(WireEvent::Told(Event::ServerList { list, .. })) = batch.event(0, &mut members) else {
         panic!("not a list")
     };
     assert_eq!(list, expected);
@@ -215,26 +216,26 @@
     let mut frame = frame("query");
     frame[16 + 43] = flags;
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::Query(new))) = batch.event(0, &mut members) else {
+    let Ok(WireEvent::Told(Event::Request(new))) = batch.event(0, &mut members) else {
         panic!("not a query")
     };
     assert_eq!((new.client_repeat, new.write), (repeat, writes));
 }
 
-#[test_case("tell", Action::Tell { to: Some(0x5566_7788), data: vec![1, 2, 3] } ; "tell")]
-#[test_case("tell_all", Action::Tell { to: None, data: vec![4, 5] } ; "tell all")]
+#[test_case("tell", Action::SendDatagram { to: Some(0x5566_7788), data: vec![1, 2, 3] } ; "tell")]
+#[test_case("tell_all", Action::SendDatagram { to: None, data: vec![4, 5] } ; "tell all")]
 #[test_case("cancel", Action::Cancel { id: ID, forward: 9 } ; "cancel")]
 #[test_case("forward", Action::Forward { id: ID, server: 0x5566_7788, timeout: 80.0 } ; "forward")]
-#[test_case("count", Action::Count { name: ID, add: 4.0, ttl: 3000.0 } ; "count")]
-#[test_case("close", Action::Close { server: NUMBER } ; "close")]
-#[test_case("fetch", Action::Fetch ; "fetch")]
+#[test_case("count", Action::AddToCounter { name: ID, add: 4.0, ttl: 3000.0 } ; "count")]
+#[test_case("close", Action::CloseConnections { server: NUMBER } ; "close")]
+#[test_case("fetch", Action::FetchServers ; "fetch")]
 #[test_case("defer", Action::Timer { token: NUMBER, wait: 500.0 } ; "timer")]
 #[test_case("probe", Action::Probe { server: NUMBER } ; "probe")]
 #[test_case("fault", Action::Fault("fault".into()) ; "fault")]
 #[test_case("drop", Action::Drop { id: ID } ; "drop")]
 #[test_case("shed", Action::Shed { id: ID, retry_after: 500.0, beyond: true } ; "shed")]
-#[test_case("watch", Action::Watch { on: true } ; "watch")]
-#[test_case("unwatch", Action::Watch { on: false } ; "watch no more")]
+#[test_case("watch", Action::WatchServers { on: true } ; "watch")]
+#[test_case("unwatch", Action::WatchServers { on: false } ; "watch no more")]
 #[test_case("log", Action::Log("log".into()) ; "log")]
 fn each_action_is_written_as_these_bytes(name: &str, action: Action) {
     let mut out = Vec::new();
@@ -256,9 +257,9 @@
 fn actions_of_two_instances_share_a_reply() {
     let mut out = Vec::new();
     let mut reply = Reply::begin(&mut out);
-    reply.write(1, &mut vec![Action::Log("ab".into()), Action::Fetch]);
+    reply.write(1, &mut vec![Action::Log("ab".into()), Action::FetchServers]);
     reply.write(1, &mut vec![Action::Log("c".into())]);
-    reply.write(2, &mut vec![Action::Fetch]);
+    reply.write(2, &mut vec![Action::FetchServers]);
     reply.finish().unwrap();
     let records = [
         "4e 00000001",
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -203,7 +203,7 @@
         total: f32,
     ) {
         let rtt = as_ms(at.elapsed());
-        late.push_back(Note::Told(Event::Counted {
+        late.push_back(Note::Told(Event::CounterReplied {
             name,
             outcome,
             total,
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -182,14 +182,14 @@
                         over: false,
                     },
                 );
-                self.tell(&Event::Query(new));
+                self.tell(&Event::Request(new));
             }
             Note::Left { id } => {
                 if let Some(seat) = self.seats.get_mut(&id).filter(|s| !s.over) {
                     seat.over = true;
                     // Behind a forward that is out it is read once that has ended.
                     let _ = seat.orders.try_send(Order::Gone);
-                    self.tell(&Event::ClientLeft { id });
+                    self.tell(&Event::ClientDisconnected { id });
                     self.leave(id);
                 }
             }
@@ -199,7 +199,7 @@
                 };
                 let out = seat.out.take();
                 if !std::mem::replace(&mut seat.over, true) {
-                    self.tell(&Event::ClientLeft { id });
+                    self.tell(&Event::ClientDisconnected { id });
                 }
                 match out {
                     // A forward that nobody took up never ran.
@@ -234,7 +234,7 @@
                 seat.out = None;
                 seat.over |= outcome == Outcome::Ok;
                 let (over, used) = (seat.over, 0);
-                self.tell(&Event::ForwardEnded {
+                self.tell(&Event::AttemptEnded {
                     id,
                     forward,
                     server,
@@ -253,13 +253,13 @@
                 version,
                 entries,
             } => {
-                self.tell(&Event::Members {
+                self.tell(&Event::ServerList {
                     list,
                     version,
                     entries: &entries,
                 });
             }
-            Note::Peer { from, data } => self.tell(&Event::PeerSaid { from, data: &data }),
+            Note::Peer { from, data } => self.tell(&Event::DatagramReceived { from, data: &data }),
             Note::CounterMoved { to } => {
                 if let Some(counter) = &mut self.counter {
                     counter.move_to(to);
@@ -327,20 +327,20 @@
                     seat.line.cancel(forward);
                 }
             }
-            Action::Count { name, add, ttl } => {
+            Action::AddToCounter { name, add, ttl } => {
                 if let Some(counter) = &self.counter {
                     counter.call(name, add, ttl);
                 }
             }
             Action::Probe { server } => query::probe(&self.shop, server),
-            Action::Close { server } => self.shop.pool.close_idle(server),
+            Action::CloseConnections { server } => self.shop.pool.close_idle(server),
             Action::Timer { token, wait } => {
                 let at = (self.shop.door.clock.now() + wait.max(0.0)) * 1000.0;
                 self.timers.push(Reverse((at as u64, token)));
             }
-            Action::Fetch => drop(self.wishes.try_send(Wish::Fetch)),
-            Action::Watch { on } => drop(self.wishes.try_send(Wish::Watch(on))),
-            Action::Tell { to, data } => {
+            Action::FetchServers => drop(self.wishes.try_send(Wish::Fetch)),
+            Action::WatchServers { on } => drop(self.wishes.try_send(Wish::Watch(on))),
+            Action::SendDatagram { to, data } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(to, &data);
                 }
--- a/crates/aspendrum/src/query.rs
+++ b/crates/aspendrum/src/query.rs
@@ -225,7 +225,7 @@
             ?values,
             "probed"
         );
-        own.door.tell(Note::Told(Event::Probed {
+        own.door.tell(Note::Told(Event::ProbeEnded {
             server,
             outcome,
             rtt,
@@ -234,7 +234,7 @@
     };
     if shop.workers.run(Box::new(job)).is_err() {
         let (outcome, load) = (Outcome::ConnectFailed, LoadReport::default());
-        let _ = shop.door.offer(Note::Told(Event::Probed {
+        let _ = shop.door.offer(Note::Told(Event::ProbeEnded {
             server,
             outcome,
             rtt: 0.0,
--- a/crates/aspendrum/tests/suite/pieces.rs
+++ b/crates/aspendrum/tests/suite/pieces.rs
@@ -179,7 +179,7 @@
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_secs(6) {
         counter.expire();
-        if let Ok(Note::Told(Event::Counted {
+        if let Ok(Note::Told(Event::CounterReplied {
             name,
             outcome,
             total,
