--- a/crates/aspendrum-core/src/api.rs
+++ b/crates/aspendrum-core/src/api.rs
@@ -73,7 +73,7 @@
 /// read is not a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    pub n: u8,
+    pub count: u8,
     pub values: [f32; 4],
 }
 
@@ -86,30 +86,30 @@
     pub cell: u16,
     pub zone: u8,
     /// How many times dearer it is than a server at hand; 0: told by its zone.
-    pub far: f32,
-    pub size: f32,
+    pub distance_cost: f32,
+    pub capacity: f32,
     pub kind: u8,
     /// 0: long ago.
-    pub started: Millis,
+    pub started_at: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewRequest {
     pub id: RequestId,
     pub group: u16,
-    pub until: Millis,
-    pub acct: TenantId,
+    pub deadline: Millis,
+    pub tenant: TenantId,
     pub plan: u32,
-    pub spread: f32,
+    pub instances: f32,
     pub units: f32,
-    pub first: f32,
-    pub client_repeat: bool,
-    pub write: bool,
+    pub first_instance: f32,
+    pub is_client_retry: bool,
+    pub is_write: bool,
     pub pool: u16,
     /// Zones whose servers may run it, a bit each; all where it does not matter.
-    pub zones: u64,
+    pub allowed_zones: u64,
     /// Servers to which it may be sent, one after another.
-    pub most: u8,
+    pub max_attempts: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -127,9 +127,9 @@
         outcome: Outcome,
         rtt: Millis,
         /// The query is over, by this outcome or earlier.
-        over: bool,
-        used: u16,
-        actual: u16,
+        is_final: bool,
+        metered: u16,
+        actual_units: u16,
         load: LoadReport,
     },
     StreamStarted {
@@ -174,7 +174,7 @@
         id: RequestId,
         retry_after: Millis,
         /// It was beyond its customer's quota.
-        beyond: bool,
+        beyond_quota: bool,
     },
     Drop {
         id: RequestId,
@@ -185,7 +185,7 @@
     },
     AddToCounter {
         name: u64,
-        add: f32,
+        units: f32,
         ttl: Millis,
     },
     Probe {
--- a/crates/aspendrum-core/src/control.rs
+++ b/crates/aspendrum-core/src/control.rs
@@ -130,8 +130,8 @@
                 forward,
                 outcome,
                 rtt,
-                over,
-                actual,
+                is_final: over,
+                actual_units: actual,
                 load,
                 ..
             } => {
@@ -180,14 +180,14 @@
         if known || group >= self.fig.groups.len() || plan >= self.fig.plans.len() {
             return self.acts.push(Action::Drop { id: new.id });
         }
-        let acct = self.acct(new.acct, plan, f64::from(new.spread).max(1.0));
+        let acct = self.acct(new.tenant, plan, f64::from(new.instances).max(1.0));
         let (g, mut query) = (&self.fig.groups[group], Query::new(new, acct, self.now));
         (query.slo_at, query.worth) = (self.now + g.slo, g.importance * self.fig.plans[plan].price);
         let slot = self.queries.add(new.id, query);
         self.live.push(slot);
         (self.accts[acct].in_hand, self.accts[acct].used_at) =
             (self.accts[acct].in_hand + 1, self.now);
-        self.accts[acct].first = f64::from(new.first);
+        self.accts[acct].first = f64::from(new.first_instance);
         self.begin(slot);
     }
 
@@ -390,12 +390,12 @@
         };
         let (id, may) = (q.id, self.rule(q).1);
         let shed = may == May::Shed || may == May::ShedIfAll && all;
-        let beyond = !q.inside;
+        let beyond_quota = !q.inside;
         self.acts.push(if shed {
             Action::Shed {
                 id,
                 retry_after,
-                beyond,
+                beyond_quota,
             }
         } else {
             Action::Drop { id }
--- a/crates/aspendrum-core/src/control/counting.rs
+++ b/crates/aspendrum-core/src/control/counting.rs
@@ -246,7 +246,7 @@
         a.calls.push_back(Call { asker, add, name });
         self.acts.push(Action::AddToCounter {
             name,
-            add: add as f32,
+            units: add as f32,
             ttl,
         });
     }
--- a/crates/aspendrum-core/src/control/servers.rs
+++ b/crates/aspendrum-core/src/control/servers.rs
@@ -194,7 +194,7 @@
     }
 
     pub(super) fn report(&mut self, server: usize, load: &LoadReport) {
-        let known = |at: &usize| *at < usize::from(load.n) && !load.values[*at].is_nan();
+        let known = |at: &usize| *at < usize::from(load.count) && !load.values[*at].is_nan();
         let Some(at) = self.fig.report_busy.filter(known) else {
             return;
         };
@@ -240,21 +240,21 @@
             let at = self.place(self.fresh(m));
             let s = &mut self.servers[at];
             s.health = m.health;
-            (s.cell, s.zone, s.size, s.pool) = (m.cell, m.zone, f64::from(m.size), m.pool);
-            s.far = m.far.into();
+            (s.cell, s.zone, s.size, s.pool) = (m.cell, m.zone, f64::from(m.capacity), m.pool);
+            s.far = m.distance_cost.into();
         }
         self.dispatch();
     }
 
     pub(super) fn fresh(&self, m: &ServerEntry) -> Server {
-        let credits = if self.cold(m.started) {
+        let credits = if self.cold(m.started_at) {
             1.0
         } else {
             CREDIT_START / self.fig.instances
         };
         // Each limiter starts at another part of a query, so that hundreds come to a cold server in turn.
         let cold_left = (self.fig.turn + f64::from(m.server) * GOLDEN).fract();
-        let (started, rtt, busy) = (m.started, self.typical, self.busy);
+        let (started, rtt, busy) = (m.started_at, self.typical, self.busy);
         let mut s = Server {
             id: m.server,
             started,
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -251,8 +251,8 @@
 impl Query {
     pub(crate) fn new(new: &NewRequest, acct: usize, now: Millis) -> Self {
         let (group, units) = (usize::from(new.group), f64::from(new.units).max(0.0));
-        let (id, until, since, inside) = (new.id, new.until, now, true);
-        let (pool, zones, most) = (new.pool, new.zones, usize::from(new.most));
+        let (id, until, since, inside) = (new.id, new.deadline, now, true);
+        let (pool, zones, most) = (new.pool, new.allowed_zones, usize::from(new.max_attempts));
         Query {
             id,
             group,
--- a/crates/aspendrum-core/tests/decisions.rs
+++ b/crates/aspendrum-core/tests/decisions.rs
@@ -22,13 +22,13 @@
     ServerEntry {
         server,
         pool: 0,
-        far: 0.0,
+        distance_cost: 0.0,
         health,
         cell,
         zone: 0,
-        size: 1.0,
+        capacity: 1.0,
         kind: 0,
-        started,
+        started_at: started,
     }
 }
 
@@ -71,7 +71,9 @@
         self.c.handle(self.now, event, &mut out);
         for action in &out {
             match *action {
-                Action::AddToCounter { name, add, .. } => self.calls.push((name, add)),
+                Action::AddToCounter {
+                    name, units: add, ..
+                } => self.calls.push((name, add)),
                 Action::Forward { id, server, .. } => self.forwards.push((id, server)),
                 Action::Shed { id, .. } => self.shed.push(id),
                 Action::Drop { id } => self.dropped.push(id),
@@ -93,17 +95,17 @@
         let q = NewRequest {
             id,
             group: 0,
-            until,
-            acct,
+            deadline: until,
+            tenant: acct,
             plan: 0,
-            spread,
+            instances: spread,
             units,
-            first: 0.0,
-            client_repeat,
-            write,
+            first_instance: 0.0,
+            is_client_retry: client_repeat,
+            is_write: write,
             pool: 0,
-            zones: u64::MAX,
-            most: u8::MAX,
+            allowed_zones: u64::MAX,
+            max_attempts: u8::MAX,
         };
         self.tell(&Event::Request(q));
     }
@@ -151,9 +153,9 @@
             server,
             outcome,
             rtt,
-            over,
-            used,
-            actual,
+            is_final: over,
+            metered: used,
+            actual_units: actual,
             load,
         });
     }
@@ -758,9 +760,9 @@
                     server,
                     outcome,
                     rtt,
-                    over,
-                    used,
-                    actual,
+                    is_final: over,
+                    metered: used,
+                    actual_units: actual,
                     load,
                 };
                 rig.tell(&ended);
--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/keepers.rs
@@ -89,13 +89,13 @@
         let member = |server| ServerEntry {
             server,
             pool: 0,
-            far: 0.0,
+            distance_cost: 0.0,
             health: Health::Ready,
             cell: 0,
             zone: 0,
-            size: 1.0,
+            capacity: 1.0,
             kind: 0,
-            started: 0.0,
+            started_at: 0.0,
         };
         let entries: Vec<ServerEntry> = (1..=SERVERS).map(member).collect();
         self.tell(
@@ -155,9 +155,9 @@
                     server,
                     outcome: Outcome::Ok,
                     rtt: 5.0,
-                    over: true,
-                    used: 0,
-                    actual: 0,
+                    is_final: true,
+                    metered: 0,
+                    actual_units: 0,
                     load: LoadReport::default(),
                 },
             );
@@ -176,17 +176,17 @@
             &Event::Request(NewRequest {
                 id,
                 group: 0,
-                until: self.now + 3000.0,
-                acct,
+                deadline: self.now + 3000.0,
+                tenant: acct,
                 plan: 0,
-                spread,
+                instances: spread,
                 units: 1.0,
-                first: 0.0,
-                client_repeat: false,
-                write: false,
+                first_instance: 0.0,
+                is_client_retry: false,
+                is_write: false,
                 pool: 0,
-                zones: u64::MAX,
-                most: u8::MAX,
+                allowed_zones: u64::MAX,
+                max_attempts: u8::MAX,
             }),
         );
     }
@@ -396,13 +396,13 @@
         let member = |server, health, started| ServerEntry {
             server,
             pool: 0,
-            far: 0.0,
+            distance_cost: 0.0,
             health,
             cell: 0,
             zone: 0,
-            size: 1.0,
+            capacity: 1.0,
             kind: 0,
-            started,
+            started_at: started,
         };
         let old = (1..=SERVERS).map(|s| member(s, health(s), 0.0));
         let entries: Vec<ServerEntry> = old
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -41,13 +41,13 @@
         let member = |&(server, pool, zone): &(ServerId, u16, u8)| ServerEntry {
             server,
             pool,
-            far: 0.0,
+            distance_cost: 0.0,
             health: Health::Ready,
             cell: 0,
             zone,
-            size: 1.0,
+            capacity: 1.0,
             kind: 0,
-            started: 0.0,
+            started_at: 0.0,
         };
         let entries: Vec<ServerEntry> = servers.iter().map(member).collect();
         self.tell(&Event::ServerList {
@@ -67,17 +67,17 @@
         let new = NewRequest {
             id,
             group,
-            until,
-            acct,
+            deadline: until,
+            tenant: acct,
             plan,
-            spread,
+            instances: spread,
             units,
-            first,
-            client_repeat,
-            write,
+            first_instance: first,
+            is_client_retry: client_repeat,
+            is_write: write,
             pool,
-            zones,
-            most,
+            allowed_zones: zones,
+            max_attempts: most,
         };
         let mut acts = self.tell(&Event::Request(new));
         let call = acts.iter().find_map(|a| match a {
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -84,7 +84,7 @@
             Action::Shed {
                 id,
                 retry_after,
-                beyond,
+                beyond_quota: beyond,
             } => {
                 self.number(*id);
                 self.float(*retry_after);
@@ -100,7 +100,11 @@
                 self.number((*forward).into());
                 3
             }
-            Action::AddToCounter { name, add, ttl } => {
+            Action::AddToCounter {
+                name,
+                units: add,
+                ttl,
+            } => {
                 self.number(*name);
                 self.number(add.to_bits().into());
                 self.float(*ttl);
@@ -297,7 +301,9 @@
                     }
                 }
             }
-            Action::AddToCounter { name, add, .. } => self.count(me, name, add),
+            Action::AddToCounter {
+                name, units: add, ..
+            } => self.count(me, name, add),
             Action::Probe { server } => {
                 let outcome = if self.draws.one_in(4) {
                     Outcome::TimedOut
@@ -448,9 +454,9 @@
                         server,
                         outcome,
                         rtt,
-                        over,
-                        used,
-                        actual,
+                        is_final: over,
+                        metered: used,
+                        actual_units: actual,
                         load,
                     },
                 );
@@ -505,19 +511,19 @@
         match self.draws.below(8) {
             0 => LoadReport::default(),
             1 if self.draws.one_in(3) => LoadReport {
-                n: 1,
+                count: 1,
                 values: [9.0, 0.0, 0.0, 0.0],
             },
             1 => LoadReport {
-                n: 1,
+                count: 1,
                 values: [f32::NAN, 0.0, 0.0, 0.0],
             },
             2..=4 => LoadReport {
-                n: 1,
+                count: 1,
                 values: [busy, 0.0, 0.0, 0.0],
             },
             _ => LoadReport {
-                n: 2,
+                count: 2,
                 values: [busy, busy / 2.0, 0.0, 0.0],
             },
         }
@@ -530,10 +536,10 @@
             health: *health,
             cell: (at % 3) as u16,
             zone: (at % 2) as u8,
-            far: if at % 5 == 4 { 1.5 } else { 0.0 },
-            size: if at % 4 == 3 { 2.0 } else { 1.0 },
+            distance_cost: if at % 5 == 4 { 1.5 } else { 0.0 },
+            capacity: if at % 4 == 3 { 2.0 } else { 1.0 },
             kind: 0,
-            started: *started,
+            started_at: *started,
         };
         self.health.iter().enumerate().map(member).collect()
     }
@@ -584,22 +590,22 @@
         let new = NewRequest {
             id,
             group: self.draws.below(groups as u64) as u16,
-            until: self.now() + 800.0 + self.draws.below(2000) as f64,
-            acct: tenant,
+            deadline: self.now() + 800.0 + self.draws.below(2000) as f64,
+            tenant: tenant,
             // One query in a thousand names a plan that is not there.
             plan: if id % 1000 == 999 {
                 99
             } else {
                 tenant as u32 % plans as u32
             },
-            spread,
+            instances: spread,
             units: [1.0, 1.0, 2.0, 0.5][self.draws.below(4) as usize],
-            first: (tenant % u64::from(self.script.settings.instances)) as f32,
-            client_repeat: self.draws.one_in(10),
-            write: self.draws.one_in(3),
+            first_instance: (tenant % u64::from(self.script.settings.instances)) as f32,
+            is_client_retry: self.draws.one_in(10),
+            is_write: self.draws.one_in(3),
             pool: u16::from(self.draws.one_in(12)),
-            zones: if self.draws.one_in(10) { 2 } else { u64::MAX },
-            most: if self.draws.one_in(10) { 1 } else { u8::MAX },
+            allowed_zones: if self.draws.one_in(10) { 2 } else { u64::MAX },
+            max_attempts: if self.draws.one_in(10) { 1 } else { u8::MAX },
         };
         self.tell(me, &Event::Request(new));
         if self.draws.one_in(40) {
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -196,22 +196,22 @@
         let new = NewRequest {
             id,
             group: view.groups[ask.route],
-            until: self.at(ask.until),
-            acct,
+            deadline: self.at(ask.until),
+            tenant: acct,
             plan,
-            spread: (inner.stacks.sharers() as f64
+            instances: (inner.stacks.sharers() as f64
                 / if inner.alone {
                     ALONE_SHARE
                 } else {
                     LOCAL_SHARE
                 }) as f32,
             units: 1.0,
-            first: 0.0,
-            client_repeat: false,
-            write: false,
+            first_instance: 0.0,
+            is_client_retry: false,
+            is_write: false,
             pool: ask.service,
-            zones: ask.zones,
-            most: view.config.routes[ask.route].tries.min(u32::from(u8::MAX)) as u8,
+            allowed_zones: ask.zones,
+            max_attempts: view.config.routes[ask.route].tries.min(u32::from(u8::MAX)) as u8,
         };
         let Ask {
             orders,
@@ -250,9 +250,9 @@
             server,
             outcome,
             rtt,
-            over,
-            used: 0,
-            actual: 1,
+            is_final: over,
+            metered: 0,
+            actual_units: 1,
             load,
         };
         self.turn(&mut inner, now, &event);
@@ -442,7 +442,7 @@
                 Action::Shed {
                     id,
                     retry_after,
-                    beyond,
+                    beyond_quota: beyond,
                 } => {
                     inner.say(
                         id,
@@ -453,7 +453,9 @@
                     );
                 }
                 Action::Drop { id } => inner.say(id, Order::Drop),
-                Action::AddToCounter { name, add, .. } => self.count(inner, now, name, add),
+                Action::AddToCounter {
+                    name, units: add, ..
+                } => self.count(inner, now, name, add),
                 Action::Probe { server } => inner.probes.push(server),
                 Action::Fault(text) => log::error!("event=module_fault text=\"{text}\""),
                 Action::Log(text) => log::debug!("event=module text=\"{text}\""),
@@ -493,9 +495,9 @@
             server,
             outcome,
             rtt,
-            over,
-            used,
-            actual,
+            is_final: over,
+            metered: used,
+            actual_units: actual,
             load,
         });
     }
--- a/crates/aspendrum-proxy/src/stacks.rs
+++ b/crates/aspendrum-proxy/src/stacks.rs
@@ -317,10 +317,10 @@
             health: wanted,
             cell: 0,
             zone,
-            far,
-            size,
+            distance_cost: far,
+            capacity: size,
             kind: 0,
-            started: 0.0,
+            started_at: 0.0,
         })
     }
 
--- a/crates/aspendrum-proxy/src/wire.rs
+++ b/crates/aspendrum-proxy/src/wire.rs
@@ -148,7 +148,7 @@
         Some((running + waiting) / slots).filter(|l| l.is_finite() && *l >= 0.0)
     };
     read().map_or(LoadReport::default(), |share| LoadReport {
-        n: 1,
+        count: 1,
         values: [share, 0.0, 0.0, 0.0],
     })
 }
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -228,7 +228,7 @@
     assert_eq!(
         wire::load(&answer),
         LoadReport {
-            n: 1,
+            count: 1,
             values: [0.75, 0.0, 0.0, 0.0]
         }
     );
--- a/crates/aspendrum-simulator-adapter/src/frame.rs
+++ b/crates/aspendrum-simulator-adapter/src/frame.rs
@@ -67,13 +67,13 @@
     }
     fn load(&self, at: usize) -> Result<LoadReport, String> {
         let mut load = LoadReport {
-            n: self.u8(at),
+            count: self.u8(at),
             values: [0.0; 4],
         };
-        if load.n > 4 {
-            return Err(format!("Load with {} values", load.n));
+        if load.count > 4 {
+            return Err(format!("Load with {} values", load.count));
         }
-        for slot in 0..usize::from(load.n) {
+        for slot in 0..usize::from(load.count) {
             load.values[slot] = self.f32(at + 1 + 4 * slot, "Load")?;
         }
         Ok(load)
@@ -183,17 +183,17 @@
             9 => Event::Request(NewRequest {
                 id: f.u64(1),
                 group: f.u16(9),
-                until: f.ms(11, "ValidUntilS")?,
-                acct: f.u64(19),
+                deadline: f.ms(11, "ValidUntilS")?,
+                tenant: f.u64(19),
                 plan: f.u32(27),
-                spread: f.f32(31, "Spread")?,
+                instances: f.f32(31, "Spread")?,
                 units: f.f32(35, "PriceUnits")?,
-                first: f.f32(39, "FirstDoor")?,
-                client_repeat: f.u8(43) & 2 != 0,
-                write: f.u8(43) & 4 != 0,
+                first_instance: f.f32(39, "FirstDoor")?,
+                is_client_retry: f.u8(43) & 2 != 0,
+                is_write: f.u8(43) & 4 != 0,
                 pool: 0,
-                zones: u64::MAX,
-                most: u8::MAX,
+                allowed_zones: u64::MAX,
+                max_attempts: u8::MAX,
             }),
             10 => Event::DatagramReceived {
                 from: f.u16(1),
@@ -205,9 +205,9 @@
                 server: f.u32(10),
                 outcome: f.outcome(14)?,
                 rtt: f.ms(16, "RttS")?,
-                over: f.u8(24) != 0,
-                used: f.u16(25),
-                actual: f.u16(27),
+                is_final: f.u8(24) != 0,
+                metered: f.u16(25),
+                actual_units: f.u16(27),
                 load: f.load(29)?,
             },
             12 => Event::StreamStarted {
@@ -231,13 +231,13 @@
     Ok(ServerEntry {
         server: f.u32(0),
         pool: 0,
-        far: 0.0,
+        distance_cost: 0.0,
         health,
         cell: f.u16(5),
         zone: f.u8(7),
-        size: f.f32(8, "Size")?,
+        capacity: f.f32(8, "Size")?,
         kind: f.u8(12),
-        started: f.ms(13, "StartTimeS")?,
+        started_at: f.ms(13, "StartTimeS")?,
     })
 }
 
@@ -305,7 +305,11 @@
                     &[&id.to_be_bytes(), &server.to_be_bytes(), &s(*timeout)],
                 );
             }
-            Action::AddToCounter { name, add, ttl } => {
+            Action::AddToCounter {
+                name,
+                units: add,
+                ttl,
+            } => {
                 self.record(68, &[&add.to_be_bytes(), &s(*ttl), &name.to_be_bytes()]);
             }
             Action::CloseConnections { server } => self.record(69, &[&server.to_be_bytes()]),
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -51,11 +51,11 @@
 }
 
 const LOAD_OF_FOUR: LoadReport = LoadReport {
-    n: 4,
+    count: 4,
     values: [0.5, 0.25, 0.125, 0.0625],
 };
 const LOAD_OF_TWO: LoadReport = LoadReport {
-    n: 2,
+    count: 2,
     values: [0.5, 0.25, 0.0, 0.0],
 };
 
@@ -63,17 +63,17 @@
     NewRequest {
         id: ID,
         group: 0x102,
-        until: 8652.25,
-        acct: 0x99aa_bbcc,
+        deadline: 8652.25,
+        tenant: 0x99aa_bbcc,
         plan: NUMBER,
-        spread: 3.0,
+        instances: 3.0,
         units: 1.5,
-        first: 5.0,
-        client_repeat: true,
-        write: true,
+        first_instance: 5.0,
+        is_client_retry: true,
+        is_write: true,
         pool: 0,
-        zones: u64::MAX,
-        most: u8::MAX,
+        allowed_zones: u64::MAX,
+        max_attempts: u8::MAX,
     }
 }
 
@@ -84,9 +84,9 @@
         server: NUMBER,
         outcome: Outcome::Cancelled,
         rtt: 18.5,
-        over: true,
-        used: 0x102,
-        actual: 0x304,
+        is_final: true,
+        metered: 0x102,
+        actual_units: 0x304,
         load: LOAD_OF_TWO,
     }
 }
@@ -98,10 +98,10 @@
         health: Health::Removed,
         cell: 0x102,
         zone: 3,
-        far: 0.0,
-        size: 1.5,
+        distance_cost: 0.0,
+        capacity: 1.5,
         kind: 4,
-        started: 6100.0,
+        started_at: 6100.0,
     };
     [
         common,
@@ -110,9 +110,9 @@
             health: Health::Ready,
             cell: 0x506,
             zone: 7,
-            size: 0.5,
+            capacity: 0.5,
             kind: 8,
-            started: 0.0,
+            started_at: 0.0,
             ..common
         },
         ServerEntry {
@@ -120,9 +120,9 @@
             health: Health::Draining,
             cell: 0x90a,
             zone: 11,
-            size: 2.0,
+            capacity: 2.0,
             kind: 12,
-            started: 1000.0,
+            started_at: 1000.0,
             ..common
         },
     ]
@@ -219,21 +219,21 @@
     let Ok(WireEvent::Told(Event::Request(new))) = batch.event(0, &mut members) else {
         panic!("not a query")
     };
-    assert_eq!((new.client_repeat, new.write), (repeat, writes));
+    assert_eq!((new.is_client_retry, new.is_write), (repeat, writes));
 }
 
 #[test_case("tell", Action::SendDatagram { to: Some(0x5566_7788), data: vec![1, 2, 3] } ; "tell")]
 #[test_case("tell_all", Action::SendDatagram { to: None, data: vec![4, 5] } ; "tell all")]
 #[test_case("cancel", Action::Cancel { id: ID, forward: 9 } ; "cancel")]
 #[test_case("forward", Action::Forward { id: ID, server: 0x5566_7788, timeout: 80.0 } ; "forward")]
-#[test_case("count", Action::AddToCounter { name: ID, add: 4.0, ttl: 3000.0 } ; "count")]
+#[test_case("count", Action::AddToCounter { name: ID, units: 4.0, ttl: 3000.0 } ; "count")]
 #[test_case("close", Action::CloseConnections { server: NUMBER } ; "close")]
 #[test_case("fetch", Action::FetchServers ; "fetch")]
 #[test_case("defer", Action::Timer { token: NUMBER, wait: 500.0 } ; "timer")]
 #[test_case("probe", Action::Probe { server: NUMBER } ; "probe")]
 #[test_case("fault", Action::Fault("fault".into()) ; "fault")]
 #[test_case("drop", Action::Drop { id: ID } ; "drop")]
-#[test_case("shed", Action::Shed { id: ID, retry_after: 500.0, beyond: true } ; "shed")]
+#[test_case("shed", Action::Shed { id: ID, retry_after: 500.0, beyond_quota: true } ; "shed")]
 #[test_case("watch", Action::WatchServers { on: true } ; "watch")]
 #[test_case("unwatch", Action::WatchServers { on: false } ; "watch no more")]
 #[test_case("log", Action::Log("log".into()) ; "log")]
--- a/crates/aspendrum-simulator-adapter/tests/wire.rs
+++ b/crates/aspendrum-simulator-adapter/tests/wire.rs
@@ -50,7 +50,7 @@
 }
 
 #[test_case("09 000d9f1c5d3a91c4 0000 40214df3b645a1cb 91f03b7c55d20a64 00000000 40400000 40000000 3f800000 01",
-    "Request(NewRequest { id: 3834118869258692, group: 0, until: 8652.25" ; "new request")]
+    "Request(NewRequest { id: 3834118869258692, group: 0, deadline: 8652.25" ; "new request")]
 #[test_case("02 0000004d", "Timer { token: 77 }" ; "elapsed")]
 #[test_case("06 000e6a560e6f2b19", "ClientDisconnected { id: 4057567515847449 }" ; "cancelled by client")]
 #[test_case("0b 000d9f1c5d3a91c4 00 03124a07 0001 3f92f1a9fbe76c8b 01 0056 0003 01 3f1eb852",
@@ -84,7 +84,7 @@
         }) => {
             assert_eq!((list, version, entries.len()), (ListKind::Cached, 41, 2));
             assert_eq!(
-                (entries[1].size, entries[1].started, entries[1].zone),
+                (entries[1].capacity, entries[1].started_at, entries[1].zone),
                 (1.5, 6100.0, 1)
             );
         }
@@ -95,14 +95,14 @@
 #[test_case(Action::Forward { id: 0xd9f1c5d3a91c4, server: 0x3124a07, timeout: 80.0 },
     "43 000d9f1c5d3a91c4 03124a07 3fb47ae147ae147b 000000", "" ; "route")]
 #[test_case(Action::Timer { token: 77, wait: 500.0 }, "47 0000004d 3fe0000000000000 0000000000000000000000", "" ; "defer")]
-#[test_case(Action::AddToCounter { name: 0x89f690, add: 4.0, ttl: 3000.0 },
+#[test_case(Action::AddToCounter { name: 0x89f690, units: 4.0, ttl: 3000.0 },
     "44 40800000 4008000000000000 000000000089f690 000000", "" ; "charge counter")]
 #[test_case(Action::Log("two servers known".into()),
     "4d 00000000 00000011 000000000000000000000000000000", "74776f2073657276657273206b6e6f776e" ; "emit")]
 #[test_case(Action::SendDatagram { to: None, data: b"hi 7".to_vec() },
     "41 ffffffff 00000000 00000004 0000000000000000000000", "68692037" ; "tell")]
 #[test_case(Action::Cancel { id: 5, forward: 1 }, "42 0000000000000005 01 0000000000000000000000000000", "" ; "abort")]
-#[test_case(Action::Shed { id: 5, retry_after: 500.0, beyond: false }, "4b 0000000000000005 3fe0000000000000 00000000000000", "" ; "say no")]
+#[test_case(Action::Shed { id: 5, retry_after: 500.0, beyond_quota: false }, "4b 0000000000000005 3fe0000000000000 00000000000000", "" ; "say no")]
 #[test_case(Action::Drop { id: 5 }, "4a 0000000000000005 000000000000000000000000000000", "" ; "finish error")]
 #[test_case(Action::Probe { server: 9 }, "48 00000009 00000000000000000000000000000000000000", "" ; "touch")]
 #[test_case(Action::CloseConnections { server: 9 }, "45 00000009 00000000000000000000000000000000000000", "" ; "let go")]
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -240,9 +240,9 @@
                     server,
                     outcome,
                     rtt,
-                    over,
-                    used,
-                    actual,
+                    is_final: over,
+                    metered: used,
+                    actual_units: actual,
                     load,
                 });
                 self.leave(id);
@@ -327,7 +327,11 @@
                     seat.line.cancel(forward);
                 }
             }
-            Action::AddToCounter { name, add, ttl } => {
+            Action::AddToCounter {
+                name,
+                units: add,
+                ttl,
+            } => {
                 if let Some(counter) = &self.counter {
                     counter.call(name, add, ttl);
                 }
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -312,12 +312,12 @@
             .find_map(|(_, v)| number(v));
         // One value that cannot be read does not cost the others.
         load.values[slot] = found.map_or(f32::NAN, |n| n as f32);
-        load.n = slot as u8 + 1;
+        load.count = slot as u8 + 1;
     }
     if load
         .values
         .iter()
-        .take(usize::from(load.n))
+        .take(usize::from(load.count))
         .all(|v| v.is_nan())
     {
         return LoadReport::default();
--- a/crates/aspendrum/src/query.rs
+++ b/crates/aspendrum/src/query.rs
@@ -31,17 +31,17 @@
     let new = NewRequest {
         id,
         group: asked.group,
-        until: shop.door.clock.at(until),
-        acct: asked.acct,
+        deadline: shop.door.clock.at(until),
+        tenant: asked.acct,
         plan: asked.plan,
-        spread: asked.spread,
+        instances: asked.spread,
         units: asked.units,
-        first: asked.first,
-        client_repeat: asked.client_repeat,
-        write: asked.write,
+        first_instance: asked.first,
+        is_client_retry: asked.client_repeat,
+        is_write: asked.write,
         pool: 0,
-        zones: u64::MAX,
-        most: u8::MAX,
+        allowed_zones: u64::MAX,
+        max_attempts: u8::MAX,
     };
     let last = until + limits.desk_late;
     let taken = shop.door.tell_by(
@@ -218,7 +218,7 @@
             Err(outcome) => (outcome, LoadReport::default()),
         };
         let rtt = as_ms(begun.elapsed());
-        let values = &load.values[..usize::from(load.n)];
+        let values = &load.values[..usize::from(load.count)];
         tracing::debug!(
             server = format_args!("{server:x}"),
             ?outcome,
@@ -254,7 +254,7 @@
     http::get(&mut conn.outward, path);
     conn.send()?;
     let answer = http::receive(&mut conn, until, shop)?;
-    let load = match answer.load.n {
+    let load = match answer.load.count {
         0 => http::load_of_body(&answer.body, &shop.lanes.load_values),
         _ => answer.load,
     };
--- a/crates/aspendrum/src/roster.rs
+++ b/crates/aspendrum/src/roster.rs
@@ -73,13 +73,13 @@
     let member = ServerEntry {
         server: server_id(text("host")?),
         pool: 0,
-        far: 0.0,
+        distance_cost: 0.0,
         health,
         cell: number("block").unwrap_or(0.0) as u16,
         zone: place(&names.zones, text("site").unwrap_or("")),
-        size: number("share").unwrap_or(1.0) as f32,
+        capacity: number("share").unwrap_or(1.0) as f32,
         kind: place(&names.kinds, text("class").unwrap_or("")),
-        started: number("born_ms").ok_or("born_ms is no number")? as Millis,
+        started_at: number("born_ms").ok_or("born_ms is no number")? as Millis,
     };
     Ok((member, dial))
 }
--- a/crates/aspendrum/tests/suite/pieces.rs
+++ b/crates/aspendrum/tests/suite/pieces.rs
@@ -139,7 +139,7 @@
         (Health::Draining, 1, 3)
     );
     assert_eq!(
-        (member.size, member.started, dial),
+        (member.capacity, member.started_at, dial),
         (2.5, 1e12, "10.1.0.18:9000".parse().ok())
     );
     assert_ne!(member.server, roster.entries[1].0.server);
@@ -308,7 +308,7 @@
     let mut ring = RingBuffer::new(8, 512);
     assert!(ring.append(bytes));
     let got = match http::answer(&mut ring, &lanes, &limits) {
-        http::Parsed::Complete(answer) => Some((answer.load.n, answer.charged)),
+        http::Parsed::Complete(answer) => Some((answer.load.count, answer.charged)),
         _ => None,
     };
     assert_eq!(got, expected);
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -244,7 +244,7 @@
 
 fn load(values: &[f32]) -> LoadReport {
     let mut load = LoadReport {
-        n: values.len() as u8,
+        count: values.len() as u8,
         ..LoadReport::default()
     };
     load.values[..values.len()].copy_from_slice(values);
@@ -342,7 +342,14 @@
         .iter()
         .map(|(m, dial)| {
             (
-                m.server, m.health, m.zone, m.kind, m.cell, m.size, m.started, *dial,
+                m.server,
+                m.health,
+                m.zone,
+                m.kind,
+                m.cell,
+                m.capacity,
+                m.started_at,
+                *dial,
             )
         })
         .collect();
