--- a/crates/aspendrum-core/src/control.rs
+++ b/crates/aspendrum-core/src/control.rs
@@ -82,18 +82,18 @@
             wait: BEAT,
         });
         out.extend(
-            s.discovery_asks
+            s.polls_discovery
                 .then_some(Action::WatchServers { on: true }),
         );
         let mut fig = Figures::new(s);
         fig.crowd = (fig.instances / PROBERS).max(1.0);
         (fig.keepers, fig.want_every) = (
-            s.may_tell && fig.crowd > 1.0,
-            Self::want_every(s.peer_in_per_s),
+            s.may_send_datagrams && fig.crowd > 1.0,
+            Self::want_every(s.peer_datagrams_per_second),
         );
         fig.own_part = if fig.keepers { 1.0 - LEAD_PART } else { 1.0 };
-        fig.turn = (f64::from(s.me) * GOLDEN).fract();
-        fig.cold_budget = (COLD_SHARE * s.fall_multiple).min(COLD_FAIR) * s.fall_window;
+        fig.turn = (f64::from(s.instance) * GOLDEN).fract();
+        fig.cold_budget = (COLD_SHARE * s.collapse_multiple).min(COLD_FAIR) * s.collapse_window;
         let slo = fig
             .groups
             .iter()
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -77,8 +77,8 @@
     let semantics = p.choice(&format!("{at}.Semantics"), &semantics)?;
     let keyed = semantics == Semantics::Deduplicated;
     Ok(GroupSettings {
-        slo: p.number(&format!("{at}.AimS"))? * MS,
-        limit: p.number(&format!("{at}.HardLimitS"))? * MS,
+        latency_target: p.number(&format!("{at}.AimS"))? * MS,
+        hard_limit: p.number(&format!("{at}.HardLimitS"))? * MS,
         semantics,
         repeat_group: if keyed {
             p.choice(&format!("{at}.Group"), &repeats)?
@@ -91,20 +91,20 @@
             0.0
         },
         importance: p.number(&format!("{at}.Credit"))?,
-        late_share: p.optional(&format!("{at}.LateShare"))?,
-        stream: p.yes(&format!("{at}.Stream"))?,
+        late_value_share: p.optional(&format!("{at}.LateShare"))?,
+        is_streaming: p.yes(&format!("{at}.Stream"))?,
     })
 }
 
 fn plan(p: &Pairs<'_>, at: &str) -> Result<PlanSettings, String> {
     Ok(PlanSettings {
-        windowed: false,
+        is_windowed: false,
         rate: p.number(&format!("{at}.PerSecond"))?,
         burst: p.number(&format!("{at}.Depth"))?,
         price: p.number(&format!("{at}.WorthFactor"))?,
-        over_worth: p.optional(&format!("{at}.ExtraWorth"))?,
-        over_cost: p.optional(&format!("{at}.BeyondCosts"))?,
-        open: p.whole(&format!("{at}.Concurrency"), 1e9)?,
+        overage_value: p.optional(&format!("{at}.ExtraWorth"))?,
+        overage_cost: p.optional(&format!("{at}.BeyondCosts"))?,
+        max_in_flight: p.whole(&format!("{at}.Concurrency"), 1e9)?,
         ceiling_rate: p.number(&format!("{at}.NeverOverRate"))?,
         ceiling_burst: p.number(&format!("{at}.NeverOverDepth"))?,
         ceiling_slack: p.number(&format!("{at}.CapSlack"))?,
@@ -137,7 +137,7 @@
     let names = p.0.get("Feedback.Names").copied().unwrap_or("");
     let counter = p.yes("Specifics.Counter")?;
     let settings = Settings {
-        me: p.whole("Me", 1e5)?,
+        instance: p.whole("Me", 1e5)?,
         instances: p.whole("Instances", 1e5)?,
         zone: p.optional("Zone")? as u8,
         tick: p.number("TickS")? * MS,
@@ -148,24 +148,24 @@
             .filter(|word| !word.is_empty())
             .map(load_value)
             .collect(),
-        reports: p.choice("Feedback.Via", &via)?,
-        discovery_asks: p.choice("Discovery", &[("push", false), ("ask", true)])?,
-        must_ask_in: p.optional("Invariants.MustAskInS")? * MS,
+        load_reports: p.choice("Feedback.Via", &via)?,
+        polls_discovery: p.choice("Discovery", &[("push", false), ("ask", true)])?,
+        discovery_poll_limit: p.optional("Invariants.MustAskInS")? * MS,
         drain_grace: p.number("Invariants.DrainGraceS")? * MS,
-        fall_multiple: p.number("Invariants.FallMultiple")?,
-        fall_window: p.number("Invariants.FallS")? * MS,
-        cold_share: p.number("Invariants.StartCapacity")?,
-        cold_time: p.number("Invariants.RampTimeS")? * MS,
+        collapse_multiple: p.number("Invariants.FallMultiple")?,
+        collapse_window: p.number("Invariants.FallS")? * MS,
+        slow_start_capacity: p.number("Invariants.StartCapacity")?,
+        slow_start_time: p.number("Invariants.RampTimeS")? * MS,
         answer_grace: p.number("Invariants.GraceToAnswerS")? * MS,
         may_cancel: p.yes("Limits.Cancelling")?,
         may_probe: p.yes("Limits.Probes")?,
-        may_tell: p.yes("Limits.MayTell")?,
-        second_copies: p.yes("Limits.SecondCopies")?,
-        send_cap: p.whole("Limits.SendCap", 1e6)?,
-        retry_after: p.yes("Limits.RetryAfter")?,
+        may_send_datagrams: p.yes("Limits.MayTell")?,
+        may_hedge: p.yes("Limits.SecondCopies")?,
+        max_attempts: p.whole("Limits.SendCap", 1e6)?,
+        sends_retry_after: p.yes("Limits.RetryAfter")?,
         max_retry_after: p.optional("Limits.MaxRetryAfterS")? * MS,
-        counter,
-        counter_wait: if counter {
+        has_counter: counter,
+        counter_timeout: if counter {
             p.number("Specifics.CountWaitS")? * MS
         } else {
             0.0
@@ -173,10 +173,10 @@
         counter_price: p.optional("Specifics.CounterPrice")?,
         probe_price: p.optional("Deductions.Probe")?,
         cross_zone_price: p.optional("Deductions.CrossZone")?,
-        units_top: p.number("Specifics.UnitsTop")?,
-        cost_after: p.yes("Specifics.CostAfter")?,
-        meter: p.optional("Specifics.MeteringS")? * MS,
-        peer_in_per_s: p.optional("Specifics.PeerInPerS")?,
+        max_units: p.number("Specifics.UnitsTop")?,
+        cost_known_after: p.yes("Specifics.CostAfter")?,
+        metering_window: p.optional("Specifics.MeteringS")? * MS,
+        peer_datagrams_per_second: p.optional("Specifics.PeerInPerS")?,
     };
     if settings.instances == 0 {
         return Err("setting Instances is absurd: 0".into());
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -317,7 +317,7 @@
 impl GroupFig {
     fn of(g: &GroupSettings) -> GroupFig {
         GroupFig {
-            slo: g.slo,
+            slo: g.latency_target,
             semantics: g.semantics,
             repeat_group: g.repeat_group,
             window: g.repeat_window,
@@ -329,7 +329,7 @@
 impl PlanFig {
     fn of(p: &PlanSettings) -> PlanFig {
         PlanFig {
-            windowed: p.windowed,
+            windowed: p.is_windowed,
             rate: p.rate / 1000.0,
             burst: p.burst,
             window: if p.rate > 0.0 {
@@ -338,9 +338,9 @@
                 0.0
             },
             price: p.price,
-            over_worth: p.over_worth,
-            over_cost: p.over_cost,
-            open: p.open,
+            over_worth: p.overage_value,
+            over_cost: p.overage_cost,
+            open: p.max_in_flight,
             ceiling_rate: p.ceiling_rate / 1000.0,
             ceiling_burst: p.ceiling_burst,
         }
@@ -388,27 +388,27 @@
                 .load_values
                 .iter()
                 .position(|v| *v == LoadValue::CpuUtilization),
-            report_probes: s.reports == LoadReportChannel::Probes,
-            asks: s.discovery_asks,
-            counter: s.counter,
-            counter_wait: s.counter_wait,
+            report_probes: s.load_reports == LoadReportChannel::Probes,
+            asks: s.polls_discovery,
+            counter: s.has_counter,
+            counter_wait: s.counter_timeout,
             may_cancel: s.may_cancel,
             may_probe: s.may_probe,
-            most: (s.send_cap as usize).clamp(1, MOST_FORWARDS),
-            advice: if s.retry_after {
+            most: (s.max_attempts as usize).clamp(1, MOST_FORWARDS),
+            advice: if s.sends_retry_after {
                 s.max_retry_after
             } else {
                 0.0
             },
             zone: s.zone,
             cross: s.cross_zone_price,
-            units_top: s.units_top,
-            settles: s.cost_after,
+            units_top: s.max_units,
+            settles: s.cost_known_after,
             instances: f64::from(s.instances),
-            me: s.me as u16,
-            cold_share: s.cold_share,
-            cold_time: s.cold_time,
-            fall_window: s.fall_window,
+            me: s.instance as u16,
+            cold_share: s.slow_start_capacity,
+            cold_time: s.slow_start_time,
+            fall_window: s.collapse_window,
             ..Figures::default()
         }
     }
--- a/crates/aspendrum-core/tests/decisions.rs
+++ b/crates/aspendrum-core/tests/decisions.rs
@@ -284,8 +284,8 @@
     s.plans[0] = PlanSettings {
         ceiling_rate: 4.0,
         ceiling_burst: 8.0,
-        over_worth: 0.5,
-        over_cost: 0.0,
+        overage_value: 0.5,
+        overage_cost: 0.0,
         ..s.plans[0].clone()
     };
     s
@@ -825,7 +825,7 @@
 #[test]
 fn without_a_counter_none_is_called() {
     let s = Settings {
-        counter: false,
+        has_counter: false,
         ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let mut rig = Rig::with(&s, &[]);
@@ -855,7 +855,7 @@
         .map(|id| member(id, Health::Ready, 0, 0.0))
         .collect();
     let s = |me| Settings {
-        me,
+        instance: me,
         instances: limiters,
         ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
@@ -920,7 +920,7 @@
 fn cold_servers_are_probed_for_reports_only_by_a_small_fleet(limiters: u32, probed: bool) {
     let s = Settings {
         instances: limiters,
-        reports: LoadReportChannel::Probes,
+        load_reports: LoadReportChannel::Probes,
         ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let entries = [
--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/keepers.rs
@@ -43,14 +43,14 @@
         tick: 1.0,
         plans: vec![plan],
         load_values: vec![],
-        reports: LoadReportChannel::Disabled,
+        load_reports: LoadReportChannel::Disabled,
         may_probe: false,
-        may_tell: true,
-        retry_after: false,
+        may_send_datagrams: true,
+        sends_retry_after: false,
         max_retry_after: 0.0,
-        counter,
-        units_top: 2.0,
-        peer_in_per_s: 60.0,
+        has_counter: counter,
+        max_units: 2.0,
+        peer_datagrams_per_second: 60.0,
         ..base
     }
 }
@@ -82,7 +82,7 @@
     /// Starts it, or starts it again from nothing.
     fn start(&mut self, me: usize) {
         let s = Settings {
-            me: me as u32,
+            instance: me as u32,
             ..self.settings.clone()
         };
         self.limiters[me] = Some(Control::new(self.now, 7 + me as u64, &s, &mut Vec::new()));
@@ -369,7 +369,7 @@
 #[test_case(40, false ; "datagrams not allowed")]
 fn no_datagrams_where_there_is_no_need_or_no_leave(limiters: u32, may_tell: bool) {
     let mut fleet = Fleet::of(Settings {
-        may_tell,
+        may_send_datagrams: may_tell,
         ..settings(limiters, false, 0.0)
     });
     fleet.ask_in_turn(0, 40, 20.0);
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -17,7 +17,7 @@
     fn new(windowed: bool, burst: f64) -> Rig {
         let mut s = settings(Semantics::NonIdempotent, RepeatGroup::All);
         s.plans[0] = PlanSettings {
-            windowed,
+            is_windowed: windowed,
             rate: burst,
             burst,
             ..s.plans[0].clone()
@@ -161,7 +161,7 @@
     assert!(forwarded(&rig.ask(0, u64::MAX, 1.0)).is_some(), "no quota");
     let s = settings(Semantics::NonIdempotent, RepeatGroup::All);
     let plan = PlanSettings {
-        windowed: true,
+        is_windowed: true,
         rate: 1.0,
         burst: 1.0,
         ..s.plans[0].clone()
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -251,7 +251,7 @@
 
     fn start(&mut self, me: usize) -> Control {
         let settings = Settings {
-            me: me as u32,
+            instance: me as u32,
             ..self.script.settings.clone()
         };
         let mut out = Vec::new();
@@ -632,7 +632,7 @@
         });
         let mut groups = self.script.settings.groups.clone();
         groups.push(GroupSettings {
-            slo: 400.0,
+            latency_target: 400.0,
             ..groups[0].clone()
         });
         for limiter in &mut self.limiters {
@@ -703,26 +703,26 @@
     importance: f64,
 ) -> GroupSettings {
     GroupSettings {
-        slo,
-        limit: 3.0 * slo,
+        latency_target: slo,
+        hard_limit: 3.0 * slo,
         semantics,
         repeat_group,
         repeat_window: 60.0,
         importance,
-        late_share: 0.0,
-        stream: false,
+        late_value_share: 0.0,
+        is_streaming: false,
     }
 }
 
 fn plan(rate: f64, burst: f64) -> PlanSettings {
     PlanSettings {
-        windowed: false,
+        is_windowed: false,
         rate,
         burst,
         price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
-        open: 0,
+        overage_value: 0.0,
+        overage_cost: 1.0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
@@ -742,19 +742,19 @@
         ..plan(4.0, 8.0)
     };
     let overdraft = PlanSettings {
-        over_worth: 0.8,
-        over_cost: 0.2,
+        overage_value: 0.8,
+        overage_cost: 0.2,
         ceiling_rate: 60.0,
         ceiling_burst: 50.0,
         ..plan(6.0, 6.0)
     };
     let limited = PlanSettings {
-        open: 5,
+        max_in_flight: 5,
         price: 2.0,
         ..plan(20.0, 40.0)
     };
     let windowed = PlanSettings {
-        windowed: true,
+        is_windowed: true,
         ..plan(8.0, 8.0)
     };
     Settings {
@@ -769,7 +769,7 @@
             plan(0.5, 1.5),
         ],
         cross_zone_price: 0.02,
-        units_top: 2.0,
+        max_units: 2.0,
         max_retry_after: 900.0,
         ..common::settings(Semantics::Idempotent, RepeatGroup::All)
     }
@@ -792,7 +792,7 @@
     Script {
         settings: Settings {
             instances: 3,
-            cost_after: true,
+            cost_known_after: true,
             ..base()
         },
         seconds: 45,
@@ -813,14 +813,14 @@
 fn no_counter() -> Script {
     let settings = Settings {
         instances: 1,
-        counter: false,
-        counter_wait: 0.0,
+        has_counter: false,
+        counter_timeout: 0.0,
         may_cancel: false,
-        retry_after: false,
-        reports: LoadReportChannel::Probes,
-        discovery_asks: true,
-        send_cap: 2,
-        cold_time: 4000.0,
+        sends_retry_after: false,
+        load_reports: LoadReportChannel::Probes,
+        polls_discovery: true,
+        max_attempts: 2,
+        slow_start_time: 4000.0,
         ..base()
     };
     Script {
@@ -842,9 +842,9 @@
 fn overload() -> Script {
     Script {
         settings: Settings {
-            cold_time: 4000.0,
-            fall_multiple: 2.0,
-            send_cap: 3,
+            slow_start_time: 4000.0,
+            collapse_multiple: 2.0,
+            max_attempts: 3,
             ..base()
         },
         seconds: 30,
@@ -864,9 +864,9 @@
 fn large_fleet(counter: fn(u64) -> Counter) -> Script {
     let settings = Settings {
         instances: 40,
-        may_tell: true,
+        may_send_datagrams: true,
         load_values: vec![LoadValue::Unknown, LoadValue::CpuUtilization],
-        peer_in_per_s: 60.0,
+        peer_datagrams_per_second: 60.0,
         ..base()
     };
     Script {
--- a/crates/aspendrum-core/tests/settings.rs
+++ b/crates/aspendrum-core/tests/settings.rs
@@ -11,34 +11,34 @@
 fn groups() -> Vec<GroupSettings> {
     vec![
         GroupSettings {
-            slo: 500.0,
-            limit: 1500.0,
+            latency_target: 500.0,
+            hard_limit: 1500.0,
             semantics: Semantics::Idempotent,
             repeat_group: RepeatGroup::All,
             repeat_window: 0.0,
             importance: 1.25,
-            late_share: 0.1,
-            stream: false,
+            late_value_share: 0.1,
+            is_streaming: false,
         },
         GroupSettings {
-            slo: 750.0,
-            limit: 2250.0,
+            latency_target: 750.0,
+            hard_limit: 2250.0,
             semantics: Semantics::Deduplicated,
             repeat_group: RepeatGroup::Zone,
             repeat_window: 600.0,
             importance: 2.5,
-            late_share: 0.2,
-            stream: true,
+            late_value_share: 0.2,
+            is_streaming: true,
         },
         GroupSettings {
-            slo: 250.0,
-            limit: 375.0,
+            latency_target: 250.0,
+            hard_limit: 375.0,
             semantics: Semantics::NonIdempotent,
             repeat_group: RepeatGroup::All,
             repeat_window: 0.0,
             importance: 3.5,
-            late_share: 0.3,
-            stream: false,
+            late_value_share: 0.3,
+            is_streaming: false,
         },
     ]
 }
@@ -46,25 +46,25 @@
 fn plans() -> Vec<PlanSettings> {
     vec![
         PlanSettings {
-            windowed: false,
+            is_windowed: false,
             rate: 0.625,
             burst: 2.5,
             price: 0.875,
-            over_worth: 0.4,
-            over_cost: 0.3,
-            open: 11,
+            overage_value: 0.4,
+            overage_cost: 0.3,
+            max_in_flight: 11,
             ceiling_rate: 1.125,
             ceiling_burst: 4.5,
             ceiling_slack: 0.15,
         },
         PlanSettings {
-            windowed: false,
+            is_windowed: false,
             rate: 16.0,
             burst: 32.0,
             price: 1.0,
-            over_worth: 0.0,
-            over_cost: 0.0,
-            open: 0,
+            overage_value: 0.0,
+            overage_cost: 0.0,
+            max_in_flight: 0,
             ceiling_rate: 0.0,
             ceiling_burst: 0.0,
             ceiling_slack: 0.0,
@@ -74,7 +74,7 @@
 
 fn expected() -> Settings {
     Settings {
-        me: 3,
+        instance: 3,
         instances: 7,
         zone: 2,
         tick: 4.0,
@@ -89,31 +89,31 @@
             LoadValue::FailuresPerSecond,
             LoadValue::Unknown,
         ],
-        reports: LoadReportChannel::Probes,
-        discovery_asks: true,
-        must_ask_in: 25.0,
+        load_reports: LoadReportChannel::Probes,
+        polls_discovery: true,
+        discovery_poll_limit: 25.0,
         drain_grace: 125.0,
-        fall_multiple: 4.0,
-        fall_window: 3000.0,
-        cold_share: 0.24,
-        cold_time: 14_000.0,
+        collapse_multiple: 4.0,
+        collapse_window: 3000.0,
+        slow_start_capacity: 0.24,
+        slow_start_time: 14_000.0,
         answer_grace: 16.0,
         may_cancel: true,
         may_probe: false,
-        may_tell: true,
-        second_copies: false,
-        send_cap: 5,
-        retry_after: true,
+        may_send_datagrams: true,
+        may_hedge: false,
+        max_attempts: 5,
+        sends_retry_after: true,
         max_retry_after: 700.0,
-        counter: true,
-        counter_wait: 50.0,
+        has_counter: true,
+        counter_timeout: 50.0,
         counter_price: 0.01,
         probe_price: 0.02,
         cross_zone_price: 0.03,
-        units_top: 6.0,
-        cost_after: true,
-        meter: 8000.0,
-        peer_in_per_s: 60.0,
+        max_units: 6.0,
+        cost_known_after: true,
+        metering_window: 8000.0,
+        peer_datagrams_per_second: 60.0,
     }
 }
 
@@ -138,17 +138,17 @@
 
 /// Each key of the fixture that may be left out, and what is read then.
 #[test_case("Zone", |s| s.zone = 0)]
-#[test_case("Profiles.0.LateShare", |s| s.groups[0].late_share = 0.0)]
+#[test_case("Profiles.0.LateShare", |s| s.groups[0].late_value_share = 0.0)]
 #[test_case("Profiles.2.Group", |_| ())]
 #[test_case("Profiles.2.RepeatWindowS", |_| ())]
-#[test_case("TiersOfService.0.ExtraWorth", |s| s.plans[0].over_worth = 0.0)]
-#[test_case("TiersOfService.0.BeyondCosts", |s| s.plans[0].over_cost = 0.0)]
+#[test_case("TiersOfService.0.ExtraWorth", |s| s.plans[0].overage_value = 0.0)]
+#[test_case("TiersOfService.0.BeyondCosts", |s| s.plans[0].overage_cost = 0.0)]
 #[test_case("Feedback.Names", |s| s.load_values.clear())]
-#[test_case("Invariants.MustAskInS", |s| s.must_ask_in = 0.0)]
+#[test_case("Invariants.MustAskInS", |s| s.discovery_poll_limit = 0.0)]
 #[test_case("Limits.MaxRetryAfterS", |s| s.max_retry_after = 0.0)]
 #[test_case("Specifics.CounterPrice", |s| s.counter_price = 0.0)]
-#[test_case("Specifics.MeteringS", |s| s.meter = 0.0)]
-#[test_case("Specifics.PeerInPerS", |s| s.peer_in_per_s = 0.0)]
+#[test_case("Specifics.MeteringS", |s| s.metering_window = 0.0)]
+#[test_case("Specifics.PeerInPerS", |s| s.peer_datagrams_per_second = 0.0)]
 #[test_case("Deductions.Probe", |s| s.probe_price = 0.0)]
 #[test_case("Deductions.CrossZone", |s| s.cross_zone_price = 0.0)]
 #[test_case("Something.New", |_| ())]
@@ -207,8 +207,8 @@
     assert_eq!(
         read(&text),
         Ok(Settings {
-            counter: false,
-            counter_wait: 0.0,
+            has_counter: false,
+            counter_timeout: 0.0,
             ..expected()
         })
     );
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -126,14 +126,14 @@
     pub fn new(settings: &Settings, socket: UdpSocket) -> Desk {
         let region = settings.region_number(&settings.region).unwrap_or(0);
         let group = GroupSettings {
-            slo: 400.0,
-            limit: 2000.0,
+            latency_target: 400.0,
+            hard_limit: 2000.0,
             semantics: Semantics::NonIdempotent,
             repeat_group: RepeatGroup::All,
             repeat_window: 0.0,
             importance: 1.0,
-            late_share: 0.0,
-            stream: false,
+            late_value_share: 0.0,
+            is_streaming: false,
         };
         let module = module(region, &group);
         let (mut acts, seed) = (Vec::new(), fastrand::u64(..));
@@ -753,8 +753,8 @@
         let n = self.groups.len() as u16;
         self.groups.push(GroupSettings {
             // Late answers have their worth: servers are not left idle for an aim that cannot be met.
-            slo: route.limit_ms,
-            limit: route.limit_ms,
+            latency_target: route.limit_ms,
+            hard_limit: route.limit_ms,
             semantics: if route.repeatable {
                 Semantics::Idempotent
             } else {
@@ -782,13 +782,13 @@
 /// A plan of the module's: a quota, and nothing for what is beyond it.
 fn plan(rate: f64, burst: f64) -> PlanSettings {
     PlanSettings {
-        windowed: true,
+        is_windowed: true,
         rate,
         burst,
         price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
-        open: 0,
+        overage_value: 0.0,
+        overage_cost: 1.0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
@@ -798,37 +798,37 @@
 /// The module's settings here. Regions are its zones.
 fn module(region: u8, group: &GroupSettings) -> aspendrum_core::api::Settings {
     aspendrum_core::api::Settings {
-        me: 0,
+        instance: 0,
         instances: CREDIT_SHARERS,
         zone: region,
         tick: BEAT_MS,
         groups: vec![group.clone()],
         plans: vec![plan(0.0, 0.0)],
         load_values: vec![LoadValue::CpuUtilization],
-        reports: LoadReportChannel::Responses,
-        discovery_asks: false,
-        must_ask_in: 0.0,
+        load_reports: LoadReportChannel::Responses,
+        polls_discovery: false,
+        discovery_poll_limit: 0.0,
         drain_grace: 0.0,
-        fall_multiple: 1.0,
-        fall_window: 1000.0,
-        cold_share: 1.0,
-        cold_time: 0.0,
+        collapse_multiple: 1.0,
+        collapse_window: 1000.0,
+        slow_start_capacity: 1.0,
+        slow_start_time: 0.0,
         answer_grace: 0.0,
         may_cancel: false,
         may_probe: true,
-        may_tell: false,
-        second_copies: false,
-        send_cap: 8,
-        retry_after: true,
+        may_send_datagrams: false,
+        may_hedge: false,
+        max_attempts: 8,
+        sends_retry_after: true,
         max_retry_after: 2000.0,
-        counter: true,
-        counter_wait: 600.0,
+        has_counter: true,
+        counter_timeout: 600.0,
         counter_price: 0.0,
         probe_price: 0.0,
         cross_zone_price: 0.0,
-        units_top: 1.0,
-        cost_after: false,
-        meter: 0.0,
-        peer_in_per_s: 0.0,
+        max_units: 1.0,
+        cost_known_after: false,
+        metering_window: 0.0,
+        peer_datagrams_per_second: 0.0,
     }
 }
--- a/crates/aspendrum-simulator-adapter/tests/wire.rs
+++ b/crates/aspendrum-simulator-adapter/tests/wire.rs
@@ -194,7 +194,7 @@
 fn unknown_settings_and_load_values_are_ignored() {
     let read = settings::read(&SETTINGS.replace("Names=cpu_share", "Names=moon,pending")).unwrap();
     assert_eq!(
-        (read.load_values.len(), read.counter_wait, read.zone),
+        (read.load_values.len(), read.counter_timeout, read.zone),
         (2, 50.0, 1)
     );
 }
--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -57,12 +57,12 @@
             Some(list) => Roster::read(list, &names).map_err(|e| format!("known.{e}"))?,
             None => Roster::default(),
         };
-        let counter = if settings.counter {
+        let counter = if settings.has_counter {
             Some(address(&root, "counter")?)
         } else {
             None
         };
-        let may_tell = settings.may_tell && root.get("peer_listen").is_some();
+        let may_tell = settings.may_send_datagrams && root.get("peer_listen").is_some();
         let peers = match root.get("peers").and_then(Value::as_array) {
             Some(list) if may_tell => list
                 .iter()
--- a/crates/aspendrum/src/lib.rs
+++ b/crates/aspendrum/src/lib.rs
@@ -122,7 +122,7 @@
                 plans: config.plans,
                 semantics: config.settings.groups.iter().map(|g| g.semantics).collect(),
                 instances: f64::from(config.settings.instances),
-                units_top: config.settings.units_top,
+                units_top: config.settings.max_units,
                 load_values: config.settings.load_values.clone(),
             },
             door: door.clone(),
@@ -165,7 +165,7 @@
             peers,
         );
         give.send(desk).map_err(|e| format!("desk: {e}"))?;
-        let asks = config.settings.discovery_asks;
+        let asks = config.settings.polls_discovery;
         let (names, own) = (config.names, shop.clone());
         let agent = Arc::new(Agent::at(config.discovery));
         let backoff = Backoff::new(limits.discovery_first, limits.discovery_top, config.seed);
--- a/crates/aspendrum/src/limits.rs
+++ b/crates/aspendrum/src/limits.rs
@@ -104,7 +104,7 @@
         // Where lists come unasked, the agent on this machine answers at no cost.
         let s = &config.settings;
         let (soon, share) = (ms(100.0), DISCOVERY_SHARE.mul_f64(f64::from(s.instances)));
-        let (first, top) = if s.discovery_asks {
+        let (first, top) = if s.polls_discovery {
             (soon.max(share), DISCOVERY_TOP)
         } else {
             (soon, soon)
@@ -137,14 +137,14 @@
             server_read: ms(500.0),
             idle_server: config.keepalive / 2,
             desk_late: ms(20.0),
-            counter_wait: ms(config.settings.counter_wait),
+            counter_wait: ms(config.settings.counter_timeout),
             counter_idle: ms(2000.0),
             counter_silence: ms(1000.0),
             watch_hold: ms(5000.0),
             watch_late: ms(1000.0),
             discovery_first: first,
-            discovery_top: if s.must_ask_in > 0.0 {
-                top.min(ms(s.must_ask_in))
+            discovery_top: if s.discovery_poll_limit > 0.0 {
+                top.min(ms(s.discovery_poll_limit))
             } else {
                 top
             },
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -460,13 +460,17 @@
     );
     assert_eq!(
         (
-            config.settings.me,
+            config.settings.instance,
             config.settings.instances,
             config.settings.zone
         ),
         (1, 3, 1)
     );
-    assert!(config.settings.may_tell && config.settings.counter && config.settings.discovery_asks);
+    assert!(
+        config.settings.may_send_datagrams
+            && config.settings.has_counter
+            && config.settings.polls_discovery
+    );
 }
 
 #[test]
