--- a/crates/aspendrum-core/src/control.rs
+++ b/crates/aspendrum-core/src/engine.rs
@@ -3,7 +3,7 @@
 //! waits. Types: `api.rs`; reasons: docs/design.md; customers: `counting.rs`; servers: `servers.rs`.
 
 use crate::api::*;
-pub use crate::state::Control;
+pub use crate::state::DecisionEngine;
 use crate::state::*;
 
 use counting::{spend_part, LEAD_PART, PROBE_EVERY};
@@ -75,7 +75,7 @@
     ),
 ];
 
-impl Control {
+impl DecisionEngine {
     pub fn new(now: Millis, seed: u64, s: &Settings, out: &mut Vec<Action>) -> Self {
         out.push(Action::Timer {
             token: 0,
@@ -102,7 +102,7 @@
         let (chance, typical) = (Chance::new(seed), slo / 4.0);
         let paces = fig.groups.iter().map(|_| Pace::default()).collect();
         let peers = vec![Peer::default(); s.instances as usize];
-        let own = Control {
+        let own = DecisionEngine {
             now,
             begun: now,
             chance,
@@ -110,9 +110,9 @@
             typical,
             fig,
             peers,
-            ..Control::default()
+            ..DecisionEngine::default()
         };
-        Control {
+        DecisionEngine {
             ease: 1.0,
             ask: 1.0,
             ..own
--- a/crates/aspendrum-core/src/control/counting.rs
+++ b/crates/aspendrum-core/src/engine/counting.rs
@@ -119,7 +119,7 @@
     }
 }
 
-impl Control {
+impl DecisionEngine {
     /// This limiter's own part of the ceiling, or the keeper's where it is the first of the keepers.
     pub(super) fn pay(&mut self, slot: usize, own: bool, lead: bool) -> bool {
         let Query {
--- a/crates/aspendrum-core/src/control/keepers.rs
+++ b/crates/aspendrum-core/src/engine/keepers.rs
@@ -45,7 +45,7 @@
     1 << 63 | u64::from(from) << 32 | u64::from(stamp)
 }
 
-impl Control {
+impl DecisionEngine {
     /// The least time between two words that ask for gifts.
     pub(super) fn want_every(peer_in_per_s: f64) -> Millis {
         if peer_in_per_s > 0.0 {
--- a/crates/aspendrum-core/src/control/servers.rs
+++ b/crates/aspendrum-core/src/engine/servers.rs
@@ -41,7 +41,7 @@
     (Standing::Aside, Mark::Good, Standing::Trial),
 ];
 
-impl Control {
+impl DecisionEngine {
     pub(super) fn cold(&self, started: Millis) -> bool {
         started > 0.0 && self.now - started < self.fig.cold_time
     }
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 /// The settings tell seconds, the module milliseconds.
-pub const MS: f64 = 1000.0;
+pub const MILLIS_PER_SECOND: f64 = 1000.0;
 
 struct Pairs<'a>(HashMap<&'a str, &'a str>);
 
@@ -77,8 +77,8 @@
     let semantics = p.choice(&format!("{at}.Semantics"), &semantics)?;
     let keyed = semantics == Semantics::Deduplicated;
     Ok(GroupSettings {
-        latency_target: p.number(&format!("{at}.AimS"))? * MS,
-        hard_limit: p.number(&format!("{at}.HardLimitS"))? * MS,
+        latency_target: p.number(&format!("{at}.AimS"))? * MILLIS_PER_SECOND,
+        hard_limit: p.number(&format!("{at}.HardLimitS"))? * MILLIS_PER_SECOND,
         semantics,
         repeat_group: if keyed {
             p.choice(&format!("{at}.Group"), &repeats)?
@@ -86,7 +86,7 @@
             RepeatGroup::All
         },
         repeat_window: if keyed {
-            p.number(&format!("{at}.RepeatWindowS"))? * MS
+            p.number(&format!("{at}.RepeatWindowS"))? * MILLIS_PER_SECOND
         } else {
             0.0
         },
@@ -140,7 +140,7 @@
         instance: p.whole("Me", 1e5)?,
         instances: p.whole("Instances", 1e5)?,
         zone: p.optional("Zone")? as u8,
-        tick: p.number("TickS")? * MS,
+        tick: p.number("TickS")? * MILLIS_PER_SECOND,
         groups: p.list("Profiles", group)?,
         plans: p.list("TiersOfService", plan)?,
         load_values: names
@@ -150,23 +150,23 @@
             .collect(),
         load_reports: p.choice("Feedback.Via", &via)?,
         polls_discovery: p.choice("Discovery", &[("push", false), ("ask", true)])?,
-        discovery_poll_limit: p.optional("Invariants.MustAskInS")? * MS,
-        drain_grace: p.number("Invariants.DrainGraceS")? * MS,
+        discovery_poll_limit: p.optional("Invariants.MustAskInS")? * MILLIS_PER_SECOND,
+        drain_grace: p.number("Invariants.DrainGraceS")? * MILLIS_PER_SECOND,
         collapse_multiple: p.number("Invariants.FallMultiple")?,
-        collapse_window: p.number("Invariants.FallS")? * MS,
+        collapse_window: p.number("Invariants.FallS")? * MILLIS_PER_SECOND,
         slow_start_capacity: p.number("Invariants.StartCapacity")?,
-        slow_start_time: p.number("Invariants.RampTimeS")? * MS,
-        answer_grace: p.number("Invariants.GraceToAnswerS")? * MS,
+        slow_start_time: p.number("Invariants.RampTimeS")? * MILLIS_PER_SECOND,
+        answer_grace: p.number("Invariants.GraceToAnswerS")? * MILLIS_PER_SECOND,
         may_cancel: p.yes("Limits.Cancelling")?,
         may_probe: p.yes("Limits.Probes")?,
         may_send_datagrams: p.yes("Limits.MayTell")?,
         may_hedge: p.yes("Limits.SecondCopies")?,
         max_attempts: p.whole("Limits.SendCap", 1e6)?,
         sends_retry_after: p.yes("Limits.RetryAfter")?,
-        max_retry_after: p.optional("Limits.MaxRetryAfterS")? * MS,
+        max_retry_after: p.optional("Limits.MaxRetryAfterS")? * MILLIS_PER_SECOND,
         has_counter: counter,
         counter_timeout: if counter {
-            p.number("Specifics.CountWaitS")? * MS
+            p.number("Specifics.CountWaitS")? * MILLIS_PER_SECOND
         } else {
             0.0
         },
@@ -175,7 +175,7 @@
         cross_zone_price: p.optional("Deductions.CrossZone")?,
         max_units: p.number("Specifics.UnitsTop")?,
         cost_known_after: p.yes("Specifics.CostAfter")?,
-        metering_window: p.optional("Specifics.MeteringS")? * MS,
+        metering_window: p.optional("Specifics.MeteringS")? * MILLIS_PER_SECOND,
         peer_datagrams_per_second: p.optional("Specifics.PeerInPerS")?,
     };
     if settings.instances == 0 {
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -416,7 +416,7 @@
 
 /// One limiter: all that it remembers. What it does with it stands in `control`.
 #[derive(Default)]
-pub struct Control {
+pub struct DecisionEngine {
     pub(crate) now: Millis,
     pub(crate) begun: Millis,
     pub(crate) acts: Vec<Action>,
@@ -461,7 +461,7 @@
     pub(crate) strange: u64,
 }
 
-impl Control {
+impl DecisionEngine {
     /// A new configuration: endpoint groups and plans keep their numbers, and more may follow behind them.
     /// Fewer than before are not taken.
     pub fn configure(&mut self, groups: &[GroupSettings], plans: &[PlanSettings]) {
--- a/crates/aspendrum-core/tests/decisions.rs
+++ b/crates/aspendrum-core/tests/decisions.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use common::settings;
 use test_case::test_case;
 
 struct Rig {
-    c: Control,
+    c: DecisionEngine,
     now: Millis,
     calls: Vec<(u64, f32)>,
     forwards: Vec<(RequestId, ServerId)>,
@@ -35,7 +35,7 @@
 impl Rig {
     fn with(s: &Settings, servers: &[ServerEntry]) -> Rig {
         let mut all = Vec::new();
-        let c = Control::new(1000.0, 7, s, &mut all);
+        let c = DecisionEngine::new(1000.0, 7, s, &mut all);
         let (calls, forwards, shed, dropped, probes) = Default::default();
         let mut rig = Rig {
             c,
--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/keepers.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use test_case::test_case;
 
 const SERVERS: u32 = 40;
@@ -16,7 +16,7 @@
 struct Fleet {
     now: Millis,
     settings: Settings,
-    limiters: Vec<Option<Control>>,
+    limiters: Vec<Option<DecisionEngine>>,
     mail: Vec<(usize, usize, Vec<u8>)>,
     /// Every so many datagrams one is lost; 0: none.
     lose: usize,
@@ -85,7 +85,12 @@
             instance: me as u32,
             ..self.settings.clone()
         };
-        self.limiters[me] = Some(Control::new(self.now, 7 + me as u64, &s, &mut Vec::new()));
+        self.limiters[me] = Some(DecisionEngine::new(
+            self.now,
+            7 + me as u64,
+            &s,
+            &mut Vec::new(),
+        ));
         let member = |server| ServerEntry {
             server,
             pool: 0,
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use common::settings;
 
 struct Rig {
-    c: Control,
+    c: DecisionEngine,
     now: Millis,
     next: RequestId,
     out: Vec<Action>,
@@ -24,7 +24,7 @@
         };
         let mut out = Vec::new();
         Rig {
-            c: Control::new(1000.0, 7, &s, &mut out),
+            c: DecisionEngine::new(1000.0, 7, &s, &mut out),
             now: 1000.0,
             next: 1,
             out,
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -10,7 +10,7 @@
     Action, Event, GroupSettings, Health, ListKind, LoadReport, LoadReportChannel, LoadValue,
     NewRequest, Outcome, PlanSettings, RepeatGroup, Semantics, ServerEntry, Settings,
 };
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use std::collections::HashMap;
 use std::fmt::Write;
 use test_case::test_case;
@@ -205,7 +205,7 @@
     script: Script,
     draws: Draws,
     step: u64,
-    limiters: Vec<Control>,
+    limiters: Vec<DecisionEngine>,
     due: HashMap<u64, Vec<(usize, Arrival)>>,
     totals: HashMap<u64, f32>,
     /// Forwards of each query so far, by limiter and query.
@@ -249,13 +249,13 @@
         self.step / SECOND
     }
 
-    fn start(&mut self, me: usize) -> Control {
+    fn start(&mut self, me: usize) -> DecisionEngine {
         let settings = Settings {
             instance: me as u32,
             ..self.script.settings.clone()
         };
         let mut out = Vec::new();
-        let limiter = Control::new(self.now(), 7 + me as u64, &settings, &mut out);
+        let limiter = DecisionEngine::new(self.now(), 7 + me as u64, &settings, &mut out);
         out.iter().for_each(|action| self.digest.action(me, action));
         limiter
     }
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -4,7 +4,7 @@
 use crate::counts::{Call, Calls, Leave, Ledger, Quota, Word};
 use crate::stacks::{Stacks, Terms, Warmth};
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use aspendrum_model::config::{Config, Route, Tenant};
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{ProxyEndpoint, StateDigest, StateSection};
@@ -89,7 +89,7 @@
 }
 
 struct Inner {
-    control: Control,
+    control: DecisionEngine,
     acts: Vec<Action>,
     later: Vec<Event<'static>>,
     members: Vec<ServerEntry>,
@@ -137,7 +137,7 @@
         };
         let module = module(region, &group);
         let (mut acts, seed) = (Vec::new(), fastrand::u64(..));
-        let control = Control::new(EPOCH, seed, &module, &mut acts);
+        let control = DecisionEngine::new(EPOCH, seed, &module, &mut acts);
         let inner = Inner {
             control,
             acts: Vec::new(),
--- a/crates/aspendrum-simulator-adapter/src/frame.rs
+++ b/crates/aspendrum-simulator-adapter/src/frame.rs
@@ -1,7 +1,7 @@
 //! The frame codec: big-endian headers, fixed records and one tail.
 
 use aspendrum_core::api::*;
-use aspendrum_core::settings::{self, MS};
+use aspendrum_core::settings::{self, MILLIS_PER_SECOND};
 
 const HEADER: usize = 16;
 const EVENT: usize = 48;
@@ -47,7 +47,7 @@
     fn ms(&self, at: usize, name: &str) -> Result<f64, String> {
         let value = f64::from_be_bytes(self.bytes(at));
         if value.is_finite() {
-            Ok(value * MS)
+            Ok(value * MILLIS_PER_SECOND)
         } else {
             Err(format!("{name} is not a finite number"))
         }
@@ -288,7 +288,7 @@
     }
 
     fn action(&mut self, action: &Action) {
-        let s = |ms: Millis| (ms / MS).to_be_bytes();
+        let s = |ms: Millis| (ms / MILLIS_PER_SECOND).to_be_bytes();
         match action {
             Action::SendDatagram { to, data } => {
                 let (at, size) = self.put(data);
--- a/crates/aspendrum-simulator-adapter/src/host.rs
+++ b/crates/aspendrum-simulator-adapter/src/host.rs
@@ -2,12 +2,12 @@
 
 use crate::frame::{Batch, Reply, WireEvent};
 use aspendrum_core::api::{Action, ServerEntry};
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use std::collections::HashMap;
 
 #[derive(Default)]
 pub struct Host {
-    slots: HashMap<u32, Control>,
+    slots: HashMap<u32, DecisionEngine>,
     actions: Vec<Action>,
     members: Vec<ServerEntry>,
 }
@@ -31,7 +31,8 @@
             match event {
                 WireEvent::On(_) => {}
                 WireEvent::Begin(seed, settings) => {
-                    let control = Control::new(batch.now(), seed, &settings, &mut self.actions);
+                    let control =
+                        DecisionEngine::new(batch.now(), seed, &settings, &mut self.actions);
                     self.slots.insert(limiter, control);
                 }
                 WireEvent::Stop => {
--- a/crates/aspendrum/src/clock.rs
+++ b/crates/aspendrum/src/clock.rs
@@ -1,16 +1,16 @@
 //! Milliseconds, and a clock that never steps.
 
 use aspendrum_core::api::Millis;
-use aspendrum_core::settings::MS;
+use aspendrum_core::settings::MILLIS_PER_SECOND;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Milliseconds as the standard library has them; what is below nothing counts as nothing.
 pub fn ms(ms: Millis) -> Duration {
-    Duration::try_from_secs_f64(ms.max(0.0) / MS).unwrap_or(Duration::ZERO)
+    Duration::try_from_secs_f64(ms.max(0.0) / MILLIS_PER_SECOND).unwrap_or(Duration::ZERO)
 }
 /// A duration in milliseconds, as the module has it.
 pub fn as_ms(duration: Duration) -> Millis {
-    duration.as_secs_f64() * MS
+    duration.as_secs_f64() * MILLIS_PER_SECOND
 }
 
 /// Unix time in milliseconds, as every machine reads it, but one that never steps.
--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -4,7 +4,7 @@
 use crate::clock::ms;
 use crate::roster::{Names, Roster};
 use aspendrum_core::api::Settings;
-use aspendrum_core::settings::{self, MS};
+use aspendrum_core::settings::{self, MILLIS_PER_SECOND};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -212,6 +212,6 @@
     let s = value
         .map_or(Some(default), Value::as_f64)
         .filter(|s| *s > 0.0 && *s < 1e6);
-    s.map(|s| ms(s * MS))
+    s.map(|s| ms(s * MILLIS_PER_SECOND))
         .ok_or(format!("setting Limits.{key} is absurd: {value:?}"))
 }
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -9,7 +9,7 @@
 use crate::query;
 use crate::Shop;
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use aspendrum_net::disconnect_metrics::{DisconnectReporter, BOUND};
 use aspendrum_net::disconnects::ClientConnection;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, Progress};
@@ -34,7 +34,7 @@
 }
 
 pub struct Desk {
-    pub control: Control,
+    pub control: DecisionEngine,
     pub shop: Arc<Shop>,
     pub counter: Option<Counter>,
     pub wishes: Sender<Wish>,
@@ -58,7 +58,7 @@
         peers: Option<Peers>,
     ) -> Desk {
         let mut actions = Vec::new();
-        let control = Control::new(shop.door.clock.now(), seed, settings, &mut actions);
+        let control = DecisionEngine::new(shop.door.clock.now(), seed, settings, &mut actions);
         let (seats, timers) = (HashMap::new(), BinaryHeap::new());
         Desk {
             control,
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -6,7 +6,7 @@
 use crate::ring_buffer::RingBuffer;
 use crate::Shop;
 use aspendrum_core::api::{LoadReport, LoadValue, Millis, Outcome, Semantics};
-use aspendrum_core::settings::MS;
+use aspendrum_core::settings::MILLIS_PER_SECOND;
 pub use aspendrum_net::http1::Parsed;
 use aspendrum_net::http1::{
     body_length, header, parse_chunked, raw_header, wants_close, BodyLength,
@@ -366,7 +366,8 @@
         body.len()
     )
     .is_ok()
-        && (advice <= 0.0 || write!(out, "Retry-After: {:.3}\r\n", advice / MS).is_ok())
+        && (advice <= 0.0
+            || write!(out, "Retry-After: {:.3}\r\n", advice / MILLIS_PER_SECOND).is_ok())
         && (!close || out.append(b"Connection: close\r\n"))
         && (content_type.is_empty()
             || out.append(b"Content-Type: ") && out.append(content_type) && out.append(b"\r\n"))
