--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -591,7 +591,7 @@
             id,
             group: self.draws.below(groups as u64) as u16,
             deadline: self.now() + 800.0 + self.draws.below(2000) as f64,
-            tenant: tenant,
+            tenant,
             // One query in a thousand names a plan that is not there.
             plan: if id % 1000 == 999 {
                 99
