--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 /// The settings tell seconds, the module milliseconds.
-pub const MS: f64 = 1000.0;
+pub const MILLIS_PER_SECOND: f64 = 1000.0;
 
 struct Pairs<'a>(HashMap<&'a str, &'a str>);
 
@@ -63,11 +63,11 @@
     }
 }
 
-fn group(p: &Pairs<'_>, at: &str) -> Result<Group, String> {
+fn group(p: &Pairs<'_>, at: &str) -> Result<GroupSettings, String> {
     let semantics = [
-        ("retryable", Semantics::Repeatable),
-        ("dedup", Semantics::Keyed),
-        ("fragile", Semantics::Mutating),
+        ("retryable", Semantics::Idempotent),
+        ("dedup", Semantics::Deduplicated),
+        ("fragile", Semantics::NonIdempotent),
     ];
     let repeats = [
         ("all", RepeatGroup::All),
@@ -75,10 +75,10 @@
         ("cell", RepeatGroup::Cell),
     ];
     let semantics = p.choice(&format!("{at}.Semantics"), &semantics)?;
-    let keyed = semantics == Semantics::Keyed;
-    Ok(Group {
-        slo: p.number(&format!("{at}.AimS"))? * MS,
-        limit: p.number(&format!("{at}.HardLimitS"))? * MS,
+    let keyed = semantics == Semantics::Deduplicated;
+    Ok(GroupSettings {
+        latency_target: p.number(&format!("{at}.AimS"))? * MILLIS_PER_SECOND,
+        hard_limit: p.number(&format!("{at}.HardLimitS"))? * MILLIS_PER_SECOND,
         semantics,
         repeat_group: if keyed {
             p.choice(&format!("{at}.Group"), &repeats)?
@@ -86,25 +86,25 @@
             RepeatGroup::All
         },
         repeat_window: if keyed {
-            p.number(&format!("{at}.RepeatWindowS"))? * MS
+            p.number(&format!("{at}.RepeatWindowS"))? * MILLIS_PER_SECOND
         } else {
             0.0
         },
         importance: p.number(&format!("{at}.Credit"))?,
-        late_share: p.optional(&format!("{at}.LateShare"))?,
-        stream: p.yes(&format!("{at}.Stream"))?,
+        late_value_share: p.optional(&format!("{at}.LateShare"))?,
+        is_streaming: p.yes(&format!("{at}.Stream"))?,
     })
 }
 
-fn plan(p: &Pairs<'_>, at: &str) -> Result<Plan, String> {
-    Ok(Plan {
-        windowed: false,
+fn plan(p: &Pairs<'_>, at: &str) -> Result<PlanSettings, String> {
+    Ok(PlanSettings {
+        is_windowed: false,
         rate: p.number(&format!("{at}.PerSecond"))?,
         burst: p.number(&format!("{at}.Depth"))?,
         price: p.number(&format!("{at}.WorthFactor"))?,
-        over_worth: p.optional(&format!("{at}.ExtraWorth"))?,
-        over_cost: p.optional(&format!("{at}.BeyondCosts"))?,
-        open: p.whole(&format!("{at}.Concurrency"), 1e9)?,
+        overage_value: p.optional(&format!("{at}.ExtraWorth"))?,
+        overage_cost: p.optional(&format!("{at}.BeyondCosts"))?,
+        max_in_flight: p.whole(&format!("{at}.Concurrency"), 1e9)?,
         ceiling_rate: p.number(&format!("{at}.NeverOverRate"))?,
         ceiling_burst: p.number(&format!("{at}.NeverOverDepth"))?,
         ceiling_slack: p.number(&format!("{at}.CapSlack"))?,
@@ -113,12 +113,12 @@
 
 fn load_value(word: &str) -> LoadValue {
     match word {
-        "busy_reqs" => LoadValue::InHand,
-        "pending" => LoadValue::Waiting,
-        "cpu_share" => LoadValue::CpuShare,
-        "svc_ms" => LoadValue::ServiceMs,
-        "served_ps" => LoadValue::AnsweredPerS,
-        "failed_ps" => LoadValue::DroppedPerS,
+        "busy_reqs" => LoadValue::RequestsInFlight,
+        "pending" => LoadValue::RequestsQueued,
+        "cpu_share" => LoadValue::CpuUtilization,
+        "svc_ms" => LoadValue::ServiceTimeMs,
+        "served_ps" => LoadValue::ResponsesPerSecond,
+        "failed_ps" => LoadValue::FailuresPerSecond,
         _ => LoadValue::Unknown,
     }
 }
@@ -130,17 +130,17 @@
             .collect(),
     );
     let via = [
-        ("inline", ReportsVia::Answers),
-        ("on_probe", ReportsVia::Probes),
-        ("off", ReportsVia::Nothing),
+        ("inline", LoadReportChannel::Responses),
+        ("on_probe", LoadReportChannel::Probes),
+        ("off", LoadReportChannel::Disabled),
     ];
     let names = p.0.get("Feedback.Names").copied().unwrap_or("");
     let counter = p.yes("Specifics.Counter")?;
     let settings = Settings {
-        me: p.whole("Me", 1e5)?,
+        instance: p.whole("Me", 1e5)?,
         instances: p.whole("Instances", 1e5)?,
         zone: p.optional("Zone")? as u8,
-        tick: p.number("TickS")? * MS,
+        tick: p.number("TickS")? * MILLIS_PER_SECOND,
         groups: p.list("Profiles", group)?,
         plans: p.list("TiersOfService", plan)?,
         load_values: names
@@ -148,35 +148,35 @@
             .filter(|word| !word.is_empty())
             .map(load_value)
             .collect(),
-        reports: p.choice("Feedback.Via", &via)?,
-        discovery_asks: p.choice("Discovery", &[("push", false), ("ask", true)])?,
-        must_ask_in: p.optional("Invariants.MustAskInS")? * MS,
-        drain_grace: p.number("Invariants.DrainGraceS")? * MS,
-        fall_multiple: p.number("Invariants.FallMultiple")?,
-        fall_window: p.number("Invariants.FallS")? * MS,
-        cold_share: p.number("Invariants.StartCapacity")?,
-        cold_time: p.number("Invariants.RampTimeS")? * MS,
-        answer_grace: p.number("Invariants.GraceToAnswerS")? * MS,
+        load_reports: p.choice("Feedback.Via", &via)?,
+        polls_discovery: p.choice("Discovery", &[("push", false), ("ask", true)])?,
+        discovery_poll_limit: p.optional("Invariants.MustAskInS")? * MILLIS_PER_SECOND,
+        drain_grace: p.number("Invariants.DrainGraceS")? * MILLIS_PER_SECOND,
+        collapse_multiple: p.number("Invariants.FallMultiple")?,
+        collapse_window: p.number("Invariants.FallS")? * MILLIS_PER_SECOND,
+        slow_start_capacity: p.number("Invariants.StartCapacity")?,
+        slow_start_time: p.number("Invariants.RampTimeS")? * MILLIS_PER_SECOND,
+        answer_grace: p.number("Invariants.GraceToAnswerS")? * MILLIS_PER_SECOND,
         may_cancel: p.yes("Limits.Cancelling")?,
         may_probe: p.yes("Limits.Probes")?,
-        may_tell: p.yes("Limits.MayTell")?,
-        second_copies: p.yes("Limits.SecondCopies")?,
-        send_cap: p.whole("Limits.SendCap", 1e6)?,
-        retry_after: p.yes("Limits.RetryAfter")?,
-        max_retry_after: p.optional("Limits.MaxRetryAfterS")? * MS,
-        counter,
-        counter_wait: if counter {
-            p.number("Specifics.CountWaitS")? * MS
+        may_send_datagrams: p.yes("Limits.MayTell")?,
+        may_hedge: p.yes("Limits.SecondCopies")?,
+        max_attempts: p.whole("Limits.SendCap", 1e6)?,
+        sends_retry_after: p.yes("Limits.RetryAfter")?,
+        max_retry_after: p.optional("Limits.MaxRetryAfterS")? * MILLIS_PER_SECOND,
+        has_counter: counter,
+        counter_timeout: if counter {
+            p.number("Specifics.CountWaitS")? * MILLIS_PER_SECOND
         } else {
             0.0
         },
         counter_price: p.optional("Specifics.CounterPrice")?,
         probe_price: p.optional("Deductions.Probe")?,
         cross_zone_price: p.optional("Deductions.CrossZone")?,
-        units_top: p.number("Specifics.UnitsTop")?,
-        cost_after: p.yes("Specifics.CostAfter")?,
-        meter: p.optional("Specifics.MeteringS")? * MS,
-        peer_in_per_s: p.optional("Specifics.PeerInPerS")?,
+        max_units: p.number("Specifics.UnitsTop")?,
+        cost_known_after: p.yes("Specifics.CostAfter")?,
+        metering_window: p.optional("Specifics.MeteringS")? * MILLIS_PER_SECOND,
+        peer_datagrams_per_second: p.optional("Specifics.PeerInPerS")?,
     };
     if settings.instances == 0 {
         return Err("setting Instances is absurd: 0".into());
--- a/crates/aspendrum-core/tests/decisions.rs
+++ b/crates/aspendrum-core/tests/decisions.rs
@@ -3,39 +3,39 @@
 mod common;
 
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use common::settings;
 use test_case::test_case;
 
 struct Rig {
-    c: Control,
-    now: Ms,
+    c: DecisionEngine,
+    now: Millis,
     calls: Vec<(u64, f32)>,
-    forwards: Vec<(QueryId, ServerId)>,
-    shed: Vec<QueryId>,
-    dropped: Vec<QueryId>,
+    forwards: Vec<(RequestId, ServerId)>,
+    shed: Vec<RequestId>,
+    dropped: Vec<RequestId>,
     probes: Vec<ServerId>,
     all: Vec<Action>,
 }
 
-fn member(server: ServerId, health: Health, cell: u16, started: Ms) -> Member {
-    Member {
+fn member(server: ServerId, health: Health, cell: u16, started: Millis) -> ServerEntry {
+    ServerEntry {
         server,
         pool: 0,
-        far: 0.0,
+        distance_cost: 0.0,
         health,
         cell,
         zone: 0,
-        size: 1.0,
+        capacity: 1.0,
         kind: 0,
-        started,
+        started_at: started,
     }
 }
 
 impl Rig {
-    fn with(s: &Settings, servers: &[Member]) -> Rig {
+    fn with(s: &Settings, servers: &[ServerEntry]) -> Rig {
         let mut all = Vec::new();
-        let c = Control::new(1000.0, 7, s, &mut all);
+        let c = DecisionEngine::new(1000.0, 7, s, &mut all);
         let (calls, forwards, shed, dropped, probes) = Default::default();
         let mut rig = Rig {
             c,
@@ -47,7 +47,7 @@
             probes,
             all,
         };
-        rig.tell(&Event::Members {
+        rig.tell(&Event::ServerList {
             list: ListKind::Cached,
             version: 1,
             entries: servers,
@@ -56,14 +56,14 @@
     }
 
     fn new(semantics: Semantics, group: RepeatGroup) -> Rig {
-        let servers: Vec<Member> = (1..5)
+        let servers: Vec<ServerEntry> = (1..5)
             .map(|id| member(id, Health::Ready, (id % 2) as u16, 0.0))
             .collect();
         Rig::with(&settings(semantics, group), &servers)
     }
 
     fn plain() -> Rig {
-        Rig::new(Semantics::Repeatable, RepeatGroup::All)
+        Rig::new(Semantics::Idempotent, RepeatGroup::All)
     }
 
     fn tell(&mut self, event: &Event<'_>) {
@@ -71,7 +71,9 @@
         self.c.handle(self.now, event, &mut out);
         for action in &out {
             match *action {
-                Action::Count { name, add, .. } => self.calls.push((name, add)),
+                Action::AddToCounter {
+                    name, units: add, ..
+                } => self.calls.push((name, add)),
                 Action::Forward { id, server, .. } => self.forwards.push((id, server)),
                 Action::Shed { id, .. } => self.shed.push(id),
                 Action::Drop { id } => self.dropped.push(id),
@@ -82,34 +84,34 @@
         self.all.extend(out);
     }
 
-    fn ask(&mut self, id: QueryId, acct: AcctId) {
+    fn ask(&mut self, id: RequestId, acct: TenantId) {
         self.ask_of(id, acct, 2.0);
     }
 
     /// Asks for a customer that comes through `spread` limiters.
-    fn ask_of(&mut self, id: QueryId, acct: AcctId, spread: f32) {
+    fn ask_of(&mut self, id: RequestId, acct: TenantId, spread: f32) {
         let (until, units) = (self.now + 3000.0, 1.0);
         let (client_repeat, write) = (false, false);
-        let q = NewQuery {
+        let q = NewRequest {
             id,
             group: 0,
-            until,
-            acct,
+            deadline: until,
+            tenant: acct,
             plan: 0,
-            spread,
+            instances: spread,
             units,
-            first: 0.0,
-            client_repeat,
-            write,
+            first_instance: 0.0,
+            is_client_retry: client_repeat,
+            is_write: write,
             pool: 0,
-            zones: u64::MAX,
-            most: u8::MAX,
+            allowed_zones: u64::MAX,
+            max_attempts: u8::MAX,
         };
-        self.tell(&Event::Query(q));
+        self.tell(&Event::Request(q));
     }
 
     fn count(&mut self, name: u64, outcome: Outcome, total: f32) {
-        self.tell(&Event::Counted {
+        self.tell(&Event::CounterReplied {
             name,
             outcome,
             total,
@@ -118,7 +120,7 @@
     }
 
     /// Asks until the counter is called, one call after another, and ends that call.
-    fn call_of(&mut self, acct: AcctId, outcome: Outcome) {
+    fn call_of(&mut self, acct: TenantId, outcome: Outcome) {
         let calls = self.calls.len();
         while self.calls.len() == calls {
             self.now += 2.0;
@@ -130,12 +132,12 @@
     }
 
     /// Asks with a counter that answers `total`.
-    fn ask_at(&mut self, id: QueryId, acct: AcctId, total: f32) {
+    fn ask_at(&mut self, id: RequestId, acct: TenantId, total: f32) {
         self.ask(id, acct);
         self.count(acct, Outcome::Ok, total);
     }
 
-    fn end(&mut self, id: QueryId, forward: u8, outcome: Outcome) {
+    fn end(&mut self, id: RequestId, forward: u8, outcome: Outcome) {
         let server = self
             .forwards
             .iter()
@@ -143,22 +145,22 @@
             .nth(usize::from(forward))
             .map_or(0, |f| f.1);
         let over = outcome == Outcome::Ok;
-        let load = Load::default();
+        let load = LoadReport::default();
         let (rtt, used, actual) = (50.0, 0, 0);
-        self.tell(&Event::ForwardEnded {
+        self.tell(&Event::AttemptEnded {
             id,
             forward,
             server,
             outcome,
             rtt,
-            over,
-            used,
-            actual,
+            is_final: over,
+            metered: used,
+            actual_units: actual,
             load,
         });
     }
 
-    fn wait(&mut self, ms: Ms) {
+    fn wait(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 5.0;
@@ -166,11 +168,11 @@
         }
     }
 
-    fn sent(&self, id: QueryId) -> usize {
+    fn sent(&self, id: RequestId) -> usize {
         self.forwards.iter().filter(|f| f.0 == id).count()
     }
 
-    fn finals(&self, id: QueryId) -> usize {
+    fn finals(&self, id: RequestId) -> usize {
         self.shed
             .iter()
             .chain(&self.dropped)
@@ -202,10 +204,10 @@
     assert_eq!(rig.calls[2], (9, -1.0));
 }
 
-#[test_case(&[Outcome::Full], false ; "one failure")]
-#[test_case(&[Outcome::Full; 4], false ; "four in a row")]
-#[test_case(&[Outcome::Full, Outcome::TimedOut, Outcome::Ok, Outcome::Full, Outcome::Full, Outcome::Full], false ; "an answer between")]
-#[test_case(&[Outcome::Full, Outcome::TimedOut, Outcome::ConnectFailed, Outcome::Full, Outcome::Full], true ; "five in a row")]
+#[test_case(&[Outcome::Rejected], false ; "one failure")]
+#[test_case(&[Outcome::Rejected; 4], false ; "four in a row")]
+#[test_case(&[Outcome::Rejected, Outcome::TimedOut, Outcome::Ok, Outcome::Rejected, Outcome::Rejected, Outcome::Rejected], false ; "an answer between")]
+#[test_case(&[Outcome::Rejected, Outcome::TimedOut, Outcome::ConnectFailed, Outcome::Rejected, Outcome::Rejected], true ; "five in a row")]
 fn breaker_opens_on_five_failures(outcomes: &[Outcome], open: bool) {
     let mut rig = Rig::plain();
     outcomes
@@ -278,12 +280,12 @@
 }
 
 fn ceiling() -> Settings {
-    let mut s = settings(Semantics::Repeatable, RepeatGroup::All);
-    s.plans[0] = Plan {
+    let mut s = settings(Semantics::Idempotent, RepeatGroup::All);
+    s.plans[0] = PlanSettings {
         ceiling_rate: 4.0,
         ceiling_burst: 8.0,
-        over_worth: 0.5,
-        over_cost: 0.0,
+        overage_value: 0.5,
+        overage_cost: 0.0,
         ..s.plans[0].clone()
     };
     s
@@ -296,7 +298,7 @@
 #[test_case(100, true ; "a hundred limiters")]
 #[test_case(100, false ; "a hundred limiters without a counter")]
 fn ceiling_holds_right_after_a_restart(limiters: usize, counter: bool) {
-    let servers: Vec<Member> = (1..40)
+    let servers: Vec<ServerEntry> = (1..40)
         .map(|id| member(id, Health::Ready, 0, 0.0))
         .collect();
     let mut s = ceiling();
@@ -310,7 +312,11 @@
             rig.ask_of(id, 9, limiters as f32);
             for i in before..rig.calls.len() {
                 total += rig.calls[i].1;
-                let outcome = if counter { Outcome::Ok } else { Outcome::Full };
+                let outcome = if counter {
+                    Outcome::Ok
+                } else {
+                    Outcome::Rejected
+                };
                 rig.count(rig.calls[i].0, outcome, total);
             }
             if rig.sent(id) > 0 {
@@ -327,24 +333,24 @@
     assert!(rigs.iter().map(|r| r.forwards.len()).sum::<usize>() >= 2);
 }
 
-#[test_case(Semantics::Repeatable, Outcome::Error, 2, 1, 0 ; "repeatable error")]
-#[test_case(Semantics::Repeatable, Outcome::TimedOut, 2, 1, 0 ; "repeatable timed out")]
-#[test_case(Semantics::Repeatable, Outcome::Cancelled, 2, 1, 0 ; "repeatable cancelled")]
-#[test_case(Semantics::Mutating, Outcome::Ok, 1, 0, 0 ; "mutating ok")]
-#[test_case(Semantics::Mutating, Outcome::Error, 1, 0, 1 ; "mutating error")]
-#[test_case(Semantics::Mutating, Outcome::Full, 2, 1, 0 ; "mutating full")]
-#[test_case(Semantics::Mutating, Outcome::TimedOut, 1, 0, 1 ; "mutating timed out")]
-#[test_case(Semantics::Mutating, Outcome::ConnectFailed, 2, 1, 0 ; "mutating connect failed")]
-#[test_case(Semantics::Mutating, Outcome::Reset, 1, 0, 1 ; "mutating reset")]
-#[test_case(Semantics::Mutating, Outcome::Cancelled, 1, 0, 1 ; "mutating cancelled")]
-#[test_case(Semantics::Mutating, Outcome::Moot, 2, 1, 0 ; "mutating moot")]
-#[test_case(Semantics::Keyed, Outcome::Error, 2, 0, 1 ; "keyed error stays in its cell")]
-#[test_case(Semantics::Keyed, Outcome::Reset, 2, 0, 1 ; "keyed reset stays in its cell")]
-#[test_case(Semantics::Keyed, Outcome::TimedOut, 2, 0, 1 ; "keyed timed out stays in its cell")]
-#[test_case(Semantics::Keyed, Outcome::Cancelled, 2, 0, 1 ; "keyed cancelled stays in its cell")]
-#[test_case(Semantics::Keyed, Outcome::Full, 2, 1, 0 ; "keyed full")]
-#[test_case(Semantics::Keyed, Outcome::ConnectFailed, 2, 1, 0 ; "keyed connect failed")]
-#[test_case(Semantics::Keyed, Outcome::Moot, 2, 1, 0 ; "keyed moot")]
+#[test_case(Semantics::Idempotent, Outcome::Error, 2, 1, 0 ; "repeatable error")]
+#[test_case(Semantics::Idempotent, Outcome::TimedOut, 2, 1, 0 ; "repeatable timed out")]
+#[test_case(Semantics::Idempotent, Outcome::Cancelled, 2, 1, 0 ; "repeatable cancelled")]
+#[test_case(Semantics::NonIdempotent, Outcome::Ok, 1, 0, 0 ; "mutating ok")]
+#[test_case(Semantics::NonIdempotent, Outcome::Error, 1, 0, 1 ; "mutating error")]
+#[test_case(Semantics::NonIdempotent, Outcome::Rejected, 2, 1, 0 ; "mutating full")]
+#[test_case(Semantics::NonIdempotent, Outcome::TimedOut, 1, 0, 1 ; "mutating timed out")]
+#[test_case(Semantics::NonIdempotent, Outcome::ConnectFailed, 2, 1, 0 ; "mutating connect failed")]
+#[test_case(Semantics::NonIdempotent, Outcome::Reset, 1, 0, 1 ; "mutating reset")]
+#[test_case(Semantics::NonIdempotent, Outcome::Cancelled, 1, 0, 1 ; "mutating cancelled")]
+#[test_case(Semantics::NonIdempotent, Outcome::NotSent, 2, 1, 0 ; "mutating moot")]
+#[test_case(Semantics::Deduplicated, Outcome::Error, 2, 0, 1 ; "keyed error stays in its cell")]
+#[test_case(Semantics::Deduplicated, Outcome::Reset, 2, 0, 1 ; "keyed reset stays in its cell")]
+#[test_case(Semantics::Deduplicated, Outcome::TimedOut, 2, 0, 1 ; "keyed timed out stays in its cell")]
+#[test_case(Semantics::Deduplicated, Outcome::Cancelled, 2, 0, 1 ; "keyed cancelled stays in its cell")]
+#[test_case(Semantics::Deduplicated, Outcome::Rejected, 2, 1, 0 ; "keyed full")]
+#[test_case(Semantics::Deduplicated, Outcome::ConnectFailed, 2, 1, 0 ; "keyed connect failed")]
+#[test_case(Semantics::Deduplicated, Outcome::NotSent, 2, 1, 0 ; "keyed moot")]
 fn repeat_rules(semantics: Semantics, outcome: Outcome, least: usize, shed: usize, dropped: usize) {
     let mut rig = Rig::new(semantics, RepeatGroup::Cell);
     rig.ask_at(1, 9, 1.0);
@@ -365,9 +371,9 @@
     }
     let never = matches!(
         outcome,
-        Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
     );
-    if semantics == Semantics::Keyed && !never {
+    if semantics == Semantics::Deduplicated && !never {
         assert!(
             rig.forwards
                 .iter()
@@ -380,7 +386,7 @@
 
 #[test]
 fn a_keyed_query_is_not_sent_again_after_its_window() {
-    let mut rig = Rig::new(Semantics::Keyed, RepeatGroup::All);
+    let mut rig = Rig::new(Semantics::Deduplicated, RepeatGroup::All);
     rig.ask_at(1, 9, 1.0);
     rig.wait(600.0);
     rig.end(1, 0, Outcome::Reset);
@@ -389,11 +395,11 @@
 }
 
 #[test_case(Health::Draining ; "draining")]
-#[test_case(Health::Gone ; "gone")]
+#[test_case(Health::Removed ; "gone")]
 fn nothing_new_goes_to_a_server_that_leaves(health: Health) {
     let mut rig = Rig::plain();
     let entries = [member(1, health, 1, 0.0), member(2, health, 0, 0.0)];
-    rig.tell(&Event::Members {
+    rig.tell(&Event::ServerList {
         list: ListKind::Delta,
         version: 2,
         entries: &entries,
@@ -412,7 +418,7 @@
 fn a_full_list_takes_away_what_it_does_not_name() {
     let mut rig = Rig::plain();
     let entries = [member(3, Health::Ready, 1, 0.0)];
-    rig.tell(&Event::Members {
+    rig.tell(&Event::ServerList {
         list: ListKind::Full,
         version: 2,
         entries: &entries,
@@ -425,13 +431,13 @@
 
 /// Instant answers of any kind must not pull work to a server that has just started.
 #[test_case(Outcome::Ok ; "quick answers")]
-#[test_case(Outcome::Full ; "quick refusals")]
+#[test_case(Outcome::Rejected ; "quick refusals")]
 fn a_cold_server_gets_its_part_of_the_budget(outcome: Outcome) {
     let entries = [
         member(1, Health::Ready, 0, 0.0),
         member(2, Health::Ready, 0, 900.0),
     ];
-    let mut rig = Rig::with(&settings(Semantics::Repeatable, RepeatGroup::All), &entries);
+    let mut rig = Rig::with(&settings(Semantics::Idempotent, RepeatGroup::All), &entries);
     for id in 0..300 {
         rig.ask_at(id, 1000 + id, 1.0);
         rig.wait(10.0);
@@ -488,11 +494,11 @@
     assert!((3..=8).contains(&before), "{before}");
     assert!(rig.probes.contains(&1));
     for _ in 0..8 {
-        rig.tell(&Event::Probed {
+        rig.tell(&Event::ProbeEnded {
             server: 1,
             outcome: Outcome::Ok,
             rtt: 1.0,
-            load: Load::default(),
+            load: LoadReport::default(),
         });
         rig.wait(250.0);
     }
@@ -511,14 +517,14 @@
     rig.end(1, 0, Outcome::Ok);
     let seen = (rig.forwards.len(), rig.shed.len(), rig.dropped.len());
     rig.end(1, 0, Outcome::Error);
-    rig.tell(&Event::ClientLeft { id: 1 });
+    rig.tell(&Event::ClientDisconnected { id: 1 });
     rig.count(9, Outcome::Ok, 7.0);
     rig.count(777, Outcome::Ok, 7.0);
-    rig.tell(&Event::Probed {
+    rig.tell(&Event::ProbeEnded {
         server: 99,
         outcome: Outcome::Ok,
         rtt: 1.0,
-        load: Load::default(),
+        load: LoadReport::default(),
     });
     assert_eq!(
         (rig.forwards.len(), rig.shed.len(), rig.dropped.len()),
@@ -530,7 +536,7 @@
 fn a_query_its_client_left_is_not_answered_and_not_sent_on() {
     let mut rig = Rig::plain();
     rig.ask(1, 9);
-    rig.tell(&Event::ClientLeft { id: 1 });
+    rig.tell(&Event::ClientDisconnected { id: 1 });
     rig.count(9, Outcome::Ok, 1.0);
     rig.wait(3000.0);
     assert_eq!((rig.sent(1), rig.finals(1)), (0, 0));
@@ -538,7 +544,7 @@
 
 #[test]
 fn each_query_waiting_without_servers_is_shed_once_in_time() {
-    let mut rig = Rig::with(&settings(Semantics::Mutating, RepeatGroup::All), &[]);
+    let mut rig = Rig::with(&settings(Semantics::NonIdempotent, RepeatGroup::All), &[]);
     for id in 0..50 {
         rig.ask_at(id, 1000 + id, 1.0);
     }
@@ -551,7 +557,7 @@
     let mut rig = Rig::plain();
     rig.ask_at(1, 9, 1.0);
     let first = rig.forwards[0].1;
-    rig.end(1, 0, Outcome::Full);
+    rig.end(1, 0, Outcome::Rejected);
     rig.end(1, 1, Outcome::Ok);
     for id in 2..5 {
         rig.wait(500.0);
@@ -622,7 +628,7 @@
     (0..4).for_each(|id| rig.ask(id, 100 + id));
     rig.wait(30.0);
     for id in 0..4 {
-        rig.tell(&Event::Counted {
+        rig.tell(&Event::CounterReplied {
             name: 100 + id,
             outcome: Outcome::TimedOut,
             total: 0.0,
@@ -642,7 +648,7 @@
     (0..8).for_each(|id| rig.ask(id, 100 + id));
     rig.now += 10.0;
     for id in 0..8 {
-        rig.tell(&Event::Counted {
+        rig.tell(&Event::CounterReplied {
             name: 100 + id,
             outcome: Outcome::TimedOut,
             total: 0.0,
@@ -681,7 +687,7 @@
 fn an_amount_that_was_turned_away_is_settled() {
     let mut rig = Rig::plain();
     rig.ask(1, 9);
-    rig.count(9, Outcome::Full, 0.0);
+    rig.count(9, Outcome::Rejected, 0.0);
     rig.wait(2000.0);
     assert_eq!(rig.calls, [(9, 1.0), (9, 1.0)]);
 }
@@ -693,7 +699,7 @@
     rig.ask_at(1, 9, 1.0);
     rig.ask_at(4, 9, 40.0);
     rig.ask(2, 10);
-    rig.count(10, Outcome::Full, 0.0);
+    rig.count(10, Outcome::Rejected, 0.0);
     let calls = rig.calls.len();
     rig.ask(3, 9);
     assert_eq!((rig.calls.len(), rig.finals(3)), (calls, 1));
@@ -702,7 +708,7 @@
         rig.ask(id, id);
         if rig.calls.len() > calls {
             rig.now += 30.0;
-            rig.tell(&Event::Counted {
+            rig.tell(&Event::CounterReplied {
                 name: id,
                 outcome: Outcome::Ok,
                 total: 1.0,
@@ -730,7 +736,7 @@
 fn a_jam_is_drained_and_forgotten() {
     let mut rig = Rig::plain();
     let mut id = 0;
-    let mut fill = |rig: &mut Rig, rounds: u64, rtt: Ms| {
+    let mut fill = |rig: &mut Rig, rounds: u64, rtt: Millis| {
         let mut out = 0;
         for _ in 0..rounds {
             let first = id;
@@ -746,17 +752,17 @@
                 .collect();
             out = sent.len();
             for (id, server) in sent {
-                let load = Load::default();
+                let load = LoadReport::default();
                 let (forward, outcome, over, used, actual) = (0, Outcome::Ok, true, 0, 0);
-                let ended = Event::ForwardEnded {
+                let ended = Event::AttemptEnded {
                     id,
                     forward,
                     server,
                     outcome,
                     rtt,
-                    over,
-                    used,
-                    actual,
+                    is_final: over,
+                    metered: used,
+                    actual_units: actual,
                     load,
                 };
                 rig.tell(&ended);
@@ -801,7 +807,7 @@
         if rig.calls.len() > before {
             let name = rig.calls[before].0;
             rig.now += 30.0;
-            rig.tell(&Event::Counted {
+            rig.tell(&Event::CounterReplied {
                 name,
                 outcome: Outcome::Ok,
                 total: 1.0,
@@ -819,8 +825,8 @@
 #[test]
 fn without_a_counter_none_is_called() {
     let s = Settings {
-        counter: false,
-        ..settings(Semantics::Repeatable, RepeatGroup::All)
+        has_counter: false,
+        ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let mut rig = Rig::with(&s, &[]);
     (0..20).for_each(|id| rig.ask(id, 9));
@@ -845,18 +851,18 @@
 /// Sends to fresh servers in the 3 s after their start, out of 600, when `limiters` share the load of `warm`
 /// warm ones and `fresh` more start.
 fn sent_to_fresh(limiters: u32, warm: u32, fresh: u32) -> f64 {
-    let servers: Vec<Member> = (1..=warm)
+    let servers: Vec<ServerEntry> = (1..=warm)
         .map(|id| member(id, Health::Ready, 0, 0.0))
         .collect();
     let s = |me| Settings {
-        me,
+        instance: me,
         instances: limiters,
-        ..settings(Semantics::Repeatable, RepeatGroup::All)
+        ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let mut rigs: Vec<Rig> = (0..limiters)
         .map(|me| Rig::with(&s(me), &servers))
         .collect();
-    let new: Vec<Member> = (0..fresh)
+    let new: Vec<ServerEntry> = (0..fresh)
         .map(|id| member(9 + id, Health::Ready, 0, 6000.0))
         .collect();
     let mut cold = 0.0;
@@ -864,7 +870,7 @@
         for rig in &mut rigs {
             rig.wait(5.0);
             if step == 1000 {
-                rig.tell(&Event::Members {
+                rig.tell(&Event::ServerList {
                     list: ListKind::Delta,
                     version: 2,
                     entries: &new,
@@ -914,8 +920,8 @@
 fn cold_servers_are_probed_for_reports_only_by_a_small_fleet(limiters: u32, probed: bool) {
     let s = Settings {
         instances: limiters,
-        reports: ReportsVia::Probes,
-        ..settings(Semantics::Repeatable, RepeatGroup::All)
+        load_reports: LoadReportChannel::Probes,
+        ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let entries = [
         member(1, Health::Ready, 0, 0.0),
@@ -936,7 +942,7 @@
     for id in 0..12 {
         rig.now += 30.0;
         rig.ask_of(id, 50 + id, 2.0);
-        rig.tell(&Event::Counted {
+        rig.tell(&Event::CounterReplied {
             name: 50 + id,
             outcome: Outcome::Ok,
             total: 1.0,
--- a/crates/aspendrum-proxy/src/desk.rs
+++ b/crates/aspendrum-proxy/src/desk.rs
@@ -4,7 +4,7 @@
 use crate::counts::{Call, Calls, Leave, Ledger, Quota, Word};
 use crate::stacks::{Stacks, Terms, Warmth};
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use aspendrum_model::compression::decompress;
 use aspendrum_model::config::{Config, Route, Tenant};
 use aspendrum_model::hash::digest;
@@ -20,12 +20,12 @@
 use std::time::Instant;
 
 /// The module's beat, and how often servers' standing is looked at.
-pub const BEAT_MS: Ms = 5.0;
-const STACKS_EVERY: Ms = 20.0;
+pub const BEAT_MS: Millis = 5.0;
+const STACKS_EVERY: Millis = 20.0;
 /// Names of counters have 40 bits.
 const NAMES: u64 = (1 << 40) - 1;
 /// The module's clock does not begin at nothing: it takes that for long ago.
-const EPOCH: Ms = 1000.0;
+const EPOCH: Millis = 1000.0;
 /// The module sends to a server what it is paid back by answers; so many limiters share the first of it. More,
 /// and a few servers' first credits hold queries up at a proxy that sees a tenth of the traffic.
 const CREDIT_SHARERS: u32 = 2;
@@ -48,7 +48,7 @@
         server: ServerId,
     },
     Shed {
-        advice: Ms,
+        advice: Millis,
         beyond: bool,
     },
     Drop,
@@ -74,7 +74,7 @@
     pub config: Config,
     groups: Vec<u16>,
     plans: Vec<u32>,
-    accts: Vec<AcctId>,
+    accts: Vec<TenantId>,
     pub pools: HashMap<String, u16>,
     /// Regions in which a route's and a tenant's queries may be served, a bit each.
     pub route_zones: Vec<u64>,
@@ -89,12 +89,12 @@
 }
 
 struct Inner {
-    control: Control,
+    control: DecisionEngine,
     acts: Vec<Action>,
     later: Vec<Event<'static>>,
-    members: Vec<Member>,
+    members: Vec<ServerEntry>,
     stacks: Stacks,
-    stacks_at: Ms,
+    stacks_at: Millis,
     calls: Calls,
     ledger: Ledger,
     /// Nothing is heard of control.
@@ -103,11 +103,11 @@
     /// The number of the last order about a zone.
     emptied: u64,
     anew: bool,
-    seats: HashMap<QueryId, Seat>,
-    next: QueryId,
-    groups: Vec<Group>,
+    seats: HashMap<RequestId, Seat>,
+    next: RequestId,
+    groups: Vec<GroupSettings>,
     group_of: HashMap<(u64, u64, bool, u64), u16>,
-    plans: Vec<Plan>,
+    plans: Vec<PlanSettings>,
     plan_of: HashMap<String, u32>,
     probes: Vec<ServerId>,
 }
@@ -125,19 +125,19 @@
 impl Desk {
     pub fn new(settings: &Settings, socket: UdpSocket) -> Desk {
         let region = settings.region_number(&settings.region).unwrap_or(0);
-        let group = Group {
-            slo: 400.0,
-            limit: 2000.0,
-            semantics: Semantics::Mutating,
+        let group = GroupSettings {
+            latency_target: 400.0,
+            hard_limit: 2000.0,
+            semantics: Semantics::NonIdempotent,
             repeat_group: RepeatGroup::All,
             repeat_window: 0.0,
             importance: 1.0,
-            late_share: 0.0,
-            stream: false,
+            late_value_share: 0.0,
+            is_streaming: false,
         };
         let module = module(region, &group);
         let (mut acts, seed) = (Vec::new(), fastrand::u64(..));
-        let control = Control::new(EPOCH, seed, &module, &mut acts);
+        let control = DecisionEngine::new(EPOCH, seed, &module, &mut acts);
         let inner = Inner {
             control,
             acts: Vec::new(),
@@ -174,16 +174,16 @@
         lock(&self.view).clone()
     }
 
-    pub fn at(&self, when: Instant) -> Ms {
+    pub fn at(&self, when: Instant) -> Millis {
         EPOCH + when.saturating_duration_since(self.begun).as_secs_f64() * 1000.0
     }
 
-    pub fn now(&self) -> Ms {
+    pub fn now(&self) -> Millis {
         self.at(Instant::now())
     }
 
     /// A query came. Its orders follow; the first may be there at once.
-    pub fn ask(&self, view: &View, ask: Ask) -> QueryId {
+    pub fn ask(&self, view: &View, ask: Ask) -> RequestId {
         let now = self.now();
         let mut inner = lock(&self.inner);
         let id = inner.next;
@@ -193,25 +193,25 @@
             Some(n) => (view.plans[n], view.accts[n]),
             None => (0, 0),
         };
-        let new = NewQuery {
+        let new = NewRequest {
             id,
             group: view.groups[ask.route],
-            until: self.at(ask.until),
-            acct,
+            deadline: self.at(ask.until),
+            tenant: acct,
             plan,
-            spread: (inner.stacks.sharers() as f64
+            instances: (inner.stacks.sharers() as f64
                 / if inner.alone {
                     ALONE_SHARE
                 } else {
                     LOCAL_SHARE
                 }) as f32,
             units: 1.0,
-            first: 0.0,
-            client_repeat: false,
-            write: false,
+            first_instance: 0.0,
+            is_client_retry: false,
+            is_write: false,
             pool: ask.service,
-            zones: ask.zones,
-            most: view.config.routes[ask.route]
+            allowed_zones: ask.zones,
+            max_attempts: view.config.routes[ask.route]
                 .max_attempts
                 .min(u32::from(u8::MAX)) as u8,
         };
@@ -230,31 +230,31 @@
                 forwards: 0,
             },
         );
-        self.turn(&mut inner, now, &Event::Query(new));
+        self.turn(&mut inner, now, &Event::Request(new));
         id
     }
 
     /// A forward has ended.
     pub fn ended(
         &self,
-        id: QueryId,
+        id: RequestId,
         forward: u8,
         server: ServerId,
-        how: (Outcome, Ms, Load),
+        how: (Outcome, Millis, LoadReport),
         over: bool,
     ) {
         let (outcome, rtt, load) = how;
         let now = self.now();
         let mut inner = lock(&self.inner);
-        let event = Event::ForwardEnded {
+        let event = Event::AttemptEnded {
             id,
             forward,
             server,
             outcome,
             rtt,
-            over,
-            used: 0,
-            actual: 1,
+            is_final: over,
+            metered: 0,
+            actual_units: 1,
             load,
         };
         self.turn(&mut inner, now, &event);
@@ -264,33 +264,33 @@
     }
 
     /// The query has its answer, and reads no orders any more.
-    pub fn quit(&self, id: QueryId) {
+    pub fn quit(&self, id: RequestId) {
         let now = self.now();
         let mut inner = lock(&self.inner);
         inner.seats.remove(&id);
-        self.turn(&mut inner, now, &Event::ClientLeft { id });
+        self.turn(&mut inner, now, &Event::ClientDisconnected { id });
     }
 
     /// The query's client has left: nothing more is sent for it. Says how far it had come; `None`: it is over.
-    pub fn depart(&self, id: QueryId) -> Option<(RequestKind, ForwardStage)> {
+    pub fn depart(&self, id: RequestId) -> Option<(RequestKind, ForwardStage)> {
         let now = self.now();
         let mut inner = lock(&self.inner);
         let seat = inner.seats.get(&id)?;
         let (kind, stage) = (seat.forward.kind, seat.forward.handle_disconnect());
         inner.say(id, Order::Gone);
-        self.turn(&mut inner, now, &Event::ClientLeft { id });
+        self.turn(&mut inner, now, &Event::ClientDisconnected { id });
         Some((kind, stage))
     }
 
     /// The query's client has left a while ago: a run that may be repeated is broken off.
-    pub fn break_off(&self, id: QueryId) {
+    pub fn break_off(&self, id: RequestId) {
         if let Some(seat) = lock(&self.inner).seats.get(&id) {
             seat.forward.abort_idempotent();
         }
     }
 
     /// How far a query has come. `None`: it is over.
-    pub fn progress(&self, id: QueryId) -> Option<(RequestKind, Progress)> {
+    pub fn progress(&self, id: RequestId) -> Option<(RequestKind, Progress)> {
         let inner = lock(&self.inner);
         inner
             .seats
@@ -331,9 +331,9 @@
         &self,
         server: ServerId,
         outcome: Outcome,
-        rtt: Ms,
-        load: Load,
-        warm_left: Option<Ms>,
+        rtt: Millis,
+        load: LoadReport,
+        warm_left: Option<Millis>,
     ) {
         let now = self.now();
         let mut inner = lock(&self.inner);
@@ -343,7 +343,7 @@
         self.turn(
             &mut inner,
             now,
-            &Event::Probed {
+            &Event::ProbeEnded {
                 server,
                 outcome,
                 rtt,
@@ -369,12 +369,12 @@
     }
 
     /// A call to a counter has ended.
-    fn counted(&self, inner: &mut Inner, now: Ms, call: Call, outcome: Outcome, total: f32) {
+    fn counted(&self, inner: &mut Inner, now: Millis, call: Call, outcome: Outcome, total: f32) {
         let (name, rtt) = (call.name, now - call.sent);
         self.turn(
             inner,
             now,
-            &Event::Counted {
+            &Event::CounterReplied {
                 name,
                 outcome,
                 total,
@@ -411,14 +411,14 @@
     }
 
     /// Tells the module, and carries out what it says.
-    fn handle(&self, inner: &mut Inner, now: Ms, event: &Event<'_>) {
+    fn handle(&self, inner: &mut Inner, now: Millis, event: &Event<'_>) {
         let mut acts = std::mem::take(&mut inner.acts);
         inner.control.handle(now, event, &mut acts);
         self.act(inner, now, &mut acts);
         inner.acts = acts;
     }
 
-    fn turn(&self, inner: &mut Inner, now: Ms, event: &Event<'_>) {
+    fn turn(&self, inner: &mut Inner, now: Millis, event: &Event<'_>) {
         self.handle(inner, now, event);
         // What an act led to comes once its event is through.
         while let Some(event) = inner.later.pop() {
@@ -427,13 +427,13 @@
         self.members(inner, now);
     }
 
-    fn members(&self, inner: &mut Inner, now: Ms) {
+    fn members(&self, inner: &mut Inner, now: Millis) {
         while !inner.members.is_empty() {
             let entries = std::mem::take(&mut inner.members);
             self.handle(
                 inner,
                 now,
-                &Event::Members {
+                &Event::ServerList {
                     list: ListKind::Delta,
                     version: 0,
                     entries: &entries,
@@ -442,41 +442,43 @@
         }
     }
 
-    fn act(&self, inner: &mut Inner, now: Ms, acts: &mut Vec<Action>) {
+    fn act(&self, inner: &mut Inner, now: Millis, acts: &mut Vec<Action>) {
         for act in acts.drain(..) {
             match act {
                 Action::Forward { id, server, .. } => self.forward(inner, now, id, server),
                 Action::Shed {
                     id,
                     retry_after,
-                    beyond,
+                    beyond_quota,
                 } => {
                     inner.say(
                         id,
                         Order::Shed {
                             advice: retry_after,
-                            beyond,
+                            beyond: beyond_quota,
                         },
                     );
                 }
                 Action::Drop { id } => inner.say(id, Order::Drop),
-                Action::Count { name, add, .. } => self.count(inner, now, name, add),
+                Action::AddToCounter {
+                    name, units: add, ..
+                } => self.count(inner, now, name, add),
                 Action::Probe { server } => inner.probes.push(server),
                 Action::Fault(text) => log::error!("event=module_fault text=\"{text}\""),
                 Action::Log(text) => log::debug!("event=module text=\"{text}\""),
                 // A forward that is given up ends by its own time, and one whose client left is broken off by
                 // `break_off`; the beat is this shell's; the rest is for other fleets.
                 Action::Cancel { .. }
-                | Action::Close { .. }
+                | Action::CloseConnections { .. }
                 | Action::Timer { .. }
-                | Action::Fetch
-                | Action::Watch { .. }
-                | Action::Tell { .. } => {}
+                | Action::FetchServers
+                | Action::WatchServers { .. }
+                | Action::SendDatagram { .. } => {}
             }
         }
     }
 
-    fn forward(&self, inner: &mut Inner, now: Ms, id: QueryId, server: ServerId) {
+    fn forward(&self, inner: &mut Inner, now: Millis, id: RequestId, server: ServerId) {
         let Some(seat) = inner.seats.get_mut(&id) else {
             return;
         };
@@ -493,21 +495,21 @@
         }
         // It never left; without the budget for it the query is over.
         let (outcome, load, rtt, over, used, actual) =
-            (Outcome::Moot, Load::default(), 0.0, spent, 0, 0);
-        inner.later.push(Event::ForwardEnded {
+            (Outcome::NotSent, LoadReport::default(), 0.0, spent, 0, 0);
+        inner.later.push(Event::AttemptEnded {
             id,
             forward,
             server,
             outcome,
             rtt,
-            over,
-            used,
-            actual,
+            is_final: over,
+            metered: used,
+            actual_units: actual,
             load,
         });
     }
 
-    fn count(&self, inner: &mut Inner, now: Ms, name: u64, add: f32) {
+    fn count(&self, inner: &mut Inner, now: Millis, name: u64, add: f32) {
         // The module's names bear its own window; the counter's window is its holder's.
         let tenant = name & NAMES;
         let total = match inner.calls.holder(tenant).filter(|_| !inner.alone) {
@@ -527,7 +529,7 @@
         };
         let (outcome, total) =
             total.map_or((Outcome::ConnectFailed, 0.0), |total| (Outcome::Ok, total));
-        inner.later.push(Event::Counted {
+        inner.later.push(Event::CounterReplied {
             name,
             outcome,
             total,
@@ -594,7 +596,7 @@
         }
     }
 
-    fn fronts(&self, now: Ms, fronts: &[ProxyEndpoint]) {
+    fn fronts(&self, now: Millis, fronts: &[ProxyEndpoint]) {
         let ips = |wanted: &dyn Fn(&ProxyEndpoint) -> bool| {
             let mut ips: Vec<Ipv4Addr> = fronts
                 .iter()
@@ -650,7 +652,7 @@
             .iter()
             .map(|t| inner.plan(&t.name, quota(t)))
             .collect();
-        let accts: Vec<AcctId> = tenants
+        let accts: Vec<TenantId> = tenants
             .iter()
             .map(|t| digest(t.name.as_bytes()) & NAMES)
             .collect();
@@ -747,7 +749,7 @@
 }
 
 impl Inner {
-    fn say(&mut self, id: QueryId, order: Order) {
+    fn say(&mut self, id: RequestId, order: Order) {
         if let Some(seat) = self.seats.get(&id) {
             // A full letter box means that nobody reads orders there any more.
             let _ = seat.orders.try_send(order);
@@ -765,14 +767,14 @@
             return *n;
         }
         let n = self.groups.len() as u16;
-        self.groups.push(Group {
+        self.groups.push(GroupSettings {
             // Late answers have their worth: servers are not left idle for an aim that cannot be met.
-            slo: route.timeout_ms,
-            limit: route.timeout_ms,
+            latency_target: route.timeout_ms,
+            hard_limit: route.timeout_ms,
             semantics: if route.idempotent {
-                Semantics::Repeatable
+                Semantics::Idempotent
             } else {
-                Semantics::Mutating
+                Semantics::NonIdempotent
             },
             importance: 1.0 / (1.0 + route.priority),
             ..self.groups[0].clone()
@@ -794,15 +796,15 @@
 }
 
 /// A plan of the module's: a quota, and nothing for what is beyond it.
-fn plan(rate: f64, burst: f64) -> Plan {
-    Plan {
-        windowed: true,
+fn plan(rate: f64, burst: f64) -> PlanSettings {
+    PlanSettings {
+        is_windowed: true,
         rate,
         burst,
         price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
-        open: 0,
+        overage_value: 0.0,
+        overage_cost: 1.0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
@@ -810,39 +812,39 @@
 }
 
 /// The module's settings here. Regions are its zones.
-fn module(region: u8, group: &Group) -> aspendrum_core::api::Settings {
+fn module(region: u8, group: &GroupSettings) -> aspendrum_core::api::Settings {
     aspendrum_core::api::Settings {
-        me: 0,
+        instance: 0,
         instances: CREDIT_SHARERS,
         zone: region,
         tick: BEAT_MS,
         groups: vec![group.clone()],
         plans: vec![plan(0.0, 0.0)],
-        load_values: vec![LoadValue::CpuShare],
-        reports: ReportsVia::Answers,
-        discovery_asks: false,
-        must_ask_in: 0.0,
+        load_values: vec![LoadValue::CpuUtilization],
+        load_reports: LoadReportChannel::Responses,
+        polls_discovery: false,
+        discovery_poll_limit: 0.0,
         drain_grace: 0.0,
-        fall_multiple: 1.0,
-        fall_window: 1000.0,
-        cold_share: 1.0,
-        cold_time: 0.0,
+        collapse_multiple: 1.0,
+        collapse_window: 1000.0,
+        slow_start_capacity: 1.0,
+        slow_start_time: 0.0,
         answer_grace: 0.0,
         may_cancel: false,
         may_probe: true,
-        may_tell: false,
-        second_copies: false,
-        send_cap: 8,
-        retry_after: true,
+        may_send_datagrams: false,
+        may_hedge: false,
+        max_attempts: 8,
+        sends_retry_after: true,
         max_retry_after: 2000.0,
-        counter: true,
-        counter_wait: 600.0,
+        has_counter: true,
+        counter_timeout: 600.0,
         counter_price: 0.0,
         probe_price: 0.0,
         cross_zone_price: 0.0,
-        units_top: 1.0,
-        cost_after: false,
-        meter: 0.0,
-        peer_in_per_s: 0.0,
+        max_units: 1.0,
+        cost_known_after: false,
+        metering_window: 0.0,
+        peer_datagrams_per_second: 0.0,
     }
 }
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -1,6 +1,8 @@
 //! Each record of the simulator's frames, as `fixtures/frames.txt` pins its bytes.
 
-use aspendrum_core::api::{Action, Event, Health, ListKind, Load, Member, NewQuery, Outcome};
+use aspendrum_core::api::{
+    Action, Event, Health, ListKind, LoadReport, NewRequest, Outcome, ServerEntry,
+};
 use aspendrum_simulator_adapter::frame::{Batch, Reply, WireEvent};
 use test_case::test_case;
 
@@ -48,91 +50,91 @@
     out
 }
 
-const LOAD_OF_FOUR: Load = Load {
-    n: 4,
+const LOAD_OF_FOUR: LoadReport = LoadReport {
+    count: 4,
     values: [0.5, 0.25, 0.125, 0.0625],
 };
-const LOAD_OF_TWO: Load = Load {
-    n: 2,
+const LOAD_OF_TWO: LoadReport = LoadReport {
+    count: 2,
     values: [0.5, 0.25, 0.0, 0.0],
 };
 
-fn query() -> NewQuery {
-    NewQuery {
+fn query() -> NewRequest {
+    NewRequest {
         id: ID,
         group: 0x102,
-        until: 8652.25,
-        acct: 0x99aa_bbcc,
+        deadline: 8652.25,
+        tenant: 0x99aa_bbcc,
         plan: NUMBER,
-        spread: 3.0,
+        instances: 3.0,
         units: 1.5,
-        first: 5.0,
-        client_repeat: true,
-        write: true,
+        first_instance: 5.0,
+        is_client_retry: true,
+        is_write: true,
         pool: 0,
-        zones: u64::MAX,
-        most: u8::MAX,
+        allowed_zones: u64::MAX,
+        max_attempts: u8::MAX,
     }
 }
 
 fn ended() -> Event<'static> {
-    Event::ForwardEnded {
+    Event::AttemptEnded {
         id: ID,
         forward: 9,
         server: NUMBER,
         outcome: Outcome::Cancelled,
         rtt: 18.5,
-        over: true,
-        used: 0x102,
-        actual: 0x304,
+        is_final: true,
+        metered: 0x102,
+        actual_units: 0x304,
         load: LOAD_OF_TWO,
     }
 }
 
-fn members() -> [Member; 3] {
-    let common = Member {
+fn members() -> [ServerEntry; 3] {
+    let common = ServerEntry {
         server: 1,
         pool: 0,
-        health: Health::Gone,
+        health: Health::Removed,
         cell: 0x102,
         zone: 3,
-        far: 0.0,
-        size: 1.5,
+        distance_cost: 0.0,
+        capacity: 1.5,
         kind: 4,
-        started: 6100.0,
+        started_at: 6100.0,
     };
     [
         common,
-        Member {
+        ServerEntry {
             server: 2,
             health: Health::Ready,
             cell: 0x506,
             zone: 7,
-            size: 0.5,
+            capacity: 0.5,
             kind: 8,
-            started: 0.0,
+            started_at: 0.0,
             ..common
         },
-        Member {
+        ServerEntry {
             server: 3,
             health: Health::Draining,
             cell: 0x90a,
             zone: 11,
-            size: 2.0,
+            capacity: 2.0,
             kind: 12,
-            started: 1000.0,
+            started_at: 1000.0,
             ..common
         },
     ]
 }
 
-#[test_case("probed", Event::Probed { server: NUMBER, outcome: Outcome::TimedOut, rtt: 1.0, load: LOAD_OF_FOUR } ; "probed")]
+#[test_case("probed", Event::ProbeEnded { server: NUMBER, outcome: Outcome::TimedOut, rtt: 1.0, load: LOAD_OF_FOUR } ; "probed")]
 #[test_case("timer", Event::Timer { token: NUMBER } ; "timer")]
-#[test_case("members", Event::Members { list: ListKind::Full, version: NUMBER, entries: &members() } ; "members")]
-#[test_case("client_left", Event::ClientLeft { id: ID } ; "client left")]
-#[test_case("counted", Event::Counted { name: ID, outcome: Outcome::Full, total: 38.0, rtt: 2.15 } ; "counted")]
-#[test_case("query", Event::Query(query()) ; "query")]
-#[test_case("peer", Event::PeerSaid { from: 0x102, data: &[1, 2, 3] } ; "peer")]
+#[test_case("members", Event::ServerList { list: ListKind::Full, version: NUMBER, entries: &members() } ; "members")]
+#[test_case("client_left", Event::ClientDisconnected { id: ID } ; "client left")]
+#[test_case("counted", Event::CounterReplied { name: ID, outcome: Outcome::Rejected, total: 38.0, rtt: 2.15 } ; "counted")]
+#[test_case("query", Event::Request(query()) ; "query")]
+#[test_case("peer", Event::DatagramReceived { from: 0x102, data: &[1, 2, 3] } ; "peer")]
 #[test_case("ended", ended() ; "forward ended")]
 #[test_case("stream", Event::StreamStarted { id: ID, forward: 9, server: NUMBER, rtt: 18.5 } ; "stream started")]
 fn each_event_is_read_from_these_bytes(name: &str, expected: Event<'_>) {
@@ -175,17 +177,18 @@
 
 #[test_case(0, Outcome::Error)]
 #[test_case(1, Outcome::Ok)]
-#[test_case(2, Outcome::Full)]
+#[test_case(2, Outcome::Rejected)]
 #[test_case(3, Outcome::TimedOut)]
 #[test_case(4, Outcome::ConnectFailed)]
 #[test_case(5, Outcome::Reset)]
 #[test_case(6, Outcome::Cancelled)]
-#[test_case(7, Outcome::Moot)]
+#[test_case(7, Outcome::NotSent)]
 fn each_outcome_has_its_number(number: u8, expected: Outcome) {
     let mut frame = frame("counted");
     frame[16 + 10] = number;
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::Counted { outcome, .. })) = batch.event(0, &mut members) else {
+    let Ok(WireEvent::Told(Event::CounterReplied { outcome, .. })) = batch.event(0, &mut members)
+    else {
         panic!("not counted")
     };
     assert_eq!(outcome, expected);
@@ -199,7 +202,7 @@
     let mut frame = frame("members");
     frame[16 + 1] = number;
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::Members { list, .. })) = batch.event(0, &mut members) else {
+    let Ok(WireEvent::Told(Event::ServerList { list, .. })) = batch.event(0, &mut members) else {
         panic!("not a list")
     };
     assert_eq!(list, expected);
@@ -213,26 +216,26 @@
     let mut frame = frame("query");
     frame[16 + 43] = flags;
     let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::Query(new))) = batch.event(0, &mut members) else {
+    let Ok(WireEvent::Told(Event::Request(new))) = batch.event(0, &mut members) else {
         panic!("not a query")
     };
-    assert_eq!((new.client_repeat, new.write), (repeat, writes));
+    assert_eq!((new.is_client_retry, new.is_write), (repeat, writes));
 }
 
-#[test_case("tell", Action::Tell { to: Some(0x5566_7788), data: vec![1, 2, 3] } ; "tell")]
-#[test_case("tell_all", Action::Tell { to: None, data: vec![4, 5] } ; "tell all")]
+#[test_case("tell", Action::SendDatagram { to: Some(0x5566_7788), data: vec![1, 2, 3] } ; "tell")]
+#[test_case("tell_all", Action::SendDatagram { to: None, data: vec![4, 5] } ; "tell all")]
 #[test_case("cancel", Action::Cancel { id: ID, forward: 9 } ; "cancel")]
 #[test_case("forward", Action::Forward { id: ID, server: 0x5566_7788, timeout: 80.0 } ; "forward")]
-#[test_case("count", Action::Count { name: ID, add: 4.0, ttl: 3000.0 } ; "count")]
-#[test_case("close", Action::Close { server: NUMBER } ; "close")]
-#[test_case("fetch", Action::Fetch ; "fetch")]
+#[test_case("count", Action::AddToCounter { name: ID, units: 4.0, ttl: 3000.0 } ; "count")]
+#[test_case("close", Action::CloseConnections { server: NUMBER } ; "close")]
+#[test_case("fetch", Action::FetchServers ; "fetch")]
 #[test_case("defer", Action::Timer { token: NUMBER, wait: 500.0 } ; "timer")]
 #[test_case("probe", Action::Probe { server: NUMBER } ; "probe")]
 #[test_case("fault", Action::Fault("fault".into()) ; "fault")]
 #[test_case("drop", Action::Drop { id: ID } ; "drop")]
-#[test_case("shed", Action::Shed { id: ID, retry_after: 500.0, beyond: true } ; "shed")]
-#[test_case("watch", Action::Watch { on: true } ; "watch")]
-#[test_case("unwatch", Action::Watch { on: false } ; "watch no more")]
+#[test_case("shed", Action::Shed { id: ID, retry_after: 500.0, beyond_quota: true } ; "shed")]
+#[test_case("watch", Action::WatchServers { on: true } ; "watch")]
+#[test_case("unwatch", Action::WatchServers { on: false } ; "watch no more")]
 #[test_case("log", Action::Log("log".into()) ; "log")]
 fn each_action_is_written_as_these_bytes(name: &str, action: Action) {
     let mut out = Vec::new();
@@ -254,9 +257,9 @@
 fn actions_of_two_instances_share_a_reply() {
     let mut out = Vec::new();
     let mut reply = Reply::begin(&mut out);
-    reply.write(1, &mut vec![Action::Log("ab".into()), Action::Fetch]);
+    reply.write(1, &mut vec![Action::Log("ab".into()), Action::FetchServers]);
     reply.write(1, &mut vec![Action::Log("c".into())]);
-    reply.write(2, &mut vec![Action::Fetch]);
+    reply.write(2, &mut vec![Action::FetchServers]);
     reply.finish().unwrap();
     let records = [
         "4e 00000001",
--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -4,7 +4,7 @@
 use crate::clock::ms;
 use crate::roster::{Names, Roster};
 use aspendrum_core::api::Settings;
-use aspendrum_core::settings::{self, MS};
+use aspendrum_core::settings::{self, MILLIS_PER_SECOND};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -57,12 +57,12 @@
             Some(list) => Roster::read(list, &names).map_err(|e| format!("known.{e}"))?,
             None => Roster::default(),
         };
-        let counter = if settings.counter {
+        let counter = if settings.has_counter {
             Some(address(&root, "counter")?)
         } else {
             None
         };
-        let may_tell = settings.may_tell && root.get("peer_listen").is_some();
+        let may_tell = settings.may_send_datagrams && root.get("peer_listen").is_some();
         let peers = match root.get("peers").and_then(Value::as_array) {
             Some(list) if may_tell => list
                 .iter()
@@ -212,6 +212,6 @@
     let s = value
         .map_or(Some(default), Value::as_f64)
         .filter(|s| *s > 0.0 && *s < 1e6);
-    s.map(|s| ms(s * MS))
+    s.map(|s| ms(s * MILLIS_PER_SECOND))
         .ok_or(format!("setting Limits.{key} is absurd: {value:?}"))
 }
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -7,7 +7,7 @@
 use crate::limits::Limits;
 use crate::notes::{Door, Note};
 use crate::resp::{self, Parsed, Reply};
-use aspendrum_core::api::{Event, Ms, Outcome};
+use aspendrum_core::api::{Event, Millis, Outcome};
 use aspendrum_net::mailbox::{self, MailboxSender};
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_net::threads::{lock, spawn};
@@ -20,7 +20,7 @@
 struct Call {
     name: u64,
     add: f32,
-    ttl: Ms,
+    ttl: Millis,
     at: Instant,
 }
 
@@ -148,7 +148,7 @@
     }
 
     /// Makes one call. What becomes of it is told to the desk, in the order of the calls of its name.
-    pub fn call(&self, name: u64, add: f32, ttl: Ms) {
+    pub fn call(&self, name: u64, add: f32, ttl: Millis) {
         let Some(lane) = self.lanes.get(name as usize % self.lanes.len().max(1)) else {
             return;
         };
@@ -203,7 +203,7 @@
         total: f32,
     ) {
         let rtt = as_ms(at.elapsed());
-        late.push_back(Note::Told(Event::Counted {
+        late.push_back(Note::Told(Event::CounterReplied {
             name,
             outcome,
             total,
@@ -383,7 +383,7 @@
             let (outcome, total) = match reply {
                 _ if p.at.elapsed() >= self.limits.counter_wait => (Outcome::TimedOut, 0.0),
                 Reply::Total(total) => (Outcome::Ok, total),
-                Reply::TurnedAway => (Outcome::Full, 0.0),
+                Reply::TurnedAway => (Outcome::Rejected, 0.0),
             };
             if !p.told {
                 self.tell(&mut state.late, p.name, p.at, outcome, total);
--- a/crates/aspendrum/src/desk.rs
+++ b/crates/aspendrum/src/desk.rs
@@ -8,7 +8,7 @@
 use crate::query;
 use crate::Shop;
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use aspendrum_net::disconnect_metrics::{DisconnectReporter, REACTION_DEADLINE};
 use aspendrum_net::disconnects::ClientConnection;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, Progress};
@@ -34,12 +34,12 @@
 }
 
 pub struct Desk {
-    pub control: Control,
+    pub control: DecisionEngine,
     pub shop: Arc<Shop>,
     pub counter: Option<Counter>,
     pub wishes: Sender<Wish>,
     pub peers: Option<Peers>,
-    seats: HashMap<QueryId, Seat>,
+    seats: HashMap<RequestId, Seat>,
     timers: BinaryHeap<Reverse<(u64, u32)>>,
     actions: Vec<Action>,
     /// What carrying out an action led to: the module hears it once the action's event is through.
@@ -58,7 +58,7 @@
         peers: Option<Peers>,
     ) -> Desk {
         let mut actions = Vec::new();
-        let control = Control::new(shop.door.clock.now(), seed, settings, &mut actions);
+        let control = DecisionEngine::new(shop.door.clock.now(), seed, settings, &mut actions);
         let (seats, timers) = (HashMap::new(), BinaryHeap::new());
         Desk {
             control,
@@ -183,14 +183,14 @@
                         over: false,
                     },
                 );
-                self.tell(&Event::Query(new));
+                self.tell(&Event::Request(new));
             }
             Note::Left { id } => {
                 if let Some(seat) = self.seats.get_mut(&id).filter(|s| !s.over) {
                     seat.over = true;
                     // Behind a forward that is out it is read once that has ended.
                     let _ = seat.orders.try_send(Order::Gone);
-                    self.tell(&Event::ClientLeft { id });
+                    self.tell(&Event::ClientDisconnected { id });
                     self.leave(id);
                 }
             }
@@ -200,12 +200,13 @@
                 };
                 let out = seat.out.take();
                 if !std::mem::replace(&mut seat.over, true) {
-                    self.tell(&Event::ClientLeft { id });
+                    self.tell(&Event::ClientDisconnected { id });
                 }
                 match out {
                     // A forward that nobody took up never ran.
                     Some((forward, server)) => {
-                        let (outcome, rtt, actual, load) = (Outcome::Moot, 0.0, 0, Load::default());
+                        let (outcome, rtt, actual, load) =
+                            (Outcome::NotSent, 0.0, 0, LoadReport::default());
                         self.hear(Note::Ended {
                             id,
                             forward,
@@ -234,15 +235,15 @@
                 seat.out = None;
                 seat.over |= outcome == Outcome::Ok;
                 let (over, used) = (seat.over, 0);
-                self.tell(&Event::ForwardEnded {
+                self.tell(&Event::AttemptEnded {
                     id,
                     forward,
                     server,
                     outcome,
                     rtt,
-                    over,
-                    used,
-                    actual,
+                    is_final: over,
+                    metered: used,
+                    actual_units: actual,
                     load,
                 });
                 self.leave(id);
@@ -253,13 +254,13 @@
                 version,
                 entries,
             } => {
-                self.tell(&Event::Members {
+                self.tell(&Event::ServerList {
                     list,
                     version,
                     entries: &entries,
                 });
             }
-            Note::Peer { from, data } => self.tell(&Event::PeerSaid { from, data: &data }),
+            Note::Peer { from, data } => self.tell(&Event::DatagramReceived { from, data: &data }),
             Note::CounterMoved { to } => {
                 if let Some(counter) = &mut self.counter {
                     counter.move_to(to);
@@ -270,7 +271,7 @@
     }
 
     /// Forgets a query once it is over and nothing of it is out.
-    fn leave(&mut self, id: QueryId) {
+    fn leave(&mut self, id: RequestId) {
         if self
             .seats
             .get(&id)
@@ -327,20 +328,24 @@
                     seat.line.cancel_up_to(forward);
                 }
             }
-            Action::Count { name, add, ttl } => {
+            Action::AddToCounter {
+                name,
+                units: add,
+                ttl,
+            } => {
                 if let Some(counter) = &self.counter {
                     counter.call(name, add, ttl);
                 }
             }
             Action::Probe { server } => query::probe(&self.shop, server),
-            Action::Close { server } => self.shop.pool.close_idle(server),
+            Action::CloseConnections { server } => self.shop.pool.close_idle(server),
             Action::Timer { token, wait } => {
                 let at = (self.shop.door.clock.now() + wait.max(0.0)) * 1000.0;
                 self.timers.push(Reverse((at as u64, token)));
             }
-            Action::Fetch => drop(self.wishes.try_send(Wish::Fetch)),
-            Action::Watch { on } => drop(self.wishes.try_send(Wish::Watch(on))),
-            Action::Tell { to, data } => {
+            Action::FetchServers => drop(self.wishes.try_send(Wish::Fetch)),
+            Action::WatchServers { on } => drop(self.wishes.try_send(Wish::Watch(on))),
+            Action::SendDatagram { to, data } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(to, &data);
                 }
@@ -350,7 +355,7 @@
         }
     }
 
-    fn finish(&mut self, id: QueryId, order: Order) {
+    fn finish(&mut self, id: RequestId, order: Order) {
         let Some(seat) = self.seats.get_mut(&id) else {
             return;
         };
