--- a/crates/aspendrum-benchmarks/src/cores/consensus.rs
+++ b/crates/aspendrum-benchmarks/src/cores/consensus.rs
@@ -3,8 +3,8 @@
 
 use crate::measure::{cpu_ms, Line, Samples};
 use crate::sizes::{self, GRADES};
-use aspendrum_consensus::membership::voters_for;
-use aspendrum_consensus::{Effect, Order, Place, Replica, Voters};
+use aspendrum_consensus::membership::voters_tolerating;
+use aspendrum_consensus::{Command, Effect, NodeId, Replica, ReplicaOptions, Voters};
 use aspendrum_model::hash::digest;
 use aspendrum_model::packed::pack;
 use serde::Serialize;
@@ -28,45 +28,55 @@
 }
 
 struct World {
-    all: BTreeMap<Place, Replica>,
+    all: BTreeMap<NodeId, Replica>,
     came: Came,
 }
 
 impl World {
     /// Machines that were all there at the first start, and the first epoch's voters among them.
     fn of(machines: usize, voters: usize) -> World {
-        let places: Vec<Place> = (1..=machines as Place).collect();
-        let start =
-            |me: &Place| Replica::start(*me, None, true, &places, u64::from(*me), 1 << 24).0;
+        let nodes: Vec<NodeId> = (1..=machines as u32).map(NodeId::new).collect();
+        let start = |node: &NodeId| {
+            let options = ReplicaOptions {
+                node: *node,
+                is_first_start: true,
+                seeds: &nodes,
+                new_disk: u64::from(node.as_u32()),
+                incarnation: 1 << 24,
+            };
+            Replica::start(options, None).0
+        };
         let mut world = World {
-            all: places.iter().map(|p| (*p, start(p))).collect(),
+            all: nodes.iter().map(|n| (*n, start(n))).collect(),
             came: Came::default(),
         };
         let voters = Voters(
-            places
+            nodes
                 .iter()
                 .take(voters)
-                .map(|p| (*p, u64::from(*p)))
+                .map(|n| (*n, u64::from(n.as_u32())))
                 .collect(),
         );
-        world.run(|first| first.propose(0.0, voters), 0.0);
+        world.run(|first| first.propose_voters(0.0, voters), 0.0);
         world
     }
 
     /// Gives an order to the first; its processor time, all machines together.
-    fn order(&mut self, now: f64, order: Order) -> f64 {
-        self.run(|first| first.order(now, order, Some(1)), now)
+    fn order(&mut self, now: f64, order: Command) -> f64 {
+        self.run(|first| first.submit(now, order, Some(1)), now)
     }
 
     /// Carries out all that comes of what the first machine does.
     fn run(&mut self, begin: impl FnOnce(&mut Replica) -> Vec<Effect>, now: f64) -> f64 {
         let before = cpu_ms();
         let mut counting = 0.0;
-        let Some(first) = self.all.get_mut(&1) else {
+        let Some(first) = self.all.get_mut(&NodeId::new(1)) else {
             return 0.0;
         };
-        let mut effects: VecDeque<(Place, Effect)> =
-            begin(first).into_iter().map(|e| (1, e)).collect();
+        let mut effects: VecDeque<(NodeId, Effect)> = begin(first)
+            .into_iter()
+            .map(|e| (NodeId::new(1), e))
+            .collect();
         while let Some((from, effect)) = effects.pop_front() {
             let begun = cpu_ms();
             match &effect {
@@ -85,7 +95,7 @@
                 let heard = self
                     .all
                     .get_mut(&to)
-                    .map(|r| r.hear(now, from, message))
+                    .map(|r| r.step(now, from, message))
                     .unwrap_or_default();
                 effects.extend(heard.into_iter().map(|e| (to, e)));
             }
@@ -94,7 +104,7 @@
     }
 }
 
-fn told(name: &str, voters: usize, packed: usize, mut orders: impl FnMut(usize) -> Order) {
+fn told(name: &str, voters: usize, packed: usize, mut orders: impl FnMut(usize) -> Command) {
     let mut world = World::of(voters, voters);
     let (mut now, mut spent) = (1000.0, Vec::new());
     world.order(now, orders(0));
@@ -117,7 +127,7 @@
 /// Machines that settle who votes first.
 fn founded(machines: usize, losses: usize) {
     let before = cpu_ms();
-    let voters = voters_for(losses).min(machines);
+    let voters = voters_tolerating(losses).min(machines);
     let world = World::of(machines, voters);
     let line = Line::of("consensus.founding")
         .with("machines", machines)
@@ -137,33 +147,33 @@
         let sent = sizes::config(&size, size.services, 1);
         let (text, digest) = (pack(sent.as_bytes()), digest(sent.as_bytes()));
         for voters in [3, 4, 5, 7] {
-            let config = |n: usize| Order::Config {
+            let config = |n: usize| Command::SetConfig {
                 version: n as u32 + 1,
-                text: text.clone(),
+                packed_text: text.clone(),
                 digest,
             };
             told("consensus.config", voters, text.len(), config);
         }
     }
     for voters in [3, 4, 5, 7] {
-        let evacuation = |n: usize| Order::Evacuation {
+        let evacuation = |n: usize| Command::SetEvacuation {
             zone: sizes::zone(n / 2),
-            on: n.is_multiple_of(2),
+            evacuated: n.is_multiple_of(2),
         };
         told("consensus.evacuation", voters, 0, evacuation);
-        told("consensus.read", voters, 0, |_| Order::Read);
+        told("consensus.read", voters, 0, |_| Command::Read);
     }
     // A read by a machine that holds the target's configuration, as all others do.
     let sent = sizes::config(&GRADES[2], 250, 1);
     let (text, digest) = (pack(sent.as_bytes()), digest(sent.as_bytes()));
     for voters in [3, 4, 5, 7] {
         let order = |n: usize| match n {
-            0 => Order::Config {
+            0 => Command::SetConfig {
                 version: 1,
-                text: text.clone(),
+                packed_text: text.clone(),
                 digest,
             },
-            _ => Order::Read,
+            _ => Command::Read,
         };
         told("consensus.read.held", voters, text.len(), order);
     }
--- a/crates/aspendrum-consensus/src/membership.rs
+++ b/crates/aspendrum-consensus/src/membership.rs
@@ -1,35 +1,38 @@
-//! Who votes. A voter is a machine together with its disk: a machine that lost its disk is another voter. The set of
-//! voters belongs to a numbered epoch, and the voters of an epoch decide the set of the next one.
+//! Who votes. A voter is a node together with its disk: a node that lost its disk is another voter. Voters belong to a
+//! numbered epoch, and the voters of an epoch decide who votes in the next one.
 
-use crate::holdings::Place;
+use crate::node::NodeId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The identity of a disk, drawn when it is first used.
+/// The identity of a disk, drawn at random when it is first used.
 pub type DiskId = u64;
 
-/// Stands for the disk that a machine had at the first start of the whole system, when nobody knew the disks' ids.
+/// Stands for the disk that a node had at the first start of the whole system, when the disks' ids were not known to
+/// each other. Also what a node without a usable disk reports.
 pub const FOUNDING_DISK: DiskId = 0;
 
-/// As many voters that a majority is left when so many disks are lost at once.
-pub fn voters_for(losses: usize) -> usize {
+/// How many voters leave a majority when so many disks are lost at once.
+pub fn voters_tolerating(losses: usize) -> usize {
     2 * losses + 1
 }
 
-/// The voters of an epoch: each machine and its disk.
+/// The voters of an epoch: each node and its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Voters(pub BTreeMap<Place, DiskId>);
+pub struct Voters(pub BTreeMap<NodeId, DiskId>);
 
 impl Voters {
-    /// Machines whose disks' ids are not known yet.
-    pub fn founding(places: &[Place]) -> Voters {
-        Voters(places.iter().map(|p| (*p, FOUNDING_DISK)).collect())
+    /// Nodes whose disks' ids are not known yet.
+    pub fn founding(nodes: &[NodeId]) -> Voters {
+        Voters(nodes.iter().map(|node| (*node, FOUNDING_DISK)).collect())
     }
 
+    /// How many there are.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// Whether there are none: the epoch is not known.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -39,43 +42,47 @@
         self.0.len() / 2 + 1
     }
 
-    pub fn places(&self) -> impl Iterator<Item = Place> + '_ {
+    /// The nodes that vote, in order.
+    pub fn nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.0.keys().copied()
     }
 
-    /// Some disk of that machine votes.
-    pub fn names(&self, place: Place) -> bool {
-        self.0.contains_key(&place)
+    /// Whether some disk of that node votes.
+    pub fn contains_node(&self, node: NodeId) -> bool {
+        self.0.contains_key(&node)
     }
 
-    /// That disk of that machine votes. `founding`: it is the disk of the system's first start.
-    pub fn include(&self, place: Place, disk: DiskId, founding: bool) -> bool {
-        match self.0.get(&place) {
-            Some(&FOUNDING_DISK) => founding,
+    /// Whether that disk of that node votes. `is_founding_disk`: the node has had it since the system's first start.
+    pub fn contains_disk(&self, node: NodeId, disk: DiskId, is_founding_disk: bool) -> bool {
+        match self.0.get(&node) {
+            Some(&FOUNDING_DISK) => is_founding_disk,
             Some(id) => *id == disk,
             None => false,
         }
     }
 }
 
-/// A set of voters and its place in the history of such sets. Epoch 0 are the machines that the settings of the first
-/// start name; its voters decide epoch 1 and acknowledge nothing. A machine that knows of no epoch has one without
-/// voters.
+/// A set of voters and its number in the sequence of such sets.
+///
+/// Epoch 0 consists of the nodes that the settings of the first start name. Its voters only decide epoch 1; they take
+/// no commands. A node that knows of no epoch yet has epoch 0 without voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Epoch {
+    /// One more than that of the epoch whose voters decided this one.
     pub number: u32,
+    /// Who votes in this epoch.
     pub voters: Voters,
-    /// The voters of the epoch before, from whom this one's learn what is held.
-    pub previous: Voters,
+    /// The voters of the epoch before, from whom this one's take over the state.
+    pub previous_voters: Voters,
 }
 
 impl Epoch {
-    /// The epoch that begins the history.
-    pub fn first(seeds: &[Place]) -> Epoch {
+    /// The epoch that begins the sequence.
+    pub fn founding(seeds: &[NodeId]) -> Epoch {
         Epoch {
             number: 0,
             voters: Voters::founding(seeds),
-            previous: Voters::default(),
+            previous_voters: Voters::default(),
         }
     }
 
@@ -84,17 +91,17 @@
         Epoch {
             number: self.number + 1,
             voters,
-            previous: self.voters.clone(),
+            previous_voters: self.voters.clone(),
         }
     }
 
-    /// It was decided after the other, or the other is unknown.
-    pub fn succeeds(&self, other: &Epoch) -> bool {
+    /// Whether this epoch was decided after `other`, or `other` is unknown.
+    pub fn supersedes(&self, other: &Epoch) -> bool {
         self.number > other.number || (other.voters.is_empty() && !self.voters.is_empty())
     }
 
-    /// Orders are taken and answered: the founding epoch only decides the next one.
-    pub fn serves(&self) -> bool {
+    /// Whether its voters take commands: those of the founding epoch only decide the next one.
+    pub fn takes_commands(&self) -> bool {
         self.number > 0
     }
 }
--- a/crates/aspendrum-consensus/src/replica.rs
+++ b/crates/aspendrum-consensus/src/replica.rs
@@ -1,374 +1,317 @@
-//! One machine of control: what it holds, what it has asked of the voters, and how it answers. Registers follow Attiya,
-//! Bar-Noy and Dolev, "Sharing Memory Robustly in Message-Passing Systems" (1995): a write is done once a majority has
-//! stored it; a read joins what a majority holds and sees to it that a majority holds that before it returns. What is
-//! joined needs no order between its writes. The text under a number is no matter of joining: a ballot decides it.
-//!
-//! The parts: [`crate::reading`] (reads and evacuations), [`crate::deciding`] (numbers), [`crate::changing`] (the voters
-//! of the next epoch) and [`crate::joining`] (how a voter of a new epoch comes to hold what was acknowledged before).
+//! One node's replica. It composes the parts, each of which owns its state and returns what concerns the others:
+//! versions that are to be decided (`version_proposal`), reads and writes by majorities (`quorum_read`), the voters of
+//! the next epoch (`membership_change`), the take-over of an epoch's state (`state_transfer`) and the answers to other
+//! nodes' requests (`voter`).
 
-use crate::ballot::Ballot;
-use crate::campaign::Campaign;
-use crate::deciding::NumberCampaign;
-use crate::holdings::{Holdings, Ms, Order, Place};
-use crate::joining::Joining;
+use crate::acceptor::Acceptor;
+use crate::effect::{CommandId, Effect};
 use crate::membership::{DiskId, Epoch, Voters};
+use crate::membership_change::MembershipChange;
 use crate::message::{Message, Reply, Request};
-use crate::reading::ReadRound;
-use crate::state::State;
-use fastrand::Rng;
-use std::collections::BTreeMap;
-
-/// Whoever gave an order hears of its end under this.
-pub type Ticket = u64;
-
-/// No order takes longer: an operator's call waits for a second.
-pub(crate) const ORDER_MS: Ms = 850.0;
-/// Messages get lost when a connection breaks; those without an answer are sent again.
-pub(crate) const RESEND_MS: Ms = 150.0;
-/// Whoever was outbid leaves the other a round trip or two to finish.
-const BACKOFF_MS: std::ops::Range<f64> = 60.0..260.0;
-
-/// How an order ended.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
-    /// A majority of disks holds it; what a majority holds in all.
-    Done(Box<Holdings>),
-    /// Another text was decided under its number: this one is in force nowhere and never will be.
-    Taken,
-    /// No majority answered in time. It may come to be held all the same.
-    NoMajority,
+use crate::node::{Millis, NodeId};
+use crate::quorum_read::QuorumReads;
+use crate::replica_core::ReplicaCore;
+use crate::replicated_state::{Command, ReplicatedState};
+use crate::state::DurableState;
+use crate::state_transfer::{self, StateTransfer};
+use crate::version_proposal::{ClosedVersion, VersionProposals};
+use crate::versions::{ConfigText, OpenVersion};
+use crate::voter;
+
+/// How a replica starts.
+#[derive(Clone, Copy, Debug)]
+pub struct ReplicaOptions<'a> {
+    /// The node that it runs on.
+    pub node: NodeId,
+    /// Whether the whole system starts for the first time.
+    pub is_first_start: bool,
+    /// The nodes that take part in the first start.
+    pub seeds: &'a [NodeId],
+    /// The identity that the disk gets if it is empty.
+    pub new_disk: DiskId,
+    /// Drawn at random at each start. Its low 24 bits are zero: request ids count up from it.
+    pub incarnation: u64,
 }
 
-/// What the shell is to do, in this order.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Effect {
-    /// The state goes onto the disk and is synced before any effect behind this one, of this event or a later one.
-    Persist,
-    /// Also to this machine itself: its own vote counts only once it is synced.
-    Send {
-        to: Place,
-        message: Message,
-    },
-    Ended {
-        ticket: Ticket,
-        outcome: Outcome,
-    },
-    /// What a majority holds has grown.
-    News,
-    /// Another epoch began, or this machine joined it.
-    EpochChanged,
-}
-
-/// One machine's part in the replicated state.
+/// One node's part in the replicated state.
 pub struct Replica {
-    pub(crate) me: Place,
-    pub(crate) state: State,
-    /// What a majority of disks is known to hold.
-    pub(crate) settled: Holdings,
-    /// When the last read began that found nothing above `settled` at a majority.
-    pub(crate) as_of: Option<Ms>,
-    pub(crate) reads: Vec<ReadRound>,
-    pub(crate) campaigns: BTreeMap<u32, NumberCampaign>,
-    /// This machine's attempt to have the next epoch's voters decided.
-    pub(crate) change: Option<Campaign<Voters>>,
-    /// The ballot under which this machine accepted voters of the next epoch, and when it was first seen so.
-    pub(crate) accepted_since: Option<(Ballot, Ms)>,
-    pub(crate) joining: Joining,
-    pub(crate) now: Ms,
-    next_round: u64,
-    /// This life's ballots, and the highest ballot that it heard of.
-    life: Ballot,
-    highest: Ballot,
-    rng: Rng,
-    pub(crate) effects: Vec<Effect>,
-    /// It takes no part in any vote: its disk cannot be written.
-    guest: bool,
+    core: ReplicaCore,
+    proposals: VersionProposals,
+    reads: QuorumReads,
+    membership_change: MembershipChange,
+    state_transfer: StateTransfer,
 }
 
 impl Replica {
-    /// `state`: what the disk holds, none for an empty one. `init`: this is the first start of the whole system, and
-    /// `seeds` are its first machines. `disk`: the id of an empty disk. `life`: drawn at each start.
+    /// Starts with what the disk holds; none for an empty disk. Returns the first effects with the replica.
     pub fn start(
-        me: Place,
-        state: Option<State>,
-        init: bool,
-        seeds: &[Place],
-        disk: DiskId,
-        life: u64,
+        options: ReplicaOptions<'_>,
+        state: Option<DurableState>,
     ) -> (Replica, Vec<Effect>) {
-        let empty = state.is_none();
-        let mut state = state.unwrap_or_else(|| State::empty(me, disk, init, seeds));
-        state.found(me, seeds);
-        let highest = state.numbers.promised().max(state.successor.promised);
-        let effects = if empty {
+        let ReplicaOptions {
+            node,
+            is_first_start,
+            seeds,
+            new_disk,
+            incarnation,
+        } = options;
+        let is_empty = state.is_none();
+        let empty = || DurableState::empty(node, new_disk, is_first_start, seeds);
+        let mut state = state.unwrap_or_else(empty);
+        state.enter_founding_epoch(node, seeds);
+        let replica = Replica {
+            core: ReplicaCore::new(node, state, incarnation),
+            proposals: VersionProposals::default(),
+            reads: QuorumReads::default(),
+            membership_change: MembershipChange::default(),
+            state_transfer: StateTransfer::default(),
+        };
+        let effects = if is_empty {
             vec![Effect::Persist]
         } else {
             Vec::new()
         };
-        let replica = Replica {
-            me,
-            state,
-            settled: Holdings::default(),
-            as_of: None,
-            reads: Vec::new(),
-            campaigns: BTreeMap::new(),
-            change: None,
-            accepted_since: None,
-            joining: Joining::default(),
-            now: 0.0,
-            // Rounds and ballots of one life must not be taken for those of an earlier one.
-            next_round: life,
-            life: Ballot {
-                count: 0,
-                place: me,
-                life,
-            },
-            highest,
-            rng: Rng::with_seed(life),
-            effects: Vec::new(),
-            guest: false,
-        };
         (replica, effects)
     }
 
-    /// Goes on with what another life of this machine's replica knew of others' disks.
-    pub fn resume(&mut self, before: &Replica) {
-        self.settled = before.settled.clone();
-        self.as_of = before.as_of;
-        self.now = before.now;
+    /// Takes over what an earlier replica of this node knew of other nodes' disks.
+    pub fn resume_from(&mut self, earlier: &Replica) {
+        self.core.committed = earlier.core.committed.clone();
+        self.core.committed_as_of = earlier.core.committed_as_of;
+        self.core.now = earlier.core.now;
     }
 
-    pub fn state(&self) -> &State {
-        &self.state
+    /// The state that [`Effect::Persist`] is about.
+    pub fn state(&self) -> &DurableState {
+        &self.core.durable
     }
 
     /// What a majority of disks is known to hold.
-    pub fn settled(&self) -> &Holdings {
-        &self.settled
+    pub fn committed(&self) -> &ReplicatedState {
+        &self.core.committed
     }
 
-    /// As of when `settled` is known to hold all that was acknowledged.
-    pub fn as_of(&self) -> Option<Ms> {
-        self.as_of
+    /// The time as of which [`Replica::committed`] is known to contain everything that was acknowledged.
+    pub fn committed_as_of(&self) -> Option<Millis> {
+        self.core.committed_as_of
     }
 
+    /// The newest epoch that this node knows of.
     pub fn epoch(&self) -> &Epoch {
-        &self.state.epoch
+        &self.core.durable.epoch
     }
 
-    /// This machine and its disk are a voter of the newest epoch that it knows of.
-    pub fn votes(&self) -> bool {
-        !self.guest && self.state.votes_among(&self.state.epoch.voters, self.me)
+    /// Whether this node and its disk are a voter of the newest epoch that it knows of.
+    pub fn is_voter(&self) -> bool {
+        self.core.is_voter()
     }
 
-    /// From now on it only asks: its disk cannot be written. What it says then rests on others' disks alone, and
-    /// [`Effect::Persist`] has no meaning.
-    pub fn become_guest(&mut self) {
-        self.guest = true;
+    /// Whether it votes and holds everything that was acknowledged before its epoch began.
+    pub fn has_joined(&self) -> bool {
+        self.core.has_joined()
     }
 
-    /// It votes, and holds all that was acknowledged before its epoch began.
-    pub fn joined(&self) -> bool {
-        self.state.joined && self.votes()
+    /// Whether this node is having the voters of the next epoch decided.
+    pub fn is_proposing_voters(&self) -> bool {
+        self.membership_change.is_proposing()
     }
 
-    pub(crate) fn is_guest(&self) -> bool {
-        self.guest
+    /// From now on it only asks: its disk cannot be written. What it reports then rests on other nodes' disks alone,
+    /// and [`Effect::Persist`] has no meaning.
+    pub fn become_non_voting(&mut self) {
+        self.core.is_non_voting = true;
     }
 
-    /// Begins an order; `ticket` hears of its end.
-    pub fn order(&mut self, now: Ms, order: Order, ticket: Option<Ticket>) -> Vec<Effect> {
-        self.now = now;
-        match order {
-            Order::Config {
+    /// Begins a command. Its outcome is reported under `command_id`.
+    pub fn submit(
+        &mut self,
+        now: Millis,
+        command: Command,
+        command_id: Option<CommandId>,
+    ) -> Vec<Effect> {
+        self.core.now = now;
+        match command {
+            Command::SetConfig {
                 version,
-                text,
+                packed_text,
                 digest,
-            } => self.decide_number(version, text, digest, ticket),
-            Order::Evacuation { .. } | Order::Read => self.begin_read(order, ticket),
+            } => {
+                let packed = Some(packed_text);
+                let text = ConfigText { digest, packed };
+                self.proposals
+                    .propose(&mut self.core, version, text, command_id);
+            }
+            Command::SetEvacuation { .. } | Command::Read => {
+                self.reads.begin(&mut self.core, command, command_id);
+            }
         }
-        self.finish()
+        self.core.take_effects()
     }
 
-    /// A message of another machine.
-    pub fn hear(&mut self, now: Ms, from: Place, message: Message) -> Vec<Effect> {
-        self.now = now;
-        // A machine that stood still must not go on with what nobody waits for any more.
+    /// Handles a message of another node, or of this one to itself.
+    pub fn step(&mut self, now: Millis, from: NodeId, message: Message) -> Vec<Effect> {
+        self.core.now = now;
+        // A process that was suspended must not go on with what nobody waits for any more.
         self.expire();
         self.handle(from, message);
-        self.finish()
+        self.core.take_effects()
     }
 
-    /// Sends again what found no answer, and ends what took too long.
-    pub fn beat(&mut self, now: Ms) -> Vec<Effect> {
-        self.now = now;
+    /// Sends unanswered requests again, and ends what took too long. To be called several times a second.
+    pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
+        self.core.now = now;
         self.expire();
-        self.resend_reads();
-        self.resend_numbers();
-        self.complete_change();
-        self.resend_change();
-        self.resend_seals();
-        self.finish()
+        self.reads.resend(&mut self.core);
+        self.proposals.resend(&mut self.core);
+        self.membership_change.complete_accepted(&mut self.core);
+        self.membership_change.resend(&mut self.core);
+        self.state_transfer.resend(&mut self.core);
+        self.core.take_effects()
     }
 
-    pub(crate) fn finish(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.effects)
+    /// Proposes the voters of the next epoch, unless this node does so already. Whoever else proposes, one set is
+    /// decided.
+    pub fn propose_voters(&mut self, now: Millis, voters: Voters) -> Vec<Effect> {
+        self.core.now = now;
+        self.membership_change.propose(&mut self.core, voters);
+        self.core.take_effects()
     }
 
-    fn handle(&mut self, from: Place, message: Message) {
+    /// Another node has told which epoch it knows of.
+    pub fn observe_epoch(&mut self, now: Millis, from: NodeId, epoch: Epoch) -> Vec<Effect> {
+        self.core.now = now;
+        self.compare_epoch(from, epoch);
+        self.core.take_effects()
+    }
+
+    fn handle(&mut self, from: NodeId, message: Message) {
         match message {
-            Message::Request { epoch, request } if epoch == self.state.epoch.number => {
-                self.answer(from, request);
+            Message::Request { epoch, request } => self.handle_request(from, epoch, request),
+            Message::Reply { epoch, reply } => self.handle_reply(from, epoch, reply),
+            Message::Epoch(epoch) => self.compare_epoch(from, *epoch),
+            Message::Seal { epoch, digest } => {
+                let number = epoch.number;
+                self.compare_epoch(from, *epoch);
+                state_transfer::answer_seal(&mut self.core, from, number, digest);
             }
-            Message::Request { .. } => self.tell_epoch(from),
-            Message::Reply { epoch, reply } => {
-                let voter = self.state.epoch.voters.names(from);
-                if epoch == self.state.epoch.number && voter {
-                    self.replied(from, reply);
-                }
+            Message::Sealed(reply) => {
+                self.state_transfer
+                    .on_seal_reply(&mut self.core, from, &reply);
             }
-            Message::Epoch(epoch) => self.heard_epoch(from, *epoch),
-            Message::Seal { epoch, digest } => self.seal(from, *epoch, digest),
-            Message::Sealed(sealed) => self.sealed(from, *sealed),
-            Message::Decided { number, digest } => self.learn(number, digest, None),
-            Message::Nudge => {}
+            Message::Decided { version, digest } => {
+                let closed = self.proposals.learn(&mut self.core, version, digest, None);
+                self.on_version_closed(&closed);
+            }
+            Message::CommitNotice => {}
         }
     }
 
-    /// A request in this machine's own epoch. Only a voter that has joined it answers.
-    fn answer(&mut self, from: Place, request: Request) {
-        if !self.joined() {
-            return;
+    fn handle_request(&mut self, from: NodeId, epoch: u32, request: Request) {
+        if epoch != self.core.durable.epoch.number {
+            return self.send_epoch(from);
+        }
+        if let Some(reply) = voter::answer(&mut self.core, request) {
+            self.core.send(from, Message::Reply { epoch, reply });
         }
-        let reply = match request {
-            Request::Read { .. } | Request::Write { .. } if !self.state.epoch.serves() => return,
-            Request::Prepare { .. } | Request::Accept { .. } if !self.state.epoch.serves() => {
-                return
-            }
-            Request::Read { round, digest } => self.answer_read(round, digest),
-            Request::Write { round, held } => self.answer_write(round, &held),
-            Request::Prepare { number, ballot } => self.answer_prepare(number, ballot),
-            Request::Accept {
-                number,
-                ballot,
-                text,
-            } => self.answer_accept(number, ballot, *text),
-            Request::PrepareSuccessor { ballot } => self.answer_successor(ballot, None),
-            Request::AcceptSuccessor { ballot, voters } => {
-                self.answer_successor(ballot, Some(voters))
-            }
-        };
-        let epoch = self.state.epoch.number;
-        self.send(from, Message::Reply { epoch, reply });
     }
 
-    fn replied(&mut self, from: Place, reply: Reply) {
+    /// Only answers of this epoch's voters count.
+    fn handle_reply(&mut self, from: NodeId, epoch: u32, reply: Reply) {
+        let own_epoch = &self.core.durable.epoch;
+        if epoch != own_epoch.number || !own_epoch.voters.contains_node(from) {
+            return;
+        }
         match reply {
-            Reply::Read {
-                round,
-                digest,
-                held,
-                open,
-            } => self.read_told(from, round, digest, held, open),
-            Reply::Written { round } => self.written(from, round),
-            Reply::Number {
-                number,
+            Reply::Read(reply) => {
+                let open = self.reads.on_read_reply(&mut self.core, from, reply);
+                self.complete_open_version(open);
+            }
+            Reply::Written { request_id } => {
+                let open = self.reads.on_write_reply(&mut self.core, from, request_id);
+                self.complete_open_version(open);
+            }
+            Reply::Version {
+                version,
                 ballot,
                 answer,
-            } => self.number_answered(from, number, ballot, *answer),
-            Reply::Successor { ballot, answer } => self.successor_answered(from, ballot, answer),
+            } => {
+                let core = &mut self.core;
+                let closed = self
+                    .proposals
+                    .on_answer(core, from, version, ballot, *answer);
+                if let Some(closed) = closed {
+                    self.on_version_closed(&closed);
+                }
+            }
+            Reply::Successor { ballot, answer } => {
+                let core = &mut self.core;
+                let decided = self.membership_change.on_answer(core, from, ballot, answer);
+                if let Some(epoch) = decided {
+                    self.announce_epoch(epoch);
+                }
+            }
         }
     }
 
     fn expire(&mut self) {
-        self.expire_numbers();
-        self.expire_reads();
-    }
-
-    pub(crate) fn send(&mut self, to: Place, message: Message) {
-        self.effects.push(Effect::Send { to, message });
+        let reads = &self.reads;
+        self.proposals
+            .expire(&mut self.core, |version| reads.awaits_decision_of(version));
+        self.reads.expire(&mut self.core);
     }
 
-    /// Sends a request to the voters of this epoch of whom an answer is wanted.
-    pub(crate) fn ask(&mut self, wanted: impl Fn(Place) -> bool, request: &Request) {
-        let epoch = self.state.epoch.number;
-        let mut to: Vec<Place> = self
-            .state
-            .epoch
-            .voters
-            .places()
-            .filter(|p| wanted(*p))
-            .collect();
-        // Its own disk last: the others work meanwhile.
-        to.sort_by_key(|place| *place == self.me);
-        for place in to {
-            self.send(
-                place,
-                Message::Request {
-                    epoch,
-                    request: request.clone(),
-                },
-            );
+    /// A read found a version that may have been decided: it must be, before the read can end.
+    fn complete_open_version(&mut self, open: Option<OpenVersion>) {
+        if let Some(open) = open {
+            self.proposals.complete(&mut self.core, open);
         }
     }
 
-    /// All voters of this epoch but this machine.
-    pub(crate) fn other_voters(&self) -> Vec<Place> {
-        self.state
-            .epoch
-            .voters
-            .places()
-            .filter(|p| *p != self.me)
-            .collect()
-    }
-
-    pub(crate) fn quorum(&self) -> usize {
-        self.state.epoch.voters.quorum()
-    }
-
-    pub(crate) fn new_round(&mut self) -> u64 {
-        self.next_round += 1;
-        self.next_round
-    }
-
-    /// A ballot above all that were heard of.
-    pub(crate) fn new_ballot(&mut self) -> Ballot {
-        self.highest = self.life.above(self.highest);
-        self.highest
-    }
-
-    pub(crate) fn heard_of(&mut self, ballot: Ballot) {
-        self.highest = self.highest.max(ballot);
-    }
-
-    /// When to begin anew after having been outbid.
-    pub(crate) fn backoff(&mut self) -> Ms {
-        self.now + BACKOFF_MS.start + self.rng.f64() * (BACKOFF_MS.end - BACKOFF_MS.start)
+    fn on_version_closed(&mut self, closed: &ClosedVersion) {
+        let core = &mut self.core;
+        self.reads
+            .on_version_closed(core, closed.version, closed.is_in_force);
+        if closed.must_persist {
+            core.push(Effect::Persist);
+        }
     }
 
-    pub(crate) fn end(&mut self, ticket: Option<Ticket>, outcome: Outcome) {
-        self.effects
-            .extend(ticket.map(|ticket| Effect::Ended { ticket, outcome }));
+    /// The newer of two epochs is the one that counts: enters the other node's, or sends it this node's.
+    fn compare_epoch(&mut self, from: NodeId, epoch: Epoch) {
+        if epoch.supersedes(&self.core.durable.epoch) {
+            self.enter_epoch(epoch);
+        } else if self.core.durable.epoch.supersedes(&epoch) {
+            self.send_epoch(from);
+        }
     }
 
-    pub(crate) fn done(&self) -> Outcome {
-        Outcome::Done(Box::new(self.settled.clone()))
+    /// Also sends an epoch without voters: a receiver that knows more answers with that.
+    fn send_epoch(&mut self, to: NodeId) {
+        let epoch = Box::new(self.core.durable.epoch.clone());
+        self.core.send(to, Message::Epoch(epoch));
     }
 
-    /// Takes in what another machine holds; a voter's disk has it before anything is said of it.
-    pub(crate) fn join_held(&mut self, held: &Holdings) {
-        if self.state.held.join(held) {
-            self.state.numbers.overtaken(self.state.held.config.version);
-            self.effects.push(Effect::Persist);
-        }
+    /// That epoch was decided: the one before is closed here.
+    fn enter_epoch(&mut self, epoch: Epoch) {
+        let core = &mut self.core;
+        core.durable.epoch = epoch;
+        core.durable.has_joined = false;
+        core.durable.successor = Acceptor::default();
+        core.push(Effect::Persist);
+        core.push(Effect::EpochChanged);
+        self.membership_change.abandon();
+        self.state_transfer.begin(core);
+        self.proposals.restart_all(core);
+        self.reads.restart_all(core);
     }
 
-    /// A majority holds that. It rests on others' disks, and is news before it is on this one.
-    pub(crate) fn settle(&mut self, held: &Holdings) {
-        let before = self.settled.digest();
-        self.settled.join(held);
-        if self.settled.digest() != before {
-            self.effects.push(Effect::News);
+    /// This node had the next epoch decided: enters it and tells the voters of both epochs.
+    fn announce_epoch(&mut self, epoch: Epoch) {
+        let voters = epoch.voters.nodes().chain(epoch.previous_voters.nodes());
+        let others: Vec<NodeId> = voters.filter(|v| *v != self.core.local_node).collect();
+        self.enter_epoch(epoch.clone());
+        for to in others {
+            self.core.send(to, Message::Epoch(Box::new(epoch.clone())));
         }
     }
 }
--- a/crates/aspendrum-consensus/src/state.rs
+++ b/crates/aspendrum-consensus/src/state.rs
@@ -1,54 +1,63 @@
-//! What one machine keeps on its disk.
+//! What one node keeps on its disk.
 
-use crate::ballot::Acceptor;
-use crate::holdings::{Holdings, Place};
+use crate::acceptor::Acceptor;
 use crate::membership::{DiskId, Epoch, Voters};
-use crate::numbers::Numbers;
+use crate::node::NodeId;
+use crate::replicated_state::ReplicatedState;
+use crate::versions::VersionTable;
 use serde::{Deserialize, Serialize};
 
-/// Everything that a machine must not forget. A machine says nothing that rests on it before it is synced.
+/// Everything that a node must not forget. It sends nothing that rests on this state before the state is synced.
+/// Encoded with postcard on the disk: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct State {
-    /// Of configurations only what was decided.
-    pub held: Holdings,
-    pub numbers: Numbers,
+pub struct DurableState {
+    /// This node's copy of the replicated state. Of configurations it holds only decided ones.
+    pub replicated: ReplicatedState,
+    /// This node's acceptors of configuration versions.
+    pub versions: VersionTable,
+    /// The identity of the disk.
     pub disk: DiskId,
-    /// It is the disk that this machine had at the first start of the whole system.
-    pub founding: bool,
-    /// The newest epoch that is known to be decided: every earlier one is closed here for ever.
+    /// Whether the node has had this disk since the first start of the whole system.
+    pub is_founding_disk: bool,
+    /// The newest epoch that is known to be decided. Every earlier one is closed on this node for ever.
     pub epoch: Epoch,
-    /// This disk votes in `epoch` and holds all that was acknowledged before that began.
-    pub joined: bool,
-    /// This voter's part in deciding the epoch after `epoch`.
+    /// Whether this disk votes in `epoch` and holds everything that was acknowledged before the epoch began.
+    pub has_joined: bool,
+    /// This node's acceptor in deciding the epoch after `epoch`.
     pub successor: Acceptor<Voters>,
 }
 
-impl State {
-    /// An empty disk. `init`: this is the first start of the whole system, and `seeds` are its first machines.
-    pub fn empty(me: Place, disk: DiskId, init: bool, seeds: &[Place]) -> State {
-        let mut state = State {
-            held: Holdings::default(),
-            numbers: Numbers::default(),
+impl DurableState {
+    /// The state of an empty disk. `is_first_start`: the whole system starts for the first time, on the nodes `seeds`.
+    pub fn empty(
+        node: NodeId,
+        disk: DiskId,
+        is_first_start: bool,
+        seeds: &[NodeId],
+    ) -> DurableState {
+        let mut state = DurableState {
+            replicated: ReplicatedState::default(),
+            versions: VersionTable::default(),
             disk,
-            founding: init,
+            is_founding_disk: is_first_start,
             epoch: Epoch::default(),
-            joined: false,
+            has_joined: false,
             successor: Acceptor::default(),
         };
-        state.found(me, seeds);
+        state.enter_founding_epoch(node, seeds);
         state
     }
 
-    /// A machine that was there at the first start and knows of no epoch begins with the founding one.
-    pub fn found(&mut self, me: Place, seeds: &[Place]) {
-        if self.founding && self.epoch.voters.is_empty() {
-            self.epoch = Epoch::first(seeds);
-            self.joined = self.epoch.voters.names(me);
+    /// A node that took part in the first start and knows of no epoch begins with the founding one.
+    pub fn enter_founding_epoch(&mut self, node: NodeId, seeds: &[NodeId]) {
+        if self.is_founding_disk && self.epoch.voters.is_empty() {
+            self.epoch = Epoch::founding(seeds);
+            self.has_joined = self.epoch.voters.contains_node(node);
         }
     }
 
-    /// This machine's disk is one of these voters.
-    pub fn votes_among(&self, voters: &Voters, me: Place) -> bool {
-        voters.include(me, self.disk, self.founding)
+    /// Whether this disk of `node` is one of these voters.
+    pub fn is_voter_in(&self, voters: &Voters, node: NodeId) -> bool {
+        voters.contains_disk(node, self.disk, self.is_founding_disk)
     }
 }
--- /dev/null
+++ b/crates/aspendrum-consensus/src/voter.rs
@@ -0,0 +1,115 @@
+//! How a voter answers the requests of its epoch: as a register that stores what it is sent (Attiya, Bar-Noy and Dolev,
+//! 1995) and as a Paxos acceptor. What an answer rests on is persisted before the answer is sent.
+
+use crate::ballot::Ballot;
+use crate::effect::Effect;
+use crate::membership::Voters;
+use crate::message::{ReadReply, Reply, Request, SuccessorAnswer};
+use crate::replica_core::ReplicaCore;
+use crate::replicated_state::ReplicatedState;
+use crate::versions::{ConfigText, VersionAnswer};
+
+/// Answers a request of this node's own epoch. None: the node has not joined the epoch, or the epoch takes no commands.
+pub(crate) fn answer(core: &mut ReplicaCore, request: Request) -> Option<Reply> {
+    if !core.has_joined() {
+        return None;
+    }
+    let is_about_successor = matches!(
+        request,
+        Request::PrepareSuccessor { .. } | Request::AcceptSuccessor { .. }
+    );
+    if !is_about_successor && !core.durable.epoch.takes_commands() {
+        return None;
+    }
+    let reply = match request {
+        Request::Read { request_id, digest } => read(core, request_id, digest),
+        Request::Write { request_id, state } => write(core, request_id, &state),
+        Request::Prepare { version, ballot } => prepare_version(core, version, ballot),
+        Request::Accept {
+            version,
+            ballot,
+            text,
+        } => accept_version(core, version, ballot, *text),
+        Request::PrepareSuccessor { ballot } => prepare_successor(core, ballot),
+        Request::AcceptSuccessor { ballot, voters } => accept_successor(core, ballot, voters),
+    };
+    Some(reply)
+}
+
+fn read(core: &ReplicaCore, request_id: u64, digest: u64) -> Reply {
+    let replicated = &core.durable.replicated;
+    let own_digest = replicated.digest();
+    let state = (own_digest != digest).then(|| Box::new(replicated.clone()));
+    let open = core
+        .durable
+        .versions
+        .highest_open(replicated.config.version);
+    Reply::Read(ReadReply {
+        request_id,
+        digest: own_digest,
+        state,
+        open: open.map(Box::new),
+    })
+}
+
+fn write(core: &mut ReplicaCore, request_id: u64, state: &ReplicatedState) -> Reply {
+    core.store(state);
+    Reply::Written { request_id }
+}
+
+fn prepare_version(core: &mut ReplicaCore, version: u32, ballot: Ballot) -> Reply {
+    core.ballots.observe(ballot);
+    let in_force = core.durable.replicated.config.version;
+    let answer = core.durable.versions.prepare(version, ballot, in_force);
+    version_reply(core, version, ballot, answer)
+}
+
+fn accept_version(core: &mut ReplicaCore, version: u32, ballot: Ballot, text: ConfigText) -> Reply {
+    core.ballots.observe(ballot);
+    let in_force = core.durable.replicated.config.version;
+    let versions = &mut core.durable.versions;
+    let answer = versions.accept(version, ballot, text, in_force);
+    version_reply(core, version, ballot, answer)
+}
+
+fn version_reply(
+    core: &mut ReplicaCore,
+    version: u32,
+    ballot: Ballot,
+    answer: VersionAnswer,
+) -> Reply {
+    let binds_this_voter = matches!(answer, VersionAnswer::Promised(_) | VersionAnswer::Accepted);
+    if binds_this_voter {
+        core.push(Effect::Persist);
+    }
+    Reply::Version {
+        version,
+        ballot,
+        answer: Box::new(answer),
+    }
+}
+
+fn prepare_successor(core: &mut ReplicaCore, ballot: Ballot) -> Reply {
+    core.ballots.observe(ballot);
+    let answer = match core.durable.successor.prepare(ballot) {
+        Ok(accepted) => SuccessorAnswer::Promised(accepted),
+        Err(preempted) => SuccessorAnswer::Preempted(preempted.by),
+    };
+    successor_reply(core, ballot, answer)
+}
+
+fn accept_successor(core: &mut ReplicaCore, ballot: Ballot, voters: Voters) -> Reply {
+    core.ballots.observe(ballot);
+    let answer = match core.durable.successor.accept(ballot, voters) {
+        Ok(()) => SuccessorAnswer::Accepted,
+        Err(preempted) => SuccessorAnswer::Preempted(preempted.by),
+    };
+    successor_reply(core, ballot, answer)
+}
+
+fn successor_reply(core: &mut ReplicaCore, ballot: Ballot, answer: SuccessorAnswer) -> Reply {
+    if !matches!(answer, SuccessorAnswer::Preempted(_)) {
+        core.push(Effect::Persist);
+    }
+    Reply::Successor { ballot, answer }
+}
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -1,353 +1,344 @@
-//! Agents and their proxies: what each was told, how it stands to what was decided, and which proxies clients may be
-//! sent to.
+//! The agents that are connected to this control node: which updates each was sent, what its proxy has applied, and
+//! whether clients may be sent to that.
 
-use crate::directory::{union, KnownFront};
-use crate::peer_message::PeerMessage;
-use crate::report::{self, Membership, Node};
-use crate::server::{Ms, Server};
+use crate::event::ConnectionId;
+use crate::proxy_table::ProxyEntry;
+use crate::report::NodeReport;
+use aspendrum_consensus::Millis;
 use aspendrum_model::message::{
     FromControl, ProxyEndpoint, Readiness, StateDigest, StateSection, ToControl, SECTION_KINDS,
 };
-use aspendrum_model::servers::ServerInstance as Origin;
+use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::frames::Link;
-use aspendrum_reconcile::{Standing, Verdict, Word};
-use serde_json::Value;
+use aspendrum_reconcile::{Bounds, Standing, Verdict, Word};
 use std::collections::HashMap;
 
-const AGENT_SILENT: Ms = 1000.0;
-/// An agent that goes to another machine of control is heard there within this time.
-const MOVES: Ms = 1200.0;
-/// A majority was read so lately that its news of proxies are the fleet's.
-const SURE: Ms = 1200.0;
-/// Of the time in which a change must be in force, how long a proxy may lack it before clients are sent elsewhere.
-const OFF_SHARE: f64 = 0.5;
+/// An agent that was silent for so long is frozen, cut off or without power, and its proxy with it.
+const MAX_SILENCE: Millis = 1000.0;
+/// An agent that changes to another control node is connected there within this time.
+const RECONNECT_TIME: Millis = 1200.0;
+/// What a majority was known to hold so lately may be compared with what a proxy has applied.
+const MAX_MAJORITY_AGE: Millis = 1200.0;
+
+/// What heartbeats of agents are answered and judged with.
+#[derive(Clone, Copy)]
+pub struct MajorityView {
+    /// What is decided, as far as this node knows.
+    pub decided: StateDigest,
+    /// How long ago a majority is known to have held nothing newer.
+    pub age: Option<Millis>,
+    /// For how long that counts.
+    pub bounds: Bounds,
+    /// For how long a proxy may lack what is decided before clients are sent elsewhere.
+    pub max_lag: Millis,
+}
+
+/// What a message of an agent has changed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum AgentChange {
+    /// Nothing that others need to know.
+    Unchanged,
+    /// A proxy of this node has changed.
+    ProxyChanged,
+    /// An agent has introduced itself, and is to be sent everything.
+    Joined,
+}
 
 /// An agent and its proxy, by their connection.
-struct Session {
+struct AgentSession {
     link: Link,
     host: String,
-    front: Option<ProxyEndpoint>,
-    heard: Ms,
-    /// The number of the last news it was told, the last it has applied, and what it was told of each kind.
-    said: u64,
-    applied: u64,
-    told: [Option<StateSection>; SECTION_KINDS],
-    /// What its proxy has in force, and since when that is not what was decided.
-    edition: StateDigest,
-    standing: Standing,
-    off: Option<Ms>,
-    /// It has said that it goes to another machine of control.
-    moving: bool,
+    /// None until the agent has introduced itself.
+    proxy: Option<ProxyEndpoint>,
+    last_received: Millis,
+    /// The numbers of the last update that was sent, and of the last that was acknowledged as applied.
+    sent_update: u64,
+    acknowledged_update: u64,
+    /// What was sent last of each kind of section.
+    sent_sections: [Option<StateSection>; SECTION_KINDS],
+    /// What the proxy has applied, and how that compares with what is decided.
+    applied: StateDigest,
+    status: Standing,
+    /// Since when it has not been current; none while it is.
+    not_current_since: Option<Millis>,
+    /// It has told that it changes to another control node.
+    is_disconnecting: bool,
 }
 
-impl Session {
-    fn new(link: Link, now: Ms) -> Session {
-        Session {
+impl AgentSession {
+    fn new(link: Link, now: Millis) -> AgentSession {
+        AgentSession {
             link,
             host: String::new(),
-            front: None,
-            heard: now,
-            said: 0,
-            applied: 0,
-            told: [const { None }; SECTION_KINDS],
-            edition: StateDigest::default(),
-            standing: Standing::Behind,
-            off: None,
-            moving: false,
+            proxy: None,
+            last_received: now,
+            sent_update: 0,
+            acknowledged_update: 0,
+            sent_sections: [const { None }; SECTION_KINDS],
+            applied: StateDigest::default(),
+            status: Standing::Behind,
+            not_current_since: None,
+            is_disconnecting: false,
         }
     }
 
-    /// Tells it what it was not told yet.
-    fn tell(&mut self, wanted: &[StateSection]) {
-        for part in wanted {
-            let told = &mut self.told[part.kind()];
-            if told.as_ref().is_some_and(|told| same(told, part)) {
+    /// Sends the sections that the agent does not have yet.
+    fn send_updates(&mut self, sections: &[StateSection]) {
+        for section in sections {
+            let sent = &mut self.sent_sections[section.kind()];
+            if sent.as_ref().is_some_and(|sent| is_covered(sent, section)) {
                 continue;
             }
-            self.said += 1;
+            self.sent_update += 1;
             self.link.send(&FromControl::Update {
-                number: self.said,
-                part: part.clone(),
+                number: self.sent_update,
+                part: section.clone(),
             });
-            *told = Some(part.clone());
+            *sent = Some(section.clone());
+        }
+    }
+
+    /// Answers a heartbeat, and takes in what the proxy has applied.
+    fn on_heartbeat(&mut self, now: Millis, stamp: u64, applied: StateDigest, view: &MajorityView) {
+        let majority_age = view.age.map(|age| age.ceil() as u32);
+        self.link.send(&FromControl::Heartbeat {
+            stamp,
+            majority_age,
+            decided: view.decided,
+            control_reachable: true,
+            most_agents_isolated: false,
+        });
+        self.applied = applied;
+        // Without a recent majority this node may be the one that is behind.
+        if majority_age.is_some_and(|age| Millis::from(age) <= MAX_MAJORITY_AGE) {
+            let report = Word {
+                decided: view.decided,
+                as_of: now,
+            };
+            self.status = Verdict::of(&applied, Some(&report), false, &view.bounds).standing;
+            self.not_current_since = match self.status {
+                Standing::Current => None,
+                _ => Some(self.not_current_since.unwrap_or(now)),
+            };
         }
     }
+
+    /// Takes over the state of the proxy. Returns whether that has changed.
+    fn update_proxy(&mut self, now: Millis, readiness: Readiness, max_lag: Millis) -> bool {
+        // An update that is on its way is no reason to send clients elsewhere.
+        let current = self
+            .not_current_since
+            .is_none_or(|since| now - since < max_lag);
+        let Some(proxy) = &mut self.proxy else {
+            return false;
+        };
+        let (addr, status) = (proxy.addr, self.status.word());
+        if proxy.readiness != readiness {
+            let event = if readiness == Readiness::Ready {
+                "proxy_ready"
+            } else {
+                "proxy_not_ready"
+            };
+            log::info!("event={event} proxy={addr} is={readiness:?}");
+        }
+        if proxy.current != current {
+            log::info!("event=proxy_sync_status proxy={addr} is={status}");
+        }
+        let has_changed = proxy.readiness != readiness || proxy.current != current;
+        proxy.readiness = readiness;
+        proxy.current = current;
+        has_changed
+    }
+
+    fn report(&self, now: Millis) -> Option<NodeReport> {
+        let proxy = self.proxy.as_ref()?;
+        let not_current = self.not_current_since.map_or(0.0, |since| now - since);
+        Some(NodeReport {
+            host: self.host.clone(),
+            proxy: proxy.addr.to_string(),
+            zone: proxy.zone.clone(),
+            ready: proxy.ready(),
+            status: self.status,
+            not_current_ms: not_current.max(0.0) as u64,
+            applied: self.applied,
+            sent_update: self.sent_update,
+            acknowledged_update: self.acknowledged_update,
+        })
+    }
+}
+
+/// A proxy whose agent is changing to another control node.
+struct MovedProxy {
+    proxy: ProxyEndpoint,
+    /// Until when the agent is believed to be connected there.
+    until: Millis,
 }
 
-/// The agents that are connected to this machine, and all proxies that any machine of control hears of.
+/// The agents that are connected to this node.
 #[derive(Default)]
-pub struct Agents {
-    sessions: HashMap<u64, Session>,
-    /// Proxies whose agents have gone to another machine of control, and until when they are believed to be there.
-    moved: Vec<(ProxyEndpoint, Ms)>,
-    all_fronts: Vec<ProxyEndpoint>,
+pub struct AgentSessions {
+    sessions: HashMap<ConnectionId, AgentSession>,
+    moved: Vec<MovedProxy>,
 }
 
-impl Agents {
-    /// The proxies whose agents are connected here, and those whose agents have just gone to another machine.
-    pub fn fronts(&self) -> Vec<KnownFront> {
-        let connected = self.sessions.values().filter_map(|s| s.front.clone());
-        let connected = connected.map(|front| KnownFront {
-            front,
+impl AgentSessions {
+    /// The proxies whose agents are connected here, and those whose agents have just left for another control node.
+    pub fn proxy_entries(&self) -> Vec<ProxyEntry> {
+        let connected = self
+            .sessions
+            .values()
+            .filter_map(|session| session.proxy.clone());
+        let connected = connected.map(|proxy| ProxyEntry {
+            proxy,
             connected: true,
         });
-        let moved = self.moved.iter().map(|m| KnownFront {
-            front: m.0.clone(),
+        let moved = self.moved.iter().map(|moved| ProxyEntry {
+            proxy: moved.proxy.clone(),
             connected: false,
         });
         connected.chain(moved).collect()
     }
-}
 
-impl Server {
-    pub(crate) fn agent_connected(&mut self, id: u64, link: Link) {
-        let now = self.now();
-        self.agents.sessions.insert(id, Session::new(link, now));
+    /// An agent connected.
+    pub fn on_connected(&mut self, now: Millis, id: ConnectionId, link: Link) {
+        self.sessions.insert(id, AgentSession::new(link, now));
     }
 
-    pub(crate) fn agent_gone(&mut self, id: u64) {
-        let Some(session) = self.agents.sessions.remove(&id) else {
-            return;
+    /// A connection ended. Returns whether that has changed this node's proxies.
+    pub fn on_disconnected(&mut self, now: Millis, id: ConnectionId) -> bool {
+        let Some(session) = self.sessions.remove(&id) else {
+            return false;
         };
-        let Some(front) = session.front else { return };
+        let Some(proxy) = session.proxy else {
+            return false;
+        };
+        let is_moving = session.is_disconnecting;
         log::info!(
-            "event=agent_gone front={} moving={}",
-            front.addr,
-            session.moving
+            "event=agent_disconnected proxy={} moving={is_moving}",
+            proxy.addr
         );
-        if session.moving {
-            let until = self.now() + MOVES;
-            self.agents.moved.push((front, until));
+        if is_moving {
+            let until = now + RECONNECT_TIME;
+            self.moved.push(MovedProxy { proxy, until });
         }
-        self.own_fronts_changed();
+        true
     }
 
-    pub(crate) fn agent_said(&mut self, id: u64, message: ToControl) {
-        let now = self.now();
-        let Some(session) = self.agents.sessions.get_mut(&id) else {
-            return;
+    /// An agent sent a message.
+    pub fn on_message(
+        &mut self,
+        now: Millis,
+        id: ConnectionId,
+        message: ToControl,
+        view: &MajorityView,
+    ) -> AgentChange {
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return AgentChange::Unchanged;
         };
-        session.heard = now;
+        session.last_received = now;
         match message {
             ToControl::Hello { host, front, zone } => {
-                log::info!("event=agent_came host={host} front={front} zone={zone}");
+                log::info!("event=agent_connected host={host} proxy={front} zone={zone}");
                 session.host = host;
-                let readiness = Readiness::Closed;
-                session.front = Some(ProxyEndpoint {
+                session.proxy = Some(ProxyEndpoint {
                     addr: front,
                     zone,
-                    readiness,
+                    readiness: Readiness::Closed,
                     current: true,
                 });
-                self.own_fronts_changed();
-                self.tell_agents();
+                AgentChange::Joined
             }
             ToControl::Heartbeat {
                 stamp,
                 readiness,
                 applied,
-            } => self.agent_beat(id, stamp, readiness, applied),
-            ToControl::Disconnecting => session.moving = true,
-            ToControl::Applied { number } => session.applied = session.applied.max(number),
-        }
-    }
-
-    fn agent_beat(&mut self, id: u64, stamp: u64, readiness: Readiness, applied: StateDigest) {
-        let now = self.now();
-        let age = self
-            .replica
-            .as_of()
-            .map(|at| (now - at).max(0.0).ceil() as u32);
-        let (of, deserted) = (self.decided, false);
-        let Some(session) = self.agents.sessions.get_mut(&id) else {
-            return;
-        };
-        session.link.send(&FromControl::Heartbeat {
-            stamp,
-            majority_age: age,
-            decided: of,
-            control_reachable: true,
-            most_agents_isolated: deserted,
-        });
-        session.edition = applied;
-        // Without a majority this machine may be the one that is behind.
-        if age.is_some_and(|age| Ms::from(age) <= SURE) {
-            let word = Word {
-                decided: of,
-                as_of: now,
-            };
-            session.standing = Verdict::of(&applied, Some(&word), false, &self.bounds).standing;
-            let off = session.standing != Standing::Current;
-            session.off = off.then(|| session.off.unwrap_or(now));
-        }
-        // News that are on their way are no reason to send clients elsewhere.
-        let current = session
-            .off
-            .is_none_or(|at| now - at < OFF_SHARE * self.settings.apply_ms);
-        let standing = session.standing.word();
-        let turned = session
-            .front
-            .as_mut()
-            .filter(|f| (f.readiness, f.current) != (readiness, current));
-        let Some(front) = turned else { return };
-        if front.readiness != readiness {
-            let is = if readiness == Readiness::Ready {
-                "ready"
-            } else {
-                "not_ready"
-            };
-            log::info!("event=front_{is} front={} is={readiness:?}", front.addr);
-        }
-        if front.current != current {
-            log::info!("event=front_standing front={} is={standing}", front.addr);
-        }
-        (front.readiness, front.current) = (readiness, current);
-        self.own_fronts_changed();
-    }
-
-    /// An agent that is not heard of is frozen, cut off or without power, and its proxy with it.
-    pub(crate) fn drop_silent_agents(&mut self, now: Ms) {
-        let open = |f: &ProxyEndpoint| f.readiness != Readiness::Closed;
-        let gone =
-            |s: &&mut Session| now - s.heard > AGENT_SILENT && s.front.as_ref().is_some_and(open);
-        let moved = self.agents.moved.len();
-        self.agents.moved.retain(|m| now < m.1);
-        let mut silent = self.agents.moved.len() != moved;
-        for front in self
-            .agents
-            .sessions
-            .values_mut()
-            .filter(gone)
-            .filter_map(|s| s.front.as_mut())
-        {
-            (front.readiness, silent) = (Readiness::Closed, true);
-            log::info!("event=front_silent front={}", front.addr);
-        }
-        if silent {
-            self.own_fronts_changed();
-        }
-    }
-
-    fn own_fronts_changed(&mut self) {
-        let own = self.agents.fronts();
-        self.say_all(&PeerMessage::Fronts(own));
-        self.update_fronts();
-    }
-
-    /// Takes together what all control that is there knows of proxies.
-    pub(crate) fn update_fronts(&mut self) {
-        let (now, own) = (self.now(), self.agents.fronts());
-        let others = self.peers.up(now).map(|p| &p.1.fronts);
-        let all = union(std::iter::once(&own).chain(others));
-        if all == self.agents.all_fronts {
-            return;
+            } => {
+                session.on_heartbeat(now, stamp, applied, view);
+                if session.update_proxy(now, readiness, view.max_lag) {
+                    AgentChange::ProxyChanged
+                } else {
+                    AgentChange::Unchanged
+                }
+            }
+            ToControl::Disconnecting => {
+                session.is_disconnecting = true;
+                AgentChange::Unchanged
+            }
+            ToControl::Applied { number } => {
+                session.acknowledged_update = session.acknowledged_update.max(number);
+                AgentChange::Unchanged
+            }
         }
-        self.agents.all_fronts = all;
-        let mut directory = self.directory.write().unwrap_or_else(|e| e.into_inner());
-        directory.update(now, &self.agents.all_fronts);
-        drop(directory);
-        self.tell_agents();
     }
 
-    /// What every agent is to know now.
-    fn wanted(&self) -> Vec<StateSection> {
-        let (settled, now) = (self.replica.settled(), self.now());
-        let mut wanted = Vec::new();
-        // Before a majority was read what is known here may be older than what an agent was told elsewhere.
-        if self.replica.as_of().is_some() {
-            if settled.config.version > 0 {
-                let config = &settled.config;
-                wanted.push(StateSection::config(config.version, config.text.clone()));
+    /// Takes the proxies of silent agents for closed, and forgets those whose agents left a while ago. Returns whether
+    /// that has changed this node's proxies.
+    pub fn close_silent(&mut self, now: Millis) -> bool {
+        let moved_before = self.moved.len();
+        self.moved.retain(|moved| now < moved.until);
+        let mut has_changed = self.moved.len() != moved_before;
+        let silent = self.sessions.values_mut();
+        let silent = silent.filter(|session| now - session.last_received > MAX_SILENCE);
+        for proxy in silent.filter_map(|session| session.proxy.as_mut()) {
+            if proxy.readiness != Readiness::Closed {
+                proxy.readiness = Readiness::Closed;
+                has_changed = true;
+                log::info!("event=proxy_silent proxy={}", proxy.addr);
             }
-            let (number, zones) = settled.evacuated();
-            wanted.push(StateSection::Evacuated { number, zones });
-        }
-        wanted.extend(self.servers.part(now));
-        // Without a majority it knows of its own agents only: what others were told of the rest stands.
-        let sure = self.gathered() && self.replica.as_of().is_some_and(|at| now - at <= SURE);
-        if sure && !self.agents.all_fronts.is_empty() {
-            wanted.push(StateSection::Proxies(self.agents.all_fronts.clone()));
         }
-        wanted.push(StateSection::Control(self.control_addresses()));
-        wanted
+        has_changed
     }
 
-    pub(crate) fn tell_agents(&mut self) {
-        let wanted = self.wanted();
-        for session in self
-            .agents
+    /// Sends every agent the sections that it does not have yet.
+    pub fn send_updates(&mut self, sections: &[StateSection]) {
+        let introduced = self
             .sessions
             .values_mut()
-            .filter(|s| s.front.is_some())
-        {
-            session.tell(&wanted);
+            .filter(|session| session.proxy.is_some());
+        for session in introduced {
+            session.send_updates(sections);
         }
     }
 
-    pub(crate) fn report_nodes(&self) -> Value {
-        let now = self.now();
-        let node = |s: &Session| {
-            let front = s.front.as_ref()?;
-            Some(Node {
-                host: s.host.clone(),
-                front: front.addr.to_string(),
-                zone: front.zone.clone(),
-                ready: front.ready(),
-                standing: s.standing,
-                off_ms: s.off.map_or(0, |at| (now - at).max(0.0) as u64),
-                applied: s.edition,
-                news: (s.said, s.applied),
-            })
-        };
-        let mut all: Vec<Node> = self.agents.sessions.values().filter_map(node).collect();
-        all.sort_by(|a, b| a.host.cmp(&b.host));
-        let age = self.replica.as_of().map(|at| (now - at).max(0.0) as u64);
-        let epoch = self.replica.epoch();
-        let members = Membership {
-            epoch: epoch.number,
-            voters: epoch
-                .voters
-                .places()
-                .map(|p| Server::show(p).to_string())
-                .collect(),
-            control: self
-                .peers
-                .places()
-                .map(|p| Server::show(*p).to_string())
-                .collect(),
-            joined: self.replica.joined(),
-        };
-        report::nodes(&self.settings.host, &self.decided, age, &all, &members)
+    /// The nodes whose agents are connected here, by host name.
+    pub fn report(&self, now: Millis) -> Vec<NodeReport> {
+        let reports = self
+            .sessions
+            .values()
+            .filter_map(|session| session.report(now));
+        let mut reports: Vec<NodeReport> = reports.collect();
+        reports.sort_by(|a, b| a.host.cmp(&b.host));
+        reports
     }
 }
 
-/// Whether an agent that was told the one need not be told the other.
-fn same(told: &StateSection, now: &StateSection) -> bool {
-    match (told, now) {
+/// Whether an agent that was sent one section need not be sent the other.
+fn is_covered(sent: &StateSection, section: &StateSection) -> bool {
+    match (sent, section) {
         (
             StateSection::Config {
-                version: a,
-                checksum: s,
+                version: sent_version,
+                checksum: sent_checksum,
                 ..
             },
             StateSection::Config {
-                version: b,
-                checksum: t,
-                ..
+                version, checksum, ..
             },
-        ) => (a, s) == (b, t),
-        (StateSection::Servers { list: a, .. }, StateSection::Servers { list: b, .. }) => {
-            let alike = |x: &Origin, y: &Origin| {
-                // A cold time that merely runs out is no news; one that begins is.
-                let later = y.warm_left_ms > x.warm_left_ms;
-                let plain = |s: &Origin| Origin {
-                    warm_left_ms: 0,
-                    ..s.clone()
-                };
-                !later && plain(x) == plain(y)
-            };
-            a.len() == b.len() && a.iter().zip(b).all(|(x, y)| alike(x, y))
+        ) => (sent_version, sent_checksum) == (version, checksum),
+        (StateSection::Servers { list: sent, .. }, StateSection::Servers { list, .. }) => {
+            let mut pairs = sent.iter().zip(list);
+            sent.len() == list.len() && pairs.all(|(sent, server)| is_same_server(sent, server))
         }
-        (a, b) => a == b,
+        (sent, section) => sent == section,
     }
 }
+
+/// Whether nothing has changed but that a slow start goes on. One that begins is a change.
+fn is_same_server(sent: &ServerInstance, server: &ServerInstance) -> bool {
+    let without_slow_start = |server: &ServerInstance| ServerInstance {
+        warm_left_ms: 0,
+        ..server.clone()
+    };
+    server.warm_left_ms <= sent.warm_left_ms
+        && without_slow_start(sent) == without_slow_start(server)
+}
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -1,8 +1,8 @@
-//! The calls that operators and clients make: orders, reading the configuration, and look-ups.
+//! The HTTP calls: operators' commands and reports, and clients' lookups.
 
-use crate::directory::{Directory, Ms};
-use crate::event::Event;
-use aspendrum_consensus::{Order, Outcome};
+use crate::directory::Directory;
+use crate::event::{Event, ReportQuery};
+use aspendrum_consensus::{Command, Millis, Outcome, ReplicatedState};
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
 use aspendrum_model::packed::{pack, unpack};
@@ -15,176 +15,229 @@
 use std::sync::{Arc, RwLock};
 use std::time::{Duration, Instant};
 
-/// A call waits for a majority no longer than its caller does.
-const WAIT: Duration = Duration::from_millis(950);
+/// How long a call waits for a majority: no longer than its caller does.
+const CALL_TIMEOUT: Duration = Duration::from_millis(950);
 
+/// The answer to the loser of two texts for one version.
+const VERSION_CONFLICT: &str = "another text was decided under this number\n";
+
+/// What is called.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
-    Set,
-    Show,
-    Begin,
-    Finish,
-    Nodes,
+    /// Set the configuration.
+    SetConfig,
+    /// Show the configuration in force.
+    ShowConfig,
+    /// Begin to evacuate a zone.
+    BeginEvacuation,
+    /// End the evacuation of a zone.
+    FinishEvacuation,
+    /// Report the nodes whose agents are connected.
+    ReportNodes,
+    /// Explain what each version does with a request.
     Explain,
+    /// Look up the proxies for a client.
     LookUp,
 }
 
-fn api(inner: Vec<Node<Call>>) -> Vec<Node<Call>> {
+/// A tree of paths.
+pub type Routes = Vec<Node<Call>>;
+
+fn under_api(inner: Routes) -> Routes {
     vec![Node::Word("api", inner)]
 }
 
-/// The calls of the operator.
-pub fn orders() -> Vec<Node<Call>> {
-    api(vec![
-        Node::Word("Cfg.Set", vec![Node::Leaf("POST", Call::Set)]),
-        Node::Word("Cfg.Show", vec![Node::Leaf("GET", Call::Show)]),
-        Node::Word("Nodes", vec![Node::Leaf("GET", Call::Nodes)]),
+/// The paths of operators' calls.
+pub fn operator_routes() -> Routes {
+    let evacuation = |call| vec![Node::Any(vec![Node::Leaf("POST", call)])];
+    under_api(vec![
+        Node::Word("Cfg.Set", vec![Node::Leaf("POST", Call::SetConfig)]),
+        Node::Word("Cfg.Show", vec![Node::Leaf("GET", Call::ShowConfig)]),
+        Node::Word("Nodes", vec![Node::Leaf("GET", Call::ReportNodes)]),
         Node::Word("Explain", vec![Node::Leaf("GET", Call::Explain)]),
-        Node::Word(
-            "Evac.Begin",
-            vec![Node::Any(vec![Node::Leaf("POST", Call::Begin)])],
-        ),
-        Node::Word(
-            "Evac.Finish",
-            vec![Node::Any(vec![Node::Leaf("POST", Call::Finish)])],
-        ),
+        Node::Word("Evac.Begin", evacuation(Call::BeginEvacuation)),
+        Node::Word("Evac.Finish", evacuation(Call::FinishEvacuation)),
     ])
 }
 
-/// The calls of clients that ask where to go.
-pub fn look_ups() -> Vec<Node<Call>> {
-    api(vec![Node::Word(
+/// The paths of clients' calls.
+pub fn client_routes() -> Routes {
+    under_api(vec![Node::Word(
         "lookup",
         vec![Node::Leaf("GET", Call::LookUp)],
     )])
 }
 
-/// What answers the operator.
-pub struct Orders {
-    pub events: Arc<MailboxSender<Event>>,
-    pub zones: BTreeMap<String, String>,
+/// Answers operators' calls.
+pub struct OperatorApi {
+    routes: Routes,
+    events: Arc<MailboxSender<Event>>,
+    /// The region of each zone.
+    region_by_zone: BTreeMap<String, String>,
 }
 
-impl Orders {
-    pub fn answer(&self, tree: &[Node<Call>], request: &Request) -> Reply {
-        match find(tree, &request.method, &request.path) {
-            Found::Call(Call::Set, ..) => match Config::read(&request.body) {
-                Ok(config) => {
-                    let (version, digest) = (config.version, digest(&request.body));
-                    log::info!("event=order call=set version={version:08x} digest={digest:016x}");
-                    let text = pack(&request.body);
-                    self.order(
-                        Order::Config {
-                            version,
-                            text,
-                            digest,
-                        },
-                        |_| Reply::plain(200),
-                    )
-                }
-                Err(fault) => {
-                    log::info!("event=order call=set refused=\"{fault}\"");
-                    Reply {
-                        body: format!("{fault}\n").into_bytes(),
-                        ..Reply::plain(400)
-                    }
-                }
-            },
-            Found::Call(Call::Show, ..) => {
-                self.order(Order::Read, |held| match held.config.version {
-                    0 => Reply::plain(503),
-                    _ => unpack(&held.config.text).map_or_else(|| Reply::plain(500), Reply::json),
-                })
-            }
-            Found::Call(call @ (Call::Begin | Call::Finish), zone, _) => {
-                let zone = zone[0].to_string();
-                if !self.zones.contains_key(&zone) {
-                    return Reply::plain(404);
-                }
-                log::info!("event=order call={call:?} zone={zone}");
-                self.order(
-                    Order::Evacuation {
-                        zone,
-                        on: call == Call::Begin,
-                    },
-                    |_| Reply::plain(200),
-                )
-            }
-            Found::Call(Call::Nodes, ..) => self.told(None),
-            Found::Call(Call::Explain, _, query) => {
-                match (argument(query, "host"), argument(query, "path")) {
-                    (Some(host), Some(path)) => self.told(Some((host.into(), path.into()))),
-                    _ => Reply::plain(400),
-                }
+impl OperatorApi {
+    /// `events`: to the node's thread. `region_by_zone`: all zones that can be evacuated.
+    pub fn new(
+        events: Arc<MailboxSender<Event>>,
+        region_by_zone: BTreeMap<String, String>,
+    ) -> OperatorApi {
+        OperatorApi {
+            routes: operator_routes(),
+            events,
+            region_by_zone,
+        }
+    }
+
+    /// Answers a call.
+    pub fn answer(&self, request: &Request) -> Reply {
+        let (call, zone, query) = match find(&self.routes, &request.method, &request.path) {
+            Found::Call(call, arguments, query) => (call, arguments.first().copied(), query),
+            Found::OtherMethod => return Reply::plain(405),
+            Found::Nothing => return Reply::plain(404),
+        };
+        match call {
+            Call::SetConfig => self.set_config(&request.body),
+            Call::ShowConfig => self.submit(Command::Read, show_config),
+            Call::BeginEvacuation => self.set_evacuation(zone.unwrap_or_default(), true),
+            Call::FinishEvacuation => self.set_evacuation(zone.unwrap_or_default(), false),
+            Call::ReportNodes => self.report(ReportQuery::Nodes),
+            Call::Explain => self.explain(query),
+            Call::LookUp => Reply::plain(404),
+        }
+    }
+
+    fn set_config(&self, text: &[u8]) -> Reply {
+        let config = match Config::read(text) {
+            Ok(config) => config,
+            Err(error) => {
+                log::info!("event=command call=set refused=\"{error}\"");
+                let body = format!("{error}\n").into_bytes();
+                return Reply {
+                    body,
+                    ..Reply::plain(400)
+                };
             }
-            Found::Call(Call::LookUp, ..) | Found::Nothing => Reply::plain(404),
-            Found::OtherMethod => Reply::plain(405),
+        };
+        let (version, digest) = (config.version, digest(text));
+        log::info!("event=command call=set version={version:08x} digest={digest:016x}");
+        let command = Command::SetConfig {
+            version,
+            packed_text: pack(text),
+            digest,
+        };
+        self.submit(command, |_| Reply::plain(200))
+    }
+
+    fn set_evacuation(&self, zone: &str, evacuated: bool) -> Reply {
+        if !self.region_by_zone.contains_key(zone) {
+            return Reply::plain(404);
         }
+        let call = if evacuated { "Begin" } else { "Finish" };
+        log::info!("event=command call={call} zone={zone}");
+        let zone = zone.to_string();
+        let command = Command::SetEvacuation { zone, evacuated };
+        self.submit(command, |_| Reply::plain(200))
     }
 
-    fn told(&self, of: Option<(String, String)>) -> Reply {
-        let (answer, told) = bounded(1);
-        if self.events.try_send(Event::Report { of, answer }).is_err() {
-            return Reply::plain(503);
+    fn explain(&self, query: &str) -> Reply {
+        match (argument(query, "host"), argument(query, "path")) {
+            (Some(host), Some(path)) => self.report(ReportQuery::Explain {
+                host: host.into(),
+                path: path.into(),
+            }),
+            _ => Reply::plain(400),
         }
-        told.recv_timeout(WAIT).map_or_else(
-            |_| Reply::plain(503),
-            |v| Reply::json(v.to_string().into_bytes()),
-        )
     }
 
-    /// Only what a majority of disks holds is acknowledged; anything else may still come to be held.
-    fn order(&self, order: Order, done: impl Fn(&aspendrum_consensus::Holdings) -> Reply) -> Reply {
-        let (answer, outcome) = bounded(1);
-        let taken = Instant::now();
+    fn report(&self, query: ReportQuery) -> Reply {
+        let (reply, report) = bounded(1);
         if self
             .events
-            .try_send(Event::Order {
-                order,
-                taken,
-                answer,
-            })
+            .try_send(Event::Report { query, reply })
             .is_err()
         {
             return Reply::plain(503);
         }
-        match outcome.recv_timeout(WAIT) {
-            Ok(Outcome::Done(held)) => done(&held),
-            // Final, and only said once the other text is decided: a call ends at once on a 409.
-            Ok(Outcome::Taken) => {
-                log::info!("event=order_refused why=\"another text was decided under its number\"");
-                let why = b"another text was decided under this number\n".to_vec();
+        match report.recv_timeout(CALL_TIMEOUT) {
+            Ok(report) => Reply::json(report.to_string().into_bytes()),
+            Err(_) => Reply::plain(503),
+        }
+    }
+
+    /// Only what a majority of disks holds is acknowledged; a command that is not may still take effect.
+    fn submit(&self, command: Command, acknowledge: impl Fn(&ReplicatedState) -> Reply) -> Reply {
+        let (reply, outcome) = bounded(1);
+        let event = Event::Command {
+            command,
+            received_at: Instant::now(),
+            reply,
+        };
+        if self.events.try_send(event).is_err() {
+            return Reply::plain(503);
+        }
+        match outcome.recv_timeout(CALL_TIMEOUT) {
+            Ok(Outcome::Committed(state)) => acknowledge(&state),
+            // Final, and only sent once the other text is decided: operators do not retry after a 409.
+            Ok(Outcome::VersionConflict) => {
+                log::info!(
+                    "event=command_refused why=\"{}\"",
+                    VERSION_CONFLICT.trim_end()
+                );
                 Reply {
-                    body: why,
+                    body: VERSION_CONFLICT.as_bytes().to_vec(),
                     ..Reply::plain(409)
                 }
             }
-            Ok(Outcome::NoMajority) | Err(_) => Reply::plain(503),
+            Ok(Outcome::NoQuorum) | Err(_) => Reply::plain(503),
         }
     }
 }
 
-/// Answers a look-up: `ips` and `ttl-s`.
-pub fn look_up(
-    directory: &RwLock<Directory>,
-    tree: &[Node<Call>],
-    request: &Request,
-    now: Ms,
+fn show_config(state: &ReplicatedState) -> Reply {
+    if state.config.version == 0 {
+        return Reply::plain(503);
+    }
+    match unpack(&state.config.packed_text) {
+        Some(text) => Reply::json(text),
+        None => Reply::plain(500),
+    }
+}
+
+/// Answers clients' lookups.
+pub struct LookupApi {
+    routes: Routes,
+    directory: Arc<RwLock<Directory>>,
+    /// How long an answer counts, seconds.
     ttl_s: f64,
-) -> Reply {
-    match find(tree, &request.method, &request.path) {
-        Found::Call(Call::LookUp, _, query) => {
-            let told = |name| argument(query, name).unwrap_or("");
-            let directory = directory.read().unwrap_or_else(|e| e.into_inner());
-            let answer = directory.look_up(now, told("geo"), told("az"), ttl_s);
-            if answer.addresses.is_empty() {
-                return Reply::plain(503);
-            }
-            let ips: Vec<String> = answer.addresses.iter().map(ToString::to_string).collect();
-            let body = serde_json::json!({ "ips": ips, "ttl-s": answer.ttl_s });
-            Reply::json(body.to_string().into_bytes())
+}
+
+impl LookupApi {
+    /// Answers from that directory.
+    pub fn new(directory: Arc<RwLock<Directory>>, ttl_s: f64) -> LookupApi {
+        LookupApi {
+            routes: client_routes(),
+            directory,
+            ttl_s,
+        }
+    }
+
+    /// Answers a call with `ips` and `ttl-s`.
+    pub fn answer(&self, now: Millis, request: &Request) -> Reply {
+        let query = match find(&self.routes, &request.method, &request.path) {
+            Found::Call(Call::LookUp, _, query) => query,
+            Found::Call(..) | Found::Nothing => return Reply::plain(404),
+            Found::OtherMethod => return Reply::plain(405),
+        };
+        let region = argument(query, "geo").unwrap_or("");
+        let zone = argument(query, "az").unwrap_or("");
+        let directory = self.directory.read().unwrap_or_else(|e| e.into_inner());
+        let answer = directory.look_up(now, region, zone, self.ttl_s);
+        if answer.addresses.is_empty() {
+            return Reply::plain(503);
         }
-        Found::Call(..) | Found::Nothing => Reply::plain(404),
-        Found::OtherMethod => Reply::plain(405),
+        let ips: Vec<String> = answer.addresses.iter().map(ToString::to_string).collect();
+        let body = serde_json::json!({ "ips": ips, "ttl-s": answer.ttl_s });
+        Reply::json(body.to_string().into_bytes())
     }
 }
--- a/crates/aspendrum-control/src/directory.rs
+++ b/crates/aspendrum-control/src/directory.rs
@@ -1,157 +1,109 @@
-//! Which proxies clients are sent to, and who reads the platform's list: decisions without I/O.
+//! Which proxies clients are sent to: a decision without I/O.
 
-use aspendrum_consensus::Place;
-use aspendrum_model::hash::{digest, rank};
+use aspendrum_consensus::Millis;
 use aspendrum_model::message::{ProxyEndpoint, Readiness};
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-pub type Ms = f64;
+/// The most addresses in one answer, as the protocol requires.
+const MAX_ADDRESSES: usize = 64;
+/// With fewer proxies in its own zone a client has too little choice when one of them fails.
+const MIN_CHOICE: usize = 2;
+/// For how long clients of a region without any proxy are not sent to another region. Planned restarts are over by
+/// then, and until then clients keep the answers that they have.
+pub const REGION_HOLD_TIME: Millis = 3000.0;
+/// The longest time for which an answer counts that leads to another region or to draining proxies, seconds.
+const MAX_FALLBACK_TTL_S: f64 = 1.0;
 
-/// The most addresses in one answer, as the protocol words it.
-const MOST: usize = 64;
-/// With fewer in its own zone a client has too little choice when one of them fails.
-const ENOUGH: usize = 2;
-/// A region without any proxy gets no other region's for so long: planned restarts are over by then, and clients hold
-/// their old answers meanwhile.
-pub const HELD: Ms = 3000.0;
-/// An answer that leads to another region counts for so long at most, seconds.
-const AWAY_TTL_S: f64 = 1.0;
-
-/// A proxy as a machine of control knows it.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct KnownFront {
-    pub front: ProxyEndpoint,
-    /// Its agent is connected to the machine that says so; if not, it is on its way to another.
-    pub connected: bool,
-}
-
-/// Where clients are sent.
+/// Where a client is sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    /// Empty: nobody is to be named now.
+pub struct LookupAnswer {
+    /// The proxies' addresses. Empty: there is no proxy that the client may be sent to now.
     pub addresses: Vec<SocketAddrV4>,
+    /// How long the answer counts, seconds.
     pub ttl_s: f64,
 }
 
-/// Who is ready, as look-ups need it.
+/// The proxies as lookups need them.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    fronts: Vec<ProxyEndpoint>,
-    regions: BTreeMap<String, String>,
-    /// Until when a region without any proxy gets no other region's.
-    held_until: BTreeMap<String, Ms>,
+    proxies: Vec<ProxyEndpoint>,
+    /// The region of each zone.
+    region_by_zone: BTreeMap<String, String>,
+    /// Until when the clients of a region without any proxy are not sent to another one.
+    hold_until: BTreeMap<String, Millis>,
 }
 
 impl Directory {
-    /// The regions of all zones. None of their proxies is known yet, and for a while that says nothing.
-    pub fn new(now: Ms, regions: &BTreeMap<String, String>) -> Directory {
-        let held_until = regions
-            .values()
-            .map(|region| (region.clone(), now + HELD))
-            .collect();
+    /// A directory without proxies. Until [`REGION_HOLD_TIME`] has passed, not knowing a region's proxies does not mean
+    /// that it has none. `region_by_zone`: the regions of all zones.
+    pub fn new(now: Millis, region_by_zone: &BTreeMap<String, String>) -> Directory {
+        let regions = region_by_zone.values();
+        let hold_until = regions.map(|region| (region.clone(), now + REGION_HOLD_TIME));
         Directory {
-            fronts: Vec::new(),
-            regions: regions.clone(),
-            held_until,
+            proxies: Vec::new(),
+            region_by_zone: region_by_zone.clone(),
+            hold_until: hold_until.collect(),
         }
     }
 
-    fn region_of(&self, front: &ProxyEndpoint) -> Option<&String> {
-        self.regions.get(&front.zone)
+    fn region_of(&self, proxy: &ProxyEndpoint) -> Option<&String> {
+        self.region_by_zone.get(&proxy.zone)
     }
 
-    /// Takes in which proxies there are now.
-    pub fn update(&mut self, now: Ms, fronts: &[ProxyEndpoint]) {
-        let takes = |f: &&ProxyEndpoint| f.readiness != Readiness::Closed;
-        let there: Vec<String> = self
-            .fronts
-            .iter()
-            .filter(takes)
-            .filter_map(|f| self.region_of(f).cloned())
-            .collect();
-        for region in there {
-            self.held_until.insert(region, now + HELD);
+    /// Replaces the known proxies.
+    pub fn update(&mut self, now: Millis, proxies: &[ProxyEndpoint]) {
+        let takes_requests = |proxy: &&ProxyEndpoint| proxy.readiness != Readiness::Closed;
+        let serving = self.proxies.iter().filter(takes_requests);
+        let regions: Vec<String> = serving.filter_map(|p| self.region_of(p).cloned()).collect();
+        for region in regions {
+            self.hold_until.insert(region, now + REGION_HOLD_TIME);
         }
-        self.fronts = fronts.to_vec();
+        self.proxies = proxies.to_vec();
     }
 
-    /// Those that fit, without the ones that have not applied what was decided, where enough others are.
-    fn named(&self, fits: impl Fn(&ProxyEndpoint) -> bool) -> Vec<SocketAddrV4> {
-        let there: Vec<&ProxyEndpoint> = self.fronts.iter().filter(|f| fits(f)).collect();
-        let enough = there.iter().filter(|f| f.current).count() >= ENOUGH;
-        there
-            .iter()
-            .filter(|f| f.current || !enough)
-            .map(|f| f.addr)
-            .take(MOST)
-            .collect()
+    /// The addresses of matching proxies. Those that have not applied the latest decision are left out if enough others
+    /// remain.
+    fn addresses(&self, matches: impl Fn(&ProxyEndpoint) -> bool) -> Vec<SocketAddrV4> {
+        let matching: Vec<&ProxyEndpoint> = self.proxies.iter().filter(|p| matches(p)).collect();
+        let current_count = matching.iter().filter(|p| p.current).count();
+        let has_enough_current = current_count >= MIN_CHOICE;
+        let chosen = matching.iter().filter(|p| p.current || !has_enough_current);
+        chosen.map(|p| p.addr).take(MAX_ADDRESSES).collect()
     }
 
-    /// Addresses for a client: ready ones of its zone, if that leaves a choice, else of its region; else those of its
-    /// region that end and still take requests. Those of other regions only if its own has had none for a while: what
-    /// has its home in a region must not be carried through others.
-    pub fn look_up(&self, now: Ms, region: &str, zone: &str, ttl_s: f64) -> Answer {
-        let at_home = |f: &ProxyEndpoint| self.region_of(f).is_some_and(|r| r == region);
-        let of_zone = self.named(|f| f.ready() && f.zone == zone);
-        if of_zone.len() >= ENOUGH {
-            return Answer {
+    /// The addresses for a client: ready proxies of its zone if they leave a choice, else of its region, else draining
+    /// ones of its region, which still take requests. Proxies of other regions only if its own has had none for a
+    /// while: requests whose home is in a region must not be carried through others.
+    pub fn look_up(&self, now: Millis, region: &str, zone: &str, ttl_s: f64) -> LookupAnswer {
+        let in_region = |p: &ProxyEndpoint| self.region_of(p).is_some_and(|r| r == region);
+        let of_zone = self.addresses(|p| p.ready() && p.zone == zone);
+        if of_zone.len() >= MIN_CHOICE {
+            return LookupAnswer {
                 addresses: of_zone,
                 ttl_s,
             };
         }
-        let of_region = self.named(|f| f.ready() && at_home(f));
+        let of_region = self.addresses(|p| p.ready() && in_region(p));
         if !of_region.is_empty() {
-            return Answer {
+            return LookupAnswer {
                 addresses: of_region,
                 ttl_s,
             };
         }
-        let ending = self.named(|f| f.readiness == Readiness::Draining && at_home(f));
-        let held = self
-            .held_until
+        let draining = self.addresses(|p| p.readiness == Readiness::Draining && in_region(p));
+        let is_held = self
+            .hold_until
             .get(region)
             .is_some_and(|until| now < *until);
-        let away = AWAY_TTL_S.min(ttl_s);
-        if !ending.is_empty() || held {
-            return Answer {
-                addresses: ending,
-                ttl_s: away,
-            };
-        }
-        Answer {
-            addresses: self.named(ProxyEndpoint::ready),
-            ttl_s: away,
+        let addresses = if !draining.is_empty() || is_held {
+            draining
+        } else {
+            self.addresses(ProxyEndpoint::ready)
+        };
+        LookupAnswer {
+            addresses,
+            ttl_s: MAX_FALLBACK_TTL_S.min(ttl_s),
         }
     }
 }
-
-/// All proxies that any machine of control knows of. Whoever holds the connection to an agent knows better than who
-/// held it last; of two who hold one, the better word counts: an agent that moves is heard of twice for a moment.
-pub fn union<'a>(tables: impl Iterator<Item = &'a Vec<KnownFront>>) -> Vec<ProxyEndpoint> {
-    let mut all: HashMap<SocketAddrV4, KnownFront> = HashMap::new();
-    for known in tables.flatten() {
-        let entry = all.entry(known.front.addr).or_insert_with(|| known.clone());
-        if known.connected && !entry.connected {
-            *entry = known.clone();
-        } else if known.connected == entry.connected {
-            entry.front.readiness = entry.front.readiness.max(known.front.readiness);
-            entry.front.current |= known.front.current;
-        }
-    }
-    let mut all: Vec<ProxyEndpoint> = all.into_values().map(|known| known.front).collect();
-    all.sort();
-    all
-}
-
-/// Whether this machine reads the platform's list now. One does at a time: those after it in the key's order
-/// wait a step longer each, and step in when the list has grown old. Two at once cost a call, no more.
-pub fn polls(me: Place, live: &[Place], age: Option<Ms>, every: Ms, step: Ms) -> bool {
-    let key = digest(b"servers");
-    let before = live
-        .iter()
-        .filter(|p| rank(key, u64::from(**p)) > rank(key, u64::from(me)))
-        .count() as f64;
-    age.is_none_or(|age| age >= every + before * step)
-}
--- a/crates/aspendrum-control/src/event.rs
+++ b/crates/aspendrum-control/src/event.rs
@@ -1,8 +1,9 @@
-//! What the server's thread is told.
+//! What the node's thread is notified of by all others.
 
+use crate::errors::PlatformError;
 use crate::peer_message::PeerMessage;
-use crate::storage::Stored;
-use aspendrum_consensus::{Order, Outcome, Place};
+use crate::storage::WriteResult;
+use aspendrum_consensus::{Command, NodeId, Outcome};
 use aspendrum_model::message::ToControl;
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
@@ -11,46 +12,88 @@
 use serde_json::Value;
 use std::time::Instant;
 
+/// Identifies a connection from an agent.
+pub type ConnectionId = u64;
+
+/// What an operator asks about.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ReportQuery {
+    /// The nodes whose agents are connected here.
+    Nodes,
+    /// What each version of the configuration does with a request.
+    Explain {
+        /// The request's host.
+        host: String,
+        /// The request's path.
+        path: String,
+    },
+}
+
+/// An event for the node's thread.
 pub enum Event {
-    PeerSaid {
-        from: Place,
+    /// Another control node sent a message.
+    PeerMessage {
+        /// The sender.
+        from: NodeId,
+        /// What it sent.
         message: PeerMessage,
     },
-    /// A connection to a peer came up, or went.
+    /// The connection to another control node came up, or was lost.
     PeerLink {
-        place: Place,
+        /// The other node.
+        node: NodeId,
+        /// The connection; none if it was lost.
         link: Option<Link>,
     },
+    /// An agent connected.
     AgentConnected {
-        id: u64,
+        /// Its connection.
+        id: ConnectionId,
+        /// What it is sent updates through.
         link: Link,
     },
-    AgentSaid {
-        id: u64,
+    /// An agent sent a message.
+    AgentMessage {
+        /// Its connection.
+        id: ConnectionId,
+        /// What it sent.
         message: ToControl,
     },
-    AgentGone {
-        id: u64,
+    /// A connection ended, whether an agent's or not.
+    Disconnected {
+        /// The connection.
+        id: ConnectionId,
     },
-    /// An order of the operator, taken at that time.
-    Order {
-        order: Order,
-        taken: Instant,
-        answer: Sender<Outcome>,
+    /// An operator gave a command.
+    Command {
+        /// The command.
+        command: Command,
+        /// When the call came.
+        received_at: Instant,
+        /// Receives the outcome.
+        reply: Sender<Outcome>,
     },
-    /// What is known of nodes, or what each version does with a request for that host and path.
+    /// An operator asked for a report.
     Report {
-        of: Option<(String, String)>,
-        answer: Sender<Value>,
-    },
-    Polled {
-        asked: Instant,
-        list: Result<Vec<ServerInstance>, String>,
-    },
-    Stored(Stored),
-    Settings(Box<Settings>),
-    /// The process is told to end; `done` hears when it may.
-    Leave {
-        done: Sender<()>,
+        /// What about.
+        query: ReportQuery,
+        /// Receives the report.
+        reply: Sender<Value>,
+    },
+    /// The platform was asked for its list of servers.
+    ServerListPolled {
+        /// When it was asked.
+        asked_at: Instant,
+        /// What it answered.
+        result: Result<Vec<ServerInstance>, PlatformError>,
+    },
+    /// A write to the disk has ended.
+    WriteFinished(WriteResult),
+    /// The settings were read again.
+    SettingsReloaded(Box<Settings>),
+    /// The process is to end.
+    ShutdownRequested {
+        /// Notified when it may.
+        ready: Sender<()>,
     },
 }
--- a/crates/aspendrum-control/src/legacy.rs
+++ b/crates/aspendrum-control/src/legacy.rs
@@ -1,124 +1,155 @@
-//! Disks of earlier versions, read as a state of this one. There the voters were settled once, by machine; here they
-//! are the founding epoch, whose voters hand what they hold over to those of the first epoch.
+//! Disks of earlier formats, read as a state of the present one. In those formats the voters were decided once and for
+//! ever; here they become the founding epoch, whose voters hand their state over to those of the first epoch.
 
-use aspendrum_consensus::ballot::Acceptor;
-use aspendrum_consensus::holdings::{Config, Evacuation, Holdings};
+use aspendrum_consensus::acceptor::Acceptor;
 use aspendrum_consensus::membership::{DiskId, Epoch};
-use aspendrum_consensus::numbers::{Numbers, Text};
-use aspendrum_consensus::{Place, State};
+use aspendrum_consensus::replicated_state::{DecidedConfig, Evacuation, ReplicatedState};
+use aspendrum_consensus::versions::{ConfigText, VersionTable};
+use aspendrum_consensus::{DurableState, NodeId};
 use aspendrum_model::hash::digest;
 use aspendrum_model::packed::unpack;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub type Decode = fn(&[u8]) -> Result<State, postcard::Error>;
+/// Decodes a state of some format.
+pub type Decode = fn(&[u8]) -> Result<DurableState, postcard::Error>;
 
-/// The keys under which earlier versions kept their state, the newest first.
-pub const FORMATS: [(&str, Decode); 3] = [("kept-3", third), ("kept-2", second), ("kept", first)];
+/// The keys under which earlier formats were stored, and their decoders, the newest first.
+pub const FORMATS: [(&str, Decode); 3] = [
+    ("kept-3", decode_v3),
+    ("kept-2", decode_v2),
+    ("kept", decode_v1),
+];
 
+/// A disk's identity. Unlike today it had a generation besides.
 #[derive(Deserialize)]
-struct Disk {
+struct DiskV1 {
     #[allow(dead_code)]
     generation: u32,
     id: DiskId,
 }
 
+/// The replicated state, which contained the voters.
 #[derive(Deserialize)]
-struct Held {
-    config: Config,
+struct ReplicatedStateV1 {
+    config: DecidedConfig,
     evacuations: BTreeMap<String, Evacuation>,
-    voters: BTreeSet<Place>,
+    voters: BTreeSet<NodeId>,
     #[allow(dead_code)]
-    disks: BTreeMap<Place, Disk>,
+    disks: BTreeMap<NodeId, DiskV1>,
 }
 
-/// This machine's part in settling the voters for ever, which is through.
+/// The node's acceptor in deciding the voters. That decision is over.
 #[derive(Deserialize)]
 #[allow(dead_code)]
-struct Founding {
+struct VoterAcceptorV1 {
     promised: u64,
-    accepted: Option<(u64, BTreeSet<Place>)>,
+    accepted: Option<(u64, BTreeSet<NodeId>)>,
 }
 
+/// The format in which versions were decided by ballots already.
 #[derive(Deserialize)]
-struct Third {
-    held: Held,
-    numbers: Numbers,
-    disk: Disk,
-    whole: bool,
-    first: bool,
+struct StateV3 {
+    replicated: ReplicatedStateV1,
+    versions: VersionTable,
+    disk: DiskV1,
+    is_complete: bool,
+    is_first_start: bool,
     #[allow(dead_code)]
-    founding: Founding,
+    voter_acceptor: VoterAcceptorV1,
 }
 
+/// The format in which the voters were decided by ballots, but versions were not.
 #[derive(Deserialize)]
-struct Second {
-    held: Held,
-    disk: Disk,
-    whole: bool,
-    first: bool,
+struct StateV2 {
+    replicated: ReplicatedStateV1,
+    disk: DiskV1,
+    is_complete: bool,
+    is_first_start: bool,
     #[allow(dead_code)]
-    founding: Founding,
+    voter_acceptor: VoterAcceptorV1,
 }
 
-type First = (Held, Disk, bool);
+/// The first format.
+#[derive(Deserialize)]
+struct StateV1 {
+    replicated: ReplicatedStateV1,
+    disk: DiskV1,
+    is_complete: bool,
+}
 
-fn third(bytes: &[u8]) -> Result<State, postcard::Error> {
-    let Third {
-        held,
-        numbers,
-        disk,
-        whole,
-        first,
-        ..
-    } = postcard::from_bytes(bytes)?;
-    Ok(state(held, numbers, &disk, whole || first))
+fn decode_v3(bytes: &[u8]) -> Result<DurableState, postcard::Error> {
+    let state: StateV3 = postcard::from_bytes(bytes)?;
+    let is_complete = state.is_complete || state.is_first_start;
+    Ok(upgrade(
+        state.replicated,
+        state.versions,
+        &state.disk,
+        is_complete,
+    ))
 }
 
-fn second(bytes: &[u8]) -> Result<State, postcard::Error> {
-    let Second {
-        held,
-        disk,
-        whole,
-        first,
-        ..
-    } = postcard::from_bytes(bytes)?;
-    Ok(before_ballots(held, &disk, whole || first))
+fn decode_v2(bytes: &[u8]) -> Result<DurableState, postcard::Error> {
+    let state: StateV2 = postcard::from_bytes(bytes)?;
+    let is_complete = state.is_complete || state.is_first_start;
+    Ok(upgrade_without_ballots(
+        state.replicated,
+        &state.disk,
+        is_complete,
+    ))
 }
 
-fn first(bytes: &[u8]) -> Result<State, postcard::Error> {
-    let (held, disk, whole): First = postcard::from_bytes(bytes)?;
-    Ok(before_ballots(held, &disk, whole))
+fn decode_v1(bytes: &[u8]) -> Result<DurableState, postcard::Error> {
+    let state: StateV1 = postcard::from_bytes(bytes)?;
+    Ok(upgrade_without_ballots(
+        state.replicated,
+        &state.disk,
+        state.is_complete,
+    ))
 }
 
-/// Before numbers were decided by ballots, configurations were joined by their texts' digests, and some were held that
-/// were not acknowledged: what was held counts as accepted, under a ballot that ranks two texts as they were ranked.
-fn before_ballots(mut held: Held, disk: &Disk, whole: bool) -> State {
-    let Config { version, text } = std::mem::take(&mut held.config);
-    let mut numbers = Numbers::default();
-    if let Some(plain) = unpack(&text).filter(|_| version > 0) {
-        let accepted = Text {
-            digest: digest(&plain),
-            packed: Some(text.clone()),
+/// Before versions were decided by ballots, configurations were merged by their texts' digests, and a disk could hold
+/// one that was not acknowledged. Its text therefore counts as accepted, not as decided, under a ballot that ranks two
+/// texts as they were ranked then.
+fn upgrade_without_ballots(
+    mut replicated: ReplicatedStateV1,
+    disk: &DiskV1,
+    is_complete: bool,
+) -> DurableState {
+    let DecidedConfig {
+        version,
+        packed_text,
+    } = std::mem::take(&mut replicated.config);
+    let mut versions = VersionTable::default();
+    if let Some(text) = unpack(&packed_text).filter(|_| version > 0) {
+        let rank = digest(&packed_text);
+        let accepted = ConfigText {
+            digest: digest(&text),
+            packed: Some(packed_text),
         };
-        numbers.held_before(version, digest(&text), accepted);
+        versions.import_accepted(version, rank, accepted);
     }
-    state(held, numbers, disk, whole)
+    upgrade(replicated, versions, disk, is_complete)
 }
 
-/// `whole`: the disk holds all that its machine acknowledged as a voter.
-fn state(held: Held, numbers: Numbers, disk: &Disk, whole: bool) -> State {
-    let voters: Vec<Place> = held.voters.into_iter().collect();
-    State {
-        held: Holdings {
-            config: held.config,
-            evacuations: held.evacuations,
+/// `is_complete`: the disk holds everything that its node has acknowledged as a voter.
+fn upgrade(
+    replicated: ReplicatedStateV1,
+    versions: VersionTable,
+    disk: &DiskV1,
+    is_complete: bool,
+) -> DurableState {
+    let voters: Vec<NodeId> = replicated.voters.into_iter().collect();
+    DurableState {
+        replicated: ReplicatedState {
+            config: replicated.config,
+            evacuations: replicated.evacuations,
         },
-        numbers,
+        versions,
         disk: disk.id,
-        founding: whole,
-        epoch: Epoch::first(&voters),
-        joined: whole,
+        is_founding_disk: is_complete,
+        epoch: Epoch::founding(&voters),
+        has_joined: is_complete,
         successor: Acceptor::default(),
     }
 }
--- /dev/null
+++ b/crates/aspendrum-control/src/node.rs
@@ -0,0 +1,598 @@
+//! A control node: the one thread that owns everything that the node knows. Other threads send it events; it compares
+//! what each agent should have with what that was sent, and sends the difference.
+//!
+//! It composes the parts, which do not know each other: [`crate::replica_driver`] (the replicated state),
+//! [`crate::peers`] (other control nodes), [`crate::agents`] (agents and their proxies) and [`crate::server_list`] (the
+//! platform's list of servers).
+
+use crate::agents::{AgentChange, AgentSessions, MajorityView};
+use crate::clock::Clock;
+use crate::decided::DecidedState;
+use crate::directory::Directory;
+use crate::event::{ConnectionId, Event, ReportQuery};
+use crate::peer_message::{Hello, PeerMessage};
+use crate::peers::PeerTable;
+use crate::proxy_table::MergedProxies;
+use crate::replica_driver::{ReplicaDriver, ReplicaOutput};
+use crate::report::{self, MembershipReport};
+use crate::sections::SectionSources;
+use crate::server_list::{PollSchedule, ServerListPoller};
+use crate::shutdown::Shutdown;
+use crate::storage::DiskHealth;
+use aspendrum_consensus::membership::{DiskId, FOUNDING_DISK};
+use aspendrum_consensus::membership_planner::{MembershipPlanner, MembershipPolicy, NodeStatus};
+use aspendrum_consensus::{Command, Message, Millis, NodeId, Outcome};
+use aspendrum_model::message::{ControlAddress, ToControl};
+use aspendrum_model::settings::Settings;
+use aspendrum_net::frames::Link;
+use aspendrum_net::mailbox::{MailboxReceiver, MailboxSender};
+use aspendrum_reconcile::Bounds;
+use crossbeam_channel::Sender;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::sync::{Arc, RwLock};
+use std::time::{Duration, Instant};
+
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Between two reads of what a majority holds: agents' permission to serve and missed updates rest on them.
+const READ_INTERVAL: Millis = 400.0;
+/// The same until the first has succeeded: after a loss of power everything waits for it.
+const FIRST_READ_INTERVAL: Millis = 100.0;
+const HEARTBEAT_INTERVAL: Millis = 500.0;
+/// For how long after its start the node learns of the others' agents before it tells its own of them: the others
+/// connect within a hundred milliseconds.
+const GATHERING_TIME: Millis = 150.0;
+/// A command that waited for so long is not begun: its caller has gone to another node, and others may have given
+/// other commands since.
+const MAX_COMMAND_AGE: Duration = Duration::from_millis(850);
+/// For how long a proxy may lack what is decided before clients are sent elsewhere, as a share of the time within which
+/// a change must be in force.
+const MAX_LAG_SHARE: f64 = 0.5;
+
+/// What a control node is made of.
+pub struct ControlNodeOptions {
+    /// The process' clock.
+    pub clock: Clock,
+    /// The settings that it starts with.
+    pub settings: Settings,
+    /// The replicated state.
+    pub replica: ReplicaDriver,
+    /// To the node itself, for the threads that it starts.
+    pub events: Arc<MailboxSender<Event>>,
+    /// To the thread that polls the platform at an address.
+    pub poll_requests: Sender<SocketAddrV4>,
+    /// What lookups are answered from.
+    pub directory: Arc<RwLock<Directory>>,
+}
+
+/// Everything that a control node knows.
+pub struct ControlNode {
+    settings: Settings,
+    local_node: NodeId,
+    clock: Clock,
+    replica: ReplicaDriver,
+    planner: MembershipPlanner,
+    decided: DecidedState,
+    bounds: Bounds,
+    peers: PeerTable,
+    agents: AgentSessions,
+    server_list: ServerListPoller,
+    proxies: MergedProxies,
+    last_read: Option<Millis>,
+    last_heartbeat: Option<Millis>,
+    /// The agents were told of the proxies after the gathering time.
+    has_gathered: bool,
+    shutdown: Option<Shutdown>,
+    /// The disk's health as the other nodes know it.
+    announced_health: DiskHealth,
+}
+
+impl ControlNode {
+    /// A node that knows of no other yet.
+    pub fn new(options: ControlNodeOptions) -> ControlNode {
+        let ControlNodeOptions {
+            clock,
+            settings,
+            replica,
+            events,
+            poll_requests,
+            directory,
+        } = options;
+        let local_node = NodeId::from(settings.ip);
+        ControlNode {
+            local_node,
+            clock,
+            replica,
+            planner: MembershipPlanner::new(local_node, membership_policy(&settings), 0.0),
+            decided: DecidedState::unknown(),
+            bounds: Bounds::of(settings.apply_ms, settings.stretch_ms),
+            settings,
+            peers: PeerTable::new(events),
+            agents: AgentSessions::default(),
+            server_list: ServerListPoller::new(poll_requests),
+            proxies: MergedProxies::new(directory),
+            last_read: None,
+            last_heartbeat: None,
+            has_gathered: false,
+            shutdown: None,
+            announced_health: DiskHealth::Healthy,
+        }
+    }
+
+    /// Handles events for as long as the process runs.
+    pub fn run(mut self, events: &MailboxReceiver<Event>) {
+        self.process_outputs();
+        self.connect_peers();
+        let mut next_tick = Instant::now();
+        loop {
+            match events.recv_deadline(Some(next_tick)) {
+                Ok(event) => self.handle(event),
+                Err(_) => {
+                    next_tick = Instant::now() + TICK_INTERVAL;
+                    self.tick();
+                }
+            }
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::PeerMessage { from, message } => self.on_peer_message(from, message),
+            Event::PeerLink { node, link } => self.on_peer_link(node, link),
+            Event::AgentConnected { id, link } => {
+                self.agents.on_connected(self.clock.now(), id, link);
+            }
+            Event::AgentMessage { id, message } => self.on_agent_message(id, message),
+            Event::Disconnected { id } => {
+                if self.agents.on_disconnected(self.clock.now(), id) {
+                    self.on_own_proxies_changed();
+                }
+            }
+            Event::Command {
+                command,
+                received_at,
+                reply,
+            } => self.on_command(command, received_at, reply),
+            Event::Report { query, reply } => {
+                let _ = reply.try_send(self.report(&query));
+            }
+            Event::ServerListPolled { asked_at, result } => {
+                let (now, asked_at) = (self.clock.now(), self.clock.at(asked_at));
+                if self.server_list.on_polled(now, asked_at, result) {
+                    self.broadcast_server_list(now);
+                    self.update_agents();
+                }
+            }
+            Event::WriteFinished(result) => {
+                let has_restarted = self.replica.on_write_finished(result, &self.seeds());
+                self.process_outputs();
+                if has_restarted {
+                    self.broadcast_hello();
+                }
+            }
+            Event::SettingsReloaded(settings) => {
+                log::info!("event=settings_read seeds={}", settings.seeds.len());
+                self.settings = *settings;
+                self.connect_peers();
+            }
+            Event::ShutdownRequested { ready } => self.on_shutdown_requested(ready),
+        }
+    }
+
+    fn tick(&mut self) {
+        let now = self.clock.now();
+        self.replica.tick(now);
+        self.process_outputs();
+        self.propose_voters_if_due(now);
+        self.read_if_due(now);
+        if is_due(now, self.last_heartbeat, HEARTBEAT_INTERVAL) {
+            self.last_heartbeat = Some(now);
+            self.heartbeat(now);
+            self.update_proxies();
+            // Agents that came before a majority could be read.
+            self.update_agents();
+        }
+        if self.agents.close_silent(now) {
+            self.on_own_proxies_changed();
+        }
+        if !self.has_gathered && now >= GATHERING_TIME {
+            self.has_gathered = true;
+            self.update_agents();
+        }
+        self.poll_server_list_if_due(now);
+        self.replica.retry_disk();
+        self.finish_shutdown_if_ready();
+    }
+
+    // The replicated state.
+
+    fn on_command(&mut self, command: Command, received_at: Instant, reply: Sender<Outcome>) {
+        if received_at.elapsed() > MAX_COMMAND_AGE {
+            log::warn!("event=command_late");
+            return;
+        }
+        // A node that shuts down finishes the commands that it has, and takes no others.
+        if self.shutdown.is_some() {
+            let _ = reply.try_send(Outcome::NoQuorum);
+            return;
+        }
+        self.replica.submit(command, reply);
+        self.process_outputs();
+    }
+
+    fn process_outputs(&mut self) {
+        while let Some(output) = self.replica.next_output() {
+            match output {
+                ReplicaOutput::Send { to, message } => {
+                    self.peers.send(to, &PeerMessage::Consensus(message));
+                }
+                ReplicaOutput::CommittedAdvanced => self.on_committed_advanced(),
+                ReplicaOutput::EpochChanged => self.on_epoch_changed(),
+            }
+        }
+    }
+
+    fn on_committed_advanced(&mut self) {
+        let committed = self.replica.replica().committed();
+        self.decided.update(committed);
+        let version = committed.config.version;
+        let zones = committed.evacuated_zones().zones;
+        log::info!("event=committed version={version:08x} evacuated={zones:?}");
+        let notice = PeerMessage::Consensus(Message::CommitNotice);
+        self.peers.broadcast(&notice);
+        self.update_agents();
+    }
+
+    fn on_epoch_changed(&mut self) {
+        let replica = self.replica.replica();
+        log::info!(
+            "event=epoch number={} voters={} votes={} joined={}",
+            replica.epoch().number,
+            replica.epoch().voters.len(),
+            replica.is_voter(),
+            replica.has_joined()
+        );
+        self.connect_peers();
+        self.broadcast_hello();
+    }
+
+    /// Proposes other voters if some are gone or came back with an empty disk.
+    fn propose_voters_if_due(&mut self, now: Millis) {
+        let nodes = self.node_statuses();
+        let replica = self.replica.replica();
+        let due = self.planner.due_change(now, replica.epoch(), &nodes);
+        let may_propose = replica.has_joined() && !replica.is_proposing_voters();
+        let Some(voters) = due.filter(|_| may_propose) else {
+            return;
+        };
+        let epoch = replica.epoch().number + 1;
+        let disks = voters.0.iter().map(|(node, disk)| (node.address(), *disk));
+        let disks: BTreeMap<Ipv4Addr, DiskId> = disks.collect();
+        log::info!("event=voters_proposed epoch={epoch} voters={disks:?}");
+        self.replica.propose_voters(now, voters);
+        self.process_outputs();
+    }
+
+    fn read_if_due(&mut self, now: Millis) {
+        let has_read = self.has_read_majority();
+        let interval = if has_read {
+            READ_INTERVAL
+        } else {
+            FIRST_READ_INTERVAL
+        };
+        if !is_due(now, self.last_read, interval) {
+            return;
+        }
+        self.last_read = Some(now);
+        self.replica.read(now);
+        self.process_outputs();
+        self.update_agents_after_first_read(has_read);
+    }
+
+    fn has_read_majority(&self) -> bool {
+        self.replica.replica().committed_as_of().is_some()
+    }
+
+    /// What was committed before a majority was read for the first time has not been sent to agents.
+    fn update_agents_after_first_read(&mut self, had_read: bool) {
+        if !had_read && self.has_read_majority() {
+            self.update_agents();
+        }
+    }
+
+    // Other control nodes.
+
+    fn seeds(&self) -> Vec<NodeId> {
+        let seeds = self.settings.seeds.iter();
+        seeds.map(|seed| NodeId::from(*seed.ip())).collect()
+    }
+
+    /// Keeps connections to all nodes that are configured, that vote, or that other nodes know of.
+    fn connect_peers(&mut self) {
+        let voters = self.replica.replica().epoch().voters.nodes();
+        let nodes = self
+            .seeds()
+            .into_iter()
+            .chain(voters)
+            .chain(self.peers.nodes());
+        let nodes: BTreeSet<NodeId> = nodes.filter(|node| *node != self.local_node).collect();
+        for node in nodes {
+            let address = self.settings.control_at(node.address());
+            self.peers.connect(self.clock.now(), node, address);
+        }
+    }
+
+    fn on_peer_link(&mut self, node: NodeId, link: Option<Link>) {
+        let event = if link.is_some() {
+            "peer_connected"
+        } else {
+            "peer_disconnected"
+        };
+        log::info!("event={event} node={node}");
+        if !self.peers.on_link(node, link) {
+            return;
+        }
+        self.peers.send(node, &self.hello());
+        let proxies = PeerMessage::Proxies(self.agents.proxy_entries());
+        self.peers.send(node, &proxies);
+        if let Some(servers) = self.server_list.peer_message(self.clock.now()) {
+            self.peers.send(node, &servers);
+        }
+    }
+
+    fn on_peer_message(&mut self, from: NodeId, message: PeerMessage) {
+        let now = self.clock.now();
+        let Some(was_unreachable) = self.peers.on_received(now, from) else {
+            // A node that is not known yet introduces itself first.
+            if let PeerMessage::Hello(hello) = message {
+                self.peers.insert(now, from);
+                self.on_hello(now, from, *hello);
+            }
+            return;
+        };
+        match message {
+            PeerMessage::Hello(hello) => self.on_hello(now, from, *hello),
+            PeerMessage::Heartbeat { server_list_age } => {
+                self.server_list.observe_age(now, server_list_age);
+            }
+            PeerMessage::Consensus(message) => self.on_consensus_message(now, from, message),
+            PeerMessage::Proxies(proxies) => {
+                self.peers.set_proxies(from, proxies);
+                self.update_proxies();
+            }
+            PeerMessage::Servers { age, list } => {
+                let polled_at = now - f64::from(age);
+                if self.server_list.update(self.clock.now(), list, polled_at) {
+                    self.update_agents();
+                }
+            }
+        }
+        if was_unreachable {
+            self.update_proxies();
+        }
+    }
+
+    fn on_hello(&mut self, now: Millis, from: NodeId, hello: Hello) {
+        let epoch = hello.epoch.clone();
+        self.peers.on_hello(now, from, hello, self.local_node);
+        self.replica.observe_epoch(now, from, epoch);
+        self.process_outputs();
+        self.connect_peers();
+        self.update_agents();
+    }
+
+    fn on_consensus_message(&mut self, now: Millis, from: NodeId, message: Message) {
+        if message == Message::CommitNotice {
+            // Read at the next tick.
+            self.last_read = None;
+        }
+        let had_read = self.has_read_majority();
+        self.replica.step(now, from, message);
+        self.process_outputs();
+        self.update_agents_after_first_read(had_read);
+    }
+
+    fn heartbeat(&mut self, now: Millis) {
+        let server_list_age = self.server_list.age(now);
+        self.peers
+            .broadcast(&PeerMessage::Heartbeat { server_list_age });
+        let health = self.replica.disk_health();
+        let announced = std::mem::replace(&mut self.announced_health, health);
+        if announced != health {
+            self.broadcast_hello();
+        }
+        let voters = &self.replica.replica().epoch().voters;
+        self.peers.forget_silent(now, &self.seeds(), voters);
+    }
+
+    /// The disk that this node may vote with.
+    fn voting_disk(&self) -> DiskId {
+        let has_disk = self.settings.datadir.is_some();
+        if has_disk && self.replica.disk_health() != DiskHealth::Failed {
+            self.replica.replica().state().disk
+        } else {
+            FOUNDING_DISK
+        }
+    }
+
+    /// Whether others should take this node's vote.
+    fn is_leaving(&self) -> bool {
+        self.shutdown.is_some() || self.replica.disk_health() != DiskHealth::Healthy
+    }
+
+    fn local_status(&self) -> NodeStatus {
+        NodeStatus {
+            disk: self.voting_disk(),
+            zone: self.settings.zone.clone(),
+            silence: 0.0,
+            is_leaving: self.is_leaving(),
+        }
+    }
+
+    fn hello(&self) -> PeerMessage {
+        let status = self.local_status();
+        PeerMessage::Hello(Box::new(Hello {
+            node: self.local_node,
+            zone: status.zone,
+            disk: status.disk,
+            is_leaving: status.is_leaving,
+            epoch: self.replica.replica().epoch().clone(),
+            known_nodes: self.peers.known_nodes(self.clock.now()),
+        }))
+    }
+
+    fn broadcast_hello(&self) {
+        self.peers.broadcast(&self.hello());
+    }
+
+    /// What is known of all control nodes, this one and all voters among them.
+    fn node_statuses(&self) -> BTreeMap<NodeId, NodeStatus> {
+        let voters = &self.replica.replica().epoch().voters;
+        let mut statuses = self.peers.statuses(self.clock.now(), voters);
+        statuses.insert(self.local_node, self.local_status());
+        statuses
+    }
+
+    // Agents and their proxies.
+
+    fn on_agent_message(&mut self, id: ConnectionId, message: ToControl) {
+        let now = self.clock.now();
+        let view = MajorityView {
+            decided: self.decided.digest(),
+            age: self.replica.majority_age(now),
+            bounds: self.bounds,
+            max_lag: MAX_LAG_SHARE * self.settings.apply_ms,
+        };
+        match self.agents.on_message(now, id, message, &view) {
+            AgentChange::Unchanged => {}
+            AgentChange::ProxyChanged => self.on_own_proxies_changed(),
+            AgentChange::Joined => {
+                self.on_own_proxies_changed();
+                self.update_agents();
+            }
+        }
+    }
+
+    fn on_own_proxies_changed(&mut self) {
+        let proxies = PeerMessage::Proxies(self.agents.proxy_entries());
+        self.peers.broadcast(&proxies);
+        self.update_proxies();
+    }
+
+    /// Merges what all reachable control nodes know of proxies.
+    fn update_proxies(&mut self) {
+        let now = self.clock.now();
+        let own = self.agents.proxy_entries();
+        let tables = std::iter::once(&own).chain(self.peers.proxy_tables(now));
+        if self.proxies.update(now, tables) {
+            self.update_agents();
+        }
+    }
+
+    fn update_agents(&mut self) {
+        let now = self.clock.now();
+        let sources = SectionSources {
+            committed: self.replica.replica().committed(),
+            majority_age: self.replica.majority_age(now),
+            servers: self.server_list.section(now),
+            has_gathered: now >= GATHERING_TIME,
+            proxies: self.proxies.proxies(),
+            control: self.control_addresses(now),
+        };
+        self.agents.send_updates(&sources.sections());
+    }
+
+    /// Where the control nodes are, this one first.
+    fn control_addresses(&self, now: Millis) -> Vec<ControlAddress> {
+        let own = ControlAddress {
+            ip: self.settings.ip,
+            zone: self.settings.zone.clone(),
+            reachable: self.shutdown.is_none(),
+        };
+        std::iter::once(own)
+            .chain(self.peers.addresses(now))
+            .collect()
+    }
+
+    // The platform's list of servers.
+
+    fn poll_server_list_if_due(&mut self, now: Millis) {
+        let schedule = PollSchedule {
+            drain_time: self.settings.drain_ms,
+            calls_per_second: self.settings.cloud_rate,
+        };
+        let reachable: Vec<NodeId> = self.peers.reachable(now).collect();
+        let platform = self.settings.cloud;
+        self.server_list
+            .poll_if_due(now, platform, schedule, self.local_node, &reachable);
+    }
+
+    fn broadcast_server_list(&self, now: Millis) {
+        if let Some(servers) = self.server_list.peer_message(now) {
+            self.peers.broadcast(&servers);
+        }
+    }
+
+    // Reports.
+
+    fn report(&self, query: &ReportQuery) -> Value {
+        match query {
+            ReportQuery::Nodes => self.report_nodes(),
+            ReportQuery::Explain { host, path } => {
+                report::explain(self.decided.versions(), host, path)
+            }
+        }
+    }
+
+    fn report_nodes(&self) -> Value {
+        let now = self.clock.now();
+        let replica = self.replica.replica();
+        let epoch = replica.epoch();
+        let membership = MembershipReport {
+            epoch: epoch.number,
+            voters: epoch.voters.nodes().map(|node| node.to_string()).collect(),
+            control_nodes: self.peers.nodes().map(|node| node.to_string()).collect(),
+            has_joined: replica.has_joined(),
+        };
+        let majority_age = self.replica.majority_age(now).map(|age| age as u64);
+        let nodes = self.agents.report(now);
+        let decided = self.decided.digest();
+        report::nodes(
+            &self.settings.host,
+            &decided,
+            majority_age,
+            &nodes,
+            &membership,
+        )
+    }
+
+    // Shutdown.
+
+    fn on_shutdown_requested(&mut self, ready: Sender<()>) {
+        let replica = self.replica.replica();
+        self.shutdown = Some(Shutdown::new(self.clock.now(), replica, ready));
+        self.broadcast_hello();
+        self.finish_shutdown_if_ready();
+    }
+
+    fn finish_shutdown_if_ready(&mut self) {
+        let Some(shutdown) = &self.shutdown else {
+            return;
+        };
+        if !self.replica.has_waiting_commands() {
+            let nodes = self.node_statuses();
+            let policy = membership_policy(&self.settings);
+            shutdown.finish_if_ready(self.replica.replica(), &nodes, &policy);
+        }
+    }
+}
+
+fn membership_policy(settings: &Settings) -> MembershipPolicy {
+    MembershipPolicy::new(settings.losses as usize, settings.sync_s * 1000.0)
+}
+
+/// Whether so much time has passed since the last time, if there was any.
+fn is_due(now: Millis, last: Option<Millis>, interval: Millis) -> bool {
+    last.is_none_or(|last| now - last >= interval)
+}
--- a/crates/aspendrum-control/src/peer_message.rs
+++ b/crates/aspendrum-control/src/peer_message.rs
@@ -1,38 +1,48 @@
-//! What machines of control say to each other.
+//! The messages between control nodes, encoded with postcard. Variants and fields are identified by their order, which
+//! must not change: nodes of two versions run side by side during an update.
 
-use crate::directory::KnownFront;
+use crate::proxy_table::ProxyEntry;
 use aspendrum_consensus::membership::DiskId;
-use aspendrum_consensus::{Epoch, Message, Place};
+use aspendrum_consensus::{Epoch, Message, NodeId};
 use aspendrum_model::servers::ServerInstance;
 use serde::{Deserialize, Serialize};
 
+/// A message from one control node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
+    /// Who the sender is: the first message of a connection, and again whenever something of it changes.
     Hello(Box<Hello>),
-    /// A sign of life. `polled`: so long ago the platform's list was read here, in milliseconds.
+    /// A sign of life, each half second.
     Heartbeat {
-        polled: Option<u32>,
+        /// How long ago the platform's list of servers was read, as far as the sender knows, milliseconds.
+        server_list_age: Option<u32>,
     },
+    /// A message between replicas.
     Consensus(Message),
     /// The proxies whose agents are connected to the sender, or were until a moment ago.
-    Fronts(Vec<KnownFront>),
-    /// The platform's list, read that many milliseconds ago.
+    Proxies(Vec<ProxyEntry>),
+    /// The platform's list of servers.
     Servers {
+        /// How long ago it was read, milliseconds.
         age: u32,
+        /// All servers.
         list: Vec<ServerInstance>,
     },
 }
 
-/// The first message of a connection, and again whenever something of it changes.
+/// Who a control node is.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
-    pub place: Place,
+    /// The sender.
+    pub node: NodeId,
+    /// The zone that it runs in.
     pub zone: String,
-    /// The disk that the sender may vote with; 0: none.
+    /// The disk that it may vote with; [`aspendrum_consensus::membership::FOUNDING_DISK`] if it has none.
     pub disk: DiskId,
-    /// The sender was told to end, or cannot write to its disk.
-    pub leaving: bool,
+    /// Whether it is shutting down or cannot write to its disk.
+    pub is_leaving: bool,
+    /// The newest epoch that it knows of.
     pub epoch: Epoch,
-    /// Other machines of control that the sender knows of, and their zones.
-    pub others: Vec<(Place, String)>,
+    /// The other control nodes that it knows of, and their zones.
+    pub known_nodes: Vec<(NodeId, String)>,
 }
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -1,321 +1,232 @@
-//! The other machines of control: connections, signs of life, and what of them concerns who votes.
+//! The other control nodes: their connections, their heartbeats, and what the choice of voters needs to know of them.
 
-use crate::directory::KnownFront;
-use crate::links;
+use crate::connections;
+use crate::event::Event;
 use crate::peer_message::{Hello, PeerMessage};
-use crate::server::{Ms, Server};
-use crate::storage::Health;
-use aspendrum_consensus::membership::DiskId;
-use aspendrum_consensus::reconfigure::Presence;
-use aspendrum_consensus::{Message, Place};
+use crate::proxy_table::ProxyEntry;
+use aspendrum_consensus::membership::{DiskId, Voters, FOUNDING_DISK};
+use aspendrum_consensus::membership_planner::NodeStatus;
+use aspendrum_consensus::{Millis, NodeId};
 use aspendrum_model::message::ControlAddress;
 use aspendrum_net::frames::Link;
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::Ipv4Addr;
+use aspendrum_net::mailbox::MailboxSender;
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Control that said nothing for so long does not count as there.
-const SILENT: Ms = 1600.0;
-/// A machine that nothing names any more and that was silent for so long is forgotten.
-const FORGET: Ms = 60_000.0;
+/// A control node that was silent for so long does not count as reachable.
+pub const MAX_SILENCE: Millis = 1600.0;
+/// A control node that is neither configured nor a voter and was silent for so long is forgotten.
+const FORGET_AFTER: Millis = 60_000.0;
 
-/// Another machine of control.
+/// Another control node.
 #[derive(Default)]
-pub struct Peer {
+struct Peer {
     zone: String,
     disk: DiskId,
-    leaving: bool,
+    is_leaving: bool,
     link: Option<Link>,
-    /// When it was named first, and when it was heard last.
-    named: Ms,
-    heard: Option<Ms>,
-    /// The proxies whose agents it serves.
-    pub fronts: Vec<KnownFront>,
+    /// When this node first knew of it.
+    known_since: Millis,
+    last_received: Option<Millis>,
+    /// The proxies whose agents are connected to it.
+    proxies: Vec<ProxyEntry>,
     /// Its connection is kept for as long as this is true.
-    wanted: Arc<AtomicBool>,
+    keep_connected: Arc<AtomicBool>,
 }
 
 impl Peer {
-    fn named(now: Ms) -> Peer {
+    fn new(now: Millis) -> Peer {
         Peer {
-            named: now,
+            known_since: now,
             ..Peer::default()
         }
     }
 
-    fn up(&self, now: Ms) -> bool {
-        self.heard.is_some_and(|at| now - at <= SILENT)
+    fn is_reachable(&self, now: Millis) -> bool {
+        self.last_received.is_some_and(|at| now - at <= MAX_SILENCE)
     }
 
-    /// For how long nothing was heard of it, or of it by others.
-    fn silent(&self, now: Ms) -> Ms {
-        now - self.heard.unwrap_or(self.named)
+    /// For how long nothing was received from it, or nothing known of it.
+    fn silence(&self, now: Millis) -> Millis {
+        now - self.last_received.unwrap_or(self.known_since)
     }
 }
 
-/// All machines of control that are known of, but this one.
-#[derive(Default)]
-pub struct Peers(BTreeMap<Place, Peer>);
+/// All control nodes that are known of but this one.
+pub struct PeerTable {
+    peers: BTreeMap<NodeId, Peer>,
+    /// To this node's thread, for the threads that keep the connections.
+    events: Arc<MailboxSender<Event>>,
+}
 
-impl Peers {
-    /// Those that were heard of late.
-    pub fn up(&self, now: Ms) -> impl Iterator<Item = (&Place, &Peer)> {
-        self.0.iter().filter(move |p| p.1.up(now))
+impl PeerTable {
+    /// No other node is known. `events`: receives changes of connections.
+    pub fn new(events: Arc<MailboxSender<Event>>) -> PeerTable {
+        PeerTable {
+            peers: BTreeMap::new(),
+            events,
+        }
     }
 
-    pub fn places(&self) -> impl Iterator<Item = &Place> {
-        self.0.keys()
+    /// All known nodes, in order.
+    pub fn nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
+        self.peers.keys().copied()
     }
-}
 
-impl Server {
-    /// Connections to all machines that the settings name, that vote, or that others named.
-    pub(crate) fn connect_peers(&mut self) {
-        let voters: Vec<Place> = self.replica.epoch().voters.places().collect();
-        let known: BTreeSet<Place> = self
-            .seeds()
-            .into_iter()
-            .chain(voters)
-            .chain(self.peers.0.keys().copied())
-            .collect();
-        for place in known.into_iter().filter(|p| *p != self.me) {
-            let now = self.now();
-            let peer = self
-                .peers
-                .0
-                .entry(place)
-                .or_insert_with(|| Peer::named(now));
-            if peer.wanted.swap(true, Ordering::AcqRel) {
-                continue;
-            }
-            let (wanted, silence) = (peer.wanted.clone(), Duration::from_millis(SILENT as u64));
-            let at = self.settings.control_at(Ipv4Addr::from(place));
-            if let Err(e) = links::hold(place, at, silence, wanted, &self.events) {
-                log::error!("event=link_not_started why=\"{e}\"");
-            }
-        }
+    /// The nodes that something was received from of late.
+    pub fn reachable(&self, now: Millis) -> impl Iterator<Item = NodeId> + '_ {
+        let reachable = self
+            .peers
+            .iter()
+            .filter(move |(_, peer)| peer.is_reachable(now));
+        reachable.map(|(node, _)| *node)
     }
 
-    fn seeds(&self) -> Vec<Place> {
-        self.settings
-            .seeds
-            .iter()
-            .map(|s| u32::from(*s.ip()))
-            .collect()
+    /// The proxies that reachable nodes know of, a table each.
+    pub fn proxy_tables(&self, now: Millis) -> impl Iterator<Item = &Vec<ProxyEntry>> {
+        let reachable = self
+            .peers
+            .values()
+            .filter(move |peer| peer.is_reachable(now));
+        reachable.map(|peer| &peer.proxies)
     }
 
-    pub(crate) fn peer_link(&mut self, place: Place, link: Option<Link>) {
-        let is = if link.is_some() { "reached" } else { "lost" };
-        log::info!("event=control_{is} place={}", Server::show(place));
-        let up = link.is_some();
-        let Some(peer) = self.peers.0.get_mut(&place) else {
-            return;
-        };
-        peer.link = link;
-        if !up {
+    /// Keeps a connection to a node from now on, which is added if it is not known yet.
+    pub fn connect(&mut self, now: Millis, node: NodeId, address: SocketAddrV4) {
+        let peer = self.peers.entry(node).or_insert_with(|| Peer::new(now));
+        if peer.keep_connected.swap(true, Ordering::AcqRel) {
             return;
         }
-        let hello = self.hello();
-        self.say(place, &hello);
-        let fronts = self.agents.fronts();
-        self.say(place, &PeerMessage::Fronts(fronts));
-        if let Some(servers) = self.servers.message(self.now()) {
-            self.say(place, &servers);
+        let keep = peer.keep_connected.clone();
+        let max_silence = Duration::from_millis(MAX_SILENCE as u64);
+        let started = connections::keep_connected(node, address, max_silence, keep, &self.events);
+        if let Err(error) = started {
+            log::error!("event=link_not_started why=\"{error}\"");
         }
     }
 
-    fn hello(&self) -> PeerMessage {
-        let (state, now) = (self.replica.state(), self.now());
-        let well = self.storage.health() == Health::Well;
-        // Machines that are gone for good are not named for ever.
-        let heard = |peer: &Peer| peer.heard.is_some() && peer.silent(now) < FORGET;
-        let others = self.peers.0.iter().filter(|p| heard(p.1));
-        PeerMessage::Hello(Box::new(Hello {
-            place: self.me,
-            zone: self.settings.zone.clone(),
-            disk: if self.has_disk() { state.disk } else { 0 },
-            leaving: self.is_leaving() || !well,
-            epoch: state.epoch.clone(),
-            others: others.map(|(p, peer)| (*p, peer.zone.clone())).collect(),
-        }))
-    }
-
-    fn has_disk(&self) -> bool {
-        self.settings.datadir.is_some() && self.storage.health() != Health::Failed
-    }
-
-    /// Tells all what has changed about this machine.
-    pub(crate) fn say_hello(&self) {
-        let hello = self.hello();
-        self.say_all(&hello);
-    }
-
-    pub(crate) fn say(&self, to: Place, message: &PeerMessage) {
-        if let Some(link) = self.peers.0.get(&to).and_then(|p| p.link.as_ref()) {
-            link.send(&links::between(message));
+    /// The connection to a node came up, or was lost. Returns whether the node is known and connected now.
+    pub fn on_link(&mut self, node: NodeId, link: Option<Link>) -> bool {
+        let is_connected = link.is_some();
+        match self.peers.get_mut(&node) {
+            Some(peer) => {
+                peer.link = link;
+                is_connected
+            }
+            None => false,
         }
     }
 
-    pub(crate) fn say_all(&self, message: &PeerMessage) {
-        for link in self.peers.0.values().filter_map(|p| p.link.as_ref()) {
-            link.send(&links::between(message));
+    /// Sends a message to a node, if it is connected.
+    pub fn send(&self, to: NodeId, message: &PeerMessage) {
+        let peer = self.peers.get(&to);
+        if let Some(link) = peer.and_then(|peer| peer.link.as_ref()) {
+            link.send(&connections::envelope(message));
         }
     }
 
-    pub(crate) fn heartbeat(&mut self, now: Ms) {
-        let polled = self.servers.age(now);
-        self.say_all(&PeerMessage::Heartbeat { polled });
-        let health = self.storage.health();
-        if self.peers_told_health(health) {
-            self.say_hello();
+    /// Sends a message to all connected nodes.
+    pub fn broadcast(&self, message: &PeerMessage) {
+        for link in self.peers.values().filter_map(|peer| peer.link.as_ref()) {
+            link.send(&connections::envelope(message));
         }
-        self.forget_peers(now);
     }
 
-    /// Whether the others are to hear how this machine's disk is.
-    fn peers_told_health(&mut self, health: Health) -> bool {
-        std::mem::replace(&mut self.told_health, health) != health
+    /// Something was received from a node. Returns whether it was unreachable until now; none if the node is not known.
+    pub fn on_received(&mut self, now: Millis, from: NodeId) -> Option<bool> {
+        let peer = self.peers.get_mut(&from)?;
+        let was_reachable = peer.is_reachable(now);
+        peer.last_received = Some(now);
+        Some(!was_reachable)
     }
 
-    fn forget_peers(&mut self, now: Ms) {
-        let seeds = self.seeds();
-        let voters = &self.replica.epoch().voters;
-        let keep = |place: &Place, peer: &Peer| {
-            seeds.contains(place) || voters.names(*place) || peer.silent(now) < FORGET
+    /// A node that was not known until now has introduced itself.
+    pub fn insert(&mut self, now: Millis, node: NodeId) {
+        let peer = Peer {
+            last_received: Some(now),
+            ..Peer::new(now)
         };
-        self.peers.0.retain(|place, peer| {
-            let keep = keep(place, peer);
-            if !keep {
-                log::info!("event=control_forgotten place={}", Server::show(*place));
-                peer.wanted.store(false, Ordering::Release);
-            }
-            keep
-        });
+        self.peers.insert(node, peer);
     }
 
-    pub(crate) fn peer_said(&mut self, from: Place, message: PeerMessage) {
-        let now = self.now();
-        let Some(peer) = self.peers.0.get_mut(&from) else {
-            // Whoever is not known yet says who it is first.
-            if let PeerMessage::Hello(hello) = message {
-                self.peers.0.insert(
-                    from,
-                    Peer {
-                        heard: Some(now),
-                        ..Peer::named(now)
-                    },
-                );
-                self.heard_hello(now, from, *hello);
-            }
-            return;
-        };
-        let back = peer.heard.replace(now).is_none_or(|at| now - at > SILENT);
-        match message {
-            PeerMessage::Hello(hello) => self.heard_hello(now, from, *hello),
-            PeerMessage::Heartbeat { polled } => self.servers.heard_age(now, polled),
-            PeerMessage::Consensus(message) => self.heard_consensus(now, from, message),
-            PeerMessage::Fronts(fronts) => {
-                peer.fronts = fronts;
-                self.update_fronts();
-            }
-            PeerMessage::Servers { age, list } => {
-                self.take_servers(list, now - f64::from(age), false)
+    /// A node has told who it is, and which others it knows of. `local_node` is not one of the others.
+    pub fn on_hello(&mut self, now: Millis, from: NodeId, hello: Hello, local_node: NodeId) {
+        let peer = self.peers.entry(from).or_insert_with(|| Peer::new(now));
+        peer.zone = hello.zone;
+        peer.disk = hello.disk;
+        peer.is_leaving = hello.is_leaving;
+        for (node, zone) in hello.known_nodes {
+            if node == local_node {
+                continue;
             }
-        }
-        if back {
-            self.update_fronts();
-        }
-    }
-
-    fn heard_hello(&mut self, now: Ms, from: Place, hello: Hello) {
-        let peer = self.peers.0.entry(from).or_insert_with(|| Peer::named(now));
-        (peer.zone, peer.disk, peer.leaving) = (hello.zone, hello.disk, hello.leaving);
-        for (place, zone) in hello.others.into_iter().filter(|o| o.0 != self.me) {
-            let known = self
-                .peers
-                .0
-                .entry(place)
-                .or_insert_with(|| Peer::named(now));
+            let known = self.peers.entry(node).or_insert_with(|| Peer::new(now));
             if known.zone.is_empty() {
                 known.zone = zone;
             }
         }
-        let effects = self.replica.heard_epoch_from(now, from, hello.epoch);
-        self.carry_out(effects);
-        self.connect_peers();
-        self.tell_agents();
     }
 
-    fn heard_consensus(&mut self, now: Ms, from: Place, message: Message) {
-        if message == Message::Nudge {
-            self.read_soon();
+    /// A node has told which proxies it knows of.
+    pub fn set_proxies(&mut self, node: NodeId, proxies: Vec<ProxyEntry>) {
+        if let Some(peer) = self.peers.get_mut(&node) {
+            peer.proxies = proxies;
         }
-        let first = self.replica.as_of().is_none();
-        let effects = self.replica.hear(now, from, message);
-        self.carry_out(effects);
-        self.tell_if_first(first);
     }
 
-    /// How the machines of control are, this one and all voters among them.
-    pub(crate) fn presence(&self) -> BTreeMap<Place, Presence> {
-        let now = self.now();
-        let of = |peer: &Peer| Presence {
+    /// The nodes that other nodes are told of, and their zones. Nodes that are gone for good are not passed on for
+    /// ever.
+    pub fn known_nodes(&self, now: Millis) -> Vec<(NodeId, String)> {
+        let is_recent =
+            |peer: &Peer| peer.last_received.is_some() && peer.silence(now) < FORGET_AFTER;
+        let recent = self.peers.iter().filter(|(_, peer)| is_recent(peer));
+        recent
+            .map(|(node, peer)| (*node, peer.zone.clone()))
+            .collect()
+    }
+
+    /// Forgets the nodes that are gone for good, but seeds and voters.
+    pub fn forget_silent(&mut self, now: Millis, seeds: &[NodeId], voters: &Voters) {
+        self.peers.retain(|node, peer| {
+            let is_required = seeds.contains(node) || voters.contains_node(*node);
+            let keep = is_required || peer.silence(now) < FORGET_AFTER;
+            if !keep {
+                log::info!("event=peer_forgotten node={node}");
+                peer.keep_connected.store(false, Ordering::Release);
+            }
+            keep
+        });
+    }
+
+    /// What is known of all other control nodes, and of voters that are not known.
+    pub fn statuses(&self, now: Millis, voters: &Voters) -> BTreeMap<NodeId, NodeStatus> {
+        let status = |peer: &Peer| NodeStatus {
             disk: peer.disk,
             zone: peer.zone.clone(),
-            silent: peer.silent(now),
-            leaving: peer.leaving,
-        };
-        let mut all: BTreeMap<Place, Presence> = self
-            .peers
-            .0
-            .iter()
-            .map(|(p, peer)| (*p, of(peer)))
-            .collect();
-        let unheard = Presence {
-            disk: 0,
-            zone: String::new(),
-            silent: now,
-            leaving: false,
+            silence: peer.silence(now),
+            is_leaving: peer.is_leaving,
         };
-        for voter in self.replica.epoch().voters.places() {
-            all.entry(voter).or_insert_with(|| unheard.clone());
+        let known = self.peers.iter().map(|(node, peer)| (*node, status(peer)));
+        let mut statuses: BTreeMap<NodeId, NodeStatus> = known.collect();
+        for voter in voters.nodes() {
+            statuses.entry(voter).or_insert_with(|| NodeStatus {
+                disk: FOUNDING_DISK,
+                zone: String::new(),
+                silence: now,
+                is_leaving: false,
+            });
         }
-        let disk = if self.has_disk() {
-            self.replica.state().disk
-        } else {
-            0
-        };
-        let leaving = self.is_leaving() || self.storage.health() != Health::Well;
-        let zone = self.settings.zone.clone();
-        all.insert(
-            self.me,
-            Presence {
-                disk,
-                zone,
-                silent: 0.0,
-                leaving,
-            },
-        );
-        all
+        statuses
     }
 
-    /// Where control is, as agents are told.
-    pub(crate) fn control_addresses(&self) -> Vec<ControlAddress> {
-        let now = self.now();
-        let own = ControlAddress {
-            ip: self.settings.ip,
-            zone: self.settings.zone.clone(),
-            reachable: !self.is_leaving(),
-        };
-        let of = |(place, peer): (&Place, &Peer)| ControlAddress {
-            ip: Ipv4Addr::from(*place),
+    /// Where the other control nodes are, for agents.
+    pub fn addresses(&self, now: Millis) -> impl Iterator<Item = ControlAddress> + '_ {
+        self.peers.iter().map(move |(node, peer)| ControlAddress {
+            ip: node.address(),
             zone: peer.zone.clone(),
-            reachable: peer.up(now) && !peer.leaving,
-        };
-        std::iter::once(own)
-            .chain(self.peers.0.iter().map(of))
-            .collect()
+            reachable: peer.is_reachable(now) && !peer.is_leaving,
+        })
     }
 }
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -1,35 +1,40 @@
 //! Reads the platform's list of servers, page after page.
 
+use crate::errors::PlatformError;
 use aspendrum_model::servers::{self, ServerInstance};
 use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::http_client::HttpClient;
 use std::time::{Duration, Instant};
 
-pub const BOUNDS: MessageLimits = MessageLimits {
+/// The limits of a page.
+pub const PAGE_LIMITS: MessageLimits = MessageLimits {
     head: 8 << 10,
     body: 4 << 20,
 };
-/// For a whole list: a page is answered in a round trip, and a list that takes longer is read anew.
-const WAIT: Duration = Duration::from_millis(1500);
+/// For the whole list: a page is answered within a round trip, and a list that takes longer is read again.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The whole list, or why there is none.
-pub fn list(platform: &mut HttpClient) -> Result<Vec<ServerInstance>, String> {
-    let until = Instant::now() + WAIT;
-    let (mut all, mut token) = (Vec::new(), None::<String>);
+/// Reads the whole list.
+///
+/// # Errors
+/// The platform does not answer in time, or some page cannot be read.
+pub fn read_server_list(platform: &mut HttpClient) -> Result<Vec<ServerInstance>, PlatformError> {
+    let deadline = Instant::now() + LIST_TIMEOUT;
+    let mut list = Vec::new();
+    let mut path = "/servers".to_string();
     loop {
-        let query = token
-            .as_ref()
-            .map_or(String::new(), |t| format!("?page-tok={t}"));
-        let left = until.saturating_duration_since(Instant::now());
-        let answer = platform.call("GET", &format!("/servers{query}"), b"", left)?;
-        if answer.status != 200 {
-            return Err(format!("status {}", answer.status));
-        }
-        let (page, next) = servers::parse_page(&answer.body)?;
-        all.extend(page);
-        token = next;
-        if token.is_none() {
-            return Ok(all);
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let response = platform.call("GET", &path, b"", remaining);
+        let response = response.map_err(|e| PlatformError::Unanswered(e.to_string()))?;
+        if response.status != 200 {
+            return Err(PlatformError::Status(response.status));
         }
+        let page = servers::parse_page(&response.body);
+        let (page, next) = page.map_err(|e| PlatformError::InvalidPage(e.to_string()))?;
+        list.extend(page);
+        let Some(token) = next else {
+            return Ok(list);
+        };
+        path = format!("/servers?page-tok={token}");
     }
 }
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -1,84 +1,122 @@
-//! What control tells operators of nodes and of what is decided, as JSON. Each machine of control knows the nodes
-//! whose agents hold a link to it, and where the other machines are.
+//! What a control node reports to operators, as JSON. The names in it must not change. Each control node knows the nodes
+//! whose agents are connected to it, and where the other control nodes are.
 
 use aspendrum_model::config::{Config, Route};
 use aspendrum_model::message::StateDigest;
 use aspendrum_reconcile::{Section, Standing};
 use serde_json::{json, Value};
 
-/// A node as this machine of control knows it.
-pub struct Node {
+/// A node as this control node knows it.
+pub struct NodeReport {
+    /// The node's host name.
     pub host: String,
-    pub front: String,
+    /// Its proxy's address.
+    pub proxy: String,
+    /// The zone that it runs in.
     pub zone: String,
+    /// Whether clients may be sent to its proxy.
     pub ready: bool,
-    pub standing: Standing,
-    /// Milliseconds since it was current last, as of now; 0 while it is.
-    pub off_ms: u64,
+    /// What it has applied, compared with what is decided.
+    pub status: Standing,
+    /// Since when it has not been current, milliseconds before now; 0 while it is.
+    pub not_current_ms: u64,
+    /// What it has applied.
     pub applied: StateDigest,
-    /// Numbered news: told, and acknowledged as in force.
-    pub news: (u64, u64),
+    /// The number of the last update that it was sent.
+    pub sent_update: u64,
+    /// The number of the last update that it has acknowledged as applied.
+    pub acknowledged_update: u64,
 }
 
-fn version(n: u32) -> String {
-    format!("{n:08x}")
+/// A control node's part in the control plane.
+pub struct MembershipReport {
+    /// The newest epoch that it knows of.
+    pub epoch: u32,
+    /// The addresses of the voters.
+    pub voters: Vec<String>,
+    /// The addresses of all other control nodes that are known of.
+    pub control_nodes: Vec<String>,
+    /// Whether this node votes and holds everything that was acknowledged.
+    pub has_joined: bool,
 }
 
-fn edition(e: &StateDigest) -> Value {
-    let digests: Vec<String> = e.digests.iter().map(|d| format!("{d:016x}")).collect();
-    json!({"gen": version(e.revision.config), "evacuations": e.revision.evacuation, "digests": digests})
+fn version(version: u32) -> String {
+    format!("{version:08x}")
 }
 
-/// How a machine of control stands among the others.
-pub struct Membership {
-    pub epoch: u32,
-    /// IP numbers of the voters, and of all other machines that are known of.
-    pub voters: Vec<String>,
-    pub control: Vec<String>,
-    /// This machine votes and holds all that was acknowledged.
-    pub joined: bool,
+fn digest(digest: &StateDigest) -> Value {
+    let digests = digest.digests.iter().map(|d| format!("{d:016x}"));
+    json!({
+        "gen": version(digest.revision.config),
+        "evacuations": digest.revision.evacuation,
+        "digests": digests.collect::<Vec<String>>(),
+    })
 }
 
-/// `age`: so long ago a majority held nothing newer, in milliseconds.
+/// The report of all nodes. `host`: this control node's name. `majority_age`: how long ago a majority held nothing newer
+/// than `decided`, milliseconds.
 pub fn nodes(
-    me: &str,
+    host: &str,
     decided: &StateDigest,
-    age: Option<u64>,
-    nodes: &[Node],
-    members: &Membership,
+    majority_age: Option<u64>,
+    nodes: &[NodeReport],
+    membership: &MembershipReport,
 ) -> Value {
-    let row = |n: &Node| {
-        let differs: Vec<String> = Section::differing(&n.applied, decided)
-            .iter()
-            .map(|s| format!("{s:?}").to_lowercase())
-            .collect();
-        json!({"host": n.host, "front": n.front, "zone": n.zone, "ready": n.ready, "via": me,
-            "standing": n.standing.word(), "off-ms": n.off_ms, "applied": edition(&n.applied), "differs": differs,
-            "told": n.news.0, "acknowledged": n.news.1})
-    };
-    let rows: Vec<Value> = nodes.iter().map(row).collect();
-    json!({"decided": edition(decided), "majority-ms-ago": age, "nodes": rows, "control": members.control,
-        "epoch": members.epoch, "voters": members.voters, "joined": members.joined})
+    let rows: Vec<Value> = nodes.iter().map(|n| node(host, decided, n)).collect();
+    json!({
+        "decided": digest(decided),
+        "majority-ms-ago": majority_age,
+        "nodes": rows,
+        "control": membership.control_nodes,
+        "epoch": membership.epoch,
+        "voters": membership.voters,
+        "joined": membership.has_joined,
+    })
+}
+
+fn node(host: &str, decided: &StateDigest, node: &NodeReport) -> Value {
+    let differing = Section::differing(&node.applied, decided);
+    let differing = differing.iter().map(|s| format!("{s:?}").to_lowercase());
+    json!({
+        "host": node.host,
+        "front": node.proxy,
+        "zone": node.zone,
+        "ready": node.ready,
+        "via": host,
+        "standing": node.status.word(),
+        "off-ms": node.not_current_ms,
+        "applied": digest(&node.applied),
+        "differs": differing.collect::<Vec<String>>(),
+        "told": node.sent_update,
+        "acknowledged": node.acknowledged_update,
+    })
 }
 
-fn route(r: &Route) -> Value {
-    let may = if r.repeatable {
+fn route(route: &Route) -> Value {
+    let retries = if route.repeatable {
         "repeated freely"
     } else {
         "lands once: leaves only where decided is applied"
     };
-    let services: Vec<Value> = r
-        .services
-        .iter()
-        .map(|s| json!({"svc": s.0, "wt": s.1}))
-        .collect();
-    json!({"name": r.name, "retries": may, "services": services, "tries": r.tries, "limit-ms": r.limit_ms,
-        "public": r.public, "homes": r.homes})
+    let services = route.services.iter();
+    let services = services.map(|(name, weight)| json!({"svc": name, "wt": weight}));
+    json!({
+        "name": route.name,
+        "retries": retries,
+        "services": services.collect::<Vec<Value>>(),
+        "tries": route.tries,
+        "limit-ms": route.limit_ms,
+        "public": route.public,
+        "homes": route.homes,
+    })
 }
 
-/// What each version would do with a request, the newest first.
+/// What each version of the configuration does with a request, the newest first.
 pub fn explain<'c>(versions: impl Iterator<Item = &'c Config>, host: &str, path: &str) -> Value {
-    let told = |c: &Config| json!({"gen": version(c.version), "route": c.route(host, path).map(|n| route(&c.routes[n]))});
-    let all: Vec<Value> = versions.map(told).collect();
-    json!({"host": host, "path": path, "versions": all})
+    let explained = versions.map(|config| {
+        let matched = config.route(host, path).map(|n| route(&config.routes[n]));
+        json!({"gen": version(config.version), "route": matched})
+    });
+    let explained: Vec<Value> = explained.collect();
+    json!({"host": host, "path": path, "versions": explained})
 }
--- /dev/null
+++ b/crates/aspendrum-control/src/sections.rs
@@ -0,0 +1,51 @@
+//! What every agent should have, in sections that are sent when they change.
+
+use aspendrum_consensus::{Millis, ReplicatedState};
+use aspendrum_model::message::{ControlAddress, ProxyEndpoint, StateSection};
+
+/// The majority must have been read so lately for this node to know the proxies of other control nodes.
+const MAX_MAJORITY_AGE: Millis = 1200.0;
+
+/// What the sections are made of.
+pub struct SectionSources<'a> {
+    /// What is committed, as far as this node knows.
+    pub committed: &'a ReplicatedState,
+    /// How long ago a majority was known to hold nothing newer; none if it was never read.
+    pub majority_age: Option<Millis>,
+    /// The platform's list of servers, if it is known.
+    pub servers: Option<StateSection>,
+    /// Whether this node has been up long enough to hear of the proxies of all reachable control nodes.
+    pub has_gathered: bool,
+    /// All known proxies.
+    pub proxies: &'a [ProxyEndpoint],
+    /// Where the control nodes are.
+    pub control: Vec<ControlAddress>,
+}
+
+impl SectionSources<'_> {
+    /// The sections, in the order in which they are sent.
+    pub fn sections(self) -> Vec<StateSection> {
+        let mut sections = Vec::new();
+        // Until a majority was read, what is known here may be older than what an agent was sent elsewhere.
+        if self.majority_age.is_some() {
+            let config = &self.committed.config;
+            if config.version > 0 {
+                let text = config.packed_text.clone();
+                sections.push(StateSection::config(config.version, text));
+            }
+            let evacuated = self.committed.evacuated_zones();
+            sections.push(StateSection::Evacuated {
+                number: evacuated.revision,
+                zones: evacuated.zones,
+            });
+        }
+        sections.extend(self.servers);
+        // Without a majority this node knows of its own agents only: what agents were sent of the others stands.
+        let is_recent = self.majority_age.is_some_and(|age| age <= MAX_MAJORITY_AGE);
+        if is_recent && self.has_gathered && !self.proxies.is_empty() {
+            sections.push(StateSection::Proxies(self.proxies.to_vec()));
+        }
+        sections.push(StateSection::Control(self.control));
+        sections
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-control/src/startup.rs
@@ -0,0 +1,232 @@
+//! Starts the process: reads settings and disk, starts the threads, and ends when it is told to.
+
+use crate::api::{LookupApi, OperatorApi};
+use crate::clock::Clock;
+use crate::connections;
+use crate::directory::Directory;
+use crate::errors::StartError;
+use crate::event::Event;
+use crate::node::{ControlNode, ControlNodeOptions};
+use crate::peers;
+use crate::platform;
+use crate::replica_driver::{new_incarnation, ReplicaDriver};
+use crate::storage::{Disk, Storage};
+use crate::store::Store;
+use aspendrum_consensus::{Effect, NodeId, Replica, ReplicaOptions};
+use aspendrum_model::settings::{Settings, VARIABLE};
+use aspendrum_net::daemon::{self, ProcessSignals};
+use aspendrum_net::http1::MessageLimits;
+use aspendrum_net::http_client::HttpClient;
+use aspendrum_net::http_server::{self, ServerOptions};
+use aspendrum_net::mailbox::{self, MailboxReceiver, MailboxSender};
+use aspendrum_net::workers::spawn;
+use crossbeam_channel::{bounded, Receiver, Sender};
+use std::io;
+use std::net::SocketAddrV4;
+use std::path::Path;
+use std::process::ExitCode;
+use std::sync::{Arc, RwLock};
+use std::time::{Duration, Instant};
+
+const STACK_BYTES: usize = 128 << 10;
+const NODE_STACK_BYTES: usize = 512 << 10;
+/// Compressing a configuration takes a few hundred KB of stack while it begins.
+const OPERATOR_STACK_BYTES: usize = 1 << 20;
+/// How many events may wait for the node's thread.
+const EVENT_CAPACITY: usize = 4096;
+/// How long a shutdown may take to hand over the vote, as a share of the time that the process has.
+const HANDOVER_SHARE: f64 = 0.5;
+/// A configuration of thousands of routes takes a few megabytes.
+const OPERATOR_LIMITS: MessageLimits = MessageLimits {
+    head: 16 << 10,
+    body: 16 << 20,
+};
+const LOOKUP_LIMITS: MessageLimits = MessageLimits {
+    head: 16 << 10,
+    body: 1 << 10,
+};
+
+/// Carries out the command line.
+pub fn main() -> ExitCode {
+    let about = "Control of the system: takes orders, keeps them on disk, knows servers and proxies, answers look-ups";
+    let check = || Settings::load().map(|settings| settings.host);
+    let serve = |signals| serve(signals).map_err(|error| error.to_string());
+    daemon::run("aspendrum-control", about, check, serve)
+}
+
+fn resource(what: &'static str) -> impl Fn(io::Error) -> StartError {
+    move |source| StartError::Resource { what, source }
+}
+
+fn load_settings() -> Result<Settings, StartError> {
+    Settings::load().map_err(|error| StartError::Settings(error.to_string()))
+}
+
+fn serve(signals: ProcessSignals) -> Result<(), StartError> {
+    let settings = load_settings()?;
+    let clock = Clock::start();
+    let directory = Arc::new(RwLock::new(Directory::new(0.0, &settings.zones)));
+    let events = start_node(&settings, &directory, clock)?;
+    open_apis(&settings, &directory, &events, clock)?;
+    let reload = || {
+        let settings = Box::new(Settings::load()?);
+        events.send(Event::SettingsReloaded(settings), None);
+        Ok(())
+    };
+    let settings_file = std::env::var(VARIABLE).unwrap_or_default();
+    let ended = signals.wait_for_shutdown(settings_file, reload);
+    ended.map_err(|error| StartError::Signals(error.to_string()))?;
+    // Everything that was acknowledged is on disks; what is left is a vote that another node may take.
+    let (ready, is_ready) = bounded(1);
+    events.send(Event::ShutdownRequested { ready }, None);
+    let timeout = Duration::from_secs_f64(HANDOVER_SHARE * settings.grace_s);
+    let _ = is_ready.recv_timeout(timeout);
+    Ok(())
+}
+
+/// Reads the disk, and starts the node's thread and those that serve it.
+fn start_node(
+    settings: &Settings,
+    directory: &Arc<RwLock<Directory>>,
+    clock: Clock,
+) -> Result<Arc<MailboxSender<Event>>, StartError> {
+    let disk = open_disk(settings)?;
+    let state = match &disk {
+        Some(disk) => disk.store.read().map_err(StartError::Store)?,
+        None => None,
+    };
+    let is_empty = state.is_none();
+    let (replica, effects) = start_replica(settings, state.clone());
+    log_start(settings, is_empty, &replica);
+    let (node_sender, events) = start_node_thread()?;
+    let own_events = events.clone();
+    let on_written = move |result| own_events.send(Event::WriteFinished(result), None);
+    let storage = Storage::start(disk, state, on_written).map_err(resource("disk"))?;
+    let local_node = NodeId::from(settings.ip);
+    let (poll_requests, requested_polls) = bounded(1);
+    let node = ControlNode::new(ControlNodeOptions {
+        clock,
+        settings: settings.clone(),
+        replica: ReplicaDriver::new(local_node, clock, replica, storage, effects),
+        events: events.clone(),
+        poll_requests,
+        directory: directory.clone(),
+    });
+    let address = SocketAddrV4::new(settings.ip, settings.control_port());
+    let max_silence = Duration::from_millis(peers::MAX_SILENCE as u64);
+    connections::listen(address, max_silence, &events).map_err(resource("control port"))?;
+    node_sender
+        .send(node)
+        .map_err(|_| StartError::NodeThreadEnded)?;
+    let own_events = events.clone();
+    let poll = move || poll_platform(&requested_polls, &own_events);
+    spawn("poller", STACK_BYTES, poll).map_err(resource("poller"))?;
+    Ok(events)
+}
+
+fn open_disk(settings: &Settings) -> Result<Option<Disk>, StartError> {
+    let Some(folder) = &settings.datadir else {
+        return Ok(None);
+    };
+    let folder = Path::new(folder).to_path_buf();
+    let store = Store::open(&folder).map_err(StartError::Store)?;
+    Ok(Some(Disk { folder, store }))
+}
+
+fn start_replica(
+    settings: &Settings,
+    state: Option<aspendrum_consensus::DurableState>,
+) -> (Replica, Vec<Effect>) {
+    let seeds = settings.seeds.iter();
+    let seeds: Vec<NodeId> = seeds.map(|seed| NodeId::from(*seed.ip())).collect();
+    let options = ReplicaOptions {
+        node: NodeId::from(settings.ip),
+        is_first_start: settings.init,
+        seeds: &seeds,
+        new_disk: fastrand::u64(1..),
+        incarnation: new_incarnation(),
+    };
+    Replica::start(options, state)
+}
+
+fn log_start(settings: &Settings, is_empty: bool, replica: &Replica) {
+    log::info!(
+        "event=started host={} init={} empty_disk={is_empty} epoch={} votes={}",
+        settings.host,
+        settings.init,
+        replica.epoch().number,
+        replica.is_voter()
+    );
+}
+
+/// Starts the thread that runs the node as soon as it is sent that: other threads, which the node needs, need the
+/// thread's mailbox first.
+fn start_node_thread() -> Result<(Sender<ControlNode>, Arc<MailboxSender<Event>>), StartError> {
+    let (node_sender, nodes) = bounded::<ControlNode>(1);
+    let start = |events: MailboxReceiver<Event>| {
+        spawn("server", NODE_STACK_BYTES, move || {
+            if let Ok(node) = nodes.recv() {
+                let guard = ExitOnPanic;
+                node.run(&events);
+                std::mem::forget(guard);
+            }
+        })
+    };
+    let events = mailbox::spawn_receiver(EVENT_CAPACITY, start).map_err(resource("server"))?;
+    Ok((node_sender, Arc::new(events)))
+}
+
+/// Reads the platform's list of servers whenever it is asked to.
+fn poll_platform(requests: &Receiver<SocketAddrV4>, events: &MailboxSender<Event>) {
+    let mut platform: Option<HttpClient> = None;
+    while let Ok(address) = requests.recv() {
+        let asked_at = Instant::now();
+        let known = platform.take().filter(|client| client.to() == address);
+        let connect = || HttpClient::new(address, platform::PAGE_LIMITS);
+        let mut client = known.unwrap_or_else(connect);
+        let result = platform::read_server_list(&mut client);
+        platform = result.is_ok().then_some(client);
+        events.send(Event::ServerListPolled { asked_at, result }, None);
+    }
+}
+
+/// Opens the ports of operators' calls and clients' lookups, as far as they are configured.
+fn open_apis(
+    settings: &Settings,
+    directory: &Arc<RwLock<Directory>>,
+    events: &Arc<MailboxSender<Event>>,
+    clock: Clock,
+) -> Result<(), StartError> {
+    let options = |stack, bounds| ServerOptions {
+        stack,
+        bounds,
+        idle: Duration::from_secs(10),
+        workers: Duration::from_secs(3),
+    };
+    if let Some(address) = settings.ctl {
+        let api = OperatorApi::new(events.clone(), settings.zones.clone());
+        let answer = move |request| api.answer(&request);
+        let options = options(OPERATOR_STACK_BYTES, OPERATOR_LIMITS);
+        http_server::listen(address, options, answer).map_err(resource("ctl"))?;
+    }
+    if let Some(address) = settings.dir {
+        // Answers count as long as the requirements allow: a request waits for each lookup, and clients pass over
+        // addresses that fail them.
+        let api = LookupApi::new(directory.clone(), settings.ttl_max_s);
+        let answer = move |request| api.answer(clock.now(), &request);
+        let options = options(STACK_BYTES, LOOKUP_LIMITS);
+        http_server::listen(address, options, answer).map_err(resource("dir"))?;
+    }
+    Ok(())
+}
+
+/// Ends the process if the node's thread panics: without it a control node only refuses calls, and ought to be started
+/// again.
+struct ExitOnPanic;
+
+impl Drop for ExitOnPanic {
+    fn drop(&mut self) {
+        log::error!("event=node_failed");
+        std::process::exit(1);
+    }
+}
--- a/crates/aspendrum-control/src/storage.rs
+++ b/crates/aspendrum-control/src/storage.rs
@@ -1,207 +1,219 @@
-//! Carries out a replica's effects in their order, with the disk on a thread of its own: what rests on a state waits
-//! until that is synced, and nothing else waits for the disk.
+//! Delays a replica's effects until the state that they rest on is synced. The disk has a thread of its own, so that
+//! nothing else waits for it.
 
-use crate::event::Event;
+use crate::errors::StoreError;
 use crate::store::Store;
-use aspendrum_consensus::{Effect, State};
-use aspendrum_net::mailbox::MailboxSender;
+use aspendrum_consensus::{DurableState, Effect};
 use aspendrum_net::workers::spawn;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use std::collections::VecDeque;
-use std::path::PathBuf;
-use std::sync::Arc;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-const STACK: usize = 256 << 10;
-/// Effects that wait for a disk that does not answer. More messages than these are dropped, as a network may.
-const MOST_WAITING: usize = 2000;
-/// A disk that has not answered for so long is told to the other machines.
-const STALLED: Duration = Duration::from_millis(1500);
-/// Between two tries to write to a disk that failed.
-const RETRY: Duration = Duration::from_millis(500);
+const STACK_BYTES: usize = 256 << 10;
+/// How many effects may wait for a disk that does not answer. Beyond that messages are dropped, as a network may.
+const MAX_WAITING: usize = 2000;
+/// A disk that has not answered for so long is reported to the other nodes.
+const STALLED_AFTER: Duration = Duration::from_millis(1500);
+/// Between two attempts to write to a disk that failed.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The end of a write.
-pub struct Stored(Result<(), String>);
+/// How a write ended.
+pub type WriteResult = Result<(), StoreError>;
 
-/// What the end of a write comes to.
-pub enum After {
+/// What the end of a write leads to.
+pub enum WriteCompletion {
     /// These effects may be carried out now.
-    Release(Vec<Effect>),
-    /// The disk takes no bytes: all that waited for it is dropped, and what it held before is still there.
-    Failed(String),
-    /// A disk that had failed takes bytes again.
+    Released(Vec<Effect>),
+    /// The disk cannot be written. All effects that waited for it are dropped; what was synced before is still there.
+    Failed(StoreError),
+    /// A disk that had failed can be written again.
     Recovered,
 }
 
-/// How the disk is.
+/// The condition of the disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Health {
-    Well,
-    /// It has not answered for a while.
+pub enum DiskHealth {
+    /// It can be written, as far as is known.
+    Healthy,
+    /// A write has not ended for a while.
     Stalled,
-    /// It took no bytes: what it held before is still there.
+    /// The last write failed.
     Failed,
 }
 
-/// The disk's thread, and what waits for it.
+/// An opened disk.
+pub struct Disk {
+    /// The folder of the database, for opening it again after a failure.
+    pub folder: PathBuf,
+    /// The database.
+    pub store: Store,
+}
+
+/// A write that has not ended yet.
+struct PendingWrite {
+    started_at: Instant,
+    state: DurableState,
+    /// How many [`Effect::Persist`] at the front of the waiting effects it covers.
+    covered: usize,
+}
+
+/// The disk's thread, and the effects that wait for it.
 pub struct Storage {
-    /// None: there is no disk, and nothing is to be kept.
-    writer: Option<Sender<State>>,
-    /// When the write under way began.
-    writing: Option<Instant>,
-    /// The write under way, and the last one that was synced.
-    under_way: Option<State>,
-    synced: Option<State>,
-    /// The effects not carried out yet, in order. Persist stands for all before it that is not synced.
+    /// None: there is no disk, and nothing is to be persisted.
+    writer: Option<Sender<DurableState>>,
+    pending_write: Option<PendingWrite>,
+    /// The state that was synced last.
+    synced: Option<DurableState>,
+    /// The effects that are not carried out yet, in order. A [`Effect::Persist`] among them is not synced.
     waiting: VecDeque<Effect>,
-    /// How many marks of Persist at the front of `waiting` the write under way will have covered.
-    covered: usize,
-    failed: Option<Instant>,
+    failed_at: Option<Instant>,
 }
 
 impl Storage {
-    /// `folder`: of the disk, and what it holds now.
+    /// Starts the disk's thread. `synced`: the state on the disk. `on_written` is called with the result of each write,
+    /// and returns false once nobody wants to know.
+    ///
+    /// # Errors
+    /// The thread cannot be started.
     pub fn start(
-        folder: Option<PathBuf>,
-        store: Option<Store>,
-        held: Option<State>,
-        events: &Arc<MailboxSender<Event>>,
-    ) -> std::io::Result<Storage> {
-        let writer = match (folder, store) {
-            (Some(folder), Some(store)) => {
-                let (give, take) = bounded(1);
-                let events = events.clone();
-                spawn("disk", STACK, move || write(&folder, store, &take, &events))?;
-                Some(give)
-            }
-            _ => None,
-        };
+        disk: Option<Disk>,
+        synced: Option<DurableState>,
+        on_written: impl Fn(WriteResult) -> bool + Send + 'static,
+    ) -> io::Result<Storage> {
+        let mut writer = None;
+        if let Some(Disk { folder, store }) = disk {
+            let (sender, states) = bounded(1);
+            let write = move || write_states(&folder, store, &states, on_written);
+            spawn("disk", STACK_BYTES, write)?;
+            writer = Some(sender);
+        }
         Ok(Storage {
             writer,
-            writing: None,
-            under_way: None,
-            synced: held,
+            pending_write: None,
+            synced,
             waiting: VecDeque::new(),
-            covered: 0,
-            failed: None,
+            failed_at: None,
         })
     }
 
-    pub fn health(&self) -> Health {
-        match (self.failed, self.writing) {
-            (Some(_), _) => Health::Failed,
-            (None, Some(since)) if since.elapsed() >= STALLED => Health::Stalled,
-            _ => Health::Well,
+    /// The condition of the disk now.
+    pub fn health(&self) -> DiskHealth {
+        if self.failed_at.is_some() {
+            return DiskHealth::Failed;
+        }
+        match &self.pending_write {
+            Some(write) if write.started_at.elapsed() >= STALLED_AFTER => DiskHealth::Stalled,
+            _ => DiskHealth::Healthy,
         }
     }
 
-    /// What the disk holds for certain.
-    pub fn synced(&self) -> Option<&State> {
+    /// The state that the disk holds for certain.
+    pub fn synced(&self) -> Option<&DurableState> {
         self.synced.as_ref()
     }
 
-    /// Takes effects in, and hands over what may be carried out now. `state`: as it is behind these effects.
-    pub fn push(&mut self, effects: Vec<Effect>, state: &State) -> Vec<Effect> {
-        if self.writer.is_none() || self.failed.is_some() {
-            return effects
-                .into_iter()
-                .filter(|e| *e != Effect::Persist)
-                .collect();
+    /// Takes effects in, and returns those that may be carried out now. `state`: as it is after these effects.
+    pub fn push(&mut self, effects: Vec<Effect>, state: &DurableState) -> Vec<Effect> {
+        let mut effects = effects;
+        if self.writer.is_none() || self.failed_at.is_some() {
+            effects.retain(|effect| *effect != Effect::Persist);
+            return effects;
+        }
+        if self.waiting.len() >= MAX_WAITING {
+            effects.retain(|effect| !matches!(effect, Effect::Send { .. }));
+        }
+        self.waiting.extend(effects);
+        self.start_write(state);
+        self.take_released()
+    }
+
+    /// Begins to write the state if some effect waits for that, unless a write is under way.
+    fn start_write(&mut self, state: &DurableState) {
+        let is_persist = |effect: &&Effect| **effect == Effect::Persist;
+        let covered = self.waiting.iter().filter(is_persist).count();
+        if self.pending_write.is_none() && covered > 0 {
+            self.send_write(state.clone(), covered);
         }
-        let crowded = self.waiting.len() >= MOST_WAITING;
-        let kept = effects
-            .into_iter()
-            .filter(|e| !crowded || !matches!(e, Effect::Send { .. }));
-        self.waiting.extend(kept);
-        self.write(state);
-        self.ready()
     }
 
-    /// Begins a write of all that is to be kept, unless one is under way.
-    fn write(&mut self, state: &State) {
-        let marks = self
-            .waiting
-            .iter()
-            .filter(|e| **e == Effect::Persist)
-            .count();
-        let Some(writer) = self
-            .writer
-            .as_ref()
-            .filter(|_| self.writing.is_none() && marks > 0)
-        else {
+    fn send_write(&mut self, state: DurableState, covered: usize) {
+        let Some(writer) = &self.writer else {
             return;
         };
         if writer.try_send(state.clone()).is_ok() {
-            self.writing = Some(Instant::now());
-            self.under_way = Some(state.clone());
-            self.covered = marks;
+            self.pending_write = Some(PendingWrite {
+                started_at: Instant::now(),
+                state,
+                covered,
+            });
         }
     }
 
-    /// What stands before the first mark that is not synced.
-    fn ready(&mut self) -> Vec<Effect> {
-        let until = self
-            .waiting
-            .iter()
-            .position(|e| *e == Effect::Persist)
-            .unwrap_or(self.waiting.len());
-        self.waiting.drain(..until).collect()
+    /// The effects before the first persist that is not synced.
+    fn take_released(&mut self) -> Vec<Effect> {
+        let mut waiting = self.waiting.iter();
+        let unsynced = waiting.position(|effect| *effect == Effect::Persist);
+        let end = unsynced.unwrap_or(self.waiting.len());
+        self.waiting.drain(..end).collect()
     }
 
     /// A write has ended. `state`: as it is now.
-    pub fn stored(&mut self, stored: Stored, state: &State) -> After {
-        self.writing = None;
-        let written = self.under_way.take();
-        let covered = std::mem::take(&mut self.covered);
-        if let Err(why) = stored.0 {
-            self.failed = Some(Instant::now());
+    pub fn on_write_finished(
+        &mut self,
+        result: WriteResult,
+        state: &DurableState,
+    ) -> WriteCompletion {
+        let write = self.pending_write.take();
+        if let Err(error) = result {
+            self.failed_at = Some(Instant::now());
             self.waiting.clear();
-            return After::Failed(why);
+            return WriteCompletion::Failed(error);
         }
-        self.synced = written;
-        if self.failed.take().is_some() {
-            return After::Recovered;
+        let covered = write.as_ref().map_or(0, |write| write.covered);
+        self.synced = write.map(|write| write.state);
+        if self.failed_at.take().is_some() {
+            return WriteCompletion::Recovered;
         }
-        let mut released = self.ready();
+        let mut released = self.take_released();
         for _ in 0..covered {
             self.waiting.pop_front();
-            released.extend(self.ready());
+            released.extend(self.take_released());
         }
-        self.write(state);
-        After::Release(released)
+        self.start_write(state);
+        WriteCompletion::Released(released)
     }
 
-    /// Tries a failed disk again, with what it held last. `first`: where it held nothing yet.
-    pub fn retry(&mut self, first: &State) {
-        let due = self.failed.is_some_and(|at| at.elapsed() >= RETRY) && self.writing.is_none();
-        let Some(writer) = self.writer.as_ref().filter(|_| due) else {
-            return;
-        };
-        let state = self.synced.as_ref().unwrap_or(first).clone();
-        if writer.try_send(state.clone()).is_ok() {
-            self.writing = Some(Instant::now());
-            self.under_way = Some(state);
+    /// Tries to write to a failed disk again what it held last. `initial`: where it held nothing yet.
+    pub fn retry(&mut self, initial: &DurableState) {
+        let is_due = self
+            .failed_at
+            .is_some_and(|at| at.elapsed() >= RETRY_INTERVAL);
+        if is_due && self.pending_write.is_none() {
+            let state = self.synced.as_ref().unwrap_or(initial).clone();
+            self.send_write(state, 0);
         }
     }
 }
 
-/// The disk's thread: writes one state after another. After a failure the file is opened anew: what was synced before
-/// is still there.
-fn write(
-    folder: &std::path::Path,
+/// The disk's thread: writes one state after another. After a failure the database is opened again; what was synced
+/// before is still there.
+fn write_states(
+    folder: &Path,
     store: Store,
-    states: &Receiver<State>,
-    events: &MailboxSender<Event>,
+    states: &Receiver<DurableState>,
+    on_written: impl Fn(WriteResult) -> bool,
 ) {
-    let mut store = Some(store);
+    let mut opened = Some(store);
     while let Ok(state) = states.recv() {
-        let opened = store.take().map_or_else(|| Store::open(folder), Ok);
-        let result = opened.and_then(|opened| {
-            opened.keep(&state)?;
-            store = Some(opened);
+        let store = opened.take().map_or_else(|| Store::open(folder), Ok);
+        let result = store.and_then(|store| {
+            store.write(&state)?;
+            opened = Some(store);
             Ok(())
         });
-        if !events.send(Event::Stored(Stored(result)), None) {
+        if !on_written(result) {
             return;
         }
     }
--- a/crates/aspendrum-control/src/store.rs
+++ b/crates/aspendrum-control/src/store.rs
@@ -1,68 +1,83 @@
-//! The disk: one value, replaced whole, there after any loss of power once `keep` has returned.
+//! The node's state on its disk: one value in a database file, replaced as a whole. It survives a loss of power at any
+//! time once [`Store::write`] has returned.
 
+use crate::errors::StoreError;
 use crate::legacy;
-use aspendrum_consensus::State;
-use redb::{Builder, Database, TableDefinition};
+use aspendrum_consensus::DurableState;
+use redb::{Builder, Database, TableDefinition, TableError};
 use std::path::Path;
 
-/// The file's name is that of the first versions, whose disks are read.
+/// The names of the file and the table are those of the first versions, whose disks are still read.
 const FILE: &str = "vault.redb";
 const TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("kept");
+/// Names the present format.
 const KEY: &str = "state-4";
-/// What is held is read once and written seldom.
-const CACHE: usize = 1 << 20;
+/// The state is read once and written seldom.
+const CACHE_BYTES: usize = 1 << 20;
 
+/// The database file.
 pub struct Store(Database);
 
 impl Store {
-    pub fn open(folder: &Path) -> Result<Store, String> {
-        std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+    /// Opens the database in that folder, or creates it.
+    ///
+    /// # Errors
+    /// The folder cannot be created, or the file is no database or in use.
+    pub fn open(folder: &Path) -> Result<Store, StoreError> {
+        std::fs::create_dir_all(folder).map_err(|source| StoreError::CreateFolder {
+            folder: folder.to_path_buf(),
+            source,
+        })?;
         let file = folder.join(FILE);
-        let opened = Builder::new().set_cache_size(CACHE).create(&file);
-        opened
-            .map(Store)
-            .map_err(|e| format!("{}: {e}", file.display()))
+        let opened = Builder::new().set_cache_size(CACHE_BYTES).create(&file);
+        let database = opened.map_err(|source| StoreError::Open { file, source })?;
+        Ok(Store(database))
     }
 
-    /// What was kept last, none on an empty disk.
-    pub fn read(&self) -> Result<Option<State>, String> {
-        let view = self.0.begin_read().map_err(|e| e.to_string())?;
-        let table = match view.open_table(TABLE) {
+    /// The state that was written last; none on an empty disk. Disks of earlier formats are read too.
+    ///
+    /// # Errors
+    /// The database cannot be read, or the state cannot be decoded.
+    pub fn read(&self) -> Result<Option<DurableState>, StoreError> {
+        let transaction = self.0.begin_read().map_err(StoreError::database)?;
+        let table = match transaction.open_table(TABLE) {
             Ok(table) => table,
-            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
-            Err(e) => return Err(e.to_string()),
+            Err(TableError::TableDoesNotExist(_)) => return Ok(None),
+            Err(error) => return Err(StoreError::database(error)),
         };
-        for (key, decode) in [(KEY, current as legacy::Decode)]
-            .into_iter()
-            .chain(legacy::FORMATS)
-        {
-            if let Some(bytes) = table.get(key).map_err(|e| e.to_string())? {
-                return decode(bytes.value())
-                    .map(Some)
-                    .map_err(|e| format!("{key}: {e}"));
+        let present = (KEY, decode as legacy::Decode);
+        for (key, decode) in [present].into_iter().chain(legacy::FORMATS) {
+            if let Some(bytes) = table.get(key).map_err(StoreError::database)? {
+                let state = decode(bytes.value());
+                let state = state.map_err(|source| StoreError::Decode { key, source })?;
+                return Ok(Some(state));
             }
         }
         Ok(None)
     }
 
-    /// Returns once it is synced.
-    pub fn keep(&self, state: &State) -> Result<(), String> {
-        let bytes = postcard::to_allocvec(state).map_err(|e| e.to_string())?;
-        let write = self.0.begin_write().map_err(|e| e.to_string())?;
+    /// Replaces the state. Returns once it is synced.
+    ///
+    /// # Errors
+    /// The state cannot be encoded or written. What was written before is still there.
+    pub fn write(&self, state: &DurableState) -> Result<(), StoreError> {
+        let bytes = postcard::to_allocvec(state).map_err(StoreError::Encode)?;
+        let transaction = self.0.begin_write().map_err(StoreError::database)?;
         {
-            let mut table = write.open_table(TABLE).map_err(|e| e.to_string())?;
-            table
-                .insert(KEY, bytes.as_slice())
-                .map_err(|e| e.to_string())?;
-            // From now on the older format says nothing true.
+            let mut table = transaction
+                .open_table(TABLE)
+                .map_err(StoreError::database)?;
+            let inserted = table.insert(KEY, bytes.as_slice());
+            inserted.map_err(StoreError::database)?;
+            // The state of an earlier format is outdated now.
             for (key, _) in legacy::FORMATS {
-                table.remove(key).map_err(|e| e.to_string())?;
+                table.remove(key).map_err(StoreError::database)?;
             }
         }
-        write.commit().map_err(|e| e.to_string())
+        transaction.commit().map_err(StoreError::database)
     }
 }
 
-fn current(bytes: &[u8]) -> Result<State, postcard::Error> {
+fn decode(bytes: &[u8]) -> Result<DurableState, postcard::Error> {
     postcard::from_bytes(bytes)
 }
