--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -1,11 +1,11 @@
 //! What operators and clients are answered: statuses, bodies and the names in them, which their tools rest on.
 
-use aspendrum_consensus::holdings::{Config as HeldConfig, Holdings};
-use aspendrum_consensus::{Order, Outcome};
-use aspendrum_control::api::{look_up, look_ups, orders, Orders};
-use aspendrum_control::directory::{Directory, HELD};
-use aspendrum_control::event::Event;
-use aspendrum_control::report::{self, Membership, Node};
+use aspendrum_consensus::replicated_state::{DecidedConfig, ReplicatedState};
+use aspendrum_consensus::{Command, Outcome};
+use aspendrum_control::api::{LookupApi, OperatorApi};
+use aspendrum_control::directory::{Directory, REGION_HOLD_TIME};
+use aspendrum_control::event::{Event, ReportQuery};
+use aspendrum_control::report::{self, MembershipReport, NodeReport};
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{ProxyEndpoint, Readiness, Revision, StateDigest};
 use aspendrum_model::packed::pack;
@@ -33,6 +33,14 @@
     }
 }
 
+/// What a report is asked about, as JSON.
+fn asked_about(query: &ReportQuery) -> serde_json::Value {
+    match query {
+        ReportQuery::Nodes => serde_json::Value::Null,
+        ReportQuery::Explain { host, path } => serde_json::json!([host, path]),
+    }
+}
+
 /// Status, headers and body as one text.
 fn shown(reply: &Reply) -> String {
     let headers: String = reply
@@ -47,67 +55,65 @@
     )
 }
 
-/// What an operator is answered by a machine whose orders all end in that way.
-fn answer(outcome: &Outcome, request: &Request) -> (String, Vec<Order>) {
+/// What an operator is answered by a node on which every command ends in that way.
+fn answer(outcome: &Outcome, request: &Request) -> (String, Vec<Command>) {
     let (given, taken) = crossbeam_channel::unbounded();
     let outcome = outcome.clone();
     let start = |inbox: mailbox::MailboxReceiver<Event>| {
         thread::Builder::new().spawn(move || {
             while let Ok(event) = inbox.recv_deadline(None) {
                 match event {
-                    Event::Order { order, answer, .. } => {
-                        given.send(order).unwrap();
-                        answer.send(outcome.clone()).unwrap();
+                    Event::Command { command, reply, .. } => {
+                        given.send(command).unwrap();
+                        reply.send(outcome.clone()).unwrap();
                     }
-                    Event::Report { of, answer } => {
-                        answer.send(serde_json::json!({ "of": of })).unwrap();
+                    Event::Report { query, reply } => {
+                        reply
+                            .send(serde_json::json!({ "of": asked_about(&query) }))
+                            .unwrap();
                     }
-                    _ => panic!("a call is an order or asks for a report"),
+                    _ => panic!("a call is a command or asks for a report"),
                 }
             }
         })
     };
     let events = Arc::new(mailbox::spawn_receiver(8, start).unwrap());
     let zones = [("z1".to_string(), "g".to_string())].into();
-    let reply = Orders {
-        events: events.clone(),
-        zones,
-    }
-    .answer(&orders(), request);
+    let reply = OperatorApi::new(events.clone(), zones).answer(request);
     Arc::into_inner(events).unwrap().close();
     (shown(&reply), taken.iter().collect())
 }
 
 fn done(version: u32, text: &[u8]) -> Outcome {
-    let config = HeldConfig {
+    let config = DecidedConfig {
         version,
-        text: text.to_vec(),
+        packed_text: text.to_vec(),
     };
-    Outcome::Done(Box::new(Holdings {
+    Outcome::Committed(Box::new(ReplicatedState {
         config,
-        ..Holdings::default()
+        ..ReplicatedState::default()
     }))
 }
 
 #[test]
 fn a_configuration_is_acknowledged_refused_or_neither() {
     let set = request("POST", "/api/Cfg.Set", CONFIG);
-    let (acknowledged, orders) = answer(&done(1, b""), &set);
+    let (acknowledged, commands) = answer(&done(1, b""), &set);
     assert_eq!(acknowledged, "200 ");
     let digest = aspendrum_model::hash::digest(CONFIG.as_bytes());
     assert_eq!(
-        orders,
-        [Order::Config {
+        commands,
+        [Command::SetConfig {
             version: 0x0107,
-            text: pack(CONFIG.as_bytes()),
+            packed_text: pack(CONFIG.as_bytes()),
             digest
         }]
     );
     assert_eq!(
-        answer(&Outcome::Taken, &set).0,
+        answer(&Outcome::VersionConflict, &set).0,
         "409 another text was decided under this number\n"
     );
-    assert_eq!(answer(&Outcome::NoMajority, &set).0, "503 ");
+    assert_eq!(answer(&Outcome::NoQuorum, &set).0, "503 ");
     let invalid = request("POST", "/api/Cfg.Set", &CONFIG.replace("/a/", "a/"));
     let refused = "400 the prefix a/ does not begin with a slash\n".to_string();
     assert_eq!(answer(&done(1, b""), &invalid), (refused, vec![]));
@@ -122,31 +128,31 @@
     let show = request("GET", "/api/Cfg.Show", "");
     let in_force = done(0x0107, &pack(CONFIG.as_bytes()));
     let expected = format!("200 Content-Type: application/json; {CONFIG}");
-    assert_eq!(answer(&in_force, &show), (expected, vec![Order::Read]));
+    assert_eq!(answer(&in_force, &show), (expected, vec![Command::Read]));
     assert_eq!(answer(&done(0, b""), &show).0, "503 ");
     assert_eq!(answer(&done(1, b"no packed text"), &show).0, "500 ");
-    assert_eq!(answer(&Outcome::NoMajority, &show).0, "503 ");
+    assert_eq!(answer(&Outcome::NoQuorum, &show).0, "503 ");
 }
 
 #[test]
-fn evacuations_are_ordered_by_zone() {
-    let order = |on| {
-        vec![Order::Evacuation {
+fn evacuations_are_commanded_by_zone() {
+    let command = |evacuated| {
+        vec![Command::SetEvacuation {
             zone: "z1".into(),
-            on,
+            evacuated,
         }]
     };
     let call = |path: &str| answer(&done(1, b""), &request("POST", path, ""));
-    assert_eq!(call("/api/Evac.Begin/z1"), ("200 ".into(), order(true)));
-    assert_eq!(call("/api/Evac.Finish/z1"), ("200 ".into(), order(false)));
+    assert_eq!(call("/api/Evac.Begin/z1"), ("200 ".into(), command(true)));
+    assert_eq!(call("/api/Evac.Finish/z1"), ("200 ".into(), command(false)));
     assert_eq!(call("/api/Evac.Begin/z2"), ("404 ".into(), vec![]));
     let begin = request("POST", "/api/Evac.Begin/z1", "");
-    assert_eq!(answer(&Outcome::NoMajority, &begin).0, "503 ");
+    assert_eq!(answer(&Outcome::NoQuorum, &begin).0, "503 ");
 }
 
 #[test]
 fn reports_are_asked_for_by_name() {
-    let call = |path: &str| answer(&Outcome::NoMajority, &request("GET", path, "")).0;
+    let call = |path: &str| answer(&Outcome::NoQuorum, &request("GET", path, "")).0;
     assert_eq!(
         call("/api/Nodes"),
         r#"200 Content-Type: application/json; {"of":null}"#
@@ -168,15 +174,16 @@
 #[test]
 fn the_report_of_nodes_keeps_its_names() {
     let decided = edition(0x0107, 3, [1, 2, 3, 4]);
-    let node = |host: &str, standing, off_ms, applied| Node {
+    let node = |host: &str, status, not_current_ms, applied| NodeReport {
         host: host.into(),
-        front: "10.0.0.9:80".into(),
+        proxy: "10.0.0.9:80".into(),
         zone: "z1".into(),
-        ready: off_ms == 0,
-        standing,
-        off_ms,
+        ready: not_current_ms == 0,
+        status,
+        not_current_ms,
         applied,
-        news: (7, 6),
+        sent_update: 7,
+        acknowledged_update: 6,
     };
     let nodes = [
         node("e1", Standing::Current, 0, decided),
@@ -189,19 +196,19 @@
         ),
         node("e4", Standing::Alone, 42, StateDigest::default()),
     ];
-    let members = Membership {
+    let members = MembershipReport {
         epoch: 5,
         voters: vec!["10.0.0.1".into(), "10.0.0.2".into()],
-        control: vec!["10.0.0.2".into()],
-        joined: true,
+        control_nodes: vec!["10.0.0.2".into()],
+        has_joined: true,
     };
     let known = report::nodes("core-1", &decided, Some(120), &nodes, &members).to_string();
     assert_eq!(known + "\n", include_str!("fixtures/nodes.json"));
-    let unknown = Membership {
+    let unknown = MembershipReport {
         epoch: 0,
         voters: Vec::new(),
-        control: Vec::new(),
-        joined: false,
+        control_nodes: Vec::new(),
+        has_joined: false,
     };
     let unknown = report::nodes("core-1", &StateDigest::default(), None, &[], &unknown).to_string();
     assert_eq!(unknown + "\n", include_str!("fixtures/nodes_unknown.json"));
@@ -233,16 +240,9 @@
         current: true,
     };
     directory.update(0.0, &[front(1), front(2)]);
-    let known = RwLock::new(directory);
-    let tree = look_ups();
-    let asked = |known, method, path| {
-        shown(&look_up(
-            known,
-            &tree,
-            &request(method, path, ""),
-            HELD,
-            5.0,
-        ))
+    let known = LookupApi::new(Arc::new(RwLock::new(directory)), 5.0);
+    let asked = |api: &LookupApi, method, path| {
+        shown(&api.answer(REGION_HOLD_TIME, &request(method, path, "")))
     };
     let addresses =
         r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":5.0}"#;
@@ -250,7 +250,7 @@
     let away =
         r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":1.0}"#;
     assert_eq!(asked(&known, "GET", "/api/lookup?geo=h&az=z9"), away);
-    let nobody = RwLock::new(Directory::default());
+    let nobody = LookupApi::new(Arc::default(), 5.0);
     assert_eq!(asked(&nobody, "GET", "/api/lookup?geo=g&az=z1"), "503 ");
     assert_eq!(asked(&known, "POST", "/api/lookup"), "405 ");
     assert_eq!(asked(&known, "GET", "/api/Nodes"), "404 ");
--- a/crates/aspendrum-control/tests/processes.rs
+++ b/crates/aspendrum-control/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Control as processes on loopback, killed and robbed of disks: what was acknowledged is shown again.
+//! Control nodes as processes on loopback, killed and bereft of disks: what was acknowledged is shown again.
 
 use aspendrum_model::message::{
     Envelope, FromControl, ProxyEndpoint, Readiness, StateDigest, StateSection, ToControl,
@@ -12,7 +12,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(30);
+/// How long something that must happen may take.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// The first of the ports between processes, and the port of operators' calls.
+const FIRST_PORT: u16 = 21_000;
+const OPERATOR_PORT: u16 = 21_050;
 
 fn config(version: u32) -> String {
     format!(
@@ -22,122 +26,132 @@
     )
 }
 
-/// Three machines of control, each at its own loopback address.
-struct Control {
+/// Three control nodes, each at its own loopback address.
+struct Cluster {
     folder: PathBuf,
-    net: u8,
-    ports: [u16; 2],
-    up: [Option<Child>; 3],
-    init: bool,
+    /// The third number of the nodes' addresses, another one for each test.
+    subnet: u8,
+    processes: [Option<Child>; 3],
+    is_first_start: bool,
 }
 
-impl Control {
-    fn start(net: u8) -> Control {
-        let folder =
-            std::env::temp_dir().join(format!("aspendrum-control-{}-{net}", std::process::id()));
+impl Cluster {
+    fn start(subnet: u8) -> Cluster {
+        let folder = format!("aspendrum-control-{}-{subnet}", std::process::id());
+        let folder = std::env::temp_dir().join(folder);
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
-        let mut control = Control {
+        let mut cluster = Cluster {
             folder,
-            net,
-            ports: [21_000, 21_050],
-            up: [const { None }; 3],
-            init: true,
+            subnet,
+            processes: [const { None }; 3],
+            is_first_start: true,
         };
-        (0..3).for_each(|n| control.up(n));
-        control.init = false;
-        control
+        (0..3).for_each(|n| cluster.start_node(n));
+        cluster.is_first_start = false;
+        cluster
     }
 
     fn ip(&self, n: usize) -> Ipv4Addr {
-        Ipv4Addr::new(127, 9, self.net, n as u8 + 1)
+        Ipv4Addr::new(127, 9, self.subnet, n as u8 + 1)
     }
 
     fn disk(&self, n: usize) -> PathBuf {
         self.folder.join(format!("disk-{n}"))
     }
 
-    fn up(&mut self, n: usize) {
-        let [first, ctl] = self.ports;
-        let seeds: Vec<String> = (0..3)
-            .map(|n| format!("\"{}:{ctl}\"", self.ip(n)))
-            .collect();
-        let settings = format!(
+    fn settings(&self, n: usize) -> String {
+        let seeds = (0..3).map(|n| format!("\"{}:{OPERATOR_PORT}\"", self.ip(n)));
+        let seeds: Vec<String> = seeds.collect();
+        format!(
             r#"{{"self":{{"host-name":"core-{n}","ip":"{ip}","az":"a","geo":"g","init":{},"datadir":"{}"}},
-"net":{{"binds":{{"ctl":"{ip}:{ctl}"}},"port-range":[{first},{}],"seeds":[{}],"zones":{{"a":"g"}}}}}}"#,
-            self.init,
+"net":{{"binds":{{"ctl":"{ip}:{OPERATOR_PORT}"}},"port-range":[{FIRST_PORT},{}],"seeds":[{}],"zones":{{"a":"g"}}}}}}"#,
+            self.is_first_start,
             self.disk(n).display(),
-            first + 15,
+            FIRST_PORT + 15,
             seeds.join(","),
             ip = self.ip(n),
-        );
+        )
+    }
+
+    fn start_node(&mut self, n: usize) {
         let file = self.folder.join(format!("settings-{n}.json"));
-        std::fs::write(&file, settings).unwrap();
-        let child = Command::new(env!("CARGO_BIN_EXE_aspendrum-control"))
+        std::fs::write(&file, self.settings(n)).unwrap();
+        let process = Command::new(env!("CARGO_BIN_EXE_aspendrum-control"))
             .arg("serve")
             .env("ASPENDRUM_SETTINGS", &file)
             .stderr(Stdio::null())
             .spawn();
-        self.up[n] = Some(child.unwrap());
+        self.processes[n] = Some(process.unwrap());
     }
 
     fn kill(&mut self, n: usize) {
-        if let Some(mut child) = self.up[n].take() {
-            child.kill().unwrap();
-            child.wait().unwrap();
+        if let Some(mut process) = self.processes[n].take() {
+            process.kill().unwrap();
+            process.wait().unwrap();
         }
     }
 
-    /// One call; the status and the body, or nothing.
+    /// Makes one call. Returns the status and the body; none if there was no answer.
     fn call(&self, n: usize, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
-        let at = SocketAddr::from((self.ip(n), self.ports[1]));
-        let mut stream = TcpStream::connect_timeout(&at, Duration::from_millis(500)).ok()?;
+        let address = SocketAddr::from((self.ip(n), OPERATOR_PORT));
+        let mut stream = TcpStream::connect_timeout(&address, Duration::from_millis(500)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
-        write!(
-            stream,
-            "{method} {path} HTTP/1.1\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
-            body.len()
-        )
-        .ok()?;
+        let length = body.len();
+        let head = format!(
+            "{method} {path} HTTP/1.1\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
+        );
+        stream.write_all((head + body).as_bytes()).ok()?;
         let mut text = String::new();
         stream.read_to_string(&mut text).ok()?;
         let (head, body) = text.split_once("\r\n\r\n")?;
         Some((head.get(9..12)?.parse().ok()?, body.to_string()))
     }
 
-    /// Calls until it is answered with 200.
-    fn done(&self, n: usize, method: &str, path: &str, body: &str) -> String {
-        let begun = Instant::now();
+    fn status(&self, n: usize, method: &str, path: &str, body: &str) -> u16 {
+        self.call(n, method, path, body).unwrap().0
+    }
+
+    /// Calls until the answer is 200. Returns its body.
+    fn succeed(&self, n: usize, method: &str, path: &str, body: &str) -> String {
+        let started = Instant::now();
         loop {
             match self.call(n, method, path, body) {
                 Some((200, text)) => return text,
-                other => assert!(begun.elapsed() < LIMIT, "{n} {path}: {other:?}"),
+                other => assert!(started.elapsed() < TIMEOUT, "{n} {path}: {other:?}"),
             }
             thread::yield_now();
         }
     }
 
-    /// That machine has come to vote again, and holds all that was acknowledged: the next one may be lost.
-    fn votes(&self, n: usize) {
-        let begun = Instant::now();
-        while !self
-            .done(n, "GET", "/api/Nodes", "")
-            .contains(r#""joined":true"#)
-        {
-            assert!(begun.elapsed() < LIMIT);
+    fn set_config(&self, n: usize, text: &str) {
+        self.succeed(n, "POST", "/api/Cfg.Set", text);
+    }
+
+    /// Waits until that node has joined the newest epoch and holds everything that was acknowledged: another one may be
+    /// lost now.
+    fn wait_until_joined(&self, n: usize) {
+        let started = Instant::now();
+        let is_joined = || {
+            self.succeed(n, "GET", "/api/Nodes", "")
+                .contains(r#""joined":true"#)
+        };
+        while !is_joined() {
+            assert!(started.elapsed() < TIMEOUT);
             thread::yield_now();
         }
     }
 
-    fn shows(&self, n: usize, text: &str) {
-        let begun = Instant::now();
-        while self.done(n, "GET", "/api/Cfg.Show", "") != text {
-            assert!(begun.elapsed() < LIMIT);
+    /// Waits until that node shows that configuration.
+    fn wait_until_shown(&self, n: usize, text: &str) {
+        let started = Instant::now();
+        while self.succeed(n, "GET", "/api/Cfg.Show", "") != text {
+            assert!(started.elapsed() < TIMEOUT);
         }
     }
 }
 
-impl Drop for Control {
+impl Drop for Cluster {
     fn drop(&mut self) {
         (0..3).for_each(|n| self.kill(n));
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -146,124 +160,137 @@
 
 #[test]
 fn what_was_acknowledged_outlives_a_kill_of_all_and_a_lost_disk() {
-    let mut control = Control::start(1);
-    control.done(0, "POST", "/api/Cfg.Set", &config(7));
-    (0..3).for_each(|n| control.shows(n, &config(7)));
-    // An older one is acknowledged and changes nothing; an invalid one is refused.
-    control.done(1, "POST", "/api/Cfg.Set", &config(3));
-    control.shows(2, &config(7));
-    let bare = config(9).replace("/a/", "a/");
-    assert_eq!(
-        control.call(1, "POST", "/api/Cfg.Set", &bare).unwrap().0,
-        400
-    );
-    (0..3).for_each(|n| control.kill(n));
-    (0..3).for_each(|n| control.up(n));
-    (0..3).for_each(|n| control.shows(n, &config(7)));
-    // One loses its disk and comes back while the others are there; then another goes for good: what is left
-    // holds it only if the first was healed.
-    control.kill(0);
-    std::fs::remove_dir_all(control.disk(0)).unwrap();
-    control.up(0);
-    control.shows(0, &config(7));
-    control.votes(0);
-    control.done(0, "POST", "/api/Evac.Begin/a", "");
-    control.kill(1);
-    control.kill(2);
-    std::fs::remove_dir_all(control.disk(2)).unwrap();
-    control.up(1);
-    control.shows(0, &config(7));
-    control.shows(1, &config(7));
+    let mut cluster = Cluster::start(1);
+    cluster.set_config(0, &config(7));
+    (0..3).for_each(|n| cluster.wait_until_shown(n, &config(7)));
+    // An older version is acknowledged and changes nothing; an invalid text is refused.
+    cluster.set_config(1, &config(3));
+    cluster.wait_until_shown(2, &config(7));
+    let invalid = config(9).replace("/a/", "a/");
+    assert_eq!(cluster.status(1, "POST", "/api/Cfg.Set", &invalid), 400);
+    (0..3).for_each(|n| cluster.kill(n));
+    (0..3).for_each(|n| cluster.start_node(n));
+    (0..3).for_each(|n| cluster.wait_until_shown(n, &config(7)));
+    // One loses its disk and comes back while the others are there; then another goes for good: what is left holds
+    // the configuration only if the first has taken it over.
+    cluster.kill(0);
+    std::fs::remove_dir_all(cluster.disk(0)).unwrap();
+    cluster.start_node(0);
+    cluster.wait_until_shown(0, &config(7));
+    cluster.wait_until_joined(0);
+    cluster.succeed(0, "POST", "/api/Evac.Begin/a", "");
+    cluster.kill(1);
+    cluster.kill(2);
+    std::fs::remove_dir_all(cluster.disk(2)).unwrap();
+    cluster.start_node(1);
+    cluster.wait_until_shown(0, &config(7));
+    cluster.wait_until_shown(1, &config(7));
 }
 
 #[test]
 fn a_minority_acknowledges_nothing() {
-    let mut control = Control::start(2);
-    control.done(0, "POST", "/api/Cfg.Set", &config(2));
-    control.kill(1);
-    control.kill(2);
-    assert_eq!(
-        control
-            .call(0, "POST", "/api/Cfg.Set", &config(5))
-            .unwrap()
-            .0,
-        503
-    );
-    assert_eq!(control.call(0, "GET", "/api/Cfg.Show", "").unwrap().0, 503);
-    assert_eq!(
-        control.call(0, "POST", "/api/Evac.Begin/a", "").unwrap().0,
-        503
-    );
-    assert_eq!(
-        control.call(0, "POST", "/api/Evac.Begin/b", "").unwrap().0,
-        404
-    );
-    // What got no clear answer may be in force once a majority is back, and is taken when it is sent again.
-    control.up(1);
-    control.done(1, "POST", "/api/Cfg.Set", &config(5));
-    control.shows(0, &config(5));
+    let mut cluster = Cluster::start(2);
+    cluster.set_config(0, &config(2));
+    cluster.kill(1);
+    cluster.kill(2);
+    assert_eq!(cluster.status(0, "POST", "/api/Cfg.Set", &config(5)), 503);
+    assert_eq!(cluster.status(0, "GET", "/api/Cfg.Show", ""), 503);
+    assert_eq!(cluster.status(0, "POST", "/api/Evac.Begin/a", ""), 503);
+    assert_eq!(cluster.status(0, "POST", "/api/Evac.Begin/b", ""), 404);
+    // A command without a clear answer may take effect once a majority is back, and is acknowledged when retried.
+    cluster.start_node(1);
+    cluster.set_config(1, &config(5));
+    cluster.wait_until_shown(0, &config(5));
 }
 
-/// Danger: two operators are both told that their text is in force under one number; the order that was taken is
-/// refused when its answer was lost and it is sent again.
+/// Danger: two operators are both told that their text is in force under one version; or the one whose text was
+/// decided is refused when it retries since the answer was lost.
 #[test]
-fn of_two_operators_with_one_number_one_is_told_so_for_ever() {
-    let mut control = Control::start(4);
-    control.done(0, "POST", "/api/Cfg.Set", &config(1));
+fn of_two_texts_for_one_version_the_same_one_is_acknowledged_for_ever() {
+    let mut cluster = Cluster::start(4);
+    cluster.set_config(0, &config(1));
     let texts = [config(2), config(2).replace("500", "700")];
     let answers = thread::scope(|scope| {
-        let (control, texts) = (&control, &texts);
-        let call = move |n: usize| loop {
-            match control.call(2 * n, "POST", "/api/Cfg.Set", &texts[n]) {
+        let (cluster, texts) = (&cluster, &texts);
+        let set = move |n: usize| loop {
+            match cluster.call(2 * n, "POST", "/api/Cfg.Set", &texts[n]) {
                 Some((status @ (200 | 409), _)) => return status,
                 other => assert!(matches!(other, None | Some((503, _))), "{other:?}"),
             }
         };
-        [0, 1]
-            .map(|n| scope.spawn(move || call(n)))
-            .map(|t| t.join().unwrap())
+        let calls = [0, 1].map(|n| scope.spawn(move || set(n)));
+        calls.map(|call| call.join().unwrap())
     });
-    let winner = answers.iter().position(|s| *s == 200).unwrap();
+    let winner = answers.iter().position(|status| *status == 200).unwrap();
     assert_eq!(answers[1 - winner], 409);
-    (0..3).for_each(|n| control.shows(n, &texts[winner]));
-    let again = |control: &Control| {
+    (0..3).for_each(|n| cluster.wait_until_shown(n, &texts[winner]));
+    let retry = |cluster: &Cluster| {
         for n in 0..3 {
-            control.done(n, "POST", "/api/Cfg.Set", &texts[winner]);
-            assert_eq!(
-                control
-                    .call(n, "POST", "/api/Cfg.Set", &texts[1 - winner])
-                    .unwrap()
-                    .0,
-                409,
-                "{n}"
-            );
+            cluster.set_config(n, &texts[winner]);
+            let loser = cluster.status(n, "POST", "/api/Cfg.Set", &texts[1 - winner]);
+            assert_eq!(loser, 409, "{n}");
         }
     };
-    again(&control);
-    // Also after higher numbers, and after all were killed.
-    control.done(1, "POST", "/api/Cfg.Set", &config(9));
-    again(&control);
-    (0..3).for_each(|n| control.kill(n));
-    (0..3).for_each(|n| control.up(n));
-    control.shows(0, &config(9));
-    again(&control);
+    retry(&cluster);
+    // Also after higher versions, and after all were killed.
+    cluster.set_config(1, &config(9));
+    retry(&cluster);
+    (0..3).for_each(|n| cluster.kill(n));
+    (0..3).for_each(|n| cluster.start_node(n));
+    cluster.wait_until_shown(0, &config(9));
+    retry(&cluster);
 }
 
-/// What control says to an agent, until a word that ends it.
-fn told(link: &mut TcpStream, ends: impl Fn(&FromControl) -> bool) -> Vec<FromControl> {
-    let mut all = Vec::new();
-    loop {
-        let down: FromControl = frames::read_frame(link).unwrap();
-        let over = ends(&down);
-        all.push(down);
-        if over {
-            return all;
+/// An agent's connection to a control node, and everything that it has received.
+struct Agent {
+    stream: TcpStream,
+    received: Vec<FromControl>,
+}
+
+impl Agent {
+    fn connect(cluster: &Cluster, n: usize) -> Agent {
+        let stream = TcpStream::connect((cluster.ip(n), FIRST_PORT)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        Agent {
+            stream,
+            received: Vec::new(),
+        }
+    }
+
+    fn send(&mut self, message: ToControl) {
+        let frame = frames::encode_frame(&Envelope::<()>::Agent(message));
+        self.stream.write_all(&frame).unwrap();
+    }
+
+    /// Receives until a message is the expected one.
+    fn receive_until(&mut self, is_expected: impl Fn(&FromControl) -> bool) -> &FromControl {
+        loop {
+            let message: FromControl = frames::read_frame(&mut self.stream).unwrap();
+            let is_last = is_expected(&message);
+            self.received.push(message);
+            if is_last {
+                return &self.received[self.received.len() - 1];
+            }
         }
     }
+
+    /// The versions of all configurations that were received.
+    fn received_versions(&self) -> Vec<u32> {
+        self.received.iter().filter_map(config_version).collect()
+    }
+
+    /// The numbers of all updates that were received.
+    fn received_numbers(&self) -> Vec<u64> {
+        let number = |message: &FromControl| match message {
+            FromControl::Update { number, .. } => Some(*number),
+            FromControl::Heartbeat { .. } | FromControl::Resync => None,
+        };
+        self.received.iter().filter_map(number).collect()
+    }
 }
 
-fn version(down: &FromControl) -> Option<u32> {
-    match down {
+fn config_version(message: &FromControl) -> Option<u32> {
+    match message {
         FromControl::Update {
             part: StateSection::Config { version, .. },
             ..
@@ -272,74 +299,75 @@
     }
 }
 
-/// Danger: a version that is told twice, out of order, before a majority holds it, or after a newer one.
+fn names_ready_proxy(message: &FromControl) -> bool {
+    match message {
+        FromControl::Update {
+            part: StateSection::Proxies(proxies),
+            ..
+        } => proxies.iter().any(ProxyEndpoint::ready),
+        _ => false,
+    }
+}
+
+/// Danger: a version is sent twice, out of order, before a majority holds it, or after a newer one.
 #[test]
-fn an_agent_is_told_each_settled_version_once_and_in_order() {
-    let control = Control::start(3);
-    control.done(0, "POST", "/api/Cfg.Set", &config(4));
-    let mut link = TcpStream::connect((control.ip(1), control.ports[0])).unwrap();
-    link.set_read_timeout(Some(LIMIT)).unwrap();
-    let say = |mut link: &TcpStream, up: ToControl| {
-        link.write_all(&frames::encode_frame(&Envelope::<()>::Agent(up)))
-            .unwrap()
-    };
-    let front = "10.0.0.9:80".parse().unwrap();
-    say(
-        &link,
-        ToControl::Hello {
-            host: "e1".into(),
-            front,
-            zone: "a".into(),
-        },
-    );
-    let mut all = told(&mut link, |d| version(d) == Some(4));
-    let Some(FromControl::Update {
+fn an_agent_is_sent_each_committed_version_once_and_in_order() {
+    let cluster = Cluster::start(3);
+    cluster.set_config(0, &config(4));
+    let mut agent = Agent::connect(&cluster, 1);
+    agent.send(ToControl::Hello {
+        host: "e1".into(),
+        front: "10.0.0.9:80".parse().unwrap(),
+        zone: "a".into(),
+    });
+    let message = agent.receive_until(|m| config_version(m) == Some(4));
+    let FromControl::Update {
         part: StateSection::Config { text, .. },
         ..
-    }) = all.last()
+    } = message
     else {
-        panic!("{all:?}")
+        panic!("{message:?}")
     };
     assert_eq!(unpack(text).unwrap(), config(4).into_bytes());
-    // An older one is acknowledged and is no news; what a beat brings back tells how old control's word is.
-    control.done(2, "POST", "/api/Cfg.Set", &config(3));
-    control.done(0, "POST", "/api/Cfg.Set", &config(6));
-    all.extend(told(&mut link, |d| version(d) == Some(6)));
-    say(
-        &link,
-        ToControl::Heartbeat {
+    // An older version is acknowledged and not sent; the answer to a heartbeat tells how old a majority's word is.
+    cluster.set_config(2, &config(3));
+    cluster.set_config(0, &config(6));
+    agent.receive_until(|m| config_version(m) == Some(6));
+    agent.send(ToControl::Heartbeat {
+        stamp: 42,
+        readiness: Readiness::Ready,
+        applied: StateDigest::default(),
+    });
+    agent.receive_until(|m| match m {
+        FromControl::Heartbeat {
             stamp: 42,
-            readiness: Readiness::Ready,
-            applied: StateDigest::default(),
-        },
-    );
-    let is_answer = |d: &FromControl| matches!(d, FromControl::Heartbeat { stamp: 42, majority_age: Some(age), decided: of, .. } if *age < 5000 && of.revision.config == 6);
-    all.extend(told(&mut link, is_answer));
-    assert_eq!(all.iter().filter_map(version).collect::<Vec<_>>(), [4, 6]);
-    // It is ready now, and hears of itself among the proxies.
-    let ready = |d: &FromControl| matches!(d, FromControl::Update { part: StateSection::Proxies(f), .. } if f.iter().any(ProxyEndpoint::ready));
-    all.extend(told(&mut link, ready));
-    let numbers = all.iter().filter_map(|d| match d {
-        FromControl::Update { number, .. } => Some(*number),
-        FromControl::Heartbeat { .. } | FromControl::Resync => None,
+            majority_age: Some(age),
+            decided,
+            ..
+        } => *age < 5000 && decided.revision.config == 6,
+        _ => false,
     });
-    let numbers: Vec<u64> = numbers.collect();
-    assert_eq!(numbers, (1..=numbers.len() as u64).collect::<Vec<_>>());
-    // What it applied is nothing, and operators see that.
-    let nodes = control.done(1, "GET", "/api/Nodes", "");
-    assert!(
-        nodes.contains(r#""host":"e1""#) && nodes.contains(r#""standing":"behind""#),
-        "{nodes}"
-    );
-    let told = control.done(1, "GET", "/api/Explain?host=a.example&path=/a/x", "");
+    assert_eq!(agent.received_versions(), [4, 6]);
+    // It is ready now, and finds itself among the proxies.
+    agent.receive_until(names_ready_proxy);
+    let numbers = agent.received_numbers();
+    let count = numbers.len() as u64;
+    assert_eq!(numbers, (1..=count).collect::<Vec<_>>());
+    // It has applied nothing, and operators see that.
+    let nodes = cluster.succeed(1, "GET", "/api/Nodes", "");
+    assert!(nodes.contains(r#""host":"e1""#), "{nodes}");
+    assert!(nodes.contains(r#""standing":"behind""#), "{nodes}");
+    let path = "/api/Explain?host=a.example&path=/a/x";
+    let explained = cluster.succeed(1, "GET", path, "");
     assert!(
-        told.contains(r#""gen":"00000006","route":{"homes":[]"#)
-            && told.contains("repeated freely"),
-        "{told}"
+        explained.contains(r#""gen":"00000006","route":{"homes":[]"#),
+        "{explained}"
     );
+    assert!(explained.contains("repeated freely"), "{explained}");
+    let (newer, older) = (explained.find("00000006"), explained.find("00000004"));
     assert!(
-        told.find("00000006").unwrap() < told.find("00000004").unwrap(),
-        "the newest first: {told}"
+        newer.unwrap() < older.unwrap(),
+        "the newest first: {explained}"
     );
-    assert_eq!(control.call(1, "GET", "/api/Explain", "").unwrap().0, 400);
+    assert_eq!(cluster.status(1, "GET", "/api/Explain", ""), 400);
 }
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -1,16 +1,17 @@
-//! The encoding of what machines of control send each other and keep on disk. Machines of two versions run side by side
+//! The encoding of what control nodes send each other and keep on disk. Nodes of two versions run side by side
 //! during an update, and disks outlive it: these bytes must never change.
 
 mod pinned;
 
-use aspendrum_consensus::ballot::{Acceptor, Ballot};
-use aspendrum_consensus::holdings::{Config, Evacuation, Holdings};
-use aspendrum_consensus::numbers::{Numbers, Text};
-use aspendrum_consensus::{Epoch, Message, State, Voters};
-use aspendrum_control::directory::KnownFront;
+use aspendrum_consensus::acceptor::{Accepted, Acceptor};
+use aspendrum_consensus::ballot::Ballot;
+use aspendrum_consensus::replicated_state::{DecidedConfig, Evacuation, ReplicatedState};
+use aspendrum_consensus::versions::{ConfigText, VersionTable};
+use aspendrum_consensus::{DurableState, Epoch, Message, NodeId, Voters};
+use aspendrum_control::connections;
 use aspendrum_control::legacy;
-use aspendrum_control::links;
 use aspendrum_control::peer_message::{Hello, PeerMessage};
+use aspendrum_control::proxy_table::ProxyEntry;
 use aspendrum_control::store::Store;
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{Envelope, ProxyEndpoint, Readiness, ToControl};
@@ -36,21 +37,32 @@
     }
 }
 
+fn node(address: u32) -> NodeId {
+    NodeId::new(address)
+}
+
 fn voters() -> Voters {
-    Voters([(1, 11), (2, 0), (0x0a00_0003, 0x0102_0304_0506_0708)].into())
+    Voters(
+        [
+            (node(1), 11),
+            (node(2), 0),
+            (node(0x0a00_0003), 0x0102_0304_0506_0708),
+        ]
+        .into(),
+    )
 }
 
 fn epoch() -> Epoch {
     Epoch {
         number: 5,
         voters: voters(),
-        previous: Voters::founding(&[1, 2, 3]),
+        previous_voters: Voters::founding(&[1, 2, 3].map(node)),
     }
 }
 
-/// A frame as one machine of control writes it to another, read by that one.
+/// A frame as one control node writes it to another, read by that one.
 fn peer_message(pinned: &mut Pinned, name: &str, message: &PeerMessage) {
-    let frame = frames::encode_frame(&links::between(message));
+    let frame = frames::encode_frame(&connections::envelope(message));
     pinned.same_bytes(name, &frame);
     let read: Envelope<PeerMessage> = frames::read_frame(&mut frame.as_slice()).unwrap();
     let Envelope::Peer(read) = read else {
@@ -60,58 +72,62 @@
 }
 
 #[test]
-fn messages_between_machines_of_control_keep_their_bytes() {
+fn messages_between_control_nodes_keep_their_bytes() {
     let mut pinned = Pinned::new(
         "peer_messages.hex",
         include_str!("fixtures/peer_messages.hex"),
     );
     let hello = Hello {
-        place: 0x0a00_0001,
+        node: node(0x0a00_0001),
         zone: "z1".into(),
         disk: 77,
-        leaving: true,
+        is_leaving: true,
         epoch: epoch(),
-        others: vec![(2, "z2".into()), (0x0a00_0003, String::new())],
+        known_nodes: vec![(node(2), "z2".into()), (node(0x0a00_0003), String::new())],
     };
     peer_message(&mut pinned, "hello", &PeerMessage::Hello(Box::new(hello)));
     peer_message(
         &mut pinned,
         "heartbeat.never_polled",
-        &PeerMessage::Heartbeat { polled: None },
+        &PeerMessage::Heartbeat {
+            server_list_age: None,
+        },
     );
     peer_message(
         &mut pinned,
         "heartbeat",
-        &PeerMessage::Heartbeat { polled: Some(700) },
+        &PeerMessage::Heartbeat {
+            server_list_age: Some(700),
+        },
     );
     peer_message(
         &mut pinned,
         "consensus",
         &PeerMessage::Consensus(Message::Decided {
-            number: 8,
+            version: 8,
             digest: 9,
         }),
     );
     peer_message(
         &mut pinned,
         "consensus.nudge",
-        &PeerMessage::Consensus(Message::Nudge),
+        &PeerMessage::Consensus(Message::CommitNotice),
     );
-    let fronts = vec![
-        KnownFront {
-            front: front(Readiness::Closed, true),
+    let proxies = vec![
+        ProxyEntry {
+            proxy: front(Readiness::Closed, true),
             connected: false,
         },
-        KnownFront {
-            front: front(Readiness::Draining, false),
+        ProxyEntry {
+            proxy: front(Readiness::Draining, false),
             connected: true,
         },
-        KnownFront {
-            front: front(Readiness::Ready, true),
+        ProxyEntry {
+            proxy: front(Readiness::Ready, true),
             connected: true,
         },
     ];
-    peer_message(&mut pinned, "proxies", &PeerMessage::Fronts(fronts));
+    peer_message(&mut pinned, "proxies", &PeerMessage::Proxies(proxies));
     let server = |draining: bool, warm_left_ms: u32| ServerInstance {
         uid: "u1".into(),
         service: "s".into(),
@@ -158,46 +174,49 @@
 }
 
 /// A voter that has accepted an undecided configuration and a successor.
-fn state() -> State {
+fn state() -> DurableState {
     let ballot = Ballot {
-        count: 3,
-        place: 2,
-        life: 0x0123_4500_0000,
+        counter: 3,
+        node: node(2),
+        incarnation: 0x0123_4500_0000,
     };
-    let mut numbers = Numbers::default();
-    numbers.accept(
+    let mut versions = VersionTable::default();
+    versions.accept(
         0x0108,
         ballot,
-        Text {
+        ConfigText {
             digest: 5,
             packed: Some(pack(b"other")),
         },
         0x0107,
     );
-    numbers.decide(0x0107, digest(TEXT), 0x0107);
-    State {
-        held: held(),
-        numbers,
+    versions.decide(0x0107, digest(TEXT), 0x0107);
+    DurableState {
+        replicated: replicated(),
+        versions,
         disk: 77,
-        founding: false,
+        is_founding_disk: false,
         epoch: epoch(),
-        joined: true,
+        has_joined: true,
         successor: Acceptor {
             promised: ballot,
-            accepted: Some((ballot, voters())),
+            accepted: Some(Accepted {
+                ballot,
+                value: voters(),
+            }),
         },
     }
 }
 
-fn held() -> Holdings {
-    let config = Config {
+fn replicated() -> ReplicatedState {
+    let config = DecidedConfig {
         version: 0x0107,
-        text: pack(TEXT),
+        packed_text: pack(TEXT),
     };
     let evacuations = [("z1", 3, false), ("z2", 4, true)];
-    let evacuations =
-        evacuations.map(|(zone, number, off)| (zone.to_string(), Evacuation { number, off }));
-    Holdings {
+    let evacuations = evacuations
+        .map(|(zone, revision, ended)| (zone.to_string(), Evacuation { revision, ended }));
+    ReplicatedState {
         config,
         evacuations: evacuations.into(),
     }
@@ -233,7 +252,7 @@
     let folder = Folder::new("layout");
     let store = Store::open(&folder.0).unwrap();
     assert_eq!(store.read().unwrap(), None);
-    store.keep(&state()).unwrap();
+    store.write(&state()).unwrap();
     drop(store);
     let mut pinned = Pinned::new("disk.hex", include_str!("fixtures/disk.hex"));
     let keys = keys(&folder);
@@ -244,21 +263,21 @@
 
 /// The identity that a disk had in earlier formats: its generation and its id.
 type EarlierDisk = (u32, u64);
-/// What an earlier disk held: configuration, evacuations, voters and their disks.
-type EarlierHeld = (
-    Config,
+/// The earlier replicated state: configuration, evacuations, voters and their disks.
+type EarlierReplicated = (
+    DecidedConfig,
     Vec<(String, Evacuation)>,
     Vec<u32>,
     Vec<(u32, EarlierDisk)>,
 );
-/// Its part in settling the voters for ever.
+/// The acceptor in deciding the voters for ever.
 type EarlierFounding = (u64, Option<(u64, Vec<u32>)>);
 
-fn earlier_held() -> EarlierHeld {
-    let Holdings {
+fn earlier_replicated() -> EarlierReplicated {
+    let ReplicatedState {
         config,
         evacuations,
-    } = held();
+    } = replicated();
     (
         config,
         evacuations.into_iter().collect(),
@@ -273,7 +292,12 @@
 
 /// The bytes of an earlier format are those of the fixture and become that state; a disk of that format is read and is
 /// one of the present format once it is written.
-fn earlier_format<T: Serialize>(pinned: &mut Pinned, key: &str, earlier: &T, expected: &State) {
+fn earlier_format<T: Serialize>(
+    pinned: &mut Pinned,
+    key: &str,
+    earlier: &T,
+    expected: &DurableState,
+) {
     let bytes = postcard::to_allocvec(earlier).unwrap();
     pinned.same_bytes(key, &bytes);
     let (_, decode) = legacy::FORMATS
@@ -293,7 +317,7 @@
     drop(database);
     let store = Store::open(&folder.0).unwrap();
     assert_eq!(store.read().unwrap().as_ref(), Some(expected), "{key}");
-    store.keep(expected).unwrap();
+    store.write(expected).unwrap();
     drop(store);
     let names: Vec<String> = keys(&folder).into_iter().map(|entry| entry.0).collect();
     assert_eq!(names, ["state-4"], "{key}");
@@ -305,24 +329,24 @@
         "earlier_disks.hex",
         include_str!("fixtures/earlier_disks.hex"),
     );
-    let (disk, mut numbers) = ((2u32, 77u64), Numbers::default());
-    numbers.decide(0x0107, digest(TEXT), 0x0107);
-    let third = State {
-        held: held(),
-        numbers: numbers.clone(),
+    let (disk, mut versions) = ((2u32, 77u64), VersionTable::default());
+    versions.decide(0x0107, digest(TEXT), 0x0107);
+    let third = DurableState {
+        replicated: replicated(),
+        versions: versions.clone(),
         disk: 77,
-        founding: true,
+        is_founding_disk: true,
         epoch: Epoch {
             number: 0,
-            voters: Voters::founding(&[1, 2, 3]),
-            previous: Voters::default(),
+            voters: Voters::founding(&[1, 2, 3].map(node)),
+            previous_voters: Voters::default(),
         },
-        joined: true,
+        has_joined: true,
         successor: Acceptor::default(),
     };
     let earlier = (
-        earlier_held(),
-        numbers,
+        earlier_replicated(),
+        versions,
         disk,
         true,
         false,
@@ -330,28 +354,33 @@
     );
     earlier_format(&mut pinned, "kept-3", &earlier, &third);
     // Without ballots what was held counts as accepted, below every ballot, and not as decided.
-    let mut numbers = Numbers::default();
-    let accepted = Text {
+    let mut versions = VersionTable::default();
+    let accepted = ConfigText {
         digest: digest(TEXT),
         packed: Some(pack(TEXT)),
     };
-    numbers.held_before(0x0107, digest(&pack(TEXT)), accepted);
-    let held = Holdings {
-        config: Config::default(),
-        ..held()
+    versions.import_accepted(0x0107, digest(&pack(TEXT)), accepted);
+    let replicated = ReplicatedState {
+        config: DecidedConfig::default(),
+        ..replicated()
     };
-    let second = State {
-        held,
-        numbers,
+    let second = DurableState {
+        replicated,
+        versions,
         ..third
     };
-    let earlier = (earlier_held(), disk, false, true, earlier_founding());
+    let earlier = (earlier_replicated(), disk, false, true, earlier_founding());
     earlier_format(&mut pinned, "kept-2", &earlier, &second);
-    let first = State {
-        founding: false,
-        joined: false,
+    let first = DurableState {
+        is_founding_disk: false,
+        has_joined: false,
         ..second
     };
-    earlier_format(&mut pinned, "kept", &(earlier_held(), disk, false), &first);
+    earlier_format(
+        &mut pinned,
+        "kept",
+        &(earlier_replicated(), disk, false),
+        &first,
+    );
     pinned.complete();
 }
