--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -92,17 +92,23 @@
             self.sent_update += 1;
             self.link.send(&FromControl::Update {
                 number: self.sent_update,
-                part: section.clone(),
+                section: section.clone(),
             });
             *sent = Some(section.clone());
         }
     }
 
     /// Answers a heartbeat, and takes in what the proxy has applied.
-    fn on_heartbeat(&mut self, now: Millis, stamp: u64, applied: StateDigest, view: &MajorityView) {
+    fn on_heartbeat(
+        &mut self,
+        now: Millis,
+        sent_at_ms: u64,
+        applied: StateDigest,
+        view: &MajorityView,
+    ) {
         let majority_age = view.age.map(|age| age.ceil() as u32);
         self.link.send(&FromControl::Heartbeat {
-            stamp,
+            sent_at_ms,
             majority_age,
             decided: view.decided,
             control_reachable: true,
@@ -141,12 +147,12 @@
             };
             log::info!("event={event} proxy={addr} is={readiness:?}");
         }
-        if proxy.current != current {
+        if proxy.is_current != current {
             log::info!("event=proxy_sync_status proxy={addr} is={status}");
         }
-        let has_changed = proxy.readiness != readiness || proxy.current != current;
+        let has_changed = proxy.readiness != readiness || proxy.is_current != current;
         proxy.readiness = readiness;
-        proxy.current = current;
+        proxy.is_current = current;
         has_changed
     }
 
@@ -157,7 +163,7 @@
             host: self.host.clone(),
             proxy: proxy.addr.to_string(),
             zone: proxy.zone.clone(),
-            ready: proxy.ready(),
+            ready: proxy.is_ready(),
             status: self.status,
             not_current_ms: not_current.max(0.0) as u64,
             applied: self.applied,
@@ -237,23 +243,27 @@
         };
         session.last_received = now;
         match message {
-            ToControl::Hello { host, front, zone } => {
-                log::info!("event=agent_connected host={host} proxy={front} zone={zone}");
+            ToControl::Hello {
+                host,
+                proxy_addr,
+                zone,
+            } => {
+                log::info!("event=agent_connected host={host} proxy={proxy_addr} zone={zone}");
                 session.host = host;
                 session.proxy = Some(ProxyEndpoint {
-                    addr: front,
+                    addr: proxy_addr,
                     zone,
                     readiness: Readiness::Closed,
-                    current: true,
+                    is_current: true,
                 });
                 AgentChange::Joined
             }
             ToControl::Heartbeat {
-                stamp,
+                sent_at_ms,
                 readiness,
                 applied,
             } => {
-                session.on_heartbeat(now, stamp, applied, view);
+                session.on_heartbeat(now, sent_at_ms, applied, view);
                 if session.update_proxy(now, readiness, view.max_lag) {
                     AgentChange::ProxyChanged
                 } else {
@@ -336,9 +346,9 @@
 /// Whether nothing has changed but that a slow start goes on. One that begins is a change.
 fn is_same_server(sent: &ServerInstance, server: &ServerInstance) -> bool {
     let without_slow_start = |server: &ServerInstance| ServerInstance {
-        warm_left_ms: 0,
+        slow_start_left_ms: 0,
         ..server.clone()
     };
-    server.warm_left_ms <= sent.warm_left_ms
+    server.slow_start_left_ms <= sent.slow_start_left_ms
         && without_slow_start(sent) == without_slow_start(server)
 }
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -3,13 +3,13 @@
 use crate::directory::Directory;
 use crate::event::{Event, ReportQuery};
 use aspendrum_consensus::{Command, Millis, Outcome, ReplicatedState};
+use aspendrum_model::compression::{compress, decompress};
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
-use aspendrum_model::packed::{pack, unpack};
 use aspendrum_net::http1::Request;
 use aspendrum_net::http_server::Reply;
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::path_matcher::{argument, find, Found, Node};
+use aspendrum_net::path_matcher::{match_path, query_parameter, PathMatch, PathNode};
 use crossbeam_channel::bounded;
 use std::collections::BTreeMap;
 use std::sync::{Arc, RwLock};
@@ -41,30 +41,33 @@
 }
 
 /// A tree of paths.
-pub type Routes = Vec<Node<Call>>;
+pub type Routes = Vec<PathNode<Call>>;
 
 fn under_api(inner: Routes) -> Routes {
-    vec![Node::Word("api", inner)]
+    vec![PathNode::Literal("api", inner)]
 }
 
 /// The paths of operators' calls.
 pub fn operator_routes() -> Routes {
-    let evacuation = |call| vec![Node::Any(vec![Node::Leaf("POST", call)])];
+    let evacuation = |call| vec![PathNode::Parameter(vec![PathNode::Endpoint("POST", call)])];
     under_api(vec![
-        Node::Word("Cfg.Set", vec![Node::Leaf("POST", Call::SetConfig)]),
-        Node::Word("Cfg.Show", vec![Node::Leaf("GET", Call::ShowConfig)]),
-        Node::Word("Nodes", vec![Node::Leaf("GET", Call::ReportNodes)]),
-        Node::Word("Explain", vec![Node::Leaf("GET", Call::Explain)]),
-        Node::Word("Evac.Begin", evacuation(Call::BeginEvacuation)),
-        Node::Word("Evac.Finish", evacuation(Call::FinishEvacuation)),
+        PathNode::Literal("Cfg.Set", vec![PathNode::Endpoint("POST", Call::SetConfig)]),
+        PathNode::Literal(
+            "Cfg.Show",
+            vec![PathNode::Endpoint("GET", Call::ShowConfig)],
+        ),
+        PathNode::Literal("Nodes", vec![PathNode::Endpoint("GET", Call::ReportNodes)]),
+        PathNode::Literal("Explain", vec![PathNode::Endpoint("GET", Call::Explain)]),
+        PathNode::Literal("Evac.Begin", evacuation(Call::BeginEvacuation)),
+        PathNode::Literal("Evac.Finish", evacuation(Call::FinishEvacuation)),
     ])
 }
 
 /// The paths of clients' calls.
 pub fn client_routes() -> Routes {
-    under_api(vec![Node::Word(
+    under_api(vec![PathNode::Literal(
         "lookup",
-        vec![Node::Leaf("GET", Call::LookUp)],
+        vec![PathNode::Endpoint("GET", Call::LookUp)],
     )])
 }
 
@@ -91,10 +94,14 @@
 
     /// Answers a call.
     pub fn answer(&self, request: &Request) -> Reply {
-        let (call, zone, query) = match find(&self.routes, &request.method, &request.path) {
-            Found::Call(call, arguments, query) => (call, arguments.first().copied(), query),
-            Found::OtherMethod => return Reply::plain(405),
-            Found::Nothing => return Reply::plain(404),
+        let (call, zone, query) = match match_path(&self.routes, &request.method, &request.path) {
+            PathMatch::Call {
+                call,
+                arguments,
+                query,
+            } => (call, arguments.first().copied(), query),
+            PathMatch::MethodNotAllowed => return Reply::plain(405),
+            PathMatch::NotFound => return Reply::plain(404),
         };
         match call {
             Call::SetConfig => self.set_config(&request.body),
@@ -123,7 +130,7 @@
         log::info!("event=command call=set version={version:08x} digest={digest:016x}");
         let command = Command::SetConfig {
             version,
-            packed_text: pack(text),
+            packed_text: compress(text),
             digest,
         };
         self.submit(command, |_| Reply::plain(200))
@@ -141,7 +148,10 @@
     }
 
     fn explain(&self, query: &str) -> Reply {
-        match (argument(query, "host"), argument(query, "path")) {
+        match (
+            query_parameter(query, "host"),
+            query_parameter(query, "path"),
+        ) {
             (Some(host), Some(path)) => self.report(ReportQuery::Explain {
                 host: host.into(),
                 path: path.into(),
@@ -198,7 +208,7 @@
     if state.config.version == 0 {
         return Reply::plain(503);
     }
-    match unpack(&state.config.packed_text) {
+    match decompress(&state.config.packed_text) {
         Some(text) => Reply::json(text),
         None => Reply::plain(500),
     }
@@ -224,13 +234,17 @@
 
     /// Answers a call with `ips` and `ttl-s`.
     pub fn answer(&self, now: Millis, request: &Request) -> Reply {
-        let query = match find(&self.routes, &request.method, &request.path) {
-            Found::Call(Call::LookUp, _, query) => query,
-            Found::Call(..) | Found::Nothing => return Reply::plain(404),
-            Found::OtherMethod => return Reply::plain(405),
+        let query = match match_path(&self.routes, &request.method, &request.path) {
+            PathMatch::Call {
+                call: Call::LookUp,
+                query,
+                ..
+            } => query,
+            PathMatch::Call { .. } | PathMatch::NotFound => return Reply::plain(404),
+            PathMatch::MethodNotAllowed => return Reply::plain(405),
         };
-        let region = argument(query, "geo").unwrap_or("");
-        let zone = argument(query, "az").unwrap_or("");
+        let region = query_parameter(query, "geo").unwrap_or("");
+        let zone = query_parameter(query, "az").unwrap_or("");
         let directory = self.directory.read().unwrap_or_else(|e| e.into_inner());
         let answer = directory.look_up(now, region, zone, self.ttl_s);
         if answer.addresses.is_empty() {
--- a/crates/aspendrum-control/src/connections.rs
+++ b/crates/aspendrum-control/src/connections.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::message::Envelope;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use std::io::{self, Read};
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -45,7 +45,7 @@
     let events = events.clone();
     spawn("peer", STACK_BYTES, move || {
         while is_wanted.load(Ordering::Acquire) {
-            if let Ok(stream) = Link::dial(address, CONNECT_TIMEOUT) {
+            if let Ok(stream) = Link::connect(address, CONNECT_TIMEOUT) {
                 hold_connection(node, stream, max_silence, &events);
             }
             sleep(RECONNECT_INTERVAL);
--- a/crates/aspendrum-control/src/decided.rs
+++ b/crates/aspendrum-control/src/decided.rs
@@ -1,9 +1,9 @@
 //! What is decided: the digest that proxies' tables are compared with, and the last versions for explanations.
 
 use aspendrum_consensus::ReplicatedState;
+use aspendrum_model::compression::decompress;
 use aspendrum_model::config::Config;
 use aspendrum_model::message::StateDigest;
-use aspendrum_model::packed::unpack;
 use aspendrum_reconcile::edition;
 use std::collections::VecDeque;
 
@@ -30,7 +30,7 @@
     pub fn update(&mut self, committed: &ReplicatedState) {
         let evacuated = committed.evacuated_zones();
         // Only valid texts are ever committed. Of any other nothing would be in force anywhere.
-        let text = unpack(&committed.config.packed_text);
+        let text = decompress(&committed.config.packed_text);
         let config = text.and_then(|text| Config::read(&text).ok());
         self.digest = edition(config.as_ref(), evacuated.revision, &evacuated.zones);
         let Some(config) = config else {
--- a/crates/aspendrum-control/src/directory.rs
+++ b/crates/aspendrum-control/src/directory.rs
@@ -66,9 +66,11 @@
     /// remain.
     fn addresses(&self, matches: impl Fn(&ProxyEndpoint) -> bool) -> Vec<SocketAddrV4> {
         let matching: Vec<&ProxyEndpoint> = self.proxies.iter().filter(|p| matches(p)).collect();
-        let current_count = matching.iter().filter(|p| p.current).count();
+        let current_count = matching.iter().filter(|p| p.is_current).count();
         let has_enough_current = current_count >= MIN_CHOICE;
-        let chosen = matching.iter().filter(|p| p.current || !has_enough_current);
+        let chosen = matching
+            .iter()
+            .filter(|p| p.is_current || !has_enough_current);
         chosen.map(|p| p.addr).take(MAX_ADDRESSES).collect()
     }
 
@@ -77,14 +79,14 @@
     /// while: requests whose home is in a region must not be carried through others.
     pub fn look_up(&self, now: Millis, region: &str, zone: &str, ttl_s: f64) -> LookupAnswer {
         let in_region = |p: &ProxyEndpoint| self.region_of(p).is_some_and(|r| r == region);
-        let of_zone = self.addresses(|p| p.ready() && p.zone == zone);
+        let of_zone = self.addresses(|p| p.is_ready() && p.zone == zone);
         if of_zone.len() >= MIN_CHOICE {
             return LookupAnswer {
                 addresses: of_zone,
                 ttl_s,
             };
         }
-        let of_region = self.addresses(|p| p.ready() && in_region(p));
+        let of_region = self.addresses(|p| p.is_ready() && in_region(p));
         if !of_region.is_empty() {
             return LookupAnswer {
                 addresses: of_region,
@@ -99,7 +101,7 @@
         let addresses = if !draining.is_empty() || is_held {
             draining
         } else {
-            self.addresses(ProxyEndpoint::ready)
+            self.addresses(ProxyEndpoint::is_ready)
         };
         LookupAnswer {
             addresses,
--- a/crates/aspendrum-control/src/errors.rs
+++ b/crates/aspendrum-control/src/errors.rs
@@ -1,5 +1,9 @@
 //! The errors of a control node.
 
+use aspendrum_model::servers::InvalidServerPage;
+use aspendrum_model::settings::SettingsError;
+use aspendrum_net::http_client::HttpClientError;
+use aspendrum_net::process_signals::SignalError;
 use derive_more::{Display, Error};
 use std::io;
 use std::path::PathBuf;
@@ -47,17 +51,17 @@
 }
 
 /// Why the platform's list of servers cannot be read.
-#[derive(Debug, Display, Error, PartialEq)]
+#[derive(Debug, Display, Error)]
 pub enum PlatformError {
     /// No answer came in time.
     #[display("{_0}")]
-    Unanswered(#[error(not(source))] String),
+    Unanswered(HttpClientError),
     /// The answer has another status than 200.
     #[display("status {_0}")]
     Status(#[error(not(source))] u16),
     /// A page cannot be read.
     #[display("{_0}")]
-    InvalidPage(#[error(not(source))] String),
+    InvalidPage(InvalidServerPage),
 }
 
 /// Why a control node cannot start.
@@ -65,7 +69,7 @@
 pub enum StartError {
     /// The settings cannot be read.
     #[display("{_0}")]
-    Settings(#[error(not(source))] String),
+    Settings(SettingsError),
     /// The disk cannot be read.
     #[display("{_0}")]
     Store(StoreError),
@@ -82,5 +86,5 @@
     NodeThreadEnded,
     /// The process' signals cannot be received.
     #[display("{_0}")]
-    Signals(#[error(not(source))] String),
+    Signals(SignalError),
 }
--- a/crates/aspendrum-control/src/legacy.rs
+++ b/crates/aspendrum-control/src/legacy.rs
@@ -6,8 +6,8 @@
 use aspendrum_consensus::replicated_state::{DecidedConfig, Evacuation, ReplicatedState};
 use aspendrum_consensus::versions::{ConfigText, VersionTable};
 use aspendrum_consensus::{DurableState, NodeId};
+use aspendrum_model::compression::decompress;
 use aspendrum_model::hash::digest;
-use aspendrum_model::packed::unpack;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -121,7 +121,7 @@
         packed_text,
     } = std::mem::take(&mut replicated.config);
     let mut versions = VersionTable::default();
-    if let Some(text) = unpack(&packed_text).filter(|_| version > 0) {
+    if let Some(text) = decompress(&packed_text).filter(|_| version > 0) {
         let rank = digest(&packed_text);
         let accepted = ConfigText {
             digest: digest(&text),
--- a/crates/aspendrum-control/src/node.rs
+++ b/crates/aspendrum-control/src/node.rs
@@ -106,7 +106,7 @@
             replica,
             planner: MembershipPlanner::new(local_node, membership_policy(&settings), 0.0),
             decided: DecidedState::unknown(),
-            bounds: Bounds::of(settings.apply_ms, settings.stretch_ms),
+            bounds: Bounds::of(settings.apply_deadline_ms, settings.unsettled_extension_ms),
             settings,
             peers: PeerTable::new(events),
             agents: AgentSessions::default(),
@@ -318,7 +318,7 @@
             .chain(self.peers.nodes());
         let nodes: BTreeSet<NodeId> = nodes.filter(|node| *node != self.local_node).collect();
         for node in nodes {
-            let address = self.settings.control_at(node.address());
+            let address = self.settings.control_addr(node.address());
             self.peers.connect(self.clock.now(), node, address);
         }
     }
@@ -408,7 +408,7 @@
 
     /// The disk that this node may vote with.
     fn voting_disk(&self) -> DiskId {
-        let has_disk = self.settings.datadir.is_some();
+        let has_disk = self.settings.data_dir.is_some();
         if has_disk && self.replica.disk_health() != DiskHealth::Failed {
             self.replica.replica().state().disk
         } else {
@@ -462,7 +462,7 @@
             decided: self.decided.digest(),
             age: self.replica.majority_age(now),
             bounds: self.bounds,
-            max_lag: MAX_LAG_SHARE * self.settings.apply_ms,
+            max_lag: MAX_LAG_SHARE * self.settings.apply_deadline_ms,
         };
         match self.agents.on_message(now, id, message, &view) {
             AgentChange::Unchanged => {}
@@ -519,11 +519,11 @@
 
     fn poll_server_list_if_due(&mut self, now: Millis) {
         let schedule = PollSchedule {
-            drain_time: self.settings.drain_ms,
-            calls_per_second: self.settings.cloud_rate,
+            drain_time: self.settings.drain_deadline_ms,
+            calls_per_second: self.settings.cloud_api_rate,
         };
         let reachable: Vec<NodeId> = self.peers.reachable(now).collect();
-        let platform = self.settings.cloud;
+        let platform = self.settings.cloud_api_addr;
         self.server_list
             .poll_if_due(now, platform, schedule, self.local_node, &reachable);
     }
@@ -559,7 +559,7 @@
         let nodes = self.agents.report(now);
         let decided = self.decided.digest();
         report::nodes(
-            &self.settings.host,
+            &self.settings.host_name,
             &decided,
             majority_age,
             &nodes,
@@ -589,7 +589,10 @@
 }
 
 fn membership_policy(settings: &Settings) -> MembershipPolicy {
-    MembershipPolicy::new(settings.losses as usize, settings.sync_s * 1000.0)
+    MembershipPolicy::new(
+        settings.tolerated_losses as usize,
+        settings.rejoin_s * 1000.0,
+    )
 }
 
 /// Whether so much time has passed since the last time, if there was any.
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -8,8 +8,8 @@
 
 /// The limits of a page.
 pub const PAGE_LIMITS: MessageLimits = MessageLimits {
-    head: 8 << 10,
-    body: 4 << 20,
+    head_bytes: 8 << 10,
+    body_bytes: 4 << 20,
 };
 /// For the whole list: a page is answered within a round trip, and a list that takes longer is read again.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -25,14 +25,14 @@
     loop {
         let remaining = deadline.saturating_duration_since(Instant::now());
         let response = platform.call("GET", &path, b"", remaining);
-        let response = response.map_err(|e| PlatformError::Unanswered(e.to_string()))?;
+        let response = response.map_err(PlatformError::Unanswered)?;
         if response.status != 200 {
             return Err(PlatformError::Status(response.status));
         }
         let page = servers::parse_page(&response.body);
-        let (page, next) = page.map_err(|e| PlatformError::InvalidPage(e.to_string()))?;
-        list.extend(page);
-        let Some(token) = next else {
+        let page = page.map_err(PlatformError::InvalidPage)?;
+        list.extend(page.servers);
+        let Some(token) = page.next_page else {
             return Ok(list);
         };
         path = format!("/servers?page-tok={token}");
--- a/crates/aspendrum-control/src/proxy_table.rs
+++ b/crates/aspendrum-control/src/proxy_table.rs
@@ -32,7 +32,7 @@
             *known = entry.clone();
         } else if entry.connected == known.connected {
             known.proxy.readiness = known.proxy.readiness.max(entry.proxy.readiness);
-            known.proxy.current |= entry.proxy.current;
+            known.proxy.is_current |= entry.proxy.is_current;
         }
     }
     let mut proxies: Vec<ProxyEndpoint> = merged.into_values().map(|entry| entry.proxy).collect();
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -93,21 +93,21 @@
 }
 
 fn route(route: &Route) -> Value {
-    let retries = if route.repeatable {
+    let retries = if route.idempotent {
         "repeated freely"
     } else {
         "lands once: leaves only where decided is applied"
     };
     let services = route.services.iter();
-    let services = services.map(|(name, weight)| json!({"svc": name, "wt": weight}));
+    let services = services.map(|s| json!({"svc": s.service, "wt": s.weight}));
     json!({
         "name": route.name,
         "retries": retries,
         "services": services.collect::<Vec<Value>>(),
-        "tries": route.tries,
-        "limit-ms": route.limit_ms,
-        "public": route.public,
-        "homes": route.homes,
+        "tries": route.max_attempts,
+        "limit-ms": route.timeout_ms,
+        "public": route.is_public,
+        "homes": route.home_regions,
     })
 }
 
--- a/crates/aspendrum-control/src/sections.rs
+++ b/crates/aspendrum-control/src/sections.rs
@@ -35,7 +35,7 @@
             }
             let evacuated = self.committed.evacuated_zones();
             sections.push(StateSection::Evacuated {
-                number: evacuated.revision,
+                order: evacuated.revision,
                 zones: evacuated.zones,
             });
         }
--- a/crates/aspendrum-control/src/server_list.rs
+++ b/crates/aspendrum-control/src/server_list.rs
@@ -154,7 +154,7 @@
     pub fn section(&self, now: Millis) -> Option<StateSection> {
         let polled_at = self.list.polled_at?;
         Some(StateSection::Servers {
-            age: age_ms(now, polled_at),
+            age_ms: age_ms(now, polled_at),
             list: self.list.snapshot(now),
         })
     }
--- a/crates/aspendrum-control/src/startup.rs
+++ b/crates/aspendrum-control/src/startup.rs
@@ -13,13 +13,14 @@
 use crate::storage::{Disk, Storage};
 use crate::store::Store;
 use aspendrum_consensus::{Effect, NodeId, Replica, ReplicaOptions};
-use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::{self, ProcessSignals};
+use aspendrum_model::settings::{Settings, SettingsError, SETTINGS_VARIABLE};
+use aspendrum_net::daemon;
 use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::http_client::HttpClient;
 use aspendrum_net::http_server::{self, ServerOptions};
 use aspendrum_net::mailbox::{self, MailboxReceiver, MailboxSender};
-use aspendrum_net::workers::spawn;
+use aspendrum_net::process_signals::ProcessSignals;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use std::io;
 use std::net::SocketAddrV4;
@@ -38,19 +39,18 @@
 const HANDOVER_SHARE: f64 = 0.5;
 /// A configuration of thousands of routes takes a few megabytes.
 const OPERATOR_LIMITS: MessageLimits = MessageLimits {
-    head: 16 << 10,
-    body: 16 << 20,
+    head_bytes: 16 << 10,
+    body_bytes: 16 << 20,
 };
 const LOOKUP_LIMITS: MessageLimits = MessageLimits {
-    head: 16 << 10,
-    body: 1 << 10,
+    head_bytes: 16 << 10,
+    body_bytes: 1 << 10,
 };
 
 /// Carries out the command line.
 pub fn main() -> ExitCode {
     let about = "Control of the system: takes orders, keeps them on disk, knows servers and proxies, answers look-ups";
-    let check = || Settings::load().map(|settings| settings.host);
-    let serve = |signals| serve(signals).map_err(|error| error.to_string());
+    let check = || Settings::load().map(|settings| settings.host_name);
     daemon::run("aspendrum-control", about, check, serve)
 }
 
@@ -58,28 +58,24 @@
     move |source| StartError::Resource { what, source }
 }
 
-fn load_settings() -> Result<Settings, StartError> {
-    Settings::load().map_err(|error| StartError::Settings(error.to_string()))
-}
-
 fn serve(signals: ProcessSignals) -> Result<(), StartError> {
-    let settings = load_settings()?;
+    let settings = Settings::load().map_err(StartError::Settings)?;
     let clock = Clock::start();
-    let directory = Arc::new(RwLock::new(Directory::new(0.0, &settings.zones)));
+    let directory = Arc::new(RwLock::new(Directory::new(0.0, &settings.zone_regions)));
     let events = start_node(&settings, &directory, clock)?;
     open_apis(&settings, &directory, &events, clock)?;
-    let reload = || {
+    let reload = || -> Result<(), SettingsError> {
         let settings = Box::new(Settings::load()?);
         events.send(Event::SettingsReloaded(settings), None);
         Ok(())
     };
-    let settings_file = std::env::var(VARIABLE).unwrap_or_default();
+    let settings_file = std::env::var(SETTINGS_VARIABLE).unwrap_or_default();
     let ended = signals.wait_for_shutdown(settings_file, reload);
-    ended.map_err(|error| StartError::Signals(error.to_string()))?;
+    ended.map_err(StartError::Signals)?;
     // Everything that was acknowledged is on disks; what is left is a vote that another node may take.
     let (ready, is_ready) = bounded(1);
     events.send(Event::ShutdownRequested { ready }, None);
-    let timeout = Duration::from_secs_f64(HANDOVER_SHARE * settings.grace_s);
+    let timeout = Duration::from_secs_f64(HANDOVER_SHARE * settings.shutdown_grace_s);
     let _ = is_ready.recv_timeout(timeout);
     Ok(())
 }
@@ -125,7 +121,7 @@
 }
 
 fn open_disk(settings: &Settings) -> Result<Option<Disk>, StartError> {
-    let Some(folder) = &settings.datadir else {
+    let Some(folder) = &settings.data_dir else {
         return Ok(None);
     };
     let folder = Path::new(folder).to_path_buf();
@@ -141,7 +137,7 @@
     let seeds: Vec<NodeId> = seeds.map(|seed| NodeId::from(*seed.ip())).collect();
     let options = ReplicaOptions {
         node: NodeId::from(settings.ip),
-        is_first_start: settings.init,
+        is_first_start: settings.is_first_start,
         seeds: &seeds,
         new_disk: fastrand::u64(1..),
         incarnation: new_incarnation(),
@@ -152,8 +148,8 @@
 fn log_start(settings: &Settings, is_empty: bool, replica: &Replica) {
     log::info!(
         "event=started host={} init={} empty_disk={is_empty} epoch={} votes={}",
-        settings.host,
-        settings.init,
+        settings.host_name,
+        settings.is_first_start,
         replica.epoch().number,
         replica.is_voter()
     );
@@ -181,7 +177,7 @@
     let mut platform: Option<HttpClient> = None;
     while let Ok(address) = requests.recv() {
         let asked_at = Instant::now();
-        let known = platform.take().filter(|client| client.to() == address);
+        let known = platform.take().filter(|client| client.server() == address);
         let connect = || HttpClient::new(address, platform::PAGE_LIMITS);
         let mut client = known.unwrap_or_else(connect);
         let result = platform::read_server_list(&mut client);
@@ -197,22 +193,22 @@
     events: &Arc<MailboxSender<Event>>,
     clock: Clock,
 ) -> Result<(), StartError> {
-    let options = |stack, bounds| ServerOptions {
-        stack,
-        bounds,
-        idle: Duration::from_secs(10),
-        workers: Duration::from_secs(3),
+    let options = |stack_bytes, limits| ServerOptions {
+        stack_bytes,
+        limits,
+        idle_timeout: Duration::from_secs(10),
+        worker_idle_timeout: Duration::from_secs(3),
     };
-    if let Some(address) = settings.ctl {
-        let api = OperatorApi::new(events.clone(), settings.zones.clone());
+    if let Some(address) = settings.operator_addr {
+        let api = OperatorApi::new(events.clone(), settings.zone_regions.clone());
         let answer = move |request| api.answer(&request);
         let options = options(OPERATOR_STACK_BYTES, OPERATOR_LIMITS);
         http_server::listen(address, options, answer).map_err(resource("ctl"))?;
     }
-    if let Some(address) = settings.dir {
+    if let Some(address) = settings.directory_addr {
         // Answers count as long as the requirements allow: a request waits for each lookup, and clients pass over
         // addresses that fail them.
-        let api = LookupApi::new(directory.clone(), settings.ttl_max_s);
+        let api = LookupApi::new(directory.clone(), settings.max_ttl_s);
         let answer = move |request| api.answer(clock.now(), &request);
         let options = options(STACK_BYTES, LOOKUP_LIMITS);
         http_server::listen(address, options, answer).map_err(resource("dir"))?;
--- a/crates/aspendrum-control/src/storage.rs
+++ b/crates/aspendrum-control/src/storage.rs
@@ -4,7 +4,7 @@
 use crate::errors::StoreError;
 use crate::store::Store;
 use aspendrum_consensus::{DurableState, Effect};
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use std::collections::VecDeque;
 use std::io;
--- a/crates/aspendrum-control/tests/directory.rs
+++ b/crates/aspendrum-control/tests/directory.rs
@@ -11,7 +11,7 @@
         addr: format!("10.0.0.{n}:80").parse().unwrap(),
         zone: zone.into(),
         readiness,
-        current: true,
+        is_current: true,
     }
 }
 
@@ -61,12 +61,12 @@
     assert_eq!(look_up(&proxies, "a", "a1"), [1, 2]);
     // A proxy that has not applied the latest decision is left out only if a choice is left without it.
     proxies.push(ready(5, "a1"));
-    proxies[4].current = false;
+    proxies[4].is_current = false;
     assert_eq!(look_up(&proxies, "a", "a1"), [1, 2]);
-    proxies[1].current = false;
+    proxies[1].is_current = false;
     assert_eq!(look_up(&proxies, "a", "a1"), [1, 2, 5]);
     proxies.pop();
-    proxies[1].current = true;
+    proxies[1].is_current = true;
     proxies[0].readiness = Readiness::Closed;
     assert_eq!(look_up(&proxies, "a", "a1"), [2, 3]);
     close(&mut proxies);
--- a/crates/aspendrum-control/tests/processes.rs
+++ b/crates/aspendrum-control/tests/processes.rs
@@ -1,9 +1,9 @@
 //! Control nodes as processes on loopback, killed and bereft of disks: what was acknowledged is shown again.
 
+use aspendrum_model::compression::decompress;
 use aspendrum_model::message::{
     Envelope, FromControl, ProxyEndpoint, Readiness, StateDigest, StateSection, ToControl,
 };
-use aspendrum_model::packed::unpack;
 use aspendrum_net::frames;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -292,7 +292,7 @@
 fn config_version(message: &FromControl) -> Option<u32> {
     match message {
         FromControl::Update {
-            part: StateSection::Config { version, .. },
+            section: StateSection::Config { version, .. },
             ..
         } => Some(*version),
         _ => None,
@@ -302,9 +302,9 @@
 fn names_ready_proxy(message: &FromControl) -> bool {
     match message {
         FromControl::Update {
-            part: StateSection::Proxies(proxies),
+            section: StateSection::Proxies(proxies),
             ..
-        } => proxies.iter().any(ProxyEndpoint::ready),
+        } => proxies.iter().any(ProxyEndpoint::is_ready),
         _ => false,
     }
 }
@@ -317,30 +317,33 @@
     let mut agent = Agent::connect(&cluster, 1);
     agent.send(ToControl::Hello {
         host: "e1".into(),
-        front: "10.0.0.9:80".parse().unwrap(),
+        proxy_addr: "10.0.0.9:80".parse().unwrap(),
         zone: "a".into(),
     });
     let message = agent.receive_until(|m| config_version(m) == Some(4));
     let FromControl::Update {
-        part: StateSection::Config { text, .. },
+        section: StateSection::Config {
+            compressed_text: text,
+            ..
+        },
         ..
     } = message
     else {
         panic!("{message:?}")
     };
-    assert_eq!(unpack(text).unwrap(), config(4).into_bytes());
+    assert_eq!(decompress(text).unwrap(), config(4).into_bytes());
     // An older version is acknowledged and not sent; the answer to a heartbeat tells how old a majority's word is.
     cluster.set_config(2, &config(3));
     cluster.set_config(0, &config(6));
     agent.receive_until(|m| config_version(m) == Some(6));
     agent.send(ToControl::Heartbeat {
-        stamp: 42,
+        sent_at_ms: 42,
         readiness: Readiness::Ready,
         applied: StateDigest::default(),
     });
     agent.receive_until(|m| match m {
         FromControl::Heartbeat {
-            stamp: 42,
+            sent_at_ms: 42,
             majority_age: Some(age),
             decided,
             ..
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -13,9 +13,9 @@
 use aspendrum_control::peer_message::{Hello, PeerMessage};
 use aspendrum_control::proxy_table::ProxyEntry;
 use aspendrum_control::store::Store;
+use aspendrum_model::compression::{compress, decompress};
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{Envelope, ProxyEndpoint, Readiness, ToControl};
-use aspendrum_model::packed::{pack, unpack};
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::frames;
 use pinned::Pinned;
@@ -28,12 +28,12 @@
 
 const TEXT: &[u8] = br#"{"gen":"00000107"}"#;
 
-fn front(readiness: Readiness, current: bool) -> ProxyEndpoint {
+fn front(readiness: Readiness, is_current: bool) -> ProxyEndpoint {
     ProxyEndpoint {
         addr: "10.0.0.9:8080".parse().unwrap(),
         zone: "z1".into(),
         readiness,
-        current,
+        is_current,
     }
 }
 
@@ -128,14 +128,14 @@
         },
     ];
     peer_message(&mut pinned, "proxies", &PeerMessage::Proxies(proxies));
-    let server = |draining: bool, warm_left_ms: u32| ServerInstance {
+    let server = |draining: bool, slow_start_left_ms: u32| ServerInstance {
         uid: "u1".into(),
         service: "s".into(),
         addr: "10.1.2.3:443".parse().unwrap(),
         zone: "z1".into(),
         slots: 300,
         draining,
-        warm_left_ms,
+        slow_start_left_ms,
     };
     let list = vec![server(false, 0), server(true, 2500)];
     peer_message(
@@ -186,7 +186,7 @@
         ballot,
         ConfigText {
             digest: 5,
-            packed: Some(pack(b"other")),
+            packed: Some(compress(b"other")),
         },
         0x0107,
     );
@@ -211,7 +211,7 @@
 fn replicated() -> ReplicatedState {
     let config = DecidedConfig {
         version: 0x0107,
-        packed_text: pack(TEXT),
+        packed_text: compress(TEXT),
     };
     let evacuations = [("z1", 3, false), ("z2", 4, true)];
     let evacuations = evacuations
@@ -227,7 +227,7 @@
 fn a_disk_as_it_was_written_before_is_read() {
     let folder = Folder::new("written-before");
     // The file is 3.6 MB of almost nothing but zeros, so the fixture is its raw DEFLATE stream.
-    let file = unpack(include_bytes!("fixtures/vault.redb.deflate")).unwrap();
+    let file = decompress(include_bytes!("fixtures/vault.redb.deflate")).unwrap();
     assert_eq!((file.len(), digest(&file)), (3_686_400, VAULT_DIGEST));
     std::fs::write(folder.0.join("vault.redb"), file).unwrap();
     let store = Store::open(&folder.0).unwrap();
@@ -357,9 +357,9 @@
     let mut versions = VersionTable::default();
     let accepted = ConfigText {
         digest: digest(TEXT),
-        packed: Some(pack(TEXT)),
+        packed: Some(compress(TEXT)),
     };
-    versions.import_accepted(0x0107, digest(&pack(TEXT)), accepted);
+    versions.import_accepted(0x0107, digest(&compress(TEXT)), accepted);
     let replicated = ReplicatedState {
         config: DecidedConfig::default(),
         ..replicated()
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -19,14 +19,16 @@
 
 use agent::Agent;
 use aspendrum_model::message::{Readiness, StateDigest};
-use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::ProcessSignals;
+use aspendrum_model::settings::{Settings, SETTINGS_VARIABLE};
+use aspendrum_net::connection::ConnectionOptions;
 use aspendrum_net::disconnect_metrics::{DisconnectMetrics, DisconnectReporter};
 use aspendrum_net::disconnects::DisconnectWatcher;
 use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
 use aspendrum_net::pool::{Pool, PoolLimits};
-use aspendrum_net::workers::{lock, spawn, WorkerPool};
+use aspendrum_net::process_signals::ProcessSignals;
+use aspendrum_net::threads::{lock, spawn};
+use aspendrum_net::worker_pool::WorkerPool;
 use aspendrum_reconcile::{Standing, Word};
 use desk::{Desk, BEAT_MS};
 use door::Clients;
@@ -96,13 +98,15 @@
             trust: Mutex::default(),
             watch: DisconnectWatcher::default(),
             departures: DisconnectMetrics::default(),
-            stand: Stand::new(settings.apply_ms, settings.stretch_ms),
+            stand: Stand::new(settings.apply_deadline_ms, settings.unsettled_extension_ms),
             connect_wait: CONNECT_WAIT,
             begun: Instant::now(),
             draining: AtomicBool::new(false),
             takes_until: AtomicU64::new(u64::MAX),
             licensed: AtomicU64::new(0),
-            revoke_ms: settings.revoked.then_some(settings.revoke_ms),
+            revoke_ms: settings
+                .enforces_revocation
+                .then_some(settings.revocation_deadline_ms),
             accepted: AtomicU64::new(0),
             heard_at: AtomicU64::new(0),
         }
@@ -127,7 +131,7 @@
             v.config
                 .routes
                 .iter()
-                .map(|r| r.limit_ms)
+                .map(|r| r.timeout_ms)
                 .fold(0.0, f64::max)
         });
         let drain = Drain::new(grace.as_secs_f64() * 1000.0, limits.unwrap_or(0.0));
@@ -205,14 +209,14 @@
 
 /// Runs the proxy until it is told to end.
 pub fn serve(told: ProcessSignals) -> Result<(), String> {
-    let settings = Settings::load()?;
+    let settings = Settings::load().map_err(|e| e.to_string())?;
     let failed = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
-    let front = settings.front.ok_or("net.binds.front is missing")?;
-    let socket = UdpSocket::bind(SocketAddrV4::new(settings.ip, settings.count_port()));
+    let front = settings.proxy_addr.ok_or("net.binds.front is missing")?;
+    let socket = UdpSocket::bind(SocketAddrV4::new(settings.ip, settings.counter_port()));
     let socket = socket.map_err(failed("count port"))?;
     let heard = socket.try_clone().map_err(failed("count port"))?;
     let shop = Arc::new(Shop::new(&settings, socket));
-    if let Some(at) = settings.readyz {
+    if let Some(at) = settings.readiness_addr {
         let own = shop.clone();
         let serve = move |request: aspendrum_net::http1::Request| match request.path.as_str() {
             "/api/readyz" => Reply::plain(if own.ready() { 200 } else { 503 }),
@@ -237,12 +241,18 @@
     spawn("beat", STACK, move || beat(&own)).map_err(failed("beat"))?;
     let own = shop.clone();
     spawn("door", STACK, move || open(&own, front)).map_err(failed("door"))?;
-    log::info!("event=started host={} front={front}", settings.host);
+    log::info!("event=started host={} front={front}", settings.host_name);
 
     // Nothing in the settings that a proxy uses may change while it runs: seeds are its agent's.
-    let reload = || Settings::load().map(|s| log::info!("event=settings_read host={}", s.host));
-    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
-    drain(&shop, front, Duration::from_secs_f64(settings.grace_s));
+    let reload =
+        || Settings::load().map(|s| log::info!("event=settings_read host={}", s.host_name));
+    told.wait_for_shutdown(std::env::var(SETTINGS_VARIABLE).unwrap_or_default(), reload)
+        .map_err(|e| e.to_string())?;
+    drain(
+        &shop,
+        front,
+        Duration::from_secs_f64(settings.shutdown_grace_s),
+    );
     log::info!("event=ended");
     Ok(())
 }
@@ -250,28 +260,30 @@
 /// Of short calls by the platform.
 fn terms() -> ServerOptions {
     let bounds = MessageLimits {
-        head: 8 << 10,
-        body: 1 << 10,
+        head_bytes: 8 << 10,
+        body_bytes: 1 << 10,
     };
     let (idle, workers) = (Duration::from_secs(10), Duration::from_secs(5));
     ServerOptions {
-        stack: STACK,
-        bounds,
-        idle,
-        workers,
+        stack_bytes: STACK,
+        limits: bounds,
+        idle_timeout: idle,
+        worker_idle_timeout: workers,
     }
 }
 
 fn lines(settings: &Settings) -> PoolLimits {
     PoolLimits {
-        sockets: settings.nofile as usize / 3,
-        ring: 4 << 10,
-        ring_top: 128 << 20,
-        shortest: Duration::from_millis(1),
-        write: Duration::from_secs(2),
-        read: Duration::from_secs(5),
-        idle: Duration::from_secs(4),
-        rest: Duration::from_millis(2),
+        max_connections: settings.max_open_files as usize / 3,
+        min_idle: Duration::from_millis(2),
+        connection: ConnectionOptions {
+            initial_buffer_bytes: 4 << 10,
+            max_buffer_bytes: 128 << 20,
+            min_timeout: Duration::from_millis(1),
+            write_timeout: Duration::from_secs(2),
+            read_timeout: Duration::from_secs(5),
+            idle_timeout: Duration::from_secs(4),
+        },
     }
 }
 
@@ -319,7 +331,7 @@
         if shop.watch.is_due() {
             departures::look(shop);
             report
-                .line(&shop.departures)
+                .next_line(&shop.departures)
                 .iter()
                 .for_each(|line| log::info!("{line}"));
         }
