--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/keepers.rs
@@ -4,35 +4,35 @@
 mod common;
 
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use test_case::test_case;
 
 const SERVERS: u32 = 40;
-const BEGUN: Ms = 100_000.0;
+const BEGUN: Millis = 100_000.0;
 /// Purses fill from a limiter's start: a burst's refill, and some.
-const FULL: Ms = 4000.0;
+const FULL: Millis = 4000.0;
 
 /// Limiters on one clock, and what is on its way between them.
 struct Fleet {
-    now: Ms,
+    now: Millis,
     settings: Settings,
-    limiters: Vec<Option<Control>>,
+    limiters: Vec<Option<DecisionEngine>>,
     mail: Vec<(usize, usize, Vec<u8>)>,
     /// Every so many datagrams one is lost; 0: none.
     lose: usize,
     said: usize,
     /// Whether the second hears the first at that time since the start.
-    hears: fn(Ms, usize, usize) -> bool,
-    granted: Vec<QueryId>,
+    hears: fn(Millis, usize, usize) -> bool,
+    granted: Vec<RequestId>,
     sent: Vec<ServerId>,
-    shed: Vec<QueryId>,
-    open: Vec<(usize, QueryId, ServerId)>,
+    shed: Vec<RequestId>,
+    open: Vec<(usize, RequestId, ServerId)>,
 }
 
 fn settings(limiters: u32, counter: bool, ceiling: f64) -> Settings {
-    let base = common::settings(Semantics::Repeatable, RepeatGroup::All);
+    let base = common::settings(Semantics::Idempotent, RepeatGroup::All);
     let (ceiling_rate, ceiling_burst) = (2.0 * ceiling, 6.0 * ceiling);
-    let plan = Plan {
+    let plan = PlanSettings {
         burst: 6.0,
         ceiling_rate,
         ceiling_burst,
@@ -43,14 +43,14 @@
         tick: 1.0,
         plans: vec![plan],
         load_values: vec![],
-        reports: ReportsVia::Nothing,
+        load_reports: LoadReportChannel::Disabled,
         may_probe: false,
-        may_tell: true,
-        retry_after: false,
+        may_send_datagrams: true,
+        sends_retry_after: false,
         max_retry_after: 0.0,
-        counter,
-        units_top: 2.0,
-        peer_in_per_s: 60.0,
+        has_counter: counter,
+        max_units: 2.0,
+        peer_datagrams_per_second: 60.0,
         ..base
     }
 }
@@ -82,25 +82,30 @@
     /// Starts it, or starts it again from nothing.
     fn start(&mut self, me: usize) {
         let s = Settings {
-            me: me as u32,
+            instance: me as u32,
             ..self.settings.clone()
         };
-        self.limiters[me] = Some(Control::new(self.now, 7 + me as u64, &s, &mut Vec::new()));
-        let member = |server| Member {
+        self.limiters[me] = Some(DecisionEngine::new(
+            self.now,
+            7 + me as u64,
+            &s,
+            &mut Vec::new(),
+        ));
+        let member = |server| ServerEntry {
             server,
             pool: 0,
-            far: 0.0,
+            distance_cost: 0.0,
             health: Health::Ready,
             cell: 0,
             zone: 0,
-            size: 1.0,
+            capacity: 1.0,
             kind: 0,
-            started: 0.0,
+            started_at: 0.0,
         };
-        let entries: Vec<Member> = (1..=SERVERS).map(member).collect();
+        let entries: Vec<ServerEntry> = (1..=SERVERS).map(member).collect();
         self.tell(
             me,
-            &Event::Members {
+            &Event::ServerList {
                 list: ListKind::Cached,
                 version: 1,
                 entries: &entries,
@@ -122,7 +127,7 @@
                     self.open.push((me, id, server));
                 }
                 Action::Shed { id, .. } => self.shed.push(id),
-                Action::Tell { to: Some(to), data } => {
+                Action::SendDatagram { to: Some(to), data } => {
                     self.said += 1;
                     let heard = (self.hears)(self.now - BEGUN, me, to as usize);
                     if heard && (self.lose == 0 || !self.said.is_multiple_of(self.lose)) {
@@ -140,7 +145,7 @@
         for (from, to, data) in std::mem::take(&mut self.mail) {
             self.tell(
                 to,
-                &Event::PeerSaid {
+                &Event::DatagramReceived {
                     from: from as u16,
                     data: &data,
                 },
@@ -149,50 +154,50 @@
         for (me, id, server) in std::mem::take(&mut self.open) {
             self.tell(
                 me,
-                &Event::ForwardEnded {
+                &Event::AttemptEnded {
                     id,
                     forward: 0,
                     server,
                     outcome: Outcome::Ok,
                     rtt: 5.0,
-                    over: true,
-                    used: 0,
-                    actual: 0,
-                    load: Load::default(),
+                    is_final: true,
+                    metered: 0,
+                    actual_units: 0,
+                    load: LoadReport::default(),
                 },
             );
         }
         (0..self.limiters.len()).for_each(|me| self.tell(me, &Event::Timer { token: 0 }));
     }
 
-    fn wait(&mut self, ms: Ms) {
+    fn wait(&mut self, ms: Millis) {
         (0..(ms / 5.0) as u32).for_each(|_| self.step());
     }
 
-    fn ask(&mut self, me: usize, id: QueryId, acct: AcctId) {
+    fn ask(&mut self, me: usize, id: RequestId, acct: TenantId) {
         let spread = self.limiters.len() as f32;
         self.tell(
             me,
-            &Event::Query(NewQuery {
+            &Event::Request(NewRequest {
                 id,
                 group: 0,
-                until: self.now + 3000.0,
-                acct,
+                deadline: self.now + 3000.0,
+                tenant: acct,
                 plan: 0,
-                spread,
+                instances: spread,
                 units: 1.0,
-                first: 0.0,
-                client_repeat: false,
-                write: false,
+                first_instance: 0.0,
+                is_client_retry: false,
+                is_write: false,
                 pool: 0,
-                zones: u64::MAX,
-                most: u8::MAX,
+                allowed_zones: u64::MAX,
+                max_attempts: u8::MAX,
             }),
         );
     }
 
     /// Customer 5 asks `n` times, `ms` apart, through each limiter in turn.
-    fn ask_in_turn(&mut self, from: QueryId, n: u64, ms: Ms) {
+    fn ask_in_turn(&mut self, from: RequestId, n: u64, ms: Millis) {
         for id in from..from + n {
             let me = id as usize % self.limiters.len();
             if self.limiters[me].is_some() {
@@ -322,8 +327,8 @@
     fleet.wait(FULL - 250.0);
     for _ in 0..50 {
         for me in 0..40 {
-            fleet.tell(me, &Event::PeerSaid { from: 3, data });
-            fleet.tell(me, &Event::PeerSaid { from: 40_000, data });
+            fleet.tell(me, &Event::DatagramReceived { from: 3, data });
+            fleet.tell(me, &Event::DatagramReceived { from: 40_000, data });
         }
         fleet.step();
     }
@@ -345,7 +350,7 @@
     for _ in 0..20 {
         fleet.tell(
             3,
-            &Event::PeerSaid {
+            &Event::DatagramReceived {
                 from: 8,
                 data: &ask,
             },
@@ -355,7 +360,7 @@
     let other = [1, 0, 2, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
     fleet.tell(
         3,
-        &Event::PeerSaid {
+        &Event::DatagramReceived {
             from: 8,
             data: &other,
         },
@@ -369,7 +374,7 @@
 #[test_case(40, false ; "datagrams not allowed")]
 fn no_datagrams_where_there_is_no_need_or_no_leave(limiters: u32, may_tell: bool) {
     let mut fleet = Fleet::of(Settings {
-        may_tell,
+        may_send_datagrams: may_tell,
         ..settings(limiters, false, 0.0)
     });
     fleet.ask_in_turn(0, 40, 20.0);
@@ -393,25 +398,25 @@
                 Health::Ready
             }
         };
-        let member = |server, health, started| Member {
+        let member = |server, health, started| ServerEntry {
             server,
             pool: 0,
-            far: 0.0,
+            distance_cost: 0.0,
             health,
             cell: 0,
             zone: 0,
-            size: 1.0,
+            capacity: 1.0,
             kind: 0,
-            started,
+            started_at: started,
         };
         let old = (1..=SERVERS).map(|s| member(s, health(s), 0.0));
-        let entries: Vec<Member> = old
+        let entries: Vec<ServerEntry> = old
             .chain((1..=gone).map(|s| member(100 + s, Health::Ready, fleet.now)))
             .collect();
         (0..40).for_each(|me| {
             fleet.tell(
                 me,
-                &Event::Members {
+                &Event::ServerList {
                     list: ListKind::Full,
                     version: 2 + gone,
                     entries: &entries,
@@ -440,7 +445,7 @@
 /// Forty limiters through which one customer asks for twenty times its quota for 60 s while the counter says
 /// nothing; granted over quota. `kill`: all are killed and start again from nothing each time so long has
 /// passed.
-fn played(hears: fn(Ms, usize, usize) -> bool, lose: usize, kill: Option<Ms>) -> f64 {
+fn played(hears: fn(Millis, usize, usize) -> bool, lose: usize, kill: Option<Millis>) -> f64 {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     (fleet.hears, fleet.lose) = (hears, lose);
     fleet.wait(FULL);
@@ -478,9 +483,9 @@
 #[test_case(turning, 0, None, 0.75 ; "halves that change every 2 s")]
 #[test_case(|_, _, _| true, 0, Some(10_000.0), 0.85 ; "all killed every 10 s")]
 fn no_cut_of_the_links_grants_more_than_the_quota(
-    hears: fn(Ms, usize, usize) -> bool,
+    hears: fn(Millis, usize, usize) -> bool,
     lose: usize,
-    kill: Option<Ms>,
+    kill: Option<Millis>,
     least: f64,
 ) {
     let over = played(hears, lose, kill);
@@ -491,7 +496,7 @@
     );
 }
 
-fn turning(at: Ms, a: usize, b: usize) -> bool {
+fn turning(at: Millis, a: usize, b: usize) -> bool {
     let turn = (at / 2000.0) as usize;
     (a + turn * 7) % 40 / 20 == (b + turn * 7) % 40 / 20
 }
@@ -501,7 +506,10 @@
 #[test_case(|_, _, _| true, 0.93 ; "whole")]
 #[test_case(|_, a, b| a / 20 == b / 20, 0.85 ; "halves")]
 #[test_case(|_, _, _| false, 0.85 ; "every limiter alone")]
-fn even_parts_of_a_wide_quota_are_kept_and_used(hears: fn(Ms, usize, usize) -> bool, least: f64) {
+fn even_parts_of_a_wide_quota_are_kept_and_used(
+    hears: fn(Millis, usize, usize) -> bool,
+    least: f64,
+) {
     let mut settings = settings(40, false, 0.0);
     (settings.plans[0].rate, settings.plans[0].burst) = (20.0, 80.0);
     let mut fleet = Fleet::of(settings);
@@ -547,7 +555,7 @@
             .filter(|n| {
                 fleet.tell(
                     3,
-                    &Event::PeerSaid {
+                    &Event::DatagramReceived {
                         from: 8,
                         data: &ask(*n),
                     },
@@ -561,21 +569,21 @@
     for _ in 0..10 {
         fleet.tell(
             3,
-            &Event::PeerSaid {
+            &Event::DatagramReceived {
                 from: 8,
                 data: &[7, 0, 0, 0, 1],
             },
         );
         fleet.tell(
             3,
-            &Event::PeerSaid {
+            &Event::DatagramReceived {
                 from: 9,
                 data: &[7, 0, 0, 0, 2],
             },
         );
         fleet.tell(
             3,
-            &Event::PeerSaid {
+            &Event::DatagramReceived {
                 from: 8,
                 data: &[7, 0, 0, 0, 99],
             },
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -118,12 +118,12 @@
                     return if before_use(&connection.stream) {
                         Ok(connection)
                     } else {
-                        Err(Outcome::Moot)
+                        Err(Outcome::NotSent)
                     };
                 }
                 Some(_) => {}
                 None => {
-                    let permit = self.acquire_permit().ok_or(Outcome::Moot)?;
+                    let permit = self.acquire_permit().ok_or(Outcome::NotSent)?;
                     let options = &self.limits.connection;
                     let opened =
                         Connection::open(address, connect_timeout, options, permit, before_use);
--- a/crates/aspendrum-proxy/src/query.rs
+++ b/crates/aspendrum-proxy/src/query.rs
@@ -7,7 +7,7 @@
 use crate::door::Client;
 use crate::wire::{self, Taken};
 use crate::Shop;
-use aspendrum_core::api::{Load, Ms, Outcome, QueryId, ServerId};
+use aspendrum_core::api::{LoadReport, Millis, Outcome, RequestId, ServerId};
 use aspendrum_net::connection::Connection;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
 use aspendrum_net::http1::{self, MessageLimits, Request, Response};
@@ -21,7 +21,7 @@
 /// The client is answered so much before it gives up.
 const MARGIN: Duration = Duration::from_millis(12);
 /// When to come again where nothing is known that says when.
-const AGAIN_MS: Ms = 150.0;
+const AGAIN_MS: Millis = 150.0;
 /// Of a query's aim, how long it waits for a server at the most.
 const HELD_SHARE: f64 = 0.4;
 /// Without the desk's word a query ends so long after its time.
@@ -208,12 +208,12 @@
     }
 
     /// That forward never left, and the query is over.
-    fn moot(&self, id: QueryId, forward: u8, server: ServerId) {
+    fn moot(&self, id: RequestId, forward: u8, server: ServerId) {
         self.shop.desk.ended(
             id,
             forward,
             server,
-            (Outcome::Moot, 0.0, Load::default()),
+            (Outcome::NotSent, 0.0, LoadReport::default()),
             true,
         );
     }
@@ -235,7 +235,7 @@
     }
 
     /// A promise that nothing ran, kept only where that is so.
-    fn refuse(&self, status: u16, again: Ms) -> Answer {
+    fn refuse(&self, status: u16, again: Millis) -> Answer {
         if self.may_have_run && !self.repeatable {
             return self.give_up();
         }
@@ -276,14 +276,14 @@
     }
 
     /// One forward. An answer that ends the query, if it brought one.
-    fn carry(&mut self, id: QueryId, forward: u8, server: ServerId) -> Option<Response> {
+    fn carry(&mut self, id: RequestId, forward: u8, server: ServerId) -> Option<Response> {
         let begun = Instant::now();
         let (outcome, response) = self.attempt(forward, server, begun);
-        let load = response.as_ref().map_or(Load::default(), wire::load);
+        let load = response.as_ref().map_or(LoadReport::default(), wire::load);
         let over = outcome == Outcome::Ok;
         let proven = matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         self.may_have_run |= !proven;
         let rtt = begun.elapsed().as_secs_f64() * 1000.0;
@@ -308,10 +308,10 @@
         let (shop, until) = (self.shop, self.until - MARGIN);
         let left = until.saturating_duration_since(begun);
         if left.is_zero() {
-            return (Outcome::Moot, None);
+            return (Outcome::NotSent, None);
         }
         let Some((addr, uid)) = shop.desk.server(server) else {
-            return (Outcome::Moot, None);
+            return (Outcome::NotSent, None);
         };
         shop.pool.set_address(server, addr.into());
         let most = if self.repeatable {
@@ -325,7 +325,7 @@
             .acquire(server, left.min(shop.connect_wait), most, shown);
         let mut conn = match taken {
             Ok(conn) => conn,
-            Err(_) if self.forward.end_attempt(forward) => return (Outcome::Moot, None),
+            Err(_) if self.forward.end_attempt(forward) => return (Outcome::NotSent, None),
             Err(outcome) => return (outcome, None),
         };
         let got = self.exchange(&mut conn, forward, &uid, until);
@@ -340,14 +340,16 @@
                 }
                 match wire::taken(&response) {
                     Taken::Final => (Outcome::Ok, Some(response)),
-                    Taken::Full => (Outcome::Full, None),
+                    Taken::Full => (Outcome::Rejected, None),
                     Taken::Misdirected => (Outcome::ConnectFailed, None),
                     Taken::Failed => (Outcome::Error, Some(response)),
                     Taken::Spoilt => (Outcome::Error, None),
                 }
             }
             // It never left whole. That it was broken off is not its server's doing.
-            Err(Outcome::ConnectFailed | Outcome::Moot) if broken_off => (Outcome::Moot, None),
+            Err(Outcome::ConnectFailed | Outcome::NotSent) if broken_off => {
+                (Outcome::NotSent, None)
+            }
             Err(_) if broken_off => (Outcome::Cancelled, None),
             Err(outcome) => (outcome, None),
         }
@@ -367,7 +369,7 @@
         let left_for = self.client.presence.time_since_disconnect(&shop.watch);
         if !conn.outgoing.append(&request) || !self.forward.advance(forward, ForwardStage::Sending)
         {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         left_for
             .iter()
@@ -420,8 +422,8 @@
 pub fn probe(shop: &Shop, server: ServerId) {
     let begun = Instant::now();
     let until = begun + shop.connect_wait;
-    let told = || -> Result<(Outcome, Load, Option<Ms>), Outcome> {
-        let (addr, uid, path) = shop.desk.check(server).ok_or(Outcome::Moot)?;
+    let told = || -> Result<(Outcome, LoadReport, Option<Millis>), Outcome> {
+        let (addr, uid, path) = shop.desk.check(server).ok_or(Outcome::NotSent)?;
         shop.pool.set_address(server, addr.into());
         let mut conn = shop
             .pool
@@ -438,7 +440,8 @@
         }
         Ok((if well { Outcome::Ok } else { Outcome::Error }, load, left))
     };
-    let (outcome, load, left) = told().unwrap_or_else(|outcome| (outcome, Load::default(), None));
+    let (outcome, load, left) =
+        told().unwrap_or_else(|outcome| (outcome, LoadReport::default(), None));
     shop.desk.probed(
         server,
         outcome,
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -13,7 +13,7 @@
 use aspendrum::peers::Peers;
 use aspendrum::resp::{self, Parsed, Reply};
 use aspendrum::roster::{Names, Roster};
-use aspendrum_core::api::{Health, Load, LoadValue, Semantics};
+use aspendrum_core::api::{Health, LoadReport, LoadValue, Semantics};
 use aspendrum_net::mailbox;
 use aspendrum_net::ring_buffer::RingBuffer;
 use serde_json::{json, Value};
@@ -101,14 +101,18 @@
     Lanes {
         groups: by_name(["look", "book", "pay"]),
         plans: HashMap::from([("free".to_string(), 0), ("team".to_string(), 1)]),
-        semantics: vec![Semantics::Repeatable, Semantics::Keyed, Semantics::Mutating],
+        semantics: vec![
+            Semantics::Idempotent,
+            Semantics::Deduplicated,
+            Semantics::NonIdempotent,
+        ],
         instances: 3.0,
         units_top: 4.0,
         load_values: vec![
-            LoadValue::InHand,
-            LoadValue::Waiting,
-            LoadValue::CpuShare,
-            LoadValue::ServiceMs,
+            LoadValue::RequestsInFlight,
+            LoadValue::RequestsQueued,
+            LoadValue::CpuUtilization,
+            LoadValue::ServiceTimeMs,
         ],
     }
 }
@@ -238,10 +242,10 @@
     assert_eq!(lines[1], bytes(REQUESTS, "load-report"));
 }
 
-fn load(values: &[f32]) -> Load {
-    let mut load = Load {
-        n: values.len() as u8,
-        ..Load::default()
+fn load(values: &[f32]) -> LoadReport {
+    let mut load = LoadReport {
+        count: values.len() as u8,
+        ..LoadReport::default()
     };
     load.values[..values.len()].copy_from_slice(values);
     load
@@ -276,12 +280,15 @@
         (refused.status, refused.turned_away, refused.close),
         (503, true, true)
     );
-    assert_eq!((refused.charged, refused.load), (None, Load::default()));
+    assert_eq!(
+        (refused.charged, refused.load),
+        (None, LoadReport::default())
+    );
 }
 
 #[test]
 fn a_load_report_names_each_value_in_two_ways() {
-    let values = [LoadValue::AnsweredPerS, LoadValue::DroppedPerS];
+    let values = [LoadValue::ResponsesPerSecond, LoadValue::FailuresPerSecond];
     for body in ["qps=90,eps=2", "TEXT served_ps=90\nfailed_ps=2"] {
         assert_eq!(
             http::load_of_body(body.as_bytes(), &values),
@@ -335,7 +342,14 @@
         .iter()
         .map(|(m, dial)| {
             (
-                m.server, m.health, m.zone, m.kind, m.cell, m.size, m.started, *dial,
+                m.server,
+                m.health,
+                m.zone,
+                m.kind,
+                m.cell,
+                m.capacity,
+                m.started_at,
+                *dial,
             )
         })
         .collect();
@@ -364,7 +378,7 @@
                 0.0,
                 dial("[::1]:9001")
             ),
-            (0x1b9b_b25d, Health::Gone, 0, 0, 65_535, 0.5, 7.5, None),
+            (0x1b9b_b25d, Health::Removed, 0, 0, 65_535, 0.5, 7.5, None),
         ]
     );
 }
@@ -446,13 +460,17 @@
     );
     assert_eq!(
         (
-            config.settings.me,
+            config.settings.instance,
             config.settings.instances,
             config.settings.zone
         ),
         (1, 3, 1)
     );
-    assert!(config.settings.may_tell && config.settings.counter && config.settings.discovery_asks);
+    assert!(
+        config.settings.may_send_datagrams
+            && config.settings.has_counter
+            && config.settings.polls_discovery
+    );
 }
 
 #[test]
