--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -101,7 +101,7 @@
     /// receives its socket first, so that another thread can shut it down, and decides whether to go on.
     ///
     /// # Errors
-    /// Nothing was sent. [`Outcome::ConnectFailed`]: the server cannot be reached. [`Outcome::Moot`]: the server has
+    /// Nothing was sent. [`Outcome::ConnectFailed`]: the server cannot be reached. [`Outcome::NotSent`]: the server has
     /// nothing to do with it, as no descriptor was free or `before_use` refused.
     pub fn acquire(
         &self,
