--- a/crates/aspendrum-fake-services/src/cloud.rs
+++ b/crates/aspendrum-fake-services/src/cloud.rs
@@ -1,7 +1,7 @@
 //! The platform: its list of servers, in pages, over a rate that all callers share.
 
 use crate::host::Host;
-use crate::origin::Origin;
+use crate::origin::OriginServer;
 use crate::{http, lock, Clock};
 use serde_json::json;
 use std::io;
@@ -14,7 +14,7 @@
 
 pub struct Cloud {
     host: Host,
-    origins: Vec<Arc<Origin>>,
+    origins: Vec<Arc<OriginServer>>,
     clock: Clock,
     rate: f64,
     /// Calls that are left, as of when.
@@ -25,7 +25,7 @@
     /// `rate`: calls a second; more get 429.
     pub async fn start(
         at: IpAddr,
-        origins: Vec<Arc<Origin>>,
+        origins: Vec<Arc<OriginServer>>,
         rate: f64,
         clock: Clock,
     ) -> io::Result<Arc<Cloud>> {
@@ -73,7 +73,7 @@
             .split_once("page-tok=p-")
             .and_then(|t| t.1.parse().ok())
             .unwrap_or(0);
-        let there: Vec<&Arc<Origin>> = self.origins.iter().filter(|o| o.up()).collect();
+        let there: Vec<&Arc<OriginServer>> = self.origins.iter().filter(|o| o.is_up()).collect();
         let servers: Vec<_> = there
             .iter()
             .skip(from)
@@ -90,8 +90,8 @@
     }
 }
 
-fn entry(o: &Origin) -> serde_json::Value {
-    let (figures, phase) = (o.figures(), if o.ails().draining { "drain" } else { "up" });
+fn entry(o: &OriginServer) -> serde_json::Value {
+    let (figures, phase) = (o.options(), if o.faults().is_draining { "drain" } else { "up" });
     json!({"uid": o.uid(), "svc": figures.service, "addr": o.addr().to_string(), "az": figures.zone, "gen": "v1",
         "slots": figures.slots, "phase": phase, "warm-left-ms": 0})
 }
--- a/crates/aspendrum-fake-services/src/counter.rs
+++ b/crates/aspendrum-fake-services/src/counter.rs
@@ -12,38 +12,38 @@
 use tokio::time::{sleep_until, Instant};
 
 #[derive(Clone, Debug)]
-pub struct Figures {
-    pub calls_per_s: f64,
+pub struct CounterOptions {
+    pub calls_per_second: f64,
     /// A call that would wait longer for its turn is turned away.
-    pub busy_after: Duration,
+    pub max_wait: Duration,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ails {
+pub struct CounterFaults {
     /// Adds nothing and answers nothing; calls wait.
-    pub silent: bool,
+    pub is_silent: bool,
     /// Milliseconds more for each call.
-    pub slow_ms: f64,
+    pub extra_ms: f64,
     /// Every call is turned away.
-    pub busy: bool,
+    pub is_busy: bool,
 }
 
 /// What reached it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct CounterStats {
     pub calls: u64,
-    pub turned_away: u64,
-    pub nonsense: u64,
+    pub rejected: u64,
+    pub invalid: u64,
     /// Units added, and taken back by negative amounts.
-    pub added: f64,
+    pub units_added: f64,
 }
 
 pub struct Counter {
     addr: SocketAddr,
-    figures: Figures,
+    figures: CounterOptions,
     clock: Clock,
     state: Mutex<State>,
-    ails: watch::Sender<Ails>,
+    ails: watch::Sender<CounterFaults>,
     /// Counts its replacements: a change ends all connections.
     replaced: watch::Sender<u64>,
 }
@@ -52,7 +52,7 @@
     /// Totals by name, and until when they live, milliseconds of the run.
     totals: HashMap<Vec<u8>, (f64, f64)>,
     free: Instant,
-    seen: Seen,
+    seen: CounterStats,
 }
 
 /// No name lives longer.
@@ -63,12 +63,12 @@
 const LONGEST_CALL: usize = 1024;
 
 impl Counter {
-    pub async fn start(at: IpAddr, figures: Figures, clock: Clock) -> io::Result<Arc<Counter>> {
+    pub async fn start(at: IpAddr, figures: CounterOptions, clock: Clock) -> io::Result<Arc<Counter>> {
         let listener = TcpListener::bind((at, 0)).await?;
         let state = State {
             totals: HashMap::new(),
             free: Instant::now(),
-            seen: Seen::default(),
+            seen: CounterStats::default(),
         };
         let counter = Arc::new(Counter {
             addr: listener.local_addr()?,
@@ -100,22 +100,22 @@
         self.addr
     }
 
-    pub fn seen(&self) -> Seen {
+    pub fn stats(&self) -> CounterStats {
         lock(&self.state).seen
     }
 
-    pub fn ail(&self, how: impl FnOnce(&mut Ails)) {
+    pub fn change_faults(&self, how: impl FnOnce(&mut CounterFaults)) {
         self.ails.send_modify(how);
     }
 
     /// Loses every count; connections stay.
-    pub fn empty(&self) {
+    pub fn clear(&self) {
         lock(&self.state).totals.clear();
     }
 
     /// An empty one takes its place: connections are reset.
     pub fn replace(&self) {
-        self.empty();
+        self.clear();
         self.replaced.send_modify(|n| *n += 1);
     }
 
@@ -128,7 +128,7 @@
                 stream.write_all(&reply).await?;
             }
             if rest.len() > LONGEST_CALL {
-                lock(&self.state).seen.nonsense += 1;
+                lock(&self.state).seen.invalid += 1;
                 return Err(io::ErrorKind::InvalidData.into());
             }
             if stream.read_buf(&mut rest).await? == 0 {
@@ -158,24 +158,24 @@
         }
         // However late, a call has its turn.
         let mut ails = self.ails.subscribe();
-        if ails.wait_for(|a| !a.silent).await.is_err() {
+        if ails.wait_for(|a| !a.is_silent).await.is_err() {
             return Vec::new();
         }
         let (now, ails) = (Instant::now(), *self.ails.borrow());
         let turn = {
             let mut state = lock(&self.state);
             let turn = state.free.max(now);
-            if ails.busy || turn - now > self.figures.busy_after {
-                state.seen.turned_away += 1;
+            if ails.is_busy || turn - now > self.figures.max_wait {
+                state.seen.rejected += 1;
                 return b"-BUSY\r\n".to_vec();
             }
-            state.free = turn + Duration::from_secs_f64(1.0 / self.figures.calls_per_s);
+            state.free = turn + Duration::from_secs_f64(1.0 / self.figures.calls_per_second);
             state.free
         };
-        sleep_until(turn + Duration::from_secs_f64(ails.slow_ms / 1000.0)).await;
+        sleep_until(turn + Duration::from_secs_f64(ails.extra_ms / 1000.0)).await;
         let at = self.clock.now();
         let mut state = lock(&self.state);
-        (state.seen.calls, state.seen.added) = (state.seen.calls + 1, state.seen.added + amount);
+        (state.seen.calls, state.seen.units_added) = (state.seen.calls + 1, state.seen.units_added + amount);
         let entry = state
             .totals
             .entry(call[1].clone())
@@ -189,7 +189,7 @@
     }
 
     fn refuse(&self, why: &str) -> Vec<u8> {
-        lock(&self.state).seen.nonsense += 1;
+        lock(&self.state).seen.invalid += 1;
         format!("-ERR {why}\r\n").into_bytes()
     }
 }
--- a/crates/aspendrum-fake-services/src/discovery.rs
+++ b/crates/aspendrum-fake-services/src/discovery.rs
@@ -37,29 +37,29 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ails {
+pub struct DiscoveryFaults {
     /// Says nothing; calls wait.
-    pub silent: bool,
+    pub is_silent: bool,
     /// Milliseconds until a change is told.
-    pub late_ms: f64,
+    pub delay_ms: f64,
     /// The list stays as it is now, whatever changes.
-    pub stale: bool,
+    pub is_stale: bool,
     /// Calls a second of all limiters together beyond which it answers 503; 0: none.
-    pub calls_per_s: f64,
+    pub max_calls_per_second: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct DiscoveryStats {
     pub calls: u64,
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Whole lists and changes that were written.
-    pub lists: u64,
+    pub lists_written: u64,
 }
 
 pub struct Discovery {
     clock: Clock,
     state: Mutex<State>,
-    ails: watch::Sender<Ails>,
+    ails: watch::Sender<DiscoveryFaults>,
 }
 
 struct State {
@@ -69,7 +69,7 @@
     frozen: Option<usize>,
     lately: VecDeque<Instant>,
     told: Vec<DiscoveryUpdate>,
-    seen: Seen,
+    seen: DiscoveryStats,
 }
 
 impl Discovery {
@@ -87,7 +87,7 @@
             frozen: None,
             lately: VecDeque::new(),
             told: Vec::new(),
-            seen: Seen::default(),
+            seen: DiscoveryStats::default(),
         };
         Arc::new(Discovery {
             clock,
@@ -96,10 +96,10 @@
         })
     }
 
-    pub fn ail(&self, how: impl FnOnce(&mut Ails)) {
+    pub fn change_faults(&self, how: impl FnOnce(&mut DiscoveryFaults)) {
         self.ails.send_modify(how);
         let latest = lock(&self.state).versions.len() - 1;
-        let stale = self.ails.borrow().stale;
+        let stale = self.ails.borrow().is_stale;
         let mut state = lock(&self.state);
         state.frozen = if stale {
             state.frozen.or(Some(latest))
@@ -109,7 +109,7 @@
     }
 
     /// A server's process changes; `born` is Unix milliseconds, where it has started anew.
-    pub fn change(&self, server: usize, health: Health, born: Option<u64>) {
+    pub fn set_health(&self, server: usize, health: Health, born: Option<u64>) {
         let now = self.clock.now();
         let mut state = lock(&self.state);
         let mut list = state.versions.last().map_or(Vec::new(), |v| v.1.clone());
@@ -119,24 +119,24 @@
         state.versions.push((now, list));
     }
 
-    pub fn told(&self) -> Vec<DiscoveryUpdate> {
+    pub fn updates(&self) -> Vec<DiscoveryUpdate> {
         lock(&self.state).told.clone()
     }
 
-    pub fn seen(&self) -> Seen {
+    pub fn stats(&self) -> DiscoveryStats {
         lock(&self.state).seen
     }
 
     /// The list as a limiter holds it at its start, in discovery's own form. `dials`: by server, the address
     /// that this limiter reaches it by.
-    pub fn known(&self, dials: &[SocketAddr]) -> Value {
+    pub fn initial_list(&self, dials: &[SocketAddr]) -> Value {
         let state = lock(&self.state);
         let version = state.versions.len() - 1;
         whole(version, &state.versions[version].1, dials)
     }
 
     /// An agent for one limiter at that loopback address.
-    pub async fn agent(
+    pub async fn start_agent(
         self: &Arc<Discovery>,
         at: IpAddr,
         limiter: usize,
@@ -170,7 +170,7 @@
                 pair.filter(|p| p.0 == key)
                     .find_map(|p| p.1.parse::<f64>().ok())
             };
-            let _ = self.ails.subscribe().wait_for(|a| !a.silent).await;
+            let _ = self.ails.subscribe().wait_for(|a| !a.is_silent).await;
             let answer = if call.line.0 != "GET" || place != PATH {
                 http::answer(404, &[], b"")
             } else if self.overbooked() {
@@ -192,7 +192,7 @@
     }
 
     fn overbooked(&self) -> bool {
-        let (most, mut state) = (self.ails.borrow().calls_per_s, lock(&self.state));
+        let (most, mut state) = (self.ails.borrow().max_calls_per_second, lock(&self.state));
         state.seen.calls += 1;
         while state
             .lately
@@ -203,7 +203,7 @@
         }
         let over = most > 0.0 && state.lately.len() as f64 >= most;
         if over {
-            state.seen.turned_away += 1;
+            state.seen.rejected += 1;
         } else {
             state.lately.push_back(Instant::now());
         }
@@ -212,7 +212,7 @@
 
     /// The newest version that may be told now.
     fn visible(&self) -> usize {
-        let (late, state) = (self.ails.borrow().late_ms, lock(&self.state));
+        let (late, state) = (self.ails.borrow().delay_ms, lock(&self.state));
         let due = self.clock.now() - late;
         let newest = state.versions.iter().rposition(|v| v.0 <= due).unwrap_or(0);
         state.frozen.map_or(newest, |frozen| frozen.min(newest))
@@ -228,7 +228,7 @@
         let until = Instant::now() + Duration::from_secs_f64(hold / 1000.0);
         let version = loop {
             let version = self.visible();
-            let silent = self.ails.borrow().silent;
+            let silent = self.ails.borrow().is_silent;
             let news = from.is_none_or(|from| version > from);
             if !silent && (news || Instant::now() >= until) {
                 break version;
@@ -245,7 +245,7 @@
             in_service: e.health == Health::InService,
         });
         state.told.extend(told);
-        state.seen.lists += 1;
+        state.seen.lists_written += 1;
         // What a limiter holds is newer than a stale list: it is told the whole of what there is.
         match from
             .filter(|from| *from <= version)
--- a/crates/aspendrum-fake-services/src/origin.rs
+++ b/crates/aspendrum-fake-services/src/origin.rs
@@ -17,52 +17,52 @@
 
 /// What a server is like.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct OriginOptions {
     pub service: String,
     pub zone: String,
     pub slots: usize,
     /// Requests that may wait for a slot; more are turned away.
-    pub queue: usize,
+    pub queue_capacity: usize,
     pub work_ms: f64,
     /// It drops a request when its connection closes, as most servers do.
-    pub drops: bool,
+    pub drops_on_close: bool,
 }
 
 /// The ways of failing that can stand at the same time; shares are of requests, 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ails {
+pub struct OriginFaults {
     /// Answered with a 500 of its own behind the work.
-    pub failing: f64,
+    pub error_share: f64,
     /// The connection is reset before the request counts as taken, and behind the work.
-    pub deaf: f64,
-    pub resetting: f64,
+    pub early_reset_share: f64,
+    pub late_reset_share: f64,
     /// It works and never answers.
-    pub hanging: f64,
+    pub no_response_share: f64,
     /// Work takes so many times as long; 0 stands for 1.
-    pub slow: f64,
+    pub slowdown: f64,
     /// It turns everything away and ends what it has.
-    pub draining: bool,
+    pub is_draining: bool,
     /// It turns everything away unread, and is well.
-    pub full: bool,
+    pub is_full: bool,
     /// Nothing of what it runs goes on.
-    pub stalled: bool,
+    pub is_stalled: bool,
 }
 
 /// All servers' record of what ran.
-pub struct Record {
+pub struct ExecutionLog {
     clock: Clock,
     runs: Mutex<Vec<Execution>>,
 }
 
-impl Record {
-    pub fn new(clock: Clock) -> Arc<Record> {
-        Arc::new(Record {
+impl ExecutionLog {
+    pub fn new(clock: Clock) -> Arc<ExecutionLog> {
+        Arc::new(ExecutionLog {
             clock,
             runs: Mutex::default(),
         })
     }
 
-    pub fn runs(&self) -> Vec<Execution> {
+    pub fn executions(&self) -> Vec<Execution> {
         lock(&self.runs).clone()
     }
 
@@ -85,7 +85,7 @@
 
 /// A run that is under way.
 struct Running<'a> {
-    record: &'a Record,
+    record: &'a ExecutionLog,
     number: usize,
 }
 
@@ -96,14 +96,14 @@
     }
 }
 
-pub struct Origin {
+pub struct OriginServer {
     host: Host,
     number: usize,
-    figures: Figures,
-    record: Arc<Record>,
+    figures: OriginOptions,
+    record: Arc<ExecutionLog>,
     state: Mutex<State>,
     slots: Semaphore,
-    ails: watch::Sender<Ails>,
+    ails: watch::Sender<OriginFaults>,
 }
 
 struct State {
@@ -120,14 +120,14 @@
     Nothing,
 }
 
-impl Origin {
+impl OriginServer {
     /// Listens at that loopback address from now on.
     pub async fn start(
         at: IpAddr,
         number: usize,
-        figures: Figures,
-        record: Arc<Record>,
-    ) -> io::Result<Arc<Origin>> {
+        figures: OriginOptions,
+        record: Arc<ExecutionLog>,
+    ) -> io::Result<Arc<OriginServer>> {
         let (host, listener) = Host::bind(at).await?;
         let state = State {
             life: 1,
@@ -137,7 +137,7 @@
         };
         let slots = Semaphore::new(figures.slots);
         let (state, ails) = (Mutex::new(state), watch::Sender::default());
-        let origin = Arc::new(Origin {
+        let origin = Arc::new(OriginServer {
             host,
             number,
             figures,
@@ -150,7 +150,7 @@
         Ok(origin)
     }
 
-    fn listen(self: &Arc<Origin>, listener: TcpListener) {
+    fn listen(self: &Arc<OriginServer>, listener: TcpListener) {
         let own = self.clone();
         self.host
             .listen(listener, move |stream| own.clone().serve(stream));
@@ -160,7 +160,7 @@
         self.host.addr()
     }
 
-    pub fn figures(&self) -> &Figures {
+    pub fn options(&self) -> &OriginOptions {
         &self.figures
     }
 
@@ -169,26 +169,26 @@
         format!("i-{}-{}", self.number, lock(&self.state).life)
     }
 
-    pub fn up(&self) -> bool {
+    pub fn is_up(&self) -> bool {
         lock(&self.state).up
     }
 
-    pub fn ails(&self) -> Ails {
+    pub fn faults(&self) -> OriginFaults {
         *self.ails.borrow()
     }
 
-    pub fn ail(&self, how: impl FnOnce(&mut Ails)) {
+    pub fn change_faults(&self, how: impl FnOnce(&mut OriginFaults)) {
         self.ails.send_modify(how);
     }
 
-    pub fn die(&self) {
+    pub fn kill(&self) {
         if self.host.die() {
             lock(&self.state).up = false;
         }
     }
 
     /// A new life at the same address.
-    pub async fn back(self: &Arc<Origin>) -> io::Result<()> {
+    pub async fn restart(self: &Arc<OriginServer>) -> io::Result<()> {
         let Some(listener) = self.host.back().await? else {
             return Ok(());
         };
@@ -201,7 +201,7 @@
         Ok(())
     }
 
-    async fn serve(self: Arc<Origin>, mut stream: TcpStream) {
+    async fn serve(self: Arc<OriginServer>, mut stream: TcpStream) {
         let mut rest = Vec::new();
         while let Ok(Some(call)) = http::next(&mut stream, &mut rest, true).await {
             let came = match call.line.1.as_str() {
@@ -231,7 +231,7 @@
     }
 
     fn health(&self) -> Vec<u8> {
-        let status = if self.ails().draining { 503 } else { 200 };
+        let status = if self.faults().is_draining { 503 } else { 200 };
         http::answer(
             status,
             &[("Server-Id", &self.uid()), ("Server-Load", &self.load())],
@@ -243,7 +243,7 @@
     async fn work(&self, work_ms: f64) {
         sleep(Duration::from_secs_f64(work_ms / 1000.0)).await;
         // The sender lives as long as the server, so that the wait cannot fail.
-        let _ = self.ails.subscribe().wait_for(|ails| !ails.stalled).await;
+        let _ = self.ails.subscribe().wait_for(|ails| !ails.is_stalled).await;
     }
 
     async fn request(&self, call: &http::Message, stream: &TcpStream) -> Came {
@@ -261,24 +261,24 @@
         {
             return not_run(421);
         }
-        let (ails, chance) = (self.ails(), lock(&self.state).rng.random::<f64>());
-        if chance < ails.deaf {
+        let (ails, chance) = (self.faults(), lock(&self.state).rng.random::<f64>());
+        if chance < ails.early_reset_share {
             return Came::Reset;
         }
-        let full = lock(&self.state).in_hand >= self.figures.slots + self.figures.queue;
-        if full || ails.draining || ails.full {
+        let full = lock(&self.state).in_hand >= self.figures.slots + self.figures.queue_capacity;
+        if full || ails.is_draining || ails.is_full {
             return not_run(503);
         }
-        let chance = chance - ails.deaf;
+        let chance = chance - ails.early_reset_share;
         lock(&self.state).in_hand += 1;
         let leave = Leave(self);
         let slot = tokio::select! {
             slot = self.slots.acquire() => slot,
-            () = closed(stream), if self.figures.drops => return Came::Reset,
+            () = closed(stream), if self.figures.drops_on_close => return Came::Reset,
         };
         let Ok(slot) = slot else { return Came::Reset };
         let spread = lock(&self.state).rng.random_range(0.5..1.5);
-        let work_ms = self.figures.work_ms * spread * ails.slow.max(1.0);
+        let work_ms = self.figures.work_ms * spread * ails.slowdown.max(1.0);
         let run = Execution {
             id,
             server_uid: self.uid(),
@@ -289,17 +289,17 @@
             started_at: 0.0,
             ended_at: 0.0,
             would_end_at: 0.0,
-            drops_on_close: self.figures.drops,
+            drops_on_close: self.figures.drops_on_close,
         };
         let running = self.record.begin(run, work_ms);
         tokio::select! {
             () = self.work(work_ms) => {}
-            () = closed(stream), if self.figures.drops => return Came::Reset,
+            () = closed(stream), if self.figures.drops_on_close => return Came::Reset,
         }
         drop(running);
         drop((slot, leave));
-        let (failing, resetting) = (ails.failing, ails.failing + ails.resetting);
-        if chance >= resetting && chance < resetting + ails.hanging {
+        let (failing, resetting) = (ails.error_share, ails.error_share + ails.late_reset_share);
+        if chance >= resetting && chance < resetting + ails.no_response_share {
             return Came::Nothing;
         }
         if chance >= failing && chance < resetting {
@@ -325,7 +325,7 @@
     }
 }
 
-struct Leave<'a>(&'a Origin);
+struct Leave<'a>(&'a OriginServer);
 
 impl Drop for Leave<'_> {
     fn drop(&mut self) {
--- a/crates/aspendrum-fake-services/src/server.rs
+++ b/crates/aspendrum-fake-services/src/server.rs
@@ -19,51 +19,51 @@
 
 /// What a server is like.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct RateServerOptions {
     pub cores: usize,
     /// Queries that may wait for a core; more are turned away.
-    pub queue: usize,
-    pub connections: usize,
+    pub queue_capacity: usize,
+    pub max_connections: usize,
     /// What a new connection's first query takes longer, as a handshake would.
-    pub handshake: Millis,
-    pub cold_share: f64,
-    pub ramp: Millis,
+    pub handshake_time: Millis,
+    pub slow_start_capacity: f64,
+    pub slow_start: Millis,
     /// It falls over under so many times what it can do, sent within this time.
-    pub fall_multiple: f64,
-    pub fall_window: Millis,
+    pub collapse_multiple: f64,
+    pub collapse_window: Millis,
     /// Answers carry load reports; else only probes do.
     pub reports_in_answers: bool,
-    pub probes: bool,
+    pub answers_probes: bool,
     /// Milliseconds of one core for each endpoint group, by name, and how it may be repeated.
     pub groups: HashMap<String, (Millis, RetrySafety)>,
     /// A keyed query's repeat is dropped for so long.
-    pub repeat_window: Millis,
+    pub deduplication_window: Millis,
 }
 
 /// The ways of failing that can stand at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ails {
+pub struct RateServerFaults {
     /// Work takes so many times as long; 0 stands for 1.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Shares of queries that get a 500 behind their work, and whose connection is reset in mid-answer.
-    pub failing: f64,
-    pub resetting: f64,
+    pub error_share: f64,
+    pub reset_share: f64,
     /// Takes queries and answers none.
-    pub silent: bool,
+    pub is_silent: bool,
     /// Works on what it has and turns new queries away.
-    pub draining: bool,
+    pub is_draining: bool,
 }
 
 /// What all servers of a run share: the record of forwards, and the keys of what has run.
-pub struct Shared {
+pub struct ServerLog {
     pub clock: Clock,
     forwards: Mutex<Vec<Forward>>,
     keys: Mutex<HashMap<String, Millis>>,
 }
 
-impl Shared {
-    pub fn new(clock: Clock) -> Arc<Shared> {
-        Arc::new(Shared {
+impl ServerLog {
+    pub fn new(clock: Clock) -> Arc<ServerLog> {
+        Arc::new(ServerLog {
             clock,
             forwards: Mutex::default(),
             keys: Mutex::default(),
@@ -85,14 +85,14 @@
     }
 }
 
-pub struct Server {
+pub struct RateServer {
     number: usize,
     host: Host,
-    figures: Figures,
-    shared: Arc<Shared>,
+    figures: RateServerOptions,
+    shared: Arc<ServerLog>,
     state: Mutex<State>,
     cores: Semaphore,
-    ails: watch::Sender<Ails>,
+    ails: watch::Sender<RateServerFaults>,
 }
 
 struct State {
@@ -107,15 +107,15 @@
     rng: SmallRng,
 }
 
-impl Server {
+impl RateServer {
     /// Listens at that loopback address from now on, warm.
     pub async fn start(
         at: IpAddr,
         number: usize,
-        figures: Figures,
+        figures: RateServerOptions,
         seed: u64,
-        shared: Arc<Shared>,
-    ) -> io::Result<Arc<Server>> {
+        shared: Arc<ServerLog>,
+    ) -> io::Result<Arc<RateServer>> {
         let (host, listener) = Host::bind(at).await?;
         let rng = SmallRng::seed_from_u64(seed ^ (number as u64) << 32);
         let state = State {
@@ -133,7 +133,7 @@
             busy_ms: 0.0,
             rng,
         };
-        let server = Arc::new(Server {
+        let server = Arc::new(RateServer {
             number,
             host,
             cores: Semaphore::new(figures.cores),
@@ -150,25 +150,25 @@
         self.host.addr()
     }
 
-    pub fn shared(&self) -> &Arc<Shared> {
+    pub fn log(&self) -> &Arc<ServerLog> {
         &self.shared
     }
 
-    pub fn lives(&self) -> Vec<ServerIncarnation> {
+    pub fn incarnations(&self) -> Vec<ServerIncarnation> {
         lock(&self.state).lives.clone()
     }
 
-    pub fn ail(&self, how: impl FnOnce(&mut Ails)) {
+    pub fn change_faults(&self, how: impl FnOnce(&mut RateServerFaults)) {
         self.ails.send_modify(how);
     }
 
     /// The process dies: its connections are reset and new ones refused.
-    pub fn die(&self) {
+    pub fn kill(&self) {
         self.host.die();
     }
 
     /// Starts again at the same address, cold. Milliseconds of the run at which it did; `None`: it is up.
-    pub async fn back(self: &Arc<Server>) -> io::Result<Option<Millis>> {
+    pub async fn restart(self: &Arc<RateServer>) -> io::Result<Option<Millis>> {
         let Some(listener) = self.host.back().await? else {
             return Ok(None);
         };
@@ -189,19 +189,19 @@
         Ok(Some(now))
     }
 
-    fn listen(self: &Arc<Server>, listener: TcpListener) {
+    fn listen(self: &Arc<RateServer>, listener: TcpListener) {
         let own = self.clone();
         self.host
             .listen(listener, move |stream| own.clone().connection(stream));
     }
 
-    async fn connection(self: Arc<Server>, mut stream: TcpStream) {
+    async fn connection(self: Arc<RateServer>, mut stream: TcpStream) {
         let held = {
             let mut state = lock(&self.state);
             state.connections += 1;
             state.connections
         };
-        self.serve(&mut stream, held > self.figures.connections)
+        self.serve(&mut stream, held > self.figures.max_connections)
             .await;
         // An end in good order, unless `serve` left the reset in force.
         let mut state = lock(&self.state);
@@ -252,8 +252,8 @@
     fn probe(&self, path: &str) -> Vec<u8> {
         let report = self.report();
         match path {
-            "/health/live" if self.figures.probes => http::answer(200, &[], b""),
-            "/stats" if self.figures.probes => http::answer(200, &[], report.as_bytes()),
+            "/health/live" if self.figures.answers_probes => http::answer(200, &[], b""),
+            "/stats" if self.figures.answers_probes => http::answer(200, &[], report.as_bytes()),
             _ => http::answer(404, &[], b""),
         }
     }
@@ -284,11 +284,11 @@
             return Some(http::answer(400, &[], b""));
         };
         let key = call.header("Idempotency-Key").unwrap_or("");
-        let full = lock(&self.state).in_hand >= self.figures.cores + self.figures.queue;
-        let fate = if crowded || full || ails.draining {
+        let full = lock(&self.state).in_hand >= self.figures.cores + self.figures.queue_capacity;
+        let fate = if crowded || full || ails.is_draining {
             ForwardOutcome::Rejected
         } else if repeats == RetrySafety::Deduplicated
-            && self.shared.ran(key, now, self.figures.repeat_window)
+            && self.shared.ran(key, now, self.figures.deduplication_window)
         {
             ForwardOutcome::Deduplicated
         } else {
@@ -310,19 +310,19 @@
         if fate == ForwardOutcome::Rejected {
             return Some(self.turned_away());
         }
-        if fresh && self.figures.handshake > 0.0 {
-            sleep(Duration::from_secs_f64(self.figures.handshake / 1000.0)).await;
+        if fresh && self.figures.handshake_time > 0.0 {
+            sleep(Duration::from_secs_f64(self.figures.handshake_time / 1000.0)).await;
         }
         if fate == ForwardOutcome::Ran {
             self.work(work, &ails).await;
         }
-        if self.ails.borrow().silent {
+        if self.ails.borrow().is_silent {
             // Nothing comes while it is silent, nor after: the query is forgotten.
-            let _ = self.ails.subscribe().wait_for(|a| !a.silent).await;
+            let _ = self.ails.subscribe().wait_for(|a| !a.is_silent).await;
             return Some(Vec::new());
         }
         let chance: f64 = lock(&self.state).rng.random();
-        if chance < ails.resetting {
+        if chance < ails.reset_share {
             return None;
         }
         let report = self.report();
@@ -331,7 +331,7 @@
         } else {
             &[]
         };
-        Some(if chance < ails.resetting + ails.failing {
+        Some(if chance < ails.reset_share + ails.error_share {
             http::answer(500, headers, b"")
         } else {
             http::answer(200, headers, format!("{id:016x}").as_bytes())
@@ -339,8 +339,8 @@
     }
 
     /// The work on a core, with its turn waited for.
-    async fn work(&self, work: Millis, ails: &Ails) {
-        struct Leave<'a>(&'a Server);
+    async fn work(&self, work: Millis, ails: &RateServerFaults) {
+        struct Leave<'a>(&'a RateServer);
         impl Drop for Leave<'_> {
             fn drop(&mut self) {
                 let mut state = lock(&self.0.state);
@@ -354,7 +354,7 @@
         };
         let begun = Instant::now();
         let spread: f64 = lock(&self.state).rng.random_range(0.5..1.5);
-        let took = work * spread * ails.slow.max(1.0) / self.speed(self.shared.clock.now());
+        let took = work * spread * ails.slowdown.max(1.0) / self.speed(self.shared.clock.now());
         sleep_until(begun + Duration::from_secs_f64(took / 1000.0)).await;
         lock(&self.state).busy_ms += took;
         drop((core, leave));
@@ -363,39 +363,39 @@
     /// Of its warm capacity, what it has now.
     fn speed(&self, now: Millis) -> f64 {
         let state = lock(&self.state);
-        if !state.cold || self.figures.ramp <= 0.0 {
+        if !state.cold || self.figures.slow_start <= 0.0 {
             return 1.0;
         }
-        let warm = ((now - state.up) / self.figures.ramp).clamp(0.0, 1.0);
-        self.figures.cold_share + (1.0 - self.figures.cold_share) * warm
+        let warm = ((now - state.up) / self.figures.slow_start).clamp(0.0, 1.0);
+        self.figures.slow_start_capacity + (1.0 - self.figures.slow_start_capacity) * warm
     }
 
     /// A cold server that is sent too much for too long falls over and stays down.
     fn weigh(&self, now: Millis, work: Millis) {
         let speed = self.speed(now);
         let mut state = lock(&self.state);
-        if !state.cold || now - state.up > self.figures.ramp {
+        if !state.cold || now - state.up > self.figures.slow_start {
             return;
         }
         state.lately.push_back((now, work));
         while state
             .lately
             .front()
-            .is_some_and(|w| now - w.0 > self.figures.fall_window)
+            .is_some_and(|w| now - w.0 > self.figures.collapse_window)
         {
             state.lately.pop_front();
         }
         let sum: Millis = state.lately.iter().map(|w| w.1).sum();
-        let may = self.figures.fall_multiple
+        let may = self.figures.collapse_multiple
             * speed
             * self.figures.cores as f64
-            * self.figures.fall_window;
+            * self.figures.collapse_window;
         if sum > may {
             if let Some(life) = state.lives.last_mut() {
                 life.collapsed_at.get_or_insert(now);
             }
             drop(state);
-            self.die();
+            self.kill();
         }
     }
 }
--- a/crates/aspendrum-fake-services/tests/standins.rs
+++ b/crates/aspendrum-fake-services/tests/standins.rs
@@ -4,7 +4,7 @@
 use aspendrum_checker::limiter::{ForwardOutcome, RetrySafety};
 use aspendrum_fake_services::counter::{self, Counter};
 use aspendrum_fake_services::discovery::{Discovery, Health};
-use aspendrum_fake_services::server::{self, Server, Shared};
+use aspendrum_fake_services::server::{self, RateServer, ServerLog};
 use aspendrum_fake_services::{http, Clock};
 use serde_json::Value;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -18,33 +18,33 @@
 const SOON: Duration = Duration::from_secs(5);
 const A_WHILE: Duration = Duration::from_millis(150);
 
-fn figures() -> server::Figures {
+fn figures() -> server::RateServerOptions {
     let groups = [
         ("look", RetrySafety::Idempotent),
         ("book", RetrySafety::Deduplicated),
     ];
-    server::Figures {
+    server::RateServerOptions {
         cores: 2,
-        queue: 2,
-        connections: 3,
-        handshake: 0.0,
-        cold_share: 0.2,
-        ramp: 5000.0,
-        fall_multiple: 3.0,
-        fall_window: 1000.0,
+        queue_capacity: 2,
+        max_connections: 3,
+        handshake_time: 0.0,
+        slow_start_capacity: 0.2,
+        slow_start: 5000.0,
+        collapse_multiple: 3.0,
+        collapse_window: 1000.0,
         reports_in_answers: true,
-        probes: true,
+        answers_probes: true,
         groups: groups
             .map(|(name, repeats)| (name.to_string(), (20.0, repeats)))
             .into(),
-        repeat_window: 5000.0,
+        deduplication_window: 5000.0,
     }
 }
 
-async fn server(figures: server::Figures) -> (Arc<Server>, Arc<Shared>) {
-    let shared = Shared::new(Clock::start());
+async fn server(figures: server::RateServerOptions) -> (Arc<RateServer>, Arc<ServerLog>) {
+    let shared = ServerLog::new(Clock::start());
     (
-        Server::start(HERE, 0, figures, 1, shared.clone())
+        RateServer::start(HERE, 0, figures, 1, shared.clone())
             .await
             .unwrap(),
         shared,
@@ -60,7 +60,7 @@
         .ok()?
 }
 
-async fn query(server: &Server, id: u64, group: &str) -> Option<http::Message> {
+async fn query(server: &RateServer, id: u64, group: &str) -> Option<http::Message> {
     let mut stream = TcpStream::connect(server.addr()).await.ok()?;
     let text = format!("GET /{group} HTTP/1.1\r\nX-Txn: {id:016x}\r\nIdempotency-Key: k\r\n\r\n");
     ask(&mut stream, &text).await
@@ -97,8 +97,8 @@
 
 #[tokio::test]
 async fn a_full_crowded_or_draining_server_turns_away_what_has_not_run() {
-    let (server, shared) = server(server::Figures {
-        connections: 64,
+    let (server, shared) = server(server::RateServerOptions {
+        max_connections: 64,
         ..figures()
     })
     .await;
@@ -124,9 +124,9 @@
         "{ran} ran, {turned_away} turned away"
     );
 
-    server.ail(|a| a.draining = true);
+    server.change_faults(|a| a.is_draining = true);
     assert_eq!(query(&server, 20, "look").await.unwrap().status(), 503);
-    server.ail(|a| a.draining = false);
+    server.change_faults(|a| a.is_draining = false);
     let small = crate::server(figures()).await.0;
     let mut held = Vec::new();
     for id in 0..4 {
@@ -145,13 +145,13 @@
 #[tokio::test]
 async fn a_failing_a_resetting_and_a_silent_server_have_run_what_they_do_not_answer() {
     let (server, shared) = server(figures()).await;
-    server.ail(|a| a.failing = 1.0);
+    server.change_faults(|a| a.error_share = 1.0);
     assert_eq!(query(&server, 1, "look").await.unwrap().status(), 500);
-    server.ail(|a| (a.failing, a.resetting) = (0.0, 1.0));
+    server.change_faults(|a| (a.error_share, a.reset_share) = (0.0, 1.0));
     assert!(query(&server, 2, "look").await.is_none());
-    server.ail(|a| (a.resetting, a.silent) = (0.0, true));
+    server.change_faults(|a| (a.reset_share, a.is_silent) = (0.0, true));
     assert!(timeout(A_WHILE, query(&server, 3, "look")).await.is_err());
-    server.ail(|a| a.silent = false);
+    server.change_faults(|a| a.is_silent = false);
     assert_eq!(query(&server, 4, "look").await.unwrap().status(), 200);
     assert_eq!(
         shared
@@ -165,13 +165,13 @@
 
 #[tokio::test]
 async fn a_server_that_dies_resets_its_connections_and_is_back_cold_at_its_address() {
-    let (server, _) = server(server::Figures {
-        fall_window: 100.0,
+    let (server, _) = server(server::RateServerOptions {
+        collapse_window: 100.0,
         ..figures()
     })
     .await;
     let mut stream = TcpStream::connect(server.addr()).await.unwrap();
-    server.die();
+    server.kill();
     let end = timeout(SOON, stream.read(&mut [0; 1])).await.unwrap();
     assert!(end.is_err() || end.unwrap() == 0);
     timeout(SOON, async {
@@ -181,10 +181,10 @@
     })
     .await
     .unwrap();
-    assert!(server.back().await.unwrap().is_some());
-    assert!(server.back().await.unwrap().is_none(), "it is up");
+    assert!(server.restart().await.unwrap().is_some());
+    assert!(server.restart().await.unwrap().is_none(), "it is up");
     assert_eq!(query(&server, 1, "look").await.unwrap().status(), 200);
-    assert!(server.lives()[1].is_cold_start && server.lives()[1].collapsed_at.is_none());
+    assert!(server.incarnations()[1].is_cold_start && server.incarnations()[1].collapsed_at.is_none());
     // 3 times a fifth of two cores for 100 ms are 120 ms of work; eight queries of 20 ms are more.
     let calls: Vec<_> = (10..18)
         .map(|id| {
@@ -195,14 +195,14 @@
     for call in calls {
         let _ = call.await.unwrap();
     }
-    assert!(server.lives()[1].collapsed_at.is_some());
+    assert!(server.incarnations()[1].collapsed_at.is_some());
     assert!(query(&server, 30, "look").await.is_none(), "it stays down");
 }
 
 async fn counter(calls_per_s: f64, busy_after_ms: u64) -> Arc<Counter> {
-    let figures = counter::Figures {
-        calls_per_s,
-        busy_after: Duration::from_millis(busy_after_ms),
+    let figures = counter::CounterOptions {
+        calls_per_second: calls_per_s,
+        max_wait: Duration::from_millis(busy_after_ms),
     };
     Counter::start(HERE, figures, Clock::start()).await.unwrap()
 }
@@ -249,7 +249,7 @@
         let _ = stream.read(&mut rest).await.unwrap();
     }
     assert_eq!(reply(&mut stream, &add("a", "1"), 9).await, "$3\r\n1.5\r\n");
-    assert_eq!((counter.seen().calls, counter.seen().nonsense), (3, 4));
+    assert_eq!((counter.stats().calls, counter.stats().invalid), (3, 4));
     // What is no RESP at all ends the connection.
     stream.write_all(b"*x\r\n").await.unwrap();
     let end = timeout(SOON, stream.read(&mut [0; 1])).await.unwrap();
@@ -261,15 +261,15 @@
     let counter = counter(10_000.0, 100).await;
     let mut stream = TcpStream::connect(counter.addr()).await.unwrap();
     assert_eq!(reply(&mut stream, &add("a", "2"), 7).await, "$1\r\n2\r\n");
-    counter.empty();
+    counter.clear();
     assert_eq!(reply(&mut stream, &add("a", "3"), 7).await, "$1\r\n3\r\n");
-    counter.ail(|a| a.busy = true);
+    counter.change_faults(|a| a.is_busy = true);
     assert_eq!(reply(&mut stream, &add("a", "1"), 7).await, "-BUSY\r\n");
-    counter.ail(|a| (a.busy, a.silent) = (false, true));
+    counter.change_faults(|a| (a.is_busy, a.is_silent) = (false, true));
     stream.write_all(add("a", "1").as_bytes()).await.unwrap();
     assert!(timeout(A_WHILE, stream.read(&mut [0; 1])).await.is_err());
     // However late, a call has its turn.
-    counter.ail(|a| a.silent = false);
+    counter.change_faults(|a| a.is_silent = false);
     assert_eq!(reply(&mut stream, "", 7).await, "$1\r\n4\r\n");
     counter.replace();
     let end = timeout(SOON, stream.read(&mut [0; 1])).await.unwrap();
@@ -297,7 +297,7 @@
         busy += u64::from(&told == b"-BUSY\r\n");
     }
     assert_eq!(
-        (counter.seen().turned_away, counter.seen().calls),
+        (counter.stats().rejected, counter.stats().calls),
         (busy, 6 - busy)
     );
     assert!(
@@ -314,7 +314,7 @@
 async fn agent() -> Agent {
     let discovery = Discovery::new(Clock::start(), &[0, 1]);
     let dials = vec![SocketAddr::from((HERE, 1)), SocketAddr::from((HERE, 2))];
-    let addr = discovery.agent(HERE, 3, dials).await.unwrap();
+    let addr = discovery.start_agent(HERE, 3, dials).await.unwrap();
     Agent {
         discovery,
         stream: TcpStream::connect(addr).await.unwrap(),
@@ -348,7 +348,7 @@
     let discovery = agent.discovery.clone();
     let watch = tokio::spawn(async move { (agent.get("?from=1&hold_ms=5000").await, agent) });
     sleep(A_WHILE).await;
-    discovery.change(1, Health::Terminating, None);
+    discovery.set_health(1, Health::Terminating, None);
     let ((_, news), mut agent) = watch.await.unwrap();
     assert_eq!((&news["seq"], &news["whole"]), (&2.into(), &false.into()));
     assert_eq!(news["hosts"].as_array().unwrap().len(), 1);
@@ -356,7 +356,7 @@
         (&news["hosts"][0]["host"], &news["hosts"][0]["health"]),
         (&"s-1".into(), &"terminating".into())
     );
-    let told = discovery.told();
+    let told = discovery.updates();
     assert!(told
         .iter()
         .any(|t| t.limiter == 3 && t.server == 1 && !t.in_service));
@@ -364,7 +364,7 @@
     let (_, none) = agent.get("?from=2&hold_ms=50").await;
     assert_eq!(none["hosts"], Value::Array(vec![]));
     // Gone ones are named among changes only.
-    discovery.change(1, Health::Terminated, None);
+    discovery.set_health(1, Health::Terminated, None);
     assert_eq!(agent.get("").await.1["hosts"].as_array().unwrap().len(), 1);
 }
 
@@ -372,21 +372,21 @@
 async fn discovery_is_late_stale_silent_and_overbooked_as_told() {
     let mut agent = agent().await;
     let discovery = agent.discovery.clone();
-    discovery.ail(|a| a.stale = true);
-    discovery.change(0, Health::Terminated, None);
+    discovery.change_faults(|a| a.is_stale = true);
+    discovery.set_health(0, Health::Terminated, None);
     assert_eq!(
         agent.get("").await.1["seq"],
         1,
         "the list that it had when it went stale"
     );
-    discovery.ail(|a| (a.stale, a.late_ms) = (false, 300.0));
+    discovery.change_faults(|a| (a.is_stale, a.delay_ms) = (false, 300.0));
     assert_eq!(agent.get("").await.1["seq"], 1, "a change is told late");
     assert_eq!(agent.get("?from=1&hold_ms=3000").await.1["seq"], 2);
-    discovery.ail(|a| (a.late_ms, a.calls_per_s) = (0.0, 1.0));
+    discovery.change_faults(|a| (a.delay_ms, a.max_calls_per_second) = (0.0, 1.0));
     sleep(Duration::from_millis(1100)).await;
     let answers = [agent.get("").await.0, agent.get("").await.0];
     assert_eq!(answers, [200, 503]);
-    discovery.ail(|a| (a.calls_per_s, a.silent) = (0.0, true));
+    discovery.change_faults(|a| (a.max_calls_per_second, a.is_silent) = (0.0, true));
     assert!(timeout(A_WHILE, agent.get("")).await.is_err());
-    assert_eq!(discovery.seen().turned_away, 1);
+    assert_eq!(discovery.stats().rejected, 1);
 }
--- a/crates/aspendrum-testbed/src/run.rs
+++ b/crates/aspendrum-testbed/src/run.rs
@@ -10,7 +10,7 @@
 use aspendrum_checker::Millis;
 use aspendrum_fake_services::counter::{self, Counter};
 use aspendrum_fake_services::discovery::{self, Discovery, Health};
-use aspendrum_fake_services::server::{self, Server, Shared};
+use aspendrum_fake_services::server::{self, RateServer, ServerLog};
 use aspendrum_fake_services::{lock, Clock};
 use aspendrum_fault_proxy::{Carried, Fault, Link, Mesh, Relay};
 use futures_util::future::join_all;
@@ -48,8 +48,8 @@
 pub struct Traffic {
     /// Datagrams between limiters: sent, bytes, lost or cut off.
     pub datagrams: Carried,
-    pub counter: counter::Seen,
-    pub discovery: discovery::Seen,
+    pub counter: counter::CounterStats,
+    pub discovery: discovery::DiscoveryStats,
 }
 
 /// What a run came to.
@@ -160,7 +160,7 @@
     clock: Clock,
     folder: PathBuf,
     start: Start,
-    servers: Vec<Arc<Server>>,
+    servers: Vec<Arc<RateServer>>,
     counter: Arc<Counter>,
     discovery: Arc<Discovery>,
     mesh: Mesh,
@@ -283,20 +283,20 @@
         let (a, b, claim) = claim()?;
         let (n, clock) = (s.limiters.count, Clock::start());
         let own = |n: usize, port| SocketAddr::from((Ipv4Addr::new(127, a, b, n as u8 + 1), port));
-        let shared = Shared::new(clock);
+        let shared = ServerLog::new(clock);
         let mut servers = Vec::new();
         for number in 0..s.servers.count {
-            servers.push(Server::start(HERE, number, figures(s), s.seed, shared.clone()).await?);
+            servers.push(RateServer::start(HERE, number, figures(s), s.seed, shared.clone()).await?);
         }
-        let told = counter::Figures {
-            calls_per_s: s.counter.calls_per_s,
-            busy_after: Duration::from_secs_f64(s.counter.busy_after_ms / 1000.0),
+        let told = counter::CounterOptions {
+            calls_per_second: s.counter.calls_per_s,
+            max_wait: Duration::from_secs_f64(s.counter.busy_after_ms / 1000.0),
         };
         let counter = Counter::start(HERE, told, clock).await?;
         let zones: Vec<usize> = (0..s.servers.count).map(|server| s.zone(server)).collect();
         let discovery = Discovery::new(clock, &zones);
         discovery
-            .ail(|a| (a.late_ms, a.calls_per_s) = (s.discovery.late_ms, s.discovery.calls_per_s));
+            .change_faults(|a| (a.delay_ms, a.max_calls_per_second) = (s.discovery.late_ms, s.discovery.calls_per_s));
         let listens: Vec<SocketAddr> = (0..n).map(|n| own(n, LISTEN)).collect();
         let peer_listens: Vec<SocketAddr> = (0..n).map(|n| own(n, PEER_LISTEN)).collect();
         let mut mesh = Mesh::bind(HERE, n).await?;
@@ -310,7 +310,7 @@
             }
             let dials = relays.iter().map(Relay::addr).collect();
             to_discovery
-                .push(Relay::start(HERE, discovery.agent(HERE, limiter, dials).await?).await?);
+                .push(Relay::start(HERE, discovery.start_agent(HERE, limiter, dials).await?).await?);
             to_counter.push(Relay::start(HERE, counter.addr()).await?);
             front.push(Relay::start(HERE, *listen).await?);
             to_servers.push(relays);
@@ -377,7 +377,7 @@
             peer_listen: self.peer_listens[me],
             peers: self.mesh.peers(me).map_err(failed)?,
             peers_all: self.mesh.peers_all(me).map_err(failed)?,
-            known: self.discovery.known(&dials),
+            known: self.discovery.initial_list(&dials),
         };
         let config = self.folder.join(format!("n{me}.json"));
         let text = config::limiter(&self.scenario, me, seed, &places).to_string();
@@ -481,7 +481,7 @@
                 self.ail_counter();
                 match (m.begins, emptied, replaced) {
                     (true, _, true) => self.counter.replace(),
-                    (true, true, _) => self.counter.empty(),
+                    (true, true, _) => self.counter.clear(),
                     _ => {}
                 }
             }
@@ -500,7 +500,7 @@
     /// Sums of the faults that stand on each server: the slowest, and every share by itself.
     fn ail_servers(&self) {
         let s = &self.scenario;
-        let mut all = vec![server::Ails::default(); s.servers.count];
+        let mut all = vec![server::RateServerFaults::default(); s.servers.count];
         for what in self.standing() {
             let What::Server {
                 of,
@@ -516,19 +516,19 @@
             };
             for n in of.of(s.servers.count, s.limiters.zones) {
                 let a = &mut all[n];
-                a.slow = a.slow.max(*slow);
-                a.failing = a.failing.max(*failing);
-                a.resetting = a.resetting.max(*resetting);
-                (a.silent, a.draining) = (a.silent || *silent, a.draining || *drain);
+                a.slowdown = a.slowdown.max(*slow);
+                a.error_share = a.error_share.max(*failing);
+                a.reset_share = a.reset_share.max(*resetting);
+                (a.is_silent, a.is_draining) = (a.is_silent || *silent, a.is_draining || *drain);
             }
         }
         for (server, ails) in self.servers.iter().zip(all) {
-            server.ail(|a| *a = ails);
+            server.change_faults(|a| *a = ails);
         }
     }
 
     fn ail_counter(&self) {
-        let mut all = counter::Ails::default();
+        let mut all = counter::CounterFaults::default();
         for what in self.standing() {
             let What::Counter {
                 silent,
@@ -539,20 +539,20 @@
             else {
                 continue;
             };
-            (all.silent, all.busy) = (all.silent || *silent, all.busy || *busy);
-            all.slow_ms = all.slow_ms.max(*slow_ms);
+            (all.is_silent, all.is_busy) = (all.is_silent || *silent, all.is_busy || *busy);
+            all.extra_ms = all.extra_ms.max(*slow_ms);
         }
-        self.counter.ail(|a| *a = all);
+        self.counter.change_faults(|a| *a = all);
     }
 
     fn ail_discovery(&self) {
         let usual = &self.scenario.discovery;
         let (late_ms, calls_per_s) = (usual.late_ms, usual.calls_per_s);
-        let mut all = discovery::Ails {
-            silent: false,
-            late_ms,
-            stale: false,
-            calls_per_s,
+        let mut all = discovery::DiscoveryFaults {
+            is_silent: false,
+            delay_ms: late_ms,
+            is_stale: false,
+            max_calls_per_second: calls_per_s,
         };
         for what in self.standing() {
             let What::Discovery {
@@ -564,15 +564,15 @@
             else {
                 continue;
             };
-            (all.silent, all.stale) = (all.silent || *silent, all.stale || *stale);
-            all.late_ms = all.late_ms.max(*late_ms);
-            all.calls_per_s = if *calls_per_s > 0.0 {
+            (all.is_silent, all.is_stale) = (all.is_silent || *silent, all.is_stale || *stale);
+            all.delay_ms = all.delay_ms.max(*late_ms);
+            all.max_calls_per_second = if *calls_per_s > 0.0 {
                 *calls_per_s
             } else {
-                all.calls_per_s
+                all.max_calls_per_second
             };
         }
-        self.discovery.ail(|a| *a = all);
+        self.discovery.change_faults(|a| *a = all);
     }
 
     /// The same for each of these limiters, all at once.
@@ -646,15 +646,15 @@
             } else {
                 Health::Terminated
             };
-            self.discovery.change(n, health, None);
+            self.discovery.set_health(n, health, None);
             if !drain {
-                self.servers[n].die();
+                self.servers[n].kill();
             }
             return;
         }
-        self.servers[n].die();
-        match self.servers[n].back().await {
-            Ok(Some(_)) => self.discovery.change(n, Health::InService, Some(unix_ms())),
+        self.servers[n].kill();
+        match self.servers[n].restart().await {
+            Ok(Some(_)) => self.discovery.set_health(n, Health::InService, Some(unix_ms())),
             Ok(None) => {}
             Err(e) => self.failed(format!("stand-in server {n} does not come back: {e}")),
         }
@@ -812,8 +812,8 @@
         }
         Traffic {
             datagrams,
-            counter: self.counter.seen(),
-            discovery: self.discovery.seen(),
+            counter: self.counter.stats(),
+            discovery: self.discovery.stats(),
         }
     }
 
@@ -846,7 +846,7 @@
             retry_safety: g.repeats,
             mean_work: g.work_ms,
         };
-        let shared = self.servers.first().map(|s| s.shared());
+        let shared = self.servers.first().map(|s| s.log());
         Record {
             limits: RuleLimits {
                 drain_grace: s.rules.drain_grace_s * 1000.0 + 50.0,
@@ -860,8 +860,8 @@
             servers: vec![server; s.servers.count],
             queries,
             forwards: shared.map_or(Vec::new(), |s| s.forwards()),
-            discovery_updates: self.discovery.told(),
-            incarnations: self.servers.iter().flat_map(|s| s.lives()).collect(),
+            discovery_updates: self.discovery.updates(),
+            incarnations: self.servers.iter().flat_map(|s| s.incarnations()).collect(),
             exempt_periods: lock(&self.excuses).clone(),
             faults: timeline::troubles(s, from),
             from,
@@ -870,24 +870,24 @@
     }
 }
 
-fn figures(s: &Scenario) -> server::Figures {
+fn figures(s: &Scenario) -> server::RateServerOptions {
     let groups = s
         .groups
         .iter()
         .map(|g| (g.name.clone(), (g.work_ms, g.repeats)));
-    server::Figures {
+    server::RateServerOptions {
         cores: s.servers.cores,
-        queue: s.servers.queue,
-        connections: s.servers.connections,
-        handshake: s.servers.handshake_ms,
-        cold_share: s.servers.cold_share,
-        ramp: s.servers.ramp_s * 1000.0,
-        fall_multiple: s.rules.fall_multiple,
-        fall_window: s.rules.fall_s * 1000.0,
+        queue_capacity: s.servers.queue,
+        max_connections: s.servers.connections,
+        handshake_time: s.servers.handshake_ms,
+        slow_start_capacity: s.servers.cold_share,
+        slow_start: s.servers.ramp_s * 1000.0,
+        collapse_multiple: s.rules.fall_multiple,
+        collapse_window: s.rules.fall_s * 1000.0,
         reports_in_answers: s.servers.reports == crate::scenario::Reports::Answers,
-        probes: s.servers.reports == crate::scenario::Reports::Probes,
+        answers_probes: s.servers.reports == crate::scenario::Reports::Probes,
         groups: groups.collect(),
-        repeat_window: config::REPEAT_WINDOW_S * 1000.0,
+        deduplication_window: config::REPEAT_WINDOW_S * 1000.0,
     }
 }
 
--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -4,7 +4,7 @@
 use super::tamper::{How, Tamper};
 use crate::process::{build, Process, Start};
 use aspendrum_fake_services::cloud::Cloud;
-use aspendrum_fake_services::origin::{Figures, Origin, Record};
+use aspendrum_fake_services::origin::{OriginOptions, OriginServer, ExecutionLog};
 use aspendrum_fake_services::{lock, Clock};
 use aspendrum_fault_proxy::{Fault, Link, Mesh, Relay};
 use nix::sys::signal::Signal;
@@ -120,8 +120,8 @@
     /// By machine: the proxy and its agent.
     pub proxies: Vec<tokio::sync::Mutex<Slot>>,
     pub agents: Vec<tokio::sync::Mutex<Slot>>,
-    pub origins: Vec<Arc<Origin>>,
-    pub record: Arc<Record>,
+    pub origins: Vec<Arc<OriginServer>>,
+    pub record: Arc<ExecutionLog>,
     net: u8,
     /// Which machines of control are there, and which of them the settings name.
     members: Mutex<Vec<usize>>,
@@ -161,21 +161,21 @@
         std::fs::create_dir_all(folder).map_err(failed)?;
         let (net, claim) = claim().map_err(failed)?;
         let clock = Clock::start();
-        let record = Record::new(clock);
+        let record = ExecutionLog::new(clock);
         let s = scenario;
         let mut origins = Vec::new();
         for n in 0..s.origins() {
-            let figures = Figures {
+            let figures = OriginOptions {
                 service: SERVICES[n / (s.zones * s.servers)].into(),
                 zone: zone(n % s.zones),
                 slots: 4,
-                queue: 8,
+                queue_capacity: 8,
                 work_ms: 25.0,
-                drops: n % KEEPS_ON != KEEPS_ON - 1,
+                drops_on_close: n % KEEPS_ON != KEEPS_ON - 1,
             };
             let at = IpAddr::V4(ip(net, 200, 0));
             origins.push(
-                Origin::start(at, n, figures, record.clone())
+                OriginServer::start(at, n, figures, record.clone())
                     .await
                     .map_err(failed)?,
             );
--- a/crates/aspendrum-testbed/src/system/play.rs
+++ b/crates/aspendrum-testbed/src/system/play.rs
@@ -247,7 +247,7 @@
         troubles,
         failures,
     } = book;
-    let (tries, runs) = (crowd.tries(), fleet.record.runs());
+    let (tries, runs) = (crowd.tries(), fleet.record.executions());
     let record = Record {
         from,
         to,
--- a/crates/aspendrum-testbed/src/system/steps.rs
+++ b/crates/aspendrum-testbed/src/system/steps.rs
@@ -445,15 +445,15 @@
     async fn origins(&self, step: &Step, of: &[Who]) {
         for origin in self.named(of) {
             match step.what {
-                What::Die => origin.die(),
-                What::Drain => origin.ail(|a| a.draining = true),
-                What::Fail => origin.ail(|a| a.failing = step.share),
-                What::Reset => origin.ail(|a| a.resetting = step.share),
-                What::Hang => origin.ail(|a| a.hanging = step.share),
-                What::Deaf => origin.ail(|a| a.deaf = step.share),
-                What::Slow => origin.ail(|a| a.slow = step.times),
-                What::Full => origin.ail(|a| a.full = true),
-                What::Stall => origin.ail(|a| a.stalled = true),
+                What::Die => origin.kill(),
+                What::Drain => origin.change_faults(|a| a.is_draining = true),
+                What::Fail => origin.change_faults(|a| a.error_share = step.share),
+                What::Reset => origin.change_faults(|a| a.late_reset_share = step.share),
+                What::Hang => origin.change_faults(|a| a.no_response_share = step.share),
+                What::Deaf => origin.change_faults(|a| a.early_reset_share = step.share),
+                What::Slow => origin.change_faults(|a| a.slowdown = step.times),
+                What::Full => origin.change_faults(|a| a.is_full = true),
+                What::Stall => origin.change_faults(|a| a.is_stalled = true),
                 _ => {}
             }
         }
@@ -462,26 +462,26 @@
     async fn well(&self, step: &Step, of: &[Who]) {
         for origin in self.named(of) {
             if step.what == What::Die {
-                if let Err(e) = origin.back().await {
+                if let Err(e) = origin.restart().await {
                     self.note(&format!("a server: {e}"));
                 }
             }
             // Others may ail it still.
-            origin.ail(|a| match step.what {
-                What::Drain => a.draining = false,
-                What::Fail => a.failing = 0.0,
-                What::Reset => a.resetting = 0.0,
-                What::Hang => a.hanging = 0.0,
-                What::Deaf => a.deaf = 0.0,
-                What::Slow => a.slow = 1.0,
-                What::Full => a.full = false,
-                What::Stall => a.stalled = false,
+            origin.change_faults(|a| match step.what {
+                What::Drain => a.is_draining = false,
+                What::Fail => a.error_share = 0.0,
+                What::Reset => a.late_reset_share = 0.0,
+                What::Hang => a.no_response_share = 0.0,
+                What::Deaf => a.early_reset_share = 0.0,
+                What::Slow => a.slowdown = 1.0,
+                What::Full => a.is_full = false,
+                What::Stall => a.is_stalled = false,
                 _ => *a = Default::default(),
             });
         }
     }
 
-    fn named(&self, of: &[Who]) -> Vec<Arc<aspendrum_fake_services::origin::Origin>> {
+    fn named(&self, of: &[Who]) -> Vec<Arc<aspendrum_fake_services::origin::OriginServer>> {
         let number = |w: &Who| match w {
             Who::Origin(n) => Some(self.fleet.origins[*n].clone()),
             _ => None,
