--- a/crates/aspendrum-fake-services/src/cloud.rs
+++ b/crates/aspendrum-fake-services/src/cloud.rs
@@ -1,8 +1,9 @@
-//! The platform: its list of servers, in pages, over a rate that all callers share.
+//! A fake of the platform: its list of servers, in pages, with a limit on the calls of all clients together.
 
-use crate::host::Host;
+use crate::fake_process::FakeProcess;
+use crate::http::{encode_response, read_message, MessageKind};
 use crate::origin::OriginServer;
-use crate::{http, lock, Clock};
+use crate::{lock, Clock, MILLIS_PER_SECOND};
 use serde_json::json;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -10,88 +11,120 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-const PAGE: usize = 5;
+/// The servers on one page.
+const PAGE_SIZE: usize = 5;
+/// Before the offset of the next page, in a page's token.
+const TOKEN_PREFIX: &str = "p-";
 
-pub struct Cloud {
-    host: Host,
+/// The calls that clients may still make: a token bucket of one second's calls.
+struct CallBudget {
+    calls: f64,
+    as_of: f64,
+}
+
+/// The fake platform.
+pub struct CloudApi {
+    process: FakeProcess,
     origins: Vec<Arc<OriginServer>>,
     clock: Clock,
-    rate: f64,
-    /// Calls that are left, as of when.
-    left: Mutex<(f64, f64)>,
+    calls_per_second: f64,
+    budget: Mutex<CallBudget>,
 }
 
-impl Cloud {
-    /// `rate`: calls a second; more get 429.
+impl CloudApi {
+    /// Starts it, with a list of these servers. Calls beyond the rate get 429.
+    ///
+    /// # Errors
+    /// No port is free at that address.
     pub async fn start(
-        at: IpAddr,
+        ip: IpAddr,
         origins: Vec<Arc<OriginServer>>,
-        rate: f64,
+        calls_per_second: f64,
         clock: Clock,
-    ) -> io::Result<Arc<Cloud>> {
-        let (host, listener) = Host::bind(at).await?;
-        let cloud = Arc::new(Cloud {
-            host,
+    ) -> io::Result<Arc<CloudApi>> {
+        let (process, listener) = FakeProcess::bind(ip).await?;
+        let budget = CallBudget {
+            calls: calls_per_second,
+            as_of: clock.now(),
+        };
+        let cloud = Arc::new(CloudApi {
+            process,
             origins,
             clock,
-            rate,
-            left: Mutex::new((rate, clock.now())),
+            calls_per_second,
+            budget: Mutex::new(budget),
         });
-        let own = cloud.clone();
+        let served = cloud.clone();
         cloud
-            .host
-            .listen(listener, move |stream| own.clone().serve(stream));
+            .process
+            .listen(listener, move |stream| served.clone().serve(stream));
         Ok(cloud)
     }
 
+    /// Where it listens.
     pub fn addr(&self) -> SocketAddr {
-        self.host.addr()
+        self.process.address()
     }
 
-    async fn serve(self: Arc<Cloud>, mut stream: TcpStream) {
-        let mut rest = Vec::new();
-        while let Ok(Some(call)) = http::next(&mut stream, &mut rest, true).await {
-            if stream.write_all(&self.answer(&call.line.1)).await.is_err() {
+    async fn serve(self: Arc<CloudApi>, mut stream: TcpStream) {
+        let mut unread = Vec::new();
+        let kind = MessageKind::Request;
+        while let Ok(Some(call)) = read_message(&mut stream, &mut unread, kind).await {
+            if stream
+                .write_all(&self.response(call.target()))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
     }
 
-    fn answer(&self, path: &str) -> Vec<u8> {
-        {
-            let (mut left, now) = (lock(&self.left), self.clock.now());
-            *left = (
-                (left.0 + self.rate * (now - left.1) / 1000.0).min(self.rate),
-                now,
-            );
-            if left.0 < 1.0 {
-                return http::answer(429, &[], b"");
-            }
-            left.0 -= 1.0;
+    fn response(&self, target: &str) -> Vec<u8> {
+        if !self.take_call() {
+            return encode_response(429, &[], b"");
         }
-        let from = path
-            .split_once("page-tok=p-")
-            .and_then(|t| t.1.parse().ok())
+        let token = target.split_once(&format!("page-tok={TOKEN_PREFIX}"));
+        let offset = token
+            .and_then(|(_, offset)| offset.parse().ok())
             .unwrap_or(0);
-        let there: Vec<&Arc<OriginServer>> = self.origins.iter().filter(|o| o.is_up()).collect();
-        let servers: Vec<_> = there
-            .iter()
-            .skip(from)
-            .take(PAGE)
-            .map(|o| entry(o))
-            .collect();
-        let next = (from + PAGE < there.len()).then(|| format!("p-{}", from + PAGE));
+        let up: Vec<&Arc<OriginServer>> = self.origins.iter().filter(|o| o.is_up()).collect();
+        let page = up.iter().skip(offset).take(PAGE_SIZE);
+        let servers: Vec<_> = page.map(|origin| entry(origin)).collect();
+        let next = offset + PAGE_SIZE;
+        let next = (next < up.len()).then(|| format!("{TOKEN_PREFIX}{next}"));
         let body = json!({ "servers": servers, "next": next }).to_string();
-        http::answer(
+        encode_response(
             200,
             &[("Content-Type", "application/json")],
             body.as_bytes(),
         )
     }
+
+    /// Takes one call off the budget. False: there is none left.
+    fn take_call(&self) -> bool {
+        let (mut budget, now) = (lock(&self.budget), self.clock.now());
+        let elapsed = (now - budget.as_of) / MILLIS_PER_SECOND;
+        let refilled = budget.calls + self.calls_per_second * elapsed;
+        *budget = CallBudget {
+            calls: refilled.min(self.calls_per_second),
+            as_of: now,
+        };
+        let is_left = budget.calls >= 1.0;
+        if is_left {
+            budget.calls -= 1.0;
+        }
+        is_left
+    }
 }
 
-fn entry(o: &OriginServer) -> serde_json::Value {
-    let (figures, phase) = (o.options(), if o.faults().is_draining { "drain" } else { "up" });
-    json!({"uid": o.uid(), "svc": figures.service, "addr": o.addr().to_string(), "az": figures.zone, "gen": "v1",
-        "slots": figures.slots, "phase": phase, "warm-left-ms": 0})
+fn entry(origin: &OriginServer) -> serde_json::Value {
+    let options = origin.options();
+    let phase = if origin.faults().is_draining {
+        "drain"
+    } else {
+        "up"
+    };
+    json!({"uid": origin.uid(), "svc": options.service, "addr": origin.addr().to_string(), "az": options.zone,
+        "gen": "v1", "slots": options.slots, "phase": phase, "warm-left-ms": 0})
 }
--- a/crates/aspendrum-fake-services/src/counter.rs
+++ b/crates/aspendrum-fake-services/src/counter.rs
@@ -1,6 +1,7 @@
-//! The shared counter: the RESP subset that limiters speak, so many calls a second, and its troubles.
+//! A fake of the shared counter: adds to named totals for so many calls a second, and can fail.
 
-use crate::{lock, Clock};
+use crate::resp::{parse_call, Call, MAX_CALL_BYTES};
+use crate::{lock, Clock, MILLIS_PER_SECOND};
 use std::collections::HashMap;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -11,104 +12,148 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
+/// What a counter is like.
 #[derive(Clone, Debug)]
 pub struct CounterOptions {
+    /// How many calls it answers in a second, one after another.
     pub calls_per_second: f64,
-    /// A call that would wait longer for its turn is turned away.
+    /// A call that would wait longer for its turn is rejected.
     pub max_wait: Duration,
 }
 
+/// The ways of failing that can hold at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CounterFaults {
-    /// Adds nothing and answers nothing; calls wait.
+    /// It adds nothing and answers nothing; calls wait.
     pub is_silent: bool,
-    /// Milliseconds more for each call.
+    /// How many milliseconds longer each call takes.
     pub extra_ms: f64,
-    /// Every call is turned away.
+    /// It rejects every call.
     pub is_busy: bool,
 }
 
-/// What reached it.
+/// What reached a counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CounterStats {
+    /// Calls that were carried out.
     pub calls: u64,
+    /// Calls that were rejected.
     pub rejected: u64,
+    /// What was no call.
     pub invalid: u64,
-    /// Units added, and taken back by negative amounts.
+    /// Units added, less those that negative amounts took back.
     pub units_added: f64,
 }
 
+/// A total, and until when it is kept.
+struct Total {
+    units: f64,
+    expires_at: f64,
+}
+
+struct State {
+    totals: HashMap<Vec<u8>, Total>,
+    /// When the last call that was accepted has had its turn.
+    next_turn: Instant,
+    stats: CounterStats,
+}
+
+/// The fake counter.
 pub struct Counter {
-    addr: SocketAddr,
-    figures: CounterOptions,
+    address: SocketAddr,
+    options: CounterOptions,
     clock: Clock,
     state: Mutex<State>,
-    ails: watch::Sender<CounterFaults>,
-    /// Counts its replacements: a change ends all connections.
-    replaced: watch::Sender<u64>,
+    faults: watch::Sender<CounterFaults>,
+    /// Counts its replacements: each ends all connections.
+    replacements: watch::Sender<u64>,
 }
 
-struct State {
-    /// Totals by name, and until when they live, milliseconds of the run.
-    totals: HashMap<Vec<u8>, (f64, f64)>,
-    free: Instant,
-    seen: CounterStats,
+/// No total is kept longer, in milliseconds.
+const MAX_LIFETIME_MS: f64 = 60_000.0;
+const MAX_AMOUNT: f64 = 1e9;
+const MAX_NAME_BYTES: usize = 64;
+/// The parts of a call that adds: its name, the total's name, the amount and the lifetime.
+const ADD_PARTS: usize = 4;
+
+/// A call that adds to a total.
+struct AddCall<'c> {
+    name: &'c [u8],
+    amount: f64,
+    lifetime_ms: f64,
 }
 
-/// No name lives longer.
-const LONGEST_LIFE: f64 = 60_000.0;
-const LARGEST: f64 = 1e9;
-const LONGEST_NAME: usize = 64;
-/// A call is four short parts; what is longer is no call.
-const LONGEST_CALL: usize = 1024;
+impl AddCall<'_> {
+    /// # Errors
+    /// What the caller is told.
+    fn parse(call: &Call) -> Result<AddCall<'_>, &'static str> {
+        let (amount, lifetime_ms) = (call.text(2).parse::<f64>(), call.text(3).parse::<f64>());
+        let (Ok(amount), Ok(lifetime_ms)) = (amount, lifetime_ms) else {
+            return Err("not a number");
+        };
+        let name = &call.parts[1];
+        let is_named = (1..=MAX_NAME_BYTES).contains(&name.len());
+        let is_valid_amount = amount.is_finite() && amount.abs() <= MAX_AMOUNT;
+        if !is_named || !is_valid_amount || lifetime_ms.is_nan() || lifetime_ms < 1.0 {
+            return Err("out of range");
+        }
+        Ok(AddCall {
+            name,
+            amount,
+            lifetime_ms: lifetime_ms.min(MAX_LIFETIME_MS),
+        })
+    }
+}
 
 impl Counter {
-    pub async fn start(at: IpAddr, figures: CounterOptions, clock: Clock) -> io::Result<Arc<Counter>> {
-        let listener = TcpListener::bind((at, 0)).await?;
+    /// Starts it at a free port of that address.
+    ///
+    /// # Errors
+    /// No port is free.
+    pub async fn start(
+        ip: IpAddr,
+        options: CounterOptions,
+        clock: Clock,
+    ) -> io::Result<Arc<Counter>> {
+        let listener = TcpListener::bind((ip, 0)).await?;
         let state = State {
             totals: HashMap::new(),
-            free: Instant::now(),
-            seen: CounterStats::default(),
+            next_turn: Instant::now(),
+            stats: CounterStats::default(),
         };
         let counter = Arc::new(Counter {
-            addr: listener.local_addr()?,
-            figures,
+            address: listener.local_addr()?,
+            options,
             clock,
             state: Mutex::new(state),
-            ails: watch::Sender::default(),
-            replaced: watch::Sender::default(),
+            faults: watch::Sender::default(),
+            replacements: watch::Sender::default(),
         });
-        let own = counter.clone();
+        let served = counter.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let _ = stream.set_nodelay(true);
-                let own = own.clone();
-                tokio::spawn(async move {
-                    let mut replaced = own.replaced.subscribe();
-                    let _ = stream.set_zero_linger();
-                    tokio::select! {
-                        _ = replaced.changed() => {}
-                        _ = own.serve(stream) => {}
-                    }
-                });
+                tokio::spawn(served.clone().serve_until_replaced(stream));
             }
         });
         Ok(counter)
     }
 
+    /// Where it listens.
     pub fn addr(&self) -> SocketAddr {
-        self.addr
+        self.address
     }
 
+    /// What has reached it so far.
     pub fn stats(&self) -> CounterStats {
-        lock(&self.state).seen
+        lock(&self.state).stats
     }
 
-    pub fn change_faults(&self, how: impl FnOnce(&mut CounterFaults)) {
-        self.ails.send_modify(how);
+    /// Changes how it fails.
+    pub fn change_faults(&self, change: impl FnOnce(&mut CounterFaults)) {
+        self.faults.send_modify(change);
     }
 
-    /// Loses every count; connections stay.
+    /// Loses every total; connections stay.
     pub fn clear(&self) {
         lock(&self.state).totals.clear();
     }
@@ -116,121 +161,99 @@
     /// An empty one takes its place: connections are reset.
     pub fn replace(&self) {
         self.clear();
-        self.replaced.send_modify(|n| *n += 1);
+        self.replacements
+            .send_modify(|replacements| *replacements += 1);
+    }
+
+    async fn serve_until_replaced(self: Arc<Counter>, stream: TcpStream) {
+        let mut replacements = self.replacements.subscribe();
+        let _ = stream.set_nodelay(true);
+        let _ = stream.set_zero_linger();
+        tokio::select! {
+            _ = replacements.changed() => {}
+            _ = self.serve(stream) => {}
+        }
     }
 
     async fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
-        let mut rest = Vec::new();
+        let mut unread = Vec::new();
         loop {
-            while let Some((call, size)) = call(&rest)? {
-                rest.drain(..size);
+            while let Some(call) = parse_call(&unread)? {
+                unread.drain(..call.size);
                 let reply = self.reply(&call).await;
                 stream.write_all(&reply).await?;
             }
-            if rest.len() > LONGEST_CALL {
-                lock(&self.state).seen.invalid += 1;
+            if unread.len() > MAX_CALL_BYTES {
+                lock(&self.state).stats.invalid += 1;
                 return Err(io::ErrorKind::InvalidData.into());
             }
-            if stream.read_buf(&mut rest).await? == 0 {
+            if stream.read_buf(&mut unread).await? == 0 {
                 return Ok(());
             }
         }
     }
 
-    async fn reply(&self, call: &[Vec<u8>]) -> Vec<u8> {
-        let word = |n: usize| {
-            call.get(n)
-                .map_or("", |w| std::str::from_utf8(w).unwrap_or(""))
-        };
-        match word(0).to_ascii_uppercase().as_str() {
+    async fn reply(&self, call: &Call) -> Vec<u8> {
+        match call.text(0).to_ascii_uppercase().as_str() {
             "PING" => return b"+PONG\r\n".to_vec(),
             "CLIENT" | "SELECT" => return b"+OK\r\n".to_vec(),
-            "CNT.ADD" if call.len() == 4 => {}
+            "CNT.ADD" if call.parts.len() == ADD_PARTS => {}
             _ => return self.refuse("no such call"),
         }
-        let (amount, life) = (word(2).parse::<f64>(), word(3).parse::<f64>());
-        let (Ok(amount), Ok(life)) = (amount, life) else {
-            return self.refuse("not a number");
-        };
-        let named = (1..=LONGEST_NAME).contains(&call[1].len());
-        if !named || !amount.is_finite() || amount.abs() > LARGEST || life.is_nan() || life < 1.0 {
-            return self.refuse("out of range");
+        match AddCall::parse(call) {
+            Ok(call) => self.add(&call).await,
+            Err(why) => self.refuse(why),
         }
-        // However late, a call has its turn.
-        let mut ails = self.ails.subscribe();
-        if ails.wait_for(|a| !a.is_silent).await.is_err() {
+    }
+
+    async fn add(&self, call: &AddCall<'_>) -> Vec<u8> {
+        let mut faults = self.faults.subscribe();
+        // A call waits for its turn however long the counter is silent.
+        if faults.wait_for(|faults| !faults.is_silent).await.is_err() {
             return Vec::new();
         }
-        let (now, ails) = (Instant::now(), *self.ails.borrow());
-        let turn = {
-            let mut state = lock(&self.state);
-            let turn = state.free.max(now);
-            if ails.is_busy || turn - now > self.figures.max_wait {
-                state.seen.rejected += 1;
-                return b"-BUSY\r\n".to_vec();
-            }
-            state.free = turn + Duration::from_secs_f64(1.0 / self.figures.calls_per_second);
-            state.free
+        let faults = *self.faults.borrow();
+        let Some(turn) = self.take_turn(&faults) else {
+            return b"-BUSY\r\n".to_vec();
         };
-        sleep_until(turn + Duration::from_secs_f64(ails.extra_ms / 1000.0)).await;
-        let at = self.clock.now();
-        let mut state = lock(&self.state);
-        (state.seen.calls, state.seen.units_added) = (state.seen.calls + 1, state.seen.units_added + amount);
-        let entry = state
-            .totals
-            .entry(call[1].clone())
-            .or_insert((0.0, at + life.min(LONGEST_LIFE)));
-        if entry.1 < at {
-            *entry = (0.0, at + life.min(LONGEST_LIFE));
-        }
-        entry.0 += amount;
-        let total = entry.0.to_string();
+        sleep_until(turn + Duration::from_secs_f64(faults.extra_ms / MILLIS_PER_SECOND)).await;
+        let total = self.add_units(call).to_string();
         format!("${}\r\n{total}\r\n", total.len()).into_bytes()
     }
 
-    fn refuse(&self, why: &str) -> Vec<u8> {
-        lock(&self.state).seen.invalid += 1;
-        format!("-ERR {why}\r\n").into_bytes()
+    /// When the call has its turn; `None`: it is rejected.
+    fn take_turn(&self, faults: &CounterFaults) -> Option<Instant> {
+        let now = Instant::now();
+        let mut state = lock(&self.state);
+        let turn = state.next_turn.max(now);
+        if faults.is_busy || turn - now > self.options.max_wait {
+            state.stats.rejected += 1;
+            return None;
+        }
+        state.next_turn = turn + Duration::from_secs_f64(1.0 / self.options.calls_per_second);
+        Some(state.next_turn)
     }
-}
 
-/// The first call in these bytes, and its length; `None`: not whole yet.
-fn call(bytes: &[u8]) -> io::Result<Option<(Vec<Vec<u8>>, usize)>> {
-    let bad = || io::Error::from(io::ErrorKind::InvalidData);
-    let mut at = 0;
-    let line = |at: &mut usize, mark: u8| -> io::Result<Option<usize>> {
-        let Some(size) = bytes[*at..].windows(2).position(|w| w == b"\r\n") else {
-            return Ok(None);
-        };
-        let text = &bytes[*at..*at + size];
-        *at += size + 2;
-        let number = text
-            .strip_prefix(&[mark])
-            .and_then(|t| std::str::from_utf8(t).ok()?.parse().ok());
-        number.map(Some).ok_or_else(bad)
-    };
-    let Some(parts) = line(&mut at, b'*')? else {
-        return Ok(None);
-    };
-    if parts == 0 || parts > 8 {
-        return Err(bad());
-    }
-    let mut call = Vec::with_capacity(parts);
-    for _ in 0..parts {
-        let Some(size) = line(&mut at, b'$')? else {
-            return Ok(None);
+    /// The total behind the call.
+    fn add_units(&self, call: &AddCall<'_>) -> f64 {
+        let now = self.clock.now();
+        let mut state = lock(&self.state);
+        state.stats.calls += 1;
+        state.stats.units_added += call.amount;
+        let fresh = || Total {
+            units: 0.0,
+            expires_at: now + call.lifetime_ms,
         };
-        if size > LONGEST_CALL {
-            return Err(bad());
-        }
-        if bytes.len() < at + size + 2 {
-            return Ok(None);
-        }
-        if &bytes[at + size..at + size + 2] != b"\r\n" {
-            return Err(bad());
+        let total = state.totals.entry(call.name.to_vec()).or_insert_with(fresh);
+        if total.expires_at < now {
+            *total = fresh();
         }
-        call.push(bytes[at..at + size].to_vec());
-        at += size + 2;
+        total.units += call.amount;
+        total.units
+    }
+
+    fn refuse(&self, why: &str) -> Vec<u8> {
+        lock(&self.state).stats.invalid += 1;
+        format!("-ERR {why}\r\n").into_bytes()
     }
-    Ok(Some((call, at)))
 }
--- a/crates/aspendrum-fake-services/src/discovery.rs
+++ b/crates/aspendrum-fake-services/src/discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery: one list of servers, told to each limiter by an agent of its own, with the agent's delays and
-//! silences. What each agent wrote to its limiter is recorded.
+//! A fake of discovery: one list of servers, which an agent beside each limiter passes on, with delays and silences. What
+//! each agent wrote to its limiter is recorded.
 
-use crate::{http, lock, Clock};
+use crate::http::{encode_response, read_message, Message, MessageKind};
+use crate::{lock, Clock, MILLIS_PER_SECOND};
 use aspendrum_checker::limiter::DiscoveryUpdate;
 use aspendrum_checker::Millis;
 use serde_json::{json, Value};
@@ -16,143 +17,195 @@
 use tokio::time::{sleep, Instant};
 
 const PATH: &str = "/registry/instances";
-const LONGEST_HOLD: Millis = 60_000.0;
-/// How often a waiting watch looks for what has become visible.
-const LOOK: Duration = Duration::from_millis(20);
+const MAX_HOLD_MS: Millis = 60_000.0;
+/// Between two checks of a waiting call for a new list.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Calls are counted over so long.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
+/// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
+    /// It takes queries.
     InService,
+    /// It is draining.
     Terminating,
+    /// It is gone.
     Terminated,
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct ListedServer {
     server: usize,
     health: Health,
     zone: usize,
-    /// Unix milliseconds of its last start; 0 for long ago.
-    born: u64,
+    /// When it last started, in Unix milliseconds; 0: long ago.
+    started_unix_ms: u64,
 }
 
+/// The list after a change.
+struct ListVersion {
+    changed_at: Millis,
+    servers: Vec<ListedServer>,
+}
+
+/// The ways of failing that can hold at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DiscoveryFaults {
-    /// Says nothing; calls wait.
+    /// It says nothing; calls wait.
     pub is_silent: bool,
-    /// Milliseconds until a change is told.
+    /// Milliseconds until a change is passed on.
     pub delay_ms: f64,
-    /// The list stays as it is now, whatever changes.
+    /// It goes on with the present list, whatever changes.
     pub is_stale: bool,
-    /// Calls a second of all limiters together beyond which it answers 503; 0: none.
+    /// Calls a second of all limiters together, beyond which it answers 503; 0: no limit.
     pub max_calls_per_second: f64,
 }
 
+/// What reached discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DiscoveryStats {
+    /// Calls.
     pub calls: u64,
+    /// Calls that got 503.
     pub rejected: u64,
     /// Whole lists and changes that were written.
     pub lists_written: u64,
 }
 
+/// The fake discovery.
 pub struct Discovery {
     clock: Clock,
     state: Mutex<State>,
-    ails: watch::Sender<DiscoveryFaults>,
+    faults: watch::Sender<DiscoveryFaults>,
 }
 
 struct State {
-    /// The list after each change, and when the change was made.
-    versions: Vec<(Millis, Vec<Entry>)>,
-    /// The version that a stale one goes on telling.
-    frozen: Option<usize>,
-    lately: VecDeque<Instant>,
-    told: Vec<DiscoveryUpdate>,
-    seen: DiscoveryStats,
+    /// All versions of the list; their sequence numbers are their indices + 1.
+    versions: Vec<ListVersion>,
+    /// The version that it goes on with while it is stale.
+    stale_version: Option<usize>,
+    /// The calls of the last [`RATE_WINDOW`].
+    recent_calls: VecDeque<Instant>,
+    updates: Vec<DiscoveryUpdate>,
+    stats: DiscoveryStats,
+}
+
+/// What a call asks for.
+struct ListQuery {
+    /// The version that the limiter has.
+    from: Option<usize>,
+    /// How long the call may wait for a newer one.
+    hold_ms: Millis,
+}
+
+impl ListQuery {
+    fn parse(query: &str) -> ListQuery {
+        let number = |key: &str| {
+            let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+            let mut values = pairs.filter(|(name, _)| *name == key);
+            values.find_map(|(_, value)| value.parse::<f64>().ok())
+        };
+        ListQuery {
+            from: number("from").and_then(|sequence| (sequence as usize).checked_sub(1)),
+            hold_ms: number("hold_ms").unwrap_or(0.0).clamp(0.0, MAX_HOLD_MS),
+        }
+    }
 }
 
 impl Discovery {
-    /// All servers in service, with their zones.
+    /// Discovery of servers in these zones, all in service.
     pub fn new(clock: Clock, zones: &[usize]) -> Arc<Discovery> {
-        let entry = |(server, zone): (usize, &usize)| Entry {
+        let listed = |(server, zone): (usize, &usize)| ListedServer {
             server,
             health: Health::InService,
             zone: *zone,
-            born: 0,
+            started_unix_ms: 0,
         };
-        let list = zones.iter().enumerate().map(entry).collect();
+        let servers = zones.iter().enumerate().map(listed).collect();
         let state = State {
-            versions: vec![(0.0, list)],
-            frozen: None,
-            lately: VecDeque::new(),
-            told: Vec::new(),
-            seen: DiscoveryStats::default(),
+            versions: vec![ListVersion {
+                changed_at: 0.0,
+                servers,
+            }],
+            stale_version: None,
+            recent_calls: VecDeque::new(),
+            updates: Vec::new(),
+            stats: DiscoveryStats::default(),
         };
         Arc::new(Discovery {
             clock,
             state: Mutex::new(state),
-            ails: watch::Sender::default(),
+            faults: watch::Sender::default(),
         })
     }
 
-    pub fn change_faults(&self, how: impl FnOnce(&mut DiscoveryFaults)) {
-        self.ails.send_modify(how);
-        let latest = lock(&self.state).versions.len() - 1;
-        let stale = self.ails.borrow().is_stale;
+    /// Changes how it fails.
+    pub fn change_faults(&self, change: impl FnOnce(&mut DiscoveryFaults)) {
+        self.faults.send_modify(change);
+        let is_stale = self.faults.borrow().is_stale;
         let mut state = lock(&self.state);
-        state.frozen = if stale {
-            state.frozen.or(Some(latest))
-        } else {
-            None
-        };
+        let newest = state.versions.len() - 1;
+        state.stale_version = is_stale.then(|| state.stale_version.unwrap_or(newest));
     }
 
-    /// A server's process changes; `born` is Unix milliseconds, where it has started anew.
-    pub fn set_health(&self, server: usize, health: Health, born: Option<u64>) {
-        let now = self.clock.now();
+    /// Changes a server. `started_unix_ms`: when it started, if it did anew.
+    pub fn set_health(&self, server: usize, health: Health, started_unix_ms: Option<u64>) {
+        let changed_at = self.clock.now();
         let mut state = lock(&self.state);
-        let mut list = state.versions.last().map_or(Vec::new(), |v| v.1.clone());
-        if let Some(entry) = list.iter_mut().find(|e| e.server == server) {
-            (entry.health, entry.born) = (health, born.unwrap_or(entry.born));
+        let mut servers = state
+            .versions
+            .last()
+            .map_or(Vec::new(), |v| v.servers.clone());
+        if let Some(listed) = servers.iter_mut().find(|listed| listed.server == server) {
+            listed.health = health;
+            listed.started_unix_ms = started_unix_ms.unwrap_or(listed.started_unix_ms);
         }
-        state.versions.push((now, list));
+        state.versions.push(ListVersion {
+            changed_at,
+            servers,
+        });
     }
 
+    /// All that agents wrote to their limiters.
     pub fn updates(&self) -> Vec<DiscoveryUpdate> {
-        lock(&self.state).told.clone()
+        lock(&self.state).updates.clone()
     }
 
+    /// What has reached it so far.
     pub fn stats(&self) -> DiscoveryStats {
-        lock(&self.state).seen
+        lock(&self.state).stats
     }
 
-    /// The list as a limiter holds it at its start, in discovery's own form. `dials`: by server, the address
-    /// that this limiter reaches it by.
+    /// The list as a limiter has it at its start, in discovery's own form. `dials`: the address by which that limiter reaches
+    /// each server.
     pub fn initial_list(&self, dials: &[SocketAddr]) -> Value {
         let state = lock(&self.state);
-        let version = state.versions.len() - 1;
-        whole(version, &state.versions[version].1, dials)
+        let newest = state.versions.len() - 1;
+        whole_list(newest, &state.versions[newest].servers, dials)
     }
 
-    /// An agent for one limiter at that loopback address.
+    /// Starts the agent of one limiter at a free port of that address.
+    ///
+    /// # Errors
+    /// No port is free.
     pub async fn start_agent(
         self: &Arc<Discovery>,
-        at: IpAddr,
+        ip: IpAddr,
         limiter: usize,
         dials: Vec<SocketAddr>,
     ) -> io::Result<SocketAddr> {
-        let listener = TcpListener::bind((at, 0)).await?;
-        let addr = listener.local_addr()?;
-        let (own, dials) = (self.clone(), Arc::new(dials));
+        let listener = TcpListener::bind((ip, 0)).await?;
+        let address = listener.local_addr()?;
+        let (served, dials) = (self.clone(), Arc::new(dials));
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let _ = stream.set_nodelay(true);
-                let (own, dials) = (own.clone(), dials.clone());
-                tokio::spawn(async move { own.serve(stream, limiter, &dials).await });
+                let (served, dials) = (served.clone(), dials.clone());
+                tokio::spawn(async move { served.serve(stream, limiter, &dials).await });
             }
         });
-        Ok(addr)
+        Ok(address)
     }
 
     async fn serve(
@@ -161,125 +214,131 @@
         limiter: usize,
         dials: &[SocketAddr],
     ) -> io::Result<()> {
-        let mut rest = Vec::new();
-        while let Some(call) = http::next(&mut stream, &mut rest, true).await? {
-            let path = &call.line.1;
-            let (place, query) = path.split_once('?').unwrap_or((path, ""));
-            let number = |key: &str| {
-                let pair = query.split('&').filter_map(|p| p.split_once('='));
-                pair.filter(|p| p.0 == key)
-                    .find_map(|p| p.1.parse::<f64>().ok())
-            };
-            let _ = self.ails.subscribe().wait_for(|a| !a.is_silent).await;
-            let answer = if call.line.0 != "GET" || place != PATH {
-                http::answer(404, &[], b"")
-            } else if self.overbooked() {
-                http::answer(503, &[], b"")
-            } else {
-                // Sequence numbers begin with 1.
-                let from = number("from").and_then(|v| (v as usize).checked_sub(1));
-                let hold = number("hold_ms").unwrap_or(0.0).clamp(0.0, LONGEST_HOLD);
-                let list = self.list(from, hold, dials, limiter).await;
-                http::answer(
-                    200,
-                    &[("Content-Type", "application/json")],
-                    list.to_string().as_bytes(),
-                )
-            };
-            stream.write_all(&answer).await?;
+        let mut unread = Vec::new();
+        while let Some(call) = read_message(&mut stream, &mut unread, MessageKind::Request).await? {
+            let _ = self
+                .faults
+                .subscribe()
+                .wait_for(|faults| !faults.is_silent)
+                .await;
+            let response = self.response(&call, limiter, dials).await;
+            stream.write_all(&response).await?;
         }
         Ok(())
     }
 
-    fn overbooked(&self) -> bool {
-        let (most, mut state) = (self.ails.borrow().max_calls_per_second, lock(&self.state));
-        state.seen.calls += 1;
-        while state
-            .lately
-            .front()
-            .is_some_and(|at| at.elapsed() > Duration::from_secs(1))
-        {
-            state.lately.pop_front();
+    async fn response(&self, call: &Message, limiter: usize, dials: &[SocketAddr]) -> Vec<u8> {
+        let (path, query) = call.target().split_once('?').unwrap_or((call.target(), ""));
+        if call.method() != "GET" || path != PATH {
+            return encode_response(404, &[], b"");
+        }
+        if !self.take_call() {
+            return encode_response(503, &[], b"");
         }
-        let over = most > 0.0 && state.lately.len() as f64 >= most;
-        if over {
-            state.seen.rejected += 1;
+        let list = self.list(&ListQuery::parse(query), dials, limiter).await;
+        let headers = [("Content-Type", "application/json")];
+        encode_response(200, &headers, list.to_string().as_bytes())
+    }
+
+    /// Counts a call. False: it is beyond the rate.
+    fn take_call(&self) -> bool {
+        let limit = self.faults.borrow().max_calls_per_second;
+        let mut state = lock(&self.state);
+        state.stats.calls += 1;
+        let is_old = |at: &Instant| at.elapsed() > RATE_WINDOW;
+        while state.recent_calls.front().is_some_and(is_old) {
+            state.recent_calls.pop_front();
+        }
+        let is_beyond = limit > 0.0 && state.recent_calls.len() as f64 >= limit;
+        if is_beyond {
+            state.stats.rejected += 1;
         } else {
-            state.lately.push_back(Instant::now());
+            state.recent_calls.push_back(Instant::now());
         }
-        over
+        !is_beyond
     }
 
-    /// The newest version that may be told now.
-    fn visible(&self) -> usize {
-        let (late, state) = (self.ails.borrow().delay_ms, lock(&self.state));
-        let due = self.clock.now() - late;
-        let newest = state.versions.iter().rposition(|v| v.0 <= due).unwrap_or(0);
-        state.frozen.map_or(newest, |frozen| frozen.min(newest))
+    /// The newest version that may be passed on now.
+    fn visible_version(&self) -> usize {
+        let (delay_ms, state) = (self.faults.borrow().delay_ms, lock(&self.state));
+        let visible_since = self.clock.now() - delay_ms;
+        let newest = state
+            .versions
+            .iter()
+            .rposition(|v| v.changed_at <= visible_since);
+        let newest = newest.unwrap_or(0);
+        state
+            .stale_version
+            .map_or(newest, |stale| stale.min(newest))
     }
 
-    async fn list(
-        &self,
-        from: Option<usize>,
-        hold: Millis,
-        dials: &[SocketAddr],
-        limiter: usize,
-    ) -> Value {
-        let until = Instant::now() + Duration::from_secs_f64(hold / 1000.0);
-        let version = loop {
-            let version = self.visible();
-            let silent = self.ails.borrow().is_silent;
-            let news = from.is_none_or(|from| version > from);
-            if !silent && (news || Instant::now() >= until) {
-                break version;
+    /// Waits until there is a newer version than the limiter's, or the call may wait no longer.
+    async fn wait_for_version(&self, query: &ListQuery) -> usize {
+        let hold = Duration::from_secs_f64(query.hold_ms / MILLIS_PER_SECOND);
+        let deadline = Instant::now() + hold;
+        loop {
+            let version = self.visible_version();
+            let is_silent = self.faults.borrow().is_silent;
+            let is_newer = query.from.is_none_or(|from| version > from);
+            if !is_silent && (is_newer || Instant::now() >= deadline) {
+                return version;
             }
-            sleep(LOOK).await;
-        };
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+
+    async fn list(&self, query: &ListQuery, dials: &[SocketAddr], limiter: usize) -> Value {
+        let version = self.wait_for_version(query).await;
         let mut state = lock(&self.state);
-        let list = state.versions[version].1.clone();
+        let servers = state.versions[version].servers.clone();
         let at = self.clock.now();
-        let told = list.iter().map(|e| DiscoveryUpdate {
+        let updates = servers.iter().map(|listed| DiscoveryUpdate {
             limiter,
-            server: e.server,
+            server: listed.server,
             at,
-            in_service: e.health == Health::InService,
+            in_service: listed.health == Health::InService,
         });
-        state.told.extend(told);
-        state.seen.lists_written += 1;
-        // What a limiter holds is newer than a stale list: it is told the whole of what there is.
-        match from
-            .filter(|from| *from <= version)
-            .and_then(|from| state.versions.get(from))
-        {
-            None => whole(version, &list, dials),
-            Some((_, before)) => {
-                let changed = list
-                    .iter()
-                    .zip(before)
-                    .filter(|(e, b)| (e.health, e.born) != (b.health, b.born));
-                let hosts: Vec<Value> = changed.map(|(e, _)| host(e, dials)).collect();
-                json!({"seq": version + 1, "whole": false, "hosts": hosts})
-            }
+        state.updates.extend(updates);
+        state.stats.lists_written += 1;
+        // A limiter whose list is newer than a stale one gets the whole list.
+        let known = query.from.filter(|from| *from <= version);
+        match known.and_then(|from| state.versions.get(from)) {
+            None => whole_list(version, &servers, dials),
+            Some(known) => changed_list(version, &servers, &known.servers, dials),
         }
     }
 }
 
-/// Sequence numbers begin with 1.
-fn whole(version: usize, list: &[Entry], dials: &[SocketAddr]) -> Value {
-    let there = list.iter().filter(|e| e.health != Health::Terminated);
-    let hosts: Vec<Value> = there.map(|e| host(e, dials)).collect();
+fn whole_list(version: usize, servers: &[ListedServer], dials: &[SocketAddr]) -> Value {
+    let present = servers
+        .iter()
+        .filter(|listed| listed.health != Health::Terminated);
+    let hosts: Vec<Value> = present.map(|listed| host(listed, dials)).collect();
     json!({"seq": version + 1, "whole": true, "hosts": hosts})
 }
 
-fn host(e: &Entry, dials: &[SocketAddr]) -> Value {
-    let health = match e.health {
+fn changed_list(
+    version: usize,
+    servers: &[ListedServer],
+    known: &[ListedServer],
+    dials: &[SocketAddr],
+) -> Value {
+    let state = |listed: &ListedServer| (listed.health, listed.started_unix_ms);
+    let pairs = servers.iter().zip(known);
+    let changed = pairs.filter(|(listed, known)| state(listed) != state(known));
+    let hosts: Vec<Value> = changed.map(|(listed, _)| host(listed, dials)).collect();
+    json!({"seq": version + 1, "whole": false, "hosts": hosts})
+}
+
+fn host(listed: &ListedServer, dials: &[SocketAddr]) -> Value {
+    let health = match listed.health {
         Health::InService => "in_service",
         Health::Terminating => "terminating",
         Health::Terminated => "terminated",
     };
     json!({
-        "host": format!("s-{}", e.server), "dial": dials[e.server].to_string(),
-        "site": format!("zone-{}", e.zone), "class": "plain", "block": e.zone,
-        "health": health, "share": 1.0, "born_ms": e.born,
+        "host": format!("s-{}", listed.server), "dial": dials[listed.server].to_string(),
+        "site": format!("zone-{}", listed.zone), "class": "plain", "block": listed.zone,
+        "health": health, "share": 1.0, "born_ms": listed.started_unix_ms,
     })
 }
--- a/crates/aspendrum-fake-services/src/http.rs
+++ b/crates/aspendrum-fake-services/src/http.rs
@@ -1,65 +1,118 @@
-//! HTTP/1.1 messages as the stand-ins and the rig's clients read them. Whatever they cannot read ends the
-//! connection.
+//! HTTP/1.1 messages as the fake services and the testbed's clients read and write them. A message that cannot be read ends
+//! its connection.
 
 use std::io;
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-const HEADERS: usize = 64;
-const LONGEST: usize = 256 << 10;
+const MAX_HEADERS: usize = 64;
+const MAX_MESSAGE_BYTES: usize = 256 << 10;
 
-/// One whole message.
+/// What a connection carries in one direction.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MessageKind {
+    /// Requests.
+    Request,
+    /// Responses.
+    Response,
+}
+
+/// The first line of a message.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum StartLine {
+    /// Of a request.
+    Request {
+        /// Its method.
+        method: String,
+        /// Its target: a path, and a query.
+        target: String,
+    },
+    /// Of a response.
+    Response {
+        /// Its status; 0 if there is none.
+        status: u16,
+    },
+}
+
+/// A whole message.
 pub struct Message {
-    /// Method and path, or an answer's status as text and nothing.
-    pub line: (String, String),
+    /// Its first line.
+    pub start_line: StartLine,
+    /// Its header fields.
     pub headers: Vec<(String, String)>,
+    /// Its body.
     pub body: Vec<u8>,
     /// When its first byte was read.
-    pub first: Instant,
+    pub first_byte_at: Instant,
 }
 
 impl Message {
+    /// The first value of a header field.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers
-            .iter()
-            .find(|h| h.0.eq_ignore_ascii_case(name))
-            .map(|h| h.1.as_str())
+        let mut headers = self.headers.iter();
+        let found = headers.find(|(field, _)| field.eq_ignore_ascii_case(name));
+        found.map(|(_, value)| value.as_str())
     }
 
+    /// The status of a response; 0 for a request.
     pub fn status(&self) -> u16 {
-        self.line.0.parse().unwrap_or(0)
+        match self.start_line {
+            StartLine::Response { status } => status,
+            StartLine::Request { .. } => 0,
+        }
+    }
+
+    /// The method of a request; empty for a response.
+    pub fn method(&self) -> &str {
+        match &self.start_line {
+            StartLine::Request { method, .. } => method,
+            StartLine::Response { .. } => "",
+        }
     }
 
-    pub fn closes(&self) -> bool {
+    /// The target of a request; empty for a response.
+    pub fn target(&self) -> &str {
+        match &self.start_line {
+            StartLine::Request { target, .. } => target,
+            StartLine::Response { .. } => "",
+        }
+    }
+
+    /// Whether its sender closes the connection after it.
+    pub fn wants_close(&self) -> bool {
         self.header("Connection")
-            .is_some_and(|v| v.eq_ignore_ascii_case("close"))
+            .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-fn nonsense(what: &str) -> io::Error {
+fn invalid(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what.to_string())
 }
 
-/// The next message of a connection, requests or answers. `None`: it ended between messages.
-pub async fn next(
+/// Reads the next message of a connection. `unread` holds what was read of it so far. `None`: the connection ended between
+/// messages.
+///
+/// # Errors
+/// The error of the read; `UnexpectedEof` if the connection ended within a message; `InvalidData` if it is no message.
+pub async fn read_message(
     from: &mut (impl AsyncRead + Unpin),
-    rest: &mut Vec<u8>,
-    request: bool,
+    unread: &mut Vec<u8>,
+    kind: MessageKind,
 ) -> io::Result<Option<Message>> {
-    let mut first = None;
+    let mut first_byte_at = None;
     loop {
-        if !rest.is_empty() {
-            let first = *first.get_or_insert_with(Instant::now);
-            if let Some((message, size)) = parse(rest, request, first)? {
-                rest.drain(..size);
+        if !unread.is_empty() {
+            let first_byte_at = *first_byte_at.get_or_insert_with(Instant::now);
+            if let Some((message, size)) = parse(unread, kind, first_byte_at)? {
+                unread.drain(..size);
                 return Ok(Some(message));
             }
         }
-        if rest.len() > LONGEST {
-            return Err(nonsense("too long"));
+        if unread.len() > MAX_MESSAGE_BYTES {
+            return Err(invalid("too long"));
         }
-        if from.read_buf(rest).await? == 0 {
-            return if rest.is_empty() {
+        if from.read_buf(unread).await? == 0 {
+            return if unread.is_empty() {
                 Ok(None)
             } else {
                 Err(io::ErrorKind::UnexpectedEof.into())
@@ -68,72 +121,93 @@
     }
 }
 
-fn parse(bytes: &[u8], request: bool, first: Instant) -> io::Result<Option<(Message, usize)>> {
-    let mut space = [httparse::EMPTY_HEADER; HEADERS];
-    let bad = |_| nonsense("not HTTP/1.1");
-    let (at, line, headers) = if request {
-        let mut head = httparse::Request::new(&mut space);
-        let httparse::Status::Complete(at) = head.parse(bytes).map_err(bad)? else {
-            return Ok(None);
-        };
-        (
-            at,
-            (
-                head.method.unwrap_or("").into(),
-                head.path.unwrap_or("").into(),
-            ),
-            head.headers,
-        )
-    } else {
-        let mut head = httparse::Response::new(&mut space);
-        let httparse::Status::Complete(at) = head.parse(bytes).map_err(bad)? else {
-            return Ok(None);
-        };
-        (
-            at,
-            (head.code.unwrap_or(0).to_string(), String::new()),
-            head.headers,
-        )
-    };
-    let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
-    let headers: Vec<(String, String)> = headers
-        .iter()
-        .map(|h| (h.name.into(), text(h.value)))
-        .collect();
-    let length = headers
-        .iter()
-        .find(|h| h.0.eq_ignore_ascii_case("Content-Length"));
-    let length = match length {
-        Some((_, value)) => value
-            .parse::<usize>()
-            .map_err(|_| nonsense("a length that is no number"))?,
-        None => 0,
+/// A head that was parsed, and where it ends.
+struct Head {
+    end: usize,
+    start_line: StartLine,
+    headers: Vec<(String, String)>,
+}
+
+/// The message at the start of the bytes, and its size; `None` if it is not whole.
+fn parse(
+    bytes: &[u8],
+    kind: MessageKind,
+    first_byte_at: Instant,
+) -> io::Result<Option<(Message, usize)>> {
+    let Some(Head {
+        end,
+        start_line,
+        headers,
+    }) = parse_head(bytes, kind)?
+    else {
+        return Ok(None);
     };
-    if length > LONGEST {
-        return Err(nonsense("too long"));
+    let length = content_length(&headers)?;
+    if length > MAX_MESSAGE_BYTES {
+        return Err(invalid("too long"));
     }
-    if bytes.len() < at + length {
+    let size = end + length;
+    if bytes.len() < size {
         return Ok(None);
     }
-    let body = bytes[at..at + length].to_vec();
-    Ok(Some((
-        Message {
-            line,
-            headers,
-            body,
-            first,
-        },
-        at + length,
-    )))
+    let body = bytes[end..size].to_vec();
+    let message = Message {
+        start_line,
+        headers,
+        body,
+        first_byte_at,
+    };
+    Ok(Some((message, size)))
+}
+
+fn parse_head(bytes: &[u8], kind: MessageKind) -> io::Result<Option<Head>> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let not_http = |_| invalid("not HTTP/1.1");
+    let (status, start_line, headers) = match kind {
+        MessageKind::Request => {
+            let mut head = httparse::Request::new(&mut fields);
+            let status = head.parse(bytes).map_err(not_http)?;
+            let method = head.method.unwrap_or("").into();
+            let target = head.path.unwrap_or("").into();
+            (status, StartLine::Request { method, target }, head.headers)
+        }
+        MessageKind::Response => {
+            let mut head = httparse::Response::new(&mut fields);
+            let status = head.parse(bytes).map_err(not_http)?;
+            let code = head.code.unwrap_or(0);
+            (status, StartLine::Response { status: code }, head.headers)
+        }
+    };
+    let httparse::Status::Complete(end) = status else {
+        return Ok(None);
+    };
+    let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
+    let headers = headers.iter().map(|h| (h.name.into(), text(h.value)));
+    Ok(Some(Head {
+        end,
+        start_line,
+        headers: headers.collect(),
+    }))
+}
+
+/// The length of the body; 0 if the headers do not say.
+fn content_length(headers: &[(String, String)]) -> io::Result<usize> {
+    let mut headers = headers.iter();
+    match headers.find(|(name, _)| name.eq_ignore_ascii_case("Content-Length")) {
+        Some((_, value)) => value
+            .parse()
+            .map_err(|_| invalid("a length that is no number")),
+        None => Ok(0),
+    }
 }
 
-/// An answer's bytes.
-pub fn answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut out = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n", body.len());
+/// The bytes of a response.
+pub fn encode_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    let mut head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n", body.len());
     for (name, value) in headers {
-        out += &format!("{name}: {value}\r\n");
+        head += &format!("{name}: {value}\r\n");
     }
-    let mut out = (out + "\r\n").into_bytes();
-    out.extend_from_slice(body);
-    out
+    let mut response = (head + "\r\n").into_bytes();
+    response.extend_from_slice(body);
+    response
 }
--- a/crates/aspendrum-fake-services/src/origin.rs
+++ b/crates/aspendrum-fake-services/src/origin.rs
@@ -1,8 +1,9 @@
-//! Servers of the system, as `PROTOCOL` words them: a name for each life, slots and a short queue, health checks,
-//! and the ways they fail. What each ran is told by the try's id.
+//! A fake of the system's servers: an identity for each incarnation, slots and a short queue, health checks, and the ways
+//! they fail. What each ran is recorded by the attempt's id.
 
-use crate::host::Host;
-use crate::{http, lock, Clock};
+use crate::fake_process::FakeProcess;
+use crate::http::{encode_response, read_message, Message, MessageKind};
+use crate::{lock, Clock, MILLIS_PER_SECOND};
 use aspendrum_checker::system::Execution;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -18,318 +19,375 @@
 /// What a server is like.
 #[derive(Clone, Debug)]
 pub struct OriginOptions {
+    /// Its service.
     pub service: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// How many requests it runs at once.
     pub slots: usize,
-    /// Requests that may wait for a slot; more are turned away.
+    /// How many requests may wait for a slot; more are rejected.
     pub queue_capacity: usize,
+    /// The mean time that a request takes, in milliseconds.
     pub work_ms: f64,
-    /// It drops a request when its connection closes, as most servers do.
+    /// Whether it drops a request when its connection closes, as most servers do.
     pub drops_on_close: bool,
 }
 
-/// The ways of failing that can stand at the same time; shares are of requests, 0 to 1.
+/// The ways of failing that can hold at the same time. Shares are of requests, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OriginFaults {
-    /// Answered with a 500 of its own behind the work.
+    /// Answered with a 500 of its own, after the work.
     pub error_share: f64,
-    /// The connection is reset before the request counts as taken, and behind the work.
+    /// The connection is reset before the work.
     pub early_reset_share: f64,
+    /// The connection is reset after the work.
     pub late_reset_share: f64,
-    /// It works and never answers.
+    /// Not answered, after the work.
     pub no_response_share: f64,
-    /// Work takes so many times as long; 0 stands for 1.
+    /// Work takes so many times as long; 0 counts as 1.
     pub slowdown: f64,
-    /// It turns everything away and ends what it has.
+    /// It rejects all requests, and ends those that it has.
     pub is_draining: bool,
-    /// It turns everything away unread, and is well.
+    /// It rejects all requests, and is healthy.
     pub is_full: bool,
-    /// Nothing of what it runs goes on.
+    /// Nothing that it runs makes progress.
     pub is_stalled: bool,
 }
 
-/// All servers' record of what ran.
+/// The record of all executions at all servers of a run.
 pub struct ExecutionLog {
     clock: Clock,
-    runs: Mutex<Vec<Execution>>,
+    executions: Mutex<Vec<Execution>>,
 }
 
 impl ExecutionLog {
+    /// An empty record.
     pub fn new(clock: Clock) -> Arc<ExecutionLog> {
         Arc::new(ExecutionLog {
             clock,
-            runs: Mutex::default(),
+            executions: Mutex::default(),
         })
     }
 
+    /// All executions so far; those in progress end at infinity.
     pub fn executions(&self) -> Vec<Execution> {
-        lock(&self.runs).clone()
+        lock(&self.executions).clone()
     }
 
-    /// A run begins that takes so many milliseconds; it ends when what is returned is dropped.
-    fn begin(&self, run: Execution, work_ms: f64) -> Running<'_> {
-        let at = self.clock.now();
-        let mut runs = lock(&self.runs);
-        runs.push(Execution {
-            started_at: at,
+    /// Records an execution that takes so many milliseconds. It ends when the result is dropped.
+    fn begin(&self, execution: Execution, work_ms: f64) -> RunningExecution<'_> {
+        let started_at = self.clock.now();
+        let mut executions = lock(&self.executions);
+        executions.push(Execution {
+            started_at,
             ended_at: f64::INFINITY,
-            would_end_at: at + work_ms,
-            ..run
+            would_end_at: started_at + work_ms,
+            ..execution
         });
-        Running {
-            record: self,
-            number: runs.len() - 1,
+        RunningExecution {
+            log: self,
+            index: executions.len() - 1,
         }
     }
 }
 
-/// A run that is under way.
-struct Running<'a> {
-    record: &'a ExecutionLog,
-    number: usize,
+struct RunningExecution<'a> {
+    log: &'a ExecutionLog,
+    index: usize,
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningExecution<'_> {
     fn drop(&mut self) {
-        let now = self.record.clock.now();
-        lock(&self.record.runs)[self.number].ended_at = now;
+        let now = self.log.clock.now();
+        lock(&self.log.executions)[self.index].ended_at = now;
     }
 }
 
+/// A fake server.
 pub struct OriginServer {
-    host: Host,
+    process: FakeProcess,
     number: usize,
-    figures: OriginOptions,
-    record: Arc<ExecutionLog>,
+    options: OriginOptions,
+    log: Arc<ExecutionLog>,
     state: Mutex<State>,
     slots: Semaphore,
-    ails: watch::Sender<OriginFaults>,
+    faults: watch::Sender<OriginFaults>,
 }
 
 struct State {
-    life: u32,
-    up: bool,
-    in_hand: usize,
+    incarnation: u32,
+    is_up: bool,
+    /// Requests that run or wait.
+    in_progress: usize,
     rng: SmallRng,
 }
 
-/// What came of a request.
-enum Came {
-    Answer(Vec<u8>),
+/// Each server draws numbers of its own, the same in each run.
+const SEED: u64 = 0x5eed;
+/// The spread of the time that requests take.
+const WORK_SPREAD: std::ops::Range<f64> = 0.5..1.5;
+
+/// What the client sees of a request.
+enum Reply {
+    Response(Vec<u8>),
     Reset,
     Nothing,
 }
 
+/// A response by which the client knows that the request has not run.
+fn not_run(status: u16) -> Reply {
+    Reply::Response(encode_response(status, &[("Not-Run", "1")], b""))
+}
+
 impl OriginServer {
-    /// Listens at that loopback address from now on.
+    /// Starts it at a free port of that address.
+    ///
+    /// # Errors
+    /// No port is free.
     pub async fn start(
-        at: IpAddr,
+        ip: IpAddr,
         number: usize,
-        figures: OriginOptions,
-        record: Arc<ExecutionLog>,
+        options: OriginOptions,
+        log: Arc<ExecutionLog>,
     ) -> io::Result<Arc<OriginServer>> {
-        let (host, listener) = Host::bind(at).await?;
+        let (process, listener) = FakeProcess::bind(ip).await?;
         let state = State {
-            life: 1,
-            up: true,
-            in_hand: 0,
-            rng: SmallRng::seed_from_u64(number as u64 ^ 0x5eed),
+            incarnation: 1,
+            is_up: true,
+            in_progress: 0,
+            rng: SmallRng::seed_from_u64(number as u64 ^ SEED),
         };
-        let slots = Semaphore::new(figures.slots);
-        let (state, ails) = (Mutex::new(state), watch::Sender::default());
         let origin = Arc::new(OriginServer {
-            host,
+            process,
             number,
-            figures,
-            record,
-            state,
-            slots,
-            ails,
+            slots: Semaphore::new(options.slots),
+            options,
+            log,
+            state: Mutex::new(state),
+            faults: watch::Sender::default(),
         });
         origin.listen(listener);
         Ok(origin)
     }
 
     fn listen(self: &Arc<OriginServer>, listener: TcpListener) {
-        let own = self.clone();
-        self.host
-            .listen(listener, move |stream| own.clone().serve(stream));
+        let served = self.clone();
+        self.process
+            .listen(listener, move |stream| served.clone().serve(stream));
     }
 
+    /// Where it listens.
     pub fn addr(&self) -> SocketAddr {
-        self.host.addr()
+        self.process.address()
     }
 
+    /// What it is like.
     pub fn options(&self) -> &OriginOptions {
-        &self.figures
+        &self.options
     }
 
-    /// The name of its present life.
+    /// The identity of its present incarnation.
     pub fn uid(&self) -> String {
-        format!("i-{}-{}", self.number, lock(&self.state).life)
+        format!("i-{}-{}", self.number, lock(&self.state).incarnation)
     }
 
+    /// Whether its process runs.
     pub fn is_up(&self) -> bool {
-        lock(&self.state).up
+        lock(&self.state).is_up
     }
 
+    /// How it fails at present.
     pub fn faults(&self) -> OriginFaults {
-        *self.ails.borrow()
+        *self.faults.borrow()
     }
 
-    pub fn change_faults(&self, how: impl FnOnce(&mut OriginFaults)) {
-        self.ails.send_modify(how);
+    /// Changes how it fails.
+    pub fn change_faults(&self, change: impl FnOnce(&mut OriginFaults)) {
+        self.faults.send_modify(change);
     }
 
+    /// Kills its process: connections are reset and new ones refused.
     pub fn kill(&self) {
-        if self.host.die() {
-            lock(&self.state).up = false;
+        if self.process.kill() {
+            lock(&self.state).is_up = false;
         }
     }
 
-    /// A new life at the same address.
+    /// Restarts it at the same address, unless it is up.
+    ///
+    /// # Errors
+    /// The address cannot be bound again.
     pub async fn restart(self: &Arc<OriginServer>) -> io::Result<()> {
-        let Some(listener) = self.host.back().await? else {
+        let Some(listener) = self.process.begin_restart().await? else {
             return Ok(());
         };
         {
             let mut state = lock(&self.state);
-            (state.life, state.up, state.in_hand) = (state.life + 1, true, 0);
+            state.incarnation += 1;
+            (state.is_up, state.in_progress) = (true, 0);
         }
-        self.host.begin();
+        self.process.complete_restart();
         self.listen(listener);
         Ok(())
     }
 
     async fn serve(self: Arc<OriginServer>, mut stream: TcpStream) {
-        let mut rest = Vec::new();
-        while let Ok(Some(call)) = http::next(&mut stream, &mut rest, true).await {
-            let came = match call.line.1.as_str() {
-                "/healthz" => Came::Answer(self.health()),
+        let mut unread = Vec::new();
+        let kind = MessageKind::Request;
+        while let Ok(Some(call)) = read_message(&mut stream, &mut unread, kind).await {
+            let reply = match call.target() {
+                "/healthz" => Reply::Response(self.health()),
                 _ => self.request(&call, &stream).await,
             };
-            match came {
-                Came::Answer(bytes) => {
+            match reply {
+                Reply::Response(bytes) => {
                     if stream.write_all(&bytes).await.is_err() {
                         break;
                     }
                 }
-                Came::Reset => return,
-                Came::Nothing => std::future::pending().await,
+                Reply::Reset => return,
+                Reply::Nothing => std::future::pending().await,
             }
         }
+        // An orderly end, no reset.
         let _ = socket2::SockRef::from(&stream).set_linger(None);
     }
 
     fn load(&self) -> String {
-        let (in_hand, slots) = (lock(&self.state).in_hand, self.figures.slots);
-        format!(
-            "{},{},{slots}",
-            in_hand.min(slots),
-            in_hand.saturating_sub(slots)
-        )
+        let (in_progress, slots) = (lock(&self.state).in_progress, self.options.slots);
+        let (running, waiting) = (in_progress.min(slots), in_progress.saturating_sub(slots));
+        format!("{running},{waiting},{slots}")
     }
 
     fn health(&self) -> Vec<u8> {
         let status = if self.faults().is_draining { 503 } else { 200 };
-        http::answer(
+        let headers = [("Server-Id", self.uid()), ("Server-Load", self.load())];
+        encode_response(
             status,
-            &[("Server-Id", &self.uid()), ("Server-Load", &self.load())],
+            &headers
+                .each_ref()
+                .map(|(name, value)| (*name, value.as_str())),
             b"",
         )
     }
 
-    /// Work that takes so long, and longer while nothing goes on.
+    /// Waits so long, and longer while it is stalled.
     async fn work(&self, work_ms: f64) {
-        sleep(Duration::from_secs_f64(work_ms / 1000.0)).await;
-        // The sender lives as long as the server, so that the wait cannot fail.
-        let _ = self.ails.subscribe().wait_for(|ails| !ails.is_stalled).await;
+        sleep(Duration::from_secs_f64(work_ms / MILLIS_PER_SECOND)).await;
+        // The sender lives as long as the server, so that this does not fail.
+        let _ = self
+            .faults
+            .subscribe()
+            .wait_for(|faults| !faults.is_stalled)
+            .await;
     }
 
-    async fn request(&self, call: &http::Message, stream: &TcpStream) -> Came {
-        let not_run = |status| Came::Answer(http::answer(status, &[("Not-Run", "1")], b""));
-        let arrived = self.record.clock.now();
-        let Some(id) = call
+    async fn request(&self, call: &Message, stream: &TcpStream) -> Reply {
+        let arrived_at = self.log.clock.now();
+        let id = call
             .header("Try-Id")
-            .and_then(|t| u64::from_str_radix(t, 16).ok())
-        else {
-            return not_run(400);
-        };
+            .and_then(|text| u64::from_str_radix(text, 16).ok());
+        let Some(id) = id else { return not_run(400) };
         if call
             .header("Want-Server")
             .is_some_and(|wanted| wanted != self.uid())
         {
             return not_run(421);
         }
-        let (ails, chance) = (self.faults(), lock(&self.state).rng.random::<f64>());
-        if chance < ails.early_reset_share {
-            return Came::Reset;
+        let (faults, chance) = (self.faults(), lock(&self.state).rng.random::<f64>());
+        if chance < faults.early_reset_share {
+            return Reply::Reset;
         }
-        let full = lock(&self.state).in_hand >= self.figures.slots + self.figures.queue_capacity;
-        if full || ails.is_draining || ails.is_full {
+        let capacity = self.options.slots + self.options.queue_capacity;
+        let is_full = lock(&self.state).in_progress >= capacity;
+        if is_full || faults.is_draining || faults.is_full {
             return not_run(503);
         }
-        let chance = chance - ails.early_reset_share;
-        lock(&self.state).in_hand += 1;
-        let leave = Leave(self);
-        let slot = tokio::select! {
-            slot = self.slots.acquire() => slot,
-            () = closed(stream), if self.figures.drops_on_close => return Came::Reset,
-        };
-        let Ok(slot) = slot else { return Came::Reset };
-        let spread = lock(&self.state).rng.random_range(0.5..1.5);
-        let work_ms = self.figures.work_ms * spread * ails.slowdown.max(1.0);
-        let run = Execution {
+        let chance = chance - faults.early_reset_share;
+        let execution = self.execution(id, call, arrived_at);
+        if !self.run(execution, &faults, stream).await {
+            return Reply::Reset;
+        }
+        self.reply(id, &faults, chance)
+    }
+
+    fn execution(&self, id: u64, call: &Message, arrived_at: f64) -> Execution {
+        Execution {
             id,
             server_uid: self.uid(),
-            service: self.figures.service.clone(),
-            zone: self.figures.zone.clone(),
+            service: self.options.service.clone(),
+            zone: self.options.zone.clone(),
             tenant: call.header("Tenant").map(str::to_string),
-            arrived_at: arrived,
+            arrived_at,
             started_at: 0.0,
             ended_at: 0.0,
             would_end_at: 0.0,
-            drops_on_close: self.figures.drops_on_close,
+            drops_on_close: self.options.drops_on_close,
+        }
+    }
+
+    /// Waits for a slot, and runs the request. False: it was dropped, since its connection closed.
+    async fn run(&self, execution: Execution, faults: &OriginFaults, stream: &TcpStream) -> bool {
+        lock(&self.state).in_progress += 1;
+        let in_progress = InProgress(self);
+        let drops = self.options.drops_on_close;
+        let slot = tokio::select! {
+            slot = self.slots.acquire() => slot,
+            () = wait_for_close(stream), if drops => return false,
+        };
+        let Ok(slot) = slot else { return false };
+        let spread = lock(&self.state).rng.random_range(WORK_SPREAD);
+        let work_ms = self.options.work_ms * spread * faults.slowdown.max(1.0);
+        let execution = Execution {
+            server_uid: self.uid(),
+            ..execution
         };
-        let running = self.record.begin(run, work_ms);
+        let running = self.log.begin(execution, work_ms);
         tokio::select! {
             () = self.work(work_ms) => {}
-            () = closed(stream), if self.figures.drops_on_close => return Came::Reset,
+            () = wait_for_close(stream), if drops => return false,
         }
         drop(running);
-        drop((slot, leave));
-        let (failing, resetting) = (ails.error_share, ails.error_share + ails.late_reset_share);
-        if chance >= resetting && chance < resetting + ails.no_response_share {
-            return Came::Nothing;
+        drop((slot, in_progress));
+        true
+    }
+
+    /// What the client sees of a request that has run. `chance` decides on faults.
+    fn reply(&self, id: u64, faults: &OriginFaults, chance: f64) -> Reply {
+        let error_end = faults.error_share;
+        let reset_end = error_end + faults.late_reset_share;
+        if chance >= reset_end && chance < reset_end + faults.no_response_share {
+            return Reply::Nothing;
         }
-        if chance >= failing && chance < resetting {
-            return Came::Reset;
+        if chance >= error_end && chance < reset_end {
+            return Reply::Reset;
         }
-        let (text, load) = (format!("{id:016x}"), self.load());
+        let (id, load) = (format!("{id:016x}"), self.load());
         let headers = [
-            ("Try-Id", text.as_str()),
+            ("Try-Id", id.as_str()),
             ("Seal", "1"),
             ("Server-Load", &load),
         ];
-        let status = if chance < failing { 500 } else { 200 };
-        Came::Answer(http::answer(status, &headers, text.as_bytes()))
+        let status = if chance < error_end { 500 } else { 200 };
+        Reply::Response(encode_response(status, &headers, id.as_bytes()))
     }
 }
 
-/// Returns once the other side has closed the connection, or its sending side.
-async fn closed(stream: &TcpStream) {
+/// Returns once the peer has closed the connection, or its sending side.
+async fn wait_for_close(stream: &TcpStream) {
     match stream.peek(&mut [0]).await {
         Ok(0) | Err(_) => {}
-        // Something was sent ahead, and hides what comes behind it.
+        // A next request was sent ahead, and hides what follows.
         Ok(_) => std::future::pending().await,
     }
 }
 
-struct Leave<'a>(&'a OriginServer);
+/// Counts a request as in progress until it is dropped.
+struct InProgress<'a>(&'a OriginServer);
 
-impl Drop for Leave<'_> {
+impl Drop for InProgress<'_> {
     fn drop(&mut self) {
         let mut state = lock(&self.0.state);
-        state.in_hand = state.in_hand.saturating_sub(1);
+        state.in_progress = state.in_progress.saturating_sub(1);
     }
 }
--- a/crates/aspendrum-fake-services/src/server.rs
+++ b/crates/aspendrum-fake-services/src/server.rs
@@ -1,7 +1,8 @@
-//! Rate servers: some cores, a queue, a cold start, load reports, and the ways they fail.
+//! A fake of the servers behind rate limiters: some cores, a queue, a slow start, load reports, and the ways they fail.
 
-use crate::host::Host;
-use crate::{http, lock, Clock};
+use crate::fake_process::FakeProcess;
+use crate::http::{encode_response, read_message, Message, MessageKind};
+use crate::{lock, Clock, MILLIS_PER_SECOND};
 use aspendrum_checker::limiter::{Forward, ForwardOutcome, RetrySafety, ServerIncarnation};
 use aspendrum_checker::Millis;
 use rand::rngs::SmallRng;
@@ -20,48 +21,58 @@
 /// What a server is like.
 #[derive(Clone, Debug)]
 pub struct RateServerOptions {
+    /// How many queries it runs at once.
     pub cores: usize,
-    /// Queries that may wait for a core; more are turned away.
+    /// How many queries may wait for a core; more are rejected.
     pub queue_capacity: usize,
+    /// How many connections it serves; queries on more are rejected.
     pub max_connections: usize,
-    /// What a new connection's first query takes longer, as a handshake would.
+    /// How much longer the first query of a connection takes, as a handshake would make it.
     pub handshake_time: Millis,
+    /// The share of its capacity that it has just after a restart.
     pub slow_start_capacity: f64,
+    /// The time until it has its full capacity after a restart.
     pub slow_start: Millis,
-    /// It falls over under so many times what it can do, sent within this time.
+    /// It collapses when, in slow start, the work of a window exceeds its capacity so many times.
     pub collapse_multiple: f64,
+    /// The window for that.
     pub collapse_window: Millis,
-    /// Answers carry load reports; else only probes do.
+    /// Whether responses carry load reports; else only probes do.
     pub reports_in_answers: bool,
+    /// Whether it answers probes.
     pub answers_probes: bool,
-    /// Milliseconds of one core for each endpoint group, by name, and how it may be repeated.
+    /// The work of a query in milliseconds of one core, and whether it may run more than once, by endpoint group.
     pub groups: HashMap<String, (Millis, RetrySafety)>,
-    /// A keyed query's repeat is dropped for so long.
+    /// For so long a repeat of a query with a key is dropped.
     pub deduplication_window: Millis,
 }
 
-/// The ways of failing that can stand at the same time.
+/// The ways of failing that can hold at the same time. Shares are of queries, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RateServerFaults {
-    /// Work takes so many times as long; 0 stands for 1.
+    /// Work takes so many times as long; 0 counts as 1.
     pub slowdown: f64,
-    /// Shares of queries that get a 500 behind their work, and whose connection is reset in mid-answer.
+    /// Answered with a 500 after the work.
     pub error_share: f64,
+    /// The connection is reset in the middle of the response.
     pub reset_share: f64,
-    /// Takes queries and answers none.
+    /// It accepts queries and answers none.
     pub is_silent: bool,
-    /// Works on what it has and turns new queries away.
+    /// It finishes what it has and rejects new queries.
     pub is_draining: bool,
 }
 
-/// What all servers of a run share: the record of forwards, and the keys of what has run.
+/// What all servers of a run share: the record of what reached them, and the keys of the queries that have run.
 pub struct ServerLog {
+    /// The clock of the run.
     pub clock: Clock,
     forwards: Mutex<Vec<Forward>>,
+    /// When the query with each key ran.
     keys: Mutex<HashMap<String, Millis>>,
 }
 
 impl ServerLog {
+    /// An empty record.
     pub fn new(clock: Clock) -> Arc<ServerLog> {
         Arc::new(ServerLog {
             clock,
@@ -70,12 +81,13 @@
         })
     }
 
+    /// All that reached servers so far.
     pub fn forwards(&self) -> Vec<Forward> {
         lock(&self.forwards).clone()
     }
 
-    /// Whether a keyed query ran within the window; if not, it runs now.
-    fn ran(&self, key: &str, now: Millis, window: Millis) -> bool {
+    /// Whether a query with that key ran within the window; if not, it runs now.
+    fn has_run(&self, key: &str, now: Millis, window: Millis) -> bool {
         let mut keys = lock(&self.keys);
         if keys.get(key).is_some_and(|at| now - at < window) {
             return true;
@@ -85,317 +97,355 @@
     }
 }
 
+/// A fake server.
 pub struct RateServer {
     number: usize,
-    host: Host,
-    figures: RateServerOptions,
-    shared: Arc<ServerLog>,
+    process: FakeProcess,
+    options: RateServerOptions,
+    log: Arc<ServerLog>,
     state: Mutex<State>,
     cores: Semaphore,
-    ails: watch::Sender<RateServerFaults>,
+    faults: watch::Sender<RateServerFaults>,
+}
+
+/// Work that arrived.
+struct Work {
+    at: Millis,
+    core_ms: Millis,
 }
 
 struct State {
-    up: Millis,
-    cold: bool,
-    lives: Vec<ServerIncarnation>,
-    in_hand: usize,
+    started_at: Millis,
+    is_cold_start: bool,
+    incarnations: Vec<ServerIncarnation>,
+    /// Queries that run or wait.
+    in_progress: usize,
     connections: usize,
-    /// Work that came lately: when, and core milliseconds.
-    lately: VecDeque<(Millis, Millis)>,
-    busy_ms: f64,
+    /// The work of the last collapse window.
+    recent_work: VecDeque<Work>,
     rng: SmallRng,
 }
 
+/// The spread of the time that queries take.
+const WORK_SPREAD: std::ops::Range<f64> = 0.5..1.5;
+
+/// A query on its connection.
+struct ReceivedQuery<'c> {
+    id: u64,
+    call: &'c Message,
+    received_at: Millis,
+    /// The connection is one too many.
+    is_excess: bool,
+    /// It is the first one on its connection.
+    is_first: bool,
+}
+
 impl RateServer {
-    /// Listens at that loopback address from now on, warm.
+    /// Starts it at a free port of that address, with its full capacity.
+    ///
+    /// # Errors
+    /// No port is free.
     pub async fn start(
-        at: IpAddr,
+        ip: IpAddr,
         number: usize,
-        figures: RateServerOptions,
+        options: RateServerOptions,
         seed: u64,
-        shared: Arc<ServerLog>,
+        log: Arc<ServerLog>,
     ) -> io::Result<Arc<RateServer>> {
-        let (host, listener) = Host::bind(at).await?;
-        let rng = SmallRng::seed_from_u64(seed ^ (number as u64) << 32);
+        let (process, listener) = FakeProcess::bind(ip).await?;
+        let first = ServerIncarnation {
+            server: number,
+            from: 0.0,
+            is_cold_start: false,
+            collapsed_at: None,
+        };
         let state = State {
-            up: 0.0,
-            cold: false,
-            lives: vec![ServerIncarnation {
-                server: number,
-                from: 0.0,
-                is_cold_start: false,
-                collapsed_at: None,
-            }],
-            in_hand: 0,
+            started_at: 0.0,
+            is_cold_start: false,
+            incarnations: vec![first],
+            in_progress: 0,
             connections: 0,
-            lately: VecDeque::new(),
-            busy_ms: 0.0,
-            rng,
+            recent_work: VecDeque::new(),
+            rng: SmallRng::seed_from_u64(seed ^ (number as u64) << 32),
         };
         let server = Arc::new(RateServer {
             number,
-            host,
-            cores: Semaphore::new(figures.cores),
-            figures,
-            shared,
+            process,
+            cores: Semaphore::new(options.cores),
+            options,
+            log,
             state: Mutex::new(state),
-            ails: watch::Sender::default(),
+            faults: watch::Sender::default(),
         });
         server.listen(listener);
         Ok(server)
     }
 
+    /// Where it listens.
     pub fn addr(&self) -> SocketAddr {
-        self.host.addr()
+        self.process.address()
     }
 
+    /// The record that it shares with other servers.
     pub fn log(&self) -> &Arc<ServerLog> {
-        &self.shared
+        &self.log
     }
 
+    /// All its processes so far.
     pub fn incarnations(&self) -> Vec<ServerIncarnation> {
-        lock(&self.state).lives.clone()
+        lock(&self.state).incarnations.clone()
     }
 
-    pub fn change_faults(&self, how: impl FnOnce(&mut RateServerFaults)) {
-        self.ails.send_modify(how);
+    /// Changes how it fails.
+    pub fn change_faults(&self, change: impl FnOnce(&mut RateServerFaults)) {
+        self.faults.send_modify(change);
     }
 
-    /// The process dies: its connections are reset and new ones refused.
+    /// Kills its process: connections are reset and new ones refused.
     pub fn kill(&self) {
-        self.host.die();
+        self.process.kill();
     }
 
-    /// Starts again at the same address, cold. Milliseconds of the run at which it did; `None`: it is up.
+    /// Restarts it at the same address, in slow start. Returns when it did; `None`: it was up.
+    ///
+    /// # Errors
+    /// The address cannot be bound again.
     pub async fn restart(self: &Arc<RateServer>) -> io::Result<Option<Millis>> {
-        let Some(listener) = self.host.back().await? else {
+        let Some(listener) = self.process.begin_restart().await? else {
             return Ok(None);
         };
-        let now = self.shared.clock.now();
+        let now = self.log.clock.now();
         {
             let mut state = lock(&self.state);
-            (state.up, state.cold, state.in_hand, state.connections) = (now, true, 0, 0);
-            state.lately.clear();
-            state.lives.push(ServerIncarnation {
+            (state.started_at, state.is_cold_start) = (now, true);
+            (state.in_progress, state.connections) = (0, 0);
+            state.recent_work.clear();
+            state.incarnations.push(ServerIncarnation {
                 server: self.number,
                 from: now,
                 is_cold_start: true,
                 collapsed_at: None,
             });
         }
-        self.host.begin();
+        self.process.complete_restart();
         self.listen(listener);
         Ok(Some(now))
     }
 
     fn listen(self: &Arc<RateServer>, listener: TcpListener) {
-        let own = self.clone();
-        self.host
-            .listen(listener, move |stream| own.clone().connection(stream));
+        let served = self.clone();
+        self.process.listen(listener, move |stream| {
+            served.clone().serve_connection(stream)
+        });
     }
 
-    async fn connection(self: Arc<RateServer>, mut stream: TcpStream) {
-        let held = {
+    async fn serve_connection(self: Arc<RateServer>, mut stream: TcpStream) {
+        let connections = {
             let mut state = lock(&self.state);
             state.connections += 1;
             state.connections
         };
-        self.serve(&mut stream, held > self.figures.max_connections)
-            .await;
-        // An end in good order, unless `serve` left the reset in force.
+        let is_excess = connections > self.options.max_connections;
+        self.serve(&mut stream, is_excess).await;
         let mut state = lock(&self.state);
         state.connections = state.connections.saturating_sub(1);
     }
 
-    async fn serve(&self, stream: &mut TcpStream, crowded: bool) {
-        let (mut rest, mut fresh) = (Vec::new(), true);
-        loop {
-            let Ok(Some(call)) = http::next(stream, &mut rest, true).await else {
-                break;
-            };
-            let now = self.shared.clock.now();
-            let path = call
-                .line
-                .1
-                .split(['/', '?'])
-                .nth(1)
-                .unwrap_or("")
-                .to_string();
-            let told = match call
+    async fn serve(&self, stream: &mut TcpStream, is_excess: bool) {
+        let (mut unread, mut is_first) = (Vec::new(), true);
+        while let Ok(Some(call)) = read_message(stream, &mut unread, MessageKind::Request).await {
+            let received_at = self.log.clock.now();
+            let id = call
                 .header("X-Txn")
-                .and_then(|t| u64::from_str_radix(t, 16).ok())
-            {
+                .and_then(|text| u64::from_str_radix(text, 16).ok());
+            let response = match id {
                 Some(id) => {
-                    match self
-                        .query(id, &call, &path, now, crowded, std::mem::take(&mut fresh))
-                        .await
-                    {
-                        Some(told) => told,
-                        // Reset in mid-answer, with the first half of one on its way.
-                        None => {
-                            let whole = http::answer(200, &[], b"never whole");
-                            let _ = stream.write_all(&whole[..whole.len() / 2]).await;
-                            return;
-                        }
-                    }
+                    let is_first = std::mem::take(&mut is_first);
+                    let query = ReceivedQuery {
+                        id,
+                        call: &call,
+                        received_at,
+                        is_excess,
+                        is_first,
+                    };
+                    self.query(&query).await
                 }
-                None => self.probe(&call.line.1),
+                None => Some(self.probe(call.target())),
             };
-            if stream.write_all(&told).await.is_err() || crowded {
+            let Some(response) = response else {
+                // The connection is reset with half of a response on its way.
+                let half = encode_response(200, &[], b"never whole");
+                let _ = stream.write_all(&half[..half.len() / 2]).await;
+                return;
+            };
+            if stream.write_all(&response).await.is_err() || is_excess {
                 break;
             }
         }
+        // An orderly end, no reset.
         let _ = SockRef::from(&*stream).set_linger(None);
     }
 
     fn probe(&self, path: &str) -> Vec<u8> {
-        let report = self.report();
+        let report = self.load_report();
         match path {
-            "/health/live" if self.figures.answers_probes => http::answer(200, &[], b""),
-            "/stats" if self.figures.answers_probes => http::answer(200, &[], report.as_bytes()),
-            _ => http::answer(404, &[], b""),
+            "/health/live" if self.options.answers_probes => encode_response(200, &[], b""),
+            "/stats" if self.options.answers_probes => encode_response(200, &[], report.as_bytes()),
+            _ => encode_response(404, &[], b""),
         }
     }
 
-    fn report(&self) -> String {
-        let in_hand = lock(&self.state).in_hand;
-        let queue = in_hand.saturating_sub(self.figures.cores);
-        let util = in_hand.min(self.figures.cores) as f64 / self.figures.cores as f64;
-        format!("inflight={in_hand}, queue={queue}, util={util:.2}")
-    }
-
-    fn turned_away(&self) -> Vec<u8> {
-        http::answer(503, &[("X-Turned-Away", "1")], b"")
+    fn load_report(&self) -> String {
+        let (in_progress, cores) = (lock(&self.state).in_progress, self.options.cores);
+        let queue = in_progress.saturating_sub(cores);
+        let utilization = in_progress.min(cores) as f64 / cores as f64;
+        format!("inflight={in_progress}, queue={queue}, util={utilization:.2}")
     }
 
-    /// The whole life of one forward here. `None`: the connection is to be reset.
-    async fn query(
-        &self,
-        id: u64,
-        call: &http::Message,
-        group: &str,
-        now: Millis,
-        crowded: bool,
-        fresh: bool,
-    ) -> Option<Vec<u8>> {
-        let ails = *self.ails.borrow();
-        let Some(&(work, repeats)) = self.figures.groups.get(group) else {
-            return Some(http::answer(400, &[], b""));
-        };
-        let key = call.header("Idempotency-Key").unwrap_or("");
-        let full = lock(&self.state).in_hand >= self.figures.cores + self.figures.queue_capacity;
-        let fate = if crowded || full || ails.is_draining {
-            ForwardOutcome::Rejected
-        } else if repeats == RetrySafety::Deduplicated
-            && self.shared.ran(key, now, self.figures.deduplication_window)
-        {
-            ForwardOutcome::Deduplicated
-        } else {
-            ForwardOutcome::Ran
-        };
-        let two_lengths =
-            call.header("Content-Length").is_some() && call.header("Transfer-Encoding").is_some();
-        let first = self.shared.clock.at(call.first);
-        let forward = Forward {
-            id,
-            server: self.number,
-            first_byte_at: first,
-            last_byte_at: now,
-            fate,
-            has_two_lengths: two_lengths,
+    /// The response to a query. `None`: its connection is to be reset.
+    async fn query(&self, query: &ReceivedQuery<'_>) -> Option<Vec<u8>> {
+        let faults = *self.faults.borrow();
+        let group = query.call.target().split(['/', '?']).nth(1).unwrap_or("");
+        let Some(&(work, retry_safety)) = self.options.groups.get(group) else {
+            return Some(encode_response(400, &[], b""));
         };
-        lock(&self.shared.forwards).push(forward);
-        self.weigh(now, work);
-        if fate == ForwardOutcome::Rejected {
-            return Some(self.turned_away());
+        let outcome = self.decide(query, retry_safety, &faults);
+        self.record(query, outcome);
+        self.check_collapse(query.received_at, work);
+        if outcome == ForwardOutcome::Rejected {
+            return Some(encode_response(503, &[("X-Turned-Away", "1")], b""));
         }
-        if fresh && self.figures.handshake_time > 0.0 {
-            sleep(Duration::from_secs_f64(self.figures.handshake_time / 1000.0)).await;
+        if query.is_first && self.options.handshake_time > 0.0 {
+            let handshake = self.options.handshake_time / MILLIS_PER_SECOND;
+            sleep(Duration::from_secs_f64(handshake)).await;
         }
-        if fate == ForwardOutcome::Ran {
-            self.work(work, &ails).await;
+        if outcome == ForwardOutcome::Ran {
+            self.work(work, &faults).await;
         }
-        if self.ails.borrow().is_silent {
-            // Nothing comes while it is silent, nor after: the query is forgotten.
-            let _ = self.ails.subscribe().wait_for(|a| !a.is_silent).await;
+        if self.faults.borrow().is_silent {
+            // The query is forgotten: nothing is answered while it is silent, nor afterwards.
+            let _ = self
+                .faults
+                .subscribe()
+                .wait_for(|faults| !faults.is_silent)
+                .await;
             return Some(Vec::new());
         }
+        self.response(query.id, &faults)
+    }
+
+    fn decide(
+        &self,
+        query: &ReceivedQuery<'_>,
+        retry_safety: RetrySafety,
+        faults: &RateServerFaults,
+    ) -> ForwardOutcome {
+        let capacity = self.options.cores + self.options.queue_capacity;
+        let is_full = lock(&self.state).in_progress >= capacity;
+        if query.is_excess || is_full || faults.is_draining {
+            return ForwardOutcome::Rejected;
+        }
+        let key = query.call.header("Idempotency-Key").unwrap_or("");
+        let window = self.options.deduplication_window;
+        let is_keyed = retry_safety == RetrySafety::Deduplicated;
+        if is_keyed && self.log.has_run(key, query.received_at, window) {
+            return ForwardOutcome::Deduplicated;
+        }
+        ForwardOutcome::Ran
+    }
+
+    fn record(&self, query: &ReceivedQuery<'_>, outcome: ForwardOutcome) {
+        let has = |name| query.call.header(name).is_some();
+        let forward = Forward {
+            id: query.id,
+            server: self.number,
+            first_byte_at: self.log.clock.at(query.call.first_byte_at),
+            last_byte_at: query.received_at,
+            fate: outcome,
+            has_two_lengths: has("Content-Length") && has("Transfer-Encoding"),
+        };
+        lock(&self.log.forwards).push(forward);
+    }
+
+    fn response(&self, id: u64, faults: &RateServerFaults) -> Option<Vec<u8>> {
         let chance: f64 = lock(&self.state).rng.random();
-        if chance < ails.reset_share {
+        if chance < faults.reset_share {
             return None;
         }
-        let report = self.report();
-        let headers: &[(&str, &str)] = if self.figures.reports_in_answers {
-            &[("X-Pressure", &format!("TEXT {report}"))]
+        let report = format!("TEXT {}", self.load_report());
+        let with_report = [("X-Pressure", report.as_str())];
+        let headers = if self.options.reports_in_answers {
+            &with_report[..]
         } else {
             &[]
         };
-        Some(if chance < ails.reset_share + ails.error_share {
-            http::answer(500, headers, b"")
+        Some(if chance < faults.reset_share + faults.error_share {
+            encode_response(500, headers, b"")
         } else {
-            http::answer(200, headers, format!("{id:016x}").as_bytes())
+            encode_response(200, headers, format!("{id:016x}").as_bytes())
         })
     }
 
-    /// The work on a core, with its turn waited for.
-    async fn work(&self, work: Millis, ails: &RateServerFaults) {
-        struct Leave<'a>(&'a RateServer);
-        impl Drop for Leave<'_> {
-            fn drop(&mut self) {
-                let mut state = lock(&self.0.state);
-                state.in_hand = state.in_hand.saturating_sub(1);
-            }
-        }
-        lock(&self.state).in_hand += 1;
-        let leave = Leave(self);
+    /// Waits for a core, and works on it.
+    async fn work(&self, work: Millis, faults: &RateServerFaults) {
+        lock(&self.state).in_progress += 1;
+        let in_progress = InProgress(self);
         let Ok(core) = self.cores.acquire().await else {
             return;
         };
-        let begun = Instant::now();
-        let spread: f64 = lock(&self.state).rng.random_range(0.5..1.5);
-        let took = work * spread * ails.slowdown.max(1.0) / self.speed(self.shared.clock.now());
-        sleep_until(begun + Duration::from_secs_f64(took / 1000.0)).await;
-        lock(&self.state).busy_ms += took;
-        drop((core, leave));
+        let started_at = Instant::now();
+        let spread: f64 = lock(&self.state).rng.random_range(WORK_SPREAD);
+        let capacity = self.capacity(self.log.clock.now());
+        let duration = work * spread * faults.slowdown.max(1.0) / capacity;
+        sleep_until(started_at + Duration::from_secs_f64(duration / MILLIS_PER_SECOND)).await;
+        drop((core, in_progress));
     }
 
-    /// Of its warm capacity, what it has now.
-    fn speed(&self, now: Millis) -> f64 {
+    /// The share of its full capacity that it has now.
+    fn capacity(&self, now: Millis) -> f64 {
         let state = lock(&self.state);
-        if !state.cold || self.figures.slow_start <= 0.0 {
+        if !state.is_cold_start || self.options.slow_start <= 0.0 {
             return 1.0;
         }
-        let warm = ((now - state.up) / self.figures.slow_start).clamp(0.0, 1.0);
-        self.figures.slow_start_capacity + (1.0 - self.figures.slow_start_capacity) * warm
+        let warm = ((now - state.started_at) / self.options.slow_start).clamp(0.0, 1.0);
+        self.options.slow_start_capacity + (1.0 - self.options.slow_start_capacity) * warm
     }
 
-    /// A cold server that is sent too much for too long falls over and stays down.
-    fn weigh(&self, now: Millis, work: Millis) {
-        let speed = self.speed(now);
+    /// Counts the work that arrives in slow start. If it is too much for too long, the server collapses and stays down.
+    fn check_collapse(&self, now: Millis, core_ms: Millis) {
+        let capacity = self.capacity(now);
+        let window = self.options.collapse_window;
         let mut state = lock(&self.state);
-        if !state.cold || now - state.up > self.figures.slow_start {
+        if !state.is_cold_start || now - state.started_at > self.options.slow_start {
             return;
         }
-        state.lately.push_back((now, work));
+        state.recent_work.push_back(Work { at: now, core_ms });
         while state
-            .lately
+            .recent_work
             .front()
-            .is_some_and(|w| now - w.0 > self.figures.collapse_window)
+            .is_some_and(|work| now - work.at > window)
         {
-            state.lately.pop_front();
+            state.recent_work.pop_front();
         }
-        let sum: Millis = state.lately.iter().map(|w| w.1).sum();
-        let may = self.figures.collapse_multiple
-            * speed
-            * self.figures.cores as f64
-            * self.figures.collapse_window;
-        if sum > may {
-            if let Some(life) = state.lives.last_mut() {
-                life.collapsed_at.get_or_insert(now);
+        let arrived: Millis = state.recent_work.iter().map(|work| work.core_ms).sum();
+        let cores = self.options.cores as f64;
+        let bearable = self.options.collapse_multiple * capacity * cores * window;
+        if arrived > bearable {
+            if let Some(incarnation) = state.incarnations.last_mut() {
+                incarnation.collapsed_at.get_or_insert(now);
             }
             drop(state);
             self.kill();
         }
     }
 }
+
+/// Counts a query as in progress until it is dropped.
+struct InProgress<'a>(&'a RateServer);
+
+impl Drop for InProgress<'_> {
+    fn drop(&mut self) {
+        let mut state = lock(&self.0.state);
+        state.in_progress = state.in_progress.saturating_sub(1);
+    }
+}
--- a/crates/aspendrum-fake-services/tests/standins.rs
+++ b/crates/aspendrum-fake-services/tests/services.rs
@@ -1,11 +1,12 @@
-//! The stand-ins against a client that speaks the protocol plainly: each does what it is for, fails as it is
-//! told to, and records what reached it.
+//! The fake services against a client that speaks the protocol plainly: each does what it is for, fails as it is told to,
+//! and records what reached it.
 
 use aspendrum_checker::limiter::{ForwardOutcome, RetrySafety};
 use aspendrum_fake_services::counter::{self, Counter};
 use aspendrum_fake_services::discovery::{Discovery, Health};
+use aspendrum_fake_services::http::{self, MessageKind};
 use aspendrum_fake_services::server::{self, RateServer, ServerLog};
-use aspendrum_fake_services::{http, Clock};
+use aspendrum_fake_services::Clock;
 use serde_json::Value;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 const SOON: Duration = Duration::from_secs(5);
 const A_WHILE: Duration = Duration::from_millis(150);
 
-fn figures() -> server::RateServerOptions {
+fn options() -> server::RateServerOptions {
     let groups = [
         ("look", RetrySafety::Idempotent),
         ("book", RetrySafety::Deduplicated),
@@ -41,10 +42,10 @@
     }
 }
 
-async fn server(figures: server::RateServerOptions) -> (Arc<RateServer>, Arc<ServerLog>) {
+async fn server(options: server::RateServerOptions) -> (Arc<RateServer>, Arc<ServerLog>) {
     let shared = ServerLog::new(Clock::start());
     (
-        RateServer::start(HERE, 0, figures, 1, shared.clone())
+        RateServer::start(HERE, 0, options, 1, shared.clone())
             .await
             .unwrap(),
         shared,
@@ -54,10 +55,13 @@
 /// Asks on a connection; `None`: it ended without a whole answer.
 async fn ask(stream: &mut TcpStream, text: &str) -> Option<http::Message> {
     stream.write_all(text.as_bytes()).await.ok()?;
-    timeout(SOON, http::next(stream, &mut Vec::new(), false))
-        .await
-        .unwrap()
-        .ok()?
+    timeout(
+        SOON,
+        http::read_message(stream, &mut Vec::new(), MessageKind::Response),
+    )
+    .await
+    .unwrap()
+    .ok()?
 }
 
 async fn query(server: &RateServer, id: u64, group: &str) -> Option<http::Message> {
@@ -68,7 +72,7 @@
 
 #[tokio::test]
 async fn a_server_answers_with_its_report_and_records_what_reached_it() {
-    let (server, shared) = server(figures()).await;
+    let (server, shared) = server(options()).await;
     let answer = query(&server, 7, "look").await.unwrap();
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -96,10 +100,10 @@
 }
 
 #[tokio::test]
-async fn a_full_crowded_or_draining_server_turns_away_what_has_not_run() {
+async fn a_full_or_draining_server_or_one_with_too_many_connections_rejects_queries() {
     let (server, shared) = server(server::RateServerOptions {
         max_connections: 64,
-        ..figures()
+        ..options()
     })
     .await;
     let calls: Vec<_> = (0..16)
@@ -127,7 +131,7 @@
     server.change_faults(|a| a.is_draining = true);
     assert_eq!(query(&server, 20, "look").await.unwrap().status(), 503);
     server.change_faults(|a| a.is_draining = false);
-    let small = crate::server(figures()).await.0;
+    let small = crate::server(options()).await.0;
     let mut held = Vec::new();
     for id in 0..4 {
         let mut stream = TcpStream::connect(small.addr()).await.unwrap();
@@ -143,8 +147,8 @@
 }
 
 #[tokio::test]
-async fn a_failing_a_resetting_and_a_silent_server_have_run_what_they_do_not_answer() {
-    let (server, shared) = server(figures()).await;
+async fn servers_that_fail_reset_or_are_silent_have_run_what_they_do_not_answer() {
+    let (server, shared) = server(options()).await;
     server.change_faults(|a| a.error_share = 1.0);
     assert_eq!(query(&server, 1, "look").await.unwrap().status(), 500);
     server.change_faults(|a| (a.error_share, a.reset_share) = (0.0, 1.0));
@@ -164,10 +168,10 @@
 }
 
 #[tokio::test]
-async fn a_server_that_dies_resets_its_connections_and_is_back_cold_at_its_address() {
+async fn a_killed_server_resets_its_connections_and_restarts_in_slow_start_at_its_address() {
     let (server, _) = server(server::RateServerOptions {
         collapse_window: 100.0,
-        ..figures()
+        ..options()
     })
     .await;
     let mut stream = TcpStream::connect(server.addr()).await.unwrap();
@@ -184,7 +188,9 @@
     assert!(server.restart().await.unwrap().is_some());
     assert!(server.restart().await.unwrap().is_none(), "it is up");
     assert_eq!(query(&server, 1, "look").await.unwrap().status(), 200);
-    assert!(server.incarnations()[1].is_cold_start && server.incarnations()[1].collapsed_at.is_none());
+    assert!(
+        server.incarnations()[1].is_cold_start && server.incarnations()[1].collapsed_at.is_none()
+    );
     // 3 times a fifth of two cores for 100 ms are 120 ms of work; eight queries of 20 ms are more.
     let calls: Vec<_> = (10..18)
         .map(|id| {
@@ -200,11 +206,11 @@
 }
 
 async fn counter(calls_per_s: f64, busy_after_ms: u64) -> Arc<Counter> {
-    let figures = counter::CounterOptions {
+    let options = counter::CounterOptions {
         calls_per_second: calls_per_s,
         max_wait: Duration::from_millis(busy_after_ms),
     };
-    Counter::start(HERE, figures, Clock::start()).await.unwrap()
+    Counter::start(HERE, options, Clock::start()).await.unwrap()
 }
 
 fn add(name: &str, amount: &str) -> String {
@@ -226,7 +232,7 @@
 }
 
 #[tokio::test]
-async fn the_counter_adds_in_order_and_refuses_what_is_no_call() {
+async fn the_counter_adds_in_order_and_rejects_what_is_no_call() {
     let counter = counter(10_000.0, 100).await;
     let mut stream = TcpStream::connect(counter.addr()).await.unwrap();
     let two = add("a", "1.5") + &add("a", "-1");
@@ -257,7 +263,7 @@
 }
 
 #[tokio::test]
-async fn the_counter_is_emptied_replaced_busy_and_silent_as_told() {
+async fn the_counter_can_be_cleared_replaced_busy_and_silent() {
     let counter = counter(10_000.0, 100).await;
     let mut stream = TcpStream::connect(counter.addr()).await.unwrap();
     assert_eq!(reply(&mut stream, &add("a", "2"), 7).await, "$1\r\n2\r\n");
@@ -268,7 +274,7 @@
     counter.change_faults(|a| (a.is_busy, a.is_silent) = (false, true));
     stream.write_all(add("a", "1").as_bytes()).await.unwrap();
     assert!(timeout(A_WHILE, stream.read(&mut [0; 1])).await.is_err());
-    // However late, a call has its turn.
+    // A call waits for its turn however long the counter is silent.
     counter.change_faults(|a| a.is_silent = false);
     assert_eq!(reply(&mut stream, "", 7).await, "$1\r\n4\r\n");
     counter.replace();
@@ -279,7 +285,7 @@
 }
 
 #[tokio::test]
-async fn a_counter_that_takes_few_calls_turns_away_what_would_wait_too_long() {
+async fn a_counter_with_a_low_rate_rejects_calls_that_would_wait_too_long() {
     let counter = counter(20.0, 100).await;
     let mut streams = Vec::new();
     for _ in 0..6 {
@@ -333,7 +339,7 @@
 }
 
 #[tokio::test]
-async fn discovery_tells_the_whole_list_then_what_changed_and_records_whom_it_told() {
+async fn discovery_sends_the_whole_list_then_changes_and_records_what_it_sent() {
     let mut agent = agent().await;
     let (_, list) = agent.get("").await;
     assert_eq!(
@@ -369,7 +375,7 @@
 }
 
 #[tokio::test]
-async fn discovery_is_late_stale_silent_and_overbooked_as_told() {
+async fn discovery_can_be_late_stale_silent_and_over_its_rate() {
     let mut agent = agent().await;
     let discovery = agent.discovery.clone();
     discovery.change_faults(|a| a.is_stale = true);
--- a/crates/aspendrum-testbed/src/clients.rs
+++ b/crates/aspendrum-testbed/src/clients.rs
@@ -3,7 +3,8 @@
 use crate::scenario::{Customers, Scenario};
 use aspendrum_checker::limiter::{Query, QueryOutcome, RetrySafety};
 use aspendrum_checker::Millis;
-use aspendrum_fake_services::{http, lock, Clock};
+use aspendrum_fake_services::http::{self, MessageKind};
+use aspendrum_fake_services::{lock, Clock};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -182,13 +183,13 @@
             let _ = stream.set_nodelay(true);
             let mut rest = Vec::new();
             let answer = match stream.write_all(text).await {
-                Ok(()) => http::next(&mut stream, &mut rest, false).await,
+                Ok(()) => http::read_message(&mut stream, &mut rest, MessageKind::Response).await,
                 Err(e) => Err(e),
             };
             match answer {
                 Ok(Some(answer)) => {
                     let own = answer.body == format!("{:016x}", query.id).as_bytes();
-                    if !answer.closes() && rest.is_empty() {
+                    if !answer.wants_close() && rest.is_empty() {
                         lock(&self.idle[query.limiter]).push(stream);
                     }
                     return match answer.status() {
--- a/crates/aspendrum-testbed/src/pass_through.rs
+++ b/crates/aspendrum-testbed/src/pass_through.rs
@@ -3,7 +3,7 @@
 //! answers back. With it the judge shows that it finds what it looks for, and a limiter's cost is told as a
 //! ratio.
 
-use aspendrum_fake_services::http::{self, Message};
+use aspendrum_fake_services::http::{self, Message, MessageKind};
 use aspendrum_fake_services::lock;
 use serde_json::Value;
 use std::io;
@@ -68,17 +68,19 @@
     async fn client(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut rest = Vec::new();
-        while let Some(query) = http::next(&mut stream, &mut rest, true).await? {
-            let answer = if query.line.1.starts_with("/health/ready") {
-                http::answer(200, &[], b"")
+        while let Some(query) =
+            http::read_message(&mut stream, &mut rest, MessageKind::Request).await?
+        {
+            let answer = if query.target().starts_with("/health/ready") {
+                http::encode_response(200, &[], b"")
             } else {
                 match self.forward(&query).await {
-                    Ok(answer) => http::answer(answer.status(), &[], &answer.body),
-                    Err(_) => http::answer(502, &[], b""),
+                    Ok(answer) => http::encode_response(answer.status(), &[], &answer.body),
+                    Err(_) => http::encode_response(502, &[], b""),
                 }
             };
             stream.write_all(&answer).await?;
-            if query.closes() {
+            if query.wants_close() {
                 return Ok(());
             }
         }
@@ -93,7 +95,7 @@
             None => TcpStream::connect(self.dials[place]).await?,
         };
         stream.set_nodelay(true)?;
-        let mut text = format!("{} {} HTTP/1.1\r\n", query.line.0, query.line.1);
+        let mut text = format!("{} {} HTTP/1.1\r\n", query.method(), query.target());
         query
             .headers
             .iter()
@@ -102,7 +104,7 @@
         bytes.extend_from_slice(&query.body);
         stream.write_all(&bytes).await?;
         let ended = || io::Error::from(io::ErrorKind::UnexpectedEof);
-        let answer = http::next(&mut stream, &mut Vec::new(), false)
+        let answer = http::read_message(&mut stream, &mut Vec::new(), MessageKind::Response)
             .await?
             .ok_or_else(ended)?;
         lock(&self.idle[place]).push(stream);
--- a/crates/aspendrum-testbed/src/run.rs
+++ b/crates/aspendrum-testbed/src/run.rs
@@ -268,7 +268,7 @@
 }
 
 fn moment(clock: Clock, at: Millis) -> Instant {
-    Instant::from_std(clock.begun() + Duration::from_secs_f64(at.max(0.0) / 1000.0))
+    Instant::from_std(clock.started_at() + Duration::from_secs_f64(at.max(0.0) / 1000.0))
 }
 
 #[expect(clippy::disallowed_methods, reason = "discovery tells moments so")]
@@ -286,7 +286,8 @@
         let shared = ServerLog::new(clock);
         let mut servers = Vec::new();
         for number in 0..s.servers.count {
-            servers.push(RateServer::start(HERE, number, figures(s), s.seed, shared.clone()).await?);
+            servers
+                .push(RateServer::start(HERE, number, figures(s), s.seed, shared.clone()).await?);
         }
         let told = counter::CounterOptions {
             calls_per_second: s.counter.calls_per_s,
@@ -295,8 +296,9 @@
         let counter = Counter::start(HERE, told, clock).await?;
         let zones: Vec<usize> = (0..s.servers.count).map(|server| s.zone(server)).collect();
         let discovery = Discovery::new(clock, &zones);
-        discovery
-            .change_faults(|a| (a.delay_ms, a.max_calls_per_second) = (s.discovery.late_ms, s.discovery.calls_per_s));
+        discovery.change_faults(|a| {
+            (a.delay_ms, a.max_calls_per_second) = (s.discovery.late_ms, s.discovery.calls_per_s)
+        });
         let listens: Vec<SocketAddr> = (0..n).map(|n| own(n, LISTEN)).collect();
         let peer_listens: Vec<SocketAddr> = (0..n).map(|n| own(n, PEER_LISTEN)).collect();
         let mut mesh = Mesh::bind(HERE, n).await?;
@@ -309,8 +311,9 @@
                 relays.push(Relay::start(HERE, server.addr()).await?);
             }
             let dials = relays.iter().map(Relay::addr).collect();
-            to_discovery
-                .push(Relay::start(HERE, discovery.start_agent(HERE, limiter, dials).await?).await?);
+            to_discovery.push(
+                Relay::start(HERE, discovery.start_agent(HERE, limiter, dials).await?).await?,
+            );
             to_counter.push(Relay::start(HERE, counter.addr()).await?);
             front.push(Relay::start(HERE, *listen).await?);
             to_servers.push(relays);
@@ -654,7 +657,9 @@
         }
         self.servers[n].kill();
         match self.servers[n].restart().await {
-            Ok(Some(_)) => self.discovery.set_health(n, Health::InService, Some(unix_ms())),
+            Ok(Some(_)) => self
+                .discovery
+                .set_health(n, Health::InService, Some(unix_ms())),
             Ok(None) => {}
             Err(e) => self.failed(format!("stand-in server {n} does not come back: {e}")),
         }
--- a/crates/aspendrum-testbed/src/system/clients.rs
+++ b/crates/aspendrum-testbed/src/system/clients.rs
@@ -4,7 +4,7 @@
 use super::fleet::{region, zone, Fleet};
 use aspendrum_checker::system::{Attempt, AttemptOutcome};
 use aspendrum_checker::Millis;
-use aspendrum_fake_services::http::{self, Message};
+use aspendrum_fake_services::http::{self, Message, MessageKind};
 use aspendrum_fake_services::lock;
 use rand::seq::IndexedRandom;
 use rand::Rng;
@@ -297,7 +297,7 @@
         let mut rest = Vec::new();
         let answer = async {
             stream.write_all(text.as_bytes()).await?;
-            http::next(&mut stream, &mut rest, false).await
+            http::read_message(&mut stream, &mut rest, MessageKind::Response).await
         };
         let answer = match wish.leaves {
             None => answer.await,
@@ -330,14 +330,14 @@
                 ..Came::of(AttemptOutcome::Lost)
             };
         };
-        let mut closes = answer.closes();
+        let mut closes = answer.wants_close();
         let mut ahead = None;
         if let Some(next) = next {
             // Behind an answer that closes the connection nothing of it is read any more (RFC 9112, 9.3.2).
             let second = if closes {
                 Ok(None)
             } else {
-                http::next(&mut stream, &mut rest, false).await
+                http::read_message(&mut stream, &mut rest, MessageKind::Response).await
             };
             let unread = if closes {
                 AttemptOutcome::Unreached
@@ -345,7 +345,7 @@
                 AttemptOutcome::Lost
             };
             let end = second.ok().flatten().map_or(unread, |answer| {
-                closes |= answer.closes();
+                closes |= answer.wants_close();
                 end(&answer, next)
             });
             closes |= end == AttemptOutcome::Lost;
@@ -414,7 +414,7 @@
         }
         Manner::HalfClose => {
             let _ = stream.shutdown().await;
-            let answer = http::next(&mut stream, &mut rest, false).await;
+            let answer = http::read_message(&mut stream, &mut rest, MessageKind::Response).await;
             if answer
                 .ok()
                 .flatten()
@@ -504,5 +504,7 @@
     );
     let mut stream = TcpStream::connect(at).await.ok()?;
     stream.write_all(text.as_bytes()).await.ok()?;
-    http::next(&mut stream, &mut Vec::new(), false).await.ok()?
+    http::read_message(&mut stream, &mut Vec::new(), MessageKind::Response)
+        .await
+        .ok()?
 }
--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -3,8 +3,8 @@
 use super::scenario::{Form, Scenario, Who};
 use super::tamper::{How, Tamper};
 use crate::process::{build, Process, Start};
-use aspendrum_fake_services::cloud::Cloud;
-use aspendrum_fake_services::origin::{OriginOptions, OriginServer, ExecutionLog};
+use aspendrum_fake_services::cloud::CloudApi;
+use aspendrum_fake_services::origin::{ExecutionLog, OriginOptions, OriginServer};
 use aspendrum_fake_services::{lock, Clock};
 use aspendrum_fault_proxy::{Fault, Link, Mesh, Relay};
 use nix::sys::signal::Signal;
@@ -138,7 +138,7 @@
     feeds: Vec<Tamper>,
     /// By edge, then edge: snapshots between agents.
     loans: Vec<Vec<Relay>>,
-    _cloud: Arc<Cloud>,
+    _cloud: Arc<CloudApi>,
     _claim: TcpListener,
 }
 
@@ -180,7 +180,7 @@
                     .map_err(failed)?,
             );
         }
-        let cloud = Cloud::start(IpAddr::V4(ip(net, 200, 0)), origins.clone(), 40.0, clock);
+        let cloud = CloudApi::start(IpAddr::V4(ip(net, 200, 0)), origins.clone(), 40.0, clock);
         let cloud = cloud.await.map_err(failed)?;
         let cores: Vec<Ipv4Addr> = (0..s.machines()).map(|n| ip(net, 100, n)).collect();
         let edges: Vec<Ipv4Addr> = (0..s.edges).map(|n| ip(net, 101, n)).collect();
