--- a/crates/aspendrum-core/src/control/keepers.rs
+++ b/crates/aspendrum-core/src/control/keepers.rs
@@ -12,7 +12,7 @@
 use crate::state::*;
 use crate::word::Word;
 use crate::word::{Stamp, Whose};
-use aspendrum_token_bucket::{Gift, Purse, Terms, UNIT};
+use aspendrum_token_bucket::{BucketLimits, TokenBucket, TokenTransfer, ONE_TOKEN};
 
 /// Limiters of a customer's set that may keep its count, one after another as those before fall silent.
 const KEEPERS: u32 = 3;
@@ -37,7 +37,7 @@
 
 /// Units as purses count them, rounded up.
 fn grains(units: f64) -> u64 {
-    (units * UNIT as f64).ceil() as u64
+    (units * ONE_TOKEN as f64).ceil() as u64
 }
 
 /// Another limiter's question, among all.
@@ -57,8 +57,8 @@
 
     /// Where limiters speak to each other, each fills its purse from its start on: whatever it held before it
     /// has forgotten, and it may have spent or given all of that.
-    pub(super) fn purse(&self, since: Ms) -> Purse {
-        Purse::empty(since as u64, self.begun as u64)
+    pub(super) fn purse(&self, since: Ms) -> TokenBucket {
+        TokenBucket::new(since as u64, self.begun as u64)
     }
 
     /// Decided. Granted here by whatever word, it is spent: the purse never holds what the counter gave away.
@@ -166,10 +166,10 @@
     /// The quota as purses count it, rounded down, in even parts. Where these are less than a query, hundreds would
     /// have to be fetched before the first is granted: the keepers have it all then, and whoever hears one of them
     /// is served.
-    fn terms(&self, at: usize) -> Terms {
+    fn terms(&self, at: usize) -> BucketLimits {
         let a = &self.accts[at];
         let plan = &self.fig.plans[a.plan];
-        let down = |units: f64| (units * UNIT as f64) as u64;
+        let down = |units: f64| (units * ONE_TOKEN as f64) as u64;
         let (ways, whole) = (a.spread as u64, PARTS as u64 * a.spread as u64);
         let thin = plan.burst < SPARSE_PART * a.spread && self.fig.keepers;
         let (even, own) = if thin {
@@ -179,14 +179,14 @@
             (PARTS as u64, PARTS as u64)
         };
         let (rate, burst, largest) = (down(plan.rate), down(plan.burst), down(self.fig.units_top));
-        Terms {
+        BucketLimits {
             rate,
             burst,
-            ways,
-            own,
-            even,
-            whole,
-            largest,
+            limiters: ways,
+            own_shares: own,
+            even_shares: even,
+            total_shares: whole,
+            largest_request: largest,
         }
     }
 
@@ -194,18 +194,18 @@
     fn gift(&mut self, at: usize) -> u16 {
         let terms = self.terms(at);
         let a = &mut self.accts[at];
-        a.purse.give(&terms, self.now as u64)
+        a.purse.withdraw_all(&terms, self.now as u64)
     }
 
     fn take_gift(&mut self, at: usize, from: u16, stamp: Stamp, steps: u16) {
-        let gift = Gift {
+        let gift = TokenTransfer {
             steps,
-            at: self.moment(stamp),
+            sent_at: self.moment(stamp),
         };
         let terms = self.terms(at);
         self.accts[at]
             .purse
-            .take(&terms, from, gift, self.now as u64);
+            .receive(&terms, from, gift, self.now as u64);
     }
 
     /// A word of the counter's, or none where one was due.
@@ -232,9 +232,9 @@
     fn weigh(&mut self, at: usize) {
         let terms = self.terms(at);
         let a = &mut self.accts[at];
-        a.purse.set(
+        a.purse.set_remaining(
             &terms,
-            (a.level.max(0.0) * UNIT as f64) as u64,
+            (a.level.max(0.0) * ONE_TOKEN as f64) as u64,
             self.now as u64,
         );
     }
@@ -256,7 +256,7 @@
         let (terms, now) = (self.terms(at), self.now as u64);
         let a = &mut self.accts[at];
         let place = (f64::from(self.fig.me) - a.first).rem_euclid(self.fig.instances) as u64;
-        let room = a.purse.may(&terms, place, grains(units), now);
+        let room = a.purse.can_spend(&terms, place, grains(units), now);
         if !room {
             self.want(at, &terms);
         }
@@ -280,27 +280,32 @@
     /// What the local count let through before the silence was found is that query.
     fn has_spare(&mut self, at: usize, units: f64) -> bool {
         let terms = self.terms(at);
-        let refill = terms.largest as f64 * terms.ways as f64 / terms.rate.max(1) as f64;
+        let refill =
+            terms.largest_request as f64 * terms.limiters as f64 / terms.rate.max(1) as f64;
         let a = &mut self.accts[at];
         let unused =
             a.spare.0 != self.heard_at && (a.spare.0.is_none() || self.now - a.spare.1 >= refill);
-        let may = terms.even == 0 && self.heard_at.is_some() && unused;
+        let may = terms.even_shares == 0 && self.heard_at.is_some() && unused;
         may && a.room_here(&self.fig.plans[a.plan], units, self.now)
     }
 
     /// Out of units, a keeper asks those of the set that have not given lately for what they hold, one after
     /// another, each at most twice in the time that fills the burst: what idle limiters hold goes to where the
     /// traffic is. A part of the words that a limiter takes in is for that.
-    fn want(&mut self, at: usize, terms: &Terms) {
+    fn want(&mut self, at: usize, terms: &BucketLimits) {
         let (a, now) = (&self.accts[at], self.now as u64);
         if self.now - a.kept_at > KEPT_FOR {
             return;
         }
         // A thin quota is all with the keepers.
         let mut holders = [0; KEEPERS as usize];
-        let thin = terms.even == 0;
-        let count = if thin { u64::from(KEEPERS) } else { terms.ways };
-        let pause = (terms.window() as f64 / count as f64).max(self.fig.want_every);
+        let thin = terms.even_shares == 0;
+        let count = if thin {
+            u64::from(KEEPERS)
+        } else {
+            terms.limiters
+        };
+        let pause = (terms.fill_time() as f64 / count as f64).max(self.fig.want_every);
         let due = ((self.now - a.wanted.1) / pause).min(WANTS) as usize;
         if due == 0 {
             return;
@@ -318,7 +323,7 @@
                 ((a.first + n as f64) % self.fig.instances) as u16
             }
         };
-        let idle = |n: &u64| peer(*n) != self.fig.me && !a.purse.heard(terms, peer(*n), now);
+        let idle = |n: &u64| peer(*n) != self.fig.me && !a.purse.heard_lately(terms, peer(*n), now);
         let places: Vec<u64> = (a.wanted.0..a.wanted.0 + count)
             .filter(idle)
             .take(due)
@@ -410,7 +415,7 @@
                 let a = &mut self.accts[at];
                 let top = self.fig.plans[a.plan].burst;
                 (a.level, a.local) = ((a.level + units).min(top), (a.local + units).min(top));
-                a.purse.put_back(&terms, grains(units), self.now as u64);
+                a.purse.refund(&terms, grains(units), self.now as u64);
                 self.owe(at, -units);
             }
             Some(Word::Want { whose }) => {
@@ -512,7 +517,7 @@
         }
         let terms = self.terms(at);
         let a = &mut self.accts[at];
-        a.purse.put_back(&terms, grains(units), self.now as u64);
+        a.purse.refund(&terms, grains(units), self.now as u64);
         a.level += units;
         a.local += if a.ways == 1.0 { units } else { 0.0 };
         self.owe(at, -units);
@@ -527,7 +532,7 @@
         let fig = &self.fig.plans[a.plan];
         let alone = self.outage();
         let held = if alone {
-            a.purse.held() as f64 / UNIT as f64
+            a.purse.tokens() as f64 / ONE_TOKEN as f64
         } else {
             a.local
         };
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::api::*;
 use crate::word::Word;
-use aspendrum_token_bucket::Purse;
+use aspendrum_token_bucket::TokenBucket;
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
@@ -161,7 +161,7 @@
     pub part: Part,
     pub lead: Part,
     /// What it may spend without the counter's word, where limiters speak to each other.
-    pub purse: Purse,
+    pub purse: TokenBucket,
     /// The last sign of life of the counter before its spare query was granted, and when that was.
     pub spare: (Option<Ms>, Ms),
     /// When a client last asked for it here.
--- a/crates/aspendrum-token-bucket/src/lib.rs
+++ b/crates/aspendrum-token-bucket/src/lib.rs
@@ -1,18 +1,23 @@
-//! State that the limiters of a customer's set share while the counter says nothing, and that stays within the quota
-//! whatever is lost, late, doubled or reordered between them and whoever stalls, dies or starts again. Free of I/O and
-//! clocks. docs/shared-state.md has the bound; docs/design-shared-counts.md the options weighed.
+//! Token buckets that the limiters of a tenant's set fill and spend on their own while the shared counter is out of
+//! reach, and transfers of tokens between them.
+//!
+//! All buckets of a set and all transfers in flight together stay within the quota, whatever messages are lost, delayed,
+//! duplicated or reordered and whichever limiter stalls, crashes or restarts. `docs/shared-state.md` states the bound,
+//! `docs/design-shared-counts.md` weighs the options. The crate does no I/O and reads no clock.
 
-// Not yet finished for readers: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs)]
+mod bucket;
+mod limits;
+mod transfer;
 
-pub mod purse;
-
-pub use purse::{Gift, Purse, Terms};
+pub use bucket::TokenBucket;
+pub use limits::BucketLimits;
+pub use transfer::{TokenTransfer, MAX_CLOCK_SKEW, TRANSFER_LIFETIME};
 
 /// Milliseconds of the clock that all limiters read.
-pub type Ms = u64;
-/// Billionths of a unit. Whole numbers: what one limiter gives is to the last grain what another takes.
-pub type Grains = u64;
+pub type Millis = u64;
+
+/// Billionths of a token. Whole numbers, so that a transfer adds exactly what it took.
+pub type NanoTokens = u64;
 
-/// Grains of one unit.
-pub const UNIT: Grains = 1_000_000_000;
+/// One token, in [`NanoTokens`].
+pub const ONE_TOKEN: NanoTokens = 1_000_000_000;
--- a/crates/aspendrum-token-bucket/tests/model.rs
+++ b/crates/aspendrum-token-bucket/tests/model.rs
@@ -1,301 +1,354 @@
-//! Every order of events of a small fleet, on the purse itself: three limiters, two customers, gifts that get
-//! lost, doubled and reordered, a crash and a start from nothing, a stall past every gift's worth. In each
-//! state reached, what was granted and what may still be spent is at most what the rate has brought.
+//! A model check of token buckets: three limiters, two tenants, transfers that are lost, duplicated and reordered, a crash
+//! with a restart from nothing, a stall that outlasts every transfer.
+//!
+//! In each reachable state, what was granted and what may still be spent is at most what the rate has brought. The same
+//! check finds each of the broken variants.
 
-use aspendrum_token_bucket::purse::{CLOCK_ERROR, LATEST};
-use aspendrum_token_bucket::{Gift, Grains, Ms, Purse, Terms};
+use aspendrum_token_bucket::{
+    BucketLimits, Millis, NanoTokens, TokenBucket, TokenTransfer, MAX_CLOCK_SKEW, TRANSFER_LIFETIME,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const LIMITERS: usize = 3;
-const CUSTOMERS: usize = 2;
-/// Keepers of the two customers.
-const KEEPER: [usize; CUSTOMERS] = [0, 1];
-const STEP: Ms = 300;
-const STEPS: u64 = 5;
+const TENANTS: usize = 2;
+/// The limiter that owns each tenant's quota.
+const OWNER: [usize; TENANTS] = [0, 1];
+const START: Millis = 10 * TRANSFER_LIFETIME;
+const TICK: Millis = 300;
+const TICKS: u64 = 5;
+const MAX_DEPTH: usize = 9;
+const MAX_IN_FLIGHT: usize = 2;
+const WITHIN_QUOTA: &str = "within the quota";
+/// Small whole numbers, so that states meet: 12 nano-tokens a millisecond, two thirds of them the owner's.
+const RATE: NanoTokens = 12;
 
-/// Small whole numbers, so that states meet: 12 grains a millisecond, two thirds of them the keeper's.
-const RATE: Grains = 12;
-
-fn terms(me: usize, customer: usize) -> Terms {
-    let own = if KEEPER[customer] == me { 4 } else { 1 };
-    Terms {
+fn limits(limiter: usize, tenant: usize) -> BucketLimits {
+    BucketLimits {
         rate: RATE,
-        burst: RATE * 2 * STEP,
-        ways: LIMITERS as u64,
-        own,
-        even: 1,
-        whole: 6,
-        largest: STEP,
+        burst: RATE * 2 * TICK,
+        limiters: LIMITERS as u64,
+        own_shares: if OWNER[tenant] == limiter { 4 } else { 1 },
+        even_shares: 1,
+        total_shares: 6,
+        largest_request: TICK,
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Limiter {
-    purses: Vec<Purse>,
-    stalled: bool,
+    /// One for each tenant.
+    buckets: Vec<TokenBucket>,
+    is_stalled: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Mail {
-    customer: usize,
-    from: usize,
-    gift: Gift,
-    /// Copies of it that may still come.
+struct Datagram {
+    tenant: usize,
+    sender: usize,
+    transfer: TokenTransfer,
+    /// Copies of it that may still arrive.
     copies: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    now: Ms,
+    now: Millis,
     limiters: Vec<Limiter>,
-    mail: Vec<Mail>,
-    granted: [Grains; CUSTOMERS],
-    gifts: [Ms; LIMITERS],
+    in_flight: Vec<Datagram>,
+    granted: [NanoTokens; TENANTS],
+    transfers_sent: [Millis; LIMITERS],
     crashes: u8,
     stalls: u8,
-    doubles: u8,
+    duplicates: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Step {
-    /// Time goes on.
+enum Action {
     Tick,
-    /// A limiter asks its keeper and gives all it has.
-    Ask(usize, usize),
-    /// One copy arrives, whatever was sent before it.
-    Arrive(usize),
-    Double(usize),
+    /// A limiter transfers all its tokens of a tenant to the owner.
+    Transfer {
+        limiter: usize,
+        tenant: usize,
+    },
+    /// One copy of a datagram arrives, whatever was sent before it.
+    Receive(usize),
+    Duplicate(usize),
     Lose(usize),
-    /// Spends all that it may, without anybody's word.
-    Spend(usize, usize),
-    /// Dies and starts from nothing.
-    Crash(usize),
+    /// A limiter spends all that it may without asking anybody.
+    Spend {
+        limiter: usize,
+        tenant: usize,
+    },
+    /// A limiter crashes and starts from nothing.
+    Restart(usize),
     Stall(usize),
-    GoOn(usize),
+    Resume(usize),
 }
 
-/// What a broken purse does otherwise.
 #[derive(Clone, Copy, PartialEq)]
 enum Variant {
     Sound,
-    /// Takes a gift whenever it comes.
-    TakesTwice,
-    /// Keeps what it gives.
-    KeepsGifts,
-    /// Starts with its part of the burst.
+    /// Accepts a transfer whenever it arrives.
+    AcceptsTwice,
+    /// Keeps the tokens that it transfers.
+    KeepsTransferred,
+    /// Starts with its share of the burst.
     StartsFull,
-    /// Takes what was given before its own start.
-    TakesAnothersLife,
+    /// Accepts transfers sent before its own start.
+    AcceptsFromBeforeStart,
 }
 
-struct Fleet(Variant);
+struct LimiterSet(Variant);
+
+impl State {
+    /// A bucket with what the rate has brought since it was last brought up to date.
+    fn filled_bucket(&self, limiter: usize, tenant: usize) -> TokenBucket {
+        let mut bucket = self.limiters[limiter].buckets[tenant].clone();
+        bucket.spend(&limits(limiter, tenant), 0, self.now);
+        bucket
+    }
+
+    /// What all limiters hold of a tenant's tokens.
+    fn held(&self, tenant: usize) -> NanoTokens {
+        (0..LIMITERS)
+            .map(|limiter| self.filled_bucket(limiter, tenant).tokens())
+            .sum()
+    }
 
-/// Whether this gift would still be taken, so that it is part of what may be spent.
-fn still_good(s: &State, m: &Mail) -> bool {
-    let keeper = KEEPER[m.customer];
-    let mut purse = s.limiters[keeper].purses[m.customer].clone();
-    purse.take(&terms(keeper, m.customer), m.from as u16, m.gift, s.now)
+    /// What transfers that would still be accepted hold of a tenant's tokens.
+    fn acceptable_in_flight(&self, tenant: usize) -> NanoTokens {
+        let owner = OWNER[tenant];
+        let is_acceptable = |datagram: &&Datagram| {
+            let mut bucket = self.limiters[owner].buckets[tenant].clone();
+            bucket.receive(
+                &limits(owner, tenant),
+                datagram.sender as u16,
+                datagram.transfer,
+                self.now,
+            )
+        };
+        let datagrams = self
+            .in_flight
+            .iter()
+            .filter(|datagram| datagram.tenant == tenant);
+        datagrams
+            .filter(is_acceptable)
+            .map(|datagram| NanoTokens::from(datagram.transfer.steps))
+            .sum()
+    }
 }
 
-fn start(variant: Variant, me: usize, now: Ms) -> Limiter {
-    let begun = if variant == Variant::TakesAnothersLife {
-        0
-    } else {
-        now
-    };
-    let mut purses = vec![Purse::empty(now, begun); CUSTOMERS];
-    if variant == Variant::StartsFull {
-        let full =
-            |(c, purse): (usize, &mut Purse)| purse.put_back(&terms(me, c), RATE * STEP / 3, now);
-        purses.iter_mut().enumerate().for_each(full);
+impl LimiterSet {
+    fn start(&self, limiter: usize, now: Millis) -> Limiter {
+        let started_at = if self.0 == Variant::AcceptsFromBeforeStart {
+            0
+        } else {
+            now
+        };
+        let mut buckets = vec![TokenBucket::new(now, started_at); TENANTS];
+        if self.0 == Variant::StartsFull {
+            for (tenant, bucket) in buckets.iter_mut().enumerate() {
+                bucket.refund(&limits(limiter, tenant), RATE * TICK / 3, now);
+            }
+        }
+        Limiter {
+            buckets,
+            is_stalled: false,
+        }
+    }
+
+    fn transfer(&self, state: &mut State, limiter: usize, tenant: usize) -> Option<()> {
+        let limits = limits(limiter, tenant);
+        let bucket = &mut state.limiters[limiter].buckets[tenant];
+        let steps = bucket.withdraw_all(&limits, state.now);
+        state.transfers_sent[limiter] += 1;
+        // As limiters do: no two transfers of one limiter carry the same time.
+        let transfer = TokenTransfer {
+            steps,
+            sent_at: state.now + state.transfers_sent[limiter],
+        };
+        if self.0 == Variant::KeepsTransferred {
+            bucket.refund(&limits, steps.into(), state.now);
+        }
+        if steps == 0 {
+            return None;
+        }
+        state.in_flight.push(Datagram {
+            tenant,
+            sender: limiter,
+            transfer,
+            copies: 1,
+        });
+        Some(())
+    }
+
+    fn receive(&self, state: &mut State, index: usize) {
+        let datagram = state.in_flight[index].clone();
+        let owner = OWNER[datagram.tenant];
+        let limits = limits(owner, datagram.tenant);
+        let bucket = &mut state.limiters[owner].buckets[datagram.tenant];
+        if self.0 == Variant::AcceptsTwice {
+            bucket.refund(&limits, datagram.transfer.steps.into(), state.now);
+        } else {
+            bucket.receive(
+                &limits,
+                datagram.sender as u16,
+                datagram.transfer,
+                state.now,
+            );
+        }
+        state.in_flight[index].copies -= 1;
+        if state.in_flight[index].copies == 0 {
+            state.in_flight.remove(index);
+        }
+    }
+}
+
+fn spend_all(state: &mut State, limiter: usize, tenant: usize) -> Option<()> {
+    let limits = limits(limiter, tenant);
+    let bucket = &mut state.limiters[limiter].buckets[tenant];
+    bucket.spend(&limits, 0, state.now);
+    let mut amount = bucket.tokens();
+    while amount > 0 && !bucket.can_spend(&limits, limiter as u64, amount, state.now) {
+        amount -= amount.min(TICK);
     }
-    Limiter {
-        purses,
-        stalled: false,
+    if amount == 0 {
+        return None;
     }
+    bucket.spend(&limits, amount, state.now);
+    state.granted[tenant] += amount;
+    Some(())
 }
 
-impl Model for Fleet {
+fn limiter_actions(state: &State, index: usize, limiter: &Limiter, actions: &mut Vec<Action>) {
+    if limiter.is_stalled {
+        actions.push(Action::Resume(index));
+        return;
+    }
+    for (tenant, owner) in OWNER.iter().enumerate() {
+        actions.push(Action::Spend {
+            limiter: index,
+            tenant,
+        });
+        if index != *owner && state.in_flight.len() < MAX_IN_FLIGHT {
+            actions.push(Action::Transfer {
+                limiter: index,
+                tenant,
+            });
+        }
+    }
+    if state.crashes < 1 {
+        actions.push(Action::Restart(index));
+    }
+    if state.stalls < 1 {
+        actions.push(Action::Stall(index));
+    }
+}
+
+impl Model for LimiterSet {
     type State = State;
-    type Action = Step;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let begun = 10 * LATEST;
-        let limiters = (0..LIMITERS).map(|me| start(self.0, me, begun)).collect();
-        let (mail, granted, gifts) = (Vec::new(), [0; CUSTOMERS], [0; LIMITERS]);
         vec![State {
-            now: begun,
-            limiters,
-            mail,
-            granted,
-            gifts,
+            now: START,
+            limiters: (0..LIMITERS)
+                .map(|limiter| self.start(limiter, START))
+                .collect(),
+            in_flight: Vec::new(),
+            granted: [0; TENANTS],
+            transfers_sent: [0; LIMITERS],
             crashes: 0,
             stalls: 0,
-            doubles: 0,
+            duplicates: 0,
         }]
     }
 
-    fn actions(&self, s: &State, steps: &mut Vec<Step>) {
-        if s.now < 10 * LATEST + STEP * STEPS {
-            steps.push(Step::Tick);
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        if state.now < START + TICK * TICKS {
+            actions.push(Action::Tick);
         }
-        for (me, limiter) in s.limiters.iter().enumerate() {
-            if limiter.stalled {
-                steps.push(Step::GoOn(me));
-                continue;
-            }
-            for (customer, keeper) in KEEPER.iter().enumerate() {
-                steps.push(Step::Spend(me, customer));
-                if me != *keeper && s.mail.len() < 2 {
-                    steps.push(Step::Ask(me, customer));
-                }
-            }
-            if s.crashes < 1 {
-                steps.push(Step::Crash(me));
-            }
-            if s.stalls < 1 {
-                steps.push(Step::Stall(me));
-            }
+        for (index, limiter) in state.limiters.iter().enumerate() {
+            limiter_actions(state, index, limiter, actions);
         }
-        for n in 0..s.mail.len() {
-            if !s.limiters[KEEPER[s.mail[n].customer]].stalled {
-                steps.push(Step::Arrive(n));
+        for (index, datagram) in state.in_flight.iter().enumerate() {
+            if !state.limiters[OWNER[datagram.tenant]].is_stalled {
+                actions.push(Action::Receive(index));
             }
-            steps.push(Step::Lose(n));
-            if s.doubles < 1 {
-                steps.push(Step::Double(n));
+            actions.push(Action::Lose(index));
+            if state.duplicates < 1 {
+                actions.push(Action::Duplicate(index));
             }
         }
     }
 
-    fn next_state(&self, before: &State, step: Step) -> Option<State> {
-        let mut s = before.clone();
-        let now = s.now;
-        match step {
-            Step::Tick => s.now += STEP,
-            Step::Ask(from, customer) => {
-                let (purse, terms) = (
-                    &mut s.limiters[from].purses[customer],
-                    terms(from, customer),
-                );
-                let steps = purse.give(&terms, now);
-                s.gifts[from] += 1;
-                // As the limiter does: no two of its gifts name the same moment.
-                let gift = Gift {
-                    steps,
-                    at: now + s.gifts[from],
-                };
-                if self.0 == Variant::KeepsGifts {
-                    purse.put_back(&terms, steps.into(), now);
-                }
-                if gift.steps == 0 {
-                    return None;
-                }
-                s.mail.push(Mail {
-                    customer,
-                    from,
-                    gift,
-                    copies: 1,
-                });
-            }
-            Step::Arrive(n) => {
-                let m = s.mail[n].clone();
-                let keeper = KEEPER[m.customer];
-                let (purse, terms) = (
-                    &mut s.limiters[keeper].purses[m.customer],
-                    terms(keeper, m.customer),
-                );
-                if self.0 == Variant::TakesTwice {
-                    purse.put_back(&terms, m.gift.steps.into(), now);
-                } else {
-                    purse.take(&terms, m.from as u16, m.gift, now);
-                }
-                s.mail[n].copies -= 1;
-                if s.mail[n].copies == 0 {
-                    s.mail.remove(n);
-                }
-            }
-            Step::Double(n) => {
-                s.mail[n].copies += 1;
-                s.doubles += 1;
-            }
-            Step::Lose(n) => drop(s.mail.remove(n)),
-            Step::Spend(me, customer) => {
-                let (purse, terms) = (&mut s.limiters[me].purses[customer], terms(me, customer));
-                purse.spend(&terms, 0, now);
-                let mut may = purse.held();
-                while may > 0 && !purse.may(&terms, me as u64, may, now) {
-                    may -= may.min(STEP);
-                }
-                if may == 0 {
-                    return None;
-                }
-                purse.spend(&terms, may, now);
-                s.granted[customer] += may;
+    fn next_state(&self, before: &State, action: Action) -> Option<State> {
+        let mut state = before.clone();
+        match action {
+            Action::Tick => state.now += TICK,
+            Action::Transfer { limiter, tenant } => self.transfer(&mut state, limiter, tenant)?,
+            Action::Receive(index) => self.receive(&mut state, index),
+            Action::Duplicate(index) => {
+                state.in_flight[index].copies += 1;
+                state.duplicates += 1;
             }
-            Step::Crash(me) => {
-                s.limiters[me] = start(self.0, me, now);
-                s.crashes += 1;
+            Action::Lose(index) => drop(state.in_flight.remove(index)),
+            Action::Spend { limiter, tenant } => spend_all(&mut state, limiter, tenant)?,
+            Action::Restart(limiter) => {
+                state.limiters[limiter] = self.start(limiter, state.now);
+                state.crashes += 1;
             }
-            Step::Stall(me) => {
-                s.limiters[me].stalled = true;
-                s.stalls += 1;
+            Action::Stall(limiter) => {
+                state.limiters[limiter].is_stalled = true;
+                state.stalls += 1;
             }
-            Step::GoOn(me) => s.limiters[me].stalled = false,
+            Action::Resume(limiter) => state.limiters[limiter].is_stalled = false,
         }
-        Some(s)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            // What was granted and what may still be spent, on the way included, is what the rate brought.
-            Property::always("within the quota", |_, s: &State| {
-                (0..CUSTOMERS).all(|customer| {
-                    let held: Grains = (0..LIMITERS).map(|me| held(s, me, customer)).sum();
-                    let mail = s
-                        .mail
-                        .iter()
-                        .filter(|m| m.customer == customer && still_good(s, m));
-                    let under_way: Grains = mail.map(|m| Grains::from(m.gift.steps)).sum();
-                    s.granted[customer] + held + under_way <= RATE * (s.now - 10 * LATEST)
+            Property::always(WITHIN_QUOTA, |_, state: &State| {
+                (0..TENANTS).all(|tenant| {
+                    let spendable = state.held(tenant) + state.acceptable_in_flight(tenant);
+                    state.granted[tenant] + spendable <= RATE * (state.now - START)
                 })
             }),
-            Property::always("within what purses may hold", |_, s: &State| {
-                (0..CUSTOMERS).all(|customer| {
-                    let held = (0..LIMITERS)
-                        .map(|me| held(s, me, customer))
-                        .sum::<Grains>();
-                    held <= terms(0, 0).most_in_hand(1)
-                })
-            }),
-            // The search gets to where it matters.
-            Property::sometimes("the keeper spends what others gave", |_, s: &State| {
-                s.granted[0] > RATE * 2 / 3 * (s.now - 10 * LATEST) && s.granted[0] > 0
+            Property::always("within what the buckets may hold", |_, state: &State| {
+                (0..TENANTS).all(|tenant| state.held(tenant) <= limits(0, 0).max_held(1))
             }),
-            Property::sometimes("a gift outlives its worth", |_, s: &State| {
-                s.mail
+            // The search reaches the states that matter.
+            Property::sometimes(
+                "the owner spends what others transferred",
+                |_, state: &State| {
+                    state.granted[0] > RATE * 2 / 3 * (state.now - START) && state.granted[0] > 0
+                },
+            ),
+            Property::sometimes("a transfer outlives its lifetime", |_, state: &State| {
+                let expires_at = |datagram: &Datagram| {
+                    datagram.transfer.sent_at + TRANSFER_LIFETIME + MAX_CLOCK_SKEW
+                };
+                state
+                    .in_flight
                     .iter()
-                    .any(|m| m.gift.at + LATEST + CLOCK_ERROR < s.now)
+                    .any(|datagram| expires_at(datagram) < state.now)
             }),
         ]
     }
 }
 
-/// With what the rate has brought since it was last touched.
-fn held(s: &State, me: usize, customer: usize) -> Grains {
-    let mut purse = s.limiters[me].purses[customer].clone();
-    purse.spend(&terms(me, customer), 0, s.now);
-    purse.held()
-}
-
-fn check(variant: Variant) -> impl Checker<Fleet> {
-    let checker = Fleet(variant).checker().threads(4).target_max_depth(9);
-    let enough = if variant == Variant::Sound {
+fn check(variant: Variant) -> impl Checker<LimiterSet> {
+    let checker = LimiterSet(variant)
+        .checker()
+        .threads(4)
+        .target_max_depth(MAX_DEPTH);
+    let finish = if variant == Variant::Sound {
         HasDiscoveries::All
     } else {
         HasDiscoveries::AnyFailures
     };
-    checker.finish_when(enough).spawn_bfs().join()
+    checker.finish_when(finish).spawn_bfs().join()
 }
 
 #[test]
@@ -310,17 +363,17 @@
 }
 
 #[test]
-fn each_broken_purse_is_found() {
+fn each_broken_variant_is_found() {
     for (name, variant) in [
-        ("takes twice", Variant::TakesTwice),
-        ("keeps gifts", Variant::KeepsGifts),
+        ("accepts twice", Variant::AcceptsTwice),
+        ("keeps what it transfers", Variant::KeepsTransferred),
         ("starts full", Variant::StartsFull),
         (
-            "takes what was given to its earlier life",
-            Variant::TakesAnothersLife,
+            "accepts transfers from before its start",
+            Variant::AcceptsFromBeforeStart,
         ),
     ] {
-        let found = check(variant).discovery("within the quota");
-        assert!(found.is_some(), "a purse that {name} passed");
+        let found = check(variant).discovery(WITHIN_QUOTA);
+        assert!(found.is_some(), "a bucket that {name} passed");
     }
 }
--- a/crates/aspendrum-token-bucket/tests/schedules.rs
+++ b/crates/aspendrum-token-bucket/tests/schedules.rs
@@ -1,76 +1,217 @@
-//! Random schedules of forty limiters on the purse itself: links that lose, double, delay and reorder,
-//! crashes, stalls and clocks that differ. What was granted in any time is at most the rate times it and what
-//! purses may hold.
+//! Random schedules of forty limiters: links that lose, duplicate, delay and reorder, crashes, stalls and clocks that
+//! differ. What was granted in any time is at most what the rate brings in it and what the buckets may hold.
 
-use aspendrum_token_bucket::purse::{CLOCK_ERROR, LATEST};
-use aspendrum_token_bucket::{Gift, Grains, Ms, Purse, Terms, UNIT};
+use aspendrum_token_bucket::{
+    BucketLimits, Millis, NanoTokens, TokenBucket, TokenTransfer, MAX_CLOCK_SKEW, ONE_TOKEN,
+    TRANSFER_LIFETIME,
+};
 use proptest::prelude::*;
 
 const LIMITERS: usize = 40;
-const RATE: Grains = 2 * UNIT / 1000;
-const BURST: Grains = 6 * UNIT;
-const BEGUN: Ms = 1_000_000;
-
-/// The first limiter keeps the count; sixty parts in a hundred are its own.
-fn terms(me: usize) -> Terms {
-    let (ways, even) = (LIMITERS as u64, 40);
-    let whole = 100 * ways;
-    let own = if me == 0 {
-        whole - even * ways + even
-    } else {
-        even
-    };
-    Terms {
+/// The first limiters own the quota.
+const OWNERS: usize = 3;
+const RATE: NanoTokens = 2 * ONE_TOKEN / 1000;
+const BURST: NanoTokens = 6 * ONE_TOKEN;
+const START: Millis = 1_000_000;
+
+/// Sixty shares in a hundred are the first limiter's own.
+fn limits(limiter: usize) -> BucketLimits {
+    let limiters = LIMITERS as u64;
+    let even_shares = 40;
+    let total_shares = 100 * limiters;
+    let first_limiters_shares = total_shares - even_shares * (limiters - 1);
+    BucketLimits {
         rate: RATE,
         burst: BURST,
-        ways,
-        own,
-        even,
-        whole,
-        largest: 2 * UNIT,
+        limiters,
+        own_shares: if limiter == 0 {
+            first_limiters_shares
+        } else {
+            even_shares
+        },
+        even_shares,
+        total_shares,
+        largest_request: 2 * ONE_TOKEN,
     }
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// A limiter has a query, asks that keeper with all it has, and spends alone if `alone`.
-    Ask {
-        me: usize,
-        keeper: usize,
-        alone: bool,
-        late: Ms,
+    /// A limiter has a request, and transfers all its tokens to that owner, or spends its own if `is_alone`.
+    Request {
+        limiter: usize,
+        owner: usize,
+        is_alone: bool,
+        delay: Millis,
         copies: u8,
     },
-    /// A keeper grants another's query, or spends for its own.
+    /// A limiter grants a request out of its bucket.
     Spend(usize),
-    Crash(usize),
-    /// Hears nothing and does nothing for so long.
-    Stall(usize, Ms),
+    Restart(usize),
+    /// A limiter receives and does nothing for so long.
+    Stall(usize, Millis),
 }
 
-fn event() -> impl Strategy<Value = (Ms, Event)> {
-    let ask = (0..LIMITERS, 0..3usize, any::<bool>(), 0..3 * LATEST, 0..3u8).prop_map(
-        |(me, keeper, alone, late, copies)| Event::Ask {
-            me,
-            keeper,
-            alone,
-            late,
+/// An event, and the time before it.
+fn event() -> impl Strategy<Value = (Millis, Event)> {
+    let request = (
+        0..LIMITERS,
+        0..OWNERS,
+        any::<bool>(),
+        0..3 * TRANSFER_LIFETIME,
+        0..3u8,
+    )
+        .prop_map(|(limiter, owner, is_alone, delay, copies)| Event::Request {
+            limiter,
+            owner,
+            is_alone,
+            delay,
             copies,
-        },
-    );
+        });
     let kinds = prop_oneof![
-        20 => ask,
+        20 => request,
         10 => (0..LIMITERS).prop_map(Event::Spend),
-        1 => (0..LIMITERS).prop_map(Event::Crash),
-        1 => (0..LIMITERS, 0..5 * LATEST).prop_map(|(me, long)| Event::Stall(me, long)),
+        1 => (0..LIMITERS).prop_map(Event::Restart),
+        1 => (0..LIMITERS, 0..5 * TRANSFER_LIFETIME).prop_map(|(limiter, time)| Event::Stall(limiter, time)),
     ];
     (0..200u64, kinds)
 }
 
 struct Limiter {
-    purse: Purse,
-    stalled_until: Ms,
-    stamp: Ms,
+    bucket: TokenBucket,
+    stalled_until: Millis,
+    last_sent_at: Millis,
+}
+
+impl Limiter {
+    fn start(local_time: Millis) -> Limiter {
+        let bucket = TokenBucket::new(local_time, local_time);
+        Limiter {
+            bucket,
+            stalled_until: 0,
+            last_sent_at: 0,
+        }
+    }
+}
+
+struct Datagram {
+    arrives_at: Millis,
+    sender: usize,
+    receiver: usize,
+    transfer: TokenTransfer,
+}
+
+struct Grant {
+    at: Millis,
+    amount: NanoTokens,
+}
+
+struct LimiterSet {
+    now: Millis,
+    /// How far each limiter's clock is ahead.
+    clock_errors: Vec<Millis>,
+    limiters: Vec<Limiter>,
+    in_flight: Vec<Datagram>,
+    grants: Vec<Grant>,
+}
+
+impl LimiterSet {
+    fn new(clock_errors: Vec<Millis>) -> LimiterSet {
+        let limiters = clock_errors
+            .iter()
+            .map(|error| Limiter::start(START + error))
+            .collect();
+        LimiterSet {
+            now: START,
+            clock_errors,
+            limiters,
+            in_flight: Vec::new(),
+            grants: Vec::new(),
+        }
+    }
+
+    fn advance(&mut self, time: Millis) {
+        self.now += time;
+        self.in_flight.sort_by_key(|datagram| datagram.arrives_at);
+        let due = self
+            .in_flight
+            .partition_point(|datagram| datagram.arrives_at <= self.now);
+        for datagram in self.in_flight.drain(..due) {
+            let receiver = datagram.receiver;
+            let limiter = &mut self.limiters[receiver];
+            // A datagram for a limiter that is stalled waits in its machine's buffer.
+            let received_at = self.now.max(limiter.stalled_until) + self.clock_errors[receiver];
+            let sender = datagram.sender as u16;
+            limiter
+                .bucket
+                .receive(&limits(receiver), sender, datagram.transfer, received_at);
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Request {
+                limiter,
+                owner,
+                is_alone,
+                delay,
+                copies,
+            } => {
+                if is_alone || limiter == owner {
+                    self.spend(limiter);
+                } else {
+                    self.transfer(limiter, owner, delay, copies);
+                }
+            }
+            Event::Spend(limiter) => self.spend(limiter),
+            Event::Restart(limiter) => {
+                self.limiters[limiter] = Limiter::start(self.now + self.clock_errors[limiter]);
+            }
+            Event::Stall(limiter, time) => self.limiters[limiter].stalled_until = self.now + time,
+        }
+    }
+
+    fn spend(&mut self, index: usize) {
+        let local_time = self.now + self.clock_errors[index];
+        let limits = limits(index);
+        let limiter = &mut self.limiters[index];
+        if self.now < limiter.stalled_until {
+            return;
+        }
+        if limiter
+            .bucket
+            .can_spend(&limits, index as u64, ONE_TOKEN, local_time)
+        {
+            limiter.bucket.spend(&limits, ONE_TOKEN, local_time);
+            self.grants.push(Grant {
+                at: self.now,
+                amount: ONE_TOKEN,
+            });
+        }
+    }
+
+    fn transfer(&mut self, sender: usize, receiver: usize, delay: Millis, copies: u8) {
+        let local_time = self.now + self.clock_errors[sender];
+        let limiter = &mut self.limiters[sender];
+        if self.now < limiter.stalled_until {
+            return;
+        }
+        let steps = limiter.bucket.withdraw_all(&limits(sender), local_time);
+        limiter.last_sent_at = (limiter.last_sent_at + 1).max(local_time);
+        let transfer = TokenTransfer {
+            steps,
+            sent_at: limiter.last_sent_at,
+        };
+        for copy in 0..copies {
+            let arrives_at = self.now + delay + Millis::from(copy);
+            self.in_flight.push(Datagram {
+                arrives_at,
+                sender,
+                receiver,
+                transfer,
+            });
+        }
+    }
 }
 
 proptest! {
@@ -79,59 +220,23 @@
     #[test]
     fn no_schedule_grants_more_than_the_bound(
         events in proptest::collection::vec(event(), 100..600),
-        errors in proptest::collection::vec(0..CLOCK_ERROR / 2, LIMITERS),
+        clock_errors in proptest::collection::vec(0..MAX_CLOCK_SKEW / 2, LIMITERS),
     ) {
-        let clock = |me: usize, now: Ms| now + errors[me];
-        let start = |me: usize, now: Ms| Limiter {
-            purse: Purse::empty(clock(me, now), clock(me, now)),
-            stalled_until: 0,
-            stamp: 0,
-        };
-        let mut limiters: Vec<Limiter> = (0..LIMITERS).map(|me| start(me, BEGUN)).collect();
-        let (mut now, mut granted) = (BEGUN, Vec::<(Ms, Grains)>::new());
-        let mut mail: Vec<(Ms, usize, usize, Gift)> = Vec::new();
+        let mut set = LimiterSet::new(clock_errors);
         for (gap, event) in events {
-            now += gap;
-            mail.sort_by_key(|m| m.0);
-            let due = mail.partition_point(|m| m.0 <= now);
-            for (_, from, to, gift) in mail.drain(..due) {
-                let l = &mut limiters[to];
-                // What comes to one that stands still waits with its machine.
-                let at = now.max(l.stalled_until);
-                l.purse.take(&terms(to), from as u16, gift, clock(to, at));
-            }
-            let mut spend = |l: &mut Limiter, me: usize| {
-                if now >= l.stalled_until && l.purse.may(&terms(me), me as u64, UNIT, clock(me, now)) {
-                    l.purse.spend(&terms(me), UNIT, clock(me, now));
-                    granted.push((now, UNIT));
-                }
-            };
-            match event {
-                Event::Ask { me, keeper, alone, late, copies } => {
-                    let l = &mut limiters[me];
-                    if alone || me == keeper {
-                        spend(l, me);
-                    } else if now >= l.stalled_until {
-                        let steps = l.purse.give(&terms(me), clock(me, now));
-                        l.stamp = (l.stamp + 1).max(clock(me, now));
-                        let gift = Gift { steps, at: l.stamp };
-                        mail.extend((0..copies).map(|n| (now + late + Ms::from(n), me, keeper, gift)));
-                    }
-                }
-                Event::Spend(me) => spend(&mut limiters[me], me),
-                Event::Crash(me) => limiters[me] = start(me, now),
-                Event::Stall(me, long) => limiters[me].stalled_until = now + long,
-            }
+            set.advance(gap);
+            set.handle(event);
         }
-        // Clocks that run ahead at the start bring nothing; one that jumps brings what its error is worth.
-        let slack = RATE * CLOCK_ERROR;
-        let whole: Grains = granted.iter().map(|g| g.1).sum();
-        prop_assert!(whole <= RATE * (now - BEGUN) + slack, "{whole} in {} ms", now - BEGUN);
-        for (n, (from, _)) in granted.iter().enumerate() {
-            let mut sum = 0;
-            for (at, units) in &granted[n..] {
-                sum += units;
-                prop_assert!(sum <= RATE * (at - from) + terms(0).most_in_hand(3) + slack);
+        // A clock that is ahead at the start brings nothing; one that jumps brings what its error is worth.
+        let slack = RATE * MAX_CLOCK_SKEW;
+        let total: NanoTokens = set.grants.iter().map(|grant| grant.amount).sum();
+        prop_assert!(total <= RATE * (set.now - START) + slack, "{total} in {} ms", set.now - START);
+        for (index, first) in set.grants.iter().enumerate() {
+            let mut granted = 0;
+            for grant in &set.grants[index..] {
+                granted += grant.amount;
+                let bound = RATE * (grant.at - first.at) + limits(0).max_held(OWNERS as u64) + slack;
+                prop_assert!(granted <= bound);
             }
         }
     }
--- a/crates/aspendrum-token-bucket/tests/wire_amounts.rs
+++ b/crates/aspendrum-token-bucket/tests/wire_amounts.rs
@@ -1,33 +1,33 @@
 //! The amounts that one limiter sends to another. Only their number of steps crosses the wire (the datagram itself is
-//! the core's): limiters of different versions must agree on how many billionths of a unit a step stands for.
+//! the core's): limiters of different versions must agree on how many nano-tokens a step stands for.
 
-use aspendrum_token_bucket::{Gift, Purse, Terms, UNIT};
+use aspendrum_token_bucket::{BucketLimits, TokenBucket, TokenTransfer, ONE_TOKEN};
 
-fn terms() -> Terms {
-    Terms {
-        rate: UNIT / 500,
-        burst: 6 * UNIT,
-        ways: 3,
-        own: 1,
-        even: 1,
-        whole: 3,
-        largest: UNIT,
+fn limits() -> BucketLimits {
+    BucketLimits {
+        rate: ONE_TOKEN / 500,
+        burst: 6 * ONE_TOKEN,
+        limiters: 3,
+        own_shares: 1,
+        even_shares: 1,
+        total_shares: 3,
+        largest_request: ONE_TOKEN,
     }
 }
 
 #[test]
-fn a_unit_is_a_billion_parts() {
-    assert_eq!(UNIT, 1_000_000_000);
-    assert_eq!(terms().window(), 3_000);
-    assert_eq!(terms().most_in_hand(2), 21 * UNIT);
+fn a_token_is_a_billion_nano_tokens() {
+    assert_eq!(ONE_TOKEN, 1_000_000_000);
+    assert_eq!(limits().fill_time(), 3_000);
+    assert_eq!(limits().max_held(2), 21 * ONE_TOKEN);
 }
 
 #[test]
 fn the_steps_that_are_sent_are_those_of_today() {
     let sent = |waited: u64| {
-        let mut purse = Purse::empty(10_000, 10_000);
-        let steps = purse.give(&terms(), 10_000 + waited);
-        (steps, purse.held())
+        let mut bucket = TokenBucket::new(10_000, 10_000);
+        let steps = bucket.withdraw_all(&limits(), 10_000 + waited);
+        (steps, bucket.tokens())
     };
     let expected = [
         (0, 0),
@@ -42,15 +42,23 @@
 #[test]
 fn the_steps_that_are_received_count_as_today() {
     let received = |steps: u16| {
-        let mut purse = Purse::empty(10_000, 10_000);
-        let taken = purse.take(&terms(), 2, Gift { steps, at: 10_100 }, 10_101);
-        (taken, purse.held())
+        let mut bucket = TokenBucket::new(10_000, 10_000);
+        let accepted = bucket.receive(
+            &limits(),
+            2,
+            TokenTransfer {
+                steps,
+                sent_at: 10_100,
+            },
+            10_101,
+        );
+        (accepted, bucket.tokens())
     };
     let expected = [
         (true, 67_333_333),
         (true, 67_424_887),
         (true, 2_067_330_463),
-        (true, 4 * UNIT),
+        (true, 4 * ONE_TOKEN),
     ];
     assert_eq!([0, 1, 21_845, u16::MAX].map(received), expected);
 }
