--- a/crates/aspendrum-agent/src/lend.rs
+++ b/crates/aspendrum-agent/src/lend.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::bounded;
 use std::io::{BufReader, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddrV4, TcpListener, UdpSocket};
@@ -34,7 +34,7 @@
         settings: &Settings,
         notes: &Arc<MailboxSender<Note>>,
     ) -> std::io::Result<Lender> {
-        let [words, snapshots] = settings.lend_ports();
+        let (words, snapshots) = (settings.gossip_port(), settings.snapshot_port());
         let socket = Arc::new(UdpSocket::bind(SocketAddrV4::new(settings.ip, words))?);
         let listener = TcpListener::bind(SocketAddrV4::new(settings.ip, snapshots))?;
         let (own, told) = (socket.clone(), notes.clone());
@@ -63,28 +63,28 @@
 
     pub(crate) fn say(&self, to: Ipv4Addr, word: &GossipMessage) {
         let mut space = [0; LONGEST];
-        let [port, _] = self.settings.lend_ports();
+        let port = self.settings.gossip_port();
         if let Ok(bytes) = postcard::to_slice(word, &mut space) {
             let _ = self
                 .socket
-                .send_to(bytes, self.settings.way(SocketAddrV4::new(to, port)));
+                .send_to(bytes, self.settings.dial_addr(SocketAddrV4::new(to, port)));
         }
     }
 
     /// Asks that neighbour for all that it holds; the desk hears of each part.
     pub(crate) fn fetch(&self, from: Ipv4Addr) {
-        let [_, port] = self.settings.lend_ports();
+        let port = self.settings.snapshot_port();
         let (at, notes) = (
-            self.settings.way(SocketAddrV4::new(from, port)),
+            self.settings.dial_addr(SocketAddrV4::new(from, port)),
             self.notes.clone(),
         );
         let fetch = move || {
-            let Ok(stream) = Link::dial(at, DIAL_WAIT) else {
+            let Ok(stream) = Link::connect(at, DIAL_WAIT) else {
                 return;
             };
             let _ = stream.set_read_timeout(Some(SILENCE));
             let mut from = BufReader::with_capacity(4 << 10, &*stream);
-            while let Ok(FromControl::Update { part, .. }) =
+            while let Ok(FromControl::Update { section: part, .. }) =
                 frames::read_frame::<FromControl>(&mut from)
             {
                 notes.send(Note::Lent(part), None);
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)]
 
+use aspendrum_model::compression::compress;
 use aspendrum_model::message::{ProxyEndpoint, Readiness, StateSection};
-use aspendrum_model::packed::pack;
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::http1::{parse_request, MessageLimits, Parsed, Request};
@@ -19,8 +19,8 @@
 use std::time::Instant;
 
 pub(crate) const BOUNDS: MessageLimits = MessageLimits {
-    head: 16 << 10,
-    body: 1 << 20,
+    head_bytes: 16 << 10,
+    body_bytes: 1 << 20,
 };
 pub(crate) const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":65536,"hdr-ms":3000,"idle-ms":15000},
 "tenants":[{"name":"ann","keys":["k1"],"prio":0,"rate-s":0}],
@@ -93,18 +93,18 @@
         zone: "poa-a".into(),
         slots: 2,
         draining: false,
-        warm_left_ms: 0,
+        slow_start_left_ms: 0,
     });
     let front = ProxyEndpoint {
         addr: "127.0.0.1:1".parse().unwrap(),
         zone: "poa-a".into(),
         readiness: Readiness::Ready,
-        current: true,
+        is_current: true,
     };
     shop.desk
-        .apply(StateSection::config(1, pack(config.as_bytes())));
+        .apply(StateSection::config(1, compress(config.as_bytes())));
     shop.desk.apply(StateSection::Servers {
-        age: 0,
+        age_ms: 0,
         list: list.collect(),
     });
     // Danger: a proxy that knows of no other takes the whole of every quota for its part.
--- a/crates/aspendrum-reconcile/src/state_digest.rs
+++ b/crates/aspendrum-reconcile/src/state_digest.rs
@@ -5,7 +5,7 @@
 //! hashed again. Nodes of different versions compare these digests, so the encoding must not change
 //! (`tests/wire_bytes.rs`).
 
-use aspendrum_model::config::{Config, Route, Service};
+use aspendrum_model::config::{Config, Route, RouteEntry, Service};
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{Revision, StateDigest, DIGEST_SECTIONS};
 
@@ -122,24 +122,24 @@
 fn routes_digest(config: &Config) -> u64 {
     section_digest(
         config
-            .places()
-            .map(|(host, prefix, index)| route_form(host, prefix, &config.routes[index])),
+            .route_entries()
+            .map(|entry| route_form(&entry, &config.routes[entry.route])),
     )
 }
 
-fn route_form(host: &str, prefix: &str, route: &Route) -> CanonicalForm {
+fn route_form(entry: &RouteEntry<'_>, route: &Route) -> CanonicalForm {
     let form = CanonicalForm::default()
-        .text(host)
-        .text(prefix)
-        .flag(route.repeatable)
-        .flag(route.public)
-        .number(f64::from(route.tries))
-        .number(route.goal_ms)
-        .number(route.limit_ms)
-        .number(route.prio)
-        .texts(route.homes.iter());
-    route.services.iter().fold(form, |form, (service, weight)| {
-        form.text(service).number(*weight)
+        .text(entry.host)
+        .text(entry.prefix)
+        .flag(route.idempotent)
+        .flag(route.is_public)
+        .number(f64::from(route.max_attempts))
+        .number(route.latency_target_ms)
+        .number(route.timeout_ms)
+        .number(route.priority)
+        .texts(route.home_regions.iter());
+    route.services.iter().fold(form, |form, target| {
+        form.text(&target.service).number(target.weight)
     })
 }
 
@@ -150,10 +150,10 @@
 fn service_form(service: &Service) -> CanonicalForm {
     CanonicalForm::default()
         .text(&service.name)
-        .text(&service.check)
-        .number(f64::from(service.max_conns))
-        .number(service.warmup_s)
-        .number(service.warm_rate_s)
+        .text(&service.health_check_path)
+        .number(f64::from(service.max_connections))
+        .number(service.slow_start_s)
+        .number(service.slow_start_rate)
 }
 
 fn tenants_digest(config: &Config) -> u64 {
@@ -169,10 +169,10 @@
             keys.sort_unstable();
             CanonicalForm::default()
                 .text(&tenant.name)
-                .number(tenant.prio)
-                .number(tenant.rate_s)
+                .number(tenant.priority)
+                .number(tenant.rate_per_second)
                 .number(tenant.burst)
-                .texts(tenant.homes.iter())
+                .texts(tenant.home_regions.iter())
                 .texts(keys.into_iter())
         });
     section_digest(any_tenants.chain(tenants))
--- a/crates/aspendrum-reconcile/tests/sync.rs
+++ b/crates/aspendrum-reconcile/tests/sync.rs
@@ -78,7 +78,7 @@
 #[test]
 fn a_table_that_changed_without_an_update_shows_in_the_digests() {
     let mut config = Config::read(TEXT.as_bytes()).unwrap();
-    config.routes[1].services[0].0 = "t".into();
+    config.routes[1].services[0].service = "t".into();
     let corrupt = state_digest(Some(&config), EVACUATION, &["poa-a".to_string()]);
     assert_eq!(
         Section::differing(&digest_of(TEXT), &corrupt),
