--- a/crates/aspendrum-control/src/decided.rs
+++ b/crates/aspendrum-control/src/decided.rs
@@ -4,7 +4,7 @@
 use aspendrum_model::compression::decompress;
 use aspendrum_model::config::Config;
 use aspendrum_model::message::StateDigest;
-use aspendrum_reconcile::edition;
+use aspendrum_reconcile::state_digest;
 use std::collections::VecDeque;
 
 /// How many versions can be explained.
@@ -21,7 +21,7 @@
     /// Before anything is known.
     pub fn unknown() -> DecidedState {
         DecidedState {
-            digest: edition(None, 0, &[]),
+            digest: state_digest(None, 0, &[]),
             versions: VecDeque::new(),
         }
     }
@@ -32,7 +32,7 @@
         // Only valid texts are ever committed. Of any other nothing would be in force anywhere.
         let text = decompress(&committed.config.packed_text);
         let config = text.and_then(|text| Config::read(&text).ok());
-        self.digest = edition(config.as_ref(), evacuated.revision, &evacuated.zones);
+        self.digest = state_digest(config.as_ref(), evacuated.revision, &evacuated.zones);
         let Some(config) = config else {
             return;
         };
--- a/crates/aspendrum-control/src/node.rs
+++ b/crates/aspendrum-control/src/node.rs
@@ -26,7 +26,7 @@
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::Link;
 use aspendrum_net::mailbox::{MailboxReceiver, MailboxSender};
-use aspendrum_reconcile::Bounds;
+use aspendrum_reconcile::ReportValidity;
 use crossbeam_channel::Sender;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -74,7 +74,7 @@
     replica: ReplicaDriver,
     planner: MembershipPlanner,
     decided: DecidedState,
-    bounds: Bounds,
+    report_validity: ReportValidity,
     peers: PeerTable,
     agents: AgentSessions,
     server_list: ServerListPoller,
@@ -106,7 +106,10 @@
             replica,
             planner: MembershipPlanner::new(local_node, membership_policy(&settings), 0.0),
             decided: DecidedState::unknown(),
-            bounds: Bounds::of(settings.apply_deadline_ms, settings.unsettled_extension_ms),
+            report_validity: ReportValidity::from_limits(
+                settings.apply_deadline_ms,
+                settings.unsettled_extension_ms,
+            ),
             settings,
             peers: PeerTable::new(events),
             agents: AgentSessions::default(),
@@ -461,7 +464,7 @@
         let view = MajorityView {
             decided: self.decided.digest(),
             age: self.replica.majority_age(now),
-            bounds: self.bounds,
+            report_validity: self.report_validity,
             max_lag: MAX_LAG_SHARE * self.settings.apply_deadline_ms,
         };
         match self.agents.on_message(now, id, message, &view) {
