--- a/crates/aspendrum-consensus/src/membership_planner.rs
+++ b/crates/aspendrum-consensus/src/membership_planner.rs
@@ -14,7 +14,7 @@
 /// No node counts as missing sooner: heartbeats come each half second.
 const MIN_REPLACE_AFTER: Millis = 1600.0;
 /// A node that was not heard of for so long is not chosen as a voter.
-const MAX_SILENCE_OF_CHOSEN: Millis = 1000.0;
+const CANDIDATE_TIMEOUT: Millis = 1000.0;
 
 /// What is known of a control node.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,18 +24,20 @@
     /// The zone that it runs in.
     pub zone: String,
     /// Time since it was heard of last.
-    pub silence: Millis,
+    pub time_since_contact: Millis,
     /// It is shutting down.
     pub is_leaving: bool,
 }
 
 impl NodeStatus {
     fn is_up(&self) -> bool {
-        self.silence < MIN_REPLACE_AFTER
+        self.time_since_contact < MIN_REPLACE_AFTER
     }
 
     fn may_become_voter(&self) -> bool {
-        self.silence < MAX_SILENCE_OF_CHOSEN && !self.is_leaving && self.disk != FOUNDING_DISK
+        self.time_since_contact < CANDIDATE_TIMEOUT
+            && !self.is_leaving
+            && self.disk != FOUNDING_DISK
     }
 }
 
@@ -112,12 +114,16 @@
             voters: voters.clone(),
             since,
         });
-        let turn = self.turn(&epoch.voters, nodes)?;
-        (now - since >= PROPOSAL_TURN * turn as Millis).then_some(voters)
+        let position = self.proposal_position(&epoch.voters, nodes)?;
+        (now - since >= PROPOSAL_TURN * position as Millis).then_some(voters)
     }
 
     /// How many voters propose before this one. None: this node does not vote.
-    fn turn(&self, voters: &Voters, nodes: &BTreeMap<NodeId, NodeStatus>) -> Option<usize> {
+    fn proposal_position(
+        &self,
+        voters: &Voters,
+        nodes: &BTreeMap<NodeId, NodeStatus>,
+    ) -> Option<usize> {
         let is_able = |(node, disk): &(&NodeId, &DiskId)| {
             let has_that_disk =
                 |status: &NodeStatus| **disk == FOUNDING_DISK || status.disk == **disk;
@@ -189,7 +195,7 @@
     }
     let is_gone = |node: &NodeId| {
         let status = nodes.get(node);
-        status.is_none_or(|s| s.is_leaving || s.silence >= policy.replace_after)
+        status.is_none_or(|s| s.is_leaving || s.time_since_contact >= policy.replace_after)
     };
     let gone = voters.nodes().find(is_gone)?;
     next.0.remove(&gone);
--- a/crates/aspendrum-consensus/tests/common/mod.rs
+++ b/crates/aspendrum-consensus/tests/common/mod.rs
@@ -394,7 +394,7 @@
     fn node_statuses(&self) -> BTreeMap<NodeId, NodeStatus> {
         let status = |node: NodeId| {
             let replica = self.up.get(&node);
-            let silence = match (replica, self.down_since.get(&node)) {
+            let time_since_contact = match (replica, self.down_since.get(&node)) {
                 (Some(_), _) => 0.0,
                 (None, Some(since)) => self.now - since,
                 (None, None) => f64::INFINITY,
@@ -402,7 +402,7 @@
             NodeStatus {
                 disk: replica.map_or(0, |replica| replica.state().disk),
                 zone: format!("z{}", node.as_u32()),
-                silence,
+                time_since_contact,
                 is_leaving: self.leaving.contains(&node),
             }
         };
--- a/crates/aspendrum-consensus/tests/membership.rs
+++ b/crates/aspendrum-consensus/tests/membership.rs
@@ -17,7 +17,7 @@
         let status = NodeStatus {
             disk: *disk,
             zone: zone.to_string(),
-            silence: 0.0,
+            time_since_contact: 0.0,
             is_leaving: false,
         };
         (node(*number), status)
@@ -63,7 +63,7 @@
     let current = voters(&[(1, 11), (2, 12), (3, 13)]);
     let mut nodes = statuses(&[(1, 11, "a"), (2, 12, "b"), (3, 13, "a")]);
     assert_eq!(next_voters(&current, &nodes, &policy), None);
-    nodes.get_mut(&node(1)).unwrap().silence = policy.replace_after;
+    nodes.get_mut(&node(1)).unwrap().time_since_contact = policy.replace_after;
     assert_eq!(
         next_voters(&current, &nodes, &policy),
         None,
@@ -72,7 +72,7 @@
     nodes.extend(statuses(&[(4, 14, "a"), (5, 15, "c")]));
     let expected = voters(&[(5, 15), (2, 12), (3, 13)]);
     assert_eq!(next_voters(&current, &nodes, &policy), Some(expected));
-    nodes.get_mut(&node(1)).unwrap().silence = policy.replace_after - 1.0;
+    nodes.get_mut(&node(1)).unwrap().time_since_contact = policy.replace_after - 1.0;
     assert_eq!(
         next_voters(&current, &nodes, &policy),
         None,
@@ -84,7 +84,7 @@
         "it is shutting down"
     );
     nodes.get_mut(&node(5)).unwrap().is_leaving = true;
-    nodes.get_mut(&node(4)).unwrap().silence = 1200.0;
+    nodes.get_mut(&node(4)).unwrap().time_since_contact = 1200.0;
     assert_eq!(
         next_voters(&current, &nodes, &policy),
         None,
@@ -112,7 +112,7 @@
         ..Epoch::default()
     };
     let mut nodes = statuses(&[(1, 11, "a"), (2, 12, "b"), (3, 13, "c"), (4, 14, "d")]);
-    nodes.get_mut(&node(1)).unwrap().silence = 5000.0;
+    nodes.get_mut(&node(1)).unwrap().time_since_contact = 5000.0;
     let proposed_at = |number: u32| {
         let mut planner = MembershipPlanner::new(node(number), policy, 0.0);
         let mut times = (0..100).map(|n| f64::from(n) * 50.0);
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -1,6 +1,7 @@
 //! The agents that are connected to this control node: which updates each was sent, what its proxy has applied, and
 //! whether clients may be sent to that.
 
+use crate::decided::MAX_MAJORITY_AGE;
 use crate::event::ConnectionId;
 use crate::proxy_table::ProxyEntry;
 use crate::report::NodeReport;
@@ -12,13 +13,12 @@
 use aspendrum_net::frames::Link;
 use aspendrum_reconcile::{Bounds, Standing, Verdict, Word};
 use std::collections::HashMap;
+use std::net::SocketAddrV4;
 
 /// An agent that was silent for so long is frozen, cut off or without power, and its proxy with it.
-const MAX_SILENCE: Millis = 1000.0;
+const AGENT_TIMEOUT: Millis = 1000.0;
 /// An agent that changes to another control node is connected there within this time.
 const RECONNECT_TIME: Millis = 1200.0;
-/// What a majority was known to hold so lately may be compared with what a proxy has applied.
-const MAX_MAJORITY_AGE: Millis = 1200.0;
 
 /// What heartbeats of agents are answered and judged with.
 #[derive(Clone, Copy)]
@@ -82,6 +82,18 @@
         }
     }
 
+    /// The agent has told who it is.
+    fn introduce(&mut self, host: String, proxy_addr: SocketAddrV4, zone: String) {
+        log::info!("event=agent_connected host={host} proxy={proxy_addr} zone={zone}");
+        self.host = host;
+        self.proxy = Some(ProxyEndpoint {
+            addr: proxy_addr,
+            zone,
+            readiness: Readiness::Closed,
+            is_current: true,
+        });
+    }
+
     /// Sends the sections that the agent does not have yet.
     fn send_updates(&mut self, sections: &[StateSection]) {
         for section in sections {
@@ -248,14 +260,7 @@
                 proxy_addr,
                 zone,
             } => {
-                log::info!("event=agent_connected host={host} proxy={proxy_addr} zone={zone}");
-                session.host = host;
-                session.proxy = Some(ProxyEndpoint {
-                    addr: proxy_addr,
-                    zone,
-                    readiness: Readiness::Closed,
-                    is_current: true,
-                });
+                session.introduce(host, proxy_addr, zone);
                 AgentChange::Joined
             }
             ToControl::Heartbeat {
@@ -288,7 +293,7 @@
         self.moved.retain(|moved| now < moved.until);
         let mut has_changed = self.moved.len() != moved_before;
         let silent = self.sessions.values_mut();
-        let silent = silent.filter(|session| now - session.last_received > MAX_SILENCE);
+        let silent = silent.filter(|session| now - session.last_received > AGENT_TIMEOUT);
         for proxy in silent.filter_map(|session| session.proxy.as_mut()) {
             if proxy.readiness != Readiness::Closed {
                 proxy.readiness = Readiness::Closed;
--- a/crates/aspendrum-control/src/connections.rs
+++ b/crates/aspendrum-control/src/connections.rs
@@ -22,7 +22,7 @@
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// How many messages a link keeps for a receiver that does not read.
 const LINK_CAPACITY: usize = 256;
-/// A connection is closed once nothing was received for so many times the given silence.
+/// A connection is closed once nothing was received for so many times the given time-out.
 const READ_TIMEOUT_FACTOR: u32 = 4;
 const READ_BUFFER_BYTES: usize = 2 << 10;
 
@@ -31,22 +31,22 @@
     Envelope::Peer(message)
 }
 
-/// Keeps a connection to that node for as long as `is_wanted`. Each change of the connection becomes an event.
+/// Keeps a connection to that node for as long as `keep_connected`. Each change of the connection becomes an event.
 ///
 /// # Errors
 /// The thread cannot be started.
 pub fn keep_connected(
     node: NodeId,
     address: SocketAddrV4,
-    max_silence: Duration,
-    is_wanted: Arc<AtomicBool>,
+    peer_timeout: Duration,
+    keep_connected: Arc<AtomicBool>,
     events: &Arc<MailboxSender<Event>>,
 ) -> io::Result<()> {
     let events = events.clone();
     spawn("peer", STACK_BYTES, move || {
-        while is_wanted.load(Ordering::Acquire) {
+        while keep_connected.load(Ordering::Acquire) {
             if let Ok(stream) = Link::connect(address, CONNECT_TIMEOUT) {
-                hold_connection(node, stream, max_silence, &events);
+                hold_connection(node, stream, peer_timeout, &events);
             }
             sleep(RECONNECT_INTERVAL);
         }
@@ -58,10 +58,10 @@
 fn hold_connection(
     node: NodeId,
     stream: Arc<TcpStream>,
-    max_silence: Duration,
+    peer_timeout: Duration,
     events: &MailboxSender<Event>,
 ) {
-    let Ok(link) = Link::from_stream(stream.clone(), max_silence, LINK_CAPACITY) else {
+    let Ok(link) = Link::from_stream(stream.clone(), peer_timeout, LINK_CAPACITY) else {
         return;
     };
     let link = Some(link);
@@ -77,7 +77,7 @@
 /// The port cannot be opened, or the thread cannot be started.
 pub fn listen(
     address: SocketAddrV4,
-    max_silence: Duration,
+    peer_timeout: Duration,
     events: &Arc<MailboxSender<Event>>,
 ) -> io::Result<()> {
     let listener = TcpListener::bind(address)?;
@@ -92,7 +92,7 @@
             let id = next_id.fetch_add(1, Ordering::Relaxed);
             let events = events.clone();
             let started = spawn("reader", STACK_BYTES, move || {
-                read_messages(id, &Arc::new(stream), max_silence, &events);
+                read_messages(id, &Arc::new(stream), peer_timeout, &events);
                 events.send(Event::Disconnected { id }, None);
             });
             if let Err(error) = started {
@@ -107,11 +107,11 @@
 fn read_messages(
     id: ConnectionId,
     stream: &Arc<TcpStream>,
-    max_silence: Duration,
+    peer_timeout: Duration,
     events: &MailboxSender<Event>,
 ) {
     // A sender that is silent for so long has lost its connection, or power.
-    let _ = stream.set_read_timeout(Some(READ_TIMEOUT_FACTOR * max_silence));
+    let _ = stream.set_read_timeout(Some(READ_TIMEOUT_FACTOR * peer_timeout));
     let mut reader = io::BufReader::with_capacity(READ_BUFFER_BYTES, &**stream);
     let (mut peer, mut is_agent) = (None, false);
     while let Ok(envelope) = frames::read_frame::<Envelope<PeerMessage>>(&mut reader) {
@@ -127,7 +127,7 @@
             }
             Envelope::Agent(message) => {
                 if !is_agent {
-                    let link = Link::from_stream(stream.clone(), max_silence, LINK_CAPACITY);
+                    let link = Link::from_stream(stream.clone(), peer_timeout, LINK_CAPACITY);
                     let Ok(link) = link else {
                         return;
                     };
--- a/crates/aspendrum-control/src/decided.rs
+++ b/crates/aspendrum-control/src/decided.rs
@@ -1,12 +1,15 @@
 //! What is decided: the digest that proxies' tables are compared with, and the last versions for explanations.
 
-use aspendrum_consensus::ReplicatedState;
+use aspendrum_consensus::{Millis, ReplicatedState};
 use aspendrum_model::compression::decompress;
 use aspendrum_model::config::Config;
 use aspendrum_model::message::StateDigest;
 use aspendrum_reconcile::edition;
 use std::collections::VecDeque;
 
+/// A majority was read so lately that this node can rely on what it knows: it is not the one that is behind, and it hears
+/// of the proxies of all other control nodes.
+pub const MAX_MAJORITY_AGE: Millis = 1200.0;
 /// How many versions can be explained.
 const MAX_VERSIONS: usize = 4;
 
--- a/crates/aspendrum-control/src/errors.rs
+++ b/crates/aspendrum-control/src/errors.rs
@@ -74,10 +74,10 @@
     #[display("{_0}")]
     Store(StoreError),
     /// A thread cannot be started or a port cannot be opened.
-    #[display("{what}: {source}")]
+    #[display("{resource}: {source}")]
     Resource {
         /// The thread or the port.
-        what: &'static str,
+        resource: &'static str,
         /// The cause.
         source: io::Error,
     },
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`node`] runs on one thread and owns everything that a control node knows. It composes the parts, each of which owns
 //! its state, takes inputs and returns what concerns the others: [`peers`], [`agents`], [`server_list`],
-//! [`replica_driver`]. All other threads only send it an [`event::Event`]: connections ([`connections`]), the disk
+//! [`membership`], [`replica_driver`]. All other threads only send it an [`event::Event`]: connections ([`connections`]), the disk
 //! ([`storage`]), the platform's list of servers ([`platform`]) and the HTTP calls ([`api`]).
 
 pub mod agents;
@@ -15,6 +15,7 @@
 pub mod errors;
 pub mod event;
 pub mod legacy;
+pub mod membership;
 pub mod node;
 pub mod peer_message;
 pub mod peers;
--- a/crates/aspendrum-control/src/node.rs
+++ b/crates/aspendrum-control/src/node.rs
@@ -10,6 +10,7 @@
 use crate::decided::DecidedState;
 use crate::directory::Directory;
 use crate::event::{ConnectionId, Event, ReportQuery};
+use crate::membership::{self, Membership};
 use crate::peer_message::{Hello, PeerMessage};
 use crate::peers::PeerTable;
 use crate::proxy_table::MergedProxies;
@@ -18,9 +19,7 @@
 use crate::sections::SectionSources;
 use crate::server_list::{PollSchedule, ServerListPoller};
 use crate::shutdown::Shutdown;
-use crate::storage::DiskHealth;
-use aspendrum_consensus::membership::{DiskId, FOUNDING_DISK};
-use aspendrum_consensus::membership_planner::{MembershipPlanner, MembershipPolicy, NodeStatus};
+use aspendrum_consensus::membership_planner::NodeStatus;
 use aspendrum_consensus::{Command, Message, Millis, NodeId, Outcome};
 use aspendrum_model::message::{ControlAddress, ToControl};
 use aspendrum_model::settings::Settings;
@@ -30,7 +29,7 @@
 use crossbeam_channel::Sender;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::{Ipv4Addr, SocketAddrV4};
+use std::net::SocketAddrV4;
 use std::sync::{Arc, RwLock};
 use std::time::{Duration, Instant};
 
@@ -72,7 +71,7 @@
     local_node: NodeId,
     clock: Clock,
     replica: ReplicaDriver,
-    planner: MembershipPlanner,
+    membership: Membership,
     decided: DecidedState,
     bounds: Bounds,
     peers: PeerTable,
@@ -84,8 +83,6 @@
     /// The agents were told of the proxies after the gathering time.
     has_gathered: bool,
     shutdown: Option<Shutdown>,
-    /// The disk's health as the other nodes know it.
-    announced_health: DiskHealth,
 }
 
 impl ControlNode {
@@ -104,7 +101,7 @@
             local_node,
             clock,
             replica,
-            planner: MembershipPlanner::new(local_node, membership_policy(&settings), 0.0),
+            membership: Membership::new(local_node, &settings, 0.0),
             decided: DecidedState::unknown(),
             bounds: Bounds::of(settings.apply_deadline_ms, settings.unsettled_extension_ms),
             settings,
@@ -116,7 +113,6 @@
             last_heartbeat: None,
             has_gathered: false,
             shutdown: None,
-            announced_health: DiskHealth::Healthy,
         }
     }
 
@@ -257,21 +253,13 @@
         self.broadcast_hello();
     }
 
-    /// Proposes other voters if some are gone or came back with an empty disk.
     fn propose_voters_if_due(&mut self, now: Millis) {
         let nodes = self.node_statuses();
         let replica = self.replica.replica();
-        let due = self.planner.due_change(now, replica.epoch(), &nodes);
-        let may_propose = replica.has_joined() && !replica.is_proposing_voters();
-        let Some(voters) = due.filter(|_| may_propose) else {
-            return;
-        };
-        let epoch = replica.epoch().number + 1;
-        let disks = voters.0.iter().map(|(node, disk)| (node.address(), *disk));
-        let disks: BTreeMap<Ipv4Addr, DiskId> = disks.collect();
-        log::info!("event=voters_proposed epoch={epoch} voters={disks:?}");
-        self.replica.propose_voters(now, voters);
-        self.process_outputs();
+        if let Some(voters) = self.membership.due_voters(now, replica, &nodes) {
+            self.replica.propose_voters(now, voters);
+            self.process_outputs();
+        }
     }
 
     fn read_if_due(&mut self, now: Millis) {
@@ -398,36 +386,15 @@
         self.peers
             .broadcast(&PeerMessage::Heartbeat { server_list_age });
         let health = self.replica.disk_health();
-        let announced = std::mem::replace(&mut self.announced_health, health);
-        if announced != health {
+        if self.membership.has_health_changed(health) {
             self.broadcast_hello();
         }
         let voters = &self.replica.replica().epoch().voters;
         self.peers.forget_silent(now, &self.seeds(), voters);
     }
 
-    /// The disk that this node may vote with.
-    fn voting_disk(&self) -> DiskId {
-        let has_disk = self.settings.data_dir.is_some();
-        if has_disk && self.replica.disk_health() != DiskHealth::Failed {
-            self.replica.replica().state().disk
-        } else {
-            FOUNDING_DISK
-        }
-    }
-
-    /// Whether others should take this node's vote.
-    fn is_leaving(&self) -> bool {
-        self.shutdown.is_some() || self.replica.disk_health() != DiskHealth::Healthy
-    }
-
     fn local_status(&self) -> NodeStatus {
-        NodeStatus {
-            disk: self.voting_disk(),
-            zone: self.settings.zone.clone(),
-            silence: 0.0,
-            is_leaving: self.is_leaving(),
-        }
+        membership::local_status(&self.settings, &self.replica, self.shutdown.is_some())
     }
 
     fn hello(&self) -> PeerMessage {
@@ -582,19 +549,12 @@
         };
         if !self.replica.has_waiting_commands() {
             let nodes = self.node_statuses();
-            let policy = membership_policy(&self.settings);
+            let policy = membership::policy(&self.settings);
             shutdown.finish_if_ready(self.replica.replica(), &nodes, &policy);
         }
     }
 }
 
-fn membership_policy(settings: &Settings) -> MembershipPolicy {
-    MembershipPolicy::new(
-        settings.tolerated_losses as usize,
-        settings.rejoin_s * 1000.0,
-    )
-}
-
 /// Whether so much time has passed since the last time, if there was any.
 fn is_due(now: Millis, last: Option<Millis>, interval: Millis) -> bool {
     last.is_none_or(|last| now - last >= interval)
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// A control node that was silent for so long does not count as reachable.
-pub const MAX_SILENCE: Millis = 1600.0;
+pub const PEER_TIMEOUT: Millis = 1600.0;
 /// A control node that is neither configured nor a voter and was silent for so long is forgotten.
 const FORGET_AFTER: Millis = 60_000.0;
 
@@ -46,11 +46,12 @@
     }
 
     fn is_reachable(&self, now: Millis) -> bool {
-        self.last_received.is_some_and(|at| now - at <= MAX_SILENCE)
+        self.last_received
+            .is_some_and(|at| now - at <= PEER_TIMEOUT)
     }
 
     /// For how long nothing was received from it, or nothing known of it.
-    fn silence(&self, now: Millis) -> Millis {
+    fn time_since_contact(&self, now: Millis) -> Millis {
         now - self.last_received.unwrap_or(self.known_since)
     }
 }
@@ -101,8 +102,8 @@
             return;
         }
         let keep = peer.keep_connected.clone();
-        let max_silence = Duration::from_millis(MAX_SILENCE as u64);
-        let started = connections::keep_connected(node, address, max_silence, keep, &self.events);
+        let peer_timeout = Duration::from_millis(PEER_TIMEOUT as u64);
+        let started = connections::keep_connected(node, address, peer_timeout, keep, &self.events);
         if let Err(error) = started {
             log::error!("event=link_not_started why=\"{error}\"");
         }
@@ -179,8 +180,9 @@
     /// The nodes that other nodes are told of, and their zones. Nodes that are gone for good are not passed on for
     /// ever.
     pub fn known_nodes(&self, now: Millis) -> Vec<(NodeId, String)> {
-        let is_recent =
-            |peer: &Peer| peer.last_received.is_some() && peer.silence(now) < FORGET_AFTER;
+        let is_recent = |peer: &Peer| {
+            peer.last_received.is_some() && peer.time_since_contact(now) < FORGET_AFTER
+        };
         let recent = self.peers.iter().filter(|(_, peer)| is_recent(peer));
         recent
             .map(|(node, peer)| (*node, peer.zone.clone()))
@@ -191,7 +193,7 @@
     pub fn forget_silent(&mut self, now: Millis, seeds: &[NodeId], voters: &Voters) {
         self.peers.retain(|node, peer| {
             let is_required = seeds.contains(node) || voters.contains_node(*node);
-            let keep = is_required || peer.silence(now) < FORGET_AFTER;
+            let keep = is_required || peer.time_since_contact(now) < FORGET_AFTER;
             if !keep {
                 log::info!("event=peer_forgotten node={node}");
                 peer.keep_connected.store(false, Ordering::Release);
@@ -205,7 +207,7 @@
         let status = |peer: &Peer| NodeStatus {
             disk: peer.disk,
             zone: peer.zone.clone(),
-            silence: peer.silence(now),
+            time_since_contact: peer.time_since_contact(now),
             is_leaving: peer.is_leaving,
         };
         let known = self.peers.iter().map(|(node, peer)| (*node, status(peer)));
@@ -214,7 +216,7 @@
             statuses.entry(voter).or_insert_with(|| NodeStatus {
                 disk: FOUNDING_DISK,
                 zone: String::new(),
-                silence: now,
+                time_since_contact: now,
                 is_leaving: false,
             });
         }
--- a/crates/aspendrum-control/src/sections.rs
+++ b/crates/aspendrum-control/src/sections.rs
@@ -1,11 +1,9 @@
 //! What every agent should have, in sections that are sent when they change.
 
+use crate::decided::MAX_MAJORITY_AGE;
 use aspendrum_consensus::{Millis, ReplicatedState};
 use aspendrum_model::message::{ControlAddress, ProxyEndpoint, StateSection};
 
-/// The majority must have been read so lately for this node to know the proxies of other control nodes.
-const MAX_MAJORITY_AGE: Millis = 1200.0;
-
 /// What the sections are made of.
 pub struct SectionSources<'a> {
     /// What is committed, as far as this node knows.
--- a/crates/aspendrum-control/src/startup.rs
+++ b/crates/aspendrum-control/src/startup.rs
@@ -54,8 +54,8 @@
     daemon::run("aspendrum-control", about, check, serve)
 }
 
-fn resource(what: &'static str) -> impl Fn(io::Error) -> StartError {
-    move |source| StartError::Resource { what, source }
+fn resource_error(resource: &'static str) -> impl Fn(io::Error) -> StartError {
+    move |source| StartError::Resource { resource, source }
 }
 
 fn serve(signals: ProcessSignals) -> Result<(), StartError> {
@@ -97,7 +97,7 @@
     let (node_sender, events) = start_node_thread()?;
     let own_events = events.clone();
     let on_written = move |result| own_events.send(Event::WriteFinished(result), None);
-    let storage = Storage::start(disk, state, on_written).map_err(resource("disk"))?;
+    let storage = Storage::start(disk, state, on_written).map_err(resource_error("disk"))?;
     let local_node = NodeId::from(settings.ip);
     let (poll_requests, requested_polls) = bounded(1);
     let node = ControlNode::new(ControlNodeOptions {
@@ -109,14 +109,14 @@
         directory: directory.clone(),
     });
     let address = SocketAddrV4::new(settings.ip, settings.control_port());
-    let max_silence = Duration::from_millis(peers::MAX_SILENCE as u64);
-    connections::listen(address, max_silence, &events).map_err(resource("control port"))?;
+    let peer_timeout = Duration::from_millis(peers::PEER_TIMEOUT as u64);
+    connections::listen(address, peer_timeout, &events).map_err(resource_error("control port"))?;
     node_sender
         .send(node)
         .map_err(|_| StartError::NodeThreadEnded)?;
     let own_events = events.clone();
     let poll = move || poll_platform(&requested_polls, &own_events);
-    spawn("poller", STACK_BYTES, poll).map_err(resource("poller"))?;
+    spawn("poller", STACK_BYTES, poll).map_err(resource_error("poller"))?;
     Ok(events)
 }
 
@@ -168,7 +168,8 @@
             }
         })
     };
-    let events = mailbox::spawn_receiver(EVENT_CAPACITY, start).map_err(resource("server"))?;
+    let events =
+        mailbox::spawn_receiver(EVENT_CAPACITY, start).map_err(resource_error("server"))?;
     Ok((node_sender, Arc::new(events)))
 }
 
@@ -203,7 +204,7 @@
         let api = OperatorApi::new(events.clone(), settings.zone_regions.clone());
         let answer = move |request| api.answer(&request);
         let options = options(OPERATOR_STACK_BYTES, OPERATOR_LIMITS);
-        http_server::listen(address, options, answer).map_err(resource("ctl"))?;
+        http_server::listen(address, options, answer).map_err(resource_error("ctl"))?;
     }
     if let Some(address) = settings.directory_addr {
         // Answers count as long as the requirements allow: a request waits for each lookup, and clients pass over
@@ -211,7 +212,7 @@
         let api = LookupApi::new(directory.clone(), settings.max_ttl_s);
         let answer = move |request| api.answer(clock.now(), &request);
         let options = options(STACK_BYTES, LOOKUP_LIMITS);
-        http_server::listen(address, options, answer).map_err(resource("dir"))?;
+        http_server::listen(address, options, answer).map_err(resource_error("dir"))?;
     }
     Ok(())
 }
