--- a/crates/aspendrum/src/client.rs
+++ b/crates/aspendrum/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::http;
 use crate::Shop;
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_net::disconnects::ClientConnection;
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_net::threads::lock;
@@ -50,7 +50,7 @@
         &self,
         shop: &Shop,
         status: u16,
-        advice: Ms,
+        advice: Millis,
         close: bool,
         kind: &[u8],
         body: &[u8],
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -3,8 +3,8 @@
 
 use crate::limits::{Limits, HEADERS};
 use crate::Shop;
-use aspendrum_core::api::{Load, LoadValue, Ms, Outcome, Semantics};
-use aspendrum_core::settings::MS;
+use aspendrum_core::api::{LoadReport, LoadValue, Millis, Outcome, Semantics};
+use aspendrum_core::settings::MILLIS_PER_SECOND;
 use aspendrum_net::connection::Connection;
 pub use aspendrum_net::http1::Parsed;
 use aspendrum_net::http1::{
@@ -35,7 +35,7 @@
 /// Customers are numbers below this, written with this many digits.
 const CUSTOMERS: u64 = 1 << 33;
 const CUSTOMER_DIGITS: usize = 16;
-const LONGEST_WAIT: Ms = 3_600_000.0;
+const LONGEST_WAIT: Millis = 3_600_000.0;
 const METHODS: [&str; 5] = ["GET", "POST", "PUT", "PATCH", "DELETE"];
 /// Headers that decide. One that comes twice may be read one way here and another way behind us.
 const ONCE: [&str; 9] = [
@@ -62,7 +62,7 @@
     pub group: u16,
     pub plan: u32,
     pub acct: u64,
-    pub wait: Ms,
+    pub wait: Millis,
     pub units: f32,
     pub spread: f32,
     pub first: f32,
@@ -151,11 +151,11 @@
     // The group fixes the path's first part and the method; sent on with another, a query that may run only
     // once could pass for one that may be repeated. Without its key nothing would drop a keyed one's repeat.
     let fits = match semantics {
-        Semantics::Repeatable => method == "GET" && body.is_empty(),
-        Semantics::Keyed => {
+        Semantics::Idempotent => method == "GET" && body.is_empty(),
+        Semantics::Deduplicated => {
             method == "POST" && header(headers, KEY).is_some_and(|key| !key.is_empty())
         }
-        Semantics::Mutating => method != "GET",
+        Semantics::NonIdempotent => method != "GET",
     };
     if !fits || path.strip_prefix('/')?.split(['/', '?']).next() != Some(lane) {
         return None;
@@ -212,7 +212,7 @@
 
 impl Asked {
     /// Writes a forward that waits that long.
-    pub fn forward(&self, wait: Ms, out: &mut RingBuffer) -> bool {
+    pub fn forward(&self, wait: Millis, out: &mut RingBuffer) -> bool {
         let (us, body) = ((wait * 1000.0).max(1.0) as u64, self.body.len());
         out.append(&self.head)
             && write!(out, "{REMAINING}: {us}u\r\n").is_ok()
@@ -228,7 +228,7 @@
     pub turned_away: bool,
     pub close: bool,
     pub charged: Option<f32>,
-    pub load: Load,
+    pub load: LoadReport,
     pub content_type: Vec<u8>,
     pub body: Vec<u8>,
 }
@@ -296,12 +296,12 @@
 }
 
 /// A load report in a probe's body.
-pub fn load_of_body(body: &[u8], values: &[LoadValue]) -> Load {
+pub fn load_of_body(body: &[u8], values: &[LoadValue]) -> LoadReport {
     load(std::str::from_utf8(body).unwrap_or(""), values)
 }
 
-fn load(text: &str, values: &[LoadValue]) -> Load {
-    let mut load = Load::default();
+fn load(text: &str, values: &[LoadValue]) -> LoadReport {
+    let mut load = LoadReport::default();
     let text = text.trim().trim_start_matches("TEXT").trim_start();
     for (slot, value) in values.iter().enumerate().take(load.values.len()) {
         let told = text
@@ -312,15 +312,15 @@
             .find_map(|(_, v)| number(v));
         // One value that cannot be read does not cost the others.
         load.values[slot] = found.map_or(f32::NAN, |n| n as f32);
-        load.n = slot as u8 + 1;
+        load.count = slot as u8 + 1;
     }
     if load
         .values
         .iter()
-        .take(usize::from(load.n))
+        .take(usize::from(load.count))
         .all(|v| v.is_nan())
     {
-        return Load::default();
+        return LoadReport::default();
     }
     load
 }
@@ -328,12 +328,12 @@
 /// Servers name the values as the deployment does, settings as the simulator's wire does.
 fn load_value(name: &str) -> LoadValue {
     match name.trim() {
-        "inflight" | "busy_reqs" => LoadValue::InHand,
-        "queue" | "pending" => LoadValue::Waiting,
-        "util" | "cpu_share" => LoadValue::CpuShare,
-        "latency_ms" | "svc_ms" => LoadValue::ServiceMs,
-        "qps" | "served_ps" => LoadValue::AnsweredPerS,
-        "eps" | "failed_ps" => LoadValue::DroppedPerS,
+        "inflight" | "busy_reqs" => LoadValue::RequestsInFlight,
+        "queue" | "pending" => LoadValue::RequestsQueued,
+        "util" | "cpu_share" => LoadValue::CpuUtilization,
+        "latency_ms" | "svc_ms" => LoadValue::ServiceTimeMs,
+        "qps" | "served_ps" => LoadValue::ResponsesPerSecond,
+        "eps" | "failed_ps" => LoadValue::FailuresPerSecond,
         _ => LoadValue::Unknown,
     }
 }
@@ -342,7 +342,7 @@
 pub fn reply(
     out: &mut RingBuffer,
     status: u16,
-    advice: Ms,
+    advice: Millis,
     close: bool,
     content_type: &[u8],
     body: &[u8],
@@ -366,7 +366,8 @@
         body.len()
     )
     .is_ok()
-        && (advice <= 0.0 || write!(out, "Retry-After: {:.3}\r\n", advice / MS).is_ok())
+        && (advice <= 0.0
+            || write!(out, "Retry-After: {:.3}\r\n", advice / MILLIS_PER_SECOND).is_ok())
         && (!close || out.append(b"Connection: close\r\n"))
         && (content_type.is_empty()
             || out.append(b"Content-Type: ") && out.append(content_type) && out.append(b"\r\n"))
@@ -402,7 +403,7 @@
 }
 
 /// A number and its unit, in milliseconds.
-fn remaining(text: &str) -> Option<Ms> {
+fn remaining(text: &str) -> Option<Millis> {
     let ms = match text.as_bytes().last()? {
         b'm' => number(&text[..text.len() - 1])?,
         b'u' => number(&text[..text.len() - 1])? / 1000.0,
