--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -1,6 +1,7 @@
 //! The agents that are connected to this control node: which updates each was sent, what its proxy has applied, and
 //! whether clients may be sent to that.
 
+use crate::decided::MAX_MAJORITY_AGE;
 use crate::event::ConnectionId;
 use crate::proxy_table::ProxyEntry;
 use crate::report::NodeReport;
@@ -10,15 +11,14 @@
 };
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::frames::Link;
-use aspendrum_reconcile::{Bounds, Standing, Verdict, Word};
+use aspendrum_reconcile::{MajorityReport, ReportValidity, SyncAssessment, SyncStatus};
 use std::collections::HashMap;
+use std::net::SocketAddrV4;
 
 /// An agent that was silent for so long is frozen, cut off or without power, and its proxy with it.
-const MAX_SILENCE: Millis = 1000.0;
+const AGENT_TIMEOUT: Millis = 1000.0;
 /// An agent that changes to another control node is connected there within this time.
 const RECONNECT_TIME: Millis = 1200.0;
-/// What a majority was known to hold so lately may be compared with what a proxy has applied.
-const MAX_MAJORITY_AGE: Millis = 1200.0;
 
 /// What heartbeats of agents are answered and judged with.
 #[derive(Clone, Copy)]
@@ -28,7 +28,7 @@
     /// How long ago a majority is known to have held nothing newer.
     pub age: Option<Millis>,
     /// For how long that counts.
-    pub bounds: Bounds,
+    pub report_validity: ReportValidity,
     /// For how long a proxy may lack what is decided before clients are sent elsewhere.
     pub max_lag: Millis,
 }
@@ -58,7 +58,7 @@
     sent_sections: [Option<StateSection>; SECTION_KINDS],
     /// What the proxy has applied, and how that compares with what is decided.
     applied: StateDigest,
-    status: Standing,
+    status: SyncStatus,
     /// Since when it has not been current; none while it is.
     not_current_since: Option<Millis>,
     /// It has told that it changes to another control node.
@@ -76,12 +76,24 @@
             acknowledged_update: 0,
             sent_sections: [const { None }; SECTION_KINDS],
             applied: StateDigest::default(),
-            status: Standing::Behind,
+            status: SyncStatus::Behind,
             not_current_since: None,
             is_disconnecting: false,
         }
     }
 
+    /// The agent has told who it is.
+    fn introduce(&mut self, host: String, proxy_addr: SocketAddrV4, zone: String) {
+        log::info!("event=agent_connected host={host} proxy={proxy_addr} zone={zone}");
+        self.host = host;
+        self.proxy = Some(ProxyEndpoint {
+            addr: proxy_addr,
+            zone,
+            readiness: Readiness::Closed,
+            is_current: true,
+        });
+    }
+
     /// Sends the sections that the agent does not have yet.
     fn send_updates(&mut self, sections: &[StateSection]) {
         for section in sections {
@@ -117,13 +129,14 @@
         self.applied = applied;
         // Without a recent majority this node may be the one that is behind.
         if majority_age.is_some_and(|age| Millis::from(age) <= MAX_MAJORITY_AGE) {
-            let report = Word {
+            let report = MajorityReport {
                 decided: view.decided,
                 as_of: now,
             };
-            self.status = Verdict::of(&applied, Some(&report), false, &view.bounds).standing;
+            self.status =
+                SyncAssessment::new(&applied, Some(&report), false, &view.report_validity).status;
             self.not_current_since = match self.status {
-                Standing::Current => None,
+                SyncStatus::Current => None,
                 _ => Some(self.not_current_since.unwrap_or(now)),
             };
         }
@@ -138,7 +151,7 @@
         let Some(proxy) = &mut self.proxy else {
             return false;
         };
-        let (addr, status) = (proxy.addr, self.status.word());
+        let (addr, status) = (proxy.addr, self.status.as_str());
         if proxy.readiness != readiness {
             let event = if readiness == Readiness::Ready {
                 "proxy_ready"
@@ -248,14 +261,7 @@
                 proxy_addr,
                 zone,
             } => {
-                log::info!("event=agent_connected host={host} proxy={proxy_addr} zone={zone}");
-                session.host = host;
-                session.proxy = Some(ProxyEndpoint {
-                    addr: proxy_addr,
-                    zone,
-                    readiness: Readiness::Closed,
-                    is_current: true,
-                });
+                session.introduce(host, proxy_addr, zone);
                 AgentChange::Joined
             }
             ToControl::Heartbeat {
@@ -288,7 +294,7 @@
         self.moved.retain(|moved| now < moved.until);
         let mut has_changed = self.moved.len() != moved_before;
         let silent = self.sessions.values_mut();
-        let silent = silent.filter(|session| now - session.last_received > MAX_SILENCE);
+        let silent = silent.filter(|session| now - session.last_received > AGENT_TIMEOUT);
         for proxy in silent.filter_map(|session| session.proxy.as_mut()) {
             if proxy.readiness != Readiness::Closed {
                 proxy.readiness = Readiness::Closed;
