--- a/crates/aspendrum-benchmarks/src/hollow/fleet.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/fleet.rs
@@ -125,8 +125,8 @@
             delay_ms,
             ..Fault::default()
         };
-        relay.there.put(1, fault);
-        relay.back.put(1, fault);
+        relay.forward.set_fault(1, fault);
+        relay.backward.set_fault(1, fault);
     }
     Ok(relay)
 }
@@ -214,7 +214,7 @@
     pub(super) fn between_bytes(&self) -> u64 {
         self.between
             .iter()
-            .map(|r| r.there.carried().bytes + r.back.carried().bytes)
+            .map(|r| r.forward.stats().bytes + r.backward.stats().bytes)
             .sum()
     }
 }
--- a/crates/aspendrum-benchmarks/src/hollow/mod.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/mod.rs
@@ -207,7 +207,7 @@
                 .fleet
                 .behind
                 .iter()
-                .map(|r| r.there.carried().bytes + r.back.carried().bytes)
+                .map(|r| r.forward.stats().bytes + r.backward.stats().bytes)
                 .sum(),
             calls: [&p.calls, &p.refused, &p.bytes, &p.lists].map(|n| n.load(Relaxed)),
             left: [&c.silent, &c.stale, &c.missed].map(|n| n.load(Relaxed)),
--- a/crates/aspendrum-fault-proxy/src/relay.rs
+++ b/crates/aspendrum-fault-proxy/src/relay.rs
@@ -1,12 +1,12 @@
-//! Streams: a relay listens in the place of whatever it leads to and carries bytes both ways, each direction
-//! over a link of its own.
+//! Streams: a relay listens in the place of a process and carries bytes both ways, over a link for each direction.
 //!
-//! While either direction is cut, open connections stay open and silent and new ones never come up, as with a
-//! machine that has vanished: the line of the listener is kept full, and the kernel lets no other connection
-//! in. Once healed, held bytes flow on, and what tried to connect meanwhile gets a reset. Where a link refuses, nobody
-//! listens while it is cut.
+//! While either direction is cut, open connections stay open and silent and new ones never come up, as with a machine that has
+//! vanished: the backlog of the listener is kept full, so that the kernel accepts no other connection. When the cut ends,
+//! the bytes that waited flow on, and whoever tried to connect meanwhile gets a reset. Where a link refuses connections,
+//! nobody listens while it is cut.
 
-use crate::{Link, RESEND};
+use crate::fault::RESEND_DELAY;
+use crate::link::Link;
 use socket2::SockRef;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -19,16 +19,20 @@
 use tokio::time::{sleep, timeout};
 
 const BACKLOG: i32 = 1024;
-/// The line of a listener with the least backlog is full after one or two; a third finds no place.
-const FILLERS: usize = 3;
-const FILL_WAIT: Duration = Duration::from_millis(20);
+/// The smallest backlog is full with one or two connections; a third finds no place.
+const BACKLOG_FILLERS: usize = 3;
+/// A connection that does not come up for so long does not come up at all.
+const FILL_TIMEOUT: Duration = Duration::from_millis(20);
+const BIND_RETRY: Duration = Duration::from_millis(20);
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// Ends with its last reference.
+/// A relay. It ends, with its connections, when it is dropped.
 pub struct Relay {
-    addr: SocketAddr,
-    /// From whoever dials to whoever is dialled, and back.
-    pub there: Arc<Link>,
-    pub back: Arc<Link>,
+    address: SocketAddr,
+    /// The direction from the process that connects.
+    pub forward: Arc<Link>,
+    /// The direction to it.
+    pub backward: Arc<Link>,
     task: AbortHandle,
 }
 
@@ -38,84 +42,111 @@
     }
 }
 
+/// The links of a relay, and where it leads.
+#[derive(Clone)]
+struct Route {
+    destination: SocketAddr,
+    forward: Arc<Link>,
+    backward: Arc<Link>,
+}
+
+impl Route {
+    async fn wait_until_cut(&self) {
+        tokio::select! {
+            () = self.forward.wait_until_cut() => {}
+            () = self.backward.wait_until_cut() => {}
+        }
+    }
+
+    async fn wait_until_open(&self) {
+        self.forward.wait_until_open().await;
+        self.backward.wait_until_open().await;
+    }
+
+    fn refuses_connections(&self) -> bool {
+        self.forward.fault().refuses_connections || self.backward.fault().refuses_connections
+    }
+}
+
 impl Relay {
-    /// Listens at that loopback address and leads to `to`.
-    pub async fn start(at: IpAddr, to: SocketAddr) -> io::Result<Relay> {
-        let listener = TcpListener::bind((at, 0)).await?;
+    /// Listens at a free port of that address, and leads to the destination.
+    ///
+    /// # Errors
+    /// No port is free.
+    pub async fn start(ip: IpAddr, destination: SocketAddr) -> io::Result<Relay> {
+        let listener = TcpListener::bind((ip, 0)).await?;
         SockRef::from(&listener).listen(BACKLOG)?;
-        let addr = listener.local_addr()?;
-        let (there, back) = (Link::whole(), Link::whole());
-        let run = accept(listener, to, there.clone(), back.clone());
+        let address = listener.local_addr()?;
+        let (forward, backward) = (Link::healthy(), Link::healthy());
+        let route = Route {
+            destination,
+            forward: forward.clone(),
+            backward: backward.clone(),
+        };
+        let task = tokio::spawn(serve(listener, route)).abort_handle();
         Ok(Relay {
-            addr,
-            there,
-            back,
-            task: tokio::spawn(run).abort_handle(),
+            address,
+            forward,
+            backward,
+            task,
         })
     }
 
-    /// Where to dial instead.
+    /// Where to connect instead of the destination.
     pub fn addr(&self) -> SocketAddr {
-        self.addr
+        self.address
     }
 }
 
-async fn accept(mut listener: TcpListener, to: SocketAddr, there: Arc<Link>, back: Arc<Link>) {
-    let mut tasks = JoinSet::new();
+async fn serve(mut listener: TcpListener, route: Route) {
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
-            () = there.shut() => {}
-            () = back.shut() => {}
-            taken = listener.accept() => {
-                if let Ok((stream, _)) = taken {
-                    tasks.spawn(carry(stream, to, there.clone(), back.clone()));
+            () = route.wait_until_cut() => {}
+            accepted = listener.accept() => {
+                if let Ok((stream, _)) = accepted {
+                    connections.spawn(carry(stream, route.clone()));
                 }
-                while tasks.try_join_next().is_some() {}
+                while connections.try_join_next().is_some() {}
                 continue;
             }
         }
-        if there.fault().refuse || back.fault().refuse {
-            let Ok(addr) = listener.local_addr() else {
+        if route.refuses_connections() {
+            let Ok(address) = listener.local_addr() else {
                 return;
             };
             drop(listener);
-            there.open().await;
-            back.open().await;
-            listener = again(addr).await;
-            continue;
-        }
-        let fillers = fill(&listener).await;
-        there.open().await;
-        back.open().await;
-        drop(fillers);
-        // Whoever came meanwhile is reset, as by a machine that is back and knows of no such connection.
-        while let Ok(Ok((stream, _))) = timeout(FILL_WAIT, listener.accept()).await {
-            let _ = stream.set_zero_linger();
+            route.wait_until_open().await;
+            listener = listen_again(address).await;
+        } else {
+            let fillers = fill_backlog(&listener).await;
+            route.wait_until_open().await;
+            drop(fillers);
+            reset_backlog(&listener).await;
         }
-        let _ = SockRef::from(&listener).listen(BACKLOG);
     }
 }
 
-/// Listens there again, as soon as it can be had.
-async fn again(addr: SocketAddr) -> TcpListener {
+/// Listens at that address as soon as it is free.
+async fn listen_again(address: SocketAddr) -> TcpListener {
     loop {
-        if let Ok(listener) = TcpListener::bind(addr).await {
+        if let Ok(listener) = TcpListener::bind(address).await {
             let _ = SockRef::from(&listener).listen(BACKLOG);
             return listener;
         }
-        sleep(FILL_WAIT).await;
+        sleep(BIND_RETRY).await;
     }
 }
 
-/// Fills the listener's line, so that no connection comes up.
-async fn fill(listener: &TcpListener) -> Vec<TcpStream> {
+/// Fills the listener's backlog, so that no connection comes up while the result is kept.
+async fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
     let _ = SockRef::from(listener).listen(0);
     let mut fillers = Vec::new();
-    let Ok(addr) = listener.local_addr() else {
+    let Ok(address) = listener.local_addr() else {
         return fillers;
     };
-    for _ in 0..FILLERS {
-        match timeout(FILL_WAIT, TcpStream::connect(addr)).await {
+    for _ in 0..BACKLOG_FILLERS {
+        match timeout(FILL_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => fillers.push(stream),
             _ => break,
         }
@@ -123,12 +154,22 @@
     fillers
 }
 
-async fn carry(near: TcpStream, to: SocketAddr, there: Arc<Link>, back: Arc<Link>) {
-    let (mut reset_there, mut reset_back) = (there.resets.subscribe(), back.resets.subscribe());
+/// Resets whoever connected meanwhile, as a machine does that is back and knows of no such connection.
+async fn reset_backlog(listener: &TcpListener) {
+    while let Ok(Ok((stream, _))) = timeout(FILL_TIMEOUT, listener.accept()).await {
+        let _ = stream.set_zero_linger();
+    }
+    let _ = SockRef::from(listener).listen(BACKLOG);
+}
+
+/// Carries one connection.
+async fn carry(near: TcpStream, route: Route) {
+    let mut forward_resets = route.forward.subscribe_resets();
+    let mut backward_resets = route.backward.subscribe_resets();
     let far = tokio::select! {
-        far = TcpStream::connect(to) => far,
-        _ = reset_there.changed() => Err(io::ErrorKind::ConnectionReset.into()),
-        _ = reset_back.changed() => Err(io::ErrorKind::ConnectionReset.into()),
+        far = TcpStream::connect(route.destination) => far,
+        _ = forward_resets.changed() => Err(io::ErrorKind::ConnectionReset.into()),
+        _ = backward_resets.changed() => Err(io::ErrorKind::ConnectionReset.into()),
     };
     let Ok(far) = far else {
         let _ = near.set_zero_linger();
@@ -136,66 +177,73 @@
     };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-    let ended = {
-        let ways =
-            async { tokio::try_join!(way(near_in, far_out, &there), way(far_in, near_out, &back)) };
+    let result = {
+        let both = async {
+            let forward = carry_direction(near_in, far_out, &route.forward);
+            let backward = carry_direction(far_in, near_out, &route.backward);
+            tokio::try_join!(forward, backward)
+        };
         tokio::select! {
-            done = ways => done,
-            _ = reset_there.changed() => Err(Broken),
-            _ = reset_back.changed() => Err(Broken),
+            result = both => result,
+            _ = forward_resets.changed() => Err(BrokenDirection),
+            _ = backward_resets.changed() => Err(BrokenDirection),
         }
     };
-    // Dropped by a reset, both halves close without a word more; what broke on one side breaks on the other.
-    drop(ended);
+    // After a reset both halves are dropped without another byte: what broke on one side breaks on the other.
+    drop(result);
 }
 
-/// A direction that broke.
-struct Broken;
+/// A direction of a connection broke.
+struct BrokenDirection;
 
-/// Ends the connection with a reset, unless its half was taken out.
-struct Reset(Option<OwnedWriteHalf>);
+/// The sending half of a connection, which is reset when this is dropped unless the half was taken out.
+struct ResetOnDrop(Option<OwnedWriteHalf>);
 
-impl Drop for Reset {
+impl Drop for ResetOnDrop {
     fn drop(&mut self) {
         if let Some(half) = self.0.take() {
             let _ = SockRef::from(half.as_ref()).set_linger(Some(Duration::ZERO));
-            // Dropped, it would say a goodbye in good order first.
+            // Dropped, it would first shut down the connection in an orderly way.
             half.forget();
         }
     }
 }
 
-async fn way(
+/// Carries one direction until its orderly end, and returns the sending half then: it is kept until the other direction has
+/// ended too.
+async fn carry_direction(
     mut from: OwnedReadHalf,
     to: OwnedWriteHalf,
     link: &Link,
-) -> Result<Option<OwnedWriteHalf>, Broken> {
-    let mut space = vec![0; 16 << 10];
-    let mut to = Reset(Some(to));
+) -> Result<Option<OwnedWriteHalf>, BrokenDirection> {
+    let mut chunk = vec![0; CHUNK_BYTES];
+    let mut to = ResetOnDrop(Some(to));
     loop {
-        let size = from.read(&mut space).await.map_err(|_| Broken)?;
-        link.open().await;
+        let size = from.read(&mut chunk).await.map_err(|_| BrokenDirection)?;
+        link.wait_until_open().await;
         let fault = link.fault();
-        let again = if fault.lose > 0.0 && rand::random::<f64>() < fault.lose {
-            RESEND
+        let is_lost = fault.loss > 0.0 && rand::random::<f64>() < fault.loss;
+        let resend_delay = if is_lost {
+            RESEND_DELAY
         } else {
             Duration::ZERO
         };
-        let late = fault.delay(rand::random()) + again;
-        if !late.is_zero() {
-            sleep(late).await;
-            // A link that was cut meanwhile holds it.
-            link.open().await;
+        let delay = fault.delay(rand::random()) + resend_delay;
+        if !delay.is_zero() {
+            sleep(delay).await;
+            // It may have been cut meanwhile.
+            link.wait_until_open().await;
         }
         let Some(half) = to.0.as_mut() else {
-            return Err(Broken);
+            return Err(BrokenDirection);
         };
         if size == 0 {
-            half.shutdown().await.map_err(|_| Broken)?;
-            // An end that came in good order: kept until the other direction has ended too.
+            half.shutdown().await.map_err(|_| BrokenDirection)?;
             return Ok(to.0.take());
         }
-        half.write_all(&space[..size]).await.map_err(|_| Broken)?;
-        link.passed(size);
+        half.write_all(&chunk[..size])
+            .await
+            .map_err(|_| BrokenDirection)?;
+        link.record_delivery(size);
     }
 }
--- a/crates/aspendrum-fault-proxy/tests/mesh.rs
+++ b/crates/aspendrum-fault-proxy/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams over links that lose, delay, repeat and cut.
+//! Datagrams over links that lose, delay, duplicate and cut.
 
 use aspendrum_fault_proxy::{Fault, Mesh};
 use std::net::{IpAddr, SocketAddr};
@@ -16,7 +16,7 @@
         sockets.push(UdpSocket::bind((here, 0)).await.unwrap());
     }
     let listens: Vec<_> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
-    mesh.carry(&listens);
+    mesh.start(&listens);
     (mesh, sockets)
 }
 
@@ -43,7 +43,7 @@
         );
     }
     sockets[1]
-        .send_to(b"all", mesh.peers_all(1).unwrap())
+        .send_to(b"all", mesh.broadcast_addr(1).unwrap())
         .await
         .unwrap();
     for to in [0, 2] {
@@ -57,7 +57,7 @@
 #[tokio::test]
 async fn one_direction_is_cut_while_the_other_carries_and_heals() {
     let (mesh, sockets) = fleet(2).await;
-    mesh.link(0, 1).put(7, Fault::CUT);
+    mesh.link(0, 1).set_fault(7, Fault::CUT);
     sockets[0]
         .send_to(b"lost", mesh.peers(0).unwrap()[1])
         .await
@@ -67,14 +67,14 @@
         .await
         .unwrap();
     assert_eq!(next(&sockets[0]).await.0, b"back");
-    until(|| mesh.link(0, 1).carried().lost == 1).await;
-    mesh.link(0, 1).heal(7);
+    until(|| mesh.link(0, 1).stats().lost == 1).await;
+    mesh.link(0, 1).clear_fault(7);
     sockets[0]
         .send_to(b"whole", mesh.peers(0).unwrap()[1])
         .await
         .unwrap();
     assert_eq!(next(&sockets[1]).await.0, b"whole");
-    assert_eq!(mesh.link(0, 1).carried().messages, 1);
+    assert_eq!(mesh.link(0, 1).stats().messages, 1);
 }
 
 async fn until(what: impl Fn() -> bool) {
@@ -88,13 +88,13 @@
 }
 
 #[tokio::test]
-async fn a_datagram_comes_twice_and_a_delayed_one_behind_a_later_one() {
+async fn a_datagram_is_duplicated_and_a_delayed_one_arrives_after_a_later_one() {
     let (mesh, sockets) = fleet(2).await;
     let (to, link) = (mesh.peers(0).unwrap()[1], mesh.link(0, 1));
-    link.put(
+    link.set_fault(
         1,
         Fault {
-            twice: 1.0,
+            duplication: 1.0,
             ..Fault::default()
         },
     );
@@ -109,15 +109,15 @@
             ..Fault::default()
         },
         Fault {
-            reorder: 1.0,
+            reordering: 1.0,
             ..Fault::default()
         },
     ] {
-        link.put(1, fault);
+        link.set_fault(1, fault);
         sockets[0].send_to(b"first", to).await.unwrap();
-        until(|| link.carried().under_way == 1 || link.carried().messages > 2).await;
-        if fault.reorder == 0.0 {
-            link.heal(1);
+        until(|| link.stats().in_flight == 1 || link.stats().messages > 2).await;
+        if fault.reordering == 0.0 {
+            link.clear_fault(1);
             sockets[0].send_to(b"later", to).await.unwrap();
             assert_eq!(next(&sockets[1]).await.0, b"later");
         }
@@ -129,10 +129,10 @@
 async fn a_share_is_lost_and_the_rest_arrives() {
     let (mesh, sockets) = fleet(2).await;
     let link = mesh.link(0, 1);
-    link.put(
+    link.set_fault(
         1,
         Fault {
-            lose: 0.5,
+            loss: 0.5,
             ..Fault::default()
         },
     );
@@ -142,11 +142,11 @@
             .await
             .unwrap();
     }
-    until(|| link.carried().lost + link.carried().messages == 200).await;
+    until(|| link.stats().lost + link.stats().messages == 200).await;
     // Of 200 at a half, fewer than 50 or more than 150 come once in 10^12 runs.
     assert!(
-        (50..=150).contains(&link.carried().lost),
+        (50..=150).contains(&link.stats().lost),
         "{:?}",
-        link.carried()
+        link.stats()
     );
 }
--- a/crates/aspendrum-fault-proxy/tests/relay.rs
+++ b/crates/aspendrum-fault-proxy/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Streams over a link that is whole, cut, refusing or reset.
+//! Streams over a link that is healthy, cut, refusing connections or reset.
 
 use aspendrum_fault_proxy::{Fault, Relay};
 use std::io;
@@ -26,7 +26,7 @@
     addr
 }
 
-async fn round(stream: &mut TcpStream, word: &[u8]) -> io::Result<()> {
+async fn round_trip(stream: &mut TcpStream, word: &[u8]) -> io::Result<()> {
     stream.write_all(word).await?;
     let mut space = vec![0; word.len()];
     timeout(SOON, stream.read_exact(&mut space)).await??;
@@ -38,13 +38,13 @@
 async fn a_cut_connection_stays_open_and_silent_and_goes_on_once_healed() {
     let relay = Relay::start(HERE.into(), echo().await).await.unwrap();
     let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
-    round(&mut stream, b"whole").await.unwrap();
-    relay.back.put(1, Fault::CUT);
+    round_trip(&mut stream, b"whole").await.unwrap();
+    relay.backward.set_fault(1, Fault::CUT);
     stream.write_all(b"held").await.unwrap();
     let mut space = [0; 4];
     let early = timeout(Duration::from_millis(100), stream.read_exact(&mut space)).await;
     assert!(early.is_err(), "nothing comes, and the connection stands");
-    relay.back.heal(1);
+    relay.backward.clear_fault(1);
     timeout(SOON, stream.read_exact(&mut space))
         .await
         .unwrap()
@@ -55,18 +55,18 @@
 #[tokio::test]
 async fn no_connection_comes_up_while_cut_and_new_ones_do_once_healed() {
     let relay = Relay::start(HERE.into(), echo().await).await.unwrap();
-    relay.there.put(1, Fault::CUT);
-    // The line is full a few milliseconds after the cut; whoever comes before finds a silent connection.
+    relay.forward.set_fault(1, Fault::CUT);
+    // The backlog is full a few milliseconds after the cut; whoever connects before has a silent connection.
     sleep(Duration::from_millis(200)).await;
     for _ in 0..3 {
         let dialled = timeout(Duration::from_millis(100), TcpStream::connect(relay.addr())).await;
         assert!(dialled.is_err(), "neither up nor refused: {dialled:?}");
     }
-    relay.there.heal(1);
+    relay.forward.clear_fault(1);
     timeout(SOON, async {
         loop {
             let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
-            if round(&mut stream, b"back").await.is_ok() {
+            if round_trip(&mut stream, b"back").await.is_ok() {
                 return;
             }
         }
@@ -79,9 +79,9 @@
 async fn whoever_dials_a_link_that_refuses_is_told_at_once() {
     let relay = Relay::start(HERE.into(), echo().await).await.unwrap();
     let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
-    round(&mut stream, b"whole").await.unwrap();
-    relay.back.put(1, Fault::REFUSE);
-    relay.back.reset();
+    round_trip(&mut stream, b"whole").await.unwrap();
+    relay.backward.set_fault(1, Fault::REFUSE);
+    relay.backward.reset_connections();
     let mut space = [0; 1];
     let end = timeout(SOON, stream.read(&mut space)).await.unwrap();
     assert_eq!(end.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
@@ -97,11 +97,11 @@
         timeout(SOON, refused).await.unwrap(),
         io::ErrorKind::ConnectionRefused
     );
-    relay.back.heal(1);
+    relay.backward.clear_fault(1);
     timeout(SOON, async {
         loop {
             if let Ok(mut stream) = TcpStream::connect(relay.addr()).await {
-                return round(&mut stream, b"back").await.unwrap();
+                return round_trip(&mut stream, b"back").await.unwrap();
             }
             sleep(Duration::from_millis(1)).await;
         }
@@ -114,13 +114,13 @@
 async fn a_reset_ends_what_is_open_and_nothing_after() {
     let relay = Relay::start(HERE.into(), echo().await).await.unwrap();
     let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
-    round(&mut stream, b"whole").await.unwrap();
-    relay.there.reset();
+    round_trip(&mut stream, b"whole").await.unwrap();
+    relay.forward.reset_connections();
     let mut space = [0; 1];
     let end = timeout(SOON, stream.read(&mut space)).await.unwrap();
     assert_eq!(end.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     let mut next = TcpStream::connect(relay.addr()).await.unwrap();
-    round(&mut next, b"next").await.unwrap();
+    round_trip(&mut next, b"next").await.unwrap();
 }
 
 #[tokio::test]
@@ -132,5 +132,5 @@
         .unwrap();
     let relay = Relay::start(HERE.into(), nobody).await.unwrap();
     let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
-    assert!(round(&mut stream, b"lost").await.is_err());
+    assert!(round_trip(&mut stream, b"lost").await.is_err());
 }
--- a/crates/aspendrum-testbed/src/run.rs
+++ b/crates/aspendrum-testbed/src/run.rs
@@ -12,7 +12,7 @@
 use aspendrum_fake_services::discovery::{self, Discovery, Health};
 use aspendrum_fake_services::server::{self, RateServer, ServerLog};
 use aspendrum_fake_services::{lock, Clock};
-use aspendrum_fault_proxy::{Carried, Fault, Link, Mesh, Relay};
+use aspendrum_fault_proxy::{Fault, Link, LinkStats, Mesh, Relay};
 use futures_util::future::join_all;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 use nix::sys::signal::Signal;
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Datagrams between limiters: sent, bytes, lost or cut off.
-    pub datagrams: Carried,
+    pub datagrams: LinkStats,
     pub counter: counter::CounterStats,
     pub discovery: discovery::DiscoveryStats,
 }
@@ -302,7 +302,7 @@
         let listens: Vec<SocketAddr> = (0..n).map(|n| own(n, LISTEN)).collect();
         let peer_listens: Vec<SocketAddr> = (0..n).map(|n| own(n, PEER_LISTEN)).collect();
         let mut mesh = Mesh::bind(HERE, n).await?;
-        mesh.carry(&peer_listens);
+        mesh.start(&peer_listens);
         let (mut front, mut to_counter, mut to_discovery) = (Vec::new(), Vec::new(), Vec::new());
         let mut to_servers = Vec::new();
         for (limiter, listen) in listens.iter().enumerate() {
@@ -379,7 +379,7 @@
             counter: self.to_counter[me].addr(),
             peer_listen: self.peer_listens[me],
             peers: self.mesh.peers(me).map_err(failed)?,
-            peers_all: self.mesh.peers_all(me).map_err(failed)?,
+            peers_all: self.mesh.broadcast_addr(me).map_err(failed)?,
             known: self.discovery.initial_list(&dials),
         };
         let config = self.folder.join(format!("n{me}.json"));
@@ -436,13 +436,13 @@
                 twice,
             } => {
                 let fault = Fault {
-                    cut: *cut,
-                    refuse: false,
-                    lose: *lose,
+                    is_cut: *cut,
+                    refuses_connections: false,
+                    loss: *lose,
                     delay_ms: *delay_ms,
                     jitter_ms: *jitter_ms,
-                    reorder: *reorder,
-                    twice: *twice,
+                    reordering: *reorder,
+                    duplication: *twice,
                 };
                 let links = self.links(*path, of, to, *way);
                 if m.begins {
@@ -450,12 +450,12 @@
                 }
                 for link in links {
                     match m.begins {
-                        true if fault != Fault::default() => link.put(m.number, fault),
+                        true if fault != Fault::default() => link.set_fault(m.number, fault),
                         true => {}
-                        false => link.heal(m.number),
+                        false => link.clear_fault(m.number),
                     }
                     if *reset && m.begins {
-                        link.reset();
+                        link.reset_connections();
                     }
                 }
             }
@@ -741,8 +741,8 @@
                     .collect(),
             };
             for relay in relays {
-                links.extend(there.then(|| relay.there.clone()));
-                links.extend(back.then(|| relay.back.clone()));
+                links.extend(there.then(|| relay.forward.clone()));
+                links.extend(back.then(|| relay.backward.clone()));
             }
         }
         links
@@ -806,10 +806,10 @@
     }
 
     fn traffic(&self) -> Traffic {
-        let (n, mut datagrams) = (self.slots.len(), Carried::default());
+        let (n, mut datagrams) = (self.slots.len(), LinkStats::default());
         for from in 0..n {
             for to in (0..n).filter(|to| *to != from) {
-                let c = self.mesh.link(from, to).carried();
+                let c = self.mesh.link(from, to).stats();
                 datagrams.messages += c.messages;
                 datagrams.bytes += c.bytes;
                 datagrams.lost += c.lost;
--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -473,10 +473,10 @@
         };
         let mut all: Vec<&Arc<Link>> = Vec::new();
         if let (Some(d), Who::Core(to)) = (dialler(from), to) {
-            all.push(&self.controls[d][to].there);
+            all.push(&self.controls[d][to].forward);
         }
         if let (Who::Core(from), Some(d)) = (from, dialler(to)) {
-            all.push(&self.controls[d][from].back);
+            all.push(&self.controls[d][from].backward);
         }
         let linked = self.scenario.edge_links;
         if let (Who::Edge(a) | Who::Agent(a), Who::Edge(b) | Who::Agent(b), true) =
@@ -484,16 +484,18 @@
         {
             all.extend([
                 self.words.link(a, b),
-                &self.loans[a][b].there,
-                &self.loans[b][a].back,
+                &self.loans[a][b].forward,
+                &self.loans[b][a].backward,
             ]);
         }
         match (from, to) {
             (Who::Edge(a) | Who::Proxy(a), Who::Edge(b) | Who::Proxy(b)) if linked => {
                 all.push(self.counts.link(a, b));
             }
-            (Who::Edge(a) | Who::Proxy(a), Who::Origin(b)) => all.push(&self.servers[a][b].there),
-            (Who::Origin(a), Who::Edge(b) | Who::Proxy(b)) => all.push(&self.servers[b][a].back),
+            (Who::Edge(a) | Who::Proxy(a), Who::Origin(b)) => all.push(&self.servers[a][b].forward),
+            (Who::Origin(a), Who::Edge(b) | Who::Proxy(b)) => {
+                all.push(&self.servers[b][a].backward)
+            }
             _ => {}
         }
         all
@@ -526,15 +528,15 @@
             Fault::CUT
         };
         self.each_link(of, from, one_way, |link| {
-            link.put(number, fault);
+            link.set_fault(number, fault);
             if form != Form::Silent {
-                link.reset();
+                link.reset_connections();
             }
         });
     }
 
     pub fn heal(&self, of: &[Who], from: &[Who], one_way: bool, number: u32) {
-        self.each_link(of, from, one_way, |link| link.heal(number));
+        self.each_link(of, from, one_way, |link| link.clear_fault(number));
     }
 
     fn each_link(&self, of: &[Who], from: &[Who], one_way: bool, what: impl Fn(&Link)) {
@@ -566,12 +568,12 @@
 }
 
 async fn mesh(members: &[IpAddr], port: u16) -> io::Result<Mesh> {
-    let mut mesh = Mesh::among(members).await?;
+    let mut mesh = Mesh::bind_each(members).await?;
     let listens: Vec<SocketAddr> = members
         .iter()
         .map(|ip| SocketAddr::from((*ip, port)))
         .collect();
-    mesh.carry(&listens);
+    mesh.start(&listens);
     Ok(mesh)
 }
 
