--- a/crates/aspendrum-model/tests/config.rs
+++ b/crates/aspendrum-model/tests/config.rs
@@ -15,7 +15,7 @@
 {"name":"s2","check":"/healthz","max-conns":110,"proto":"h1","tls":false,"warmup-s":3.0,"warm-rate-s":10.0,"new-field":1}]}"#;
 
 #[test]
-fn the_longest_prefix_takes_the_query() {
+fn the_longest_prefix_matches() {
     let config = Config::read(CONFIG.as_bytes()).unwrap();
     assert_eq!(config.version, 12);
     let route = |host, path| {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn weights_share_a_route_out() {
+fn requests_of_a_route_are_shared_by_weight() {
     let config = Config::read(CONFIG.as_bytes()).unwrap();
     let to = |chance| config.routes[0].service(chance);
     assert_eq!(
@@ -47,11 +47,11 @@
 }
 
 #[test_case("\"svc\":\"s2\"", "\"svc\":\"s3\"" => matches ConfigError::UnknownService { .. } ; "unknown service")]
-#[test_case("\"pfx\":\"/a/b/\"", "\"pfx\":\"/a/\"" => matches ConfigError::DuplicateRoute { .. } ; "same place")]
+#[test_case("\"pfx\":\"/a/b/\"", "\"pfx\":\"/a/\"" => matches ConfigError::DuplicateRoute { .. } ; "duplicate route")]
 #[test_case("\"wt\":90},{\"svc\":\"s2\",\"wt\":10", "\"wt\":0},{\"svc\":\"s2\",\"wt\":0" => matches ConfigError::NoWeight(_) ; "no weight")]
-#[test_case("\"goal-ms\":500,\"prio\":1", "\"goal-ms\":62000,\"prio\":1" => matches ConfigError::LatencyTargetAboveTimeout(_) ; "aim a minute above the limit")]
-#[test_case("\"tries\":2,\"homes\":[]", "\"tries\":0,\"homes\":[]" => matches ConfigError::NoAttempts(_) ; "no tries")]
-#[test_case("\"/a/b/\"", "\"a/b/\"" => matches ConfigError::RelativePrefix(_) ; "bare prefix")]
+#[test_case("\"goal-ms\":500,\"prio\":1", "\"goal-ms\":62000,\"prio\":1" => matches ConfigError::LatencyTargetAboveTimeout(_) ; "latency target a minute above the time-out")]
+#[test_case("\"tries\":2,\"homes\":[]", "\"tries\":0,\"homes\":[]" => matches ConfigError::NoAttempts(_) ; "no attempts")]
+#[test_case("\"/a/b/\"", "\"a/b/\"" => matches ConfigError::RelativePrefix(_) ; "relative prefix")]
 #[test_case("\"k3\"", "\"k1\"" => matches ConfigError::SharedKey ; "shared key")]
 #[test_case("}]}]", "}" => matches ConfigError::Unreadable(_) ; "cut short")]
 #[test_case("\"0000000c\"", "\"c\"" => matches ConfigError::Unreadable(_) ; "a version of another form")]
@@ -61,9 +61,9 @@
     Config::read(CONFIG.replacen(from, to, 1).as_bytes()).unwrap_err()
 }
 
-/// An aim of a minute less a moment above the limit is odd and allowed.
+/// A latency target a little less than a minute above the time-out is odd, and allowed.
 #[test]
-fn an_aim_above_the_limit_alone_is_valid() {
+fn a_latency_target_above_the_timeout_alone_is_valid() {
     let text = CONFIG.replacen(
         "\"goal-ms\":500,\"prio\":1",
         "\"goal-ms\":61999,\"prio\":1",
@@ -101,7 +101,7 @@
     "\"revoke-ms\":-1",
     "terms.bounds.revoke-ms is out of range"
 )]
-fn a_faulty_setting_is_named(from: &str, to: &str, told: &str) {
+fn an_invalid_setting_is_named(from: &str, to: &str, told: &str) {
     assert_eq!(
         Settings::read(SETTINGS.replacen(from, to, 1).as_bytes())
             .unwrap_err()
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_invalid_settings_are_reported_at_once() {
     let text = SETTINGS
         .replace("\"az\":\"poa-a\",", "")
         .replace("\"rate-s\":47.0", "\"rate-s\":0");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_page_of_the_list_is_read_whole_or_not_at_all() {
+fn a_page_of_the_server_list_is_read_completely_or_not_at_all() {
     let text = r#"{"servers":[{"svc":"s1","addr":"10.128.0.9:8080","az":"poa-a","gen":"v1","slots":2,"phase":"drain","warm-left-ms":1200,"uid":"i-7"}],"next":"p-50"}"#;
     let ServerPage { servers, next_page } = parse_page(text.as_bytes()).unwrap();
     assert_eq!(
@@ -138,7 +138,7 @@
     assert!(parse_page(text.replace("10.128.0.9:8080", "there").as_bytes()).is_err());
 }
 
-fn server(uid: &str, warm_left_ms: u32) -> ServerInstance {
+fn server(uid: &str, slow_start_left_ms: u32) -> ServerInstance {
     let (service, addr, zone) = (
         "s1".into(),
         "10.128.0.9:8080".parse().unwrap(),
@@ -151,39 +151,38 @@
         zone,
         slots: 2,
         draining: false,
-        slow_start_left_ms: warm_left_ms,
+        slow_start_left_ms,
     }
 }
 
-/// Danger: a list that two machines read and pass on in turn must not go back, nor be told anew each time that
-/// a cold time runs down.
+/// Danger: a list that two nodes read and pass on in turn goes back, or is sent again each time that a slow start ends.
 #[test]
-fn a_roster_takes_newer_lists_only_and_cold_times_running_down_are_no_news() {
-    let mut roster = ServerList::default();
-    assert!(roster.replace(110.0, vec![server("a", 3000)], 100.0));
-    assert!(!roster.replace(1110.0, vec![server("a", 2000)], 1100.0));
-    assert_eq!(roster.snapshot(1610.0)[0].slow_start_left_ms, 1500);
+fn a_server_list_is_replaced_by_newer_ones_only_and_the_passage_of_slow_start_is_no_change() {
+    let mut servers = ServerList::default();
+    assert!(servers.replace(110.0, vec![server("a", 3000)], 100.0));
+    assert!(!servers.replace(1110.0, vec![server("a", 2000)], 1100.0));
+    assert_eq!(servers.snapshot(1610.0)[0].slow_start_left_ms, 1500);
     assert!(
-        !roster.replace(1200.0, vec![server("b", 0)], 900.0),
+        !servers.replace(1200.0, vec![server("b", 0)], 900.0),
         "an older list"
     );
     assert!(
-        !roster.replace(4010.0, vec![server("a", 0)], 4000.0),
-        "its cold time has run out as it was told"
+        !servers.replace(4010.0, vec![server("a", 0)], 4000.0),
+        "its slow start ended as it was reported"
     );
     assert!(
-        roster.replace(5010.0, vec![server("a", 3000)], 5000.0),
-        "cold again"
+        servers.replace(5010.0, vec![server("a", 3000)], 5000.0),
+        "in slow start again"
     );
 }
 
-/// Danger: a list passed on through control and agent, each time with its age taken off the cold times, made
-/// servers warm a second too soon.
+/// Danger: a list passed on through control and agent, each time with its age taken off the slow start, ended slow starts
+/// a second too soon.
 #[test]
-fn a_cold_time_is_the_same_wherever_the_list_is_passed_on() {
+fn slow_start_ends_at_the_same_time_wherever_the_list_is_passed_on() {
     let (mut control, mut agent) = (ServerList::default(), ServerList::default());
     control.replace(1000.0, vec![server("a", 3000)], 990.0);
-    // 700 ms later an agent's link comes up; its clock began elsewhere.
+    // 700 ms later an agent connects; its clock began at another time.
     let (age, list) = (1700.0 - 990.0, control.snapshot(1700.0));
     agent.replace(50.0, list, 50.0 - age);
     assert_eq!(agent.snapshot(50.0)[0].slow_start_left_ms, 2300);
