--- a/crates/aspendrum-benchmarks/src/hollow/fleet.rs
+++ b/crates/aspendrum-benchmarks/src/hollow/fleet.rs
@@ -4,7 +4,8 @@
 use super::Plan;
 use crate::sizes::{self, region, zone};
 use aspendrum_fault_proxy::{Fault, Relay};
-use aspendrum_testbed::process::{build, Process, Start};
+use aspendrum_testbed::process::Process;
+use aspendrum_testbed::program::{build, Program};
 use serde_json::{json, Map, Value};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -20,7 +21,7 @@
 /// One process of the system and where its log is.
 pub(super) struct Member {
     pub name: String,
-    start: Start,
+    start: Program,
     settings: PathBuf,
     pub log: PathBuf,
     pub process: Option<Process>,
@@ -55,7 +56,7 @@
     pub(super) fn cpu_s(&self) -> f64 {
         self.process
             .as_ref()
-            .and_then(Process::cpu_s)
+            .and_then(Process::cpu_seconds)
             .unwrap_or(0.0)
     }
 
@@ -138,14 +139,15 @@
 impl Fleet {
     /// Everything stands and is linked; no process has been started yet.
     pub(super) async fn prepare(plan: &Plan, folder: &Path) -> Result<Fleet, String> {
-        build(&["aspendrum-proxy", "aspendrum-agent", "aspendrum-control"])?;
+        build(&["aspendrum-proxy", "aspendrum-agent", "aspendrum-control"])
+            .map_err(|e| e.to_string())?;
         let member = |program: &str, name: String, settings: Value| {
             let at = folder.join(format!("{name}.json"));
             std::fs::write(&at, settings.to_string()).map_err(|e| format!("{name}: {e}"))?;
             let log = folder.join(format!("{name}.log"));
             Ok::<_, String>(Member {
                 name,
-                start: Start::system(program)?,
+                start: Program::system(program).map_err(|e| e.to_string())?,
                 settings: at,
                 log,
                 process: None,
--- a/crates/aspendrum-testbed/src/bench.rs
+++ b/crates/aspendrum-testbed/src/bench.rs
@@ -1,7 +1,7 @@
 //! What one limiter costs: decisions for each second of a core, and the time it adds, against the baseline
 //! that lets all in, with the same traffic through the same links in the same run.
 
-use crate::process::Start;
+use crate::program::Program;
 use crate::report::Row;
 use crate::run;
 use crate::scenario::Scenario;
@@ -52,7 +52,12 @@
             s.limiters.pass_through = pass_through;
             s.seed = 1 + play;
             let folder = tempfile::tempdir().map_err(|e| format!("a folder for the run: {e}"))?;
-            let o = run::play(&s, &Start::of(&s, limiter.clone())?, folder.path(), &|_| {})?;
+            let o = run::play(
+                &s,
+                &Program::for_scenario(&s, limiter.clone()).map_err(|e| e.to_string())?,
+                folder.path(),
+                &|_| {},
+            )?;
             let r = Row::of(&s, &o);
             let a_core = r.queries as f64 / o.cpu_s.max(0.01);
             let name = if pass_through {
--- a/crates/aspendrum-testbed/src/lib.rs
+++ b/crates/aspendrum-testbed/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod library;
 pub mod pass_through;
 pub mod process;
+pub mod program;
 pub mod report;
 pub mod run;
 pub mod scenario;
--- a/crates/aspendrum-testbed/src/library.rs
+++ b/crates/aspendrum-testbed/src/library.rs
@@ -1,13 +1,16 @@
-//! The scenarios that come with the rig.
+//! The scenarios for limiters that come with the testbed, and libraries of texts in general.
 
 use crate::scenario::Scenario;
-use std::fmt::Write;
+use derive_more::{Display, Error};
+use std::fmt::{self, Write};
+use std::io;
 
+/// The scenario of the demonstration.
 pub const DEMO: &str = include_str!("../scenarios/demo.toml");
 
 macro_rules! library {
     ($($name:literal),* $(,)?) => {
-        /// Every scenario: its name and its text.
+        /// The name and the text of each scenario.
         pub const ALL: &[(&str, &str)] = &[$(($name, include_str!(concat!("../scenarios/", $name, ".toml")))),*];
     };
 }
@@ -33,40 +36,65 @@
     "few-connections",
 );
 
+/// A name that is neither in a library nor of a file.
+#[derive(Debug, Display, Error)]
+#[display("{name}: neither of the library (see list) nor a file: {source}")]
+pub struct UnknownScenario {
+    name: String,
+    source: io::Error,
+}
+
 /// A scenario's text, by its name or from a file.
-pub fn text(name: &str) -> Result<String, String> {
-    find(ALL, name)
+///
+/// # Errors
+/// [`UnknownScenario`] if there is neither.
+pub fn scenario_text(name: &str) -> Result<String, UnknownScenario> {
+    find_text(ALL, name)
 }
 
 /// The text of that name in a library, or of that file.
-pub fn find(all: &[(&str, &str)], name: &str) -> Result<String, String> {
-    if let Some((_, text)) = all.iter().find(|s| s.0 == name) {
+///
+/// # Errors
+/// [`UnknownScenario`] if there is neither.
+pub fn find_text(library: &[(&str, &str)], name: &str) -> Result<String, UnknownScenario> {
+    if let Some((_, text)) = library.iter().find(|(known, _)| *known == name) {
         return Ok(text.to_string());
     }
-    std::fs::read_to_string(name)
-        .map_err(|e| format!("{name}: neither of the library (see list) nor a file: {e}"))
+    let unknown = |source| UnknownScenario {
+        name: name.to_string(),
+        source,
+    };
+    std::fs::read_to_string(name).map_err(unknown)
 }
 
-/// The same of several; `all` stands for the library.
-pub fn texts(names: &[String]) -> Result<Vec<String>, String> {
+/// The texts of several scenarios; `all` stands for the whole library.
+///
+/// # Errors
+/// [`UnknownScenario`] if one is not found.
+pub fn scenario_texts(names: &[String]) -> Result<Vec<String>, UnknownScenario> {
     if names == ["all"] {
-        return Ok(ALL.iter().map(|s| s.1.to_string()).collect());
+        return Ok(ALL.iter().map(|(_, text)| text.to_string()).collect());
     }
-    names.iter().map(|name| text(name)).collect()
+    names.iter().map(|name| scenario_text(name)).collect()
 }
 
-/// A line for each.
+/// One line about each scenario.
 pub fn list() -> String {
-    lines(ALL, |text| Scenario::read(text).map(|s| s.about))
+    describe_all(ALL, |text| {
+        Scenario::read(text).map(|scenario| scenario.about)
+    })
 }
 
-/// A line for each of a library: its name, and what it is about.
-pub fn lines(all: &[(&str, &str)], about: impl Fn(&str) -> Result<String, String>) -> String {
-    let mut out = String::new();
-    for (name, text) in all {
-        let about = about(text).unwrap_or_else(|e| e);
+/// One line about each text of a library: its name, and what `describe` says of it, or why it cannot.
+pub fn describe_all<E: fmt::Display>(
+    library: &[(&str, &str)],
+    describe: impl Fn(&str) -> Result<String, E>,
+) -> String {
+    let mut lines = String::new();
+    for (name, text) in library {
+        let about = describe(text).unwrap_or_else(|why| why.to_string());
         // Writing to memory does not fail.
-        let _ = writeln!(out, "{name:<18} {about}");
+        let _ = writeln!(lines, "{name:<18} {about}");
     }
-    out
+    lines
 }
--- a/crates/aspendrum-testbed/src/main.rs
+++ b/crates/aspendrum-testbed/src/main.rs
@@ -1,6 +1,6 @@
 //! The command line of the rig.
 
-use aspendrum_testbed::process::Start;
+use aspendrum_testbed::program::Program;
 use aspendrum_testbed::scenario::Scenario;
 use aspendrum_testbed::system::soak::{soak, Size};
 use aspendrum_testbed::{bench, days, library, pass_through, report, run, sweep, system};
@@ -150,19 +150,21 @@
             plays,
             out,
         } => {
-            let texts = library::texts(&scenarios);
+            let texts = library::scenario_texts(&scenarios).map_err(|e| e.to_string());
             texts.and_then(|texts| sweep::play(&texts, &over, plays, line.limiter, &out))
         }
-        Command::Check { scenario } => library::text(&scenario).and_then(|text| {
-            let s = Scenario::read(&text)?;
-            println!(
-                "{}: well-formed, {} limiters, {} faults",
-                s.name,
-                s.limiters.count,
-                s.faults.len()
-            );
-            Ok(true)
-        }),
+        Command::Check { scenario } => library::scenario_text(&scenario)
+            .map_err(|e| e.to_string())
+            .and_then(|text| {
+                let s = Scenario::read(&text)?;
+                println!(
+                    "{}: well-formed, {} limiters, {} faults",
+                    s.name,
+                    s.limiters.count,
+                    s.faults.len()
+                );
+                Ok(true)
+            }),
         Command::List => {
             print!("{}", library::list());
             Ok(true)
@@ -223,7 +225,9 @@
                 }
             })
         }
-        Command::PassThrough { config } => pass_through::serve(&config).map(|()| true),
+        Command::PassThrough { config } => pass_through::serve(&config)
+            .map(|()| true)
+            .map_err(|e| e.to_string()),
         Command::Bench { seconds, rate } => bench::play(line.limiter, seconds, rate).map(|text| {
             print!("{text}");
             true
@@ -266,7 +270,7 @@
 
 fn demo(limiter: Option<PathBuf>) -> Result<bool, String> {
     let scenario = Scenario::read(library::DEMO)?;
-    let start = Start::of(&scenario, limiter)?;
+    let start = Program::for_scenario(&scenario, limiter).map_err(|e| e.to_string())?;
     let folder = tempfile::tempdir().map_err(|e| format!("a folder for the run: {e}"))?;
     let outcome = run::play(&scenario, &start, folder.path(), &|text| {
         eprintln!("{text}")
@@ -276,8 +280,8 @@
 }
 
 fn one(limiter: Option<PathBuf>, name: &str, out: &std::path::Path) -> Result<bool, String> {
-    let scenario = Scenario::read(&library::text(name)?)?;
-    let start = Start::of(&scenario, limiter)?;
+    let scenario = Scenario::read(&library::scenario_text(name).map_err(|e| e.to_string())?)?;
+    let start = Program::for_scenario(&scenario, limiter).map_err(|e| e.to_string())?;
     let folder = out.join(&scenario.name);
     let outcome = run::play(&scenario, &start, &folder.join("limiters"), &|text| {
         eprintln!("{text}")
--- a/crates/aspendrum-testbed/src/pass_through.rs
+++ b/crates/aspendrum-testbed/src/pass_through.rs
@@ -1,85 +1,148 @@
-//! The baseline: a process that stands where a limiter would and lets all in. It reads the same
-//! configuration, answers that it is ready, forwards every query once to the servers in turn and passes their
-//! answers back. With it the judge shows that it finds what it looks for, and a limiter's cost is told as a
-//! ratio.
+//! The baseline: a process in a limiter's place that admits everything. It reads the same configuration, answers that it is
+//! ready, forwards every query once to the servers in turn, and passes their responses back. With it the checker shows that
+//! it finds what it looks for, and a limiter's cost is measured as a ratio.
 
 use aspendrum_fake_services::http::{self, Message, MessageKind};
 use aspendrum_fake_services::lock;
+use derive_more::{Display, Error};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
+use tokio::signal::unix::{signal, SignalKind};
 
-struct Servers {
-    dials: Vec<SocketAddr>,
-    next: AtomicUsize,
-    idle: Vec<Mutex<Vec<TcpStream>>>,
+/// Why the baseline does not run.
+#[derive(Debug, Display, Error)]
+pub enum PassThroughError {
+    /// The configuration cannot be read.
+    #[display("{}: {source}", file.display())]
+    UnreadableConfig {
+        /// Its file.
+        file: PathBuf,
+        /// Why not.
+        source: io::Error,
+    },
+    /// The configuration is not JSON.
+    #[display("{}: {source}", file.display())]
+    InvalidJson {
+        /// Its file.
+        file: PathBuf,
+        /// Why not.
+        source: serde_json::Error,
+    },
+    /// It does not say where to listen.
+    #[display("listen is not an address")]
+    NoListenAddress,
+    /// It does not list the servers.
+    #[display("known.hosts is no list")]
+    NoHosts,
+    /// Its list is empty.
+    #[display("known.hosts names no server")]
+    NoServer,
+    /// The runtime cannot be started.
+    #[display("the runtime: {_0}")]
+    Runtime(io::Error),
+    /// It cannot listen there, or cannot handle signals.
+    #[display("{address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// Why not.
+        source: io::Error,
+    },
 }
 
-/// Serves until SIGTERM.
-pub fn serve(config: &Path) -> Result<(), String> {
-    let text = std::fs::read_to_string(config).map_err(|e| format!("{}: {e}", config.display()))?;
-    let told: Value =
-        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", config.display()))?;
-    let address = |value: &Value| value.as_str().and_then(|t| t.parse::<SocketAddr>().ok());
-    let listen = address(&told["listen"]).ok_or("listen is not an address")?;
-    let hosts = told["known"]["hosts"]
-        .as_array()
-        .ok_or("known.hosts is no list")?;
-    let dials: Vec<SocketAddr> = hosts.iter().filter_map(|h| address(&h["dial"])).collect();
-    if dials.is_empty() {
-        return Err("known.hosts names no server".into());
+/// What the baseline needs of a limiter's configuration.
+struct Config {
+    listen: SocketAddr,
+    servers: Vec<SocketAddr>,
+}
+
+impl Config {
+    fn read(file: &Path) -> Result<Config, PassThroughError> {
+        let text =
+            std::fs::read_to_string(file).map_err(|source| PassThroughError::UnreadableConfig {
+                file: file.to_path_buf(),
+                source,
+            })?;
+        let config: Value =
+            serde_json::from_str(&text).map_err(|source| PassThroughError::InvalidJson {
+                file: file.to_path_buf(),
+                source,
+            })?;
+        let address = |value: &Value| value.as_str().and_then(|t| t.parse::<SocketAddr>().ok());
+        let listen = address(&config["listen"]).ok_or(PassThroughError::NoListenAddress)?;
+        let hosts = config["known"]["hosts"]
+            .as_array()
+            .ok_or(PassThroughError::NoHosts)?;
+        let servers: Vec<SocketAddr> = hosts
+            .iter()
+            .filter_map(|host| address(&host["dial"]))
+            .collect();
+        if servers.is_empty() {
+            return Err(PassThroughError::NoServer);
+        }
+        Ok(Config { listen, servers })
     }
-    let idle = dials.iter().map(|_| Mutex::default()).collect();
+}
+
+/// Runs until SIGTERM.
+///
+/// # Errors
+/// [`PassThroughError`] if it cannot start.
+pub fn serve(config: &Path) -> Result<(), PassThroughError> {
+    let Config { listen, servers } = Config::read(config)?;
     let servers = Arc::new(Servers {
-        dials,
+        idle: servers.iter().map(|_| Mutex::default()).collect(),
+        addresses: servers,
         next: AtomicUsize::new(0),
-        idle,
     });
-    // One thread: the limiter it is held against has one core too.
+    // One thread: the limiter that it is compared with has one core too.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| format!("the runtime: {e}"))?;
-    let failed = |e: io::Error| format!("{listen}: {e}");
-    runtime.block_on(async {
-        use tokio::signal::unix::{signal, SignalKind};
-        let mut end = signal(SignalKind::terminate()).map_err(failed)?;
-        let listener = TcpListener::bind(listen).await.map_err(failed)?;
-        loop {
-            tokio::select! {
-                _ = end.recv() => return Ok(()),
-                taken = listener.accept() => {
-                    let Ok((stream, _)) = taken else { continue };
-                    let servers = servers.clone();
-                    // A client that goes wrong ends its own connection.
-                    tokio::spawn(async move { servers.client(stream).await });
-                }
+    let runtime = runtime.map_err(PassThroughError::Runtime)?;
+    runtime
+        .block_on(accept_until_terminated(listen, servers))
+        .map_err(|source| PassThroughError::Listen {
+            address: listen,
+            source,
+        })
+}
+
+async fn accept_until_terminated(listen: SocketAddr, servers: Arc<Servers>) -> io::Result<()> {
+    let mut terminated = signal(SignalKind::terminate())?;
+    let listener = TcpListener::bind(listen).await?;
+    loop {
+        tokio::select! {
+            _ = terminated.recv() => return Ok(()),
+            accepted = listener.accept() => {
+                let Ok((stream, _)) = accepted else { continue };
+                let servers = servers.clone();
+                // A client that fails ends its own connection.
+                tokio::spawn(async move { servers.serve_client(stream).await });
             }
         }
-    })
+    }
+}
+
+/// The servers, and idle connections to each.
+struct Servers {
+    addresses: Vec<SocketAddr>,
+    next: AtomicUsize,
+    idle: Vec<Mutex<Vec<TcpStream>>>,
 }
 
 impl Servers {
-    async fn client(&self, mut stream: TcpStream) -> io::Result<()> {
+    async fn serve_client(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let mut rest = Vec::new();
-        while let Some(query) =
-            http::read_message(&mut stream, &mut rest, MessageKind::Request).await?
-        {
-            let answer = if query.target().starts_with("/health/ready") {
-                http::encode_response(200, &[], b"")
-            } else {
-                match self.forward(&query).await {
-                    Ok(answer) => http::encode_response(answer.status(), &[], &answer.body),
-                    Err(_) => http::encode_response(502, &[], b""),
-                }
-            };
-            stream.write_all(&answer).await?;
+        let (mut unread, kind) = (Vec::new(), MessageKind::Request);
+        while let Some(query) = http::read_message(&mut stream, &mut unread, kind).await? {
+            stream.write_all(&self.response(&query).await).await?;
             if query.wants_close() {
                 return Ok(());
             }
@@ -87,27 +150,39 @@
         Ok(())
     }
 
+    async fn response(&self, query: &Message) -> Vec<u8> {
+        if query.target().starts_with("/health/ready") {
+            return http::encode_response(200, &[], b"");
+        }
+        match self.forward(query).await {
+            Ok(response) => http::encode_response(response.status(), &[], &response.body),
+            Err(_) => http::encode_response(502, &[], b""),
+        }
+    }
+
     async fn forward(&self, query: &Message) -> io::Result<Message> {
-        let place = self.next.fetch_add(1, Ordering::Relaxed) % self.dials.len();
-        let kept = lock(&self.idle[place]).pop();
-        let mut stream = match kept {
+        let server = self.next.fetch_add(1, Ordering::Relaxed) % self.addresses.len();
+        let idle = lock(&self.idle[server]).pop();
+        let mut stream = match idle {
             Some(stream) => stream,
-            None => TcpStream::connect(self.dials[place]).await?,
+            None => TcpStream::connect(self.addresses[server]).await?,
         };
         stream.set_nodelay(true)?;
-        let mut text = format!("{} {} HTTP/1.1\r\n", query.method(), query.target());
-        query
-            .headers
-            .iter()
-            .for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
-        let mut bytes = (text + "\r\n").into_bytes();
-        bytes.extend_from_slice(&query.body);
-        stream.write_all(&bytes).await?;
-        let ended = || io::Error::from(io::ErrorKind::UnexpectedEof);
-        let answer = http::read_message(&mut stream, &mut Vec::new(), MessageKind::Response)
-            .await?
-            .ok_or_else(ended)?;
-        lock(&self.idle[place]).push(stream);
-        Ok(answer)
+        stream.write_all(&encode_request(query)).await?;
+        let mut unread = Vec::new();
+        let response = http::read_message(&mut stream, &mut unread, MessageKind::Response).await?;
+        let response = response.ok_or(io::Error::from(io::ErrorKind::UnexpectedEof))?;
+        lock(&self.idle[server]).push(stream);
+        Ok(response)
+    }
+}
+
+fn encode_request(query: &Message) -> Vec<u8> {
+    let mut head = format!("{} {} HTTP/1.1\r\n", query.method(), query.target());
+    for (name, value) in &query.headers {
+        head += &format!("{name}: {value}\r\n");
     }
+    let mut request = (head + "\r\n").into_bytes();
+    request.extend_from_slice(&query.body);
+    request
 }
--- a/crates/aspendrum-testbed/src/report.rs
+++ b/crates/aspendrum-testbed/src/report.rs
@@ -333,9 +333,11 @@
             .x_desc("seconds")
             .y_desc("units")
             .draw()?;
-        for trouble in crate::timeline::spans(s) {
-            let shade =
-                Rectangle::new([(trouble.0, 0.0), (trouble.1, top)], RED.mix(0.08).filled());
+        for span in crate::timeline::fault_spans(s) {
+            let shade = Rectangle::new(
+                [(span.from_s, 0.0), (span.to_s, top)],
+                RED.mix(0.08).filled(),
+            );
             chart.draw_series([shade])?;
         }
         let may = [(0.0, burst), (seconds, burst + rate * seconds)];
--- a/crates/aspendrum-testbed/src/run.rs
+++ b/crates/aspendrum-testbed/src/run.rs
@@ -3,9 +3,10 @@
 
 use crate::clients::{self, Customer, Front};
 use crate::config::{self, Places};
-use crate::process::{Process, Start};
+use crate::process::Process;
+use crate::program::Program;
 use crate::scenario::{Path as LinkPath, Scenario, Way, What, Which};
-use crate::timeline::{self, Moment};
+use crate::timeline::{self, FaultTransition};
 use aspendrum_checker::limiter::{self, check, ExemptPeriod, Query, Record, RuleLimits, Verdict};
 use aspendrum_checker::Millis;
 use aspendrum_fake_services::counter::{self, Counter};
@@ -133,7 +134,7 @@
 /// [`run`] on a runtime of its own, ended by an interrupt like by any other failure: with all it has started.
 pub fn play(
     scenario: &Scenario,
-    start: &Start,
+    start: &Program,
     folder: &Path,
     progress: &(dyn Fn(&str) + Sync),
 ) -> Result<Outcome, String> {
@@ -159,7 +160,7 @@
     scenario: Arc<Scenario>,
     clock: Clock,
     folder: PathBuf,
-    start: Start,
+    start: Program,
     servers: Vec<Arc<RateServer>>,
     counter: Arc<Counter>,
     discovery: Arc<Discovery>,
@@ -173,7 +174,7 @@
     peer_listens: Vec<SocketAddr>,
     slots: Vec<tokio::sync::Mutex<Slot>>,
     /// The beginnings of the faults that have not ended.
-    standing: Mutex<Vec<Moment>>,
+    standing: Mutex<Vec<FaultTransition>>,
     excuses: Mutex<Vec<ExemptPeriod>>,
     failures: Mutex<Vec<String>>,
     _claim: TcpListener,
@@ -182,7 +183,7 @@
 /// Plays the scenario; what the limiters wrote and were told stands in `folder`.
 pub async fn run(
     scenario: &Scenario,
-    start: &Start,
+    start: &Program,
     folder: &Path,
     progress: &(dyn Fn(&str) + Sync),
 ) -> Result<Outcome, String> {
@@ -279,7 +280,7 @@
 }
 
 impl Fleet {
-    async fn build(s: &Scenario, start: &Start, folder: &Path) -> std::io::Result<Fleet> {
+    async fn build(s: &Scenario, start: &Program, folder: &Path) -> std::io::Result<Fleet> {
         let (a, b, claim) = claim()?;
         let (n, clock) = (s.limiters.count, Clock::start());
         let own = |n: usize, port| SocketAddr::from((Ipv4Addr::new(127, a, b, n as u8 + 1), port));
@@ -392,7 +393,7 @@
             if ready(self.listens[me]).await {
                 return Ok(());
             }
-            if let Some(status) = slot.process.as_mut().and_then(Process::ended) {
+            if let Some(status) = slot.process.as_mut().and_then(Process::exit_status) {
                 slot.process = None;
                 return Err(format!("limiter {me} ended at its start: {status}"));
             }
@@ -404,7 +405,7 @@
     /// The timeline, to its last moment.
     async fn play(self: Arc<Fleet>, from: Millis) {
         let mut tasks = JoinSet::new();
-        for m in timeline::moments(&self.scenario) {
+        for m in timeline::transitions(&self.scenario) {
             sleep_until(moment(self.clock, from + m.at)).await;
             // Starts and ends of processes take their time, and the next moment does not wait for them.
             let fleet = self.clone();
@@ -413,11 +414,11 @@
         tasks.join_all().await;
     }
 
-    async fn turn(&self, m: Moment) {
+    async fn turn(&self, m: FaultTransition) {
         let s = &*self.scenario;
         {
             let mut standing = lock(&self.standing);
-            standing.retain(|other| other.number != m.number);
+            standing.retain(|other| other.occurrence != m.occurrence);
             let what = &s.faults[m.fault].what;
             standing.extend((m.begins && !what.at_once()).then_some(m));
         }
@@ -450,9 +451,9 @@
                 }
                 for link in links {
                     match m.begins {
-                        true if fault != Fault::default() => link.set_fault(m.number, fault),
+                        true if fault != Fault::default() => link.set_fault(m.occurrence, fault),
                         true => {}
-                        false => link.clear_fault(m.number),
+                        false => link.clear_fault(m.occurrence),
                     }
                     if *reset && m.begins {
                         link.reset_connections();
@@ -606,7 +607,7 @@
         };
         let asked = self.clock.now();
         let _ = process.signal(signal);
-        let ended = process.end().await;
+        let ended = process.wait().await;
         slot.process = None;
         match signal {
             // What it held is lost from the first moment on.
@@ -623,7 +624,7 @@
         }
     }
 
-    async fn stall(&self, me: usize, m: Moment) {
+    async fn stall(&self, me: usize, m: FaultTransition) {
         let slot = self.slots[me].lock().await;
         let Some(process) = &slot.process else { return };
         let signal = if m.begins {
@@ -685,7 +686,7 @@
             .for_each(|e| e.to = now);
     }
 
-    fn excuse_links(&self, path: LinkPath, of: &Which, to: &Which, m: Moment) {
+    fn excuse_links(&self, path: LinkPath, of: &Which, to: &Which, m: FaultTransition) {
         let s = &self.scenario;
         let now = self.clock.now();
         let until = s.faults[m.fault]
@@ -756,13 +757,13 @@
             let Some(process) = slot.process.as_mut() else {
                 continue;
             };
-            if let Some(status) = process.ended() {
+            if let Some(status) = process.exit_status() {
                 self.failed(format!("limiter {me} ended unasked: {status}"));
                 slot.process = None;
                 continue;
             }
-            memory.extend(process.memory_kb());
-            cpu += process.cpu_s().unwrap_or(0.0);
+            memory.extend(process.resident_memory_kb());
+            cpu += process.cpu_seconds().unwrap_or(0.0);
         }
         (memory, cpu)
     }
@@ -777,7 +778,7 @@
             };
             let _ = process.signal(Signal::SIGCONT);
             let _ = process.signal(Signal::SIGTERM);
-            match timeout(END, process.end()).await {
+            match timeout(END, process.wait()).await {
                 Ok(Ok(status)) if status.success() => {}
                 Ok(Ok(status)) => self.failed(format!(
                     "limiter {me} ended badly after a SIGTERM: {status}"
@@ -868,7 +869,7 @@
             discovery_updates: self.discovery.updates(),
             incarnations: self.servers.iter().flat_map(|s| s.incarnations()).collect(),
             exempt_periods: lock(&self.excuses).clone(),
-            faults: timeline::troubles(s, from),
+            faults: timeline::fault_periods(s, from),
             from,
             to,
         }
--- a/crates/aspendrum-testbed/src/sweep.rs
+++ b/crates/aspendrum-testbed/src/sweep.rs
@@ -1,6 +1,6 @@
 //! Scenarios played once for each value of one key.
 
-use crate::process::Start;
+use crate::program::Program;
 use crate::report::{self, Row};
 use crate::run;
 use crate::scenario::Scenario;
@@ -57,7 +57,7 @@
             over.key,
             s.seed
         );
-        let start = Start::of(s, limiter.clone())?;
+        let start = Program::for_scenario(s, limiter.clone()).map_err(|e| e.to_string())?;
         let folder = out.join(format!("{}-{value}-{}", s.name, s.seed));
         let o = run::play(s, &start, &folder.join("limiters"), &|_| {})?;
         report::write(s, &o, &folder)?;
--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -2,7 +2,8 @@
 
 use super::scenario::{Form, Scenario, Who};
 use super::tamper::{How, Tamper};
-use crate::process::{build, Process, Start};
+use crate::process::Process;
+use crate::program::{build, Program};
 use aspendrum_fake_services::cloud::CloudApi;
 use aspendrum_fake_services::origin::{ExecutionLog, OriginOptions, OriginServer};
 use aspendrum_fake_services::{lock, Clock};
@@ -36,21 +37,24 @@
 const SEEDS: usize = 3;
 
 /// The programs of the system, built once in this process' life.
-pub fn programs() -> Result<[Start; 3], String> {
+pub fn programs() -> Result<[Program; 3], String> {
     static BUILT: OnceLock<Result<(), String>> = OnceLock::new();
     BUILT
-        .get_or_init(|| build(&["aspendrum-proxy", "aspendrum-agent", "aspendrum-control"]))
+        .get_or_init(|| {
+            build(&["aspendrum-proxy", "aspendrum-agent", "aspendrum-control"])
+                .map_err(|e| e.to_string())
+        })
         .clone()?;
     Ok([
-        Start::system("aspendrum-proxy")?,
-        Start::system("aspendrum-agent")?,
-        Start::system("aspendrum-control")?,
+        Program::system("aspendrum-proxy").map_err(|e| e.to_string())?,
+        Program::system("aspendrum-agent").map_err(|e| e.to_string())?,
+        Program::system("aspendrum-control").map_err(|e| e.to_string())?,
     ])
 }
 
 /// One process: what it is, where its settings and its log are, and its life.
 pub struct Slot {
-    start: Start,
+    start: Program,
     settings: PathBuf,
     log: PathBuf,
     disk: Option<PathBuf>,
@@ -230,7 +234,7 @@
             }
             loans.push(row);
         }
-        let slot = |start: &Start, name: String, disk: Option<PathBuf>| {
+        let slot = |start: &Program, name: String, disk: Option<PathBuf>| {
             let (settings, log) = (
                 folder.join(format!("{name}.json")),
                 folder.join(format!("{name}.log")),
--- a/crates/aspendrum-testbed/src/system/library.rs
+++ b/crates/aspendrum-testbed/src/system/library.rs
@@ -1,7 +1,7 @@
 //! The scenarios of the system that come with the rig.
 
 use super::scenario::Scenario;
-use crate::library::{find, lines};
+use crate::library::{describe_all, find_text};
 
 macro_rules! library {
     ($(#[$about:meta])* $all:ident: $($name:literal),* $(,)?) => {
@@ -56,10 +56,10 @@
 
 /// A scenario, by its name or from a file.
 pub fn scenario(name: &str) -> Result<Scenario, String> {
-    Scenario::read(&find(&all(), name)?)
+    Scenario::read(&find_text(&all(), name).map_err(|e| e.to_string())?)
 }
 
 /// A line for each.
 pub fn list() -> String {
-    lines(&all(), |text| Scenario::read(text).map(|s| s.about))
+    describe_all(&all(), |text| Scenario::read(text).map(|s| s.about))
 }
--- a/crates/aspendrum-testbed/src/system/play.rs
+++ b/crates/aspendrum-testbed/src/system/play.rs
@@ -375,7 +375,7 @@
     ] {
         for (n, slot) in slots.iter().enumerate() {
             let mut slot = slot.lock().await;
-            if let Some(how) = slot.process.as_mut().and_then(|p| p.ended()) {
+            if let Some(how) = slot.process.as_mut().and_then(|p| p.exit_status()) {
                 failures.push(format!("{kind} {n} ended by itself: {how}"));
             }
             if slot.log().contains("panicked") {
--- a/crates/aspendrum-testbed/src/system/steps.rs
+++ b/crates/aspendrum-testbed/src/system/steps.rs
@@ -393,7 +393,7 @@
             let Some(process) = held.process.as_mut().filter(|p| Some(p.id()) == id) else {
                 return;
             };
-            if let Some(how) = process.ended() {
+            if let Some(how) = process.exit_status() {
                 held.process = None;
                 if !how.success() {
                     self.note(&format!("{who:?} did not end in order: {told:?} {how:?}"));
--- a/crates/aspendrum-testbed/src/timeline.rs
+++ b/crates/aspendrum-testbed/src/timeline.rs
@@ -1,134 +1,119 @@
-//! A scenario's faults as moments: what begins and what ends when.
+//! A scenario's faults as points in time: what begins and what ends when.
 
 use crate::scenario::{Fault, Scenario};
 use aspendrum_checker::limiter::FaultPeriod;
 use aspendrum_checker::Millis;
 
-/// One fault's beginning or end. `number` tells its occurrences apart.
+const MILLIS_PER_SECOND: f64 = 1000.0;
+/// A fault without duration is drawn as long as this, in seconds, so that it can be seen.
+const VISIBLE_S: f64 = 0.05;
+
+/// The beginning or the end of one occurrence of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Moment {
-    /// Milliseconds since the traffic's start.
+pub struct FaultTransition {
+    /// When, since the traffic began.
     pub at: Millis,
+    /// The fault, by its index in the scenario.
     pub fault: usize,
-    pub number: u32,
+    /// The number of the occurrence, among those of all faults.
+    pub occurrence: u32,
+    /// Whether it begins; else it ends.
     pub begins: bool,
 }
 
-/// All moments of the run in the order of time; ends come before beginnings of the same moment, so that what
-/// comes again without a pause has never two occurrences at once.
-pub fn moments(s: &Scenario) -> Vec<Moment> {
-    let (mut all, mut number) = (Vec::new(), 0);
-    let end = s.seconds * 1000.0;
-    for (fault, told) in s.faults.iter().enumerate() {
-        for at in times(told, end) {
-            number += 1;
-            all.push(Moment {
+/// From when to when an occurrence lasts, in seconds since the traffic began.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FaultSpan {
+    /// Its beginning.
+    pub from_s: f64,
+    /// Its end.
+    pub to_s: f64,
+}
+
+/// All transitions of a run in the order of time. At the same time ends come before beginnings, so that a fault which
+/// repeats without a pause never has two occurrences at once.
+pub fn transitions(scenario: &Scenario) -> Vec<FaultTransition> {
+    let (mut all, mut occurrence) = (Vec::new(), 0);
+    let end = scenario.seconds * MILLIS_PER_SECOND;
+    for (index, fault) in scenario.faults.iter().enumerate() {
+        for at in start_times(fault, end) {
+            occurrence += 1;
+            let begin = FaultTransition {
                 at,
-                fault,
-                number,
+                fault: index,
+                occurrence,
                 begins: true,
-            });
-            if let Some(lasts) = told.for_s {
-                all.push(Moment {
-                    at: at + lasts * 1000.0,
-                    fault,
-                    number,
+            };
+            all.push(begin);
+            if let Some(duration_s) = fault.for_s {
+                let at = at + duration_s * MILLIS_PER_SECOND;
+                all.push(FaultTransition {
+                    at,
                     begins: false,
+                    ..begin
                 });
             }
         }
     }
-    all.retain(|m| m.at <= end);
+    all.retain(|transition| transition.at <= end);
     all.sort_by(|a, b| a.at.total_cmp(&b.at).then(a.begins.cmp(&b.begins)));
     all
 }
 
-fn times(fault: &Fault, end: Millis) -> impl Iterator<Item = Millis> {
-    let (first, every) = (fault.at_s * 1000.0, fault.every_s.map(|s| s * 1000.0));
-    let count = every.map_or(0, |every| ((end - first) / every).max(0.0) as u64);
-    (0..=count)
-        .map(move |n| first + n as f64 * every.unwrap_or(0.0))
-        .filter(move |at| *at < end)
+fn start_times(fault: &Fault, end: Millis) -> impl Iterator<Item = Millis> {
+    let first = fault.at_s * MILLIS_PER_SECOND;
+    let interval = fault.every_s.map(|seconds| seconds * MILLIS_PER_SECOND);
+    let repeats = interval.map_or(0, |interval| ((end - first) / interval).max(0.0) as u64);
+    let at = move |n| first + n as f64 * interval.unwrap_or(0.0);
+    (0..=repeats).map(at).filter(move |at| *at < end)
 }
 
-/// Each fault from its first beginning to its last end; one that stands to the end leaves nothing to recover
-/// in.
-pub fn troubles(s: &Scenario, from: Millis) -> Vec<FaultPeriod> {
-    let end = s.seconds * 1000.0;
-    let trouble = |(n, fault): (usize, &Fault)| {
+/// Each fault from its first beginning to its last end, but for those that last until the end of the run: nothing remains
+/// to recover in. `from`: when the traffic began.
+pub fn fault_periods(scenario: &Scenario, from: Millis) -> Vec<FaultPeriod> {
+    let end = scenario.seconds * MILLIS_PER_SECOND;
+    let period = |(index, fault): (usize, &Fault)| {
         if fault.for_s.is_none() && !fault.what.at_once() {
             return None;
         }
-        let first = times(fault, end).next()?;
-        let last = times(fault, end).last()? + fault.for_s.unwrap_or(0.0) * 1000.0;
-        let name = format!("{} {}", n, fault.what.kind());
-        (last < end).then_some(FaultPeriod {
-            name,
-            from: from + first,
-            to: from + last,
-        })
+        let first = start_times(fault, end).next()?;
+        let duration = fault.for_s.unwrap_or(0.0) * MILLIS_PER_SECOND;
+        let last_end = start_times(fault, end).last()? + duration;
+        let name = format!("{index} {}", fault.what.kind());
+        let (from, to) = (from + first, from + last_end);
+        (last_end < end).then_some(FaultPeriod { name, from, to })
     };
-    s.faults.iter().enumerate().filter_map(trouble).collect()
+    scenario
+        .faults
+        .iter()
+        .enumerate()
+        .filter_map(period)
+        .collect()
 }
 
-/// From when to when each fault stands, seconds; what happens at once is as long as it can be seen.
-pub fn spans(s: &Scenario) -> Vec<(f64, f64)> {
-    const SEEN: f64 = 0.05;
-    let all = moments(s);
-    let end = |m: &Moment| {
-        all.iter()
-            .find(|e| !e.begins && e.number == m.number)
-            .map(|e| e.at / 1000.0)
+/// When each occurrence of a fault lasts.
+pub fn fault_spans(scenario: &Scenario) -> Vec<FaultSpan> {
+    let all = transitions(scenario);
+    let end_of = |begin: &FaultTransition| {
+        let end = all
+            .iter()
+            .find(|t| !t.begins && t.occurrence == begin.occurrence);
+        end.map(|end| end.at / MILLIS_PER_SECOND)
     };
-    let span = |m: &Moment| {
-        let (from, fault) = (m.at / 1000.0, &s.faults[m.fault]);
-        let to = if fault.what.at_once() {
-            from + SEEN
+    let span = |begin: &FaultTransition| {
+        let from_s = begin.at / MILLIS_PER_SECOND;
+        let to_s = if scenario.faults[begin.fault].what.at_once() {
+            from_s + VISIBLE_S
         } else {
-            end(m).unwrap_or(s.seconds)
+            end_of(begin).unwrap_or(scenario.seconds)
         };
-        (from, to.min(s.seconds))
+        FaultSpan {
+            from_s,
+            to_s: to_s.min(scenario.seconds),
+        }
     };
-    all.iter().filter(|m| m.begins).map(span).collect()
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn scenario(faults: &str) -> Scenario {
-        let text = format!(
-            "name = \"t\"\nabout = \"t\"\nseconds = 10.0\nlimiters = {{ count = 4 }}\n\
-             servers = {{ count = 1 }}\nplans = [{{ name = \"p\", rate = 1.0, burst = 1.0 }}]\n\
-             customers = [{{ plan = \"p\", queries_per_s = 1.0 }}]\n{faults}"
-        );
-        Scenario::read(&text).unwrap()
-    }
-
-    #[test]
-    fn a_fault_that_comes_again_ends_before_it_begins_anew() {
-        let s = scenario(
-            "[[faults]]\nat_s = 1.0\nfor_s = 4.0\nevery_s = 4.0\nkind = \"stall\"\nof = \"0\"\n",
-        );
-        let told: Vec<(f64, u32, bool)> = moments(&s)
-            .iter()
-            .map(|m| (m.at, m.number, m.begins))
-            .collect();
-        let want = [
-            (1000.0, 1, true),
-            (5000.0, 1, false),
-            (5000.0, 2, true),
-            (9000.0, 2, false),
-            (9000.0, 3, true),
-        ];
-        assert_eq!(told, want, "the third outlasts the run");
-        assert!(troubles(&s, 0.0).is_empty(), "nothing to recover in");
-    }
-
-    #[test]
-    fn what_happens_at_once_leaves_the_rest_of_the_run_to_recover_in() {
-        let s = scenario("[[faults]]\nat_s = 3.0\nkind = \"counter\"\nemptied = true\n");
-        let all = troubles(&s, 500.0);
-        assert_eq!((all.len(), all[0].from, all[0].to), (1, 3500.0, 3500.0));
-    }
+    all.iter()
+        .filter(|transition| transition.begins)
+        .map(span)
+        .collect()
 }
--- a/crates/aspendrum-testbed/tests/faults.rs
+++ b/crates/aspendrum-testbed/tests/faults.rs
@@ -3,7 +3,7 @@
 
 use aspendrum_checker::limiter::{QueryOutcome, Recovery};
 use aspendrum_testbed::library;
-use aspendrum_testbed::process::{Start, Told};
+use aspendrum_testbed::program::{ConfigSource, Program};
 use aspendrum_testbed::run::{self, Outcome};
 use aspendrum_testbed::scenario::Scenario;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 static LANES: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 
 /// The limiter as this checkout has it, built once.
-fn limiter() -> Start {
+fn limiter() -> Program {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     let program = PROGRAM.get_or_init(|| {
         let rig = PathBuf::from(env!("CARGO_BIN_EXE_aspendrum-testbed"));
@@ -39,10 +39,10 @@
         assert!(built.success());
         rig.with_file_name("aspendrum")
     });
-    Start::limiter(Some(program.clone())).unwrap()
+    Program::limiter(Some(program.clone())).unwrap()
 }
 
-fn play_with(s: &Scenario, start: &Start) -> Outcome {
+fn play_with(s: &Scenario, start: &Program) -> Outcome {
     let lane = LANES.iter().find_map(|l| l.try_lock().ok());
     let _lane = lane.unwrap_or_else(|| LANES[0].lock().unwrap_or_else(|p| p.into_inner()));
     let folder = tempfile::tempdir().unwrap();
@@ -300,7 +300,7 @@
     let s = Scenario::read(&text).unwrap();
     let o = play_with(
         &s,
-        &Start::pass_through(env!("CARGO_BIN_EXE_aspendrum-testbed").into()),
+        &Program::pass_through(env!("CARGO_BIN_EXE_aspendrum-testbed").into()),
     );
     let broken = o.broken(&s).join("\n");
     for what in [
@@ -318,10 +318,10 @@
 fn a_limiter_that_ends_unasked_fails_the_run() {
     let s = Scenario::read(&one_customer(2, 3.0, "", "")).unwrap();
     let folder = tempfile::tempdir().unwrap();
-    let nobody = Start {
-        program: "/bin/false".into(),
+    let nobody = Program {
+        executable: "/bin/false".into(),
         arguments: vec![],
-        told: Told::Argument,
+        config_source: ConfigSource::Argument,
     };
     let text = run::play(&s, &nobody, folder.path(), &|_| {})
         .err()
@@ -331,12 +331,12 @@
     let serve = limiter();
     let script = format!(
         "exec timeout -s KILL 1.5 {} serve \"$@\"",
-        serve.program.display()
+        serve.executable.display()
     );
-    let short = Start {
-        program: "/bin/sh".into(),
+    let short = Program {
+        executable: "/bin/sh".into(),
         arguments: vec!["-c".into(), script, "x".into()],
-        told: Told::Argument,
+        config_source: ConfigSource::Argument,
     };
     let o = run::play(&s, &short, folder.path(), &|_| {}).unwrap();
     assert!(
@@ -355,7 +355,7 @@
     let mut rig = Command::new(env!("CARGO_BIN_EXE_aspendrum-testbed"))
         .args([
             "--limiter".as_ref(),
-            limiter().program.as_os_str(),
+            limiter().executable.as_os_str(),
             "run".as_ref(),
             file.as_os_str(),
         ])
