--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -11,7 +11,7 @@
 };
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_net::frames::Link;
-use aspendrum_reconcile::{Bounds, Standing, Verdict, Word};
+use aspendrum_reconcile::{MajorityReport, ReportValidity, SyncAssessment, SyncStatus};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
@@ -28,7 +28,7 @@
     /// How long ago a majority is known to have held nothing newer.
     pub age: Option<Millis>,
     /// For how long that counts.
-    pub bounds: Bounds,
+    pub report_validity: ReportValidity,
     /// For how long a proxy may lack what is decided before clients are sent elsewhere.
     pub max_lag: Millis,
 }
@@ -58,7 +58,7 @@
     sent_sections: [Option<StateSection>; SECTION_KINDS],
     /// What the proxy has applied, and how that compares with what is decided.
     applied: StateDigest,
-    status: Standing,
+    status: SyncStatus,
     /// Since when it has not been current; none while it is.
     not_current_since: Option<Millis>,
     /// It has told that it changes to another control node.
@@ -76,7 +76,7 @@
             acknowledged_update: 0,
             sent_sections: [const { None }; SECTION_KINDS],
             applied: StateDigest::default(),
-            status: Standing::Behind,
+            status: SyncStatus::Behind,
             not_current_since: None,
             is_disconnecting: false,
         }
@@ -129,13 +129,14 @@
         self.applied = applied;
         // Without a recent majority this node may be the one that is behind.
         if majority_age.is_some_and(|age| Millis::from(age) <= MAX_MAJORITY_AGE) {
-            let report = Word {
+            let report = MajorityReport {
                 decided: view.decided,
                 as_of: now,
             };
-            self.status = Verdict::of(&applied, Some(&report), false, &view.bounds).standing;
+            self.status =
+                SyncAssessment::new(&applied, Some(&report), false, &view.report_validity).status;
             self.not_current_since = match self.status {
-                Standing::Current => None,
+                SyncStatus::Current => None,
                 _ => Some(self.not_current_since.unwrap_or(now)),
             };
         }
@@ -150,7 +151,7 @@
         let Some(proxy) = &mut self.proxy else {
             return false;
         };
-        let (addr, status) = (proxy.addr, self.status.word());
+        let (addr, status) = (proxy.addr, self.status.as_str());
         if proxy.readiness != readiness {
             let event = if readiness == Readiness::Ready {
                 "proxy_ready"
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -3,7 +3,7 @@
 
 use aspendrum_model::config::{Config, Route};
 use aspendrum_model::message::StateDigest;
-use aspendrum_reconcile::{Section, Standing};
+use aspendrum_reconcile::{Section, SyncStatus};
 use serde_json::{json, Value};
 
 /// A node as this control node knows it.
@@ -17,7 +17,7 @@
     /// Whether clients may be sent to its proxy.
     pub ready: bool,
     /// What it has applied, compared with what is decided.
-    pub status: Standing,
+    pub status: SyncStatus,
     /// Since when it has not been current, milliseconds before now; 0 while it is.
     pub not_current_ms: u64,
     /// What it has applied.
@@ -83,7 +83,7 @@
         "zone": node.zone,
         "ready": node.ready,
         "via": host,
-        "standing": node.status.word(),
+        "standing": node.status.as_str(),
         "off-ms": node.not_current_ms,
         "applied": digest(&node.applied),
         "differs": differing.collect::<Vec<String>>(),
--- /dev/null
+++ b/crates/aspendrum-gossip/src/node.rs
@@ -0,0 +1,225 @@
+//! An agent among its neighbours.
+//!
+//! While control is reachable an agent only shuffles its partial view. After some time without a majority report it asks
+//! neighbours for theirs. The age of a report counts from when the request was sent, so it only grows with each hop: a
+//! report that was passed on never counts for longer than the one it came from.
+
+use crate::message::{GossipAction, GossipMessage};
+use crate::view::PartialView;
+use crate::Millis;
+use aspendrum_model::message::StateDigest;
+use fastrand::Rng;
+use std::net::Ipv4Addr;
+
+/// Between two shuffles. They take 80 bytes each way: 63 agents send 5 KB a second in all.
+const SHUFFLE_INTERVAL: Millis = 2000.0;
+/// Between two rounds of report requests while there is no valid report.
+const REQUEST_INTERVAL: Millis = 300.0;
+/// How many neighbours are asked in one round.
+const REQUESTS_PER_ROUND: usize = 2;
+/// How far back requests count for the estimate of how much of the fleet is isolated.
+const SAMPLE_WINDOW: Millis = 2000.0;
+/// How many requests that estimate needs at least.
+const MIN_SAMPLES: usize = 4;
+/// Between two snapshot fetches: another report may come before the last snapshot has been applied.
+const FETCH_INTERVAL: Millis = 500.0;
+
+/// A report request of late, and whether its answer was that the neighbour is isolated too.
+struct RequestSample {
+    sent_at: u64,
+    neighbour: Ipv4Addr,
+    neighbour_isolated: bool,
+}
+
+/// One agent's part of the gossip protocol.
+pub struct GossipNode {
+    view: PartialView,
+    rng: Rng,
+    last_shuffle: Millis,
+    last_request_round: Millis,
+    last_fetch: Millis,
+    samples: Vec<RequestSample>,
+}
+
+impl GossipNode {
+    /// A node that knows nobody yet. `seed` determines its random choices.
+    pub fn new(local_agent: Ipv4Addr, seed: u64) -> GossipNode {
+        GossipNode {
+            view: PartialView::new(local_agent),
+            rng: Rng::with_seed(seed),
+            last_shuffle: f64::NEG_INFINITY,
+            last_request_round: f64::NEG_INFINITY,
+            last_fetch: f64::NEG_INFINITY,
+            samples: Vec::new(),
+        }
+    }
+
+    /// The neighbours that this node knows at present.
+    pub fn view(&self) -> &PartialView {
+        &self.view
+    }
+
+    /// Fills the view with agents that control named.
+    pub fn add_known_agents(&mut self, agents: &[Ipv4Addr]) {
+        self.view.fill(&mut self.rng, agents);
+    }
+
+    /// Whether half of the agents or more have no valid majority report, as far as recent requests show.
+    ///
+    /// A neighbour that does not answer counts as in touch with control: a few agents that are partitioned off
+    /// together must not take themselves for the fleet.
+    pub fn most_agents_isolated(&self, now: Millis) -> bool {
+        let recent = self
+            .samples
+            .iter()
+            .filter(|sample| now - sample.sent_at as Millis <= SAMPLE_WINDOW);
+        let (requests, isolated) = recent.fold((0, 0), |(requests, isolated), sample| {
+            (
+                requests + 1,
+                isolated + usize::from(sample.neighbour_isolated),
+            )
+        });
+        requests >= MIN_SAMPLES && 2 * isolated >= requests
+    }
+
+    /// Returns what is due now. `is_isolated`: this agent has no valid majority report.
+    pub fn tick(&mut self, now: Millis, is_isolated: bool) -> Vec<GossipAction> {
+        let mut actions = Vec::new();
+        if now - self.last_shuffle >= SHUFFLE_INTERVAL {
+            self.last_shuffle = now;
+            actions.extend(self.start_shuffle());
+        }
+        if is_isolated && now - self.last_request_round >= REQUEST_INTERVAL {
+            self.last_request_round = now;
+            actions.extend(self.request_reports(now));
+        }
+        actions
+    }
+
+    /// Handles a datagram.
+    ///
+    /// `held` is the state that this agent holds; `confirmed_as_of` is when a majority held nothing newer, unless this
+    /// agent is isolated.
+    pub fn handle(
+        &mut self,
+        now: Millis,
+        from: Ipv4Addr,
+        message: GossipMessage,
+        held: &StateDigest,
+        confirmed_as_of: Option<Millis>,
+    ) -> Vec<GossipAction> {
+        match message {
+            GossipMessage::ShuffleRequest { offer } => {
+                let offer = self.view.handle_request(&mut self.rng, &offer);
+                vec![GossipAction::Send {
+                    to: from,
+                    message: GossipMessage::ShuffleReply { offer },
+                }]
+            }
+            GossipMessage::ShuffleReply { offer } => {
+                self.view.handle_reply(from, &offer);
+                Vec::new()
+            }
+            GossipMessage::ReportRequest { sent_at } => {
+                let message = answer_request(now, sent_at, held, confirmed_as_of);
+                vec![GossipAction::Send { to: from, message }]
+            }
+            GossipMessage::NoReport { sent_at } => {
+                self.record_isolated(from, sent_at);
+                Vec::new()
+            }
+            GossipMessage::Report {
+                sent_at,
+                age,
+                decided,
+            } => self
+                .handle_report(now, from, sent_at as Millis, age, &decided, held)
+                .into_iter()
+                .collect(),
+        }
+    }
+
+    fn start_shuffle(&mut self) -> Option<GossipAction> {
+        let (to, offer) = self.view.start_shuffle(&mut self.rng)?;
+        Some(GossipAction::Send {
+            to,
+            message: GossipMessage::ShuffleRequest { offer },
+        })
+    }
+
+    fn request_reports(&mut self, now: Millis) -> Vec<GossipAction> {
+        let sent_at = now.max(0.0) as u64;
+        let neighbours = self.view.sample(&mut self.rng, REQUESTS_PER_ROUND);
+        self.samples
+            .retain(|sample| now - sample.sent_at as Millis <= SAMPLE_WINDOW);
+        self.samples
+            .extend(neighbours.iter().map(|neighbour| RequestSample {
+                sent_at,
+                neighbour: *neighbour,
+                neighbour_isolated: false,
+            }));
+        let message = GossipMessage::ReportRequest { sent_at };
+        neighbours
+            .into_iter()
+            .map(|to| GossipAction::Send {
+                to,
+                message: message.clone(),
+            })
+            .collect()
+    }
+
+    fn record_isolated(&mut self, neighbour: Ipv4Addr, sent_at: u64) {
+        let request = self
+            .samples
+            .iter_mut()
+            .filter(|sample| sample.sent_at == sent_at && sample.neighbour == neighbour);
+        request.for_each(|sample| sample.neighbour_isolated = true);
+    }
+
+    fn handle_report(
+        &mut self,
+        now: Millis,
+        from: Ipv4Addr,
+        requested_at: Millis,
+        age: u32,
+        decided: &StateDigest,
+        held: &StateDigest,
+    ) -> Option<GossipAction> {
+        // A time in the future answers no request of this process.
+        if requested_at > now {
+            return None;
+        }
+        // Two contents under one revision: only control can say which of them was decided.
+        if held.revision == decided.revision && held.digests != decided.digests {
+            return None;
+        }
+        if held.revision.covers(&decided.revision) {
+            return Some(GossipAction::ConfirmedAsOf(requested_at - f64::from(age)));
+        }
+        if now - self.last_fetch < FETCH_INTERVAL {
+            return None;
+        }
+        self.last_fetch = now;
+        Some(GossipAction::FetchSnapshot(from))
+    }
+}
+
+/// The reply to a report request: the report with its age, rounded up to whole milliseconds.
+fn answer_request(
+    now: Millis,
+    sent_at: u64,
+    held: &StateDigest,
+    confirmed_as_of: Option<Millis>,
+) -> GossipMessage {
+    match confirmed_as_of {
+        Some(as_of) => {
+            let age = (now - as_of).max(0.0).ceil().min(f64::from(u32::MAX)) as u32;
+            GossipMessage::Report {
+                sent_at,
+                age,
+                decided: *held,
+            }
+        }
+        None => GossipMessage::NoReport { sent_at },
+    }
+}
