--- a/crates/aspendrum-benchmarks/src/cores/proxy.rs
+++ b/crates/aspendrum-benchmarks/src/cores/proxy.rs
@@ -11,8 +11,10 @@
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardHandle, RequestKind};
 use aspendrum_net::mailbox;
-use aspendrum_proxy::counts::{Calls, Leave, Ledger, Quota};
-use aspendrum_proxy::desk::{Ask, Desk, Order, BEAT_MS};
+use aspendrum_proxy::counter::{CounterClient, CounterId, CounterStore, Quota, QuotaTolerance};
+use aspendrum_proxy::dispatcher::{
+    AdmissionRequest, Dispatcher, ForwardResult, RequestDecision, TICK_MS,
+};
 use std::net::{Ipv4Addr, UdpSocket};
 use std::sync::Arc;
 use std::thread::sleep;
@@ -34,9 +36,9 @@
     Settings::read(text.to_string().as_bytes()).expect("settings of this file are well-formed")
 }
 
-fn desk() -> Desk {
+fn dispatcher() -> Dispatcher {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback has a free port");
-    Desk::new(&settings(), socket)
+    Dispatcher::new(&settings(), socket)
 }
 
 fn news(text: &str, version: u32) -> StateSection {
@@ -66,7 +68,7 @@
             .with("routes", size.routes)
             .with("tenants", size.tenants)
     };
-    let desk = desk();
+    let dispatcher = dispatcher();
     let texts: Vec<String> = (1..5)
         .map(|version| sizes::config(size, hosts, version))
         .collect();
@@ -76,21 +78,21 @@
         .map(|(text, version)| news(text, version))
         .collect();
     let list = sizes::servers(size, sizes::apart);
-    let ((), held, most) = memory(|| desk.apply(parts[0].clone()));
+    let ((), held, most) = memory(|| dispatcher.apply(parts[0].clone()));
     line("proxy.config.memory")
         .mb("held", held)
         .mb("most", most)
         .tell();
     line("proxy.config.apply")
-        .ms("cpu", &each(3, |n| desk.apply(parts[n + 1].clone())))
+        .ms("cpu", &each(3, |n| dispatcher.apply(parts[n + 1].clone())))
         .tell();
     line("proxy.edition")
-        .ms("cpu", &each(3, |_| desk.edition()))
+        .ms("cpu", &each(3, |_| dispatcher.applied()))
         .tell();
     // The desk takes the list; its copy is made outside of the time.
     let mut copies: Vec<Vec<_>> = (0..9).map(|_| list.clone()).collect();
     let ((), held, _) = memory(|| {
-        desk.apply(StateSection::Servers {
+        dispatcher.apply(StateSection::Servers {
             age: 0,
             list: list.clone(),
         })
@@ -100,14 +102,14 @@
         .ms(
             "cpu",
             &each(9, |_| {
-                desk.apply(StateSection::Servers {
+                dispatcher.apply(StateSection::Servers {
                     age: 0,
                     list: copies.pop().unwrap_or_default(),
                 })
             }),
         )
         .tell();
-    desk.apply(StateSection::Proxies(turned(size.limiters, 0)));
+    dispatcher.apply(StateSection::Proxies(turned(size.limiters, 0)));
     let mut turns: Vec<StateSection> = (1..10)
         .map(|n| StateSection::Proxies(turned(size.limiters, n)))
         .collect();
@@ -115,7 +117,7 @@
         .ms(
             "cpu",
             &each(9, |_| {
-                desk.apply(turns.pop().unwrap_or(StateSection::Proxies(Vec::new())))
+                dispatcher.apply(turns.pop().unwrap_or(StateSection::Proxies(Vec::new())))
             }),
         )
         .tell();
@@ -123,8 +125,8 @@
 
 /// The processor time that a desk's beats take, as a share of a core.
 fn beats(size: &Size, cold: usize) {
-    let desk = desk();
-    desk.apply(news(
+    let dispatcher = dispatcher();
+    dispatcher.apply(news(
         &sizes::config(
             &Size {
                 tenants: 50,
@@ -139,13 +141,13 @@
     list.iter_mut()
         .take(cold)
         .for_each(|s| s.warm_left_ms = 60_000);
-    desk.apply(StateSection::Servers { age: 0, list });
-    desk.apply(StateSection::Proxies(sizes::fronts(size.limiters)));
+    dispatcher.apply(StateSection::Servers { age: 0, list });
+    dispatcher.apply(StateSection::Proxies(sizes::fronts(size.limiters)));
     let (begun, before, mut beats) = (Instant::now(), cpu_ms(), Vec::new());
     while begun.elapsed() < WATCHED {
-        sleep(Duration::from_secs_f64(BEAT_MS / 1000.0));
+        sleep(Duration::from_secs_f64(TICK_MS / 1000.0));
         let at = cpu_ms();
-        desk.beat();
+        dispatcher.tick();
         beats.push(cpu_ms() - at);
     }
     // A thread that is kept waiting beats less often than it should: its share is of the beats that are due.
@@ -155,22 +157,24 @@
         .with("limiters", size.limiters);
     let line = line.with("cold", cold).with("beats", beats.len());
     line.ms("beat", &Samples::of(beats))
-        .number("core_share", spent / of / BEAT_MS)
+        .number("core_share", spent / of / TICK_MS)
         .tell();
 }
 
 /// A query's way through the module to its server and back, the counter held here.
 fn queries(size: &Size) {
-    let desk = desk();
+    let dispatcher = dispatcher();
     // The fronts first: a counter that is new to a running proxy has been held nowhere, and needs no fence.
-    desk.apply(StateSection::Proxies(sizes::fronts(1)));
-    desk.apply(news(&sizes::config(size, size.services, 1), 1));
-    desk.apply(StateSection::Servers {
+    dispatcher.apply(StateSection::Proxies(sizes::fronts(1)));
+    dispatcher.apply(news(&sizes::config(size, size.services, 1), 1));
+    dispatcher.apply(StateSection::Servers {
         age: 0,
         list: sizes::servers(size, sizes::apart),
     });
-    desk.beat();
-    let Some(view) = desk.view() else { return };
+    dispatcher.tick();
+    let Some(view) = dispatcher.snapshot() else {
+        return;
+    };
     let (mut decided, mut ended, mut lost) = (Vec::new(), Vec::new(), 0);
     for n in 0..QUERIES {
         let route = n % view.config.routes.len();
@@ -180,35 +184,40 @@
         };
         let (orders, inbox) = mailbox::for_current_thread(8);
         let until = Instant::now() + Duration::from_secs(2);
-        let ask = Ask {
+        let request = AdmissionRequest {
             route,
-            service: pool,
+            pool,
             tenant: Some(n % size.tenants),
-            zones: u64::MAX,
-            until,
-            orders,
+            regions: u64::MAX,
+            deadline: until,
+            decisions: orders,
             forward: handle(),
         };
         let before = cpu_ms();
-        let id = desk.ask(&view, ask);
+        let id = dispatcher.admit(&view, request);
         decided.push(cpu_ms() - before);
-        let Ok(Order::Forward { forward, server }) = inbox.recv_deadline(Some(Instant::now()))
+        let Ok(RequestDecision::Forward { forward, server }) =
+            inbox.recv_deadline(Some(Instant::now()))
         else {
-            desk.quit(id);
+            dispatcher.finish_request(id);
             lost += 1;
             continue;
         };
         let before = cpu_ms();
-        desk.ended(
+        dispatcher.finish_forward(
             id,
             forward,
             server,
-            (Outcome::Ok, 50.0, Load::default()),
+            ForwardResult {
+                outcome: Outcome::Ok,
+                rtt: 50.0,
+                load: Load::default(),
+            },
             true,
         );
         ended.push(cpu_ms() - before);
         if n % 50 == 0 {
-            desk.beat();
+            dispatcher.tick();
         }
     }
     let line = |name| {
@@ -231,15 +240,17 @@
 
 /// Which queries must wait for another proxy's answer before anything is decided of them.
 fn counted_elsewhere(size: &Size) {
-    let desk = desk();
-    desk.apply(StateSection::Proxies(sizes::fronts(size.limiters)));
-    desk.apply(news(&sizes::config(size, size.services, 1), 1));
-    desk.apply(StateSection::Servers {
+    let dispatcher = dispatcher();
+    dispatcher.apply(StateSection::Proxies(sizes::fronts(size.limiters)));
+    dispatcher.apply(news(&sizes::config(size, size.services, 1), 1));
+    dispatcher.apply(StateSection::Servers {
         age: 0,
         list: sizes::servers(size, sizes::apart),
     });
-    desk.beat();
-    let Some(view) = desk.view() else { return };
+    dispatcher.tick();
+    let Some(view) = dispatcher.snapshot() else {
+        return;
+    };
     let mut at_once = 0;
     for n in 0..size.tenants.min(QUERIES) {
         let Some(service) = view.pools.get(view.config.routes[0].service(0.1)).copied() else {
@@ -247,21 +258,21 @@
         };
         let (orders, inbox) = mailbox::for_current_thread(8);
         let until = Instant::now() + Duration::from_secs(2);
-        let ask = Ask {
+        let request = AdmissionRequest {
             route: 0,
-            service,
+            pool: service,
             tenant: Some(n),
-            zones: u64::MAX,
-            until,
-            orders,
+            regions: u64::MAX,
+            deadline: until,
+            decisions: orders,
             forward: handle(),
         };
-        let id = desk.ask(&view, ask);
+        let id = dispatcher.admit(&view, request);
         at_once += usize::from(inbox.recv_deadline(Some(Instant::now())).is_ok());
-        desk.quit(id);
+        dispatcher.finish_request(id);
     }
-    let mut calls = Calls::default();
-    calls.holders(
+    let mut calls = CounterClient::default();
+    calls.set_owners(
         sizes::fronts(size.limiters)
             .iter()
             .map(|f| *f.addr.ip())
@@ -274,11 +285,7 @@
             .map(sizes::region)
     };
     let tenants = view.config.tenants.iter().flatten();
-    let holder = |name: &str| {
-        calls
-            .holder(digest(name.as_bytes()) & ((1 << 40) - 1))
-            .and_then(region)
-    };
+    let holder = |name: &str| calls.owner(CounterId::of_tenant(name)).and_then(region);
     let far = tenants
         .filter(|t| holder(&t.name).is_some_and(|r| r != home))
         .count();
@@ -301,17 +308,19 @@
             routes: services,
             limiters: 1,
         };
-        let desk = desk();
-        desk.apply(StateSection::Proxies(sizes::fronts(1)));
-        desk.apply(news(&sizes::config(&size, services, 1), 1));
+        let dispatcher = dispatcher();
+        dispatcher.apply(StateSection::Proxies(sizes::fronts(1)));
+        dispatcher.apply(news(&sizes::config(&size, services, 1), 1));
         let name = format!("svc{dead:03}a");
         let list = sizes::servers(&size, sizes::apart)
             .into_iter()
             .filter(|s| s.service != name)
             .collect();
-        desk.apply(StateSection::Servers { age: 0, list });
-        desk.beat();
-        let Some(view) = desk.view() else { return };
+        dispatcher.apply(StateSection::Servers { age: 0, list });
+        dispatcher.tick();
+        let Some(view) = dispatcher.snapshot() else {
+            return;
+        };
         let place = |n: usize| view.pools.get(format!("svc{n:03}a").as_str()).copied();
         let (Some(dead), Some(other)) = (place(dead), place(asks)) else {
             continue;
@@ -328,24 +337,28 @@
                     .position(|r| view.pools.get(&r.services[0].0) == Some(&service));
                 let until = Instant::now() + Duration::from_secs(2);
                 let tenant = Some(n % size.tenants);
-                let ask = Ask {
+                let request = AdmissionRequest {
                     route: route.unwrap_or(0),
-                    service,
+                    pool: service,
                     tenant,
-                    zones: u64::MAX,
-                    until,
-                    orders,
+                    regions: u64::MAX,
+                    deadline: until,
+                    decisions: orders,
                     forward: handle(),
                 };
-                let id = desk.ask(&view, ask);
+                let id = dispatcher.admit(&view, request);
                 match inbox.recv_deadline(Some(Instant::now())) {
-                    Ok(Order::Forward { forward, server }) => {
+                    Ok(RequestDecision::Forward { forward, server }) => {
                         sent += usize::from(service == other);
-                        desk.ended(
+                        dispatcher.finish_forward(
                             id,
                             forward,
                             server,
-                            (Outcome::Ok, 5.0, Load::default()),
+                            ForwardResult {
+                                outcome: Outcome::Ok,
+                                rtt: 5.0,
+                                load: Load::default(),
+                            },
                             true,
                         );
                     }
@@ -365,47 +378,47 @@
 
 /// A tenant's counter: who holds it, and an add.
 fn counters(limiters: usize, tenants: usize) {
-    let mut calls = Calls::default();
-    calls.holders(
+    let mut calls = CounterClient::default();
+    calls.set_owners(
         sizes::fronts(limiters)
             .iter()
             .map(|f| *f.addr.ip())
             .collect(),
     );
-    let names: Vec<u64> = (0..tenants)
-        .map(|n| digest(format!("tenant{n}").as_bytes()) >> 24)
+    let names: Vec<CounterId> = (0..tenants)
+        .map(|n| CounterId(digest(format!("tenant{n}").as_bytes()) >> 24))
         .collect();
     let line = |name| {
         Line::of(name)
             .with("limiters", limiters)
             .with("tenants", tenants)
     };
-    let found = batches(9, 1000, |n| calls.holder(names[n % tenants]));
+    let found = batches(9, 1000, |n| calls.owner(names[n % tenants]));
     line("counts.holder").ms("cpu", &found).tell();
     let me: Ipv4Addr = *front_at(0).ip();
-    let leave = Leave {
-        win: 5.0,
+    let tolerance = QuotaTolerance {
+        span_s: 5.0,
         excess: 0.1,
         slack: 20.0,
     };
     let quotas = || {
         names
             .iter()
-            .map(|n| (*n, Quota::of(100.0, 100.0, &leave)))
+            .map(|n| (*n, Quota::within(100.0, 100.0, &tolerance)))
             .collect()
     };
-    let mut ledger = Ledger::default();
-    ledger.quotas(quotas(), |_| true);
-    ledger.held(0.0, |_| true);
-    let adds = batches(9, 10_000, |n| ledger.add(60_000.0, names[n % tenants], 1.0));
+    let mut store = CounterStore::default();
+    store.set_quotas(quotas(), |_| true);
+    store.set_owned(0.0, |_| true);
+    let adds = batches(9, 10_000, |n| store.add(60_000.0, names[n % tenants], 1.0));
     line("counts.add").ms("cpu", &adds).tell();
     let moved = each(3, |n| {
-        ledger.held(n as f64, |name| calls.holder(name) == Some(me))
+        store.set_owned(n as f64, |name| calls.owner(name) == Some(me))
     });
     line("counts.moved").ms("cpu", &moved).tell();
     let own = names
         .iter()
-        .filter(|n| calls.holder(**n) == Some(me))
+        .filter(|n| calls.owner(**n) == Some(me))
         .count();
     line("counts.share").with("held_here", own).tell();
     let config = Config::read(
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -1,85 +1,84 @@
-//! The loopback connection to the agent on this machine: news come in and are applied, beats go out.
+//! The loopback connection to the agent on this machine: updates come in and are applied, heartbeats go out.
 
-use crate::Shop;
-use aspendrum_model::message::{FromControl, Readiness, StateDigest, StateSection, ToControl};
+use crate::state::ProxyState;
+use aspendrum_model::message::{FromControl, StateSection, ToControl};
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
-use aspendrum_net::workers::{lock, spawn};
-use std::io::BufReader;
-use std::net::SocketAddrV4;
-use std::sync::{Arc, Mutex};
+use aspendrum_net::workers::spawn;
+use std::io::{self, BufReader};
+use std::net::{SocketAddrV4, TcpStream};
+use std::sync::Arc;
 use std::thread::sleep;
 use std::time::Duration;
 
-const STACK: usize = 512 << 10;
-const REDIAL: Duration = Duration::from_millis(100);
-const SILENCE: Duration = Duration::from_secs(5);
-const ROOM: usize = 32;
+/// Updates hold whole configurations: reading one takes more stack than a request does.
+const STACK_BYTES: usize = 512 << 10;
+const RECONNECT_EVERY: Duration = Duration::from_millis(100);
+/// Bytes that the agent does not acknowledge for so long end the connection.
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Messages that may wait to be written.
+const QUEUE_LENGTH: usize = 32;
+const READ_BUFFER_BYTES: usize = 4 << 10;
 
-/// The link, while there is one.
-#[derive(Default)]
-pub struct Agent(Mutex<Option<Arc<Link>>>);
-
-impl Agent {
-    /// A sign of life. The stamp comes back with the licence's age.
-    pub fn beat(&self, stamp: u64, readiness: Readiness, applied: StateDigest) {
-        let link = lock(&self.0).clone();
-        if let Some(link) = link {
-            link.send(&ToControl::Heartbeat {
-                stamp,
-                readiness,
-                applied,
+/// Connects to the agent, again and again, for as long as the process runs. `listen_address`: where clients reach this
+/// proxy.
+pub(crate) fn start(
+    state: &Arc<ProxyState>,
+    settings: &Settings,
+    listen_address: SocketAddrV4,
+) -> io::Result<()> {
+    let (state, agent_address) = (state.clone(), settings.agent_at());
+    let (host, zone) = (settings.host.clone(), settings.zone.clone());
+    spawn("agent", STACK_BYTES, move || loop {
+        if let Ok((link, stream)) = connect(agent_address) {
+            link.send(&ToControl::Hello {
+                host: host.clone(),
+                front: listen_address,
+                zone: zone.clone(),
             });
+            state.agent_link.set(Some(link.clone()));
+            receive(&state, &link, &stream);
+            state.agent_link.set(None);
+            log::info!("event=agent_lost");
         }
-    }
+        sleep(RECONNECT_EVERY);
+    })?;
+    Ok(())
 }
 
-/// Keeps the link for as long as the process runs.
-pub fn hold(shop: &Arc<Shop>, settings: &Settings, front: SocketAddrV4) -> std::io::Result<()> {
-    let (shop, at) = (shop.clone(), settings.agent_at());
-    let (host, zone) = (settings.host.clone(), settings.zone.clone());
-    spawn("agent", STACK, move || loop {
-        if let Ok(stream) = Link::dial(at, SILENCE) {
-            if let Ok(link) = Link::from_stream(stream.clone(), SILENCE, ROOM) {
-                let link = Arc::new(link);
-                link.send(&ToControl::Hello {
-                    host: host.clone(),
-                    front,
-                    zone: zone.clone(),
-                });
-                *lock(&shop.agent.0) = Some(link.clone());
-                let mut from = BufReader::with_capacity(4 << 10, &*stream);
-                while let Ok(said) = frames::read_frame::<FromControl>(&mut from) {
-                    match said {
-                        FromControl::Update { number, part } => {
-                            let orders = matches!(
-                                part,
-                                StateSection::Config { .. } | StateSection::Evacuated { .. }
-                            );
-                            shop.desk.apply(part);
-                            if orders {
-                                shop.collate();
-                            }
-                            link.send(&ToControl::Applied { number });
-                        }
-                        FromControl::Resync => shop.desk.anew(),
-                        FromControl::Heartbeat {
-                            stamp,
-                            majority_age: age,
-                            decided: of,
-                            control_reachable: heard,
-                            most_agents_isolated: deserted,
-                        } => {
-                            shop.told(stamp, age, of, deserted);
-                            shop.heard(heard);
-                        }
-                    }
+fn connect(agent_address: SocketAddrV4) -> io::Result<(Arc<Link>, Arc<TcpStream>)> {
+    let stream = Link::dial(agent_address, ACKNOWLEDGE_TIMEOUT)?;
+    let link = Link::from_stream(stream.clone(), ACKNOWLEDGE_TIMEOUT, QUEUE_LENGTH)?;
+    Ok((Arc::new(link), stream))
+}
+
+/// Handles messages until the connection ends.
+fn receive(state: &ProxyState, link: &Link, stream: &TcpStream) {
+    let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
+    while let Ok(message) = frames::read_frame::<FromControl>(&mut reader) {
+        match message {
+            FromControl::Update { number, part } => {
+                let is_ordered = matches!(
+                    part,
+                    StateSection::Config { .. } | StateSection::Evacuated { .. }
+                );
+                state.dispatcher.apply(part);
+                if is_ordered {
+                    state.update_applied();
                 }
-                *lock(&shop.agent.0) = None;
-                log::info!("event=agent_lost");
+                link.send(&ToControl::Applied { number });
+            }
+            FromControl::Resync => state.dispatcher.rebuild_tables(),
+            FromControl::Heartbeat {
+                stamp,
+                majority_age: age,
+                decided: of,
+                control_reachable: heard,
+                most_agents_isolated: deserted,
+            } => {
+                state.record_control_report(stamp, age, of, deserted);
+                state.record_control_reachable(heard);
             }
         }
-        sleep(REDIAL);
-    })?;
-    Ok(())
+    }
 }
--- /dev/null
+++ b/crates/aspendrum-proxy/src/agent_link.rs
@@ -0,0 +1,29 @@
+//! The sending side of the loopback connection to the agent on this machine.
+
+use aspendrum_model::message::{Readiness, StateDigest, ToControl};
+use aspendrum_net::frames::Link;
+use aspendrum_net::workers::lock;
+use std::sync::{Arc, Mutex};
+
+/// The connection to the agent, while there is one.
+#[derive(Default)]
+pub struct AgentLink(Mutex<Option<Arc<Link>>>);
+
+impl AgentLink {
+    /// Sends a heartbeat. The agent answers with `stamp`, the proxy's clock in milliseconds, and the age of control's
+    /// last report.
+    pub fn send_heartbeat(&self, stamp: u64, readiness: Readiness, applied: StateDigest) {
+        let link = lock(&self.0).clone();
+        if let Some(link) = link {
+            link.send(&ToControl::Heartbeat {
+                stamp,
+                readiness,
+                applied,
+            });
+        }
+    }
+
+    pub(crate) fn set(&self, link: Option<Arc<Link>>) {
+        *lock(&self.0) = link;
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-proxy/src/disconnects.rs
@@ -0,0 +1,70 @@
+//! Clients that leave while their requests are in flight: what the proxy does about them, and how it checks itself.
+
+use crate::session::ClientSession;
+use crate::state::ProxyState;
+use aspendrum_core::api::QueryId;
+use aspendrum_net::disconnect_metrics::BOUND;
+use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
+use std::time::Duration;
+
+/// A run goes on for so long after its client has left: most end within that, and their connections are kept. A crowd
+/// that leaves servers at their usual pace costs no new connections.
+const FINISH_WITHIN: Duration = Duration::from_millis(90);
+
+/// Looks whether clients with a request in flight are still there, and gives up what is done for those that have left.
+pub(crate) fn check_clients(state: &ProxyState) {
+    let sessions = state.sessions.in_flight();
+    for session in state.disconnect_watcher.poll_disconnects(&sessions) {
+        if let Some(request) = session.connection.request() {
+            client_disconnected(state, request);
+        }
+    }
+    for session in &sessions {
+        let disconnected_for = session
+            .connection
+            .time_since_disconnect(&state.disconnect_watcher);
+        if let (Some(disconnected_for), Some(request)) =
+            (disconnected_for, session.connection.request())
+        {
+            follow_up(state, session, request, disconnected_for);
+        }
+    }
+}
+
+/// A request's client has left.
+pub(crate) fn client_disconnected(state: &ProxyState, request: QueryId) {
+    if let Some((kind, stage)) = state.dispatcher.client_disconnected(request) {
+        state.disconnect_metrics.record_disconnect(kind, stage);
+    }
+}
+
+/// What is due so long after a client has left, and a check of the invariant that its request is then over.
+fn follow_up(
+    state: &ProxyState,
+    session: &ClientSession,
+    request: QueryId,
+    disconnected_for: Duration,
+) {
+    if disconnected_for >= FINISH_WITHIN {
+        state.dispatcher.break_off(request);
+    }
+    let progress = state.dispatcher.progress(request);
+    let Some((kind, progress)) = progress.filter(|_| !state.disconnect_watcher.is_late()) else {
+        return;
+    };
+    let Progress {
+        stage,
+        broken_off,
+        returned_for,
+    } = progress;
+    let may_finish = (kind, stage) == (RequestKind::OnceOnly, ForwardStage::AtServer);
+    // A run that was let finish, and has just come back, ends a moment later.
+    let due_for = returned_for.map_or(disconnected_for, |returned_for| {
+        returned_for.min(disconnected_for)
+    });
+    if due_for > BOUND && !may_finish && session.connection.becomes_overdue() {
+        state
+            .disconnect_metrics
+            .record_overdue(kind, stage, broken_off);
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-proxy/src/dispatcher/admission.rs
@@ -0,0 +1,170 @@
+//! Requests that the decision module decides of, and how their threads learn of its decisions.
+
+use super::configuration::ConfigSnapshot;
+use aspendrum_core::api::{Ms, NewQuery, QueryId, ServerId};
+use aspendrum_net::forward::ForwardHandle;
+use aspendrum_net::mailbox::MailboxSender;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Instant;
+
+/// What is decided of a request.
+#[derive(Debug)]
+pub enum RequestDecision {
+    /// It is to be sent to that server.
+    Forward {
+        /// The number of this forward, from 0.
+        forward: u8,
+        /// The server.
+        server: ServerId,
+    },
+    /// It is rejected.
+    Shed {
+        /// When its client may come again; 0: not known.
+        retry_after: Ms,
+        /// It is beyond its tenant's quota.
+        over_quota: bool,
+    },
+    /// Nothing more can be done for it.
+    Drop,
+    /// It would be retried, and the budget of retries is spent.
+    RetryBudgetSpent,
+    /// Its client has left: there is nobody to answer.
+    ClientDisconnected,
+}
+
+/// A request, as the dispatcher needs it.
+pub struct AdmissionRequest {
+    /// The number of its route in the configuration.
+    pub route: usize,
+    /// The number of its service's pool.
+    pub pool: u16,
+    /// The number of its tenant in the configuration.
+    pub tenant: Option<usize>,
+    /// Regions whose servers may run it, a bit each.
+    pub regions: u64,
+    /// When its client gives up.
+    pub deadline: Instant,
+    /// Takes the decisions on it.
+    pub decisions: MailboxSender<RequestDecision>,
+    /// Its forwards, as other threads see them.
+    pub forward: Arc<ForwardHandle>,
+}
+
+/// A request whose thread waits for decisions.
+struct PendingRequest {
+    decisions: MailboxSender<RequestDecision>,
+    forward: Arc<ForwardHandle>,
+    pool: u16,
+    forwards: u8,
+}
+
+/// The next forward of a request.
+pub(super) struct NextForward {
+    /// Its number, from 0.
+    pub(super) number: u8,
+    pub(super) pool: u16,
+}
+
+/// All requests whose threads wait for decisions.
+pub(super) struct PendingRequests {
+    requests: HashMap<QueryId, PendingRequest>,
+    next_id: QueryId,
+}
+
+impl Default for PendingRequests {
+    fn default() -> PendingRequests {
+        // 0 stands for no request where connections are watched.
+        PendingRequests {
+            requests: HashMap::new(),
+            next_id: 1,
+        }
+    }
+}
+
+impl PendingRequests {
+    /// The number that the next request gets.
+    pub(super) fn next_id(&self) -> QueryId {
+        self.next_id
+    }
+
+    /// Enters a request under the next number.
+    pub(super) fn insert(&mut self, request: AdmissionRequest) -> QueryId {
+        let id = self.next_id;
+        self.next_id += 1;
+        let AdmissionRequest {
+            decisions,
+            forward,
+            pool,
+            ..
+        } = request;
+        self.requests.insert(
+            id,
+            PendingRequest {
+                decisions,
+                forward,
+                pool,
+                forwards: 0,
+            },
+        );
+        id
+    }
+
+    pub(super) fn remove(&mut self, id: QueryId) {
+        self.requests.remove(&id);
+    }
+
+    pub(super) fn forward(&self, id: QueryId) -> Option<&ForwardHandle> {
+        self.requests.get(&id).map(|request| &*request.forward)
+    }
+
+    /// Counts one more forward of a request.
+    pub(super) fn next_forward(&mut self, id: QueryId) -> Option<NextForward> {
+        let request = self.requests.get_mut(&id)?;
+        let next = NextForward {
+            number: request.forwards,
+            pool: request.pool,
+        };
+        request.forwards += 1;
+        Some(next)
+    }
+
+    /// Tells a request's thread of a decision.
+    pub(super) fn notify(&self, id: QueryId, decision: RequestDecision) {
+        if let Some(request) = self.requests.get(&id) {
+            // A full mailbox means that nobody reads decisions there any more.
+            let _ = request.decisions.try_send(decision);
+        }
+    }
+}
+
+/// A request as the decision module is told of it. `quota_sharers`: among so many the tenant's quota is divided while its
+/// counter does not answer.
+pub(super) fn new_query(
+    id: QueryId,
+    deadline: Ms,
+    snapshot: &ConfigSnapshot,
+    request: &AdmissionRequest,
+    quota_sharers: f32,
+) -> NewQuery {
+    let tenant = request
+        .tenant
+        .map(|tenant| snapshot.tenant(tenant))
+        .unwrap_or_default();
+    let tries = snapshot.config.routes[request.route].tries;
+    NewQuery {
+        id,
+        group: snapshot.group(request.route),
+        until: deadline,
+        acct: tenant.account,
+        plan: tenant.plan,
+        spread: quota_sharers,
+        units: 1.0,
+        first: 0.0,
+        client_repeat: false,
+        write: false,
+        pool: request.pool,
+        zones: request.regions,
+        most: tries.min(u32::from(u8::MAX)) as u8,
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-proxy/src/dispatcher/forwarding.rs
@@ -0,0 +1,100 @@
+//! Forwards of requests to servers: whether one may leave now, and what the decision module hears of its end.
+
+use super::admission::{PendingRequests, RequestDecision};
+use crate::endpoints::EndpointSet;
+use aspendrum_core::api::{Event, Load, Member, Ms, Outcome, QueryId, ServerId};
+
+/// How a forward ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ForwardResult {
+    /// Whether it succeeded, and whether it may have run.
+    pub outcome: Outcome,
+    /// Its round-trip time.
+    pub rtt: Ms,
+    /// The load that the server reported with its answer.
+    pub load: Load,
+}
+
+impl ForwardResult {
+    /// It never left.
+    pub const NOT_SENT: ForwardResult = ForwardResult {
+        outcome: Outcome::Moot,
+        rtt: 0.0,
+        load: Load {
+            n: 0,
+            values: [0.0; 4],
+        },
+    };
+
+    /// As the decision module is told of it. `is_final`: the request is over;
+    /// `actual_units`: what was spent on it.
+    pub(super) fn event(
+        &self,
+        id: QueryId,
+        forward: u8,
+        server: ServerId,
+        is_final: bool,
+        actual_units: u16,
+    ) -> Event<'static> {
+        let ForwardResult { outcome, rtt, load } = *self;
+        Event::ForwardEnded {
+            id,
+            forward,
+            server,
+            outcome,
+            rtt,
+            over: is_final,
+            used: 0,
+            actual: actual_units,
+            load,
+        }
+    }
+}
+
+/// What follows from a forward that the decision module wants.
+#[derive(Default)]
+pub(super) struct ForwardAttempt {
+    /// The server's health changed for the decision module.
+    pub(super) change: Option<Member>,
+    /// The end of a forward that did not leave.
+    pub(super) not_sent: Option<Event<'static>>,
+}
+
+/// Lets a forward leave, if its server may be used and, for a retry, the budget of retries allows it.
+pub(super) fn start_forward(
+    now: Ms,
+    id: QueryId,
+    server: ServerId,
+    requests: &mut PendingRequests,
+    endpoints: &mut EndpointSet,
+) -> ForwardAttempt {
+    let Some(next) = requests.next_forward(id) else {
+        return ForwardAttempt::default();
+    };
+    let reservation = endpoints.reserve(now, server);
+    let change = reservation.change;
+    let is_retry = next.number > 0;
+    let budget_spent = reservation.granted && is_retry && !endpoints.reserve_retry(now, next.pool);
+    if reservation.granted && !budget_spent {
+        requests.notify(
+            id,
+            RequestDecision::Forward {
+                forward: next.number,
+                server,
+            },
+        );
+        return ForwardAttempt {
+            change,
+            not_sent: None,
+        };
+    }
+    if budget_spent {
+        requests.notify(id, RequestDecision::RetryBudgetSpent);
+    }
+    // Without the budget for it the request is over.
+    let not_sent = ForwardResult::NOT_SENT.event(id, next.number, server, budget_spent, 0);
+    ForwardAttempt {
+        change,
+        not_sent: Some(not_sent),
+    }
+}
--- a/crates/aspendrum-proxy/src/drain.rs
+++ b/crates/aspendrum-proxy/src/drain.rs
@@ -1,49 +1,52 @@
-//! The stages of a planned end. At first new requests are still taken, since clients hold old answers of the directory;
-//! then no more are, and what is in hand is finished. No I/O, no clock: times are milliseconds since SIGTERM.
+//! The stages of a graceful shutdown. At first new requests are still taken, since clients hold old answers of the
+//! directory; then no more are, and those in flight are finished. Nothing in this module does I/O or reads a clock;
+//! times are milliseconds since SIGTERM.
 
 use aspendrum_core::api::Ms;
 
-/// Idle connections stay open for so long: their clients hear of the end with their next answer.
-const KEEP_IDLE: Ms = 1200.0;
-/// After the last newcomer it may end once nothing is in hand any more.
+/// Idle connections stay open for so long: their clients learn of the shutdown with their next answer.
+const KEEPS_IDLE: Ms = 1200.0;
+/// After the last new connection it may end once no connection is open.
 const QUIET: Ms = 400.0;
-/// What is left of the grace when the process ends whatever is in hand.
-const LEFT: Ms = 400.0;
+/// What is left of the grace period when the process ends whatever is in flight.
+const RESERVE: Ms = 400.0;
 /// New requests are taken for so long at least: the directory names this proxy for about half of that.
-const TAKES_LEAST: Ms = 1000.0;
+const MIN_ACCEPTS: Ms = 1000.0;
 
-/// When each stage of a planned end begins.
+/// When each stage of a graceful shutdown begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Drain {
+pub struct DrainSchedule {
     /// From then on no new request is taken.
-    pub takes_until: Ms,
-    /// From then on connections between requests are closed.
-    pub idle_until: Ms,
+    pub accepts_until: Ms,
+    /// From then on idle connections are closed.
+    pub keeps_idle_until: Ms,
     /// Then the process ends.
     pub ends_at: Ms,
 }
 
-impl Drain {
-    /// `grace`: the platform kills the process after that. `longest`: a request may last so long. Whatever is taken has
-    /// its whole time before the end, and none is taken in the second half of the grace.
-    pub fn new(grace: Ms, longest: Ms) -> Drain {
-        let ends_at = (grace - LEFT).max(grace / 2.0);
-        let takes_until = (ends_at - longest).max(TAKES_LEAST).min(grace / 2.0);
-        Drain {
-            takes_until,
-            idle_until: KEEP_IDLE.min(takes_until),
+impl DrainSchedule {
+    /// `grace_period`: the platform kills the process after that. `longest_request`: a request may last so long. Whatever
+    /// is taken has its full time before the end, and nothing is taken in the second half of the grace period.
+    pub fn new(grace_period: Ms, longest_request: Ms) -> DrainSchedule {
+        let ends_at = (grace_period - RESERVE).max(grace_period / 2.0);
+        let accepts_until = (ends_at - longest_request)
+            .max(MIN_ACCEPTS)
+            .min(grace_period / 2.0);
+        DrainSchedule {
+            accepts_until,
+            keeps_idle_until: KEEPS_IDLE.min(accepts_until),
             ends_at,
         }
     }
 
-    /// Connections between requests are to be closed.
-    pub fn closes_idle(&self, since: Ms) -> bool {
-        since >= self.idle_until
+    /// Idle connections are to be closed.
+    pub fn closes_idle(&self, elapsed: Ms) -> bool {
+        elapsed >= self.keeps_idle_until
     }
 
-    /// The process may end. `connections`: open ones; `quiet`: since the last newcomer.
-    pub fn ended(&self, since: Ms, connections: usize, quiet: Ms) -> bool {
-        let nobody = connections == 0 && self.closes_idle(since) && quiet >= QUIET;
-        nobody || since >= self.ends_at
+    /// The process may end. `open_connections`: of clients; `quiet_for`: since the last new connection.
+    pub fn is_finished(&self, elapsed: Ms, open_connections: usize, quiet_for: Ms) -> bool {
+        let is_drained = open_connections == 0 && self.closes_idle(elapsed) && quiet_for >= QUIET;
+        is_drained || elapsed >= self.ends_at
     }
 }
--- /dev/null
+++ b/crates/aspendrum-proxy/src/health_check.rs
@@ -0,0 +1,78 @@
+//! Health checks of servers, as the decision module asks for them.
+
+use crate::dispatcher::HealthCheckResult;
+use crate::state::ProxyState;
+use crate::wire;
+use aspendrum_core::api::{Load, Outcome, ServerId};
+use aspendrum_net::http1;
+use std::time::{Duration, Instant};
+
+/// What a server answered to a health check.
+struct Answer {
+    is_healthy: bool,
+    load: Load,
+    slow_start_left: Option<f64>,
+}
+
+/// Checks a server, and reports the result in any case.
+pub(crate) fn check(state: &ProxyState, server: ServerId) {
+    let started_at = Instant::now();
+    let answer = exchange(state, server, started_at + state.connect_timeout);
+    let rtt = started_at.elapsed().as_secs_f64() * 1000.0;
+    let result = match answer {
+        Ok(Answer {
+            is_healthy,
+            load,
+            slow_start_left,
+        }) => {
+            let outcome = if is_healthy {
+                Outcome::Ok
+            } else {
+                Outcome::Error
+            };
+            HealthCheckResult {
+                outcome,
+                rtt,
+                load,
+                slow_start_left,
+            }
+        }
+        Err(outcome) => HealthCheckResult {
+            outcome,
+            rtt,
+            load: Load::default(),
+            slow_start_left: None,
+        },
+    };
+    state.dispatcher.record_health_check(server, &result);
+}
+
+fn exchange(state: &ProxyState, server: ServerId, deadline: Instant) -> Result<Answer, Outcome> {
+    let target = state
+        .dispatcher
+        .health_check_target(server)
+        .ok_or(Outcome::Moot)?;
+    let address = target.server.address;
+    let pool = &state.server_pool;
+    pool.set_address(server, address.into());
+    let mut connection = pool.acquire(server, state.connect_timeout, Duration::MAX, |_| true)?;
+    connection.outward.append(&wire::encode_health_check(
+        &target.path,
+        &address.to_string(),
+    ));
+    connection.send()?;
+    let response = connection.receive(deadline, pool.limits(), |ring| {
+        http1::parse_response(ring, &wire::RESPONSE_BOUNDS)
+    })?;
+    // Another server may have the address by now.
+    let is_same_server = wire::server_id(&response) == Some(target.server.uid.as_str());
+    let answer = Answer {
+        is_healthy: response.status == 200 && is_same_server,
+        load: wire::server_load(&response),
+        slow_start_left: wire::slow_start_left(&response),
+    };
+    if !response.close {
+        pool.release(server, connection);
+    }
+    Ok(answer)
+}
--- /dev/null
+++ b/crates/aspendrum-proxy/src/listener.rs
@@ -0,0 +1,191 @@
+//! Clients' connections: each has a thread while it is open, which reads one request at a time, serves it, and writes
+//! its answer.
+
+use crate::request;
+use crate::session::ClientSession;
+use crate::state::ProxyState;
+use aspendrum_model::config::Caps;
+use aspendrum_net::http1::{self, MessageLimits, Parsed, Request};
+use aspendrum_net::pool::linger;
+use aspendrum_net::ring_buffer::{is_timeout, RingBuffer};
+use socket2::SockRef;
+use std::io::{self, ErrorKind, Write};
+use std::net::{TcpListener, TcpStream};
+use std::sync::Arc;
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+/// A connection's buffer at the start; what a request may be at most comes from the configuration.
+const INITIAL_BUFFER_BYTES: usize = 2 << 10;
+/// Room in the buffer beside the longest request.
+const SPARE_BUFFER_BYTES: usize = 1024;
+/// How long, and how much, is still read of a connection that the proxy closes.
+const LINGER: Duration = Duration::from_millis(200);
+const LINGER_BYTES: usize = 256 << 10;
+/// For a client that does not read its answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+const BACKLOG: i32 = 1024;
+/// After a connection could not be accepted: no descriptor is free, and one may be in a moment.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// The configuration's time-outs count for so much at least: a socket takes none of nothing.
+const MIN_TIMEOUT_MS: f64 = 1.0;
+
+/// Accepts connections until the process ends or takes no more requests: then the listener is closed, and whoever comes
+/// is refused.
+pub fn accept(state: &Arc<ProxyState>, listener: TcpListener) {
+    let _ = SockRef::from(&listener).listen(BACKLOG);
+    let mut number = 0;
+    loop {
+        let Ok((stream, _)) = listener.accept() else {
+            sleep(ACCEPT_PAUSE);
+            continue;
+        };
+        if !state.accepts_requests() {
+            return;
+        }
+        number += 1;
+        state.record_accept();
+        start_session(state, number, stream);
+    }
+}
+
+fn start_session(state: &Arc<ProxyState>, number: u64, stream: TcpStream) {
+    let session = Arc::new(ClientSession::new(stream));
+    state.sessions.insert(number, session.clone());
+    let own_state = state.clone();
+    let job = move || {
+        serve_connection(&own_state, &session);
+        own_state.sessions.remove(number);
+    };
+    if state.workers.run(Box::new(job)).is_err() {
+        // No thread is free: closed unread, its client goes to another proxy.
+        state.sessions.remove(number);
+    }
+}
+
+/// What follows on a connection.
+enum Step {
+    Continue,
+    /// It is closed at once.
+    Close,
+    /// It is closed, and what still comes is read for a moment.
+    Linger,
+}
+
+fn serve_connection(state: &ProxyState, session: &ClientSession) {
+    let stream = &*session.stream;
+    if set_up(stream).is_err() {
+        return;
+    }
+    let mut buffer = RequestBuffer::default();
+    loop {
+        let Some(snapshot) = state.dispatcher.snapshot() else {
+            return;
+        };
+        let caps = snapshot.config.caps;
+        let step = match buffer.parse(&caps) {
+            Parsed::Complete(request) => {
+                serve_request(state, session, &request, !buffer.is_empty())
+            }
+            Parsed::Invalid(status) => reject(stream, status),
+            Parsed::Incomplete => buffer.receive(session, &caps),
+        };
+        match step {
+            Step::Continue => {}
+            Step::Close => return,
+            Step::Linger => return linger(stream, LINGER, LINGER_BYTES),
+        }
+    }
+}
+
+fn set_up(stream: &TcpStream) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    stream.set_write_timeout(Some(WRITE_TIMEOUT))
+}
+
+/// Serves one request and writes its answer. `is_pipelined`: more of the client's has come behind it.
+fn serve_request(
+    state: &ProxyState,
+    session: &ClientSession,
+    request: &Request,
+    is_pipelined: bool,
+) -> Step {
+    session.set_busy(true);
+    let response = if state.accepts_requests() {
+        request::handle(state, session, request, Instant::now())
+    } else {
+        request::reject(request)
+    };
+    let wants_close = state.is_draining() || state.sessions.is_crowded();
+    let closes = response.closes_connection(wants_close, is_pipelined);
+    // A client that closed only its sending side still reads what a once-only run came to.
+    let is_written = (&*session.stream)
+        .write_all(&response.encode(closes))
+        .is_ok();
+    if session.connection.has_disconnected() {
+        return Step::Close;
+    }
+    if !is_written || closes {
+        return Step::Linger;
+    }
+    Step::Continue
+}
+
+/// Answers a request that cannot be read, and closes the connection.
+fn reject(mut stream: &TcpStream, status: u16) -> Step {
+    let _ = stream.write_all(&http1::encode_response(status, &[], true, b""));
+    Step::Linger
+}
+
+/// What has been read of a connection.
+#[derive(Default)]
+struct RequestBuffer {
+    ring: Option<RingBuffer>,
+    read_timeout: Duration,
+}
+
+impl RequestBuffer {
+    fn parse(&mut self, caps: &Caps) -> Parsed<Request> {
+        let bounds = MessageLimits {
+            head: caps.hdr_bytes as usize,
+            body: caps.body_bytes as usize,
+        };
+        let limit = bounds.head + bounds.body + SPARE_BUFFER_BYTES;
+        let ring = self
+            .ring
+            .get_or_insert_with(|| RingBuffer::new(INITIAL_BUFFER_BYTES, limit));
+        http1::parse_request(ring, &bounds)
+    }
+
+    fn is_empty(&self) -> bool {
+        self.ring.as_ref().is_none_or(RingBuffer::is_empty)
+    }
+
+    /// Reads once. A request that has begun to arrive is awaited, also by a proxy that drains.
+    fn receive(&mut self, session: &ClientSession, caps: &Caps) -> Step {
+        let stream = &*session.stream;
+        let is_idle = self.is_empty();
+        session.set_busy(!is_idle);
+        self.set_read_timeout(stream, if is_idle { caps.idle_ms } else { caps.hdr_ms });
+        let Some(ring) = &mut self.ring else {
+            return Step::Close;
+        };
+        match ring.fill(&mut &*stream) {
+            Ok(0) => Step::Close,
+            Ok(_) => Step::Continue,
+            Err(e) if is_timeout(&e) && is_idle => Step::Close,
+            Err(e) if is_timeout(&e) => reject(stream, 408),
+            Err(e) if e.kind() == ErrorKind::Interrupted => Step::Continue,
+            Err(_) => Step::Close,
+        }
+    }
+
+    /// Setting it again for each read would cost a system call.
+    fn set_read_timeout(&mut self, stream: &TcpStream, timeout_ms: f64) {
+        let timeout = Duration::from_secs_f64(timeout_ms.max(MIN_TIMEOUT_MS) / 1000.0);
+        if timeout != self.read_timeout {
+            let _ = stream.set_read_timeout(Some(timeout));
+            self.read_timeout = timeout;
+        }
+    }
+}
--- a/crates/aspendrum-proxy/src/main.rs
+++ b/crates/aspendrum-proxy/src/main.rs
@@ -6,10 +6,8 @@
 
 fn main() -> ExitCode {
     let about = "The proxy of the system: carries clients' queries to servers";
-    daemon::run(
-        "aspendrum-proxy",
-        about,
-        || Settings::load().map(|s| s.host),
-        aspendrum_proxy::serve,
-    )
+    let check = || Settings::load().map(|settings| settings.host);
+    daemon::run("aspendrum-proxy", about, check, |signals| {
+        aspendrum_proxy::serve(signals).map_err(|error| error.to_string())
+    })
 }
--- /dev/null
+++ b/crates/aspendrum-proxy/src/request/upstream.rs
@@ -0,0 +1,255 @@
+//! One forward of a request: connect to the server, send the request, read the answer.
+
+use super::filter::RequestTarget;
+use crate::session::ClientSession;
+use crate::state::ProxyState;
+use crate::wire::{self, ResponseClass};
+use aspendrum_core::api::{Ms, Outcome, ServerId};
+use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
+use aspendrum_net::http1::{self, Request, Response};
+use aspendrum_net::pool::Connection;
+use std::net::TcpStream;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// The client is answered so much before it gives up.
+pub(super) const ANSWER_MARGIN: Duration = Duration::from_millis(12);
+/// No client waits longer, whatever it says.
+const MAX_BUDGET: Ms = 3_600_000.0;
+/// Answers to earlier requests that are skipped on one connection.
+const MAX_STALE_ANSWERS: usize = 3;
+/// Of the time that a server keeps an idle connection, how long it is used: a request on a connection that is being
+/// closed may or may not have run.
+const KEEP_ALIVE_SHARE: f64 = 0.6;
+const MAX_KEEP_ALIVE: Duration = Duration::from_secs(30);
+
+/// How a forward ended, and the answer that it brought.
+pub(super) struct Attempt {
+    pub(super) outcome: Outcome,
+    pub(super) response: Option<Response>,
+}
+
+impl Attempt {
+    fn failed(outcome: Outcome) -> Attempt {
+        Attempt {
+            outcome,
+            response: None,
+        }
+    }
+
+    fn answered(outcome: Outcome, response: Response) -> Attempt {
+        Attempt {
+            outcome,
+            response: Some(response),
+        }
+    }
+}
+
+/// A connection to a server, and the name by which the server is addressed.
+struct UpstreamPeer {
+    connection: Connection,
+    uid: String,
+}
+
+/// A request as it is sent to servers.
+pub(super) struct UpstreamRequest<'a> {
+    pub(super) state: &'a ProxyState,
+    pub(super) session: &'a ClientSession,
+    pub(super) request: &'a Request,
+    pub(super) target: RequestTarget<'a>,
+    /// Its forwards, as other threads see them.
+    pub(super) forward: Arc<ForwardHandle>,
+    /// When its client gives up.
+    pub(super) deadline: Instant,
+}
+
+impl<'a> UpstreamRequest<'a> {
+    pub(super) fn new(
+        state: &'a ProxyState,
+        session: &'a ClientSession,
+        request: &'a Request,
+        received_at: Instant,
+        target: RequestTarget<'a>,
+    ) -> UpstreamRequest<'a> {
+        let rule = target.rule();
+        let budget = target
+            .head
+            .budget
+            .unwrap_or(rule.limit_ms)
+            .min(rule.limit_ms);
+        let budget = Duration::from_secs_f64(budget.clamp(0.0, MAX_BUDGET) / 1000.0);
+        let kind = if rule.repeatable {
+            RequestKind::Idempotent
+        } else {
+            RequestKind::OnceOnly
+        };
+        let forward = Arc::new(ForwardHandle::new(kind));
+        UpstreamRequest {
+            state,
+            session,
+            request,
+            target,
+            forward,
+            deadline: received_at + budget,
+        }
+    }
+
+    pub(super) fn is_repeatable(&self) -> bool {
+        self.target.rule().repeatable
+    }
+
+    /// Sends the request to a server, as its forward of that number.
+    pub(super) fn send(&self, forward: u8, server: ServerId, started_at: Instant) -> Attempt {
+        let deadline = self.deadline - ANSWER_MARGIN;
+        let time_left = deadline.saturating_duration_since(started_at);
+        if time_left.is_zero() {
+            return Attempt::failed(Outcome::Moot);
+        }
+        let mut peer = match self.upstream_peer(forward, server, time_left) {
+            Ok(peer) => peer,
+            Err(outcome) => return Attempt::failed(outcome),
+        };
+        let answer = self.exchange(&mut peer, forward, deadline);
+        let is_broken_off = self.forward.leave(forward);
+        match answer {
+            Ok(response) => {
+                if !response.close && !is_broken_off {
+                    self.keep_connection(server, peer.connection, &response);
+                }
+                upstream_response_filter(response)
+            }
+            // It never left completely. That it was broken off is not its server's doing.
+            Err(Outcome::ConnectFailed | Outcome::Moot) if is_broken_off => {
+                Attempt::failed(Outcome::Moot)
+            }
+            Err(_) if is_broken_off => Attempt::failed(Outcome::Cancelled),
+            Err(outcome) => Attempt::failed(outcome),
+        }
+    }
+
+    /// Connects to the server, or takes a kept connection.
+    fn upstream_peer(
+        &self,
+        forward: u8,
+        server: ServerId,
+        time_left: Duration,
+    ) -> Result<UpstreamPeer, Outcome> {
+        let state = self.state;
+        let target = state
+            .dispatcher
+            .server_address(server)
+            .ok_or(Outcome::Moot)?;
+        state.server_pool.set_address(server, target.address.into());
+        let max_idle = match self.is_repeatable() {
+            true => Duration::MAX,
+            false => state.max_idle_for_once_only(),
+        };
+        let connect_timeout = time_left.min(state.connect_timeout);
+        let enter = |stream: &Arc<TcpStream>| self.forward.enter(forward, stream);
+        let connection = state
+            .server_pool
+            .acquire(server, connect_timeout, max_idle, enter);
+        let connection = connection.map_err(|outcome| self.fail_to_connect(forward, outcome))?;
+        Ok(UpstreamPeer {
+            connection,
+            uid: target.uid,
+        })
+    }
+
+    /// What a failed connection means: where the client has left it is not the server's doing.
+    fn fail_to_connect(&self, forward: u8, outcome: Outcome) -> Outcome {
+        if self.forward.leave(forward) {
+            Outcome::Moot
+        } else {
+            outcome
+        }
+    }
+
+    /// Sends the request on that connection and reads its answer.
+    fn exchange(
+        &self,
+        peer: &mut UpstreamPeer,
+        forward: u8,
+        deadline: Instant,
+    ) -> Result<Response, Outcome> {
+        let state = self.state;
+        let budget = deadline.saturating_duration_since(Instant::now());
+        let budget_ms = (budget.as_millis() as u64).max(1);
+        let tenant = self.target.tenant_name();
+        let bytes = wire::encode_forward(self.request, &peer.uid, tenant, budget_ms);
+        let client_disconnected_for = self
+            .session
+            .connection
+            .time_since_disconnect(&state.disconnect_watcher);
+        let has_room = peer.connection.outward.append(&bytes);
+        if !has_room || !self.forward.reach(forward, ForwardStage::Sending) {
+            return Err(Outcome::Moot);
+        }
+        if let Some(disconnected_for) = client_disconnected_for {
+            state
+                .disconnect_metrics
+                .record_sent_late(self.forward.kind, disconnected_for);
+        }
+        peer.connection.send()?;
+        self.forward.reach(forward, ForwardStage::AtServer);
+        self.read_answer(&mut peer.connection, deadline)
+    }
+
+    /// Reads the answer to this request. Answers to earlier requests may come late, in its place: they are skipped.
+    fn read_answer(
+        &self,
+        connection: &mut Connection,
+        deadline: Instant,
+    ) -> Result<Response, Outcome> {
+        let limits = self.state.server_pool.limits();
+        for _ in 0..=MAX_STALE_ANSWERS {
+            let response = connection
+                .receive(deadline, limits, |ring| {
+                    http1::parse_response(ring, &wire::RESPONSE_BOUNDS)
+                })
+                .inspect_err(|outcome| self.record_reset(connection, *outcome))?;
+            if wire::answers(&response, self.target.head.try_id) || is_unread_rejection(&response) {
+                return Ok(response);
+            }
+            if response.close {
+                return Err(Outcome::Reset);
+            }
+        }
+        Err(Outcome::Error)
+    }
+
+    /// A reset of a kept connection before a byte came back: the server may have dropped it while it was idle.
+    fn record_reset(&self, connection: &Connection, outcome: Outcome) {
+        let was_idle = connection.nothing_received() && !connection.idle_time().is_zero();
+        if outcome == Outcome::Reset && was_idle && !self.forward.progress().broken_off {
+            self.state.record_idle_reset(connection.idle_time());
+        }
+    }
+
+    /// Keeps a connection for the next forward, for less than the server keeps it.
+    fn keep_connection(&self, server: ServerId, mut connection: Connection, response: &Response) {
+        if let Some(seconds) = wire::keep_alive_s(response) {
+            let keep_alive = Duration::from_secs_f64(seconds * KEEP_ALIVE_SHARE);
+            connection.good_for = keep_alive.min(MAX_KEEP_ALIVE);
+        }
+        self.state.server_pool.release(server, connection);
+    }
+}
+
+/// What a server's answer means for the request.
+fn upstream_response_filter(response: Response) -> Attempt {
+    match ResponseClass::of(&response) {
+        ResponseClass::Final => Attempt::answered(Outcome::Ok, response),
+        ResponseClass::NotRun => Attempt::failed(Outcome::Full),
+        ResponseClass::Misdirected => Attempt::failed(Outcome::ConnectFailed),
+        ResponseClass::Failed => Attempt::answered(Outcome::Error, response),
+        ResponseClass::Invalid => Attempt::failed(Outcome::Error),
+    }
+}
+
+/// A server that rejects a request unread may not know its id.
+fn is_unread_rejection(response: &Response) -> bool {
+    let class = ResponseClass::of(response);
+    wire::lacks_try_id(response)
+        && matches!(class, ResponseClass::NotRun | ResponseClass::Misdirected)
+}
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback, with servers that answer as a test says.
+//! A proxy on loopback, with servers that answer as a test wants.
 
 #![allow(dead_code)]
 
@@ -6,10 +6,10 @@
 use aspendrum_model::packed::pack;
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::http1::{parse_request, MessageLimits, Parsed, Request};
+use aspendrum_net::http1::{self, MessageLimits, Parsed, Request};
 use aspendrum_net::ring_buffer::RingBuffer;
-use aspendrum_proxy::door::Client;
-use aspendrum_proxy::{beat, query, Shop};
+use aspendrum_proxy::session::ClientSession;
+use aspendrum_proxy::{periodic, request, ProxyState};
 use aspendrum_reconcile::Word;
 use std::collections::HashMap;
 use std::io::Write;
@@ -30,25 +30,25 @@
 {"name":"open","type":"idem","public":true,"goal-ms":800,"match":{"pfx":"/open/"},"action":{"svc":"s1","limit-ms":2000,"tries":3}}]}],
 "pools":[{"name":"s1","check":"/healthz","warmup-s":3.0,"warm-rate-s":10.0}]}"#;
 
-/// Says what a server sends for a request, by its number: text, where {id} is the request's. `None`: it closes.
-pub(crate) type Says = fn(usize) -> Option<&'static str>;
+/// What a server sends for a request, by its number: a text, in which {id} is the request's. `None`: it closes.
+pub(crate) type Script = fn(usize) -> Option<&'static str>;
 
 /// Servers that answer in turn, and a proxy that knows them.
-pub(crate) struct Stage {
-    pub shop: Arc<Shop>,
-    pub seen: Arc<Mutex<Vec<String>>>,
-    /// How often each try ran.
-    pub ran: Arc<Mutex<HashMap<String, u32>>>,
+pub(crate) struct TestProxy {
+    pub(crate) state: Arc<ProxyState>,
+    pub(crate) seen: Arc<Mutex<Vec<String>>>,
+    /// How often each request ran.
+    pub(crate) ran: Arc<Mutex<HashMap<String, u32>>>,
     /// The connection that requests come on, and the listener that holds its other end open.
     connection: TcpStream,
     _other_end: TcpListener,
 }
 
-pub(crate) fn stage(servers: usize, says: Says) -> Stage {
-    stage_of("\"retry-slack\":100", servers, says)
+pub(crate) fn test_proxy(servers: usize, script: Script) -> TestProxy {
+    test_proxy_with("\"retry-slack\":100", servers, script)
 }
 
-pub(crate) fn stage_of(bounds: &str, servers: usize, says: Says) -> Stage {
+pub(crate) fn test_proxy_with(bounds: &str, servers: usize, script: Script) -> TestProxy {
     let seen = Arc::new(Mutex::new(Vec::new()));
     let (ran, count) = (
         Arc::new(Mutex::new(HashMap::new())),
@@ -63,14 +63,14 @@
         thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
                 let (seen, ran, count) = (seen.clone(), ran.clone(), count.clone());
-                thread::spawn(move || play(n, &stream, says, &seen, &ran, &count));
+                thread::spawn(move || serve(n, &stream, script, &seen, &ran, &count));
             }
         });
     }
     let other_end = TcpListener::bind("127.0.0.1:0").unwrap();
     let connection = TcpStream::connect(other_end.local_addr().unwrap()).unwrap();
-    Stage {
-        shop: proxy(bounds, CONFIG, &addresses),
+    TestProxy {
+        state: proxy(bounds, CONFIG, &addresses),
         seen,
         ran,
         connection,
@@ -78,14 +78,14 @@
     }
 }
 
-/// A proxy with that configuration which knows servers at these addresses, `i-0` and so on, and has the word of
-/// control that all of it is in force.
-pub(crate) fn proxy(bounds: &str, config: &str, servers: &[SocketAddr]) -> Arc<Shop> {
+/// A proxy with that configuration which knows servers at these addresses, `i-0` and so on, and has control's report that
+/// all of it is in force.
+pub(crate) fn proxy(bounds: &str, config: &str, servers: &[SocketAddr]) -> Arc<ProxyState> {
     let settings = r#"{"self":{"host-name":"e1","ip":"127.0.0.1","az":"poa-a","geo":"poa"},"net":{"binds":{"front":"127.0.0.1:1"},
         "port-range":[7600,7615],"zones":{"poa-a":"poa"}},"terms":{"bounds":{"apply-ms":600000,BOUNDS}}}"#;
     let settings = Settings::read(settings.replace("BOUNDS", bounds).as_bytes());
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let shop = Arc::new(Shop::new(&settings.unwrap(), socket));
+    let state = Arc::new(ProxyState::new(&settings.unwrap(), socket));
     let list = servers.iter().enumerate().map(|(n, addr)| ServerInstance {
         uid: format!("i-{n}"),
         service: "s1".into(),
@@ -101,42 +101,43 @@
         readiness: Readiness::Ready,
         current: true,
     };
-    shop.desk
+    state
+        .dispatcher
         .apply(StateSection::config(1, pack(config.as_bytes())));
-    shop.desk.apply(StateSection::Servers {
+    state.dispatcher.apply(StateSection::Servers {
         age: 0,
         list: list.collect(),
     });
-    // Danger: a proxy that knows of no other takes the whole of every quota for its part.
-    assert!(!shop.desk.knows());
-    shop.desk.apply(StateSection::Proxies(vec![front]));
-    assert!(shop.desk.knows() || servers.is_empty());
-    // As control would have it; no key is licensed by that where they bind.
-    shop.collate();
-    shop.stand.told(
+    // Danger: a proxy that knows of no other takes the whole of every quota for its share.
+    assert!(!state.dispatcher.is_configured());
+    state.dispatcher.apply(StateSection::Proxies(vec![front]));
+    assert!(state.dispatcher.is_configured() || servers.is_empty());
+    // As control would report it; that is no lease on credentials.
+    state.update_applied();
+    state.consistency.record_report(
         0.0,
         Some(Word {
-            decided: shop.stand.edition(),
+            decided: state.consistency.applied(),
             as_of: 0.0,
         }),
         false,
     );
-    let own = shop.clone();
-    thread::spawn(move || beat(&own));
-    shop
+    let own = state.clone();
+    thread::spawn(move || periodic::run(&own));
+    state
 }
 
-pub(crate) fn play(
+pub(crate) fn serve(
     server: usize,
     stream: &TcpStream,
-    says: Says,
+    script: Script,
     seen: &Mutex<Vec<String>>,
     ran: &Mutex<HashMap<String, u32>>,
     count: &Mutex<usize>,
 ) {
     let mut ring = RingBuffer::new(1024, 1 << 20);
     loop {
-        match parse_request(&mut ring, &BOUNDS) {
+        match http1::parse_request(&mut ring, &BOUNDS) {
             Parsed::Incomplete => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => {}
                 _ => return,
@@ -156,10 +157,10 @@
                     *count += 1;
                     *count - 1
                 };
-                seen.lock().unwrap().push(shown(&asked));
+                seen.lock().unwrap().push(transcript(&asked));
                 let id = asked.headers.iter().find(|h| h.0 == "Try-Id").unwrap();
                 let id = String::from_utf8(id.1.clone()).unwrap();
-                let text = says(n);
+                let text = script(n);
                 if !text.is_some_and(|t| t.contains("Not-Run") || t.contains(" 421 ")) {
                     *ran.lock().unwrap().entry(id.clone()).or_insert(0) += 1;
                 }
@@ -175,7 +176,7 @@
 }
 
 /// A request as a transcript has it; what differs from run to run is left out.
-pub(crate) fn shown(r: &Request) -> String {
+pub(crate) fn transcript(r: &Request) -> String {
     let headers = r.headers.iter().map(|(name, value)| {
         let value = String::from_utf8_lossy(value);
         match name.as_str() {
@@ -194,22 +195,22 @@
     )
 }
 
-impl Stage {
-    pub(crate) fn ask(&self, text: &str) -> String {
+impl TestProxy {
+    pub(crate) fn request(&self, text: &str) -> String {
         let mut ring = RingBuffer::new(1024, 1 << 20);
         ring.write_all(text.replace('\n', "\r\n").as_bytes())
             .unwrap();
-        let Parsed::Complete(asked) = parse_request(&mut ring, &BOUNDS) else {
+        let Parsed::Complete(asked) = http1::parse_request(&mut ring, &BOUNDS) else {
             panic!("{text}")
         };
-        let client = Client::new(self.connection.try_clone().unwrap());
-        let answer = query::serve(&self.shop, &client, &asked, Instant::now());
-        String::from_utf8(answer.bytes(answer.closes(false, false)))
+        let client = ClientSession::new(self.connection.try_clone().unwrap());
+        let answer = request::handle(&self.state, &client, &asked, Instant::now());
+        String::from_utf8(answer.encode(answer.closes_connection(false, false)))
             .unwrap()
             .replace("\r\n", "\n")
     }
 
-    pub(crate) fn seen(&self) -> Vec<String> {
+    pub(crate) fn received(&self) -> Vec<String> {
         self.seen.lock().unwrap().clone()
     }
 }
--- a/crates/aspendrum-proxy/tests/drain.rs
+++ b/crates/aspendrum-proxy/tests/drain.rs
@@ -1,47 +1,47 @@
-//! A planned end: how long requests are taken, and what whoever comes later hears.
+//! Graceful shutdown: how long requests are taken, and what later clients are answered.
 
 mod common;
 
-use aspendrum_proxy::door;
-use aspendrum_proxy::drain::Drain;
-use common::{stage, GOOD, READ};
+use aspendrum_proxy::drain::DrainSchedule;
+use aspendrum_proxy::listener;
+use common::{test_proxy, GOOD, READ};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Condvar, Mutex};
 use std::thread;
 use std::time::Duration;
 
-/// Danger: a request that is taken when the grace is nearly over is given up in the middle.
+/// Danger: a request that is taken when the grace period is nearly over is given up in the middle.
 #[test]
-fn whatever_is_taken_has_its_time_before_the_end() {
+fn a_request_that_is_taken_has_its_full_time_before_the_end() {
     for (grace, longest, takes) in [
         (6000.0, 2000.0, 3000.0),
         (6000.0, 3000.0, 2600.0),
         (6000.0, 60_000.0, 1000.0),
     ] {
-        let drain = Drain::new(grace, longest);
-        assert_eq!(drain.takes_until, takes, "{drain:?}");
+        let drain = DrainSchedule::new(grace, longest);
+        assert_eq!(drain.accepts_until, takes, "{drain:?}");
         assert!(
-            drain.takes_until <= grace / 2.0 && drain.ends_at < grace,
+            drain.accepts_until <= grace / 2.0 && drain.ends_at < grace,
             "{drain:?}"
         );
     }
-    let short = Drain::new(400.0, 2000.0);
+    let short = DrainSchedule::new(400.0, 2000.0);
     assert!(
-        short.takes_until <= 200.0 && short.ends_at <= 400.0,
+        short.accepts_until <= 200.0 && short.ends_at <= 400.0,
         "{short:?}"
     );
-    let drain = Drain::new(6000.0, 2000.0);
+    let drain = DrainSchedule::new(6000.0, 2000.0);
     assert!(
-        !drain.ended(1000.0, 0, 5000.0),
+        !drain.is_finished(1000.0, 0, 5000.0),
         "clients hold old answers of the directory"
     );
     assert!(
-        drain.ended(1300.0, 0, 500.0)
-            && !drain.ended(1300.0, 0, 300.0)
-            && !drain.ended(1300.0, 1, 500.0)
+        drain.is_finished(1300.0, 0, 500.0)
+            && !drain.is_finished(1300.0, 0, 300.0)
+            && !drain.is_finished(1300.0, 1, 500.0)
     );
-    assert!(drain.ended(5600.0, 1, 0.0));
+    assert!(drain.is_finished(5600.0, 1, 0.0));
 }
 
 fn answer(stream: &mut TcpStream, text: &str) -> String {
@@ -62,14 +62,14 @@
     text
 }
 
-/// Danger: a proxy listens and takes requests until its grace is over.
+/// Danger: a draining proxy listens and takes requests until its grace period is over.
 #[test]
-fn behind_its_bound_a_proxy_that_ends_takes_nothing_more() {
-    let stage = stage(1, |_| Some(GOOD));
+fn past_its_schedule_a_draining_proxy_takes_no_request() {
+    let proxy = test_proxy(1, |_| Some(GOOD));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let own = stage.shop.clone();
-    let door = thread::spawn(move || door::accept(&own, listener));
+    let own = proxy.state.clone();
+    let accepting = thread::spawn(move || listener::accept(&own, listener));
     let mut kept = TcpStream::connect(at).unwrap();
     kept.set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
@@ -77,43 +77,44 @@
     let mut late = TcpStream::connect(at).unwrap();
     late.set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
-    // It has begun to send when the end begins.
+    // It has begun to send when the shutdown begins.
     late.write_all(b"GET /read/2 HTTP/1.1\r\n").unwrap();
-    stage.shop.begin_drain(Duration::from_millis(200));
+    proxy.state.begin_drain(Duration::from_millis(200));
     let closing = answer(&mut kept, READ);
     assert!(
         closing.starts_with("HTTP/1.1 200 ") && closing.contains("Connection: close"),
         "{closing}"
     );
-    while stage.shop.takes_requests() {
+    while proxy.state.accepts_requests() {
         thread::yield_now();
     }
-    let turned = answer(&mut late, "Host: a.example\nTry-Id: t9\nCredential: k1\n\n");
+    let rejected = answer(&mut late, "Host: a.example\nTry-Id: t9\nCredential: k1\n\n");
     assert!(
-        turned.starts_with("HTTP/1.1 503 ") && turned.contains("Retry-After"),
-        "{turned}"
+        rejected.starts_with("HTTP/1.1 503 ") && rejected.contains("Retry-After"),
+        "{rejected}"
     );
     assert!(
-        turned.contains("Try-Id: t9") && turned.contains("Connection: close"),
-        "{turned}"
+        rejected.contains("Try-Id: t9") && rejected.contains("Connection: close"),
+        "{rejected}"
     );
-    assert_eq!(stage.seen().len(), 2, "nothing of it went to a server");
-    // The next newcomer ends the listener, and whoever comes behind it is refused.
+    assert_eq!(proxy.received().len(), 2, "nothing of it went to a server");
+    // The next connection ends the listener, and later ones are refused.
     let _ = TcpStream::connect(at);
-    door.join().unwrap();
+    accepting.join().unwrap();
     assert!(TcpStream::connect(at).is_err());
 }
 
-/// Danger: the end begins while a request is at a server and the next one has come behind it: that is read, and its
-/// connection ends without an answer, which no answer has announced.
+/// Danger: the shutdown begins while a request is at a server and a pipelined one has come behind it: that is read, and
+/// its connection ends without an answer, which no answer has announced.
 #[test]
-fn what_was_sent_ahead_is_answered_by_a_proxy_that_ends() {
-    static HELD: (Mutex<bool>, Condvar) = (Mutex::new(true), Condvar::new());
-    let stage = stage(1, |n| {
+fn a_draining_proxy_answers_pipelined_requests() {
+    static BLOCKED: (Mutex<bool>, Condvar) = (Mutex::new(true), Condvar::new());
+    let proxy = test_proxy(1, |n| {
         if n == 0 {
             drop(
-                HELD.1
-                    .wait_while(HELD.0.lock().unwrap(), |held| *held)
+                BLOCKED
+                    .1
+                    .wait_while(BLOCKED.0.lock().unwrap(), |blocked| *blocked)
                     .unwrap(),
             );
         }
@@ -121,8 +122,8 @@
     });
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let own = stage.shop.clone();
-    thread::spawn(move || door::accept(&own, listener));
+    let own = proxy.state.clone();
+    thread::spawn(move || listener::accept(&own, listener));
     let mut client = TcpStream::connect(at).unwrap();
     client
         .set_read_timeout(Some(Duration::from_secs(20)))
@@ -131,12 +132,12 @@
     client
         .write_all(both.replace('\n', "\r\n").as_bytes())
         .unwrap();
-    while stage.seen().is_empty() {
+    while proxy.received().is_empty() {
         thread::yield_now();
     }
-    stage.shop.begin_drain(Duration::from_secs(10));
-    *HELD.0.lock().unwrap() = false;
-    HELD.1.notify_all();
+    proxy.state.begin_drain(Duration::from_secs(10));
+    *BLOCKED.0.lock().unwrap() = false;
+    BLOCKED.1.notify_all();
     let mut answers = String::new();
     client.read_to_string(&mut answers).unwrap();
     assert_eq!(answers.matches("HTTP/1.1 200 ").count(), 2, "{answers}");
--- a/crates/aspendrum-proxy/tests/exchanges.rs
+++ b/crates/aspendrum-proxy/tests/exchanges.rs
@@ -1,11 +1,11 @@
-//! Whole exchanges on loopback: a client, the proxy, and servers that do all that servers in trouble do. What
-//! went over each wire is compared with an approved transcript.
+//! Complete exchanges on loopback: a client, the proxy, and servers that fail in all the ways that servers fail in. What
+//! went over each connection is compared with an approved transcript.
 
 mod common;
 
 use aspendrum_model::message::{Revision, StateDigest, StateSection};
 use aspendrum_model::packed::pack;
-use aspendrum_proxy::Shop;
+use aspendrum_proxy::ProxyState;
 use aspendrum_reconcile::Word;
 use common::*;
 use std::sync::{Arc, Mutex};
@@ -13,30 +13,30 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_query_goes_to_a_server_and_its_answer_back() {
-    let stage = stage(1, |_| Some(GOOD));
-    assert_eq!(stage.ask(READ), GOOD_TO_T1);
+fn a_request_goes_to_a_server_and_its_answer_back() {
+    let proxy = test_proxy(1, |_| Some(GOOD));
+    assert_eq!(proxy.request(READ), GOOD_TO_T1);
     let head = "Host: a.example; Try-Id: t1; X-More: yes; Budget-Ms: (left); Want-Server: (one); Tenant: ann";
-    assert_eq!(stage.seen(), [format!("GET /read/1?x=2 | {head} | ")]);
+    assert_eq!(proxy.received(), [format!("GET /read/1?x=2 | {head} | ")]);
 }
 
 #[test]
-fn a_body_in_chunks_goes_on_whole() {
-    let stage = stage(1, |_| Some(GOOD));
-    assert_eq!(stage.ask(SEND), GOOD_TO_T2);
+fn a_chunked_body_is_forwarded_with_its_length() {
+    let proxy = test_proxy(1, |_| Some(GOOD));
+    assert_eq!(proxy.request(SEND), GOOD_TO_T2);
     let head =
         "Host: a.example; Try-Id: t2; Budget-Ms: (left); Want-Server: (one); Tenant: ann; Content-Length: 3";
-    assert_eq!(stage.seen(), [format!("POST /send/1 | {head} | abc")]);
+    assert_eq!(proxy.received(), [format!("POST /send/1 | {head} | abc")]);
 }
 
-/// A promise of a server that nothing ran lets even a mutating query go to another.
+/// Where a server says that nothing ran, even a mutating request may be retried at another.
 #[test]
-fn a_mutating_query_goes_on_where_a_server_says_that_nothing_ran() {
+fn a_mutating_request_is_retried_where_a_server_says_that_nothing_ran() {
     for first in [
         "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n",
         "HTTP/1.1 421 Other\nServer-Id: i-9\nContent-Length: 0\n\n",
     ] {
-        let says: Says = if first.contains("503") {
+        let script: Script = if first.contains("503") {
             |n| {
                 Some(if n == 0 {
                     "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n"
@@ -53,16 +53,16 @@
                 })
             }
         };
-        let stage = stage(2, says);
-        assert_eq!(stage.ask(SEND), GOOD_TO_T2);
-        assert_eq!(stage.seen().len(), 2);
+        let proxy = test_proxy(2, script);
+        assert_eq!(proxy.request(SEND), GOOD_TO_T2);
+        assert_eq!(proxy.received().len(), 2);
     }
 }
 
-/// Danger: whatever else a server says or does after it has the request, it may have run.
+/// Danger: whatever else a server answers or does once it has the request, the request may have run.
 #[test]
-fn a_mutating_query_runs_once_whatever_comes_back() {
-    let cases: [Says; 5] = [
+fn a_mutating_request_runs_once_whatever_comes_back() {
+    let cases: [Script; 5] = [
         |_| None,
         |_| Some("HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 1\nContent-Length: 40\n\nshort(close)"),
         |_| Some("what is this?\n\n(close)"),
@@ -71,44 +71,44 @@
             Some("HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 1\nContent-Encoding: gzip\nContent-Length: 4\n\nbody")
         },
     ];
-    for says in cases {
-        let stage = stage(3, says);
-        let answer = stage.ask(SEND);
+    for script in cases {
+        let proxy = test_proxy(3, script);
+        let answer = proxy.request(SEND);
         assert_eq!(
             answer,
             "HTTP/1.1 502 Bad Gateway\nContent-Length: 0\nTry-Id: t2\n\n"
         );
-        assert_eq!(stage.seen().len(), 1);
+        assert_eq!(proxy.received().len(), 1);
     }
 }
 
-/// Danger: 503 and its like promise that nothing ran; a server's own, without its word, is no such promise.
+/// Danger: to clients 503 and its like promise that nothing ran; a server's own 503, without `Not-Run`, does not.
 #[test]
-fn a_servers_503_without_its_word_is_no_promise_of_ours() {
-    let stage = stage(2, |_| {
+fn a_servers_503_without_not_run_is_not_passed_on_as_503() {
+    let proxy = test_proxy(2, |_| {
         Some("HTTP/1.1 503 Oops\nTry-Id: {id}\nSeal: 1\nContent-Length: 1\n\nx")
     });
     assert_eq!(
-        stage.ask(SEND),
+        proxy.request(SEND),
         "HTTP/1.1 502 Bad Gateway\nTry-Id: t2\nSeal: 1\nContent-Length: 1\n\nx"
     );
-    assert_eq!(stage.seen().len(), 1);
+    assert_eq!(proxy.received().len(), 1);
 }
 
 #[test]
-fn a_servers_own_failure_goes_back_as_it_is() {
-    let stage = stage(1, |_| {
+fn a_servers_own_failure_is_passed_on() {
+    let proxy = test_proxy(1, |_| {
         Some("HTTP/1.1 500 Broken\nTry-Id: {id}\nSeal: 1\nContent-Length: 1\n\nx")
     });
     assert_eq!(
-        stage.ask(SEND),
+        proxy.request(SEND),
         "HTTP/1.1 500 Broken\nTry-Id: t2\nSeal: 1\nContent-Length: 1\n\nx"
     );
 }
 
 #[test]
-fn a_repeatable_query_is_sent_on_after_any_failure() {
-    let cases: [Says; 3] = [
+fn a_repeatable_request_is_retried_after_any_failure() {
+    let cases: [Script; 3] = [
         |n| if n == 0 { None } else { Some(GOOD) },
         |n| {
             Some(if n == 0 {
@@ -125,78 +125,78 @@
             })
         },
     ];
-    for says in cases {
-        let stage = stage(3, says);
-        assert_eq!(stage.ask(READ), GOOD_TO_T1);
-        assert_eq!(stage.seen().len(), 2);
+    for script in cases {
+        let proxy = test_proxy(3, script);
+        assert_eq!(proxy.request(READ), GOOD_TO_T1);
+        assert_eq!(proxy.received().len(), 2);
     }
 }
 
-/// Danger: an answer of an earlier try comes in the place of ours.
+/// Danger: an answer to an earlier request comes in the place of this one's.
 #[test]
-fn an_answer_to_another_try_is_read_over() {
-    let stage = stage(1, |_| {
+fn an_answer_to_another_request_is_skipped() {
+    let proxy = test_proxy(1, |_| {
         Some("HTTP/1.1 200 OK\nTry-Id: old\nSeal: 9\nContent-Length: 3\n\noldHTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 3e1b.07\nContent-Length: 4\n\nbody")
     });
-    assert_eq!(stage.ask(SEND), GOOD_TO_T2);
-    assert_eq!(stage.seen().len(), 1);
+    assert_eq!(proxy.request(SEND), GOOD_TO_T2);
+    assert_eq!(proxy.received().len(), 1);
 }
 
 #[test]
-fn what_no_route_or_key_allows_reaches_no_server() {
-    let stage = stage(1, |_| Some(GOOD));
+fn a_request_without_a_route_or_a_valid_credential_reaches_no_server() {
+    let proxy = test_proxy(1, |_| Some(GOOD));
     let own = |status: &str| format!("HTTP/1.1 {status}\nContent-Length: 0\nTry-Id: t1\n\n");
     assert_eq!(
-        stage.ask(&READ.replace("/read/", "/other/")),
+        proxy.request(&READ.replace("/read/", "/other/")),
         own("404 Not Found")
     );
     assert_eq!(
-        stage.ask(&READ.replace("a.example", "b.example")),
+        proxy.request(&READ.replace("a.example", "b.example")),
         own("404 Not Found")
     );
     assert_eq!(
-        stage.ask(&READ.replace("k1", "k2")),
+        proxy.request(&READ.replace("k1", "k2")),
         own("401 Unauthorized")
     );
     assert_eq!(
-        stage.ask(&READ.replace("Credential: k1\n", "")),
+        proxy.request(&READ.replace("Credential: k1\n", "")),
         own("401 Unauthorized")
     );
     let twice = READ.replace("Credential: k1\n", "Credential: k1\nCredential: k2\n");
     assert_eq!(
-        stage.ask(&twice),
+        proxy.request(&twice),
         "HTTP/1.1 400 Bad Request\nContent-Length: 0\n\n"
     );
-    assert!(stage.seen().is_empty());
-    // Without a key, and no tenant is made up for it.
+    assert!(proxy.received().is_empty());
+    // A public route needs no credential, and no tenant is made up for it.
     let open = READ
         .replace("/read/", "/open/")
         .replace("Credential: k1\n", "");
-    assert_eq!(stage.ask(&open), GOOD_TO_T1);
-    assert!(!stage.seen()[0].contains("Tenant"));
+    assert_eq!(proxy.request(&open), GOOD_TO_T1);
+    assert!(!proxy.received()[0].contains("Tenant"));
 }
 
-/// A query that no server can take goes back while its client can still be served elsewhere.
+/// A request that no server can take is rejected while its client can still be served elsewhere.
 #[test]
-fn without_any_server_a_query_goes_back_in_time() {
-    let stage = stage(0, |_| None);
-    let begun = Instant::now();
-    let answer = stage.ask(SEND);
+fn without_any_server_a_request_is_rejected_in_time() {
+    let proxy = test_proxy(0, |_| None);
+    let started_at = Instant::now();
+    let answer = proxy.request(SEND);
     assert!(
         answer.starts_with("HTTP/1.1 503 Service Unavailable\n")
             && answer.contains("Retry-After: "),
         "{answer}"
     );
-    // Danger: a refused client comes again on a new connection and leaves this one open.
+    // Danger: a rejected client comes again on a new connection and leaves this one open.
     assert!(answer.contains("Connection: close\n"), "{answer}");
-    assert!(begun.elapsed() < Duration::from_millis(800));
+    assert!(started_at.elapsed() < Duration::from_millis(800));
 }
 
-/// Danger: one server that does everything at once, under many clients: no answer goes to another's request,
-/// nothing runs twice, no refusal of what ran.
+/// Danger: a server that fails in all these ways at once, under many clients: no answer may go to another's request, no
+/// once-only request may run twice, and none that ran may be rejected.
 #[test]
-fn ten_thousand_exchanges_with_a_server_that_does_all_of_it() {
-    let says: Says = |n| {
+fn ten_thousand_exchanges_with_a_server_that_fails_in_every_way() {
+    let script: Script = |n| {
         match n * 7919 % 23 {
         0 => None,
         1 => Some("HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 1\nContent-Length: 40\n\nshort(close)"),
@@ -208,11 +208,11 @@
         _ => Some("HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 1\nContent-Length: 4\n\n{id}"),
     }
     };
-    let stage = stage(4, says);
+    let proxy = test_proxy(4, script);
     let good = Mutex::new(0);
     thread::scope(|scope| {
         for client in 0..8u32 {
-            let (stage, good) = (&stage, &good);
+            let (proxy, good) = (&proxy, &good);
             scope.spawn(move || {
                 for n in 0..1250u32 {
                     let id = format!("{:04x}", client << 12 | n);
@@ -221,15 +221,16 @@
                     } else {
                         (SEND, "t2")
                     };
-                    let answer = stage
-                        .ask(&text.replace(&format!("Try-Id: {own}"), &format!("Try-Id: {id}")));
+                    let answer = proxy.request(
+                        &text.replace(&format!("Try-Id: {own}"), &format!("Try-Id: {id}")),
+                    );
                     let served = answer.starts_with("HTTP/1.1 200 ");
                     assert!(
                         !served || answer.ends_with(&format!("\n\n{id}")),
                         "{answer}"
                     );
                     *good.lock().unwrap() += u32::from(served);
-                    let ran = stage.ran.lock().unwrap().get(&id).copied().unwrap_or(0);
+                    let ran = proxy.ran.lock().unwrap().get(&id).copied().unwrap_or(0);
                     let promise = ["408", "421", "429", "503"]
                         .iter()
                         .any(|s| answer[9..].starts_with(s));
@@ -243,50 +244,49 @@
     assert!(good > 7000, "{good}");
 }
 
-/// Danger: a key is taken away while the proxy is cut off. It can know only by a licence, which is counted from
-/// when it asked, however late the answer came.
+/// Danger: a credential is revoked while the proxy is cut off. It can know only by a lease, which is counted from when it
+/// asked, however late the answer came.
 #[test]
-fn without_a_licence_no_key_is_believed() {
-    let stage = stage_of(r#""revoked":true,"revoke-ms":60000"#, 1, |_| Some(GOOD));
-    let refused = |answer: &str| {
-        assert!(
-            answer.starts_with("HTTP/1.1 503 ") && answer.contains("Connection: close\n"),
-            "{answer}"
-        );
-        assert!(answer.contains("Retry-After: "), "{answer}");
+fn without_a_lease_no_credential_is_believed() {
+    let proxy = test_proxy_with(r#""revoked":true,"revoke-ms":60000"#, 1, |_| Some(GOOD));
+    assert_sent_elsewhere(&proxy.request(READ));
+    let report = |age| {
+        proxy
+            .state
+            .record_control_report(0, age, proxy.state.consistency.applied(), false)
     };
-    refused(&stage.ask(READ));
-    let told = |age| stage.shop.told(0, age, stage.shop.stand.edition(), false);
-    told(None);
-    refused(&stage.ask(READ));
-    // Control's word was as old as a licence lasts.
-    told(Some(60_000));
-    refused(&stage.ask(READ));
-    assert!(stage.seen().is_empty());
-    // Without a key there is nothing to believe.
+    report(None);
+    assert_sent_elsewhere(&proxy.request(READ));
+    // Control's report was as old as a lease lasts.
+    report(Some(60_000));
+    assert_sent_elsewhere(&proxy.request(READ));
+    assert!(proxy.received().is_empty());
+    // Without a credential there is nothing to believe.
     assert_eq!(
-        stage.ask(
+        proxy.request(
             &READ
                 .replace("/read/", "/open/")
                 .replace("Credential: k1\n", "")
         ),
         GOOD_TO_T1
     );
-    // A younger one, of what is not in force here.
+    // A younger report, of what is not in force here.
     let other = StateDigest {
         digests: [1; 4],
-        ..stage.shop.stand.edition()
+        ..proxy.state.consistency.applied()
     };
-    stage.shop.told(0, Some(700), other, false);
-    refused(&stage.ask(READ));
-    told(Some(500));
-    assert_eq!(stage.ask(READ), GOOD_TO_T1);
-    // An older word does not shorten it.
-    told(Some(59_000));
-    assert_eq!(stage.ask(READ), GOOD_TO_T1);
+    proxy
+        .state
+        .record_control_report(0, Some(700), other, false);
+    assert_sent_elsewhere(&proxy.request(READ));
+    report(Some(500));
+    assert_eq!(proxy.request(READ), GOOD_TO_T1);
+    // An older report does not shorten the lease.
+    report(Some(59_000));
+    assert_eq!(proxy.request(READ), GOOD_TO_T1);
 }
 
-fn held_back(answer: &str) {
+fn assert_sent_elsewhere(answer: &str) {
     assert!(
         answer.starts_with("HTTP/1.1 503 ") && answer.contains("Connection: close\n"),
         "{answer}"
@@ -294,20 +294,20 @@
     assert!(answer.contains("Retry-After: "), "{answer}");
 }
 
-/// Danger: a node that missed a change, or applied another text by its number, sends a transfer where it does not
-/// belong. What may be repeated flows on all the while.
+/// Danger: a proxy that missed a change, or applied another text under its version, sends a once-only request where it
+/// does not belong. Repeatable requests are served all the while.
 #[test]
-fn once_only_queries_wait_for_what_was_decided() {
-    let stage = stage(1, |_| Some(GOOD));
-    let held = stage.shop.stand.edition();
-    let word = |decided, as_of| {
-        stage
-            .shop
-            .stand
-            .told(1.0, Some(Word { decided, as_of }), false)
+fn once_only_requests_run_only_under_the_decided_configuration() {
+    let proxy = test_proxy(1, |_| Some(GOOD));
+    let held = proxy.state.consistency.applied();
+    let report = |decided, as_of| {
+        proxy
+            .state
+            .consistency
+            .record_report(1.0, Some(Word { decided, as_of }), false)
     };
-    let flows = |text: &str, good: &str| assert_eq!(stage.ask(text), good);
-    flows(SEND, GOOD_TO_T2);
+    let assert_served = |text: &str, good: &str| assert_eq!(proxy.request(text), good);
+    assert_served(SEND, GOOD_TO_T2);
     // Something newer was decided; an evacuation counts as a configuration does.
     for newer in [
         Revision {
@@ -319,19 +319,19 @@
             ..held.revision
         },
     ] {
-        word(
+        report(
             StateDigest {
                 revision: newer,
                 ..held
             },
             0.0,
         );
-        held_back(&stage.ask(SEND));
-        flows(READ, GOOD_TO_T1);
+        assert_sent_elsewhere(&proxy.request(SEND));
+        assert_served(READ, GOOD_TO_T1);
     }
-    word(held, 0.0);
-    flows(SEND, GOOD_TO_T2);
-    // A table that changed under its proxy: the same number, another service behind the route.
+    report(held, 0.0);
+    assert_served(SEND, GOOD_TO_T2);
+    // A table that was corrupted: the same version, another limit behind the route.
     let corrupt = CONFIG.replace(
         r#""action":{"svc":"s1","limit-ms":2000,"tries":3}},
 {"name":"open""#,
@@ -339,35 +339,35 @@
 {"name":"open""#,
     );
     assert_ne!(corrupt, CONFIG);
-    stage
-        .shop
-        .desk
+    proxy
+        .state
+        .dispatcher
         .apply(StateSection::config(1, pack(corrupt.as_bytes())));
-    stage.shop.collate();
-    held_back(&stage.ask(SEND));
-    flows(READ, GOOD_TO_T1);
-    // Told again, the tables are built anew, though the number is the same.
-    stage
-        .shop
-        .desk
+    proxy.state.update_applied();
+    assert_sent_elsewhere(&proxy.request(SEND));
+    assert_served(READ, GOOD_TO_T1);
+    // Sent again, the tables are rebuilt, though the version is the same.
+    proxy
+        .state
+        .dispatcher
         .apply(StateSection::config(1, pack(CONFIG.as_bytes())));
-    stage.shop.collate();
-    flows(SEND, GOOD_TO_T2);
-    // The word is as old as it may be: nothing had to come for that.
+    proxy.state.update_applied();
+    assert_served(SEND, GOOD_TO_T2);
+    // The report is as old as it may be: nothing had to come for that.
     let last = 600_000.0;
     assert!(
-        stage.shop.stand.runs_once_only(last - 251.0)
-            && !stage.shop.stand.runs_once_only(last - 250.0)
+        proxy.state.consistency.allows_once_only(last - 251.0)
+            && !proxy.state.consistency.allows_once_only(last - 250.0)
     );
     assert_eq!(
-        stage
-            .seen()
+        proxy
+            .received()
             .iter()
             .filter(|s| s.starts_with("POST"))
             .count(),
         3
     );
-    // A torn push is not applied, and the tables serve on as they are.
+    // A corrupt update is not applied, and the tables serve on as they are.
     let StateSection::Config {
         version,
         checksum: seal,
@@ -376,22 +376,22 @@
     else {
         return;
     };
-    stage.shop.desk.apply(StateSection::Config {
+    proxy.state.dispatcher.apply(StateSection::Config {
         version: version + 1,
         text: pack(corrupt.as_bytes()),
         checksum: seal,
     });
-    stage.shop.desk.anew();
-    stage.shop.collate();
-    flows(SEND, GOOD_TO_T2);
+    proxy.state.dispatcher.rebuild_tables();
+    proxy.state.update_applied();
+    assert_served(SEND, GOOD_TO_T2);
 }
 
-/// Danger: a transfer waits for a server, its route moves meanwhile, and it leaves by the old one.
+/// Danger: a once-only request waits for a server, its route changes meanwhile, and it leaves by the old one.
 #[test]
-fn a_once_only_query_that_waited_does_not_leave_by_an_older_path() {
-    static SHOP: Mutex<Option<Arc<Shop>>> = Mutex::new(None);
-    let says: Says = |n| {
-        if let Some(shop) = SHOP.lock().unwrap().as_ref().filter(|_| n == 0) {
+fn a_queued_once_only_request_does_not_leave_by_an_outdated_route() {
+    static STATE: Mutex<Option<Arc<ProxyState>>> = Mutex::new(None);
+    let script: Script = |n| {
+        if let Some(state) = STATE.lock().unwrap().as_ref().filter(|_| n == 0) {
             let moved = CONFIG.replace("00000001", "00000002").replace(
                 r#""pfx":"/send/"},"action":{"svc":"s1""#,
                 r#""pfx":"/send/"},"action":{"svc":"s2""#,
@@ -400,20 +400,20 @@
                 r#""pools":["#,
                 r#""pools":[{"name":"s2","check":"/healthz"},"#,
             );
-            shop.desk
+            state
+                .dispatcher
                 .apply(StateSection::config(2, pack(moved.as_bytes())));
-            shop.collate();
+            state.update_applied();
         }
         Some("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n")
     };
-    let stage = stage(3, says);
-    *SHOP.lock().unwrap() = Some(stage.shop.clone());
-    held_back(&stage.ask(SEND));
+    let proxy = test_proxy(3, script);
+    *STATE.lock().unwrap() = Some(proxy.state.clone());
+    assert_sent_elsewhere(&proxy.request(SEND));
     assert_eq!(
-        stage.seen().len(),
+        proxy.received().len(),
         1,
-        "it left once, by what was decided then"
+        "it left once, by the route of that time"
     );
-    // A key taken away meanwhile is the same.
-    assert!(stage.shop.runs_once_only());
+    assert!(proxy.state.allows_once_only());
 }
--- a/crates/aspendrum-proxy/tests/wire_bytes.rs
+++ b/crates/aspendrum-proxy/tests/wire_bytes.rs
@@ -1,7 +1,7 @@
 //! The counter datagrams between proxies, byte by byte. A fleet is upgraded proxy by proxy, so each version must read
 //! what the others write: the fixture file stays as it is, whatever the types are called.
 
-use aspendrum_proxy::counts::{Handed, Word};
+use aspendrum_proxy::counter::{CounterHandover, CounterId, CounterMessage};
 
 /// One line per datagram: a name and its bytes in hexadecimal.
 const DATAGRAMS: &str = include_str!("fixtures/counter_datagrams.txt");
@@ -17,39 +17,45 @@
 }
 
 /// Each variant, with values whose encodings are short and with those whose encodings are the longest.
-fn datagrams() -> Vec<(&'static str, Word)> {
-    let handed = |name, total, age| Word::Hand(Handed { name, total, age });
+fn datagrams() -> Vec<(&'static str, CounterMessage)> {
+    let handover = |counter, total, age_ms| {
+        CounterMessage::Handover(CounterHandover {
+            counter: CounterId(counter),
+            total,
+            age_ms,
+        })
+    };
     vec![
         (
             "add",
-            Word::Add {
+            CounterMessage::Add {
                 call: 1,
-                name: 7,
-                add: 1.0,
+                counter: CounterId(7),
+                amount: 1.0,
             },
         ),
         (
             "add_longest",
-            Word::Add {
+            CounterMessage::Add {
                 call: u32::MAX,
-                name: u64::MAX,
-                add: -0.5,
+                counter: CounterId(u64::MAX),
+                amount: -0.5,
             },
         ),
         (
             "total",
-            Word::Total {
+            CounterMessage::Total {
                 call: 300,
                 total: 2.5,
             },
         ),
-        ("fenced", Word::Fenced { call: 129 }),
+        ("fenced", CounterMessage::Unavailable { call: 129 }),
         (
             "handover_with_total",
-            handed((1 << 40) - 1, Some(17.25), 400),
+            handover((1 << 40) - 1, Some(17.25), 400),
         ),
-        ("handover_of_fenced_counter", handed(128, None, 0)),
-        ("handover_longest", handed(u64::MAX, Some(1e9), u32::MAX)),
+        ("handover_of_fenced_counter", handover(128, None, 0)),
+        ("handover_longest", handover(u64::MAX, Some(1e9), u32::MAX)),
     ]
 }
 
@@ -70,7 +76,10 @@
     for (line, (name, datagram)) in DATAGRAMS.lines().zip(expected) {
         let (found, hex) = line.split_once(' ').expect("a name and bytes");
         assert_eq!(found, name);
-        assert_eq!(postcard::from_bytes::<Word>(&bytes_of(hex)), Ok(datagram));
+        assert_eq!(
+            postcard::from_bytes::<CounterMessage>(&bytes_of(hex)),
+            Ok(datagram)
+        );
     }
 }
 
@@ -80,7 +89,10 @@
         let (name, hex) = line.split_once(' ').expect("a name and bytes");
         let bytes = bytes_of(hex);
         let cut = &bytes[..bytes.len() - 1];
-        assert!(postcard::from_bytes::<Word>(cut).is_err(), "{name}");
+        assert!(
+            postcard::from_bytes::<CounterMessage>(cut).is_err(),
+            "{name}"
+        );
     }
-    assert!(postcard::from_bytes::<Word>(&[4, 1, 1, 1, 1, 1, 1]).is_err());
+    assert!(postcard::from_bytes::<CounterMessage>(&[4, 1, 1, 1, 1, 1, 1]).is_err());
 }
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -7,10 +7,10 @@
 use aspendrum_net::forward::{ForwardStage, RequestKind};
 use aspendrum_net::http1::{parse_request, parse_response, Parsed, Request, Response};
 use aspendrum_net::ring_buffer::RingBuffer;
-use aspendrum_proxy::answer::{Answer, Then};
-use aspendrum_proxy::wire::{self, Taken};
-use aspendrum_proxy::{door, query};
-use common::{proxy, stage, stage_of, BOUNDS, CONFIG, GOOD, READ, SEND};
+use aspendrum_proxy::response::{ClientResponse, ConnectionPolicy};
+use aspendrum_proxy::wire::{self, RequestHead, ResponseClass};
+use aspendrum_proxy::{listener, request};
+use common::{proxy, test_proxy, test_proxy_with, BOUNDS, CONFIG, GOOD, READ, SEND};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::thread;
@@ -65,21 +65,24 @@
     vec![
         (
             "forward of a GET",
-            wire::forward(&read, "i-1", Some("ann"), 1988),
+            wire::encode_forward(&read, "i-1", Some("ann"), 1988),
         ),
         (
             "forward of a POST with a body",
-            wire::forward(&send, "i-2", Some("ann"), 1),
+            wire::encode_forward(&send, "i-2", Some("ann"), 1),
         ),
         (
             "forward without a tenant",
-            wire::forward(&delete, "i-1", None, 60_000),
+            wire::encode_forward(&delete, "i-1", None, 60_000),
         ),
         (
             "forward of a POST without a body",
-            wire::forward(&empty_post, "i-1", None, 5),
+            wire::encode_forward(&empty_post, "i-1", None, 5),
+        ),
+        (
+            "health check",
+            wire::encode_health_check("/healthz", "10.128.0.9:8080"),
         ),
-        ("health check", wire::probe("/healthz", "10.128.0.9:8080")),
     ]
 }
 
@@ -87,59 +90,64 @@
 fn to_clients() -> Vec<(&'static str, Vec<u8>)> {
     let answered = parse_whole_response(SERVER_ANSWER);
     let unnamed = parse_whole_response("HTTP/1.1 500\nTry-Id: t1\nContent-Length: 0\n\n");
-    let own = |status, id, again| Answer::own(status, id, again, Then::KeepsOn);
+    let own = |status, id, again| {
+        ClientResponse::generated(status, id, again, ConnectionPolicy::KeepAlive)
+    };
     vec![
-        ("server's answer", wire::reply(&answered, 200, false)),
+        (
+            "server's answer",
+            wire::encode_forwarded(&answered, 200, false),
+        ),
         (
             "server's answer, connection closes",
-            wire::reply(&answered, 200, true),
+            wire::encode_forwarded(&answered, 200, true),
         ),
         (
             "server's answer under another status",
-            wire::reply(&answered, 502, false),
+            wire::encode_forwarded(&answered, 502, false),
         ),
         (
             "server's answer without a reason phrase",
-            wire::reply(&unnamed, 500, false),
+            wire::encode_forwarded(&unnamed, 500, false),
         ),
-        ("own answer", wire::own(404, "t1", None, false)),
+        ("own answer", wire::encode_generated(404, "t1", None, false)),
         (
             "own answer, connection closes",
-            wire::own(401, "t1", None, true),
+            wire::encode_generated(401, "t1", None, true),
         ),
         (
             "own answer without a request id",
-            wire::own(400, "", None, false),
+            wire::encode_generated(400, "", None, false),
         ),
         (
             "own answer with Retry-After",
-            wire::own(429, "t1", Some(1234.5678), true),
+            wire::encode_generated(429, "t1", Some(1234.5678), true),
         ),
         (
             "own answer with the least Retry-After",
-            wire::own(503, "t1", Some(0.0), true),
+            wire::encode_generated(503, "t1", Some(0.0), true),
         ),
-        ("own answer out of time", own(504, "t1", None).bytes(false)),
+        ("own answer out of time", own(504, "t1", None).encode(false)),
         (
             "own answer of an unknown outcome",
-            own(502, "t1", None).bytes(true),
+            own(502, "t1", None).encode(true),
         ),
         (
             "own answer that sends elsewhere",
-            own(503, "t1", Some(150.0)).bytes(true),
+            own(503, "t1", Some(150.0)).encode(true),
         ),
         (
             "answer passed on",
-            Answer::passed_on(answered, 200, Then::KeepsOn).bytes(true),
+            ClientResponse::forwarded(answered, 200, ConnectionPolicy::KeepAlive).encode(true),
         ),
-        ("answer to nobody", Answer::nothing().bytes(true)),
+        ("answer to nobody", ClientResponse::empty().encode(true)),
         (
             "rejection while draining",
-            query::turn_away(&parse_whole_request(READ)).bytes(true),
+            request::reject(&parse_whole_request(READ)).encode(true),
         ),
         (
             "rejection of an unreadable head",
-            query::turn_away(&parse_whole_request("GET / HTTP/1.1\n\n")).bytes(true),
+            request::reject(&parse_whole_request("GET / HTTP/1.1\n\n")).encode(true),
         ),
     ]
 }
@@ -154,15 +162,15 @@
 #[test]
 fn request_heads_are_read_by_their_names_on_the_wire() {
     let request = parse_whole_request(READ);
-    let head = wire::asked(&request).unwrap();
+    let head = RequestHead::parse(&request).unwrap();
     assert_eq!(
-        (head.host, head.id, head.budget, head.key),
+        (head.host, head.try_id, head.budget, head.credential),
         ("a.example", "t1", Some(2000.0), Some("k1"))
     );
     let bare = parse_whole_request("GET / HTTP/1.1\nHost: a.example\ntry-id: t1\n\n");
-    let head = wire::asked(&bare).unwrap();
+    let head = RequestHead::parse(&bare).unwrap();
     assert_eq!(
-        (head.host, head.id, head.budget, head.key),
+        (head.host, head.try_id, head.budget, head.credential),
         ("a.example", "t1", None, None)
     );
     for refused in [
@@ -177,7 +185,7 @@
         "GET / HTTP/1.1\nHost: a.example\nTry-Id: t1\nCredential: k1\nCredential: k1\n\n",
     ] {
         assert!(
-            wire::asked(&parse_whole_request(refused)).is_none(),
+            RequestHead::parse(&parse_whole_request(refused)).is_none(),
             "{refused}"
         );
     }
@@ -187,31 +195,31 @@
 fn servers_answers_are_classed_by_status_and_headers() {
     let sealed = "Try-Id: t1\nSeal: 1\n";
     for (status, headers, expected) in [
-        (200, sealed, Taken::Final),
-        (299, sealed, Taken::Final),
-        (200, "Try-Id: t1\n", Taken::Spoilt),
+        (200, sealed, ResponseClass::Final),
+        (299, sealed, ResponseClass::Final),
+        (200, "Try-Id: t1\n", ResponseClass::Invalid),
         (
             200,
             "Try-Id: t1\nSeal: 1\nContent-Encoding: gzip\n",
-            Taken::Spoilt,
+            ResponseClass::Invalid,
         ),
-        (304, "", Taken::Final),
-        (400, "", Taken::Final),
-        (400, "Not-Run: 1\n", Taken::Final),
-        (404, sealed, Taken::Final),
-        (408, sealed, Taken::Failed),
-        (429, sealed, Taken::Failed),
-        (500, sealed, Taken::Failed),
-        (503, sealed, Taken::Failed),
-        (503, "Not-Run: 1\n", Taken::Full),
-        (504, "Not-Run: 1\n", Taken::Full),
-        (200, "Not-Run: 1\n", Taken::Full),
-        (421, "", Taken::Misdirected),
-        (421, "Not-Run: 1\n", Taken::Misdirected),
+        (304, "", ResponseClass::Final),
+        (400, "", ResponseClass::Final),
+        (400, "Not-Run: 1\n", ResponseClass::Final),
+        (404, sealed, ResponseClass::Final),
+        (408, sealed, ResponseClass::Failed),
+        (429, sealed, ResponseClass::Failed),
+        (500, sealed, ResponseClass::Failed),
+        (503, sealed, ResponseClass::Failed),
+        (503, "Not-Run: 1\n", ResponseClass::NotRun),
+        (504, "Not-Run: 1\n", ResponseClass::NotRun),
+        (200, "Not-Run: 1\n", ResponseClass::NotRun),
+        (421, "", ResponseClass::Misdirected),
+        (421, "Not-Run: 1\n", ResponseClass::Misdirected),
     ] {
         let text = format!("HTTP/1.1 {status} X\n{headers}Content-Length: 0\n\n");
         assert_eq!(
-            wire::taken(&parse_whole_response(&text)),
+            ResponseClass::of(&parse_whole_response(&text)),
             expected,
             "{text}"
         );
@@ -222,34 +230,36 @@
 fn servers_headers_are_read_by_their_names_on_the_wire() {
     let answer = parse_whole_response(SERVER_ANSWER);
     assert!(
-        wire::answers(&answer, "t1") && !wire::answers(&answer, "t2") && !wire::nameless(&answer)
+        wire::answers(&answer, "t1")
+            && !wire::answers(&answer, "t2")
+            && !wire::lacks_try_id(&answer)
     );
-    assert_eq!(wire::server(&answer), Some("i-1"));
+    assert_eq!(wire::server_id(&answer), Some("i-1"));
     assert_eq!(
-        wire::load(&answer),
+        wire::server_load(&answer),
         Load {
             n: 1,
             values: [0.75, 0.0, 0.0, 0.0]
         }
     );
     assert_eq!(
-        (wire::warm_left(&answer), wire::keeps_for(&answer)),
+        (wire::slow_start_left(&answer), wire::keep_alive_s(&answer)),
         (Some(1500.0), Some(5.0))
     );
     let bare = parse_whole_response("HTTP/1.1 200 OK\nContent-Length: 0\n\n");
-    assert!(wire::nameless(&bare) && !wire::answers(&bare, ""));
+    assert!(wire::lacks_try_id(&bare) && !wire::answers(&bare, ""));
     assert_eq!(
-        (wire::server(&bare), wire::load(&bare)),
+        (wire::server_id(&bare), wire::server_load(&bare)),
         (None, Load::default())
     );
     assert_eq!(
-        (wire::warm_left(&bare), wire::keeps_for(&bare)),
+        (wire::slow_start_left(&bare), wire::keep_alive_s(&bare)),
         (None, None)
     );
     for unreadable in ["1,2", "1,2,x", "1,2,0", "-9,1,2"] {
         let text = format!("HTTP/1.1 200 OK\nServer-Load: {unreadable}\nContent-Length: 0\n\n");
         assert_eq!(
-            wire::load(&parse_whole_response(&text)),
+            wire::server_load(&parse_whole_response(&text)),
             Load::default(),
             "{unreadable}"
         );
@@ -258,34 +268,34 @@
 
 #[test]
 fn a_connection_closes_where_the_client_asks_or_the_proxy_drains() {
-    let answer = |then| Answer::own(200, "t1", None, then);
-    for (then, draining, pipelined, closes) in [
-        (Then::KeepsOn, false, false, false),
-        (Then::KeepsOn, true, false, true),
-        (Then::KeepsOn, true, true, false),
-        (Then::EndsIdle, false, false, true),
-        (Then::EndsIdle, true, true, false),
-        (Then::Ends, false, true, true),
+    let answer = |policy| ClientResponse::generated(200, "t1", None, policy);
+    for (policy, draining, pipelined, closes) in [
+        (ConnectionPolicy::KeepAlive, false, false, false),
+        (ConnectionPolicy::KeepAlive, true, false, true),
+        (ConnectionPolicy::KeepAlive, true, true, false),
+        (ConnectionPolicy::CloseIfIdle, false, false, true),
+        (ConnectionPolicy::CloseIfIdle, true, true, false),
+        (ConnectionPolicy::Close, false, true, true),
     ] {
         assert_eq!(
-            answer(then).closes(draining, pipelined),
+            answer(policy).closes_connection(draining, pipelined),
             closes,
-            "{then:?} {draining} {pipelined}"
+            "{policy:?} {draining} {pipelined}"
         );
     }
-    assert!(Answer::nothing().closes(false, true));
+    assert!(ClientResponse::empty().closes_connection(false, true));
 }
 
 /// Sends these bytes to a listening proxy and reads all that comes until it closes.
 fn exchange(config: &str, bytes: &[u8], end_of_sending: bool) -> String {
-    let shop = proxy(
+    let state = proxy(
         "\"retry-slack\":100",
         config,
         &["127.0.0.1:1".parse().unwrap()],
     );
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    thread::spawn(move || door::accept(&shop, listener));
+    thread::spawn(move || listener::accept(&state, listener));
     let mut client = TcpStream::connect(address).unwrap();
     client.set_read_timeout(Some(PATIENCE)).unwrap();
     client.write_all(bytes).unwrap();
@@ -348,15 +358,15 @@
 fn a_tenant_beyond_its_quota_gets_429_with_the_time_to_retry() {
     let config = CONFIG.replace("\"rate-s\":0", "\"rate-s\":1,\"burst\":1");
     assert_ne!(config, CONFIG);
-    let stage = stage(1, |_| Some(GOOD));
-    stage
-        .shop
-        .desk
+    let proxy = test_proxy(1, |_| Some(GOOD));
+    proxy
+        .state
+        .dispatcher
         .apply(aspendrum_model::message::StateSection::config(
             2,
             aspendrum_model::packed::pack(config.replace("00000001", "00000002").as_bytes()),
         ));
-    let answers = (0..50).map(|_| stage.ask(READ));
+    let answers = (0..50).map(|_| proxy.request(READ));
     let rejected = answers
         .into_iter()
         .find(|a| a.starts_with("HTTP/1.1 429 "))
@@ -374,10 +384,10 @@
 
 #[test]
 fn a_mutating_request_that_outlasts_its_budget_gets_504() {
-    let stage = stage_of("\"retry-slack\":100", 1, |_| loop {
+    let proxy = test_proxy_with("\"retry-slack\":100", 1, |_| loop {
         thread::park();
     });
-    let answer = stage.ask(&SEND.replace("Budget-Ms: 2000", "Budget-Ms: 500"));
+    let answer = proxy.request(&SEND.replace("Budget-Ms: 2000", "Budget-Ms: 500"));
     assert_eq!(
         answer,
         "HTTP/1.1 504 Gateway Timeout\nContent-Length: 0\nTry-Id: t2\n\n"
@@ -386,8 +396,12 @@
 
 #[test]
 fn metrics_keep_their_names_and_form() {
-    let shop = proxy("\"retry-slack\":100", CONFIG, &[]);
-    assert_eq!(shop.departures.text(), "", "what is 0 is not shown");
+    let state = proxy("\"retry-slack\":100", CONFIG, &[]);
+    assert_eq!(
+        state.disconnect_metrics.text(),
+        "",
+        "what is 0 is not shown"
+    );
     let stages = [
         ForwardStage::Waiting,
         ForwardStage::Dialling,
@@ -398,18 +412,23 @@
     for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
         for stage in stages {
             events += 1;
-            (0..events).for_each(|_| shop.departures.record_disconnect(kind, stage));
-            shop.departures.record_overdue(kind, stage, false);
-            shop.departures.record_overdue(kind, stage, true);
+            (0..events).for_each(|_| state.disconnect_metrics.record_disconnect(kind, stage));
+            state.disconnect_metrics.record_overdue(kind, stage, false);
+            state.disconnect_metrics.record_overdue(kind, stage, true);
         }
-        shop.departures
+        state
+            .disconnect_metrics
             .record_sent_late(kind, Duration::from_millis(501));
-        shop.departures
+        state
+            .disconnect_metrics
             .record_sent_late(kind, Duration::from_millis(500));
     }
-    assert_eq!(shop.departures.text(), METRICS);
+    assert_eq!(state.disconnect_metrics.text(), METRICS);
     assert_eq!(
-        (shop.departures.departures(), shop.departures.violations()),
+        (
+            state.disconnect_metrics.departures(),
+            state.disconnect_metrics.violations()
+        ),
         (36, 10)
     );
 }
