--- /dev/null
+++ b/crates/aspendrum-agent/src/coordinator/control_session.rs
@@ -0,0 +1,113 @@
+//! The present connection to control, as the coordinator sees it.
+
+use super::majority::{latest, STALE_AFTER};
+use super::proxy_session::ProxySession;
+use aspendrum_model::message::{Envelope, ToControl};
+use aspendrum_net::frames::Link;
+use aspendrum_reconcile::Ms;
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+/// Control that sends nothing for so long is left for another node.
+const SILENT_AFTER: Ms = 1100.0;
+
+/// Why a connection is of no use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ControlFault {
+    /// The node sends nothing.
+    Silent,
+    /// The node answers, and has had no majority's report for too long.
+    Stale,
+}
+
+/// A connection to a control node.
+pub(super) struct ControlSession {
+    pub(super) id: u64,
+    pub(super) ip: Ipv4Addr,
+    pub(super) last_received_at: Ms,
+    link: Link,
+    connected_at: Ms,
+    /// When a majority held nothing newer, by this node's own reports.
+    as_of: Option<Ms>,
+    /// The proxy's address that the node was told of.
+    announced: Option<SocketAddrV4>,
+}
+
+impl ControlSession {
+    pub(super) fn new(id: u64, ip: Ipv4Addr, link: Link, now: Ms) -> ControlSession {
+        let (as_of, announced) = (None, None);
+        ControlSession {
+            id,
+            ip,
+            last_received_at: now,
+            link,
+            connected_at: now,
+            as_of,
+            announced,
+        }
+    }
+
+    /// The node reported that a majority held nothing newer then.
+    pub(super) fn record_report(&mut self, as_of: Option<Ms>) {
+        self.as_of = latest(self.as_of, as_of);
+    }
+
+    /// Why the connection is of no use, if it is.
+    pub(super) fn fault(&self, now: Ms) -> Option<ControlFault> {
+        let is_stale = now - self.connected_at > STALE_AFTER
+            && self.as_of.is_none_or(|as_of| now - as_of > STALE_AFTER);
+        if is_stale {
+            Some(ControlFault::Stale)
+        } else if now - self.last_received_at > SILENT_AFTER {
+            Some(ControlFault::Silent)
+        } else {
+            None
+        }
+    }
+
+    /// Ends a connection that is of no use. A node that sends nothing will not read a last message either.
+    pub(super) fn end(&self, fault: ControlFault) {
+        match fault {
+            ControlFault::Stale => self.disconnect(),
+            ControlFault::Silent => self.link.end(),
+        }
+    }
+
+    /// Ends the connection for another one: until the agent is heard of there, its proxy stays where it is known.
+    pub(super) fn disconnect(&self) {
+        self.send(ToControl::Disconnecting);
+        self.link.finish();
+    }
+
+    /// All updates up to that number are in force at the proxy.
+    pub(super) fn acknowledge(&self, number: u64) {
+        self.send(ToControl::Applied { number });
+    }
+
+    /// Sends a heartbeat for the proxy, behind its address if the node does not know that.
+    pub(super) fn report_proxy(&mut self, now: Ms, proxy: &ProxySession, zone: &str) {
+        let Some(identity) = &proxy.identity else {
+            return;
+        };
+        let (host, address) = (&identity.host, identity.address);
+        if self.announced != Some(address) {
+            self.announced = Some(address);
+            self.send(ToControl::Hello {
+                host: host.clone(),
+                front: address,
+                zone: zone.to_string(),
+            });
+        }
+        let (readiness, applied) = (proxy.readiness_at(now), proxy.applied);
+        self.send(ToControl::Heartbeat {
+            stamp: now as u64,
+            readiness,
+            applied,
+        });
+    }
+
+    fn send(&self, message: ToControl) {
+        // Control tells agents' messages from those of its own nodes by the envelope.
+        let envelope: Envelope = Envelope::Agent(message);
+        self.link.send(&envelope);
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-agent/src/coordinator/mod.rs
@@ -0,0 +1,438 @@
+//! The one thread that owns what the agent knows. It takes updates from control, never back to older ones, and sees to it
+//! that the proxy has them.
+
+mod control_session;
+mod desired_state;
+mod majority;
+mod proxy_session;
+
+use crate::control_endpoints::ControlEndpoints;
+use crate::event::Event;
+use crate::gossip_socket::GossipSocket;
+use crate::snapshot::SnapshotClient;
+use aspendrum_gossip::{Act, Circle, Word as GossipMessage};
+use aspendrum_model::message::{
+    ControlAddress, FromControl, ProxyEndpoint, StateDigest, StateSection, ToControl,
+};
+use aspendrum_model::settings::Settings;
+use aspendrum_net::frames::{self, Link};
+use aspendrum_net::mailbox::MailboxReceiver;
+use aspendrum_reconcile::{Bounds, Ms, Standing, Verdict, Word};
+use control_session::{ControlFault, ControlSession};
+use crossbeam_channel::Sender;
+use desired_state::{DesiredState, Source, Update};
+use majority::MajorityStatus;
+use proxy_session::{ProxyIdentity, ProxySession};
+use std::net::Ipv4Addr;
+use std::time::{Duration, Instant};
+
+/// Between two heartbeats to control: an agent that is heard of less often counts as gone.
+const HEARTBEAT_EVERY: Ms = 300.0;
+/// The same before control's first report of what a majority holds: a proxy waits for it.
+const FIRST_HEARTBEATS_EVERY: Ms = 60.0;
+/// Control that was not heard of for so long may have removed this machine from its list.
+const CONTROL_SILENT_AFTER: Ms = 1500.0;
+/// A proxy that is told to end together with its agent says so sooner.
+const PROXY_NOTICE: Ms = 1000.0;
+
+/// The process is to end.
+struct ShutdownRequest {
+    done: Sender<()>,
+    requested_at: Ms,
+}
+
+/// What the agent knows, and its connections.
+pub struct Coordinator {
+    settings: Settings,
+    started_at: Instant,
+    endpoints: ControlEndpoints,
+    gossip_socket: GossipSocket,
+    snapshots: SnapshotClient,
+    gossip: Circle,
+    control: Option<ControlSession>,
+    proxy: Option<ProxySession>,
+    desired: DesiredState,
+    majority: MajorityStatus,
+    bounds: Bounds,
+    /// The number of the last update on the present connection to control.
+    last_update: u64,
+    /// When control last sent anything on a connection that has ended.
+    control_last_received_at: Option<Ms>,
+    heartbeat_at: Option<Ms>,
+    shutdown: Option<ShutdownRequest>,
+}
+
+impl Coordinator {
+    /// Nothing is known yet.
+    pub fn new(
+        settings: Settings,
+        endpoints: ControlEndpoints,
+        gossip_socket: GossipSocket,
+        snapshots: SnapshotClient,
+    ) -> Coordinator {
+        Coordinator {
+            bounds: Bounds::of(settings.apply_ms, settings.stretch_ms),
+            gossip: Circle::new(settings.ip, fastrand::u64(..)),
+            settings,
+            started_at: Instant::now(),
+            endpoints,
+            gossip_socket,
+            snapshots,
+            control: None,
+            proxy: None,
+            desired: DesiredState::default(),
+            majority: MajorityStatus::default(),
+            last_update: 0,
+            control_last_received_at: None,
+            heartbeat_at: None,
+            shutdown: None,
+        }
+    }
+
+    fn now(&self) -> Ms {
+        self.started_at.elapsed().as_secs_f64() * 1000.0
+    }
+
+    /// Handles events, and sends heartbeats, for as long as the process lives.
+    pub fn run(mut self, events: &MailboxReceiver<Event>) {
+        loop {
+            let is_first = self.majority.as_of().is_none();
+            let every = if is_first {
+                FIRST_HEARTBEATS_EVERY
+            } else {
+                HEARTBEAT_EVERY
+            };
+            let due_ms = self.heartbeat_at.unwrap_or(0.0) + every;
+            let due = self.started_at + Duration::from_secs_f64(due_ms / 1000.0);
+            match events.recv_deadline(Some(due)) {
+                Ok(event) => self.handle(event),
+                Err(_) => self.heartbeat(),
+            }
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::ControlConnected { id, ip, link } => self.control_connected(id, ip, link),
+            Event::ControlMessage { id, message } if self.is_connected_to_control(id) => {
+                self.control_message(message);
+            }
+            Event::ControlDisconnected { id } if self.is_connected_to_control(id) => {
+                log::info!("event=control_lost");
+                self.drop_control();
+            }
+            // Of a connection that was replaced.
+            Event::ControlMessage { .. } | Event::ControlDisconnected { .. } => {}
+            Event::ProxyConnected { id, link } => {
+                self.proxy = Some(ProxySession::new(id, link, self.now()))
+            }
+            Event::ProxyMessage { id, message } => self.proxy_message(id, message),
+            Event::ProxyDisconnected { id } => self.proxy_disconnected(id),
+            Event::Gossip { from, message } => self.gossip_message(from, message),
+            Event::SnapshotRequest { reply } => self.send_snapshot(&reply),
+            Event::SnapshotChunk(section) => self.snapshot_chunk(section),
+            Event::SettingsChanged(settings) => {
+                self.settings = *settings;
+                self.endpoints.update(&self.settings, &[]);
+            }
+            Event::Shutdown { done } => {
+                self.shutdown = Some(ShutdownRequest {
+                    done,
+                    requested_at: self.now(),
+                });
+                self.finish_shutdown();
+            }
+        }
+    }
+
+    fn is_connected_to_control(&self, id: u64) -> bool {
+        self.control
+            .as_ref()
+            .is_some_and(|control| control.id == id)
+    }
+
+    fn control_connected(&mut self, id: u64, ip: Ipv4Addr, link: Link) {
+        log::info!("event=control_reached ip={ip}");
+        self.control = Some(ControlSession::new(id, ip, link, self.now()));
+        self.last_update = 0;
+        self.heartbeat();
+    }
+
+    fn control_message(&mut self, message: FromControl) {
+        // Any message is a sign of life: answers to heartbeats wait behind long updates.
+        let now = self.now();
+        if let Some(control) = &mut self.control {
+            control.last_received_at = now;
+        }
+        match message {
+            FromControl::Heartbeat {
+                stamp,
+                majority_age: age,
+                decided: of,
+                ..
+            } => {
+                // Counted from when this was asked: the answer cannot be older than that, however late it comes.
+                let as_of = age.map(|age| stamp as Ms - f64::from(age));
+                self.control_report(now, of, as_of);
+            }
+            FromControl::Update {
+                number,
+                part: section,
+            } => {
+                self.last_update = number;
+                self.update(section, Source::Control);
+            }
+            // Agents are never told to start over.
+            FromControl::Resync => {}
+        }
+    }
+
+    /// Control reports what was decided; `as_of`: when a majority of its disks held nothing newer.
+    fn control_report(&mut self, now: Ms, decided: StateDigest, as_of: Option<Ms>) {
+        let Some(control) = &mut self.control else {
+            return;
+        };
+        let held = self.desired.digest();
+        let report = Word {
+            decided,
+            as_of: 0.0,
+        };
+        let status = Verdict::of(&held, Some(&report), false, &self.bounds).standing;
+        if status == Standing::Current {
+            control.record_report(as_of);
+            self.majority.record_current(as_of);
+        } else if as_of.is_some() && self.majority.record_gap(now) {
+            // Updates come before the reports that rest on them: one was missed, and a new connection begins with a
+            // snapshot. Not again at once: a snapshot takes a moment, and other agents are asked meanwhile.
+            let (new, old) = (decided.revision.config, held.revision.config);
+            log::warn!(
+                "event=update_gap status={} decided={new:08x} held={old:08x}",
+                status.word()
+            );
+            control.disconnect();
+        }
+    }
+
+    /// Takes in what is newer than what is held.
+    fn update(&mut self, section: StateSection, source: Source) {
+        if !section.has_valid_checksum() {
+            // The next report of what was decided shows that something is missing here.
+            log::warn!("event=corrupt_update");
+            return;
+        }
+        match &section {
+            StateSection::Proxies(proxies) => self.update_peers(proxies),
+            StateSection::Control(nodes) => self.update_endpoints(nodes),
+            StateSection::Config { .. }
+            | StateSection::Evacuated { .. }
+            | StateSection::Servers { .. } => {}
+        }
+        let now = self.now();
+        if let Update::Accepted { kind } = self.desired.accept(now, section, source) {
+            self.send_to_proxy(kind);
+        }
+    }
+
+    /// Beside each proxy there is an agent.
+    fn update_peers(&mut self, proxies: &[ProxyEndpoint]) {
+        let addresses = proxies.iter().map(|proxy| *proxy.addr.ip());
+        let peers: Vec<Ipv4Addr> = addresses.filter(|ip| *ip != self.settings.ip).collect();
+        self.gossip.meet(&peers);
+    }
+
+    fn update_endpoints(&mut self, nodes: &[ControlAddress]) {
+        let is_first_list = !self.desired.knows_control();
+        self.endpoints.update(&self.settings, nodes);
+        let Some(control) = &self.control else { return };
+        // Seeds do not tell their zones: before anything depends on the connection it moves to the nearest node. And a
+        // node that says of itself that it ends is left for another at once.
+        let is_ending = nodes
+            .iter()
+            .any(|node| node.ip == control.ip && !node.reachable);
+        let has_others = nodes.iter().any(|node| node.reachable);
+        let is_far = is_first_list && !self.endpoints.is_nearest(control.ip);
+        if is_far || is_ending && has_others {
+            control.disconnect();
+        }
+    }
+
+    fn send_to_proxy(&mut self, kind: usize) {
+        let now = self.now();
+        if let (Some(proxy), Some(section)) = (&mut self.proxy, self.desired.section(kind, now)) {
+            proxy.send_update(section);
+        }
+    }
+
+    fn send_all_to_proxy(&mut self) {
+        DesiredState::kinds().for_each(|kind| self.send_to_proxy(kind));
+    }
+
+    fn proxy_message(&mut self, id: u64, message: ToControl) {
+        let now = self.now();
+        let Some(proxy) = self.proxy.as_mut().filter(|proxy| proxy.id == id) else {
+            return;
+        };
+        proxy.last_received_at = now;
+        match message {
+            ToControl::Hello {
+                host,
+                front: address,
+                ..
+            } => {
+                proxy.identity = Some(ProxyIdentity { host, address });
+                self.send_all_to_proxy();
+                self.heartbeat();
+            }
+            ToControl::Heartbeat {
+                stamp,
+                readiness,
+                applied,
+            } => {
+                let has_changed = proxy.record_heartbeat(readiness, applied);
+                self.answer_heartbeat(now, stamp);
+                if has_changed {
+                    self.heartbeat();
+                }
+                self.repair_proxy(now);
+            }
+            // All that the proxy was sent is in force there, and so is all that control sent.
+            ToControl::Applied { number } if number == proxy.last_sequence => {
+                if let Some(control) = &self.control {
+                    control.acknowledge(self.last_update);
+                }
+            }
+            // Proxies have one agent.
+            ToControl::Applied { .. } | ToControl::Disconnecting => {}
+        }
+    }
+
+    fn answer_heartbeat(&self, now: Ms, stamp: u64) {
+        let Some(proxy) = &self.proxy else { return };
+        let last_received_at = self
+            .control
+            .as_ref()
+            .map(|control| control.last_received_at);
+        let last_received_at = last_received_at.or(self.control_last_received_at);
+        proxy.link.send(&FromControl::Heartbeat {
+            stamp,
+            majority_age: self.majority.age(now),
+            decided: self.desired.digest(),
+            control_reachable: last_received_at
+                .is_some_and(|last_received_at| now - last_received_at <= CONTROL_SILENT_AFTER),
+            most_agents_isolated: self.gossip.deserted(now),
+        });
+    }
+
+    /// Sees to it that the proxy has in force what is held here.
+    fn repair_proxy(&mut self, now: Ms) {
+        let held = self.desired.digest();
+        let Some(proxy) = &mut self.proxy else { return };
+        let repair = proxy.next_repair(now, &held, &self.bounds);
+        if repair.resyncs {
+            proxy.link.send(&FromControl::Resync);
+        }
+        repair
+            .kinds
+            .into_iter()
+            .for_each(|kind| self.send_to_proxy(kind));
+    }
+
+    fn proxy_disconnected(&mut self, id: u64) {
+        if let Some(proxy) = self.proxy.as_mut().filter(|proxy| proxy.id == id) {
+            log::info!("event=proxy_lost");
+            proxy.disconnected();
+            self.heartbeat();
+        }
+    }
+
+    fn gossip_message(&mut self, from: Ipv4Addr, message: GossipMessage) {
+        let now = self.now();
+        let as_of = self.majority.fresh_as_of(now);
+        let actions = self
+            .gossip
+            .hear(now, from, message, &self.desired.digest(), as_of);
+        self.carry_out(actions);
+    }
+
+    fn carry_out(&mut self, actions: Vec<Act>) {
+        for action in actions {
+            match action {
+                Act::Say { to, word } => self.gossip_socket.send(to, &word),
+                Act::AsOf(as_of) => self.majority.record_from_peer(as_of),
+                Act::Fetch(from) => {
+                    log::info!("event=snapshot_asked of={from}");
+                    self.snapshots.fetch(from);
+                }
+            }
+        }
+    }
+
+    fn send_snapshot(&self, reply: &Sender<Vec<u8>>) {
+        let now = self.now();
+        let sections = DesiredState::kinds().filter_map(|kind| self.desired.section(kind, now));
+        let updates = (1..)
+            .zip(sections)
+            .map(|(number, section)| FromControl::Update {
+                number,
+                part: section,
+            });
+        let _ = reply.try_send(
+            updates
+                .flat_map(|update| frames::encode_frame(&update))
+                .collect(),
+        );
+    }
+
+    fn snapshot_chunk(&mut self, section: StateSection) {
+        // Orders are numbered; what else another agent knows counts only where nothing better is heard.
+        let is_order = matches!(
+            section,
+            StateSection::Config { .. } | StateSection::Evacuated { .. }
+        );
+        let is_cut_off = self.majority.is_stale(self.now());
+        if is_order || is_cut_off && !matches!(section, StateSection::Control(_)) {
+            self.update(section, Source::Peer);
+        }
+    }
+
+    fn drop_control(&mut self) {
+        if let Some(control) = self.control.take() {
+            self.control_last_received_at = Some(control.last_received_at);
+        }
+    }
+
+    /// Lets the process end once its proxy has ended, or goes on taking requests and was not told to end.
+    fn finish_shutdown(&self) {
+        let Some(shutdown) = &self.shutdown else {
+            return;
+        };
+        let had_notice = self.now() - shutdown.requested_at >= PROXY_NOTICE;
+        let needs_no_agent =
+            |proxy: &ProxySession| proxy.is_disconnected || proxy.is_ready() && had_notice;
+        if self.proxy.as_ref().is_none_or(needs_no_agent) {
+            let _ = shutdown.done.try_send(());
+        }
+    }
+
+    /// Sends a heartbeat to control, or ends a connection that is of no use.
+    fn heartbeat(&mut self) {
+        let now = self.now();
+        self.heartbeat_at = Some(now);
+        self.finish_shutdown();
+        let asks_peers = self.majority.has_gap() || self.majority.is_stale(now);
+        let actions = self.gossip.beat(now, asks_peers);
+        self.carry_out(actions);
+        let Some(control) = &mut self.control else {
+            return;
+        };
+        if let Some(fault) = control.fault(now) {
+            log::info!("event=control_left stale={}", fault == ControlFault::Stale);
+            control.end(fault);
+            self.endpoints.avoid(control.ip);
+            return self.drop_control();
+        }
+        if let Some(proxy) = &self.proxy {
+            control.report_proxy(now, proxy, &self.settings.zone);
+        }
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-agent/src/coordinator/proxy_session.rs
@@ -0,0 +1,156 @@
+//! The connection of the proxy, as the coordinator sees it.
+
+use super::desired_state::{DesiredState, CONFIG, EVACUATED};
+use aspendrum_model::message::{FromControl, Readiness, StateDigest, StateSection};
+use aspendrum_net::frames::Link;
+use aspendrum_reconcile::{edition, Bounds, Mending, Ms, Section, Step, Verdict, Word};
+use std::net::SocketAddrV4;
+
+/// A proxy that sends nothing for so long is not ready, whatever it said last.
+const SILENT_AFTER: Ms = 900.0;
+
+/// Who the proxy says that it is.
+pub(super) struct ProxyIdentity {
+    /// The name of its host.
+    pub(super) host: String,
+    /// Where clients reach it.
+    pub(super) address: SocketAddrV4,
+}
+
+/// The connection of the proxy; the last one stays known after its end.
+pub(super) struct ProxySession {
+    pub(super) id: u64,
+    pub(super) link: Link,
+    /// Known once the proxy has said it; nothing is sent to it before.
+    pub(super) identity: Option<ProxyIdentity>,
+    pub(super) last_received_at: Ms,
+    /// What is in force there, computed from its tables.
+    pub(super) applied: StateDigest,
+    /// The number of the last update that was sent.
+    pub(super) last_sequence: u64,
+    pub(super) is_disconnected: bool,
+    readiness: Readiness,
+    repair: Mending,
+}
+
+/// What is to be sent again to a proxy that differs.
+#[derive(Default)]
+pub(super) struct RepairActions {
+    /// The proxy is to build its tables anew.
+    pub(super) resyncs: bool,
+    /// The kinds of sections that are sent again.
+    pub(super) kinds: Vec<usize>,
+}
+
+impl ProxySession {
+    pub(super) fn new(id: u64, link: Link, now: Ms) -> ProxySession {
+        ProxySession {
+            id,
+            link,
+            identity: None,
+            last_received_at: now,
+            applied: edition(None, 0, &[]),
+            last_sequence: 0,
+            is_disconnected: false,
+            readiness: Readiness::Closed,
+            repair: Mending::default(),
+        }
+    }
+
+    /// Sends one section of what is held.
+    pub(super) fn send_update(&mut self, section: StateSection) {
+        if self.identity.is_some() {
+            self.last_sequence += 1;
+            self.link.send(&FromControl::Update {
+                number: self.last_sequence,
+                part: section,
+            });
+        }
+    }
+
+    /// Returns whether the proxy's readiness has changed.
+    pub(super) fn record_heartbeat(&mut self, readiness: Readiness, applied: StateDigest) -> bool {
+        self.applied = applied;
+        std::mem::replace(&mut self.readiness, readiness) != readiness
+    }
+
+    pub(super) fn is_ready(&self) -> bool {
+        self.readiness == Readiness::Ready
+    }
+
+    /// The proxy's readiness as control is to know it.
+    pub(super) fn readiness_at(&self, now: Ms) -> Readiness {
+        if now - self.last_received_at <= SILENT_AFTER {
+            self.readiness
+        } else {
+            Readiness::Closed
+        }
+    }
+
+    pub(super) fn disconnected(&mut self) {
+        self.readiness = Readiness::Closed;
+        self.is_disconnected = true;
+    }
+
+    /// What is to be sent again so that the proxy has in force what is held here.
+    pub(super) fn next_repair(
+        &mut self,
+        now: Ms,
+        held: &StateDigest,
+        bounds: &Bounds,
+    ) -> RepairActions {
+        if self.identity.is_none() {
+            return RepairActions::default();
+        }
+        let report = Word {
+            decided: *held,
+            as_of: now,
+        };
+        let status = Verdict::of(&self.applied, Some(&report), false, bounds).standing;
+        let differing = Section::differing(&self.applied, held);
+        let Some(step) = self.repair.look(now, status, &differing) else {
+            return RepairActions::default();
+        };
+        let (applied, held) = (self.applied.revision.config, held.revision.config);
+        log::warn!(
+            "event=proxy_differs status={} applied={applied:08x} held={held:08x} sections={differing:?} step={step:?}",
+            status.word()
+        );
+        RepairActions::of(&step)
+    }
+}
+
+impl RepairActions {
+    fn of(step: &Step) -> RepairActions {
+        let all = || DesiredState::kinds().collect();
+        match step {
+            Step::Sections(sections) => RepairActions {
+                resyncs: false,
+                kinds: kinds_of(sections),
+            },
+            Step::Snapshot => RepairActions {
+                resyncs: false,
+                kinds: all(),
+            },
+            Step::Anew => RepairActions {
+                resyncs: true,
+                kinds: all(),
+            },
+            Step::Tell => RepairActions::default(),
+        }
+    }
+}
+
+/// Evacuations are a section of their own; all other sections are in the configuration.
+fn kinds_of(sections: &[Section]) -> Vec<usize> {
+    let has_evacuations = sections.contains(&Section::Evacuations);
+    let has_others = sections
+        .iter()
+        .any(|section| *section != Section::Evacuations);
+    let kinds = [(CONFIG, has_others), (EVACUATED, has_evacuations)];
+    kinds
+        .iter()
+        .filter(|(_, differs)| *differs)
+        .map(|(kind, _)| *kind)
+        .collect()
+}
--- a/crates/aspendrum-agent/src/main.rs
+++ b/crates/aspendrum-agent/src/main.rs
@@ -1,67 +1,13 @@
-//! The agent beside a proxy: holds the link to control, keeps what is decided, and feeds the proxy over
-//! loopback ahead of time.
+//! The command line. Everything else is in the library.
 
-mod control;
-mod desk;
-mod lend;
-mod notes;
-mod proxy;
-
-use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::{self, ProcessSignals};
-use aspendrum_net::mailbox;
-use aspendrum_net::workers::spawn;
-use crossbeam_channel::bounded;
-use desk::Desk;
-use notes::Note;
+use aspendrum_model::settings::Settings;
+use aspendrum_net::daemon;
 use std::process::ExitCode;
-use std::sync::Arc;
-use std::time::Duration;
-
-const NOTES: usize = 1024;
-/// Of the grace, how long it waits for its proxy's end.
-const LEAVE_SHARE: f64 = 0.95;
 
 fn main() -> ExitCode {
     let about = "The agent beside a proxy: keeps the link to control and feeds the proxy";
-    daemon::run(
-        "aspendrum-agent",
-        about,
-        || Settings::load().map(|s| s.host),
-        serve,
-    )
-}
-
-fn serve(told: ProcessSignals) -> Result<(), String> {
-    let settings = Settings::load()?;
-    let failed = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
-    let (give, take) = bounded::<Desk>(1);
-    let start = |inbox| {
-        spawn("desk", 256 << 10, move || {
-            if let Ok(desk) = take.recv() {
-                let desk: Desk = desk;
-                desk.run(&inbox);
-            }
-        })
-    };
-    let notes = Arc::new(mailbox::spawn_receiver(NOTES, start).map_err(failed("desk"))?);
-    let route = control::Route::new(&settings);
-    control::hold(&route, &settings, &notes).map_err(failed("control"))?;
-    proxy::listen(settings.agent_at(), &notes).map_err(failed("agent port"))?;
-    let lender = lend::Lender::open(&settings, &notes).map_err(failed("lending ports"))?;
-    let desk = Desk::new(settings.clone(), route, lender);
-    give.send(desk).map_err(|e| e.to_string())?;
-    log::info!("event=started host={}", settings.host);
-
-    let reload = || {
-        let settings = Box::new(Settings::load()?);
-        notes.send(Note::Settings(settings), None);
-        Ok(())
-    };
-    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
-    // A proxy that ends finishes what it has in hand, and needs to hear of servers and orders meanwhile.
-    let (done, left) = bounded(1);
-    notes.send(Note::Leave { done }, None);
-    let _ = left.recv_timeout(Duration::from_secs_f64(LEAVE_SHARE * settings.grace_s));
-    Ok(())
+    let check = || Settings::load().map(|settings| settings.host);
+    daemon::run("aspendrum-agent", about, check, |signals| {
+        aspendrum_agent::serve(signals).map_err(|error| error.to_string())
+    })
 }
--- /dev/null
+++ b/crates/aspendrum-agent/src/snapshot.rs
@@ -0,0 +1,90 @@
+//! Snapshots between agents: all that one holds, as frames on a short connection.
+
+use crate::event::Event;
+use aspendrum_model::message::FromControl;
+use aspendrum_model::settings::Settings;
+use aspendrum_net::frames::{self, Link};
+use aspendrum_net::mailbox::MailboxSender;
+use aspendrum_net::workers::spawn;
+use crossbeam_channel::bounded;
+use std::io::{self, BufReader, Write};
+use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::thread::sleep;
+use std::time::Duration;
+
+const STACK_BYTES: usize = 96 << 10;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
+/// An agent that sends nothing more of its snapshot for so long is given up.
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1500);
+const READ_BUFFER_BYTES: usize = 4 << 10;
+/// After a connection could not be accepted: no descriptor is free, and one may be in a moment.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+
+/// Sends snapshots to other agents, for as long as the process runs.
+///
+/// # Errors
+///
+/// The port cannot be bound, or no thread can be started.
+pub fn start_server(settings: &Settings, events: &Arc<MailboxSender<Event>>) -> io::Result<()> {
+    let [_, port] = settings.lend_ports();
+    let listener = TcpListener::bind(SocketAddrV4::new(settings.ip, port))?;
+    let events = events.clone();
+    spawn("snapshots", STACK_BYTES, move || loop {
+        match listener.accept() {
+            // One at a time: an agent that cannot wait asks another.
+            Ok((stream, _)) => serve(stream, &events),
+            Err(_) => sleep(ACCEPT_PAUSE),
+        }
+    })?;
+    Ok(())
+}
+
+fn serve(mut stream: TcpStream, events: &MailboxSender<Event>) {
+    let _ = stream.set_write_timeout(Some(TRANSFER_TIMEOUT));
+    let (reply, snapshot) = bounded(1);
+    events.send(Event::SnapshotRequest { reply }, None);
+    if let Ok(bytes) = snapshot.recv_timeout(TRANSFER_TIMEOUT) {
+        let _ = stream.write_all(&bytes);
+    }
+}
+
+/// Fetches snapshots of other agents.
+pub struct SnapshotClient {
+    settings: Settings,
+    events: Arc<MailboxSender<Event>>,
+}
+
+impl SnapshotClient {
+    /// Each chunk of a snapshot goes to `events`.
+    pub fn new(settings: &Settings, events: &Arc<MailboxSender<Event>>) -> SnapshotClient {
+        SnapshotClient {
+            settings: settings.clone(),
+            events: events.clone(),
+        }
+    }
+
+    /// Begins to fetch all that another agent holds.
+    pub fn fetch(&self, from: Ipv4Addr) {
+        let [_, port] = self.settings.lend_ports();
+        let address = self.settings.way(SocketAddrV4::new(from, port));
+        let events = self.events.clone();
+        let started = spawn("fetch", STACK_BYTES, move || {
+            // An agent that cannot be reached, or stops half-way, is asked again or passed over by the gossip.
+            let _ = receive(address, &events);
+        });
+        if let Err(e) = started {
+            log::warn!("event=snapshot_not_asked why=\"{e}\"");
+        }
+    }
+}
+
+fn receive(address: SocketAddrV4, events: &MailboxSender<Event>) -> io::Result<()> {
+    let stream = Link::dial(address, CONNECT_TIMEOUT)?;
+    let _ = stream.set_read_timeout(Some(TRANSFER_TIMEOUT));
+    let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, &*stream);
+    while let FromControl::Update { part, .. } = frames::read_frame::<FromControl>(&mut reader)? {
+        events.send(Event::SnapshotChunk(part), None);
+    }
+    Ok(())
+}
