--- a/crates/aspendrum-agent/src/control_connection.rs
+++ b/crates/aspendrum-agent/src/control_connection.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use std::io::{self, BufReader};
 use std::net::{Ipv4Addr, TcpStream};
 use std::sync::Arc;
@@ -65,7 +65,7 @@
 }
 
 fn connect(settings: &Settings, ip: Ipv4Addr) -> io::Result<(Link, Arc<TcpStream>)> {
-    let stream = Link::dial(settings.control_at(ip), CONNECT_TIMEOUT)?;
+    let stream = Link::connect(settings.control_addr(ip), CONNECT_TIMEOUT)?;
     let link = Link::from_stream(stream.clone(), ACKNOWLEDGE_TIMEOUT, QUEUE_LENGTH)?;
     Ok((link, stream))
 }
--- a/crates/aspendrum-agent/src/control_endpoints.rs
+++ b/crates/aspendrum-agent/src/control_endpoints.rs
@@ -3,7 +3,7 @@
 use aspendrum_model::hash::{digest, rank};
 use aspendrum_model::message::ControlAddress;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::workers::lock;
+use aspendrum_net::threads::lock;
 use std::net::Ipv4Addr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
 
 impl Distance {
     fn to(zone: &str, settings: &Settings) -> Distance {
-        match settings.zones.get(zone) {
+        match settings.zone_regions.get(zone) {
             _ if zone == settings.zone => Distance::SameZone,
             Some(region) if *region == settings.region => Distance::SameRegion,
             Some(_) => Distance::OtherRegion,
@@ -62,7 +62,7 @@
 
 impl DialKey {
     fn of(node: &ControlAddress, settings: &Settings) -> DialKey {
-        let host = digest(settings.host.as_bytes());
+        let host = digest(settings.host_name.as_bytes());
         DialKey {
             is_down: !node.reachable,
             distance: Distance::to(&node.zone, settings),
--- a/crates/aspendrum-agent/src/coordinator/control_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/control_session.rs
@@ -68,7 +68,7 @@
     pub(super) fn end(&self, fault: ControlFault) {
         match fault {
             ControlFault::Stale => self.disconnect(),
-            ControlFault::Silent => self.link.end(),
+            ControlFault::Silent => self.link.close(),
         }
     }
 
@@ -93,13 +93,13 @@
             self.announced = Some(address);
             self.send(ToControl::Hello {
                 host: host.clone(),
-                front: address,
+                proxy_addr: address,
                 zone: zone.to_string(),
             });
         }
         let (readiness, applied) = (proxy.readiness_at(now), proxy.applied);
         self.send(ToControl::Heartbeat {
-            stamp: now as u64,
+            sent_at_ms: now as u64,
             readiness,
             applied,
         });
--- a/crates/aspendrum-agent/src/coordinator/desired_state.rs
+++ b/crates/aspendrum-agent/src/coordinator/desired_state.rs
@@ -1,8 +1,8 @@
 //! What was decided, as far as this agent knows: the newest section of each kind.
 
+use aspendrum_model::compression::decompress;
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{StateDigest, StateSection, SECTION_KINDS};
-use aspendrum_model::packed::unpack;
 use aspendrum_model::servers::ServerList;
 use aspendrum_reconcile::{edition, Ms};
 
@@ -73,9 +73,9 @@
         if !is_newer(&section, self.sections[kind].as_ref(), source) {
             return Update::Ignored;
         }
-        if let StateSection::Servers { age, list } = &section {
+        if let StateSection::Servers { age_ms, list } = &section {
             self.servers
-                .replace(now, list.clone(), now - f64::from(*age));
+                .replace(now, list.clone(), now - f64::from(*age_ms));
         }
         if let StateSection::Config { version, .. } = &section {
             log::info!("event=update part=config version={version:08x}");
@@ -90,10 +90,10 @@
     /// The section of one kind, as it is to be sent now.
     pub(super) fn section(&self, kind: usize, now: Ms) -> Option<StateSection> {
         let mut section = self.sections[kind].clone()?;
-        if let (StateSection::Servers { age, list }, Some(polled)) =
+        if let (StateSection::Servers { age_ms, list }, Some(polled)) =
             (&mut section, self.servers.polled_at)
         {
-            *age = (now - polled).max(0.0) as u32;
+            *age_ms = (now - polled).max(0.0) as u32;
             *list = self.servers.snapshot(now);
         }
         Some(section)
@@ -101,16 +101,16 @@
 
     fn update_digest(&mut self) {
         let config = match &self.sections[CONFIG] {
-            Some(StateSection::Config { text, .. }) => {
-                unpack(text).and_then(|text| Config::read(&text).ok())
-            }
+            Some(StateSection::Config {
+                compressed_text, ..
+            }) => decompress(compressed_text).and_then(|text| Config::read(&text).ok()),
             _ => None,
         };
-        let (number, zones) = match &self.sections[EVACUATED] {
-            Some(StateSection::Evacuated { number, zones }) => (*number, zones.as_slice()),
+        let (order, zones) = match &self.sections[EVACUATED] {
+            Some(StateSection::Evacuated { order, zones }) => (*order, zones.as_slice()),
             _ => (0, [].as_slice()),
         };
-        self.digest = edition(config.as_ref(), number, zones);
+        self.digest = edition(config.as_ref(), order, zones);
     }
 }
 
@@ -130,12 +130,11 @@
             version > held_version || replaces && source == Source::Control
         }
         (
-            StateSection::Evacuated { number, .. },
+            StateSection::Evacuated { order, .. },
             Some(StateSection::Evacuated {
-                number: held_number,
-                ..
+                order: held_order, ..
             }),
-        ) => number > held_number,
+        ) => order > held_order,
         _ => true,
     }
 }
--- a/crates/aspendrum-agent/src/coordinator/mod.rs
+++ b/crates/aspendrum-agent/src/coordinator/mod.rs
@@ -71,7 +71,7 @@
         snapshots: SnapshotClient,
     ) -> Coordinator {
         Coordinator {
-            bounds: Bounds::of(settings.apply_ms, settings.stretch_ms),
+            bounds: Bounds::of(settings.apply_deadline_ms, settings.unsettled_extension_ms),
             gossip: Circle::new(settings.ip, fastrand::u64(..)),
             settings,
             started_at: Instant::now(),
@@ -166,19 +166,16 @@
         }
         match message {
             FromControl::Heartbeat {
-                stamp,
+                sent_at_ms,
                 majority_age: age,
                 decided: of,
                 ..
             } => {
                 // Counted from when this was asked: the answer cannot be older than that, however late it comes.
-                let as_of = age.map(|age| stamp as Ms - f64::from(age));
+                let as_of = age.map(|age| sent_at_ms as Ms - f64::from(age));
                 self.control_report(now, of, as_of);
             }
-            FromControl::Update {
-                number,
-                part: section,
-            } => {
+            FromControl::Update { number, section } => {
                 self.last_update = number;
                 self.update(section, Source::Control);
             }
@@ -276,7 +273,7 @@
         match message {
             ToControl::Hello {
                 host,
-                front: address,
+                proxy_addr: address,
                 ..
             } => {
                 proxy.identity = Some(ProxyIdentity { host, address });
@@ -284,12 +281,12 @@
                 self.heartbeat();
             }
             ToControl::Heartbeat {
-                stamp,
+                sent_at_ms,
                 readiness,
                 applied,
             } => {
                 let has_changed = proxy.record_heartbeat(readiness, applied);
-                self.answer_heartbeat(now, stamp);
+                self.answer_heartbeat(now, sent_at_ms);
                 if has_changed {
                     self.heartbeat();
                 }
@@ -306,7 +303,7 @@
         }
     }
 
-    fn answer_heartbeat(&self, now: Ms, stamp: u64) {
+    fn answer_heartbeat(&self, now: Ms, sent_at_ms: u64) {
         let Some(proxy) = &self.proxy else { return };
         let last_received_at = self
             .control
@@ -314,7 +311,7 @@
             .map(|control| control.last_received_at);
         let last_received_at = last_received_at.or(self.control_last_received_at);
         proxy.link.send(&FromControl::Heartbeat {
-            stamp,
+            sent_at_ms,
             majority_age: self.majority.age(now),
             decided: self.desired.digest(),
             control_reachable: last_received_at
@@ -372,10 +369,7 @@
         let sections = DesiredState::kinds().filter_map(|kind| self.desired.section(kind, now));
         let updates = (1..)
             .zip(sections)
-            .map(|(number, section)| FromControl::Update {
-                number,
-                part: section,
-            });
+            .map(|(number, section)| FromControl::Update { number, section });
         let _ = reply.try_send(
             updates
                 .flat_map(|update| frames::encode_frame(&update))
--- a/crates/aspendrum-agent/src/coordinator/proxy_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/proxy_session.rs
@@ -63,7 +63,7 @@
             self.last_sequence += 1;
             self.link.send(&FromControl::Update {
                 number: self.last_sequence,
-                part: section,
+                section,
             });
         }
     }
--- a/crates/aspendrum-agent/src/error.rs
+++ b/crates/aspendrum-agent/src/error.rs
@@ -1,5 +1,7 @@
 //! Why an agent does not start, or ends early.
 
+use aspendrum_model::settings::SettingsError;
+use aspendrum_net::process_signals::SignalError;
 use derive_more::{Display, Error};
 use std::io;
 
@@ -8,7 +10,7 @@
 pub enum AgentError {
     /// The settings cannot be read.
     #[display("{_0}")]
-    Settings(#[error(not(source))] String),
+    Settings(SettingsError),
     /// A socket or a thread that the agent needs.
     #[display("{component}: {source}")]
     Start {
@@ -22,7 +24,7 @@
     CoordinatorEnded,
     /// Signals cannot be received.
     #[display("{_0}")]
-    Signals(#[error(not(source))] String),
+    Signals(SignalError),
 }
 
 impl AgentError {
--- a/crates/aspendrum-agent/src/gossip_socket.rs
+++ b/crates/aspendrum-agent/src/gossip_socket.rs
@@ -4,7 +4,7 @@
 use aspendrum_gossip::Word;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddrV4, UdpSocket};
 use std::sync::Arc;
@@ -29,7 +29,7 @@
         settings: &Settings,
         events: &Arc<MailboxSender<Event>>,
     ) -> io::Result<GossipSocket> {
-        let [port, _] = settings.lend_ports();
+        let port = settings.gossip_port();
         let socket = Arc::new(UdpSocket::bind(SocketAddrV4::new(settings.ip, port))?);
         let (own_socket, events) = (socket.clone(), events.clone());
         spawn("gossip", STACK_BYTES, move || receive(&own_socket, &events))?;
@@ -42,11 +42,11 @@
     /// Sends a datagram to another agent. It may be lost, as any datagram.
     pub fn send(&self, to: Ipv4Addr, message: &Word) {
         let mut space = [0; MAX_DATAGRAM];
-        let [port, _] = self.settings.lend_ports();
+        let port = self.settings.gossip_port();
         if let Ok(bytes) = postcard::to_slice(message, &mut space) {
             let _ = self
                 .socket
-                .send_to(bytes, self.settings.way(SocketAddrV4::new(to, port)));
+                .send_to(bytes, self.settings.dial_addr(SocketAddrV4::new(to, port)));
         }
     }
 }
--- a/crates/aspendrum-agent/src/main.rs
+++ b/crates/aspendrum-agent/src/main.rs
@@ -6,8 +6,6 @@
 
 fn main() -> ExitCode {
     let about = "The agent beside a proxy: keeps the link to control and feeds the proxy";
-    let check = || Settings::load().map(|settings| settings.host);
-    daemon::run("aspendrum-agent", about, check, |signals| {
-        aspendrum_agent::serve(signals).map_err(|error| error.to_string())
-    })
+    let check = || Settings::load().map(|settings| settings.host_name);
+    daemon::run("aspendrum-agent", about, check, aspendrum_agent::serve)
 }
--- a/crates/aspendrum-agent/src/process.rs
+++ b/crates/aspendrum-agent/src/process.rs
@@ -7,10 +7,10 @@
 use crate::gossip_socket::GossipSocket;
 use crate::snapshot::{self, SnapshotClient};
 use crate::{control_connection, proxy_listener};
-use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::ProcessSignals;
+use aspendrum_model::settings::{Settings, SettingsError, SETTINGS_VARIABLE};
 use aspendrum_net::mailbox::{self, MailboxSender};
-use aspendrum_net::workers::spawn;
+use aspendrum_net::process_signals::ProcessSignals;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::{bounded, Sender};
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     let endpoints = ControlEndpoints::new(&settings);
     control_connection::start(&endpoints, &settings, &events)
         .map_err(AgentError::of_component("control"))?;
-    proxy_listener::start(settings.agent_at(), &events)
+    proxy_listener::start(settings.agent_addr(), &events)
         .map_err(AgentError::of_component("agent port"))?;
     let gossip =
         GossipSocket::open(&settings, &events).map_err(AgentError::of_component("peer ports"))?;
@@ -45,19 +45,19 @@
         snapshots,
     ));
     started.map_err(|_| AgentError::CoordinatorEnded)?;
-    log::info!("event=started host={}", settings.host);
-    let reload = || {
+    log::info!("event=started host={}", settings.host_name);
+    let reload = || -> Result<(), SettingsError> {
         let settings = Box::new(Settings::load()?);
         events.send(Event::SettingsChanged(settings), None);
         Ok(())
     };
-    let settings_file = std::env::var(VARIABLE).unwrap_or_default();
+    let settings_file = std::env::var(SETTINGS_VARIABLE).unwrap_or_default();
     signals
         .wait_for_shutdown(settings_file, reload)
         .map_err(AgentError::Signals)?;
     wait_for_proxy(
         &events,
-        Duration::from_secs_f64(WAIT_FOR_PROXY_SHARE * settings.grace_s),
+        Duration::from_secs_f64(WAIT_FOR_PROXY_SHARE * settings.shutdown_grace_s),
     );
     Ok(())
 }
--- a/crates/aspendrum-agent/src/snapshot.rs
+++ b/crates/aspendrum-agent/src/snapshot.rs
@@ -5,7 +5,7 @@
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxSender;
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::bounded;
 use std::io::{self, BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
@@ -27,7 +27,7 @@
 ///
 /// The port cannot be bound, or no thread can be started.
 pub fn start_server(settings: &Settings, events: &Arc<MailboxSender<Event>>) -> io::Result<()> {
-    let [_, port] = settings.lend_ports();
+    let port = settings.snapshot_port();
     let listener = TcpListener::bind(SocketAddrV4::new(settings.ip, port))?;
     let events = events.clone();
     spawn("snapshots", STACK_BYTES, move || loop {
@@ -66,8 +66,8 @@
 
     /// Begins to fetch all that another agent holds.
     pub fn fetch(&self, from: Ipv4Addr) {
-        let [_, port] = self.settings.lend_ports();
-        let address = self.settings.way(SocketAddrV4::new(from, port));
+        let port = self.settings.snapshot_port();
+        let address = self.settings.dial_addr(SocketAddrV4::new(from, port));
         let events = self.events.clone();
         let started = spawn("fetch", STACK_BYTES, move || {
             // An agent that cannot be reached, or stops half-way, is asked again or passed over by the gossip.
@@ -80,11 +80,12 @@
 }
 
 fn receive(address: SocketAddrV4, events: &MailboxSender<Event>) -> io::Result<()> {
-    let stream = Link::dial(address, CONNECT_TIMEOUT)?;
+    let stream = Link::connect(address, CONNECT_TIMEOUT)?;
     let _ = stream.set_read_timeout(Some(TRANSFER_TIMEOUT));
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, &*stream);
-    while let FromControl::Update { part, .. } = frames::read_frame::<FromControl>(&mut reader)? {
-        events.send(Event::SnapshotChunk(part), None);
+    while let FromControl::Update { section, .. } = frames::read_frame::<FromControl>(&mut reader)?
+    {
+        events.send(Event::SnapshotChunk(section), None);
     }
     Ok(())
 }
--- a/crates/aspendrum-control/src/lib.rs
+++ b/crates/aspendrum-control/src/lib.rs
@@ -20,13 +20,14 @@
 pub mod store;
 
 use aspendrum_consensus::Replica;
-use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::{self, ProcessSignals};
+use aspendrum_model::settings::{Settings, SETTINGS_VARIABLE};
+use aspendrum_net::daemon;
 use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::http_client::HttpClient;
 use aspendrum_net::http_server::{self, ServerOptions};
 use aspendrum_net::mailbox::{self, MailboxSender};
-use aspendrum_net::workers::spawn;
+use aspendrum_net::process_signals::ProcessSignals;
+use aspendrum_net::threads::spawn;
 use crossbeam_channel::{bounded, Receiver};
 use directory::Directory;
 use event::Event;
@@ -49,12 +50,12 @@
 const PEER_SILENT: Duration = Duration::from_millis(1600);
 /// A configuration of thousands of routes takes a few megabytes.
 const ORDERS: MessageLimits = MessageLimits {
-    head: 16 << 10,
-    body: 16 << 20,
+    head_bytes: 16 << 10,
+    body_bytes: 16 << 20,
 };
 const LOOK_UPS: MessageLimits = MessageLimits {
-    head: 16 << 10,
-    body: 1 << 10,
+    head_bytes: 16 << 10,
+    body_bytes: 1 << 10,
 };
 
 /// Does what the command line says.
@@ -63,7 +64,7 @@
     daemon::run(
         "aspendrum-control",
         about,
-        || Settings::load().map(|s| s.host),
+        || Settings::load().map(|s| s.host_name),
         serve,
     )
 }
@@ -73,21 +74,24 @@
 }
 
 fn serve(told: ProcessSignals) -> Result<(), String> {
-    let settings = Settings::load()?;
+    let settings = Settings::load().map_err(|e| e.to_string())?;
     let begun = Instant::now();
-    let directory = Arc::new(RwLock::new(Directory::new(0.0, &settings.zones)));
+    let directory = Arc::new(RwLock::new(Directory::new(0.0, &settings.zone_regions)));
     let events = start_server(&settings, &directory, begun)?;
     open_calls(&settings, &directory, &events, begun)?;
-    let reload = || {
-        let settings = Box::new(Settings::load()?);
+    let reload = || -> Result<(), String> {
+        let settings = Box::new(Settings::load().map_err(|e| e.to_string())?);
         events.send(Event::Settings(settings), None);
         Ok(())
     };
-    told.wait_for_shutdown(std::env::var(VARIABLE).unwrap_or_default(), reload)?;
+    told.wait_for_shutdown(std::env::var(SETTINGS_VARIABLE).unwrap_or_default(), reload)
+        .map_err(|e| e.to_string())?;
     // All that was acknowledged is on disks; what is left is a vote that another machine may take.
     let (done, left) = bounded(1);
     events.send(Event::Leave { done }, None);
-    let _ = left.recv_timeout(Duration::from_secs_f64(HAND_OVER_SHARE * settings.grace_s));
+    let _ = left.recv_timeout(Duration::from_secs_f64(
+        HAND_OVER_SHARE * settings.shutdown_grace_s,
+    ));
     Ok(())
 }
 
@@ -98,19 +102,25 @@
     begun: Instant,
 ) -> Result<Arc<MailboxSender<Event>>, String> {
     let folder = settings
-        .datadir
+        .data_dir
         .as_ref()
         .map(|d| Path::new(d).to_path_buf());
     let store = folder.as_ref().map(|f| Store::open(f)).transpose()?;
     let held = store.as_ref().map_or(Ok(None), Store::read)?;
     let seeds: Vec<u32> = settings.seeds.iter().map(|s| u32::from(*s.ip())).collect();
     let (me, disk) = (u32::from(settings.ip), fastrand::u64(1..));
-    let (replica, first) =
-        Replica::start(me, held.clone(), settings.init, &seeds, disk, new_life());
+    let (replica, first) = Replica::start(
+        me,
+        held.clone(),
+        settings.is_first_start,
+        &seeds,
+        disk,
+        new_life(),
+    );
     log::info!(
         "event=started host={} init={} empty_disk={} epoch={} votes={}",
-        settings.host,
-        settings.init,
+        settings.host_name,
+        settings.is_first_start,
         held.is_none(),
         replica.epoch().number,
         replica.votes()
@@ -151,7 +161,7 @@
     let mut platform = None;
     while let Ok(addr) = polls.recv() {
         let asked = Instant::now();
-        let known = platform.take().filter(|p: &HttpClient| p.to() == addr);
+        let known = platform.take().filter(|p: &HttpClient| p.server() == addr);
         let mut caller = known.unwrap_or_else(|| HttpClient::new(addr, platform::BOUNDS));
         let list = platform::list(&mut caller);
         platform = list.is_ok().then_some(caller);
@@ -167,24 +177,24 @@
     begun: Instant,
 ) -> Result<(), String> {
     let terms = |stack, bounds| ServerOptions {
-        stack,
-        bounds,
-        idle: Duration::from_secs(10),
-        workers: Duration::from_secs(3),
+        stack_bytes: stack,
+        limits: bounds,
+        idle_timeout: Duration::from_secs(10),
+        worker_idle_timeout: Duration::from_secs(3),
     };
-    if let Some(ctl) = settings.ctl {
+    if let Some(ctl) = settings.operator_addr {
         let orders = api::Orders {
             events: events.clone(),
-            zones: settings.zones.clone(),
+            zones: settings.zone_regions.clone(),
         };
         let tree = api::orders();
         let serve = move |request| orders.answer(&tree, &request);
         http_server::listen(ctl, terms(ORDERS_STACK, ORDERS), serve).map_err(failed("ctl"))?;
     }
-    if let Some(dir) = settings.dir {
+    if let Some(dir) = settings.directory_addr {
         // As long as the terms let it count: a query waits for each look-up, and clients pass over addresses
         // that fail them.
-        let (tree, ttl, directory) = (api::look_ups(), settings.ttl_max_s, directory.clone());
+        let (tree, ttl, directory) = (api::look_ups(), settings.max_ttl_s, directory.clone());
         let now = move || begun.elapsed().as_secs_f64() * 1000.0;
         let serve = move |request| api::look_up(&directory, &tree, &request, now(), ttl);
         http_server::listen(dir, terms(STACK, LOOK_UPS), serve).map_err(failed("dir"))?;
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -4,7 +4,7 @@
 use aspendrum_model::message::{FromControl, StateSection, ToControl};
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
-use aspendrum_net::workers::spawn;
+use aspendrum_net::threads::spawn;
 use std::io::{self, BufReader};
 use std::net::{SocketAddrV4, TcpStream};
 use std::sync::Arc;
@@ -27,13 +27,13 @@
     settings: &Settings,
     listen_address: SocketAddrV4,
 ) -> io::Result<()> {
-    let (state, agent_address) = (state.clone(), settings.agent_at());
-    let (host, zone) = (settings.host.clone(), settings.zone.clone());
+    let (state, agent_address) = (state.clone(), settings.agent_addr());
+    let (host, zone) = (settings.host_name.clone(), settings.zone.clone());
     spawn("agent", STACK_BYTES, move || loop {
         if let Ok((link, stream)) = connect(agent_address) {
             link.send(&ToControl::Hello {
                 host: host.clone(),
-                front: listen_address,
+                proxy_addr: listen_address,
                 zone: zone.clone(),
             });
             state.agent_link.set(Some(link.clone()));
@@ -47,7 +47,7 @@
 }
 
 fn connect(agent_address: SocketAddrV4) -> io::Result<(Arc<Link>, Arc<TcpStream>)> {
-    let stream = Link::dial(agent_address, ACKNOWLEDGE_TIMEOUT)?;
+    let stream = Link::connect(agent_address, ACKNOWLEDGE_TIMEOUT)?;
     let link = Link::from_stream(stream.clone(), ACKNOWLEDGE_TIMEOUT, QUEUE_LENGTH)?;
     Ok((Arc::new(link), stream))
 }
@@ -57,12 +57,12 @@
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
     while let Ok(message) = frames::read_frame::<FromControl>(&mut reader) {
         match message {
-            FromControl::Update { number, part } => {
+            FromControl::Update { number, section } => {
                 let is_ordered = matches!(
-                    part,
+                    section,
                     StateSection::Config { .. } | StateSection::Evacuated { .. }
                 );
-                state.dispatcher.apply(part);
+                state.dispatcher.apply(section);
                 if is_ordered {
                     state.update_applied();
                 }
@@ -70,13 +70,13 @@
             }
             FromControl::Resync => state.dispatcher.rebuild_tables(),
             FromControl::Heartbeat {
-                stamp,
+                sent_at_ms,
                 majority_age: age,
                 decided: of,
                 control_reachable: heard,
                 most_agents_isolated: deserted,
             } => {
-                state.record_control_report(stamp, age, of, deserted);
+                state.record_control_report(sent_at_ms, age, of, deserted);
                 state.record_control_reachable(heard);
             }
         }
--- a/crates/aspendrum-proxy/src/agent_link.rs
+++ b/crates/aspendrum-proxy/src/agent_link.rs
@@ -2,7 +2,7 @@
 
 use aspendrum_model::message::{Readiness, StateDigest, ToControl};
 use aspendrum_net::frames::Link;
-use aspendrum_net::workers::lock;
+use aspendrum_net::threads::lock;
 use std::sync::{Arc, Mutex};
 
 /// The connection to the agent, while there is one.
@@ -10,13 +10,13 @@
 pub struct AgentLink(Mutex<Option<Arc<Link>>>);
 
 impl AgentLink {
-    /// Sends a heartbeat. The agent answers with `stamp`, the proxy's clock in milliseconds, and the age of control's
+    /// Sends a heartbeat. The agent answers with `sent_at_ms`, the proxy's clock in milliseconds, and the age of control's
     /// last report.
-    pub fn send_heartbeat(&self, stamp: u64, readiness: Readiness, applied: StateDigest) {
+    pub fn send_heartbeat(&self, sent_at_ms: u64, readiness: Readiness, applied: StateDigest) {
         let link = lock(&self.0).clone();
         if let Some(link) = link {
             link.send(&ToControl::Heartbeat {
-                stamp,
+                sent_at_ms,
                 readiness,
                 applied,
             });
--- a/crates/aspendrum-proxy/src/consistency.rs
+++ b/crates/aspendrum-proxy/src/consistency.rs
@@ -2,7 +2,7 @@
 //! itself on the proxy's own clock: a proxy that is cut off needs nobody to tell it to stop.
 
 use aspendrum_model::message::StateDigest;
-use aspendrum_net::workers::lock;
+use aspendrum_net::threads::lock;
 use aspendrum_reconcile::{edition, Bounds, Ms, Standing, Verdict, Word};
 use std::sync::Mutex;
 
--- a/crates/aspendrum-proxy/src/counter/socket.rs
+++ b/crates/aspendrum-proxy/src/counter/socket.rs
@@ -28,8 +28,8 @@
     pub fn send(&self, to: Ipv4Addr, message: &CounterMessage) {
         let mut space = [0; MAX_SENT];
         if let Ok(bytes) = postcard::to_slice(message, &mut space) {
-            let address = SocketAddrV4::new(to, self.settings.count_port());
-            let _ = self.socket.send_to(bytes, self.settings.way(address));
+            let address = SocketAddrV4::new(to, self.settings.counter_port());
+            let _ = self.socket.send_to(bytes, self.settings.dial_addr(address));
         }
     }
 
--- a/crates/aspendrum-proxy/src/disconnects.rs
+++ b/crates/aspendrum-proxy/src/disconnects.rs
@@ -3,7 +3,7 @@
 use crate::session::ClientSession;
 use crate::state::ProxyState;
 use aspendrum_core::api::QueryId;
-use aspendrum_net::disconnect_metrics::BOUND;
+use aspendrum_net::disconnect_metrics::REACTION_DEADLINE;
 use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
 use std::time::Duration;
 
@@ -49,22 +49,23 @@
         state.dispatcher.break_off(request);
     }
     let progress = state.dispatcher.progress(request);
-    let Some((kind, progress)) = progress.filter(|_| !state.disconnect_watcher.is_late()) else {
+    let Some((kind, progress)) = progress.filter(|_| !state.disconnect_watcher.was_suspended())
+    else {
         return;
     };
     let Progress {
         stage,
-        broken_off,
-        returned_for,
+        is_aborted,
+        ended_ago,
     } = progress;
     let may_finish = (kind, stage) == (RequestKind::OnceOnly, ForwardStage::AtServer);
     // A run that was let finish, and has just come back, ends a moment later.
-    let due_for = returned_for.map_or(disconnected_for, |returned_for| {
-        returned_for.min(disconnected_for)
+    let due_for = ended_ago.map_or(disconnected_for, |ended_ago| {
+        ended_ago.min(disconnected_for)
     });
-    if due_for > BOUND && !may_finish && session.connection.becomes_overdue() {
+    if due_for > REACTION_DEADLINE && !may_finish && session.connection.mark_overdue() {
         state
             .disconnect_metrics
-            .record_overdue(kind, stage, broken_off);
+            .record_overdue(kind, stage, is_aborted);
     }
 }
--- a/crates/aspendrum-proxy/src/dispatcher/admission.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/admission.rs
@@ -151,7 +151,7 @@
         .tenant
         .map(|tenant| snapshot.tenant(tenant))
         .unwrap_or_default();
-    let tries = snapshot.config.routes[request.route].tries;
+    let tries = snapshot.config.routes[request.route].max_attempts;
     NewQuery {
         id,
         group: snapshot.group(request.route),
--- a/crates/aspendrum-proxy/src/dispatcher/configuration.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/configuration.rs
@@ -63,7 +63,7 @@
 struct GroupKey {
     goal: u64,
     limit: u64,
-    repeatable: bool,
+    idempotent: bool,
     priority: u64,
 }
 
@@ -91,10 +91,10 @@
     /// The group of a route.
     pub(super) fn group(&mut self, route: &Route) -> u16 {
         let key = GroupKey {
-            goal: route.goal_ms.to_bits(),
-            limit: route.limit_ms.to_bits(),
-            repeatable: route.repeatable,
-            priority: route.prio.to_bits(),
+            goal: route.latency_target_ms.to_bits(),
+            limit: route.timeout_ms.to_bits(),
+            idempotent: route.idempotent,
+            priority: route.priority.to_bits(),
         };
         if let Some(number) = self.group_numbers.get(&key) {
             return *number;
@@ -102,14 +102,14 @@
         let number = self.groups.len() as u16;
         self.groups.push(Group {
             // Late answers have their value: servers are not left idle for a latency target that cannot be met.
-            slo: route.limit_ms,
-            limit: route.limit_ms,
-            semantics: if route.repeatable {
+            slo: route.timeout_ms,
+            limit: route.timeout_ms,
+            semantics: if route.idempotent {
                 Semantics::Repeatable
             } else {
                 Semantics::Mutating
             },
-            importance: 1.0 / (1.0 + route.prio),
+            importance: 1.0 / (1.0 + route.priority),
             ..default_group()
         });
         self.group_numbers.insert(key, number);
--- a/crates/aspendrum-proxy/src/dispatcher/mod.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/mod.rs
@@ -19,12 +19,12 @@
 use crate::counter::{CounterMessage, CounterSocket};
 use crate::endpoints::ZoneLocation;
 use aspendrum_core::api::{Event, Load, Ms, Outcome, QueryId, ServerId};
+use aspendrum_model::compression::decompress;
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{StateDigest, StateSection};
-use aspendrum_model::packed::unpack;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
-use aspendrum_net::workers::lock;
+use aspendrum_net::threads::lock;
 use aspendrum_reconcile::edition;
 use proxies::ProxyAddresses;
 use state::DispatcherState;
@@ -158,7 +158,7 @@
         let now = self.now();
         let mut state = lock(&self.state);
         let forward = state.requests.forward(id)?;
-        let (kind, stage) = (forward.kind, forward.depart());
+        let (kind, stage) = (forward.kind, forward.handle_disconnect());
         state
             .requests
             .notify(id, RequestDecision::ClientDisconnected);
@@ -169,7 +169,7 @@
     /// The request's client has left a while ago: a run that may be repeated is broken off.
     pub fn break_off(&self, id: QueryId) {
         if let Some(forward) = lock(&self.state).requests.forward(id) {
-            forward.break_off();
+            forward.abort_idempotent();
         }
     }
 
@@ -186,7 +186,7 @@
     pub fn server_address(&self, id: ServerId) -> Option<ServerAddress> {
         let state = lock(&self.state);
         state.endpoints.get(id).map(|endpoint| ServerAddress {
-            address: self.settings.way(endpoint.address()),
+            address: self.settings.dial_addr(endpoint.address()),
             uid: endpoint.server.uid.clone(),
         })
     }
@@ -196,14 +196,19 @@
         let (server, service) = {
             let state = lock(&self.state);
             let endpoint = state.endpoints.get(id)?;
-            let address = self.settings.way(endpoint.address());
+            let address = self.settings.dial_addr(endpoint.address());
             let server = ServerAddress {
                 address,
                 uid: endpoint.server.uid.clone(),
             };
             (server, endpoint.server.service.clone())
         };
-        let path = self.snapshot()?.config.service(&service)?.check.clone();
+        let path = self
+            .snapshot()?
+            .config
+            .service(&service)?
+            .health_check_path
+            .clone();
         Some(HealthCheckTarget { server, path })
     }
 
@@ -247,15 +252,19 @@
         lock(&self.state).receive_counter_message(now, from, message)
     }
 
-    /// Applies one part of what control has decided.
-    pub fn apply(&self, part: StateSection) {
+    /// Applies one section of what control has decided.
+    pub fn apply(&self, section: StateSection) {
         let now = self.now();
-        match part {
-            StateSection::Config { .. } if !part.has_valid_checksum() => {
+        match section {
+            StateSection::Config { .. } if !section.has_valid_checksum() => {
                 log::warn!("event=corrupt_update")
             }
-            StateSection::Config { version, text, .. } => {
-                match Config::read(&unpack(&text).unwrap_or_default()) {
+            StateSection::Config {
+                version,
+                compressed_text,
+                ..
+            } => {
+                match Config::read(&decompress(&compressed_text).unwrap_or_default()) {
                     Ok(config) => self.apply_config(config),
                     // Control checked it by the same reader.
                     Err(fault) => {
@@ -263,12 +272,12 @@
                     }
                 }
             }
-            StateSection::Evacuated { number, zones } => {
-                lock(&self.state).apply_evacuation(now, number, &zones)
+            StateSection::Evacuated { order, zones } => {
+                lock(&self.state).apply_evacuation(now, order, &zones)
             }
-            StateSection::Servers { age, list } => {
+            StateSection::Servers { age_ms, list } => {
                 let locate = |zone: &str| ZoneLocation::of(zone, &self.settings);
-                lock(&self.state).apply_servers(now, f64::from(age), list, locate);
+                lock(&self.state).apply_servers(now, f64::from(age_ms), list, locate);
             }
             StateSection::Proxies(proxies) => {
                 let addresses = ProxyAddresses::of(&proxies);
@@ -311,13 +320,13 @@
 
     /// A digest of what is in force, computed from the tables that requests go by.
     pub fn applied(&self) -> StateDigest {
-        let (number, zones) = {
+        let (order, zones) = {
             let state = lock(&self.state);
-            (state.evacuation_number, state.endpoints.evacuated_zones())
+            (state.evacuation_order, state.endpoints.evacuated_zones())
         };
         edition(
             self.snapshot().as_ref().map(|snapshot| &snapshot.config),
-            number,
+            order,
             &zones,
         )
     }
--- a/crates/aspendrum-proxy/src/dispatcher/proxies.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/proxies.rs
@@ -14,7 +14,7 @@
 impl ProxyAddresses {
     pub(super) fn of(proxies: &[ProxyEndpoint]) -> ProxyAddresses {
         let all = sorted(proxies.iter());
-        let ready = sorted(proxies.iter().filter(|proxy| proxy.ready()));
+        let ready = sorted(proxies.iter().filter(|proxy| proxy.is_ready()));
         ProxyAddresses { all, ready }
     }
 }
--- a/crates/aspendrum-proxy/src/dispatcher/state.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/state.rs
@@ -40,7 +40,7 @@
     /// A list of proxies has come.
     pub(super) proxies_known: bool,
     /// The number of the last order about evacuations.
-    pub(super) evacuation_number: u64,
+    pub(super) evacuation_order: u64,
     /// The next configuration is applied whatever its version.
     pub(super) rebuilds_tables: bool,
 }
@@ -64,7 +64,7 @@
             counters: Counters::new(socket, settings.ip),
             requests: PendingRequests::default(),
             proxies_known: false,
-            evacuation_number: 0,
+            evacuation_order: 0,
             rebuilds_tables: false,
         }
     }
@@ -201,8 +201,8 @@
     }
 
     /// Zones get nothing any more, or are used again.
-    pub(super) fn apply_evacuation(&mut self, now: Ms, number: u64, zones: &[String]) {
-        self.evacuation_number = number;
+    pub(super) fn apply_evacuation(&mut self, now: Ms, order: u64, zones: &[String]) {
+        self.evacuation_order = order;
         self.endpoints.set_evacuated_zones(now, zones);
         self.refresh_endpoints(now);
     }
@@ -232,12 +232,12 @@
     /// A configuration comes into force.
     pub(super) fn apply_config(&mut self, config: Config, settings: &Settings) -> ConfigSnapshot {
         for service in &config.services {
-            let duration = service.warmup_s * 1000.0;
+            let duration = service.slow_start_s * 1000.0;
             self.endpoints.set_slow_start(
                 &service.name,
                 SlowStart {
                     duration,
-                    rate: service.warm_rate_s,
+                    rate: service.slow_start_rate,
                 },
             );
         }
@@ -258,11 +258,11 @@
             route_regions: config
                 .routes
                 .iter()
-                .map(|route| regions(&route.homes))
+                .map(|route| regions(&route.home_regions))
                 .collect(),
             tenant_regions: tenants
                 .iter()
-                .map(|tenant| regions(&tenant.homes))
+                .map(|tenant| regions(&tenant.home_regions))
                 .collect(),
             config,
         };
@@ -273,13 +273,13 @@
 
     fn apply_tenants(&mut self, tenants: &[Tenant], settings: &Settings) -> Vec<TenantNumbers> {
         let tolerance = QuotaTolerance {
-            span_s: settings.quota_win_s,
+            span_s: settings.quota_window_s,
             excess: settings.quota_excess,
             slack: settings.quota_slack,
         };
         let mut quotas = HashMap::new();
         let numbers = tenants.iter().map(|tenant| {
-            let quota = Quota::within(tenant.rate_s, tenant.burst, &tolerance);
+            let quota = Quota::within(tenant.rate_per_second, tenant.burst, &tolerance);
             quotas.insert(CounterId::of_tenant(&tenant.name), quota);
             TenantNumbers {
                 account: account(&tenant.name),
--- a/crates/aspendrum-proxy/src/endpoints/set.rs
+++ b/crates/aspendrum-proxy/src/endpoints/set.rs
@@ -26,15 +26,15 @@
     pub fn from_settings(settings: &Settings) -> EndpointLimits {
         EndpointLimits {
             slow_start: SlowStartTolerance {
-                excess: settings.warm_excess,
-                slack: settings.warm_slack,
+                excess: settings.slow_start_excess,
+                slack: settings.slow_start_slack,
             },
             retries: RetryLimits {
-                ratio: settings.retry_ratio,
-                window: settings.retry_win_s * 1000.0,
-                slack: settings.retry_slack,
+                ratio: settings.retry_budget_ratio,
+                window: settings.retry_budget_window_s * 1000.0,
+                slack: settings.retry_budget_slack,
             },
-            list_lag: settings.cloud_lag_ms,
+            list_lag: settings.cloud_api_lag_ms,
         }
     }
 }
@@ -163,7 +163,7 @@
     ) -> ServerId {
         let pool = self.pool(&server.service);
         let id = self.id(&server.uid);
-        let slow_start_until = match server.warm_left_ms {
+        let slow_start_until = match server.slow_start_left_ms {
             0 => 0.0,
             left => now + f64::from(left),
         };
--- a/crates/aspendrum-proxy/src/health_check.rs
+++ b/crates/aspendrum-proxy/src/health_check.rs
@@ -56,12 +56,12 @@
     let pool = &state.server_pool;
     pool.set_address(server, address.into());
     let mut connection = pool.acquire(server, state.connect_timeout, Duration::MAX, |_| true)?;
-    connection.outward.append(&wire::encode_health_check(
+    connection.outgoing.append(&wire::encode_health_check(
         &target.path,
         &address.to_string(),
     ));
     connection.send()?;
-    let response = connection.receive(deadline, pool.limits(), |ring| {
+    let response = connection.receive(deadline, pool.connection_options(), |ring| {
         http1::parse_response(ring, &wire::RESPONSE_BOUNDS)
     })?;
     // Another server may have the address by now.
--- a/crates/aspendrum-proxy/src/listener.rs
+++ b/crates/aspendrum-proxy/src/listener.rs
@@ -4,9 +4,9 @@
 use crate::request;
 use crate::session::ClientSession;
 use crate::state::ProxyState;
-use aspendrum_model::config::Caps;
+use aspendrum_model::config::RequestLimits;
+use aspendrum_net::connection::lingering_close;
 use aspendrum_net::http1::{self, MessageLimits, Parsed, Request};
-use aspendrum_net::pool::linger;
 use aspendrum_net::ring_buffer::{is_timeout, RingBuffer};
 use socket2::SockRef;
 use std::io::{self, ErrorKind, Write};
@@ -82,18 +82,18 @@
         let Some(snapshot) = state.dispatcher.snapshot() else {
             return;
         };
-        let caps = snapshot.config.caps;
-        let step = match buffer.parse(&caps) {
+        let limits = snapshot.config.limits;
+        let step = match buffer.parse(&limits) {
             Parsed::Complete(request) => {
                 serve_request(state, session, &request, !buffer.is_empty())
             }
             Parsed::Invalid(status) => reject(stream, status),
-            Parsed::Incomplete => buffer.receive(session, &caps),
+            Parsed::Incomplete => buffer.receive(session, &limits),
         };
         match step {
             Step::Continue => {}
             Step::Close => return,
-            Step::Linger => return linger(stream, LINGER, LINGER_BYTES),
+            Step::Linger => return lingering_close(stream, LINGER, LINGER_BYTES),
         }
     }
 }
@@ -140,37 +140,44 @@
 /// What has been read of a connection.
 #[derive(Default)]
 struct RequestBuffer {
-    ring: Option<RingBuffer>,
+    buffer: Option<RingBuffer>,
     read_timeout: Duration,
 }
 
 impl RequestBuffer {
-    fn parse(&mut self, caps: &Caps) -> Parsed<Request> {
+    fn parse(&mut self, limits: &RequestLimits) -> Parsed<Request> {
         let bounds = MessageLimits {
-            head: caps.hdr_bytes as usize,
-            body: caps.body_bytes as usize,
+            head_bytes: limits.header_bytes as usize,
+            body_bytes: limits.body_bytes as usize,
         };
-        let limit = bounds.head + bounds.body + SPARE_BUFFER_BYTES;
-        let ring = self
-            .ring
-            .get_or_insert_with(|| RingBuffer::new(INITIAL_BUFFER_BYTES, limit));
-        http1::parse_request(ring, &bounds)
+        let max_bytes = bounds.head_bytes + bounds.body_bytes + SPARE_BUFFER_BYTES;
+        let buffer = self
+            .buffer
+            .get_or_insert_with(|| RingBuffer::new(INITIAL_BUFFER_BYTES, max_bytes));
+        http1::parse_request(buffer, &bounds)
     }
 
     fn is_empty(&self) -> bool {
-        self.ring.as_ref().is_none_or(RingBuffer::is_empty)
+        self.buffer.as_ref().is_none_or(RingBuffer::is_empty)
     }
 
     /// Reads once. A request that has begun to arrive is awaited, also by a proxy that drains.
-    fn receive(&mut self, session: &ClientSession, caps: &Caps) -> Step {
+    fn receive(&mut self, session: &ClientSession, limits: &RequestLimits) -> Step {
         let stream = &*session.stream;
         let is_idle = self.is_empty();
         session.set_busy(!is_idle);
-        self.set_read_timeout(stream, if is_idle { caps.idle_ms } else { caps.hdr_ms });
-        let Some(ring) = &mut self.ring else {
+        self.set_read_timeout(
+            stream,
+            if is_idle {
+                limits.idle_timeout_ms
+            } else {
+                limits.header_timeout_ms
+            },
+        );
+        let Some(buffer) = &mut self.buffer else {
             return Step::Close;
         };
-        match ring.fill(&mut &*stream) {
+        match buffer.fill(&mut &*stream) {
             Ok(0) => Step::Close,
             Ok(_) => Step::Continue,
             Err(e) if is_timeout(&e) && is_idle => Step::Close,
--- a/crates/aspendrum-proxy/src/main.rs
+++ b/crates/aspendrum-proxy/src/main.rs
@@ -6,8 +6,6 @@
 
 fn main() -> ExitCode {
     let about = "The proxy of the system: carries clients' queries to servers";
-    let check = || Settings::load().map(|settings| settings.host);
-    daemon::run("aspendrum-proxy", about, check, |signals| {
-        aspendrum_proxy::serve(signals).map_err(|error| error.to_string())
-    })
+    let check = || Settings::load().map(|settings| settings.host_name);
+    daemon::run("aspendrum-proxy", about, check, aspendrum_proxy::serve)
 }
--- a/crates/aspendrum-proxy/src/periodic.rs
+++ b/crates/aspendrum-proxy/src/periodic.rs
@@ -56,7 +56,7 @@
     fn check_clients(&mut self, state: &ProxyState) {
         if state.disconnect_watcher.is_due() {
             disconnects::check_clients(state);
-            let line = self.disconnect_report.line(&state.disconnect_metrics);
+            let line = self.disconnect_report.next_line(&state.disconnect_metrics);
             line.iter().for_each(|line| log::info!("{line}"));
         }
     }
--- a/crates/aspendrum-proxy/src/process.rs
+++ b/crates/aspendrum-proxy/src/process.rs
@@ -3,11 +3,11 @@
 use crate::error::ProxyError;
 use crate::state::{ProxyState, STACK_BYTES};
 use crate::{agent, listener, periodic, shutdown};
-use aspendrum_model::settings::{Settings, VARIABLE};
-use aspendrum_net::daemon::ProcessSignals;
+use aspendrum_model::settings::{Settings, SETTINGS_VARIABLE};
 use aspendrum_net::http1::{MessageLimits, Request};
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
-use aspendrum_net::workers::spawn;
+use aspendrum_net::process_signals::ProcessSignals;
+use aspendrum_net::threads::spawn;
 use std::net::{SocketAddrV4, TcpListener, UdpSocket};
 use std::sync::Arc;
 use std::thread::sleep;
@@ -23,8 +23,8 @@
 /// The settings cannot be read, an address cannot be bound, or a thread cannot be started.
 pub fn serve(signals: ProcessSignals) -> Result<(), ProxyError> {
     let settings = Settings::load().map_err(ProxyError::Settings)?;
-    let listen_address = settings.front.ok_or(ProxyError::NoListenAddress)?;
-    let counter_address = SocketAddrV4::new(settings.ip, settings.count_port());
+    let listen_address = settings.proxy_addr.ok_or(ProxyError::NoListenAddress)?;
+    let counter_address = SocketAddrV4::new(settings.ip, settings.counter_port());
     let socket =
         UdpSocket::bind(counter_address).map_err(ProxyError::of_component("count port"))?;
     let state = Arc::new(ProxyState::new(&settings, socket));
@@ -32,20 +32,21 @@
     start_threads(&state, &settings, listen_address)?;
     log::info!(
         "event=started host={} proxy={listen_address}",
-        settings.host
+        settings.host_name
     );
     // Nothing in the settings that a proxy uses may change while it runs: seeds are its agent's.
     let reload = || {
-        Settings::load().map(|settings| log::info!("event=settings_read host={}", settings.host))
+        Settings::load()
+            .map(|settings| log::info!("event=settings_read host={}", settings.host_name))
     };
-    let settings_file = std::env::var(VARIABLE).unwrap_or_default();
+    let settings_file = std::env::var(SETTINGS_VARIABLE).unwrap_or_default();
     signals
         .wait_for_shutdown(settings_file, reload)
         .map_err(ProxyError::Signals)?;
     shutdown::drain(
         &state,
         listen_address,
-        Duration::from_secs_f64(settings.grace_s),
+        Duration::from_secs_f64(settings.shutdown_grace_s),
     );
     log::info!("event=ended");
     Ok(())
@@ -53,7 +54,7 @@
 
 /// The pages for the platform and for operators.
 fn open_pages(state: &Arc<ProxyState>, settings: &Settings) -> Result<(), ProxyError> {
-    if let Some(address) = settings.readyz {
+    if let Some(address) = settings.readiness_addr {
         let state = state.clone();
         let page = move |request: Request| readiness_page(&state, &request);
         http_server::listen(address, page_terms(), page)
@@ -87,13 +88,13 @@
 /// Of short calls by the platform and by operators.
 fn page_terms() -> ServerOptions {
     ServerOptions {
-        stack: STACK_BYTES,
-        bounds: MessageLimits {
-            head: 8 << 10,
-            body: 1 << 10,
+        stack_bytes: STACK_BYTES,
+        limits: MessageLimits {
+            head_bytes: 8 << 10,
+            body_bytes: 1 << 10,
         },
-        idle: Duration::from_secs(10),
-        workers: Duration::from_secs(5),
+        idle_timeout: Duration::from_secs(10),
+        worker_idle_timeout: Duration::from_secs(5),
     }
 }
 
--- a/crates/aspendrum-proxy/src/request/context.rs
+++ b/crates/aspendrum-proxy/src/request/context.rs
@@ -77,7 +77,7 @@
             .upstream
             .session
             .connection
-            .begin(id, &self.upstream.state.disconnect_watcher)
+            .begin_request(id, &self.upstream.state.disconnect_watcher)
         {
             disconnects::client_disconnected(self.upstream.state, id);
         }
@@ -90,7 +90,7 @@
         &self,
         decisions: &MailboxReceiver<RequestDecision>,
     ) -> Option<RequestDecision> {
-        let goal_ms = self.upstream.target.rule().goal_ms;
+        let goal_ms = self.upstream.target.rule().latency_target_ms;
         let max_queued = Duration::from_secs_f64(goal_ms * MAX_QUEUED_SHARE / 1000.0);
         let until = (Instant::now() + max_queued).min(self.upstream.deadline + DECISION_OVERDUE);
         decisions.recv_deadline(Some(until)).ok()
@@ -99,7 +99,7 @@
     /// Whether a request that must run at most once, and has waited for a server, may still go where it was bound for:
     /// the tables by which it was found are in force, and they are what was decided. What is at a server already goes on.
     fn is_still_valid(&self) -> bool {
-        if self.upstream.is_repeatable() {
+        if self.upstream.is_idempotent() {
             return true;
         }
         let current = self.upstream.state.dispatcher.snapshot();
@@ -212,7 +212,7 @@
 
     /// Promises that nothing ran, where that is so.
     fn refuse(&self, status: u16, retry_after: Ms) -> ClientResponse {
-        if self.may_have_run && !self.upstream.is_repeatable() {
+        if self.may_have_run && !self.upstream.is_idempotent() {
             return self.fail_to_proxy();
         }
         // The client comes back on a new connection, and would leave this one open: a tenant far beyond its quota had
--- a/crates/aspendrum-proxy/src/request/filter.rs
+++ b/crates/aspendrum-proxy/src/request/filter.rs
@@ -62,7 +62,7 @@
     // A credential may have been revoked without this proxy's knowledge: the lease says that none was, up to now.
     let is_authentic = tenant.is_none() || state.credentials_are_valid();
     // A request may belong elsewhere by now, and another proxy knows where. One that may be repeated goes on.
-    let may_run = || rule.repeatable || state.allows_once_only();
+    let may_run = || rule.idempotent || state.allows_once_only();
     if !is_authentic || !may_run() {
         return Err(ClientResponse::send_elsewhere(head.try_id));
     }
@@ -94,7 +94,7 @@
     }
     let tenant = credential.and_then(|credential| snapshot.config.tenant(credential));
     match tenant {
-        None if !rule.public => Err(Unauthorized),
+        None if !rule.is_public => Err(Unauthorized),
         tenant => Ok(tenant),
     }
 }
--- a/crates/aspendrum-proxy/src/request/mod.rs
+++ b/crates/aspendrum-proxy/src/request/mod.rs
@@ -33,7 +33,7 @@
     };
     let upstream = UpstreamRequest::new(state, session, request, received_at, target);
     let response = RequestContext::new(upstream).proxy();
-    session.connection.end();
+    session.connection.end_request();
     response
 }
 
--- a/crates/aspendrum-proxy/src/request/upstream.rs
+++ b/crates/aspendrum-proxy/src/request/upstream.rs
@@ -5,9 +5,9 @@
 use crate::state::ProxyState;
 use crate::wire::{self, ResponseClass};
 use aspendrum_core::api::{Ms, Outcome, ServerId};
+use aspendrum_net::connection::Connection;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
 use aspendrum_net::http1::{self, Request, Response};
-use aspendrum_net::pool::Connection;
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -75,10 +75,10 @@
         let budget = target
             .head
             .budget
-            .unwrap_or(rule.limit_ms)
-            .min(rule.limit_ms);
+            .unwrap_or(rule.timeout_ms)
+            .min(rule.timeout_ms);
         let budget = Duration::from_secs_f64(budget.clamp(0.0, MAX_BUDGET) / 1000.0);
-        let kind = if rule.repeatable {
+        let kind = if rule.idempotent {
             RequestKind::Idempotent
         } else {
             RequestKind::OnceOnly
@@ -94,8 +94,8 @@
         }
     }
 
-    pub(super) fn is_repeatable(&self) -> bool {
-        self.target.rule().repeatable
+    pub(super) fn is_idempotent(&self) -> bool {
+        self.target.rule().idempotent
     }
 
     /// Sends the request to a server, as its forward of that number.
@@ -110,7 +110,7 @@
             Err(outcome) => return Attempt::failed(outcome),
         };
         let answer = self.exchange(&mut peer, forward, deadline);
-        let is_broken_off = self.forward.leave(forward);
+        let is_broken_off = self.forward.end_attempt(forward);
         match answer {
             Ok(response) => {
                 if !response.close && !is_broken_off {
@@ -140,12 +140,12 @@
             .server_address(server)
             .ok_or(Outcome::Moot)?;
         state.server_pool.set_address(server, target.address.into());
-        let max_idle = match self.is_repeatable() {
+        let max_idle = match self.is_idempotent() {
             true => Duration::MAX,
             false => state.max_idle_for_once_only(),
         };
         let connect_timeout = time_left.min(state.connect_timeout);
-        let enter = |stream: &Arc<TcpStream>| self.forward.enter(forward, stream);
+        let enter = |stream: &Arc<TcpStream>| self.forward.begin_attempt(forward, stream);
         let connection = state
             .server_pool
             .acquire(server, connect_timeout, max_idle, enter);
@@ -158,7 +158,7 @@
 
     /// What a failed connection means: where the client has left it is not the server's doing.
     fn fail_to_connect(&self, forward: u8, outcome: Outcome) -> Outcome {
-        if self.forward.leave(forward) {
+        if self.forward.end_attempt(forward) {
             Outcome::Moot
         } else {
             outcome
@@ -181,17 +181,17 @@
             .session
             .connection
             .time_since_disconnect(&state.disconnect_watcher);
-        let has_room = peer.connection.outward.append(&bytes);
-        if !has_room || !self.forward.reach(forward, ForwardStage::Sending) {
+        let has_room = peer.connection.outgoing.append(&bytes);
+        if !has_room || !self.forward.advance(forward, ForwardStage::Sending) {
             return Err(Outcome::Moot);
         }
         if let Some(disconnected_for) = client_disconnected_for {
             state
                 .disconnect_metrics
-                .record_sent_late(self.forward.kind, disconnected_for);
+                .record_send(self.forward.kind, disconnected_for);
         }
         peer.connection.send()?;
-        self.forward.reach(forward, ForwardStage::AtServer);
+        self.forward.advance(forward, ForwardStage::AtServer);
         self.read_answer(&mut peer.connection, deadline)
     }
 
@@ -201,7 +201,7 @@
         connection: &mut Connection,
         deadline: Instant,
     ) -> Result<Response, Outcome> {
-        let limits = self.state.server_pool.limits();
+        let limits = self.state.server_pool.connection_options();
         for _ in 0..=MAX_STALE_ANSWERS {
             let response = connection
                 .receive(deadline, limits, |ring| {
@@ -221,7 +221,7 @@
     /// A reset of a kept connection before a byte came back: the server may have dropped it while it was idle.
     fn record_reset(&self, connection: &Connection, outcome: Outcome) {
         let was_idle = connection.nothing_received() && !connection.idle_time().is_zero();
-        if outcome == Outcome::Reset && was_idle && !self.forward.progress().broken_off {
+        if outcome == Outcome::Reset && was_idle && !self.forward.progress().is_aborted {
             self.state.record_idle_reset(connection.idle_time());
         }
     }
@@ -230,7 +230,7 @@
     fn keep_connection(&self, server: ServerId, mut connection: Connection, response: &Response) {
         if let Some(seconds) = wire::keep_alive_s(response) {
             let keep_alive = Duration::from_secs_f64(seconds * KEEP_ALIVE_SHARE);
-            connection.good_for = keep_alive.min(MAX_KEEP_ALIVE);
+            connection.idle_timeout = keep_alive.min(MAX_KEEP_ALIVE);
         }
         self.state.server_pool.release(server, connection);
     }
--- a/crates/aspendrum-proxy/src/session.rs
+++ b/crates/aspendrum-proxy/src/session.rs
@@ -1,7 +1,7 @@
 //! Open connections of clients.
 
 use aspendrum_net::disconnects::ClientConnection;
-use aspendrum_net::workers::lock;
+use aspendrum_net::threads::lock;
 use std::collections::HashMap;
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -75,7 +75,7 @@
         let idle = open
             .values()
             .filter(|session| !session.is_busy.load(Ordering::Acquire));
-        idle.for_each(|session| session.connection.end_idle());
+        idle.for_each(|session| session.connection.shut_down_if_idle());
     }
 
     pub(crate) fn insert(&self, number: u64, session: Arc<ClientSession>) {
--- a/crates/aspendrum-proxy/src/state.rs
+++ b/crates/aspendrum-proxy/src/state.rs
@@ -8,10 +8,12 @@
 use crate::session::SessionRegistry;
 use aspendrum_model::message::{Readiness, StateDigest};
 use aspendrum_model::settings::Settings;
+use aspendrum_net::connection::ConnectionOptions;
 use aspendrum_net::disconnect_metrics::DisconnectMetrics;
 use aspendrum_net::disconnects::DisconnectWatcher;
 use aspendrum_net::pool::{Pool, PoolLimits};
-use aspendrum_net::workers::{lock, WorkerPool};
+use aspendrum_net::threads::lock;
+use aspendrum_net::worker_pool::WorkerPool;
 use aspendrum_reconcile::{Standing, Word};
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -72,7 +74,10 @@
             sessions: SessionRegistry::default(),
             agent_link: AgentLink::default(),
             workers: WorkerPool::new(STACK_BYTES, WORKER_IDLE),
-            consistency: ConsistencyStatus::new(settings.apply_ms, settings.stretch_ms),
+            consistency: ConsistencyStatus::new(
+                settings.apply_deadline_ms,
+                settings.unsettled_extension_ms,
+            ),
             disconnect_watcher: DisconnectWatcher::default(),
             disconnect_metrics: DisconnectMetrics::default(),
             connect_timeout: CONNECT_TIMEOUT,
@@ -80,7 +85,9 @@
             started_at: Instant::now(),
             is_draining: AtomicBool::new(false),
             accepts_until: AtomicU64::new(u64::MAX),
-            revocation_ms: settings.revoked.then_some(settings.revoke_ms),
+            revocation_ms: settings
+                .enforces_revocation
+                .then_some(settings.revocation_deadline_ms),
             credentials_valid_until: AtomicU64::new(0),
             last_accepted_at: AtomicU64::new(0),
             control_reachable_at: AtomicU64::new(0),
@@ -106,7 +113,7 @@
     pub fn begin_drain(&self, grace_period: Duration) -> DrainSchedule {
         let snapshot = self.dispatcher.snapshot();
         let routes = snapshot.iter().flat_map(|snapshot| &snapshot.config.routes);
-        let longest_request = routes.map(|route| route.limit_ms).fold(0.0, f64::max);
+        let longest_request = routes.map(|route| route.timeout_ms).fold(0.0, f64::max);
         let schedule = DrainSchedule::new(grace_period.as_secs_f64() * 1000.0, longest_request);
         let accepts_until = self.uptime_ms() + schedule.accepts_until as u64;
         self.accepts_until.store(accepts_until, Ordering::Release);
@@ -121,15 +128,15 @@
     }
 
     /// The agent reports that `age` milliseconds before it answered, a majority of control's disks held nothing above
-    /// `decided`. Counted from `stamp`, when it was asked, so that an answer which came late does not count for more.
+    /// `decided`. Counted from `sent_at_ms`, when it was asked, so that an answer which came late does not count for more.
     pub fn record_control_report(
         &self,
-        stamp: u64,
+        sent_at_ms: u64,
         age: Option<u32>,
         decided: StateDigest,
         most_agents_isolated: bool,
     ) {
-        let as_of = |age: u32| stamp as f64 - f64::from(age);
+        let as_of = |age: u32| sent_at_ms as f64 - f64::from(age);
         let report = age.map(|age| Word {
             decided,
             as_of: as_of(age),
@@ -216,13 +223,15 @@
 /// Of connections to servers.
 fn pool_limits(settings: &Settings) -> PoolLimits {
     PoolLimits {
-        sockets: settings.nofile as usize / 3,
-        ring: 4 << 10,
-        ring_top: 128 << 20,
-        shortest: Duration::from_millis(1),
-        write: Duration::from_secs(2),
-        read: Duration::from_secs(5),
-        idle: Duration::from_secs(4),
-        rest: Duration::from_millis(2),
+        max_connections: settings.max_open_files as usize / 3,
+        min_idle: Duration::from_millis(2),
+        connection: ConnectionOptions {
+            initial_buffer_bytes: 4 << 10,
+            max_buffer_bytes: 128 << 20,
+            min_timeout: Duration::from_millis(1),
+            write_timeout: Duration::from_secs(2),
+            read_timeout: Duration::from_secs(5),
+            idle_timeout: Duration::from_secs(4),
+        },
     }
 }
--- a/crates/aspendrum-proxy/src/wire.rs
+++ b/crates/aspendrum-proxy/src/wire.rs
@@ -28,8 +28,8 @@
 const NOT_RETURNED: [&str; 3] = [SERVER_LOAD, WARM_MS, SERVER_ID];
 /// The most bytes of a server's answer: they are as large as the service makes them.
 pub(crate) const RESPONSE_BOUNDS: MessageLimits = MessageLimits {
-    head: 32 << 10,
-    body: 64 << 20,
+    head_bytes: 32 << 10,
+    body_bytes: 64 << 20,
 };
 /// Room for a head beside the body.
 const REQUEST_HEAD_ROOM: usize = 512;
--- a/crates/aspendrum-proxy/tests/disconnects.rs
+++ b/crates/aspendrum-proxy/tests/disconnects.rs
@@ -209,7 +209,7 @@
     await_connections(&state, |open| open == 0);
     assert_eq!(
         (
-            state.disconnect_metrics.departures(),
+            state.disconnect_metrics.disconnects(),
             state.disconnect_metrics.violations()
         ),
         (1, 0)
@@ -375,7 +375,7 @@
     server.read_exact(&mut [0; 64]).unwrap();
     drop(leaving_client);
     let until = Instant::now() + PATIENCE;
-    while state.disconnect_metrics.departures() == 0 {
+    while state.disconnect_metrics.disconnects() == 0 {
         assert!(Instant::now() < until, "the disconnect was not noticed");
         thread::yield_now();
     }
--- a/crates/aspendrum-proxy/tests/endpoints.rs
+++ b/crates/aspendrum-proxy/tests/endpoints.rs
@@ -25,7 +25,7 @@
     cost: 1.0,
 };
 
-fn server(uid: &str, zone: &str, warm_left_ms: u32) -> ServerInstance {
+fn server(uid: &str, zone: &str, slow_start_left_ms: u32) -> ServerInstance {
     let (service, addr) = ("s1".to_string(), "10.128.0.9:8080".parse().unwrap());
     ServerInstance {
         uid: uid.into(),
@@ -34,7 +34,7 @@
         zone: zone.into(),
         slots: 2,
         draining: false,
-        warm_left_ms,
+        slow_start_left_ms,
     }
 }
 
--- a/crates/aspendrum-proxy/tests/exchanges.rs
+++ b/crates/aspendrum-proxy/tests/exchanges.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
+use aspendrum_model::compression::compress;
 use aspendrum_model::message::{Revision, StateDigest, StateSection};
-use aspendrum_model::packed::pack;
 use aspendrum_proxy::ProxyState;
 use aspendrum_reconcile::Word;
 use common::*;
@@ -342,7 +342,7 @@
     proxy
         .state
         .dispatcher
-        .apply(StateSection::config(1, pack(corrupt.as_bytes())));
+        .apply(StateSection::config(1, compress(corrupt.as_bytes())));
     proxy.state.update_applied();
     assert_sent_elsewhere(&proxy.request(SEND));
     assert_served(READ, GOOD_TO_T1);
@@ -350,7 +350,7 @@
     proxy
         .state
         .dispatcher
-        .apply(StateSection::config(1, pack(CONFIG.as_bytes())));
+        .apply(StateSection::config(1, compress(CONFIG.as_bytes())));
     proxy.state.update_applied();
     assert_served(SEND, GOOD_TO_T2);
     // The report is as old as it may be: nothing had to come for that.
@@ -372,13 +372,13 @@
         version,
         checksum: seal,
         ..
-    } = StateSection::config(1, pack(CONFIG.as_bytes()))
+    } = StateSection::config(1, compress(CONFIG.as_bytes()))
     else {
         return;
     };
     proxy.state.dispatcher.apply(StateSection::Config {
         version: version + 1,
-        text: pack(corrupt.as_bytes()),
+        compressed_text: compress(corrupt.as_bytes()),
         checksum: seal,
     });
     proxy.state.dispatcher.rebuild_tables();
@@ -402,7 +402,7 @@
             );
             state
                 .dispatcher
-                .apply(StateSection::config(2, pack(moved.as_bytes())));
+                .apply(StateSection::config(2, compress(moved.as_bytes())));
             state.update_applied();
         }
         Some("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n")
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -364,7 +364,9 @@
         .dispatcher
         .apply(aspendrum_model::message::StateSection::config(
             2,
-            aspendrum_model::packed::pack(config.replace("00000001", "00000002").as_bytes()),
+            aspendrum_model::compression::compress(
+                config.replace("00000001", "00000002").as_bytes(),
+            ),
         ));
     let answers = (0..50).map(|_| proxy.request(READ));
     let rejected = answers
@@ -404,7 +406,7 @@
     );
     let stages = [
         ForwardStage::Waiting,
-        ForwardStage::Dialling,
+        ForwardStage::Connecting,
         ForwardStage::Sending,
         ForwardStage::AtServer,
     ];
@@ -418,15 +420,15 @@
         }
         state
             .disconnect_metrics
-            .record_sent_late(kind, Duration::from_millis(501));
+            .record_send(kind, Duration::from_millis(501));
         state
             .disconnect_metrics
-            .record_sent_late(kind, Duration::from_millis(500));
+            .record_send(kind, Duration::from_millis(500));
     }
     assert_eq!(state.disconnect_metrics.text(), METRICS);
     assert_eq!(
         (
-            state.disconnect_metrics.departures(),
+            state.disconnect_metrics.disconnects(),
             state.disconnect_metrics.violations()
         ),
         (36, 10)
