--- a/crates/aspendrum-benchmarks/src/cores/proxy.rs
+++ b/crates/aspendrum-benchmarks/src/cores/proxy.rs
@@ -13,7 +13,7 @@
 use aspendrum_net::mailbox;
 use aspendrum_proxy::counter::{CounterClient, CounterId, CounterStore, Quota, QuotaTolerance};
 use aspendrum_proxy::dispatcher::{
-    AdmissionRequest, Dispatcher, ForwardResult, RequestDecision, TICK_MS,
+    AdmissionRequest, AttemptResult, Dispatcher, RequestDecision, TICK_MS,
 };
 use std::net::{Ipv4Addr, UdpSocket};
 use std::sync::Arc;
@@ -191,12 +191,12 @@
             regions: u64::MAX,
             deadline: until,
             decisions: orders,
-            forward: handle(),
+            forward_handle: handle(),
         };
         let before = cpu_ms();
         let id = dispatcher.admit(&view, request);
         decided.push(cpu_ms() - before);
-        let Ok(RequestDecision::Forward { forward, server }) =
+        let Ok(RequestDecision::Forward { attempt, server }) =
             inbox.recv_deadline(Some(Instant::now()))
         else {
             dispatcher.finish_request(id);
@@ -204,11 +204,11 @@
             continue;
         };
         let before = cpu_ms();
-        dispatcher.finish_forward(
+        dispatcher.finish_attempt(
             id,
-            forward,
+            attempt,
             server,
-            ForwardResult {
+            AttemptResult {
                 outcome: Outcome::Ok,
                 rtt: 50.0,
                 load: Load::default(),
@@ -265,7 +265,7 @@
             regions: u64::MAX,
             deadline: until,
             decisions: orders,
-            forward: handle(),
+            forward_handle: handle(),
         };
         let id = dispatcher.admit(&view, request);
         at_once += usize::from(inbox.recv_deadline(Some(Instant::now())).is_ok());
@@ -344,17 +344,17 @@
                     regions: u64::MAX,
                     deadline: until,
                     decisions: orders,
-                    forward: handle(),
+                    forward_handle: handle(),
                 };
                 let id = dispatcher.admit(&view, request);
                 match inbox.recv_deadline(Some(Instant::now())) {
-                    Ok(RequestDecision::Forward { forward, server }) => {
+                    Ok(RequestDecision::Forward { attempt, server }) => {
                         sent += usize::from(service == other);
-                        dispatcher.finish_forward(
+                        dispatcher.finish_attempt(
                             id,
-                            forward,
+                            attempt,
                             server,
-                            ForwardResult {
+                            AttemptResult {
                                 outcome: Outcome::Ok,
                                 rtt: 5.0,
                                 load: Load::default(),
--- a/crates/aspendrum-proxy/src/disconnects.rs
+++ b/crates/aspendrum-proxy/src/disconnects.rs
@@ -46,7 +46,7 @@
     disconnected_for: Duration,
 ) {
     if disconnected_for >= FINISH_WITHIN {
-        state.dispatcher.break_off(request);
+        state.dispatcher.abort_idempotent(request);
     }
     let progress = state.dispatcher.progress(request);
     let Some((kind, progress)) = progress.filter(|_| !state.disconnect_watcher.was_suspended())
--- a/crates/aspendrum-proxy/src/dispatcher/admission.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/admission.rs
@@ -13,8 +13,8 @@
 pub enum RequestDecision {
     /// It is to be sent to that server.
     Forward {
-        /// The number of this forward, from 0.
-        forward: u8,
+        /// The number of this attempt, from 0.
+        attempt: u8,
         /// The server.
         server: ServerId,
     },
@@ -47,20 +47,20 @@
     pub deadline: Instant,
     /// Takes the decisions on it.
     pub decisions: MailboxSender<RequestDecision>,
-    /// Its forwards, as other threads see them.
-    pub forward: Arc<ForwardHandle>,
+    /// Its attempts, as other threads see them.
+    pub forward_handle: Arc<ForwardHandle>,
 }
 
 /// A request whose thread waits for decisions.
 struct PendingRequest {
     decisions: MailboxSender<RequestDecision>,
-    forward: Arc<ForwardHandle>,
+    forward_handle: Arc<ForwardHandle>,
     pool: u16,
-    forwards: u8,
+    attempts: u8,
 }
 
-/// The next forward of a request.
-pub(super) struct NextForward {
+/// The next attempt of a request.
+pub(super) struct NextAttempt {
     /// Its number, from 0.
     pub(super) number: u8,
     pub(super) pool: u16,
@@ -94,7 +94,7 @@
         self.next_id += 1;
         let AdmissionRequest {
             decisions,
-            forward,
+            forward_handle,
             pool,
             ..
         } = request;
@@ -102,9 +102,9 @@
             id,
             PendingRequest {
                 decisions,
-                forward,
+                forward_handle,
                 pool,
-                forwards: 0,
+                attempts: 0,
             },
         );
         id
@@ -114,18 +114,20 @@
         self.requests.remove(&id);
     }
 
-    pub(super) fn forward(&self, id: QueryId) -> Option<&ForwardHandle> {
-        self.requests.get(&id).map(|request| &*request.forward)
+    pub(super) fn forward_handle(&self, id: QueryId) -> Option<&ForwardHandle> {
+        self.requests
+            .get(&id)
+            .map(|request| &*request.forward_handle)
     }
 
-    /// Counts one more forward of a request.
-    pub(super) fn next_forward(&mut self, id: QueryId) -> Option<NextForward> {
+    /// Counts one more attempt of a request.
+    pub(super) fn next_attempt(&mut self, id: QueryId) -> Option<NextAttempt> {
         let request = self.requests.get_mut(&id)?;
-        let next = NextForward {
-            number: request.forwards,
+        let next = NextAttempt {
+            number: request.attempts,
             pool: request.pool,
         };
-        request.forwards += 1;
+        request.attempts += 1;
         Some(next)
     }
 
--- a/crates/aspendrum-proxy/src/dispatcher/forwarding.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/attempt.rs
@@ -1,12 +1,12 @@
-//! Forwards of requests to servers: whether one may leave now, and what the decision module hears of its end.
+//! Attempts to run requests at servers: whether one may start now, and what the decision module hears of its end.
 
 use super::admission::{PendingRequests, RequestDecision};
 use crate::endpoints::EndpointSet;
 use aspendrum_core::api::{Event, Load, Member, Ms, Outcome, QueryId, ServerId};
 
-/// How a forward ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ForwardResult {
+pub struct AttemptResult {
     /// Whether it succeeded, and whether it may have run.
     pub outcome: Outcome,
     /// Its round-trip time.
@@ -15,9 +15,9 @@
     pub load: Load,
 }
 
-impl ForwardResult {
+impl AttemptResult {
     /// It never left.
-    pub const NOT_SENT: ForwardResult = ForwardResult {
+    pub const NOT_SENT: AttemptResult = AttemptResult {
         outcome: Outcome::Moot,
         rtt: 0.0,
         load: Load {
@@ -31,15 +31,15 @@
     pub(super) fn event(
         &self,
         id: QueryId,
-        forward: u8,
+        attempt: u8,
         server: ServerId,
         is_final: bool,
         actual_units: u16,
     ) -> Event<'static> {
-        let ForwardResult { outcome, rtt, load } = *self;
+        let AttemptResult { outcome, rtt, load } = *self;
         Event::ForwardEnded {
             id,
-            forward,
+            forward: attempt,
             server,
             outcome,
             rtt,
@@ -51,25 +51,25 @@
     }
 }
 
-/// What follows from a forward that the decision module wants.
+/// What follows from an attempt that the decision module wants.
 #[derive(Default)]
-pub(super) struct ForwardAttempt {
+pub(super) struct StartedAttempt {
     /// The server's health changed for the decision module.
     pub(super) change: Option<Member>,
-    /// The end of a forward that did not leave.
+    /// The end of an attempt that did not start.
     pub(super) not_sent: Option<Event<'static>>,
 }
 
-/// Lets a forward leave, if its server may be used and, for a retry, the budget of retries allows it.
-pub(super) fn start_forward(
+/// Lets an attempt start, if its server may be used and, for a retry, the budget of retries allows it.
+pub(super) fn start_attempt(
     now: Ms,
     id: QueryId,
     server: ServerId,
     requests: &mut PendingRequests,
     endpoints: &mut EndpointSet,
-) -> ForwardAttempt {
-    let Some(next) = requests.next_forward(id) else {
-        return ForwardAttempt::default();
+) -> StartedAttempt {
+    let Some(next) = requests.next_attempt(id) else {
+        return StartedAttempt::default();
     };
     let reservation = endpoints.reserve(now, server);
     let change = reservation.change;
@@ -79,11 +79,11 @@
         requests.notify(
             id,
             RequestDecision::Forward {
-                forward: next.number,
+                attempt: next.number,
                 server,
             },
         );
-        return ForwardAttempt {
+        return StartedAttempt {
             change,
             not_sent: None,
         };
@@ -92,8 +92,8 @@
         requests.notify(id, RequestDecision::RetryBudgetSpent);
     }
     // Without the budget for it the request is over.
-    let not_sent = ForwardResult::NOT_SENT.event(id, next.number, server, budget_spent, 0);
-    ForwardAttempt {
+    let not_sent = AttemptResult::NOT_SENT.event(id, next.number, server, budget_spent, 0);
+    StartedAttempt {
         change,
         not_sent: Some(not_sent),
     }
--- a/crates/aspendrum-proxy/src/dispatcher/mod.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/mod.rs
@@ -4,17 +4,17 @@
 //! [`Dispatcher`] owns the lock; `state` composes what stands behind it out of the parts that the other modules hold.
 
 mod admission;
+mod attempt;
 mod configuration;
 mod counters;
 mod engine;
-mod forwarding;
 mod proxies;
 mod state;
 
 pub use admission::{AdmissionRequest, RequestDecision};
+pub use attempt::AttemptResult;
 pub use configuration::ConfigSnapshot;
 pub use engine::TICK_MS;
-pub use forwarding::ForwardResult;
 
 use crate::counter::{CounterMessage, CounterSocket};
 use crate::endpoints::ZoneLocation;
@@ -35,8 +35,8 @@
 /// The decision module's clock does not begin at 0, which means "long ago" to it.
 const CLOCK_START: Ms = 1000.0;
 
-/// Each forward costs one unit.
-const FORWARD_UNITS: u16 = 1;
+/// Each attempt costs one unit.
+const ATTEMPT_UNITS: u16 = 1;
 
 /// Where a server is reached, and what it is called.
 #[derive(Clone, Debug, PartialEq)]
@@ -124,20 +124,20 @@
         lock(&self.state).admit(now, deadline, snapshot, request)
     }
 
-    /// A forward has ended. `is_answered`: the request is over by it.
-    pub fn finish_forward(
+    /// An attempt has ended. `is_answered`: the request is over by it.
+    pub fn finish_attempt(
         &self,
         id: QueryId,
-        forward: u8,
+        attempt: u8,
         server: ServerId,
-        result: ForwardResult,
+        result: AttemptResult,
         is_answered: bool,
     ) {
         let now = self.now();
         let mut state = lock(&self.state);
         state.dispatch(
             now,
-            &result.event(id, forward, server, is_answered, FORWARD_UNITS),
+            &result.event(id, attempt, server, is_answered, ATTEMPT_UNITS),
         );
         if is_answered {
             state.requests.remove(id);
@@ -157,8 +157,8 @@
     pub fn client_disconnected(&self, id: QueryId) -> Option<(RequestKind, ForwardStage)> {
         let now = self.now();
         let mut state = lock(&self.state);
-        let forward = state.requests.forward(id)?;
-        let (kind, stage) = (forward.kind, forward.handle_disconnect());
+        let handle = state.requests.forward_handle(id)?;
+        let (kind, stage) = (handle.kind, handle.handle_disconnect());
         state
             .requests
             .notify(id, RequestDecision::ClientDisconnected);
@@ -166,10 +166,10 @@
         Some((kind, stage))
     }
 
-    /// The request's client has left a while ago: a run that may be repeated is broken off.
-    pub fn break_off(&self, id: QueryId) {
-        if let Some(forward) = lock(&self.state).requests.forward(id) {
-            forward.abort_idempotent();
+    /// The request's client has left a while ago: a run that may be repeated is aborted.
+    pub fn abort_idempotent(&self, id: QueryId) {
+        if let Some(handle) = lock(&self.state).requests.forward_handle(id) {
+            handle.abort_idempotent();
         }
     }
 
@@ -178,8 +178,8 @@
         let state = lock(&self.state);
         state
             .requests
-            .forward(id)
-            .map(|forward| (forward.kind, forward.progress()))
+            .forward_handle(id)
+            .map(|handle| (handle.kind, handle.progress()))
     }
 
     /// Where a server is reached.
--- a/crates/aspendrum-proxy/src/dispatcher/state.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/state.rs
@@ -2,10 +2,10 @@
 //! go to.
 
 use super::admission::{new_query, AdmissionRequest, PendingRequests, RequestDecision};
+use super::attempt::start_attempt;
 use super::configuration::{account, region_bits, ConfigSnapshot, EngineTables, TenantNumbers};
 use super::counters::{CounterResult, Counters, Received};
 use super::engine::engine_settings;
-use super::forwarding::start_forward;
 use super::proxies::ProxyAddresses;
 use crate::counter::{CounterId, CounterMessage, CounterSocket, Quota, QuotaTolerance};
 use crate::endpoints::{EndpointLimits, EndpointSet, SlowStart, ZoneLocation};
@@ -125,7 +125,7 @@
             Action::Probe { server } => self.health_checks.push(server),
             Action::Fault(text) => log::error!("event=module_fault text=\"{text}\""),
             Action::Log(text) => log::debug!("event=module text=\"{text}\""),
-            // A forward that is given up ends by its own time, and one whose client left is broken off by the watcher of
+            // An attempt that is given up ends by its own time, and one whose client left is aborted by the watcher of
             // clients; the timer is this proxy's; the rest is for other fleets.
             Action::Cancel { .. }
             | Action::Close { .. }
@@ -137,7 +137,7 @@
     }
 
     fn forward(&mut self, now: Ms, id: QueryId, server: ServerId) {
-        let attempt = start_forward(now, id, server, &mut self.requests, &mut self.endpoints);
+        let attempt = start_attempt(now, id, server, &mut self.requests, &mut self.endpoints);
         self.changes.extend(attempt.change);
         self.deferred.extend(attempt.not_sent);
     }
--- a/crates/aspendrum-proxy/src/health_check.rs
+++ b/crates/aspendrum-proxy/src/health_check.rs
@@ -61,8 +61,8 @@
         &address.to_string(),
     ));
     connection.send()?;
-    let response = connection.receive(deadline, pool.connection_options(), |ring| {
-        http1::parse_response(ring, &wire::RESPONSE_BOUNDS)
+    let response = connection.receive(deadline, pool.connection_options(), |buffer| {
+        http1::parse_response(buffer, &wire::RESPONSE_BOUNDS)
     })?;
     // Another server may have the address by now.
     let is_same_server = wire::server_id(&response) == Some(target.server.uid.as_str());
--- a/crates/aspendrum-proxy/src/process.rs
+++ b/crates/aspendrum-proxy/src/process.rs
@@ -57,13 +57,13 @@
     if let Some(address) = settings.readiness_addr {
         let state = state.clone();
         let page = move |request: Request| readiness_page(&state, &request);
-        http_server::listen(address, page_terms(), page)
+        http_server::listen(address, page_options(), page)
             .map_err(ProxyError::of_component("readyz"))?;
     }
     let state = state.clone();
     let page = move |request: Request| metrics_page(&state, &request);
     let address = SocketAddrV4::new(settings.ip, settings.metrics_port());
-    if let Err(e) = http_server::listen(address, page_terms(), page) {
+    if let Err(e) = http_server::listen(address, page_options(), page) {
         // Requests are served without metrics too.
         log::warn!("event=metrics_not_bound at={address} why=\"{e}\"");
     }
@@ -85,8 +85,8 @@
     }
 }
 
-/// Of short calls by the platform and by operators.
-fn page_terms() -> ServerOptions {
+/// For short calls by the platform and by operators.
+fn page_options() -> ServerOptions {
     ServerOptions {
         stack_bytes: STACK_BYTES,
         limits: MessageLimits {
--- a/crates/aspendrum-proxy/src/request/context.rs
+++ b/crates/aspendrum-proxy/src/request/context.rs
@@ -1,9 +1,9 @@
 //! A request in flight: decisions on it are carried out one after another until one of them ends it.
 
 use super::filter::RequestTarget;
-use super::upstream::{Attempt, UpstreamRequest, ANSWER_MARGIN};
+use super::upstream::{AttemptOutcome, UpstreamRequest, ANSWER_MARGIN};
 use crate::disconnects;
-use crate::dispatcher::{AdmissionRequest, ConfigSnapshot, ForwardResult, RequestDecision};
+use crate::dispatcher::{AdmissionRequest, AttemptResult, ConfigSnapshot, RequestDecision};
 use crate::response::{ClientResponse, ConnectionPolicy, DEFAULT_RETRY_AFTER};
 use crate::wire::{self, ResponseClass};
 use aspendrum_core::api::{Ms, Outcome, QueryId, ServerId};
@@ -22,7 +22,7 @@
 /// A request in flight.
 pub(super) struct RequestContext<'a> {
     upstream: UpstreamRequest<'a>,
-    /// A forward was written completely and is not known to have run nowhere.
+    /// An attempt was written completely and is not known to have run nowhere.
     may_have_run: bool,
     /// A server's own failure, which the client gets if nothing better comes.
     failure: Option<Response>,
@@ -43,8 +43,8 @@
         let id = self.admit(sender);
         loop {
             match self.next_decision(&decisions) {
-                Some(RequestDecision::Forward { forward, server }) if self.is_still_valid() => {
-                    if let Some(response) = self.attempt_server(id, forward, server) {
+                Some(RequestDecision::Forward { attempt, server }) if self.is_still_valid() => {
+                    if let Some(response) = self.attempt_server(id, attempt, server) {
                         return self.forward_response(response);
                     }
                 }
@@ -70,7 +70,7 @@
             regions: *regions,
             deadline: self.upstream.deadline,
             decisions,
-            forward: self.upstream.forward.clone(),
+            forward_handle: self.upstream.forward_handle.clone(),
         };
         let id = self.upstream.state.dispatcher.admit(snapshot, admission);
         if !self
@@ -123,9 +123,9 @@
     }
 
     /// Sends the request to a server. Returns an answer that ends the request, if that brought one.
-    fn attempt_server(&mut self, id: QueryId, forward: u8, server: ServerId) -> Option<Response> {
+    fn attempt_server(&mut self, id: QueryId, attempt: u8, server: ServerId) -> Option<Response> {
         let started_at = Instant::now();
-        let Attempt { outcome, response } = self.upstream.send(forward, server, started_at);
+        let AttemptOutcome { outcome, response } = self.upstream.send(attempt, server, started_at);
         let load = response.as_ref().map(wire::server_load).unwrap_or_default();
         let is_answered = outcome == Outcome::Ok;
         let is_known_not_run = matches!(
@@ -134,11 +134,11 @@
         );
         self.may_have_run |= !is_known_not_run;
         let rtt = started_at.elapsed().as_secs_f64() * 1000.0;
-        let result = ForwardResult { outcome, rtt, load };
+        let result = AttemptResult { outcome, rtt, load };
         self.upstream
             .state
             .dispatcher
-            .finish_forward(id, forward, server, result, is_answered);
+            .finish_attempt(id, attempt, server, result, is_answered);
         if is_answered {
             return response;
         }
@@ -150,8 +150,8 @@
 
     /// Ends a request by a decision that is not carried out by sending it.
     fn finish(&self, id: QueryId, decision: RequestDecision) -> ClientResponse {
-        if let RequestDecision::Forward { forward, server } = decision {
-            self.discard(id, forward, server);
+        if let RequestDecision::Forward { attempt, server } = decision {
+            self.discard(id, attempt, server);
         }
         self.upstream.state.dispatcher.finish_request(id);
         match decision {
@@ -182,21 +182,21 @@
     ) -> ClientResponse {
         self.upstream.state.dispatcher.finish_request(id);
         // A decision that came in the same moment is not carried out.
-        while let Ok(RequestDecision::Forward { forward, server }) =
+        while let Ok(RequestDecision::Forward { attempt, server }) =
             decisions.recv_deadline(Some(Instant::now()))
         {
-            self.discard(id, forward, server);
+            self.discard(id, attempt, server);
         }
         self.not_served()
     }
 
-    /// That forward never left, and the request is over.
-    fn discard(&self, id: QueryId, forward: u8, server: ServerId) {
-        self.upstream.state.dispatcher.finish_forward(
+    /// That attempt never left, and the request is over.
+    fn discard(&self, id: QueryId, attempt: u8, server: ServerId) {
+        self.upstream.state.dispatcher.finish_attempt(
             id,
-            forward,
+            attempt,
             server,
-            ForwardResult::NOT_SENT,
+            AttemptResult::NOT_SENT,
             true,
         );
     }
--- a/crates/aspendrum-proxy/src/request/upstream.rs
+++ b/crates/aspendrum-proxy/src/request/upstream.rs
@@ -1,4 +1,4 @@
-//! One forward of a request: connect to the server, send the request, read the answer.
+//! One attempt to run a request at a server: connect to the server, send the request, read the answer.
 
 use super::filter::RequestTarget;
 use crate::session::ClientSession;
@@ -23,22 +23,22 @@
 const KEEP_ALIVE_SHARE: f64 = 0.6;
 const MAX_KEEP_ALIVE: Duration = Duration::from_secs(30);
 
-/// How a forward ended, and the answer that it brought.
-pub(super) struct Attempt {
+/// How an attempt ended, and the answer that it brought.
+pub(super) struct AttemptOutcome {
     pub(super) outcome: Outcome,
     pub(super) response: Option<Response>,
 }
 
-impl Attempt {
-    fn failed(outcome: Outcome) -> Attempt {
-        Attempt {
+impl AttemptOutcome {
+    fn failed(outcome: Outcome) -> AttemptOutcome {
+        AttemptOutcome {
             outcome,
             response: None,
         }
     }
 
-    fn answered(outcome: Outcome, response: Response) -> Attempt {
-        Attempt {
+    fn answered(outcome: Outcome, response: Response) -> AttemptOutcome {
+        AttemptOutcome {
             outcome,
             response: Some(response),
         }
@@ -57,8 +57,8 @@
     pub(super) session: &'a ClientSession,
     pub(super) request: &'a Request,
     pub(super) target: RequestTarget<'a>,
-    /// Its forwards, as other threads see them.
-    pub(super) forward: Arc<ForwardHandle>,
+    /// Its attempts, as other threads see them.
+    pub(super) forward_handle: Arc<ForwardHandle>,
     /// When its client gives up.
     pub(super) deadline: Instant,
 }
@@ -83,13 +83,13 @@
         } else {
             RequestKind::OnceOnly
         };
-        let forward = Arc::new(ForwardHandle::new(kind));
+        let forward_handle = Arc::new(ForwardHandle::new(kind));
         UpstreamRequest {
             state,
             session,
             request,
             target,
-            forward,
+            forward_handle,
             deadline: received_at + budget,
         }
     }
@@ -98,39 +98,44 @@
         self.target.rule().idempotent
     }
 
-    /// Sends the request to a server, as its forward of that number.
-    pub(super) fn send(&self, forward: u8, server: ServerId, started_at: Instant) -> Attempt {
+    /// Sends the request to a server, as its attempt of that number.
+    pub(super) fn send(
+        &self,
+        attempt: u8,
+        server: ServerId,
+        started_at: Instant,
+    ) -> AttemptOutcome {
         let deadline = self.deadline - ANSWER_MARGIN;
         let time_left = deadline.saturating_duration_since(started_at);
         if time_left.is_zero() {
-            return Attempt::failed(Outcome::Moot);
+            return AttemptOutcome::failed(Outcome::Moot);
         }
-        let mut peer = match self.upstream_peer(forward, server, time_left) {
+        let mut peer = match self.upstream_peer(attempt, server, time_left) {
             Ok(peer) => peer,
-            Err(outcome) => return Attempt::failed(outcome),
+            Err(outcome) => return AttemptOutcome::failed(outcome),
         };
-        let answer = self.exchange(&mut peer, forward, deadline);
-        let is_broken_off = self.forward.end_attempt(forward);
+        let answer = self.exchange(&mut peer, attempt, deadline);
+        let is_aborted = self.forward_handle.end_attempt(attempt);
         match answer {
             Ok(response) => {
-                if !response.close && !is_broken_off {
+                if !response.close && !is_aborted {
                     self.keep_connection(server, peer.connection, &response);
                 }
                 upstream_response_filter(response)
             }
-            // It never left completely. That it was broken off is not its server's doing.
-            Err(Outcome::ConnectFailed | Outcome::Moot) if is_broken_off => {
-                Attempt::failed(Outcome::Moot)
+            // It never left completely. That it was aborted is not its server's doing.
+            Err(Outcome::ConnectFailed | Outcome::Moot) if is_aborted => {
+                AttemptOutcome::failed(Outcome::Moot)
             }
-            Err(_) if is_broken_off => Attempt::failed(Outcome::Cancelled),
-            Err(outcome) => Attempt::failed(outcome),
+            Err(_) if is_aborted => AttemptOutcome::failed(Outcome::Cancelled),
+            Err(outcome) => AttemptOutcome::failed(outcome),
         }
     }
 
     /// Connects to the server, or takes a kept connection.
     fn upstream_peer(
         &self,
-        forward: u8,
+        attempt: u8,
         server: ServerId,
         time_left: Duration,
     ) -> Result<UpstreamPeer, Outcome> {
@@ -145,11 +150,11 @@
             false => state.max_idle_for_once_only(),
         };
         let connect_timeout = time_left.min(state.connect_timeout);
-        let enter = |stream: &Arc<TcpStream>| self.forward.begin_attempt(forward, stream);
+        let enter = |stream: &Arc<TcpStream>| self.forward_handle.begin_attempt(attempt, stream);
         let connection = state
             .server_pool
             .acquire(server, connect_timeout, max_idle, enter);
-        let connection = connection.map_err(|outcome| self.fail_to_connect(forward, outcome))?;
+        let connection = connection.map_err(|outcome| self.fail_to_connect(attempt, outcome))?;
         Ok(UpstreamPeer {
             connection,
             uid: target.uid,
@@ -157,8 +162,8 @@
     }
 
     /// What a failed connection means: where the client has left it is not the server's doing.
-    fn fail_to_connect(&self, forward: u8, outcome: Outcome) -> Outcome {
-        if self.forward.end_attempt(forward) {
+    fn fail_to_connect(&self, attempt: u8, outcome: Outcome) -> Outcome {
+        if self.forward_handle.end_attempt(attempt) {
             Outcome::Moot
         } else {
             outcome
@@ -169,7 +174,7 @@
     fn exchange(
         &self,
         peer: &mut UpstreamPeer,
-        forward: u8,
+        attempt: u8,
         deadline: Instant,
     ) -> Result<Response, Outcome> {
         let state = self.state;
@@ -182,16 +187,16 @@
             .connection
             .time_since_disconnect(&state.disconnect_watcher);
         let has_room = peer.connection.outgoing.append(&bytes);
-        if !has_room || !self.forward.advance(forward, ForwardStage::Sending) {
+        if !has_room || !self.forward_handle.advance(attempt, ForwardStage::Sending) {
             return Err(Outcome::Moot);
         }
         if let Some(disconnected_for) = client_disconnected_for {
             state
                 .disconnect_metrics
-                .record_send(self.forward.kind, disconnected_for);
+                .record_send(self.forward_handle.kind, disconnected_for);
         }
         peer.connection.send()?;
-        self.forward.advance(forward, ForwardStage::AtServer);
+        self.forward_handle.advance(attempt, ForwardStage::AtServer);
         self.read_answer(&mut peer.connection, deadline)
     }
 
@@ -204,8 +209,8 @@
         let limits = self.state.server_pool.connection_options();
         for _ in 0..=MAX_STALE_ANSWERS {
             let response = connection
-                .receive(deadline, limits, |ring| {
-                    http1::parse_response(ring, &wire::RESPONSE_BOUNDS)
+                .receive(deadline, limits, |buffer| {
+                    http1::parse_response(buffer, &wire::RESPONSE_BOUNDS)
                 })
                 .inspect_err(|outcome| self.record_reset(connection, *outcome))?;
             if wire::answers(&response, self.target.head.try_id) || is_unread_rejection(&response) {
@@ -221,12 +226,12 @@
     /// A reset of a kept connection before a byte came back: the server may have dropped it while it was idle.
     fn record_reset(&self, connection: &Connection, outcome: Outcome) {
         let was_idle = connection.nothing_received() && !connection.idle_time().is_zero();
-        if outcome == Outcome::Reset && was_idle && !self.forward.progress().is_aborted {
+        if outcome == Outcome::Reset && was_idle && !self.forward_handle.progress().is_aborted {
             self.state.record_idle_reset(connection.idle_time());
         }
     }
 
-    /// Keeps a connection for the next forward, for less than the server keeps it.
+    /// Keeps a connection for the next attempt, for less than the server keeps it.
     fn keep_connection(&self, server: ServerId, mut connection: Connection, response: &Response) {
         if let Some(seconds) = wire::keep_alive_s(response) {
             let keep_alive = Duration::from_secs_f64(seconds * KEEP_ALIVE_SHARE);
@@ -237,13 +242,13 @@
 }
 
 /// What a server's answer means for the request.
-fn upstream_response_filter(response: Response) -> Attempt {
+fn upstream_response_filter(response: Response) -> AttemptOutcome {
     match ResponseClass::of(&response) {
-        ResponseClass::Final => Attempt::answered(Outcome::Ok, response),
-        ResponseClass::NotRun => Attempt::failed(Outcome::Full),
-        ResponseClass::Misdirected => Attempt::failed(Outcome::ConnectFailed),
-        ResponseClass::Failed => Attempt::answered(Outcome::Error, response),
-        ResponseClass::Invalid => Attempt::failed(Outcome::Error),
+        ResponseClass::Final => AttemptOutcome::answered(Outcome::Ok, response),
+        ResponseClass::NotRun => AttemptOutcome::failed(Outcome::Full),
+        ResponseClass::Misdirected => AttemptOutcome::failed(Outcome::ConnectFailed),
+        ResponseClass::Failed => AttemptOutcome::answered(Outcome::Error, response),
+        ResponseClass::Invalid => AttemptOutcome::failed(Outcome::Error),
     }
 }
 
