--- a/crates/aspendrum-benchmarks/src/cores/proxy.rs
+++ b/crates/aspendrum-benchmarks/src/cores/proxy.rs
@@ -3,7 +3,7 @@
 
 use crate::measure::{batches, cpu_ms, each, memory, Line, Samples};
 use crate::sizes::{self, front_at, Size, GRADES};
-use aspendrum_core::api::{Load, Outcome};
+use aspendrum_core::api::{LoadReport, Outcome};
 use aspendrum_model::compression::compress;
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
@@ -211,7 +211,7 @@
             AttemptResult {
                 outcome: Outcome::Ok,
                 rtt: 50.0,
-                load: Load::default(),
+                load: LoadReport::default(),
             },
             true,
         );
@@ -357,7 +357,7 @@
                             AttemptResult {
                                 outcome: Outcome::Ok,
                                 rtt: 5.0,
-                                load: Load::default(),
+                                load: LoadReport::default(),
                             },
                             true,
                         );
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -3,28 +3,28 @@
 mod common;
 
 use aspendrum_core::api::*;
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use common::settings;
 
 struct Rig {
-    c: Control,
-    now: Ms,
-    next: QueryId,
+    c: DecisionEngine,
+    now: Millis,
+    next: RequestId,
     out: Vec<Action>,
 }
 
 impl Rig {
     fn new(windowed: bool, burst: f64) -> Rig {
-        let mut s = settings(Semantics::Mutating, RepeatGroup::All);
-        s.plans[0] = Plan {
-            windowed,
+        let mut s = settings(Semantics::NonIdempotent, RepeatGroup::All);
+        s.plans[0] = PlanSettings {
+            is_windowed: windowed,
             rate: burst,
             burst,
             ..s.plans[0].clone()
         };
         let mut out = Vec::new();
         Rig {
-            c: Control::new(1000.0, 7, &s, &mut out),
+            c: DecisionEngine::new(1000.0, 7, &s, &mut out),
             now: 1000.0,
             next: 1,
             out,
@@ -38,19 +38,19 @@
     }
 
     fn servers(&mut self, servers: &[(ServerId, u16, u8)]) {
-        let member = |&(server, pool, zone): &(ServerId, u16, u8)| Member {
+        let member = |&(server, pool, zone): &(ServerId, u16, u8)| ServerEntry {
             server,
             pool,
-            far: 0.0,
+            distance_cost: 0.0,
             health: Health::Ready,
             cell: 0,
             zone,
-            size: 1.0,
+            capacity: 1.0,
             kind: 0,
-            started: 0.0,
+            started_at: 0.0,
         };
-        let entries: Vec<Member> = servers.iter().map(member).collect();
-        self.tell(&Event::Members {
+        let entries: Vec<ServerEntry> = servers.iter().map(member).collect();
+        self.tell(&Event::ServerList {
             list: ListKind::Delta,
             version: 1,
             entries: &entries,
@@ -64,28 +64,28 @@
         let until = self.now + 3000.0;
         let (group, acct, plan, units, first) = (0, 5, 0, 1.0, 0.0);
         let (client_repeat, write, most) = (false, true, 3);
-        let new = NewQuery {
+        let new = NewRequest {
             id,
             group,
-            until,
-            acct,
+            deadline: until,
+            tenant: acct,
             plan,
-            spread,
+            instances: spread,
             units,
-            first,
-            client_repeat,
-            write,
+            first_instance: first,
+            is_client_retry: client_repeat,
+            is_write: write,
             pool,
-            zones,
-            most,
+            allowed_zones: zones,
+            max_attempts: most,
         };
-        let mut acts = self.tell(&Event::Query(new));
+        let mut acts = self.tell(&Event::Request(new));
         let call = acts.iter().find_map(|a| match a {
-            Action::Count { name, .. } => Some(*name),
+            Action::AddToCounter { name, .. } => Some(*name),
             _ => None,
         });
         if let Some(name) = call {
-            let failed = Event::Counted {
+            let failed = Event::CounterReplied {
                 name,
                 outcome: Outcome::ConnectFailed,
                 total: 0.0,
@@ -159,9 +159,9 @@
     let mut rig = Rig::new(true, 0.0);
     rig.servers(&[(1, 0, 0)]);
     assert!(forwarded(&rig.ask(0, u64::MAX, 1.0)).is_some(), "no quota");
-    let s = settings(Semantics::Mutating, RepeatGroup::All);
-    let plan = Plan {
-        windowed: true,
+    let s = settings(Semantics::NonIdempotent, RepeatGroup::All);
+    let plan = PlanSettings {
+        is_windowed: true,
         rate: 1.0,
         burst: 1.0,
         ..s.plans[0].clone()
--- a/crates/aspendrum-proxy/src/counter/client.rs
+++ b/crates/aspendrum-proxy/src/counter/client.rs
@@ -2,7 +2,7 @@
 
 use super::id::CounterId;
 use super::rtt::RttEstimator;
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_model::hash::highest_ranked;
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -15,8 +15,8 @@
     /// The proxy that was asked.
     pub owner: Ipv4Addr,
     /// When it was asked.
-    pub sent_at: Ms,
-    deadline: Ms,
+    pub sent_at: Millis,
+    deadline: Millis,
 }
 
 /// The owners of counters, and the calls to them that wait for an answer.
@@ -52,7 +52,7 @@
     }
 
     /// Begins a call. Returns the number that its answer bears.
-    pub fn start_call(&mut self, now: Ms, owner: Ipv4Addr, engine_name: u64) -> u32 {
+    pub fn start_call(&mut self, now: Millis, owner: Ipv4Addr, engine_name: u64) -> u32 {
         self.last_call = self.last_call.wrapping_add(1);
         let round_trips = self.round_trips.get(&owner);
         let timeout = round_trips.map_or(RttEstimator::INITIAL_TIMEOUT, RttEstimator::timeout);
@@ -67,7 +67,7 @@
     }
 
     /// An answer came. `None`: the call timed out before, or another proxy was asked.
-    pub fn finish_call(&mut self, now: Ms, from: Ipv4Addr, call: u32) -> Option<CounterCall> {
+    pub fn finish_call(&mut self, now: Millis, from: Ipv4Addr, call: u32) -> Option<CounterCall> {
         self.pending
             .get(&call)
             .filter(|pending| pending.owner == from)?;
@@ -82,7 +82,7 @@
     }
 
     /// Removes and returns the calls whose time-out is over.
-    pub fn expire_calls(&mut self, now: Ms) -> Vec<CounterCall> {
+    pub fn expire_calls(&mut self, now: Millis) -> Vec<CounterCall> {
         drain_calls(&mut self.pending, |call| now >= call.deadline)
     }
 }
--- a/crates/aspendrum-proxy/src/counter/quota.rs
+++ b/crates/aspendrum-proxy/src/counter/quota.rs
@@ -1,6 +1,6 @@
 //! What a counter's window may grant, so that no span of time holds more than the tenant's quota and its tolerance.
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 
 /// The quota of one tenant, as its counter grants it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -10,7 +10,7 @@
     /// Units per window.
     pub burst: f64,
     /// Length of a window, in milliseconds.
-    pub window: Ms,
+    pub window: Millis,
 }
 
 /// What may be granted above a tenant's quota in any span of time: `excess` of the quota, and `slack` on top.
--- a/crates/aspendrum-proxy/src/counter/store.rs
+++ b/crates/aspendrum-proxy/src/counter/store.rs
@@ -4,16 +4,16 @@
 use super::id::CounterId;
 use super::message::CounterHandover;
 use super::quota::Quota;
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use std::collections::HashMap;
 
 /// Beyond a window: for so long other proxies may go by an older list of owners.
-const STALE_OWNERS: Ms = 400.0;
+const STALE_OWNERS: Millis = 400.0;
 
 /// What was granted in the current window of one counter.
 struct Window {
     total: f64,
-    started_at: Ms,
+    started_at: Millis,
 }
 
 /// The counters owned by this proxy.
@@ -23,7 +23,7 @@
     quotas: HashMap<CounterId, Quota>,
     /// Since when this proxy owns each counter. Kept by counter: a change of owners that concerns others makes no
     /// counter wait. Negative infinity: no other proxy ever owned it.
-    owned_since: HashMap<CounterId, Ms>,
+    owned_since: HashMap<CounterId, Millis>,
     /// The list of owners is known.
     owners_known: bool,
 }
@@ -55,7 +55,7 @@
     /// so the next owner goes on at once.
     pub fn set_owned(
         &mut self,
-        now: Ms,
+        now: Millis,
         is_owned: impl Fn(CounterId) -> bool,
     ) -> Vec<CounterHandover> {
         self.owners_known = true;
@@ -84,7 +84,7 @@
     }
 
     /// The last owner hands a counter over. What was granted here meanwhile is added to it.
-    pub fn accept_handover(&mut self, now: Ms, handover: CounterHandover) {
+    pub fn accept_handover(&mut self, now: Millis, handover: CounterHandover) {
         let CounterHandover { counter, total, .. } = handover;
         if !self.quotas.contains_key(&counter) {
             return;
@@ -108,7 +108,7 @@
 
     /// Adds to a counter; returns what its window then holds. `None`: the last owner may still grant from the counter
     /// until its window is over, unless it has handed it over, or the tenant is not known.
-    pub fn add(&mut self, now: Ms, counter: CounterId, amount: f32) -> Option<f32> {
+    pub fn add(&mut self, now: Millis, counter: CounterId, amount: f32) -> Option<f32> {
         let quota = self.quotas.get(&counter)?;
         if !self.windows.contains_key(&counter) {
             let since = self.owned_since.get(&counter)?;
--- a/crates/aspendrum-proxy/src/disconnects.rs
+++ b/crates/aspendrum-proxy/src/disconnects.rs
@@ -2,7 +2,7 @@
 
 use crate::session::ClientSession;
 use crate::state::ProxyState;
-use aspendrum_core::api::QueryId;
+use aspendrum_core::api::RequestId;
 use aspendrum_net::disconnect_metrics::REACTION_DEADLINE;
 use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
 use std::time::Duration;
@@ -32,7 +32,7 @@
 }
 
 /// A request's client has left.
-pub(crate) fn client_disconnected(state: &ProxyState, request: QueryId) {
+pub(crate) fn client_disconnected(state: &ProxyState, request: RequestId) {
     if let Some((kind, stage)) = state.dispatcher.client_disconnected(request) {
         state.disconnect_metrics.record_disconnect(kind, stage);
     }
@@ -42,7 +42,7 @@
 fn follow_up(
     state: &ProxyState,
     session: &ClientSession,
-    request: QueryId,
+    request: RequestId,
     disconnected_for: Duration,
 ) {
     if disconnected_for >= FINISH_WITHIN {
--- a/crates/aspendrum-proxy/src/dispatcher/admission.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/admission.rs
@@ -1,7 +1,7 @@
 //! Requests that the decision module decides of, and how their threads learn of its decisions.
 
 use super::configuration::ConfigSnapshot;
-use aspendrum_core::api::{Ms, NewQuery, QueryId, ServerId};
+use aspendrum_core::api::{Millis, NewRequest, RequestId, ServerId};
 use aspendrum_net::forward::ForwardHandle;
 use aspendrum_net::mailbox::MailboxSender;
 use std::collections::HashMap;
@@ -21,9 +21,9 @@
     /// It is rejected.
     Shed {
         /// When its client may come again; 0: not known.
-        retry_after: Ms,
+        retry_after: Millis,
         /// It is beyond its tenant's quota.
-        over_quota: bool,
+        beyond_quota: bool,
     },
     /// Nothing more can be done for it.
     Drop,
@@ -68,8 +68,8 @@
 
 /// All requests whose threads wait for decisions.
 pub(super) struct PendingRequests {
-    requests: HashMap<QueryId, PendingRequest>,
-    next_id: QueryId,
+    requests: HashMap<RequestId, PendingRequest>,
+    next_id: RequestId,
 }
 
 impl Default for PendingRequests {
@@ -84,12 +84,12 @@
 
 impl PendingRequests {
     /// The number that the next request gets.
-    pub(super) fn next_id(&self) -> QueryId {
+    pub(super) fn next_id(&self) -> RequestId {
         self.next_id
     }
 
     /// Enters a request under the next number.
-    pub(super) fn insert(&mut self, request: AdmissionRequest) -> QueryId {
+    pub(super) fn insert(&mut self, request: AdmissionRequest) -> RequestId {
         let id = self.next_id;
         self.next_id += 1;
         let AdmissionRequest {
@@ -110,18 +110,18 @@
         id
     }
 
-    pub(super) fn remove(&mut self, id: QueryId) {
+    pub(super) fn remove(&mut self, id: RequestId) {
         self.requests.remove(&id);
     }
 
-    pub(super) fn forward_handle(&self, id: QueryId) -> Option<&ForwardHandle> {
+    pub(super) fn forward_handle(&self, id: RequestId) -> Option<&ForwardHandle> {
         self.requests
             .get(&id)
             .map(|request| &*request.forward_handle)
     }
 
     /// Counts one more attempt of a request.
-    pub(super) fn next_attempt(&mut self, id: QueryId) -> Option<NextAttempt> {
+    pub(super) fn next_attempt(&mut self, id: RequestId) -> Option<NextAttempt> {
         let request = self.requests.get_mut(&id)?;
         let next = NextAttempt {
             number: request.attempts,
@@ -132,7 +132,7 @@
     }
 
     /// Tells a request's thread of a decision.
-    pub(super) fn notify(&self, id: QueryId, decision: RequestDecision) {
+    pub(super) fn notify(&self, id: RequestId, decision: RequestDecision) {
         if let Some(request) = self.requests.get(&id) {
             // A full mailbox means that nobody reads decisions there any more.
             let _ = request.decisions.try_send(decision);
@@ -142,31 +142,31 @@
 
 /// A request as the decision module is told of it. `quota_sharers`: among so many the tenant's quota is divided while its
 /// counter does not answer.
-pub(super) fn new_query(
-    id: QueryId,
-    deadline: Ms,
+pub(super) fn new_request(
+    id: RequestId,
+    deadline: Millis,
     snapshot: &ConfigSnapshot,
     request: &AdmissionRequest,
     quota_sharers: f32,
-) -> NewQuery {
+) -> NewRequest {
     let tenant = request
         .tenant
         .map(|tenant| snapshot.tenant(tenant))
         .unwrap_or_default();
     let tries = snapshot.config.routes[request.route].max_attempts;
-    NewQuery {
+    NewRequest {
         id,
         group: snapshot.group(request.route),
-        until: deadline,
-        acct: tenant.account,
+        deadline,
+        tenant: tenant.id,
         plan: tenant.plan,
-        spread: quota_sharers,
+        instances: quota_sharers,
         units: 1.0,
-        first: 0.0,
-        client_repeat: false,
-        write: false,
+        first_instance: 0.0,
+        is_client_retry: false,
+        is_write: false,
         pool: request.pool,
-        zones: request.regions,
-        most: tries.min(u32::from(u8::MAX)) as u8,
+        allowed_zones: request.regions,
+        max_attempts: tries.min(u32::from(u8::MAX)) as u8,
     }
 }
--- a/crates/aspendrum-proxy/src/dispatcher/attempt.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::admission::{PendingRequests, RequestDecision};
 use crate::endpoints::EndpointSet;
-use aspendrum_core::api::{Event, Load, Member, Ms, Outcome, QueryId, ServerId};
+use aspendrum_core::api::{Event, LoadReport, Millis, Outcome, RequestId, ServerEntry, ServerId};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -10,18 +10,18 @@
     /// Whether it succeeded, and whether it may have run.
     pub outcome: Outcome,
     /// Its round-trip time.
-    pub rtt: Ms,
+    pub rtt: Millis,
     /// The load that the server reported with its answer.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 impl AttemptResult {
     /// It never left.
     pub const NOT_SENT: AttemptResult = AttemptResult {
-        outcome: Outcome::Moot,
+        outcome: Outcome::NotSent,
         rtt: 0.0,
-        load: Load {
-            n: 0,
+        load: LoadReport {
+            count: 0,
             values: [0.0; 4],
         },
     };
@@ -30,22 +30,22 @@
     /// `actual_units`: what was spent on it.
     pub(super) fn event(
         &self,
-        id: QueryId,
+        id: RequestId,
         attempt: u8,
         server: ServerId,
         is_final: bool,
         actual_units: u16,
     ) -> Event<'static> {
         let AttemptResult { outcome, rtt, load } = *self;
-        Event::ForwardEnded {
+        Event::AttemptEnded {
             id,
             forward: attempt,
             server,
             outcome,
             rtt,
-            over: is_final,
-            used: 0,
-            actual: actual_units,
+            is_final,
+            metered: 0,
+            actual_units,
             load,
         }
     }
@@ -55,15 +55,15 @@
 #[derive(Default)]
 pub(super) struct StartedAttempt {
     /// The server's health changed for the decision module.
-    pub(super) change: Option<Member>,
+    pub(super) change: Option<ServerEntry>,
     /// The end of an attempt that did not start.
     pub(super) not_sent: Option<Event<'static>>,
 }
 
 /// Lets an attempt start, if its server may be used and, for a retry, the budget of retries allows it.
 pub(super) fn start_attempt(
-    now: Ms,
-    id: QueryId,
+    now: Millis,
+    id: RequestId,
     server: ServerId,
     requests: &mut PendingRequests,
     endpoints: &mut EndpointSet,
--- a/crates/aspendrum-proxy/src/dispatcher/configuration.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::engine::{default_group, quota_plan};
 use crate::counter::{CounterId, Quota};
-use aspendrum_core::api::{AcctId, Group, Plan, Semantics};
+use aspendrum_core::api::{GroupSettings, PlanSettings, Semantics, TenantId};
 use aspendrum_model::config::{Config, Route};
 use aspendrum_model::settings::Settings;
 use aspendrum_reconcile::edition;
@@ -23,10 +23,10 @@
     pub(super) tenants: Vec<TenantNumbers>,
 }
 
-/// A tenant as the decision module numbers it; 0 is no tenant.
+/// A tenant as the decision module numbers it; both are 0 for requests without a tenant.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TenantNumbers {
-    pub(super) account: AcctId,
+    pub(super) id: TenantId,
     pub(super) plan: u32,
 }
 
@@ -69,8 +69,8 @@
 
 /// The decision module's groups and plans. They only ever grow: numbers stay valid for requests in flight.
 pub(super) struct EngineTables {
-    pub(super) groups: Vec<Group>,
-    pub(super) plans: Vec<Plan>,
+    pub(super) groups: Vec<GroupSettings>,
+    pub(super) plans: Vec<PlanSettings>,
     group_numbers: HashMap<GroupKey, u16>,
     plan_numbers: HashMap<String, u32>,
 }
@@ -100,14 +100,14 @@
             return *number;
         }
         let number = self.groups.len() as u16;
-        self.groups.push(Group {
+        self.groups.push(GroupSettings {
             // Late answers have their value: servers are not left idle for a latency target that cannot be met.
-            slo: route.timeout_ms,
-            limit: route.timeout_ms,
+            latency_target: route.timeout_ms,
+            hard_limit: route.timeout_ms,
             semantics: if route.idempotent {
-                Semantics::Repeatable
+                Semantics::Idempotent
             } else {
-                Semantics::Mutating
+                Semantics::NonIdempotent
             },
             importance: 1.0 / (1.0 + route.priority),
             ..default_group()
@@ -129,7 +129,7 @@
     }
 }
 
-/// The decision module's account of a tenant: its counter's id.
-pub(super) fn account(tenant: &str) -> AcctId {
+/// The decision module's id of a tenant: its counter's.
+pub(super) fn tenant_id(tenant: &str) -> TenantId {
     CounterId::of_tenant(tenant).0
 }
--- a/crates/aspendrum-proxy/src/dispatcher/counters.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/counters.rs
@@ -5,7 +5,7 @@
     CounterCall, CounterClient, CounterHandover, CounterId, CounterMessage, CounterSocket,
     CounterStore, Quota,
 };
-use aspendrum_core::api::{Event, Ms, Outcome};
+use aspendrum_core::api::{Event, Millis, Outcome};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -23,13 +23,13 @@
     engine_name: u64,
     outcome: Outcome,
     total: f32,
-    rtt: Ms,
+    rtt: Millis,
 }
 
 impl CounterResult {
     /// The end of a call to another proxy.
     pub(super) fn of_call(
-        now: Ms,
+        now: Millis,
         call: &CounterCall,
         outcome: Outcome,
         total: f32,
@@ -50,7 +50,7 @@
             total,
             rtt,
         } = *self;
-        Event::Counted {
+        Event::CounterReplied {
             name,
             outcome,
             total,
@@ -91,7 +91,12 @@
     }
 
     /// Adds to the counter that the decision module names. `None`: its owner was asked, and the answer follows.
-    pub(super) fn add(&mut self, now: Ms, engine_name: u64, amount: f32) -> Option<CounterResult> {
+    pub(super) fn add(
+        &mut self,
+        now: Millis,
+        engine_name: u64,
+        amount: f32,
+    ) -> Option<CounterResult> {
         // The module's name holds a window of its own; the owner has its own windows.
         let counter = CounterId::of_engine_name(engine_name);
         let total = match self.client.owner(counter).filter(|_| !self.control_silent) {
@@ -123,7 +128,12 @@
     }
 
     /// A datagram of another proxy.
-    pub(super) fn receive(&mut self, now: Ms, from: Ipv4Addr, message: CounterMessage) -> Received {
+    pub(super) fn receive(
+        &mut self,
+        now: Millis,
+        from: Ipv4Addr,
+        message: CounterMessage,
+    ) -> Received {
         match message {
             CounterMessage::Add {
                 call,
@@ -151,7 +161,7 @@
 
     fn finish_call(
         &mut self,
-        now: Ms,
+        now: Millis,
         from: Ipv4Addr,
         call: u32,
         outcome: Outcome,
@@ -164,7 +174,7 @@
     }
 
     /// Calls whose time-out is over.
-    pub(super) fn expire_calls(&mut self, now: Ms) -> Vec<CounterCall> {
+    pub(super) fn expire_calls(&mut self, now: Millis) -> Vec<CounterCall> {
         self.client.expire_calls(now)
     }
 
@@ -177,7 +187,7 @@
 
     /// Replaces the proxies that may own counters, and hands over what others own now. Returns the calls to proxies that
     /// are gone.
-    pub(super) fn set_owners(&mut self, now: Ms, owners: Vec<Ipv4Addr>) -> Vec<CounterCall> {
+    pub(super) fn set_owners(&mut self, now: Millis, owners: Vec<Ipv4Addr>) -> Vec<CounterCall> {
         let Some(failed) = self.client.set_owners(owners) else {
             return Vec::new();
         };
--- a/crates/aspendrum-proxy/src/dispatcher/mod.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::counter::{CounterMessage, CounterSocket};
 use crate::endpoints::ZoneLocation;
-use aspendrum_core::api::{Event, Load, Ms, Outcome, QueryId, ServerId};
+use aspendrum_core::api::{Event, LoadReport, Millis, Outcome, RequestId, ServerId};
 use aspendrum_model::compression::decompress;
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{StateDigest, StateSection};
@@ -33,7 +33,7 @@
 use std::time::Instant;
 
 /// The decision module's clock does not begin at 0, which means "long ago" to it.
-const CLOCK_START: Ms = 1000.0;
+const CLOCK_START: Millis = 1000.0;
 
 /// Each attempt costs one unit.
 const ATTEMPT_UNITS: u16 = 1;
@@ -62,11 +62,11 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Its round-trip time.
-    pub rtt: Ms,
+    pub rtt: Millis,
     /// The load that the server reported.
-    pub load: Load,
+    pub load: LoadReport,
     /// How much of its slow start the server reported as left, in milliseconds.
-    pub slow_start_left: Option<Ms>,
+    pub slow_start_left: Option<Millis>,
 }
 
 /// Decides of requests and keeps what decisions rest on.
@@ -105,7 +105,7 @@
         &self.counter_socket
     }
 
-    fn clock_at(&self, instant: Instant) -> Ms {
+    fn clock_at(&self, instant: Instant) -> Millis {
         CLOCK_START
             + instant
                 .saturating_duration_since(self.started_at)
@@ -113,12 +113,12 @@
                 * 1000.0
     }
 
-    fn now(&self) -> Ms {
+    fn now(&self) -> Millis {
         self.clock_at(Instant::now())
     }
 
     /// A request came. Decisions on it follow; the first may be there at once.
-    pub fn admit(&self, snapshot: &ConfigSnapshot, request: AdmissionRequest) -> QueryId {
+    pub fn admit(&self, snapshot: &ConfigSnapshot, request: AdmissionRequest) -> RequestId {
         let now = self.now();
         let deadline = self.clock_at(request.deadline);
         lock(&self.state).admit(now, deadline, snapshot, request)
@@ -127,7 +127,7 @@
     /// An attempt has ended. `is_answered`: the request is over by it.
     pub fn finish_attempt(
         &self,
-        id: QueryId,
+        id: RequestId,
         attempt: u8,
         server: ServerId,
         result: AttemptResult,
@@ -145,16 +145,16 @@
     }
 
     /// The request needs no decision any more.
-    pub fn finish_request(&self, id: QueryId) {
+    pub fn finish_request(&self, id: RequestId) {
         let now = self.now();
         let mut state = lock(&self.state);
         state.requests.remove(id);
-        state.dispatch(now, &Event::ClientLeft { id });
+        state.dispatch(now, &Event::ClientDisconnected { id });
     }
 
     /// The request's client has left: nothing more is sent for it. Returns how far the request had come; `None`: it is
     /// over.
-    pub fn client_disconnected(&self, id: QueryId) -> Option<(RequestKind, ForwardStage)> {
+    pub fn client_disconnected(&self, id: RequestId) -> Option<(RequestKind, ForwardStage)> {
         let now = self.now();
         let mut state = lock(&self.state);
         let handle = state.requests.forward_handle(id)?;
@@ -162,19 +162,19 @@
         state
             .requests
             .notify(id, RequestDecision::ClientDisconnected);
-        state.dispatch(now, &Event::ClientLeft { id });
+        state.dispatch(now, &Event::ClientDisconnected { id });
         Some((kind, stage))
     }
 
     /// The request's client has left a while ago: a run that may be repeated is aborted.
-    pub fn abort_idempotent(&self, id: QueryId) {
+    pub fn abort_idempotent(&self, id: RequestId) {
         if let Some(handle) = lock(&self.state).requests.forward_handle(id) {
             handle.abort_idempotent();
         }
     }
 
     /// How far a request has come. `None`: it is over.
-    pub fn progress(&self, id: QueryId) -> Option<(RequestKind, Progress)> {
+    pub fn progress(&self, id: RequestId) -> Option<(RequestKind, Progress)> {
         let state = lock(&self.state);
         state
             .requests
@@ -227,7 +227,7 @@
         }
         state.dispatch(
             now,
-            &Event::Probed {
+            &Event::ProbeEnded {
                 server,
                 outcome,
                 rtt,
--- a/crates/aspendrum-proxy/src/dispatcher/state.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/state.rs
@@ -1,16 +1,18 @@
 //! What stands behind the dispatcher's lock: the decision module, and the parts that its events come from and its actions
 //! go to.
 
-use super::admission::{new_query, AdmissionRequest, PendingRequests, RequestDecision};
+use super::admission::{new_request, AdmissionRequest, PendingRequests, RequestDecision};
 use super::attempt::start_attempt;
-use super::configuration::{account, region_bits, ConfigSnapshot, EngineTables, TenantNumbers};
+use super::configuration::{region_bits, tenant_id, ConfigSnapshot, EngineTables, TenantNumbers};
 use super::counters::{CounterResult, Counters, Received};
 use super::engine::engine_settings;
 use super::proxies::ProxyAddresses;
 use crate::counter::{CounterId, CounterMessage, CounterSocket, Quota, QuotaTolerance};
 use crate::endpoints::{EndpointLimits, EndpointSet, SlowStart, ZoneLocation};
-use aspendrum_core::api::{Action, Event, ListKind, Member, Ms, Outcome, QueryId, ServerId};
-use aspendrum_core::control::Control;
+use aspendrum_core::api::{
+    Action, Event, ListKind, Millis, Outcome, RequestId, ServerEntry, ServerId,
+};
+use aspendrum_core::engine::DecisionEngine;
 use aspendrum_model::config::{Config, Tenant};
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
@@ -19,21 +21,21 @@
 use std::sync::Arc;
 
 /// How often endpoints' health is looked at.
-const REFRESH_EVERY: Ms = 20.0;
+const REFRESH_EVERY: Millis = 20.0;
 
 /// The state of a dispatcher.
 pub(super) struct DispatcherState {
-    engine: Control,
+    engine: DecisionEngine,
     /// The engine's actions, kept for their memory.
     actions: Vec<Action>,
     /// Events that follow from actions: they come once the actions are carried out.
     deferred: Vec<Event<'static>>,
     /// Endpoints whose health changed, until the engine is told.
-    changes: Vec<Member>,
+    changes: Vec<ServerEntry>,
     /// Servers whose health is to be checked, until the next tick.
     health_checks: Vec<ServerId>,
     tables: EngineTables,
-    refreshed_at: Ms,
+    refreshed_at: Millis,
     pub(super) endpoints: EndpointSet,
     pub(super) counters: Counters,
     pub(super) requests: PendingRequests,
@@ -46,12 +48,16 @@
 }
 
 impl DispatcherState {
-    pub(super) fn new(now: Ms, settings: &Settings, socket: Arc<CounterSocket>) -> DispatcherState {
+    pub(super) fn new(
+        now: Millis,
+        settings: &Settings,
+        socket: Arc<CounterSocket>,
+    ) -> DispatcherState {
         let region = settings.region_number(&settings.region).unwrap_or(0);
         // At its start the engine asks for what a proxy gives it anyhow: its timer.
         let mut initial_actions = Vec::new();
         let seed = fastrand::u64(..);
-        let engine = Control::new(now, seed, &engine_settings(region), &mut initial_actions);
+        let engine = DecisionEngine::new(now, seed, &engine_settings(region), &mut initial_actions);
         DispatcherState {
             engine,
             actions: Vec::new(),
@@ -70,7 +76,7 @@
     }
 
     /// Tells the engine of an event, and carries out what follows.
-    pub(super) fn dispatch(&mut self, now: Ms, event: &Event<'_>) {
+    pub(super) fn dispatch(&mut self, now: Millis, event: &Event<'_>) {
         self.handle(now, event);
         while let Some(event) = self.deferred.pop() {
             self.handle(now, &event);
@@ -78,7 +84,7 @@
         self.report_changes(now);
     }
 
-    fn handle(&mut self, now: Ms, event: &Event<'_>) {
+    fn handle(&mut self, now: Millis, event: &Event<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.engine.handle(now, event, &mut actions);
         for action in actions.drain(..) {
@@ -87,12 +93,12 @@
         self.actions = actions;
     }
 
-    fn report_changes(&mut self, now: Ms) {
+    fn report_changes(&mut self, now: Millis) {
         while !self.changes.is_empty() {
             let entries = std::mem::take(&mut self.changes);
             self.handle(
                 now,
-                &Event::Members {
+                &Event::ServerList {
                     list: ListKind::Delta,
                     version: 0,
                     entries: &entries,
@@ -101,24 +107,26 @@
         }
     }
 
-    fn carry_out(&mut self, now: Ms, action: Action) {
+    fn carry_out(&mut self, now: Millis, action: Action) {
         match action {
             Action::Forward { id, server, .. } => self.forward(now, id, server),
             Action::Shed {
                 id,
                 retry_after,
-                beyond: over_quota,
+                beyond_quota,
             } => {
                 self.requests.notify(
                     id,
                     RequestDecision::Shed {
                         retry_after,
-                        over_quota,
+                        beyond_quota,
                     },
                 );
             }
             Action::Drop { id } => self.requests.notify(id, RequestDecision::Drop),
-            Action::Count { name, add, .. } => {
+            Action::AddToCounter {
+                name, units: add, ..
+            } => {
                 let result = self.counters.add(now, name, add);
                 self.deferred.extend(result.map(|result| result.event()));
             }
@@ -128,15 +136,15 @@
             // An attempt that is given up ends by its own time, and one whose client left is aborted by the watcher of
             // clients; the timer is this proxy's; the rest is for other fleets.
             Action::Cancel { .. }
-            | Action::Close { .. }
+            | Action::CloseConnections { .. }
             | Action::Timer { .. }
-            | Action::Fetch
-            | Action::Watch { .. }
-            | Action::Tell { .. } => {}
+            | Action::FetchServers
+            | Action::WatchServers { .. }
+            | Action::SendDatagram { .. } => {}
         }
     }
 
-    fn forward(&mut self, now: Ms, id: QueryId, server: ServerId) {
+    fn forward(&mut self, now: Millis, id: RequestId, server: ServerId) {
         let attempt = start_attempt(now, id, server, &mut self.requests, &mut self.endpoints);
         self.changes.extend(attempt.change);
         self.deferred.extend(attempt.not_sent);
@@ -145,14 +153,14 @@
     /// A request came.
     pub(super) fn admit(
         &mut self,
-        now: Ms,
-        deadline: Ms,
+        now: Millis,
+        deadline: Millis,
         snapshot: &ConfigSnapshot,
         request: AdmissionRequest,
-    ) -> QueryId {
+    ) -> RequestId {
         self.endpoints.record_request(now, request.pool);
         let quota_sharers = self.counters.quota_sharers(self.endpoints.proxy_count());
-        let query = new_query(
+        let new_request = new_request(
             self.requests.next_id(),
             deadline,
             snapshot,
@@ -160,12 +168,12 @@
             quota_sharers,
         );
         let id = self.requests.insert(request);
-        self.dispatch(now, &Event::Query(query));
+        self.dispatch(now, &Event::Request(new_request));
         id
     }
 
     /// Does what is due. Returns the servers whose health is to be checked.
-    pub(super) fn tick(&mut self, now: Ms) -> Vec<ServerId> {
+    pub(super) fn tick(&mut self, now: Millis) -> Vec<ServerId> {
         if now - self.refreshed_at >= REFRESH_EVERY {
             self.refreshed_at = now;
             self.refresh_endpoints(now);
@@ -178,7 +186,7 @@
         std::mem::take(&mut self.health_checks)
     }
 
-    fn refresh_endpoints(&mut self, now: Ms) {
+    fn refresh_endpoints(&mut self, now: Millis) {
         self.changes = self.endpoints.refresh(now);
         self.report_changes(now);
     }
@@ -186,7 +194,7 @@
     /// A datagram of another proxy came. Returns the answer to it.
     pub(super) fn receive_counter_message(
         &mut self,
-        now: Ms,
+        now: Millis,
         from: Ipv4Addr,
         message: CounterMessage,
     ) -> Option<CounterMessage> {
@@ -201,7 +209,7 @@
     }
 
     /// Zones get nothing any more, or are used again.
-    pub(super) fn apply_evacuation(&mut self, now: Ms, order: u64, zones: &[String]) {
+    pub(super) fn apply_evacuation(&mut self, now: Millis, order: u64, zones: &[String]) {
         self.evacuation_order = order;
         self.endpoints.set_evacuated_zones(now, zones);
         self.refresh_endpoints(now);
@@ -210,8 +218,8 @@
     /// A list of servers came, which is `age` milliseconds old.
     pub(super) fn apply_servers(
         &mut self,
-        now: Ms,
-        age: Ms,
+        now: Millis,
+        age: Millis,
         servers: Vec<ServerInstance>,
         locate: impl Fn(&str) -> ZoneLocation,
     ) {
@@ -220,7 +228,7 @@
     }
 
     /// A list of proxies came.
-    pub(super) fn apply_proxies(&mut self, now: Ms, proxies: ProxyAddresses) {
+    pub(super) fn apply_proxies(&mut self, now: Millis, proxies: ProxyAddresses) {
         self.proxies_known = true;
         for call in self.counters.set_owners(now, proxies.ready) {
             let result = CounterResult::of_call(now, &call, Outcome::TimedOut, 0.0);
@@ -282,7 +290,7 @@
             let quota = Quota::within(tenant.rate_per_second, tenant.burst, &tolerance);
             quotas.insert(CounterId::of_tenant(&tenant.name), quota);
             TenantNumbers {
-                account: account(&tenant.name),
+                id: tenant_id(&tenant.name),
                 plan: self.tables.plan(&tenant.name, &quota),
             }
         });
--- a/crates/aspendrum-proxy/src/drain.rs
+++ b/crates/aspendrum-proxy/src/drain.rs
@@ -2,32 +2,32 @@
 //! directory; then no more are, and those in flight are finished. Nothing in this module does I/O or reads a clock;
 //! times are milliseconds since SIGTERM.
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 
 /// Idle connections stay open for so long: their clients learn of the shutdown with their next answer.
-const KEEPS_IDLE: Ms = 1200.0;
+const KEEPS_IDLE: Millis = 1200.0;
 /// After the last new connection it may end once no connection is open.
-const QUIET: Ms = 400.0;
+const QUIET: Millis = 400.0;
 /// What is left of the grace period when the process ends whatever is in flight.
-const RESERVE: Ms = 400.0;
+const RESERVE: Millis = 400.0;
 /// New requests are taken for so long at least: the directory names this proxy for about half of that.
-const MIN_ACCEPTS: Ms = 1000.0;
+const MIN_ACCEPTS: Millis = 1000.0;
 
 /// When each stage of a graceful shutdown begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainSchedule {
     /// From then on no new request is taken.
-    pub accepts_until: Ms,
+    pub accepts_until: Millis,
     /// From then on idle connections are closed.
-    pub keeps_idle_until: Ms,
+    pub keeps_idle_until: Millis,
     /// Then the process ends.
-    pub ends_at: Ms,
+    pub ends_at: Millis,
 }
 
 impl DrainSchedule {
     /// `grace_period`: the platform kills the process after that. `longest_request`: a request may last so long. Whatever
     /// is taken has its full time before the end, and nothing is taken in the second half of the grace period.
-    pub fn new(grace_period: Ms, longest_request: Ms) -> DrainSchedule {
+    pub fn new(grace_period: Millis, longest_request: Millis) -> DrainSchedule {
         let ends_at = (grace_period - RESERVE).max(grace_period / 2.0);
         let accepts_until = (ends_at - longest_request)
             .max(MIN_ACCEPTS)
@@ -40,12 +40,12 @@
     }
 
     /// Idle connections are to be closed.
-    pub fn closes_idle(&self, elapsed: Ms) -> bool {
+    pub fn closes_idle(&self, elapsed: Millis) -> bool {
         elapsed >= self.keeps_idle_until
     }
 
     /// The process may end. `open_connections`: of clients; `quiet_for`: since the last new connection.
-    pub fn is_finished(&self, elapsed: Ms, open_connections: usize, quiet_for: Ms) -> bool {
+    pub fn is_finished(&self, elapsed: Millis, open_connections: usize, quiet_for: Millis) -> bool {
         let is_drained = open_connections == 0 && self.closes_idle(elapsed) && quiet_for >= QUIET;
         is_drained || elapsed >= self.ends_at
     }
--- a/crates/aspendrum-proxy/src/endpoints/retry_budget.rs
+++ b/crates/aspendrum-proxy/src/endpoints/retry_budget.rs
@@ -1,13 +1,13 @@
 //! The budget of retries (Google SRE book, "Addressing Cascading Failures"): retries of all proxies together stay within
 //! a share of first attempts, without any message between proxies.
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use std::collections::{HashMap, VecDeque};
 
 /// Of the retries that the limits leave to all proxies, the share that they make.
 const SAFETY: f64 = 0.7;
 /// Attempts are counted by tenths of a second.
-const BUCKET: Ms = 100.0;
+const BUCKET: Millis = 100.0;
 
 /// How many retries all proxies together may make of one service's requests.
 #[derive(Clone, Copy, Debug)]
@@ -15,7 +15,7 @@
     /// Retries per first attempt.
     pub ratio: f64,
     /// The span over which both are counted, in milliseconds.
-    pub window: Ms,
+    pub window: Millis,
     /// Retries beyond the ratio, in any window.
     pub slack: f64,
 }
@@ -38,7 +38,7 @@
     }
 
     /// A client's request came for that pool.
-    pub fn record_request(&mut self, now: Ms, pool: u16) {
+    pub fn record_request(&mut self, now: Millis, pool: u16) {
         self.first_attempts
             .entry(pool)
             .or_default()
@@ -47,7 +47,7 @@
 
     /// Whether this proxy may retry a request now; if so, the retry is counted. The proxy's own first attempts earn
     /// retries, and of the slack it has an even share among `proxies`.
-    pub fn reserve_retry(&mut self, now: Ms, pool: u16, proxies: usize) -> bool {
+    pub fn reserve_retry(&mut self, now: Millis, pool: u16, proxies: usize) -> bool {
         let window = self.limits.window;
         let first_attempts = self
             .first_attempts
@@ -71,12 +71,12 @@
 }
 
 struct Bucket {
-    started_at: Ms,
+    started_at: Millis,
     count: u32,
 }
 
 impl RecentCount {
-    fn record(&mut self, now: Ms, window: Ms) {
+    fn record(&mut self, now: Millis, window: Millis) {
         let started_at = (now / BUCKET).floor() * BUCKET;
         match self
             .buckets
@@ -98,7 +98,7 @@
         }
     }
 
-    fn sum(&self, now: Ms, window: Ms) -> f64 {
+    fn sum(&self, now: Millis, window: Millis) -> f64 {
         let recent = self
             .buckets
             .iter()
--- a/crates/aspendrum-proxy/src/endpoints/set.rs
+++ b/crates/aspendrum-proxy/src/endpoints/set.rs
@@ -4,7 +4,7 @@
 use super::preference::PreferredServers;
 use super::retry_budget::{RetryBudget, RetryLimits};
 use super::slow_start::{SlowStart, SlowStartShare, SlowStartTokens, SlowStartTolerance};
-use aspendrum_core::api::{Health, Member, Ms, ServerId};
+use aspendrum_core::api::{Health, Millis, ServerEntry, ServerId};
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
 use std::collections::{HashMap, HashSet};
@@ -18,7 +18,7 @@
     /// Of retries.
     pub retries: RetryLimits,
     /// Milliseconds by which the platform's list is older than its age says.
-    pub list_lag: Ms,
+    pub list_lag: Millis,
 }
 
 impl EndpointLimits {
@@ -47,7 +47,7 @@
     pool: u16,
     region: u8,
     cost: f32,
-    slow_start_until: Ms,
+    slow_start_until: Millis,
     slow_start_tokens: SlowStartTokens,
     /// As the decision module was told last.
     reported: Health,
@@ -59,7 +59,7 @@
         self.server.addr
     }
 
-    fn in_slow_start(&self, now: Ms) -> bool {
+    fn in_slow_start(&self, now: Millis) -> bool {
         now < self.slow_start_until
     }
 }
@@ -70,7 +70,7 @@
     /// It may; a token was spent if the server is in slow start.
     pub granted: bool,
     /// A change of the server's health that the decision module is to hear of.
-    pub change: Option<Member>,
+    pub change: Option<ServerEntry>,
 }
 
 /// All servers of the platform's list, and what else decides whether they are used.
@@ -84,7 +84,7 @@
     evacuated_zones: HashSet<String>,
     /// Zones whose evacuation has ended, and when: a list read before that does not know which of their servers have
     /// restarted meanwhile.
-    restored_zones: HashMap<String, Ms>,
+    restored_zones: HashMap<String, Millis>,
     /// All proxies, ready or about to be.
     proxies: Vec<Ipv4Addr>,
     local_ip: Ipv4Addr,
@@ -135,8 +135,8 @@
     /// nothing new.
     pub fn update(
         &mut self,
-        now: Ms,
-        age: Ms,
+        now: Millis,
+        age: Millis,
         servers: Vec<ServerInstance>,
         locate: impl Fn(&str) -> ZoneLocation,
     ) {
@@ -156,8 +156,8 @@
 
     fn update_server(
         &mut self,
-        now: Ms,
-        age: Ms,
+        now: Millis,
+        age: Millis,
         server: ServerInstance,
         location: ZoneLocation,
     ) -> ServerId {
@@ -177,7 +177,7 @@
             cost: location.cost,
             slow_start_until,
             slow_start_tokens: SlowStartTokens::new(now),
-            reported: Health::Gone,
+            reported: Health::Removed,
         });
         endpoint.slow_start_until = if predates_restore {
             endpoint.slow_start_until.max(slow_start_until)
@@ -200,7 +200,7 @@
 
     /// Replaces the zones that get nothing. Servers of a zone whose evacuation ends may have restarted meanwhile: they
     /// begin with a slow start.
-    pub fn set_evacuated_zones(&mut self, now: Ms, zones: &[String]) {
+    pub fn set_evacuated_zones(&mut self, now: Millis, zones: &[String]) {
         let next: HashSet<String> = zones.iter().cloned().collect();
         for zone in self.evacuated_zones.difference(&next) {
             self.restored_zones.insert(zone.clone(), now);
@@ -233,7 +233,7 @@
     }
 
     /// A server reports itself how much of its slow start is left.
-    pub fn report_slow_start(&mut self, now: Ms, id: ServerId, left: Ms) {
+    pub fn report_slow_start(&mut self, now: Millis, id: ServerId, left: Millis) {
         if left <= 0.0 {
             return;
         }
@@ -243,14 +243,14 @@
     }
 
     /// Refills tokens. Returns the endpoints whose health changed for the decision module.
-    pub fn refresh(&mut self, now: Ms) -> Vec<Member> {
+    pub fn refresh(&mut self, now: Millis) -> Vec<ServerEntry> {
         let ids: Vec<ServerId> = self.endpoints.keys().copied().collect();
         ids.into_iter()
             .filter_map(|id| self.refresh_endpoint(now, id))
             .collect()
     }
 
-    fn refresh_endpoint(&mut self, now: Ms, id: ServerId) -> Option<Member> {
+    fn refresh_endpoint(&mut self, now: Millis, id: ServerId) -> Option<ServerEntry> {
         let endpoint = self.endpoints.get(&id)?;
         let refill = endpoint
             .in_slow_start(now)
@@ -276,7 +276,7 @@
     }
 
     /// A request is about to leave for that server, whatever the decision module knew when it decided.
-    pub fn reserve(&mut self, now: Ms, id: ServerId) -> Reservation {
+    pub fn reserve(&mut self, now: Millis, id: ServerId) -> Reservation {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return Reservation {
                 granted: false,
@@ -294,40 +294,40 @@
     }
 
     /// The endpoint's health, if it differs from what the decision module was told last.
-    fn report_change(&mut self, now: Ms, id: ServerId) -> Option<Member> {
+    fn report_change(&mut self, now: Millis, id: ServerId) -> Option<ServerEntry> {
         let endpoint = self.endpoints.get_mut(&id)?;
         let health = health(now, endpoint, &self.evacuated_zones);
         if endpoint.reported == health {
             return None;
         }
         endpoint.reported = health;
-        Some(Member {
+        Some(ServerEntry {
             server: id,
             pool: endpoint.pool,
             health,
             cell: 0,
             zone: endpoint.region,
-            far: endpoint.cost,
-            size: f32::from(endpoint.server.slots.max(1)),
+            distance_cost: endpoint.cost,
+            capacity: f32::from(endpoint.server.slots.max(1)),
             kind: 0,
-            started: 0.0,
+            started_at: 0.0,
         })
     }
 
     /// A client's request came for that pool.
-    pub fn record_request(&mut self, now: Ms, pool: u16) {
+    pub fn record_request(&mut self, now: Millis, pool: u16) {
         self.retry_budget.record_request(now, pool);
     }
 
     /// Whether a request for that pool may be retried now; if so, the retry is counted.
-    pub fn reserve_retry(&mut self, now: Ms, pool: u16) -> bool {
+    pub fn reserve_retry(&mut self, now: Millis, pool: u16) -> bool {
         let proxies = self.proxy_count();
         self.retry_budget.reserve_retry(now, pool, proxies)
     }
 }
 
 /// The health that the decision module is to go by.
-fn health(now: Ms, endpoint: &Endpoint, evacuated_zones: &HashSet<String>) -> Health {
+fn health(now: Millis, endpoint: &Endpoint, evacuated_zones: &HashSet<String>) -> Health {
     let is_out = endpoint.server.draining || evacuated_zones.contains(&endpoint.server.zone);
     let has_capacity = !endpoint.in_slow_start(now) || endpoint.slow_start_tokens.available();
     if !is_out && has_capacity {
--- a/crates/aspendrum-proxy/src/endpoints/slow_start.rs
+++ b/crates/aspendrum-proxy/src/endpoints/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: a server that has just started bears a few requests a second until its caches are warm. A few proxies
 //! share what it bears, each with tokens of its own (a token bucket of one token).
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_model::hash::{digest, rank};
 use std::net::Ipv4Addr;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStart {
     /// How long it lasts after a server's start, in milliseconds.
-    pub duration: Ms,
+    pub duration: Millis,
     /// Requests a second that a server bears meanwhile.
     pub rate: f64,
 }
@@ -60,11 +60,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlowStartTokens {
     tokens: f64,
-    refilled_at: Ms,
+    refilled_at: Millis,
 }
 
 impl SlowStartTokens {
-    pub(super) fn new(now: Ms) -> SlowStartTokens {
+    pub(super) fn new(now: Millis) -> SlowStartTokens {
         SlowStartTokens {
             tokens: 0.0,
             refilled_at: now,
@@ -72,7 +72,7 @@
     }
 
     /// At most one token is kept: more would let a burst through.
-    pub(super) fn refill(&mut self, now: Ms, tokens_per_s: f64) {
+    pub(super) fn refill(&mut self, now: Millis, tokens_per_s: f64) {
         let more = tokens_per_s * (now - self.refilled_at) / 1000.0;
         let capacity = if tokens_per_s > 0.0 { 1.0 } else { 0.0 };
         self.tokens = (self.tokens + more).min(capacity);
@@ -80,7 +80,7 @@
     }
 
     /// The server is not in slow start: time passes without tokens.
-    pub(super) fn skip(&mut self, now: Ms) {
+    pub(super) fn skip(&mut self, now: Millis) {
         self.refilled_at = now;
     }
 
--- a/crates/aspendrum-proxy/src/health_check.rs
+++ b/crates/aspendrum-proxy/src/health_check.rs
@@ -3,14 +3,14 @@
 use crate::dispatcher::HealthCheckResult;
 use crate::state::ProxyState;
 use crate::wire;
-use aspendrum_core::api::{Load, Outcome, ServerId};
+use aspendrum_core::api::{LoadReport, Outcome, ServerId};
 use aspendrum_net::http1;
 use std::time::{Duration, Instant};
 
 /// What a server answered to a health check.
 struct Answer {
     is_healthy: bool,
-    load: Load,
+    load: LoadReport,
     slow_start_left: Option<f64>,
 }
 
@@ -40,7 +40,7 @@
         Err(outcome) => HealthCheckResult {
             outcome,
             rtt,
-            load: Load::default(),
+            load: LoadReport::default(),
             slow_start_left: None,
         },
     };
@@ -51,7 +51,7 @@
     let target = state
         .dispatcher
         .health_check_target(server)
-        .ok_or(Outcome::Moot)?;
+        .ok_or(Outcome::NotSent)?;
     let address = target.server.address;
     let pool = &state.server_pool;
     pool.set_address(server, address.into());
--- a/crates/aspendrum-proxy/src/idle_limit.rs
+++ b/crates/aspendrum-proxy/src/idle_limit.rs
@@ -4,12 +4,12 @@
 //!
 //! Nothing in this module does I/O or reads a clock.
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 
 /// Of the idle time after which a connection was found dropped, the share that is still trusted.
 const TRUSTED_SHARE: f64 = 0.5;
 /// For so long the limit holds: the server may be well again, and a new connection for each request has its price.
-const LIMIT_LASTS: Ms = 15_000.0;
+const LIMIT_LASTS: Millis = 15_000.0;
 
 /// The longest idle time that is trusted.
 #[derive(Clone, Copy, Debug, Default)]
@@ -19,13 +19,13 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Limit {
-    max_idle: Ms,
-    expires_at: Ms,
+    max_idle: Millis,
+    expires_at: Millis,
 }
 
 impl IdleConnectionLimit {
     /// A request on a connection that had been idle for that long was reset before a byte came back.
-    pub fn record_reset(&mut self, now: Ms, idle_for: Ms) {
+    pub fn record_reset(&mut self, now: Millis, idle_for: Millis) {
         let current = self.max_idle(now).unwrap_or(f64::INFINITY);
         let max_idle = current.min(idle_for * TRUSTED_SHARE);
         self.limit = Some(Limit {
@@ -35,7 +35,7 @@
     }
 
     /// The longest idle time that is trusted, in milliseconds; `None`: any.
-    pub fn max_idle(&self, now: Ms) -> Option<Ms> {
+    pub fn max_idle(&self, now: Millis) -> Option<Millis> {
         self.limit
             .filter(|limit| now < limit.expires_at)
             .map(|limit| limit.max_idle)
--- a/crates/aspendrum-proxy/src/request/context.rs
+++ b/crates/aspendrum-proxy/src/request/context.rs
@@ -6,7 +6,7 @@
 use crate::dispatcher::{AdmissionRequest, AttemptResult, ConfigSnapshot, RequestDecision};
 use crate::response::{ClientResponse, ConnectionPolicy, DEFAULT_RETRY_AFTER};
 use crate::wire::{self, ResponseClass};
-use aspendrum_core::api::{Ms, Outcome, QueryId, ServerId};
+use aspendrum_core::api::{Millis, Outcome, RequestId, ServerId};
 use aspendrum_net::http1::Response;
 use aspendrum_net::mailbox::{self, MailboxReceiver, MailboxSender};
 use std::sync::Arc;
@@ -54,7 +54,7 @@
         }
     }
 
-    fn admit(&self, decisions: MailboxSender<RequestDecision>) -> QueryId {
+    fn admit(&self, decisions: MailboxSender<RequestDecision>) -> RequestId {
         let RequestTarget {
             snapshot,
             route,
@@ -123,14 +123,14 @@
     }
 
     /// Sends the request to a server. Returns an answer that ends the request, if that brought one.
-    fn attempt_server(&mut self, id: QueryId, attempt: u8, server: ServerId) -> Option<Response> {
+    fn attempt_server(&mut self, id: RequestId, attempt: u8, server: ServerId) -> Option<Response> {
         let started_at = Instant::now();
         let AttemptOutcome { outcome, response } = self.upstream.send(attempt, server, started_at);
         let load = response.as_ref().map(wire::server_load).unwrap_or_default();
         let is_answered = outcome == Outcome::Ok;
         let is_known_not_run = matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         self.may_have_run |= !is_known_not_run;
         let rtt = started_at.elapsed().as_secs_f64() * 1000.0;
@@ -149,7 +149,7 @@
     }
 
     /// Ends a request by a decision that is not carried out by sending it.
-    fn finish(&self, id: QueryId, decision: RequestDecision) -> ClientResponse {
+    fn finish(&self, id: RequestId, decision: RequestDecision) -> ClientResponse {
         if let RequestDecision::Forward { attempt, server } = decision {
             self.discard(id, attempt, server);
         }
@@ -157,14 +157,14 @@
         match decision {
             RequestDecision::Shed {
                 retry_after,
-                over_quota,
+                beyond_quota,
             } => {
                 let retry_after = if retry_after > 0.0 {
                     retry_after
                 } else {
                     DEFAULT_RETRY_AFTER
                 };
-                self.refuse(if over_quota { 429 } else { 503 }, retry_after)
+                self.refuse(if beyond_quota { 429 } else { 503 }, retry_after)
             }
             RequestDecision::Drop => self.fail_to_proxy(),
             RequestDecision::ClientDisconnected => ClientResponse::empty(),
@@ -177,7 +177,7 @@
     /// Ends a request on which no decision came in time.
     fn finish_undecided(
         &self,
-        id: QueryId,
+        id: RequestId,
         decisions: &MailboxReceiver<RequestDecision>,
     ) -> ClientResponse {
         self.upstream.state.dispatcher.finish_request(id);
@@ -191,7 +191,7 @@
     }
 
     /// That attempt never left, and the request is over.
-    fn discard(&self, id: QueryId, attempt: u8, server: ServerId) {
+    fn discard(&self, id: RequestId, attempt: u8, server: ServerId) {
         self.upstream.state.dispatcher.finish_attempt(
             id,
             attempt,
@@ -211,7 +211,7 @@
     }
 
     /// Promises that nothing ran, where that is so.
-    fn refuse(&self, status: u16, retry_after: Ms) -> ClientResponse {
+    fn refuse(&self, status: u16, retry_after: Millis) -> ClientResponse {
         if self.may_have_run && !self.upstream.is_idempotent() {
             return self.fail_to_proxy();
         }
--- a/crates/aspendrum-proxy/src/request/upstream.rs
+++ b/crates/aspendrum-proxy/src/request/upstream.rs
@@ -4,7 +4,7 @@
 use crate::session::ClientSession;
 use crate::state::ProxyState;
 use crate::wire::{self, ResponseClass};
-use aspendrum_core::api::{Ms, Outcome, ServerId};
+use aspendrum_core::api::{Millis, Outcome, ServerId};
 use aspendrum_net::connection::Connection;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
 use aspendrum_net::http1::{self, Request, Response};
@@ -15,7 +15,7 @@
 /// The client is answered so much before it gives up.
 pub(super) const ANSWER_MARGIN: Duration = Duration::from_millis(12);
 /// No client waits longer, whatever it says.
-const MAX_BUDGET: Ms = 3_600_000.0;
+const MAX_BUDGET: Millis = 3_600_000.0;
 /// Answers to earlier requests that are skipped on one connection.
 const MAX_STALE_ANSWERS: usize = 3;
 /// Of the time that a server keeps an idle connection, how long it is used: a request on a connection that is being
@@ -108,7 +108,7 @@
         let deadline = self.deadline - ANSWER_MARGIN;
         let time_left = deadline.saturating_duration_since(started_at);
         if time_left.is_zero() {
-            return AttemptOutcome::failed(Outcome::Moot);
+            return AttemptOutcome::failed(Outcome::NotSent);
         }
         let mut peer = match self.upstream_peer(attempt, server, time_left) {
             Ok(peer) => peer,
@@ -124,8 +124,8 @@
                 upstream_response_filter(response)
             }
             // It never left completely. That it was aborted is not its server's doing.
-            Err(Outcome::ConnectFailed | Outcome::Moot) if is_aborted => {
-                AttemptOutcome::failed(Outcome::Moot)
+            Err(Outcome::ConnectFailed | Outcome::NotSent) if is_aborted => {
+                AttemptOutcome::failed(Outcome::NotSent)
             }
             Err(_) if is_aborted => AttemptOutcome::failed(Outcome::Cancelled),
             Err(outcome) => AttemptOutcome::failed(outcome),
@@ -143,7 +143,7 @@
         let target = state
             .dispatcher
             .server_address(server)
-            .ok_or(Outcome::Moot)?;
+            .ok_or(Outcome::NotSent)?;
         state.server_pool.set_address(server, target.address.into());
         let max_idle = match self.is_idempotent() {
             true => Duration::MAX,
@@ -164,7 +164,7 @@
     /// What a failed connection means: where the client has left it is not the server's doing.
     fn fail_to_connect(&self, attempt: u8, outcome: Outcome) -> Outcome {
         if self.forward_handle.end_attempt(attempt) {
-            Outcome::Moot
+            Outcome::NotSent
         } else {
             outcome
         }
@@ -188,7 +188,7 @@
             .time_since_disconnect(&state.disconnect_watcher);
         let has_room = peer.connection.outgoing.append(&bytes);
         if !has_room || !self.forward_handle.advance(attempt, ForwardStage::Sending) {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         if let Some(disconnected_for) = client_disconnected_for {
             state
@@ -245,7 +245,7 @@
 fn upstream_response_filter(response: Response) -> AttemptOutcome {
     match ResponseClass::of(&response) {
         ResponseClass::Final => AttemptOutcome::answered(Outcome::Ok, response),
-        ResponseClass::NotRun => AttemptOutcome::failed(Outcome::Full),
+        ResponseClass::NotRun => AttemptOutcome::failed(Outcome::Rejected),
         ResponseClass::Misdirected => AttemptOutcome::failed(Outcome::ConnectFailed),
         ResponseClass::Failed => AttemptOutcome::answered(Outcome::Error, response),
         ResponseClass::Invalid => AttemptOutcome::failed(Outcome::Error),
--- a/crates/aspendrum-proxy/src/response.rs
+++ b/crates/aspendrum-proxy/src/response.rs
@@ -1,11 +1,11 @@
 //! Answers to clients, and what becomes of their connections behind them.
 
 use crate::wire;
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_net::http1::Response;
 
 /// When a client may come again where nothing is known that says when.
-pub(crate) const DEFAULT_RETRY_AFTER: Ms = 150.0;
+pub(crate) const DEFAULT_RETRY_AFTER: Millis = 150.0;
 
 /// Whether a connection is closed behind an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     Generated {
         status: u16,
         try_id: String,
-        retry_after: Option<Ms>,
+        retry_after: Option<Millis>,
     },
     /// A server's answer, under that status.
     Forwarded { response: Response, status: u16 },
@@ -42,7 +42,7 @@
     pub fn generated(
         status: u16,
         try_id: &str,
-        retry_after: Option<Ms>,
+        retry_after: Option<Millis>,
         policy: ConnectionPolicy,
     ) -> ClientResponse {
         let content = Content::Generated {
--- a/crates/aspendrum-proxy/src/wire.rs
+++ b/crates/aspendrum-proxy/src/wire.rs
@@ -1,6 +1,6 @@
 //! The proxy's HTTP headers, and the messages built of them. No header's name stands in any other module.
 
-use aspendrum_core::api::{Load, Ms};
+use aspendrum_core::api::{LoadReport, Millis};
 use aspendrum_net::http1::{
     encode_response, has_header, is_hop_by_hop, reason_phrase, single_header, MessageLimits,
     Request, Response,
@@ -42,7 +42,7 @@
     /// `Try-Id`: identifies this attempt of the client's.
     pub try_id: &'r str,
     /// `Budget-Ms`: how long the client waits, in milliseconds.
-    pub budget: Option<Ms>,
+    pub budget: Option<Millis>,
     /// `Credential`: the key by which its tenant is found.
     pub credential: Option<&'r str>,
 }
@@ -74,7 +74,7 @@
 }
 
 /// A finite number of milliseconds that is not negative.
-fn parse_milliseconds(text: &str) -> Option<Ms> {
+fn parse_milliseconds(text: &str) -> Option<Millis> {
     text.parse::<f64>()
         .ok()
         .filter(|ms| ms.is_finite() && *ms >= 0.0)
@@ -179,21 +179,21 @@
 }
 
 /// The server's load: running and waiting requests as a share of its slots; no value if it cannot be read.
-pub fn server_load(response: &Response) -> Load {
+pub fn server_load(response: &Response) -> LoadReport {
     let share = || {
         let numbers = single_header(&response.headers, SERVER_LOAD)?.split(',');
         let mut numbers = numbers.map(|number| number.trim().parse::<f32>().ok());
         let (running, waiting, slots) = (numbers.next()??, numbers.next()??, numbers.next()??);
         Some((running + waiting) / slots).filter(|share| share.is_finite() && *share >= 0.0)
     };
-    share().map_or(Load::default(), |share| Load {
-        n: 1,
+    share().map_or(LoadReport::default(), |share| LoadReport {
+        count: 1,
         values: [share, 0.0, 0.0, 0.0],
     })
 }
 
 /// How much of its slow start the server says is left, in milliseconds.
-pub fn slow_start_left(response: &Response) -> Option<Ms> {
+pub fn slow_start_left(response: &Response) -> Option<Millis> {
     parse_milliseconds(single_header(&response.headers, WARM_MS)?)
 }
 
@@ -241,7 +241,7 @@
 pub fn encode_generated(
     status: u16,
     try_id: &str,
-    retry_after: Option<Ms>,
+    retry_after: Option<Millis>,
     closes: bool,
 ) -> Vec<u8> {
     let retry_after = retry_after.map(|ms| format!("{:.3}", ms.max(1.0) / 1000.0));
--- a/crates/aspendrum-proxy/tests/endpoints.rs
+++ b/crates/aspendrum-proxy/tests/endpoints.rs
@@ -1,6 +1,6 @@
 //! Which servers may be used: those in slow start within the fleet's limit, none that drains, none of an evacuated zone.
 
-use aspendrum_core::api::{Health, Member, ServerId};
+use aspendrum_core::api::{Health, ServerEntry, ServerId};
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_proxy::endpoints::{
     EndpointLimits, EndpointSet, RetryLimits, SlowStart, SlowStartTolerance, ZoneLocation,
@@ -60,7 +60,7 @@
 struct ReportedHealth(HashMap<ServerId, Health>);
 
 impl ReportedHealth {
-    fn record(&mut self, members: impl IntoIterator<Item = Member>) {
+    fn record(&mut self, members: impl IntoIterator<Item = ServerEntry>) {
         self.0
             .extend(members.into_iter().map(|m| (m.server, m.health)));
     }
--- a/crates/aspendrum-simulator-adapter/src/frame.rs
+++ b/crates/aspendrum-simulator-adapter/src/frame.rs
@@ -1,7 +1,7 @@
 //! The frame codec: big-endian headers, fixed records and one tail.
 
 use aspendrum_core::api::*;
-use aspendrum_core::settings::{self, MS};
+use aspendrum_core::settings::{self, MILLIS_PER_SECOND};
 
 const HEADER: usize = 16;
 const EVENT: usize = 48;
@@ -47,7 +47,7 @@
     fn ms(&self, at: usize, name: &str) -> Result<f64, String> {
         let value = f64::from_be_bytes(self.bytes(at));
         if value.is_finite() {
-            Ok(value * MS)
+            Ok(value * MILLIS_PER_SECOND)
         } else {
             Err(format!("{name} is not a finite number"))
         }
@@ -56,24 +56,24 @@
         Ok(match self.u16(at) {
             0 => Outcome::Error,
             1 => Outcome::Ok,
-            2 => Outcome::Full,
+            2 => Outcome::Rejected,
             3 => Outcome::TimedOut,
             4 => Outcome::ConnectFailed,
             5 => Outcome::Reset,
             6 => Outcome::Cancelled,
-            7 => Outcome::Moot,
+            7 => Outcome::NotSent,
             other => return Err(format!("unknown Rc {other}")),
         })
     }
-    fn load(&self, at: usize) -> Result<Load, String> {
-        let mut load = Load {
-            n: self.u8(at),
+    fn load(&self, at: usize) -> Result<LoadReport, String> {
+        let mut load = LoadReport {
+            count: self.u8(at),
             values: [0.0; 4],
         };
-        if load.n > 4 {
-            return Err(format!("Load with {} values", load.n));
+        if load.count > 4 {
+            return Err(format!("Load with {} values", load.count));
         }
-        for slot in 0..usize::from(load.n) {
+        for slot in 0..usize::from(load.count) {
             load.values[slot] = self.f32(at + 1 + 4 * slot, "Load")?;
         }
         Ok(load)
@@ -81,7 +81,7 @@
 }
 
 pub struct Batch<'a> {
-    now: Ms,
+    now: Millis,
     records: &'a [u8],
     tail: &'a [u8],
 }
@@ -115,7 +115,7 @@
         })
     }
 
-    pub fn now(&self) -> Ms {
+    pub fn now(&self) -> Millis {
         self.now
     }
 
@@ -137,11 +137,11 @@
     pub fn event<'b>(
         &'b self,
         index: usize,
-        members: &'b mut Vec<Member>,
+        members: &'b mut Vec<ServerEntry>,
     ) -> Result<WireEvent<'b>, String> {
         let f = Fields(&self.records[index * EVENT..(index + 1) * EVENT]);
         Ok(WireEvent::Told(match f.u8(0) {
-            1 => Event::Probed {
+            1 => Event::ProbeEnded {
                 server: f.u32(1),
                 outcome: f.outcome(5)?,
                 rtt: f.ms(7, "RttS")?,
@@ -166,48 +166,48 @@
                     3 => ListKind::Failed,
                     other => return Err(format!("unknown Scope {other}")),
                 };
-                Event::Members {
+                Event::ServerList {
                     list,
                     version: f.u32(2),
                     entries: members,
                 }
             }
-            6 => Event::ClientLeft { id: f.u64(1) },
-            7 => Event::Counted {
+            6 => Event::ClientDisconnected { id: f.u64(1) },
+            7 => Event::CounterReplied {
                 name: f.u64(1),
                 outcome: f.outcome(9)?,
                 total: f.f32(11, "Level")?,
                 rtt: f.ms(15, "RttS")?,
             },
             8 => return Ok(WireEvent::On(f.u32(1))),
-            9 => Event::Query(NewQuery {
+            9 => Event::Request(NewRequest {
                 id: f.u64(1),
                 group: f.u16(9),
-                until: f.ms(11, "ValidUntilS")?,
-                acct: f.u64(19),
+                deadline: f.ms(11, "ValidUntilS")?,
+                tenant: f.u64(19),
                 plan: f.u32(27),
-                spread: f.f32(31, "Spread")?,
+                instances: f.f32(31, "Spread")?,
                 units: f.f32(35, "PriceUnits")?,
-                first: f.f32(39, "FirstDoor")?,
-                client_repeat: f.u8(43) & 2 != 0,
-                write: f.u8(43) & 4 != 0,
+                first_instance: f.f32(39, "FirstDoor")?,
+                is_client_retry: f.u8(43) & 2 != 0,
+                is_write: f.u8(43) & 4 != 0,
                 pool: 0,
-                zones: u64::MAX,
-                most: u8::MAX,
+                allowed_zones: u64::MAX,
+                max_attempts: u8::MAX,
             }),
-            10 => Event::PeerSaid {
+            10 => Event::DatagramReceived {
                 from: f.u16(1),
                 data: self.tail(f, 3, 1)?,
             },
-            11 => Event::ForwardEnded {
+            11 => Event::AttemptEnded {
                 id: f.u64(1),
                 forward: f.u8(9),
                 server: f.u32(10),
                 outcome: f.outcome(14)?,
                 rtt: f.ms(16, "RttS")?,
-                over: f.u8(24) != 0,
-                used: f.u16(25),
-                actual: f.u16(27),
+                is_final: f.u8(24) != 0,
+                metered: f.u16(25),
+                actual_units: f.u16(27),
                 load: f.load(29)?,
             },
             12 => Event::StreamStarted {
@@ -221,23 +221,23 @@
     }
 }
 
-fn member(f: Fields<'_>) -> Result<Member, String> {
+fn member(f: Fields<'_>) -> Result<ServerEntry, String> {
     let health = match f.u8(4) {
-        0 => Health::Gone,
+        0 => Health::Removed,
         1 => Health::Ready,
         2 => Health::Draining,
         other => return Err(format!("unknown Health {other}")),
     };
-    Ok(Member {
+    Ok(ServerEntry {
         server: f.u32(0),
         pool: 0,
-        far: 0.0,
+        distance_cost: 0.0,
         health,
         cell: f.u16(5),
         zone: f.u8(7),
-        size: f.f32(8, "Size")?,
+        capacity: f.f32(8, "Size")?,
         kind: f.u8(12),
-        started: f.ms(13, "StartTimeS")?,
+        started_at: f.ms(13, "StartTimeS")?,
     })
 }
 
@@ -288,9 +288,9 @@
     }
 
     fn action(&mut self, action: &Action) {
-        let s = |ms: Ms| (ms / MS).to_be_bytes();
+        let s = |ms: Millis| (ms / MILLIS_PER_SECOND).to_be_bytes();
         match action {
-            Action::Tell { to, data } => {
+            Action::SendDatagram { to, data } => {
                 let (at, size) = self.put(data);
                 self.record(65, &[&to.unwrap_or(u32::MAX).to_be_bytes(), &at, &size]);
             }
@@ -305,11 +305,15 @@
                     &[&id.to_be_bytes(), &server.to_be_bytes(), &s(*timeout)],
                 );
             }
-            Action::Count { name, add, ttl } => {
+            Action::AddToCounter {
+                name,
+                units: add,
+                ttl,
+            } => {
                 self.record(68, &[&add.to_be_bytes(), &s(*ttl), &name.to_be_bytes()]);
             }
-            Action::Close { server } => self.record(69, &[&server.to_be_bytes()]),
-            Action::Fetch => self.record(70, &[]),
+            Action::CloseConnections { server } => self.record(69, &[&server.to_be_bytes()]),
+            Action::FetchServers => self.record(70, &[]),
             Action::Timer { token, wait } => self.record(71, &[&token.to_be_bytes(), &s(*wait)]),
             Action::Probe { server } => self.record(72, &[&server.to_be_bytes()]),
             Action::Fault(text) => {
@@ -320,7 +324,7 @@
             Action::Shed {
                 id, retry_after, ..
             } => self.record(75, &[&id.to_be_bytes(), &s(*retry_after)]),
-            Action::Watch { on } => self.record(76, &[&[u8::from(*on)]]),
+            Action::WatchServers { on } => self.record(76, &[&[u8::from(*on)]]),
             Action::Log(text) => {
                 let (at, size) = self.put(text.as_bytes());
                 self.record(77, &[&at, &size]);
--- a/crates/aspendrum/src/query.rs
+++ b/crates/aspendrum/src/query.rs
@@ -14,34 +14,34 @@
 
 /// From here to the end it is one query's life. `at` is when its last byte was read. True: its connection
 /// goes on.
-pub fn serve(shop: &Shop, client: &Client, asked: &Asked, id: QueryId, at: Instant) -> bool {
+pub fn serve(shop: &Shop, client: &Client, asked: &Asked, id: RequestId, at: Instant) -> bool {
     let limits = &shop.limits;
     let until = at + ms(asked.wait);
 
     // The desk hears of it, and the module decides when it may go on and where.
     let (desk, orders) = mailbox::for_current_thread(limits.orders);
     let repeatable =
-        shop.lanes.semantics.get(usize::from(asked.group)) == Some(&Semantics::Repeatable);
+        shop.lanes.semantics.get(usize::from(asked.group)) == Some(&Semantics::Idempotent);
     let line = Arc::new(ForwardHandle::new(if repeatable {
         RequestKind::Idempotent
     } else {
         RequestKind::OnceOnly
     }));
     client.presence.begin_request(id, &shop.watch);
-    let new = NewQuery {
+    let new = NewRequest {
         id,
         group: asked.group,
-        until: shop.door.clock.at(until),
-        acct: asked.acct,
+        deadline: shop.door.clock.at(until),
+        tenant: asked.acct,
         plan: asked.plan,
-        spread: asked.spread,
+        instances: asked.spread,
         units: asked.units,
-        first: asked.first,
-        client_repeat: asked.client_repeat,
-        write: asked.write,
+        first_instance: asked.first,
+        is_client_retry: asked.client_repeat,
+        is_write: asked.write,
         pool: 0,
-        zones: u64::MAX,
-        most: u8::MAX,
+        allowed_zones: u64::MAX,
+        max_attempts: u8::MAX,
     };
     let last = until + limits.desk_late;
     let taken = shop.door.tell_by(
@@ -82,7 +82,7 @@
                 let begun = Instant::now();
                 let (outcome, answer) = carry(shop, client, &line, asked, (forward, server), wait);
                 let rtt = as_ms(begun.elapsed());
-                let load = answer.as_ref().map_or(Load::default(), |a| a.load);
+                let load = answer.as_ref().map_or(LoadReport::default(), |a| a.load);
                 // A server that names no units took those that were asked for.
                 let charged = answer.as_ref().filter(|_| outcome == Outcome::Ok);
                 let actual = charged
@@ -90,7 +90,7 @@
                     .ceil() as u16;
                 let proven = matches!(
                     outcome,
-                    Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+                    Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
                 );
                 may_have_run |= !proven;
                 // A server that takes the query for malformed says nothing of itself, and another would say
@@ -148,7 +148,7 @@
 ) -> (Outcome, Option<Answer>) {
     let left = || until.saturating_duration_since(Instant::now());
     if left().is_zero() {
-        return (Outcome::Moot, None);
+        return (Outcome::NotSent, None);
     }
     // The line has the socket before it is connected: a query that is given up meanwhile must not wait for
     // a server that never comes up.
@@ -160,7 +160,7 @@
         Err(outcome) => {
             return (
                 if line.end_attempt(forward) {
-                    Outcome::Moot
+                    Outcome::NotSent
                 } else {
                     outcome
                 },
@@ -179,7 +179,7 @@
     let sent = if written {
         conn.send()
     } else {
-        Err(Outcome::Moot)
+        Err(Outcome::NotSent)
     };
     line.advance(forward, ForwardStage::AtServer);
     let got = sent.and_then(|()| http::receive(&mut conn, until, shop));
@@ -194,8 +194,8 @@
             (outcome, Some(answer))
         }
         // Its last byte was not written. That it was cut is not the server's doing.
-        Err(Outcome::ConnectFailed | Outcome::Moot) if cut => (Outcome::Moot, None),
-        Err(outcome @ (Outcome::ConnectFailed | Outcome::Moot)) => (outcome, None),
+        Err(Outcome::ConnectFailed | Outcome::NotSent) if cut => (Outcome::NotSent, None),
+        Err(outcome @ (Outcome::ConnectFailed | Outcome::NotSent)) => (outcome, None),
         Err(_) if cut => (Outcome::Cancelled, None),
         Err(outcome) => (outcome, None),
     }
@@ -204,7 +204,7 @@
 fn outcome(answer: &Answer) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
-        503 | 504 if answer.turned_away => Outcome::Full,
+        503 | 504 if answer.turned_away => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
@@ -216,17 +216,17 @@
         let begun = Instant::now();
         let (outcome, load) = match ask(&own, server, begun + own.limits.probe_wait) {
             Ok(told) => told,
-            Err(outcome) => (outcome, Load::default()),
+            Err(outcome) => (outcome, LoadReport::default()),
         };
         let rtt = as_ms(begun.elapsed());
-        let values = &load.values[..usize::from(load.n)];
+        let values = &load.values[..usize::from(load.count)];
         tracing::debug!(
             server = format_args!("{server:x}"),
             ?outcome,
             ?values,
             "probed"
         );
-        own.door.tell(Note::Told(Event::Probed {
+        own.door.tell(Note::Told(Event::ProbeEnded {
             server,
             outcome,
             rtt,
@@ -234,8 +234,8 @@
         }));
     };
     if shop.workers.run(Box::new(job)).is_err() {
-        let (outcome, load) = (Outcome::ConnectFailed, Load::default());
-        let _ = shop.door.offer(Note::Told(Event::Probed {
+        let (outcome, load) = (Outcome::ConnectFailed, LoadReport::default());
+        let _ = shop.door.offer(Note::Told(Event::ProbeEnded {
             server,
             outcome,
             rtt: 0.0,
@@ -244,7 +244,7 @@
     }
 }
 
-fn ask(shop: &Shop, server: ServerId, until: Instant) -> Result<(Outcome, Load), Outcome> {
+fn ask(shop: &Shop, server: ServerId, until: Instant) -> Result<(Outcome, LoadReport), Outcome> {
     let path = if shop.lanes.load_values.is_empty() {
         http::LIVE
     } else {
@@ -255,7 +255,7 @@
     http::get(&mut conn.outgoing, path);
     conn.send()?;
     let answer = http::receive(&mut conn, until, shop)?;
-    let load = match answer.load.n {
+    let load = match answer.load.count {
         0 => http::load_of_body(&answer.body, &shop.lanes.load_values),
         _ => answer.load,
     };
@@ -264,7 +264,7 @@
     }
     let outcome = match answer.status {
         200 => Outcome::Ok,
-        503 => Outcome::Full,
+        503 => Outcome::Rejected,
         _ => Outcome::Error,
     };
     Ok((outcome, load))
