--- a/crates/aspendrum-agent/src/coordinator/control_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/control_session.rs
@@ -4,11 +4,11 @@
 use super::proxy_session::ProxySession;
 use aspendrum_model::message::{Envelope, ToControl};
 use aspendrum_net::frames::Link;
-use aspendrum_reconcile::Ms;
+use aspendrum_reconcile::Millis;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// Control that sends nothing for so long is left for another node.
-const SILENT_AFTER: Ms = 1100.0;
+const SILENT_AFTER: Millis = 1100.0;
 
 /// Why a connection is of no use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,17 +23,17 @@
 pub(super) struct ControlSession {
     pub(super) id: u64,
     pub(super) ip: Ipv4Addr,
-    pub(super) last_received_at: Ms,
+    pub(super) last_received_at: Millis,
     link: Link,
-    connected_at: Ms,
+    connected_at: Millis,
     /// When a majority held nothing newer, by this node's own reports.
-    as_of: Option<Ms>,
+    as_of: Option<Millis>,
     /// The proxy's address that the node was told of.
     announced: Option<SocketAddrV4>,
 }
 
 impl ControlSession {
-    pub(super) fn new(id: u64, ip: Ipv4Addr, link: Link, now: Ms) -> ControlSession {
+    pub(super) fn new(id: u64, ip: Ipv4Addr, link: Link, now: Millis) -> ControlSession {
         let (as_of, announced) = (None, None);
         ControlSession {
             id,
@@ -47,12 +47,12 @@
     }
 
     /// The node reported that a majority held nothing newer then.
-    pub(super) fn record_report(&mut self, as_of: Option<Ms>) {
+    pub(super) fn record_report(&mut self, as_of: Option<Millis>) {
         self.as_of = latest(self.as_of, as_of);
     }
 
     /// Why the connection is of no use, if it is.
-    pub(super) fn fault(&self, now: Ms) -> Option<ControlFault> {
+    pub(super) fn fault(&self, now: Millis) -> Option<ControlFault> {
         let is_stale = now - self.connected_at > STALE_AFTER
             && self.as_of.is_none_or(|as_of| now - as_of > STALE_AFTER);
         if is_stale {
@@ -84,7 +84,7 @@
     }
 
     /// Sends a heartbeat for the proxy, behind its address if the node does not know that.
-    pub(super) fn report_proxy(&mut self, now: Ms, proxy: &ProxySession, zone: &str) {
+    pub(super) fn report_proxy(&mut self, now: Millis, proxy: &ProxySession, zone: &str) {
         let Some(identity) = &proxy.identity else {
             return;
         };
--- a/crates/aspendrum-agent/src/coordinator/desired_state.rs
+++ b/crates/aspendrum-agent/src/coordinator/desired_state.rs
@@ -4,7 +4,7 @@
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{StateDigest, StateSection, SECTION_KINDS};
 use aspendrum_model::servers::ServerList;
-use aspendrum_reconcile::{edition, Ms};
+use aspendrum_reconcile::{state_digest, Millis};
 
 /// Kinds of sections that the digest is of.
 pub(super) const CONFIG: usize = 0;
@@ -41,7 +41,7 @@
 
 impl Default for DesiredState {
     fn default() -> DesiredState {
-        let digest = edition(None, 0, &[]);
+        let digest = state_digest(None, 0, &[]);
         DesiredState {
             sections: [const { None }; SECTION_KINDS],
             servers: ServerList::default(),
@@ -68,7 +68,7 @@
 
     /// Takes a section that is newer than what is held. Versions of a configuration and numbers of evacuations order them;
     /// of the other kinds the last one counts.
-    pub(super) fn accept(&mut self, now: Ms, section: StateSection, source: Source) -> Update {
+    pub(super) fn accept(&mut self, now: Millis, section: StateSection, source: Source) -> Update {
         let kind = section.kind();
         if !is_newer(&section, self.sections[kind].as_ref(), source) {
             return Update::Ignored;
@@ -88,7 +88,7 @@
     }
 
     /// The section of one kind, as it is to be sent now.
-    pub(super) fn section(&self, kind: usize, now: Ms) -> Option<StateSection> {
+    pub(super) fn section(&self, kind: usize, now: Millis) -> Option<StateSection> {
         let mut section = self.sections[kind].clone()?;
         if let (StateSection::Servers { age_ms, list }, Some(polled)) =
             (&mut section, self.servers.polled_at)
@@ -110,7 +110,7 @@
             Some(StateSection::Evacuated { order, zones }) => (*order, zones.as_slice()),
             _ => (0, [].as_slice()),
         };
-        self.digest = edition(config.as_ref(), order, zones);
+        self.digest = state_digest(config.as_ref(), order, zones);
     }
 }
 
--- a/crates/aspendrum-agent/src/coordinator/mod.rs
+++ b/crates/aspendrum-agent/src/coordinator/mod.rs
@@ -10,14 +10,14 @@
 use crate::event::Event;
 use crate::gossip_socket::GossipSocket;
 use crate::snapshot::SnapshotClient;
-use aspendrum_gossip::{Act, Circle, Word as GossipMessage};
+use aspendrum_gossip::{GossipAction, GossipMessage, GossipNode};
 use aspendrum_model::message::{
     ControlAddress, FromControl, ProxyEndpoint, StateDigest, StateSection, ToControl,
 };
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::{self, Link};
 use aspendrum_net::mailbox::MailboxReceiver;
-use aspendrum_reconcile::{Bounds, Ms, Standing, Verdict, Word};
+use aspendrum_reconcile::{MajorityReport, Millis, ReportValidity, SyncAssessment, SyncStatus};
 use control_session::{ControlFault, ControlSession};
 use crossbeam_channel::Sender;
 use desired_state::{DesiredState, Source, Update};
@@ -27,18 +27,18 @@
 use std::time::{Duration, Instant};
 
 /// Between two heartbeats to control: an agent that is heard of less often counts as gone.
-const HEARTBEAT_EVERY: Ms = 300.0;
+const HEARTBEAT_EVERY: Millis = 300.0;
 /// The same before control's first report of what a majority holds: a proxy waits for it.
-const FIRST_HEARTBEATS_EVERY: Ms = 60.0;
+const FIRST_HEARTBEATS_EVERY: Millis = 60.0;
 /// Control that was not heard of for so long may have removed this machine from its list.
-const CONTROL_SILENT_AFTER: Ms = 1500.0;
+const CONTROL_SILENT_AFTER: Millis = 1500.0;
 /// A proxy that is told to end together with its agent says so sooner.
-const PROXY_NOTICE: Ms = 1000.0;
+const PROXY_NOTICE: Millis = 1000.0;
 
 /// The process is to end.
 struct ShutdownRequest {
     done: Sender<()>,
-    requested_at: Ms,
+    requested_at: Millis,
 }
 
 /// What the agent knows, and its connections.
@@ -48,17 +48,17 @@
     endpoints: ControlEndpoints,
     gossip_socket: GossipSocket,
     snapshots: SnapshotClient,
-    gossip: Circle,
+    gossip: GossipNode,
     control: Option<ControlSession>,
     proxy: Option<ProxySession>,
     desired: DesiredState,
     majority: MajorityStatus,
-    bounds: Bounds,
+    report_validity: ReportValidity,
     /// The number of the last update on the present connection to control.
     last_update: u64,
     /// When control last sent anything on a connection that has ended.
-    control_last_received_at: Option<Ms>,
-    heartbeat_at: Option<Ms>,
+    control_last_received_at: Option<Millis>,
+    heartbeat_at: Option<Millis>,
     shutdown: Option<ShutdownRequest>,
 }
 
@@ -71,8 +71,11 @@
         snapshots: SnapshotClient,
     ) -> Coordinator {
         Coordinator {
-            bounds: Bounds::of(settings.apply_deadline_ms, settings.unsettled_extension_ms),
-            gossip: Circle::new(settings.ip, fastrand::u64(..)),
+            report_validity: ReportValidity::from_limits(
+                settings.apply_deadline_ms,
+                settings.unsettled_extension_ms,
+            ),
+            gossip: GossipNode::new(settings.ip, fastrand::u64(..)),
             settings,
             started_at: Instant::now(),
             endpoints,
@@ -89,7 +92,7 @@
         }
     }
 
-    fn now(&self) -> Ms {
+    fn now(&self) -> Millis {
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
@@ -172,7 +175,7 @@
                 ..
             } => {
                 // Counted from when this was asked: the answer cannot be older than that, however late it comes.
-                let as_of = age.map(|age| sent_at_ms as Ms - f64::from(age));
+                let as_of = age.map(|age| sent_at_ms as Millis - f64::from(age));
                 self.control_report(now, of, as_of);
             }
             FromControl::Update { number, section } => {
@@ -185,17 +188,17 @@
     }
 
     /// Control reports what was decided; `as_of`: when a majority of its disks held nothing newer.
-    fn control_report(&mut self, now: Ms, decided: StateDigest, as_of: Option<Ms>) {
+    fn control_report(&mut self, now: Millis, decided: StateDigest, as_of: Option<Millis>) {
         let Some(control) = &mut self.control else {
             return;
         };
         let held = self.desired.digest();
-        let report = Word {
+        let report = MajorityReport {
             decided,
             as_of: 0.0,
         };
-        let status = Verdict::of(&held, Some(&report), false, &self.bounds).standing;
-        if status == Standing::Current {
+        let status = SyncAssessment::new(&held, Some(&report), false, &self.report_validity).status;
+        if status == SyncStatus::Current {
             control.record_report(as_of);
             self.majority.record_current(as_of);
         } else if as_of.is_some() && self.majority.record_gap(now) {
@@ -204,7 +207,7 @@
             let (new, old) = (decided.revision.config, held.revision.config);
             log::warn!(
                 "event=update_gap status={} decided={new:08x} held={old:08x}",
-                status.word()
+                status.as_str()
             );
             control.disconnect();
         }
@@ -234,7 +237,7 @@
     fn update_peers(&mut self, proxies: &[ProxyEndpoint]) {
         let addresses = proxies.iter().map(|proxy| *proxy.addr.ip());
         let peers: Vec<Ipv4Addr> = addresses.filter(|ip| *ip != self.settings.ip).collect();
-        self.gossip.meet(&peers);
+        self.gossip.add_known_agents(&peers);
     }
 
     fn update_endpoints(&mut self, nodes: &[ControlAddress]) {
@@ -303,7 +306,7 @@
         }
     }
 
-    fn answer_heartbeat(&self, now: Ms, sent_at_ms: u64) {
+    fn answer_heartbeat(&self, now: Millis, sent_at_ms: u64) {
         let Some(proxy) = &self.proxy else { return };
         let last_received_at = self
             .control
@@ -316,15 +319,15 @@
             decided: self.desired.digest(),
             control_reachable: last_received_at
                 .is_some_and(|last_received_at| now - last_received_at <= CONTROL_SILENT_AFTER),
-            most_agents_isolated: self.gossip.deserted(now),
+            most_agents_isolated: self.gossip.most_agents_isolated(now),
         });
     }
 
     /// Sees to it that the proxy has in force what is held here.
-    fn repair_proxy(&mut self, now: Ms) {
+    fn repair_proxy(&mut self, now: Millis) {
         let held = self.desired.digest();
         let Some(proxy) = &mut self.proxy else { return };
-        let repair = proxy.next_repair(now, &held, &self.bounds);
+        let repair = proxy.next_repair(now, &held, &self.report_validity);
         if repair.resyncs {
             proxy.link.send(&FromControl::Resync);
         }
@@ -347,16 +350,16 @@
         let as_of = self.majority.fresh_as_of(now);
         let actions = self
             .gossip
-            .hear(now, from, message, &self.desired.digest(), as_of);
+            .handle(now, from, message, &self.desired.digest(), as_of);
         self.carry_out(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Act>) {
+    fn carry_out(&mut self, actions: Vec<GossipAction>) {
         for action in actions {
             match action {
-                Act::Say { to, word } => self.gossip_socket.send(to, &word),
-                Act::AsOf(as_of) => self.majority.record_from_peer(as_of),
-                Act::Fetch(from) => {
+                GossipAction::Send { to, message } => self.gossip_socket.send(to, &message),
+                GossipAction::ConfirmedAsOf(as_of) => self.majority.record_from_peer(as_of),
+                GossipAction::FetchSnapshot(from) => {
                     log::info!("event=snapshot_asked of={from}");
                     self.snapshots.fetch(from);
                 }
@@ -414,7 +417,7 @@
         self.heartbeat_at = Some(now);
         self.finish_shutdown();
         let asks_peers = self.majority.has_gap() || self.majority.is_stale(now);
-        let actions = self.gossip.beat(now, asks_peers);
+        let actions = self.gossip.tick(now, asks_peers);
         self.carry_out(actions);
         let Some(control) = &mut self.control else {
             return;
--- a/crates/aspendrum-agent/src/coordinator/proxy_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/proxy_session.rs
@@ -3,11 +3,14 @@
 use super::desired_state::{DesiredState, CONFIG, EVACUATED};
 use aspendrum_model::message::{FromControl, Readiness, StateDigest, StateSection};
 use aspendrum_net::frames::Link;
-use aspendrum_reconcile::{edition, Bounds, Mending, Ms, Section, Step, Verdict, Word};
+use aspendrum_reconcile::{
+    state_digest, MajorityReport, Millis, Repair, RepairStep, ReportValidity, Section,
+    SyncAssessment,
+};
 use std::net::SocketAddrV4;
 
 /// A proxy that sends nothing for so long is not ready, whatever it said last.
-const SILENT_AFTER: Ms = 900.0;
+const SILENT_AFTER: Millis = 900.0;
 
 /// Who the proxy says that it is.
 pub(super) struct ProxyIdentity {
@@ -23,14 +26,14 @@
     pub(super) link: Link,
     /// Known once the proxy has said it; nothing is sent to it before.
     pub(super) identity: Option<ProxyIdentity>,
-    pub(super) last_received_at: Ms,
+    pub(super) last_received_at: Millis,
     /// What is in force there, computed from its tables.
     pub(super) applied: StateDigest,
     /// The number of the last update that was sent.
     pub(super) last_sequence: u64,
     pub(super) is_disconnected: bool,
     readiness: Readiness,
-    repair: Mending,
+    repair: Repair,
 }
 
 /// What is to be sent again to a proxy that differs.
@@ -43,17 +46,17 @@
 }
 
 impl ProxySession {
-    pub(super) fn new(id: u64, link: Link, now: Ms) -> ProxySession {
+    pub(super) fn new(id: u64, link: Link, now: Millis) -> ProxySession {
         ProxySession {
             id,
             link,
             identity: None,
             last_received_at: now,
-            applied: edition(None, 0, &[]),
+            applied: state_digest(None, 0, &[]),
             last_sequence: 0,
             is_disconnected: false,
             readiness: Readiness::Closed,
-            repair: Mending::default(),
+            repair: Repair::default(),
         }
     }
 
@@ -79,7 +82,7 @@
     }
 
     /// The proxy's readiness as control is to know it.
-    pub(super) fn readiness_at(&self, now: Ms) -> Readiness {
+    pub(super) fn readiness_at(&self, now: Millis) -> Readiness {
         if now - self.last_received_at <= SILENT_AFTER {
             self.readiness
         } else {
@@ -95,48 +98,48 @@
     /// What is to be sent again so that the proxy has in force what is held here.
     pub(super) fn next_repair(
         &mut self,
-        now: Ms,
+        now: Millis,
         held: &StateDigest,
-        bounds: &Bounds,
+        validity: &ReportValidity,
     ) -> RepairActions {
         if self.identity.is_none() {
             return RepairActions::default();
         }
-        let report = Word {
+        let report = MajorityReport {
             decided: *held,
             as_of: now,
         };
-        let status = Verdict::of(&self.applied, Some(&report), false, bounds).standing;
+        let status = SyncAssessment::new(&self.applied, Some(&report), false, validity).status;
         let differing = Section::differing(&self.applied, held);
-        let Some(step) = self.repair.look(now, status, &differing) else {
+        let Some(step) = self.repair.next_step(now, status, &differing) else {
             return RepairActions::default();
         };
         let (applied, held) = (self.applied.revision.config, held.revision.config);
         log::warn!(
             "event=proxy_differs status={} applied={applied:08x} held={held:08x} sections={differing:?} step={step:?}",
-            status.word()
+            status.as_str()
         );
         RepairActions::of(&step)
     }
 }
 
 impl RepairActions {
-    fn of(step: &Step) -> RepairActions {
+    fn of(step: &RepairStep) -> RepairActions {
         let all = || DesiredState::kinds().collect();
         match step {
-            Step::Sections(sections) => RepairActions {
+            RepairStep::ResendSections(sections) => RepairActions {
                 resyncs: false,
                 kinds: kinds_of(sections),
             },
-            Step::Snapshot => RepairActions {
+            RepairStep::SendSnapshot => RepairActions {
                 resyncs: false,
                 kinds: all(),
             },
-            Step::Anew => RepairActions {
+            RepairStep::Resync => RepairActions {
                 resyncs: true,
                 kinds: all(),
             },
-            Step::Tell => RepairActions::default(),
+            RepairStep::Alert => RepairActions::default(),
         }
     }
 }
--- a/crates/aspendrum-agent/src/event.rs
+++ b/crates/aspendrum-agent/src/event.rs
@@ -1,6 +1,6 @@
 //! What the coordinator is told by the other threads.
 
-use aspendrum_gossip::Word;
+use aspendrum_gossip::GossipMessage;
 use aspendrum_model::message::{FromControl, StateSection, ToControl};
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::Link;
@@ -54,7 +54,7 @@
         /// The agent.
         from: Ipv4Addr,
         /// Its message.
-        message: Word,
+        message: GossipMessage,
     },
     /// Another agent asks for a snapshot.
     SnapshotRequest {
--- a/crates/aspendrum-agent/src/gossip_socket.rs
+++ b/crates/aspendrum-agent/src/gossip_socket.rs
@@ -1,7 +1,7 @@
 //! Datagrams between agents.
 
 use crate::event::Event;
-use aspendrum_gossip::Word;
+use aspendrum_gossip::GossipMessage;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::threads::spawn;
@@ -40,7 +40,7 @@
     }
 
     /// Sends a datagram to another agent. It may be lost, as any datagram.
-    pub fn send(&self, to: Ipv4Addr, message: &Word) {
+    pub fn send(&self, to: Ipv4Addr, message: &GossipMessage) {
         let mut space = [0; MAX_DATAGRAM];
         let port = self.settings.gossip_port();
         if let Ok(bytes) = postcard::to_slice(message, &mut space) {
--- a/crates/aspendrum-proxy/src/dispatcher/configuration.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/configuration.rs
@@ -5,7 +5,7 @@
 use aspendrum_core::api::{GroupSettings, PlanSettings, Semantics, TenantId};
 use aspendrum_model::config::{Config, Route};
 use aspendrum_model::settings::Settings;
-use aspendrum_reconcile::edition;
+use aspendrum_reconcile::state_digest;
 use std::collections::HashMap;
 
 /// A configuration that is in force, and the decision module's numbers for its parts.
@@ -33,7 +33,7 @@
 impl ConfigSnapshot {
     /// Whether that configuration is newer, or another one under the same version.
     pub(super) fn is_superseded_by(&self, config: &Config) -> bool {
-        let digest = |config: &Config| edition(Some(config), 0, &[]);
+        let digest = |config: &Config| state_digest(Some(config), 0, &[]);
         let is_newer = config.version > self.config.version;
         is_newer || config.version == self.config.version && digest(config) != digest(&self.config)
     }
--- a/crates/aspendrum-proxy/src/dispatcher/mod.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/mod.rs
@@ -25,7 +25,7 @@
 use aspendrum_model::settings::Settings;
 use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
 use aspendrum_net::threads::lock;
-use aspendrum_reconcile::edition;
+use aspendrum_reconcile::state_digest;
 use proxies::ProxyAddresses;
 use state::DispatcherState;
 use std::net::{Ipv4Addr, SocketAddrV4, UdpSocket};
@@ -324,7 +324,7 @@
             let state = lock(&self.state);
             (state.evacuation_order, state.endpoints.evacuated_zones())
         };
-        edition(
+        state_digest(
             self.snapshot().as_ref().map(|snapshot| &snapshot.config),
             order,
             &zones,
--- a/crates/aspendrum-proxy/src/state.rs
+++ b/crates/aspendrum-proxy/src/state.rs
@@ -14,7 +14,7 @@
 use aspendrum_net::pool::{Pool, PoolLimits};
 use aspendrum_net::threads::lock;
 use aspendrum_net::worker_pool::WorkerPool;
-use aspendrum_reconcile::{Standing, Word};
+use aspendrum_reconcile::{MajorityReport, SyncStatus};
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -137,7 +137,7 @@
         most_agents_isolated: bool,
     ) {
         let as_of = |age: u32| sent_at_ms as f64 - f64::from(age);
-        let report = age.map(|age| Word {
+        let report = age.map(|age| MajorityReport {
             decided,
             as_of: as_of(age),
         });
@@ -146,7 +146,8 @@
             .consistency
             .record_report(now, report, most_agents_isolated);
         // Credentials are valid by what is in force here, not by what was sent.
-        let (Some(age), Some(revocation_ms), Standing::Current) = (age, self.revocation_ms, status)
+        let (Some(age), Some(revocation_ms), SyncStatus::Current) =
+            (age, self.revocation_ms, status)
         else {
             return;
         };
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_proxy::session::ClientSession;
 use aspendrum_proxy::{periodic, request, ProxyState};
-use aspendrum_reconcile::Word;
+use aspendrum_reconcile::MajorityReport;
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -116,7 +116,7 @@
     state.update_applied();
     state.consistency.record_report(
         0.0,
-        Some(Word {
+        Some(MajorityReport {
             decided: state.consistency.applied(),
             as_of: 0.0,
         }),
--- a/crates/aspendrum-proxy/tests/exchanges.rs
+++ b/crates/aspendrum-proxy/tests/exchanges.rs
@@ -6,7 +6,7 @@
 use aspendrum_model::compression::compress;
 use aspendrum_model::message::{Revision, StateDigest, StateSection};
 use aspendrum_proxy::ProxyState;
-use aspendrum_reconcile::Word;
+use aspendrum_reconcile::MajorityReport;
 use common::*;
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -304,7 +304,7 @@
         proxy
             .state
             .consistency
-            .record_report(1.0, Some(Word { decided, as_of }), false)
+            .record_report(1.0, Some(MajorityReport { decided, as_of }), false)
     };
     let assert_served = |text: &str, good: &str| assert_eq!(proxy.request(text), good);
     assert_served(SEND, GOOD_TO_T2);
