--- a/crates/aspendrum-proxy/tests/trust.rs
+++ b/crates/aspendrum-proxy/tests/idle_limit.rs
@@ -1,28 +1,36 @@
-//! Connections that a server may have forgotten: what goes over them, and for how long that is remembered.
+//! Idle connections that a server may have dropped: what goes over them, and for how long that is remembered.
 
 use aspendrum_net::connection::ConnectionOptions;
 use aspendrum_net::pool::{Pool, PoolLimits};
-use aspendrum_proxy::trust::Trust;
+use aspendrum_proxy::idle_limit::IdleConnectionLimit;
 use std::net::TcpListener;
 use std::time::Duration;
 
 #[test]
-fn what_was_forgotten_tells_how_long_a_rest_is_too_long() {
-    let mut trust = Trust::default();
-    assert_eq!(trust.most(0.0), None, "any rest, until one was too long");
-    trust.broke(1000.0, 400.0);
-    assert_eq!(trust.most(1001.0), Some(200.0));
-    // A longer rest that broke says nothing new; a shorter one does.
-    trust.broke(2000.0, 5000.0);
-    assert_eq!(trust.most(2001.0), Some(200.0));
-    trust.broke(3000.0, 120.0);
-    assert_eq!(trust.most(3001.0), Some(60.0));
-    assert_eq!(trust.most(18_001.0), None, "the trouble may be over");
+fn a_reset_idle_connection_limits_how_long_others_may_be_idle() {
+    let mut limit = IdleConnectionLimit::default();
+    assert_eq!(
+        limit.max_idle(0.0),
+        None,
+        "any idle time, until one was too long"
+    );
+    limit.record_reset(1000.0, 400.0);
+    assert_eq!(limit.max_idle(1001.0), Some(200.0));
+    // A reset after a longer idle time tells nothing new; one after a shorter time does.
+    limit.record_reset(2000.0, 5000.0);
+    assert_eq!(limit.max_idle(2001.0), Some(200.0));
+    limit.record_reset(3000.0, 120.0);
+    assert_eq!(limit.max_idle(3001.0), Some(60.0));
+    assert_eq!(
+        limit.max_idle(18_001.0),
+        None,
+        "the server may be well again"
+    );
 }
 
-/// Danger: a transfer goes over a connection that its server has forgotten, is reset, and may or may not have run.
+/// Danger: a once-only request goes over a connection that its server has dropped, is reset, and may or may not have run.
 #[test]
-fn a_connection_that_rested_too_long_is_left_for_others() {
+fn a_connection_that_was_idle_too_long_is_kept_for_repeatable_requests() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let second = Duration::from_secs(1);
     let pool = Pool::new(PoolLimits {
@@ -48,11 +56,11 @@
     let fresh = take(Duration::ZERO);
     assert!(
         own(&fresh) != port && fresh.idle_time().is_zero(),
-        "a rest of any length is too long"
+        "any idle time is too long"
     );
     let kept = take(Duration::MAX);
     assert!(
         own(&kept) == port && !kept.idle_time().is_zero(),
-        "it is there for whoever may repeat"
+        "it is kept for repeatable requests"
     );
 }
