--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -1,185 +1,253 @@
-//! From path=value lines to the module's settings, for the simulator's wire and the limiter's configuration
-//! alike. Unknown keys are ignored; a needed one that is missing or absurd is refused by name.
+//! Reads settings from lines of `path=value`: those of the simulator and of the gateway's configuration alike. Unknown
+//! paths are ignored; one that is needed and missing, or whose value makes no sense, is refused by name.
 
-use crate::api::*;
+use crate::api::{
+    GroupSettings, LoadReportChannel, LoadValue, Millis, PlanSettings, RepeatGroup, Semantics,
+    Settings,
+};
+use derive_more::{Display, Error};
 use std::collections::HashMap;
 
-/// The settings tell seconds, the module milliseconds.
+/// Settings are told in seconds, the engine counts in milliseconds.
 pub const MILLIS_PER_SECOND: f64 = 1000.0;
 
+/// The most instances, and entries of a list.
+const MAX_COUNT: f64 = 1e5;
+const MAX_SEND_CAP: f64 = 1e6;
+const MAX_CONCURRENCY: f64 = 1e9;
+
+/// Why settings are refused.
+#[derive(Clone, Debug, Display, Error, PartialEq)]
+pub enum SettingsError {
+    /// A path that is needed is not there.
+    #[display("setting {path} is missing")]
+    Missing {
+        /// The path.
+        path: String,
+    },
+    /// A value is not of its type, or out of its range.
+    #[display("setting {path} is absurd: {value}")]
+    Invalid {
+        /// The path.
+        path: String,
+        /// What stands there.
+        value: String,
+    },
+}
+
+impl SettingsError {
+    fn invalid(path: &str, value: impl ToString) -> Self {
+        SettingsError::Invalid {
+            path: path.into(),
+            value: value.to_string(),
+        }
+    }
+}
+
+/// Reads all settings.
+pub fn read(text: &str) -> Result<Settings, SettingsError> {
+    let pairs = Pairs(
+        text.lines()
+            .filter_map(|line| line.split_once('='))
+            .collect(),
+    );
+    let settings = settings(&pairs)?;
+    if settings.instances == 0 {
+        return Err(SettingsError::invalid("Instances", 0));
+    }
+    Ok(settings)
+}
+
+/// Values by path.
 struct Pairs<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
-    fn text(&self, path: &str) -> Result<&'a str, String> {
+    fn text(&self, path: &str) -> Result<&'a str, SettingsError> {
         self.0
             .get(path)
             .copied()
-            .ok_or_else(|| format!("setting {path} is missing"))
+            .ok_or_else(|| SettingsError::Missing { path: path.into() })
     }
-    fn number(&self, path: &str) -> Result<f64, String> {
+
+    /// A finite number, not negative.
+    fn number(&self, path: &str) -> Result<f64, SettingsError> {
         let value = self.text(path)?;
         match value.parse::<f64>() {
-            Ok(n) if n.is_finite() && n >= 0.0 => Ok(n),
-            _ => Err(format!("setting {path} is absurd: {value}")),
+            Ok(number) if number.is_finite() && number >= 0.0 => Ok(number),
+            _ => Err(SettingsError::invalid(path, value)),
         }
     }
-    fn optional(&self, path: &str) -> Result<f64, String> {
+
+    /// A number that is 0 if it is not there.
+    fn number_or_zero(&self, path: &str) -> Result<f64, SettingsError> {
         if self.0.contains_key(path) {
             self.number(path)
         } else {
             Ok(0.0)
         }
     }
-    fn whole(&self, path: &str, top: f64) -> Result<u32, String> {
-        let n = self.number(path)?;
-        if n.fract() == 0.0 && n <= top {
-            Ok(n as u32)
+
+    fn seconds(&self, path: &str) -> Result<Millis, SettingsError> {
+        Ok(self.number(path)? * MILLIS_PER_SECOND)
+    }
+
+    fn seconds_or_zero(&self, path: &str) -> Result<Millis, SettingsError> {
+        Ok(self.number_or_zero(path)? * MILLIS_PER_SECOND)
+    }
+
+    fn integer(&self, path: &str, max: f64) -> Result<u32, SettingsError> {
+        let number = self.number(path)?;
+        if number.fract() == 0.0 && number <= max {
+            Ok(number as u32)
         } else {
-            Err(format!("setting {path} is absurd: {n}"))
+            Err(SettingsError::invalid(path, number))
         }
     }
-    fn choice<T: Copy>(&self, path: &str, known: &[(&str, T)]) -> Result<T, String> {
+
+    fn choice<T: Copy>(&self, path: &str, choices: &[(&str, T)]) -> Result<T, SettingsError> {
         let value = self.text(path)?;
-        let found = known.iter().find(|(word, _)| *word == value);
-        found
-            .map(|(_, t)| *t)
-            .ok_or_else(|| format!("setting {path} is absurd: {value}"))
+        let chosen = choices.iter().find(|(word, _)| *word == value);
+        chosen
+            .map(|(_, choice)| *choice)
+            .ok_or_else(|| SettingsError::invalid(path, value))
     }
-    fn yes(&self, path: &str) -> Result<bool, String> {
+
+    fn boolean(&self, path: &str) -> Result<bool, SettingsError> {
         self.choice(path, &[("true", true), ("false", false)])
     }
+
+    /// A list of at least one entry; `read_entry` is given an entry's path.
     fn list<T>(
         &self,
-        name: &str,
-        item: impl Fn(&Self, &str) -> Result<T, String>,
-    ) -> Result<Vec<T>, String> {
-        let count = self.whole(&format!("{name}.count"), 1e5)?;
+        path: &str,
+        read_entry: impl Fn(&Self, &str) -> Result<T, SettingsError>,
+    ) -> Result<Vec<T>, SettingsError> {
+        let count_path = format!("{path}.count");
+        let count = self.integer(&count_path, MAX_COUNT)?;
         if count == 0 {
-            return Err(format!("setting {name}.count is absurd: 0"));
+            return Err(SettingsError::invalid(&count_path, 0));
         }
         (0..count)
-            .map(|i| item(self, &format!("{name}.{i}")))
+            .map(|number| read_entry(self, &format!("{path}.{number}")))
             .collect()
     }
 }
 
-fn group(p: &Pairs<'_>, at: &str) -> Result<GroupSettings, String> {
-    let semantics = [
-        ("retryable", Semantics::Idempotent),
-        ("dedup", Semantics::Deduplicated),
-        ("fragile", Semantics::NonIdempotent),
-    ];
-    let repeats = [
-        ("all", RepeatGroup::All),
-        ("zone", RepeatGroup::Zone),
-        ("cell", RepeatGroup::Cell),
-    ];
-    let semantics = p.choice(&format!("{at}.Semantics"), &semantics)?;
-    let keyed = semantics == Semantics::Deduplicated;
+/// Longer than other functions: one line a setting.
+fn settings(pairs: &Pairs<'_>) -> Result<Settings, SettingsError> {
+    let has_counter = pairs.boolean("Specifics.Counter")?;
+    Ok(Settings {
+        instance: pairs.integer("Me", MAX_COUNT)?,
+        instances: pairs.integer("Instances", MAX_COUNT)?,
+        zone: pairs.number_or_zero("Zone")? as u8,
+        tick: pairs.seconds("TickS")?,
+        groups: pairs.list("Profiles", group)?,
+        plans: pairs.list("TiersOfService", plan)?,
+        load_values: load_values(pairs),
+        load_reports: pairs.choice("Feedback.Via", &LOAD_REPORT_CHANNELS)?,
+        polls_discovery: pairs.choice("Discovery", &[("push", false), ("ask", true)])?,
+        discovery_poll_limit: pairs.seconds_or_zero("Invariants.MustAskInS")?,
+        drain_grace: pairs.seconds("Invariants.DrainGraceS")?,
+        collapse_multiple: pairs.number("Invariants.FallMultiple")?,
+        collapse_window: pairs.seconds("Invariants.FallS")?,
+        slow_start_capacity: pairs.number("Invariants.StartCapacity")?,
+        slow_start_time: pairs.seconds("Invariants.RampTimeS")?,
+        answer_grace: pairs.seconds("Invariants.GraceToAnswerS")?,
+        may_cancel: pairs.boolean("Limits.Cancelling")?,
+        may_probe: pairs.boolean("Limits.Probes")?,
+        may_send_datagrams: pairs.boolean("Limits.MayTell")?,
+        may_hedge: pairs.boolean("Limits.SecondCopies")?,
+        max_attempts: pairs.integer("Limits.SendCap", MAX_SEND_CAP)?,
+        sends_retry_after: pairs.boolean("Limits.RetryAfter")?,
+        max_retry_after: pairs.seconds_or_zero("Limits.MaxRetryAfterS")?,
+        has_counter,
+        counter_timeout: if has_counter {
+            pairs.seconds("Specifics.CountWaitS")?
+        } else {
+            0.0
+        },
+        counter_price: pairs.number_or_zero("Specifics.CounterPrice")?,
+        probe_price: pairs.number_or_zero("Deductions.Probe")?,
+        cross_zone_price: pairs.number_or_zero("Deductions.CrossZone")?,
+        max_units: pairs.number("Specifics.UnitsTop")?,
+        cost_known_after: pairs.boolean("Specifics.CostAfter")?,
+        metering_window: pairs.seconds_or_zero("Specifics.MeteringS")?,
+        peer_datagrams_per_second: pairs.number_or_zero("Specifics.PeerInPerS")?,
+    })
+}
+
+const SEMANTICS: [(&str, Semantics); 3] = [
+    ("retryable", Semantics::Idempotent),
+    ("dedup", Semantics::Deduplicated),
+    ("fragile", Semantics::NonIdempotent),
+];
+const REPEAT_GROUPS: [(&str, RepeatGroup); 3] = [
+    ("all", RepeatGroup::All),
+    ("zone", RepeatGroup::Zone),
+    ("cell", RepeatGroup::Cell),
+];
+const LOAD_REPORT_CHANNELS: [(&str, LoadReportChannel); 3] = [
+    ("inline", LoadReportChannel::Responses),
+    ("on_probe", LoadReportChannel::Probes),
+    ("off", LoadReportChannel::Disabled),
+];
+const LOAD_VALUES: [(&str, LoadValue); 6] = [
+    ("busy_reqs", LoadValue::RequestsInFlight),
+    ("pending", LoadValue::RequestsQueued),
+    ("cpu_share", LoadValue::CpuUtilization),
+    ("svc_ms", LoadValue::ServiceTimeMs),
+    ("served_ps", LoadValue::ResponsesPerSecond),
+    ("failed_ps", LoadValue::FailuresPerSecond),
+];
+
+fn group(pairs: &Pairs<'_>, path: &str) -> Result<GroupSettings, SettingsError> {
+    let semantics = pairs.choice(&format!("{path}.Semantics"), &SEMANTICS)?;
+    let is_deduplicated = semantics == Semantics::Deduplicated;
     Ok(GroupSettings {
-        latency_target: p.number(&format!("{at}.AimS"))? * MILLIS_PER_SECOND,
-        hard_limit: p.number(&format!("{at}.HardLimitS"))? * MILLIS_PER_SECOND,
+        latency_target: pairs.seconds(&format!("{path}.AimS"))?,
+        hard_limit: pairs.seconds(&format!("{path}.HardLimitS"))?,
         semantics,
-        repeat_group: if keyed {
-            p.choice(&format!("{at}.Group"), &repeats)?
+        repeat_group: if is_deduplicated {
+            pairs.choice(&format!("{path}.Group"), &REPEAT_GROUPS)?
         } else {
             RepeatGroup::All
         },
-        repeat_window: if keyed {
-            p.number(&format!("{at}.RepeatWindowS"))? * MILLIS_PER_SECOND
+        repeat_window: if is_deduplicated {
+            pairs.seconds(&format!("{path}.RepeatWindowS"))?
         } else {
             0.0
         },
-        importance: p.number(&format!("{at}.Credit"))?,
-        late_value_share: p.optional(&format!("{at}.LateShare"))?,
-        is_streaming: p.yes(&format!("{at}.Stream"))?,
+        importance: pairs.number(&format!("{path}.Credit"))?,
+        late_value_share: pairs.number_or_zero(&format!("{path}.LateShare"))?,
+        is_streaming: pairs.boolean(&format!("{path}.Stream"))?,
     })
 }
 
-fn plan(p: &Pairs<'_>, at: &str) -> Result<PlanSettings, String> {
+fn plan(pairs: &Pairs<'_>, path: &str) -> Result<PlanSettings, SettingsError> {
     Ok(PlanSettings {
         is_windowed: false,
-        rate: p.number(&format!("{at}.PerSecond"))?,
-        burst: p.number(&format!("{at}.Depth"))?,
-        price: p.number(&format!("{at}.WorthFactor"))?,
-        overage_value: p.optional(&format!("{at}.ExtraWorth"))?,
-        overage_cost: p.optional(&format!("{at}.BeyondCosts"))?,
-        max_in_flight: p.whole(&format!("{at}.Concurrency"), 1e9)?,
-        ceiling_rate: p.number(&format!("{at}.NeverOverRate"))?,
-        ceiling_burst: p.number(&format!("{at}.NeverOverDepth"))?,
-        ceiling_slack: p.number(&format!("{at}.CapSlack"))?,
+        rate: pairs.number(&format!("{path}.PerSecond"))?,
+        burst: pairs.number(&format!("{path}.Depth"))?,
+        price: pairs.number(&format!("{path}.WorthFactor"))?,
+        overage_value: pairs.number_or_zero(&format!("{path}.ExtraWorth"))?,
+        overage_cost: pairs.number_or_zero(&format!("{path}.BeyondCosts"))?,
+        max_in_flight: pairs.integer(&format!("{path}.Concurrency"), MAX_CONCURRENCY)?,
+        ceiling_rate: pairs.number(&format!("{path}.NeverOverRate"))?,
+        ceiling_burst: pairs.number(&format!("{path}.NeverOverDepth"))?,
+        ceiling_slack: pairs.number(&format!("{path}.CapSlack"))?,
     })
 }
 
-fn load_value(word: &str) -> LoadValue {
-    match word {
-        "busy_reqs" => LoadValue::RequestsInFlight,
-        "pending" => LoadValue::RequestsQueued,
-        "cpu_share" => LoadValue::CpuUtilization,
-        "svc_ms" => LoadValue::ServiceTimeMs,
-        "served_ps" => LoadValue::ResponsesPerSecond,
-        "failed_ps" => LoadValue::FailuresPerSecond,
-        _ => LoadValue::Unknown,
-    }
-}
-
-pub fn read(text: &str) -> Result<Settings, String> {
-    let p = Pairs(
-        text.lines()
-            .filter_map(|line| line.split_once('='))
-            .collect(),
-    );
-    let via = [
-        ("inline", LoadReportChannel::Responses),
-        ("on_probe", LoadReportChannel::Probes),
-        ("off", LoadReportChannel::Disabled),
-    ];
-    let names = p.0.get("Feedback.Names").copied().unwrap_or("");
-    let counter = p.yes("Specifics.Counter")?;
-    let settings = Settings {
-        instance: p.whole("Me", 1e5)?,
-        instances: p.whole("Instances", 1e5)?,
-        zone: p.optional("Zone")? as u8,
-        tick: p.number("TickS")? * MILLIS_PER_SECOND,
-        groups: p.list("Profiles", group)?,
-        plans: p.list("TiersOfService", plan)?,
-        load_values: names
-            .split(',')
-            .filter(|word| !word.is_empty())
-            .map(load_value)
-            .collect(),
-        load_reports: p.choice("Feedback.Via", &via)?,
-        polls_discovery: p.choice("Discovery", &[("push", false), ("ask", true)])?,
-        discovery_poll_limit: p.optional("Invariants.MustAskInS")? * MILLIS_PER_SECOND,
-        drain_grace: p.number("Invariants.DrainGraceS")? * MILLIS_PER_SECOND,
-        collapse_multiple: p.number("Invariants.FallMultiple")?,
-        collapse_window: p.number("Invariants.FallS")? * MILLIS_PER_SECOND,
-        slow_start_capacity: p.number("Invariants.StartCapacity")?,
-        slow_start_time: p.number("Invariants.RampTimeS")? * MILLIS_PER_SECOND,
-        answer_grace: p.number("Invariants.GraceToAnswerS")? * MILLIS_PER_SECOND,
-        may_cancel: p.yes("Limits.Cancelling")?,
-        may_probe: p.yes("Limits.Probes")?,
-        may_send_datagrams: p.yes("Limits.MayTell")?,
-        may_hedge: p.yes("Limits.SecondCopies")?,
-        max_attempts: p.whole("Limits.SendCap", 1e6)?,
-        sends_retry_after: p.yes("Limits.RetryAfter")?,
-        max_retry_after: p.optional("Limits.MaxRetryAfterS")? * MILLIS_PER_SECOND,
-        has_counter: counter,
-        counter_timeout: if counter {
-            p.number("Specifics.CountWaitS")? * MILLIS_PER_SECOND
-        } else {
-            0.0
-        },
-        counter_price: p.optional("Specifics.CounterPrice")?,
-        probe_price: p.optional("Deductions.Probe")?,
-        cross_zone_price: p.optional("Deductions.CrossZone")?,
-        max_units: p.number("Specifics.UnitsTop")?,
-        cost_known_after: p.yes("Specifics.CostAfter")?,
-        metering_window: p.optional("Specifics.MeteringS")? * MILLIS_PER_SECOND,
-        peer_datagrams_per_second: p.optional("Specifics.PeerInPerS")?,
+/// What a load report's values are, in order. Names that are not known keep their place.
+fn load_values(pairs: &Pairs<'_>) -> Vec<LoadValue> {
+    let names = pairs.0.get("Feedback.Names").copied().unwrap_or("");
+    let load_value = |name: &str| {
+        let known = LOAD_VALUES.iter().find(|(word, _)| *word == name);
+        known.map_or(LoadValue::Unknown, |(_, value)| *value)
     };
-    if settings.instances == 0 {
-        return Err("setting Instances is absurd: 0".into());
-    }
-    Ok(settings)
+    names
+        .split(',')
+        .filter(|name| !name.is_empty())
+        .map(load_value)
+        .collect()
 }
--- a/crates/aspendrum-simulator-adapter/src/frame.rs
+++ b/crates/aspendrum-simulator-adapter/src/frame.rs
@@ -151,7 +151,10 @@
             3 => {
                 let text = std::str::from_utf8(self.tail(f, 9, 1)?)
                     .map_err(|e| format!("Settings: {e}"))?;
-                return Ok(WireEvent::Begin(f.u64(1), Box::new(settings::read(text)?)));
+                return Ok(WireEvent::Begin(
+                    f.u64(1),
+                    Box::new(settings::read(text).map_err(|error| error.to_string())?),
+                ));
             }
             4 => return Ok(WireEvent::Stop),
             5 => {
--- a/crates/aspendrum-simulator-adapter/tests/wire.rs
+++ b/crates/aspendrum-simulator-adapter/tests/wire.rs
@@ -185,8 +185,10 @@
 #[test_case("Semantics=retryable", "Semantics=odd", "setting Profiles.0.Semantics is absurd: odd" ; "word")]
 fn bad_settings_are_refused_by_name(from: &str, to: &str, text: &str) {
     assert_eq!(
-        settings::read(&SETTINGS.replace(from, to)).map(|_| ()),
-        Err(text.to_string())
+        settings::read(&SETTINGS.replace(from, to))
+            .unwrap_err()
+            .to_string(),
+        text
     );
 }
 
--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -48,7 +48,7 @@
     pub fn read(text: &str) -> Result<Config, String> {
         let root: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
         let told = root.get("settings").ok_or("settings is missing")?;
-        let settings = settings::read(&as_pairs(told))?;
+        let settings = settings::read(&as_pairs(told)).map_err(|error| error.to_string())?;
         let names = Names {
             zones: words(told, "Zones"),
             kinds: words(told, "Kinds"),
