--- /dev/null
+++ b/crates/aspendrum-core/src/engine/admission.rs
@@ -0,0 +1,129 @@
+//! How a request comes in, and what follows from the decision on its quota.
+
+use super::DecisionEngine;
+use crate::api::{Action, Millis, NewRequest, TenantId};
+use crate::state::request::Request;
+use crate::state::tenant::{RateLimitShare, Tenant};
+use aspendrum_token_bucket::Purse;
+
+/// A tenant that is not remembered has not been used for so long: its ceiling shares have filled for that time.
+pub(super) const IDLE_TIMEOUT: Millis = 90_000.0;
+/// For so long after a start, an instance may have granted its share of a windowed quota just before it.
+const RECENT_START: Millis = 5000.0;
+/// A request beyond its quota leaves this part of the ceiling share to those within theirs.
+const CEILING_RESERVE: f64 = 0.5;
+
+impl DecisionEngine {
+    /// A client's request. One with a known id, or of a group or plan that is not configured, is dropped.
+    pub(super) fn accept_request(&mut self, new: &NewRequest) {
+        let (group, plan) = (usize::from(new.group), new.plan as usize);
+        let is_known = self.requests.find(new.id).is_some();
+        if is_known || group >= self.params.groups.len() || plan >= self.params.plans.len() {
+            self.actions.push(Action::Drop { id: new.id });
+            return;
+        }
+        let tenant = self.find_or_add_tenant(new.tenant, plan, f64::from(new.instances).max(1.0));
+        let mut request = Request::new(new, tenant, self.now);
+        let group = &self.params.groups[group];
+        request.target_at = self.now + group.target;
+        request.priority = group.importance * self.params.plans[plan].price;
+        self.tenants[tenant].last_used_at = self.now;
+        self.tenants[tenant].first_instance = f64::from(new.first_instance);
+        let slot = self.add_request(request);
+        self.start_admission(slot);
+    }
+
+    /// Remembers a request, its index.
+    pub(super) fn add_request(&mut self, request: Request) -> usize {
+        let tenant = request.tenant;
+        let slot = self.requests.insert(request.id, request);
+        self.open_requests.push(slot);
+        self.tenants[tenant].open_requests += 1;
+        slot
+    }
+
+    /// The tenant's index. A new one starts with nothing in hand but its local count.
+    pub(super) fn find_or_add_tenant(
+        &mut self,
+        id: TenantId,
+        plan: usize,
+        instances: f64,
+    ) -> usize {
+        if let Some(index) = self.tenants.find(id) {
+            self.tenants[index].instances = instances;
+            return index;
+        }
+        let filled_from = self.started_at.max(self.now - IDLE_TIMEOUT);
+        let share = RateLimitShare {
+            tokens: 0.0,
+            refilled_at: filled_from,
+        };
+        let mut tenant = Tenant {
+            id,
+            plan,
+            instances,
+            owned_at: f64::NEG_INFINITY,
+            ceiling_share: share,
+            owner_ceiling_share: share,
+            // Whatever it held before its start it has forgotten, and it may have spent or given away all of that.
+            purse: Purse::empty(filled_from as u64, self.started_at as u64),
+            ..Tenant::default()
+        };
+        let plan = &self.params.plans[plan];
+        tenant.split_local_count(plan, instances, self.now);
+        if plan.is_windowed && self.now - self.started_at < RECENT_START {
+            tenant.local_tokens = 0.0;
+        }
+        self.tenants.insert(id, tenant)
+    }
+
+    /// The quota has been decided on: a peer gets its reply, a client's request is queued or given up.
+    pub(super) fn conclude_admission(&mut self, slot: usize, within_quota: bool) {
+        self.record_decision(slot, within_quota);
+        let request = &mut self.requests[slot];
+        if request.ceiling_paid && !within_quota {
+            request.ceiling_paid = false;
+            self.tenants[request.tenant].ceiling_share.tokens += request.units;
+        }
+        if request.peer_origin.is_some() {
+            self.reply_to_peer(slot);
+            self.finish(slot);
+        } else if within_quota || self.accepts_beyond_quota(slot) {
+            self.requests[slot].waiting_since = self.now;
+            self.enqueue(slot);
+            self.dispatch();
+        } else {
+            let wait = self.time_to_quota(slot);
+            self.give_up(slot, wait);
+        }
+    }
+
+    /// Whether a request beyond its quota is let through all the same: the plan earns more for it than it costs, and
+    /// the ceiling has room for it.
+    fn accepts_beyond_quota(&mut self, slot: usize) -> bool {
+        let request = &mut self.requests[slot];
+        let tenant = &mut self.tenants[request.tenant];
+        let plan = &self.params.plans[tenant.plan];
+        request.priority *= plan.overage_value;
+        let pays = plan.overage_value > plan.overage_cost && self.breaker.is_closed();
+        let share = self.params.split_ceiling_share / tenant.instances;
+        pays && tenant
+            .ceiling_share
+            .spend(plan, share, request.units, CEILING_RESERVE, self.now)
+    }
+
+    /// When the quota has room for the request, as far as is known.
+    fn time_to_quota(&self, slot: usize) -> Millis {
+        let request = &self.requests[slot];
+        let tenant = &self.tenants[request.tenant];
+        let plan = &self.params.plans[tenant.plan];
+        let as_owner_said = tenant.exhausted_until - self.now;
+        if as_owner_said > 0.0 {
+            as_owner_said
+        } else if tenant.is_sparse {
+            (1.0 - tenant.window_position(self.now, plan).fract()) * plan.window
+        } else {
+            (request.units - tenant.remaining).max(0.0) / plan.rate.max(1e-9)
+        }
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-core/src/engine/quota_owner/messages.rs
@@ -0,0 +1,59 @@
+//! Datagrams from other instances.
+
+use super::super::DecisionEngine;
+use crate::api::Action;
+use crate::peer_message::{PeerMessage, TenantKey};
+use crate::state::tenant::fits_counter_name;
+
+impl DecisionEngine {
+    /// A datagram from a peer. One that makes no sense is dropped and counted.
+    pub(in crate::engine) fn handle_datagram(&mut self, peer: u16, data: &[u8]) {
+        let is_expected = usize::from(peer) < self.peers.len() && self.params.has_quota_owners;
+        let max_units = self.params.max_units.max(1.0) as f32;
+        match PeerMessage::decode(data).filter(|_| is_expected) {
+            Some(PeerMessage::QuotaRequest(request)) if request.units <= max_units => {
+                self.accept_quota_request(peer, &request);
+            }
+            Some(PeerMessage::Ping { id }) => self.reply_to_ping(peer, id),
+            Some(PeerMessage::Return { id }) => self.accept_return(peer, id),
+            Some(PeerMessage::TokenRequest { key }) => self.accept_token_request(peer, &key),
+            Some(PeerMessage::TokenTransfer { id, key, steps }) => {
+                if let Some(index) = self.find_or_add_named_tenant(&key) {
+                    self.take_tokens(index, peer, id, steps);
+                }
+            }
+            Some(PeerMessage::QuotaReply(reply)) => self.accept_quota_reply(peer, &reply),
+            Some(PeerMessage::Legacy) => {}
+            Some(PeerMessage::QuotaRequest(_)) | None => self.count_malformed_datagram(),
+        }
+    }
+
+    fn count_malformed_datagram(&mut self) {
+        self.malformed_datagrams += 1;
+        if self.malformed_datagrams.is_power_of_two() {
+            let text = format!("datagrams that make no sense: {}", self.malformed_datagrams);
+            self.actions.push(Action::Log(text));
+        }
+    }
+
+    /// The index of a tenant that a peer names; none if the name makes no sense here.
+    pub(super) fn find_or_add_named_tenant(&mut self, key: &TenantKey) -> Option<usize> {
+        let plan = usize::from(key.plan);
+        let instances = f64::from(key.instances).min(self.params.instances);
+        let known = self.tenants.find(key.tenant);
+        let has_other_plan = known.is_some_and(|index| self.tenants[index].plan != plan);
+        let has_quota = self
+            .params
+            .plans
+            .get(plan)
+            .is_some_and(|plan| plan.rate > 0.0);
+        if !fits_counter_name(key.tenant) || !has_quota || has_other_plan {
+            return None;
+        }
+        let index = self.find_or_add_tenant(key.tenant, plan, instances);
+        let tenant = &mut self.tenants[index];
+        tenant.last_used_at = self.now;
+        tenant.first_instance = f64::from(key.first_instance);
+        Some(index)
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-core/src/engine/quota_owner/replies.rs
@@ -0,0 +1,160 @@
+//! What an owner answers to quota requests, and units that were granted and not used.
+
+use super::super::DecisionEngine;
+use crate::peer_message::{MessageId, PeerMessage, QuotaReply, QuotaRequest};
+use crate::state::peer::{peer_request_id, CachedReply};
+use crate::state::request::{PeerOrigin, Request, RequestStage};
+
+impl DecisionEngine {
+    /// A peer asks for units of a quota that this instance owns. A request that comes again gets the same reply.
+    pub(super) fn accept_quota_request(&mut self, peer: u16, quota_request: &QuotaRequest) {
+        let id = peer_request_id(peer, quota_request.id);
+        if let Some(message) = self.reply_cache.find(id).map(|reply| reply.message) {
+            return self.send_to_peer(peer, message);
+        }
+        let Some(tenant) = self.find_or_add_named_tenant(&quota_request.key) else {
+            return;
+        };
+        self.tenants[tenant].owned_at = self.now;
+        if self.requests.find(id).is_some() {
+            return;
+        }
+        self.take_tokens(
+            tenant,
+            peer,
+            quota_request.id,
+            quota_request.transferred_steps,
+        );
+        let origin = PeerOrigin {
+            peer,
+            sequence: quota_request.id.sequence(),
+        };
+        let mut request = Request::from_peer(id, origin, tenant, f64::from(quota_request.units));
+        request.priority = self.params.plans[self.tenants[tenant].plan].price;
+        request.charges_owner_ceiling = quota_request.charges_ceiling;
+        let slot = self.add_request(request);
+        self.decide_quota(slot);
+    }
+
+    /// Sends the decision on a peer's request; if it is refused, with the time until the quota has room.
+    pub(in crate::engine) fn reply_to_peer(&mut self, slot: usize) {
+        let lacks_counter = self.is_counter_silent();
+        let request = &self.requests[slot];
+        let Some(PeerOrigin { peer, sequence }) = request.peer_origin else {
+            return;
+        };
+        let tenant = &self.tenants[request.tenant];
+        let plan = &self.params.plans[tenant.plan];
+        let granted = request.within_quota;
+        let in_hand = if lacks_counter {
+            tenant.tokens_in_hand()
+        } else {
+            tenant.local_tokens
+        };
+        let refill = ((request.units - in_hand).max(0.0) / plan.rate.max(1e-9)).min(plan.window);
+        let retry_after = if granted { 0.0 } else { refill };
+        let reply = QuotaReply {
+            sequence,
+            granted,
+            lacks_counter,
+            retry_after,
+        };
+        let message = PeerMessage::QuotaReply(reply);
+        let units = if granted { request.units } else { 0.0 };
+        self.reply_cache.insert(CachedReply {
+            request: request.id,
+            message,
+            tenant: tenant.id,
+            units,
+        });
+        self.send_to_peer(peer, message);
+    }
+
+    /// A peer is there only if it is answered: as one that has no room, for no time.
+    pub(super) fn reply_to_ping(&mut self, peer: u16, id: MessageId) {
+        let lacks_counter = self.is_counter_silent();
+        let reply = QuotaReply {
+            sequence: id.sequence(),
+            granted: false,
+            lacks_counter,
+            retry_after: 0.0,
+        };
+        self.send_to_peer(peer, PeerMessage::QuotaReply(reply));
+    }
+
+    /// An owner's reply decides on the request that waits for it. A reply to a ping shows that the owner can be asked.
+    pub(super) fn accept_quota_reply(&mut self, peer: u16, reply: &QuotaReply) {
+        let known = &mut self.peers[usize::from(peer)];
+        known.missed_replies = 0;
+        known.unreachable_until = 0.0;
+        known.is_answering = true;
+        known.lacks_counter = reply.lacks_counter;
+        let waits_for_it = |slot: &&usize| {
+            let request = &self.requests[**slot];
+            let asked = request.message_to_owner.and_then(PeerMessage::answered_id);
+            asked.is_some_and(|id| id.sequence() == reply.sequence)
+                && request.quota_owner == Some(peer)
+                && request.stage == RequestStage::Admission
+        };
+        let Some(&slot) = self.open_requests.iter().find(waits_for_it) else {
+            return;
+        };
+        let Request {
+            tenant,
+            message_to_owner,
+            ..
+        } = self.requests[slot];
+        if matches!(message_to_owner, Some(PeerMessage::Ping { .. })) {
+            return self.ask_owner(slot, peer);
+        }
+        self.tenants[tenant].exhausted_until = if reply.granted {
+            0.0
+        } else {
+            self.now + reply.retry_after
+        };
+        self.conclude_admission(slot, reply.granted);
+    }
+
+    /// A peer returns units. Only what was granted here is taken, and once: units are granted anew as often as they are
+    /// returned.
+    pub(super) fn accept_return(&mut self, peer: u16, id: MessageId) {
+        let Some(reply) = self.reply_cache.find(peer_request_id(peer, id)) else {
+            return;
+        };
+        let (tenant, units) = (reply.tenant, std::mem::take(&mut reply.units));
+        let Some(index) = self.tenants.find(tenant) else {
+            return;
+        };
+        self.put_back_tokens(index, units);
+        let tenant = &mut self.tenants[index];
+        let burst = self.params.plans[tenant.plan].burst;
+        tenant.remaining = (tenant.remaining + units).min(burst);
+        tenant.local_tokens = (tenant.local_tokens + units).min(burst);
+        self.settle_later(index, -units);
+    }
+
+    /// Returns the units of a request that was granted and went to no server, to whoever granted them.
+    pub(in crate::engine) fn return_units(&mut self, slot: usize) {
+        let Request {
+            tenant: index,
+            units,
+            quota_owner,
+            message_to_owner,
+            ..
+        } = self.requests[slot];
+        if let (Some(peer), Some(PeerMessage::QuotaRequest(request))) =
+            (quota_owner, message_to_owner)
+        {
+            return self.send_to_peer(peer, PeerMessage::Return { id: request.id });
+        }
+        self.put_back_tokens(index, units);
+        let tenant = &mut self.tenants[index];
+        tenant.remaining += units;
+        tenant.local_tokens += if tenant.split_among == 1.0 {
+            units
+        } else {
+            0.0
+        };
+        self.settle_later(index, -units);
+    }
+}
--- /dev/null
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -0,0 +1,271 @@
+//! Tokens that instances hold, spend and give to each other while the shared counter says nothing. However messages are
+//! lost, all instances together never hold more than the quota has brought (docs/shared-state.md).
+
+use super::super::quota::OWNERSHIP_TIME;
+use super::super::DecisionEngine;
+use super::routing::OWNERS;
+use crate::api::Millis;
+use crate::peer_message::{MessageId, PeerMessage, TenantKey};
+use crate::state::breaker::PROBE_INTERVAL;
+use crate::state::request::Request;
+use crate::state::tenant::{SpareGrant, Tenant, LEAST_EVEN_SHARE};
+use aspendrum_token_bucket::{Gift, Terms, UNIT};
+
+/// While the breaker is open a probe a second asks the counter: two without an answer, and it is silent.
+const SILENT_AFTER: Millis = 2.5 * PROBE_INTERVAL;
+/// Token requests sent at once at most.
+const MAX_TOKEN_REQUESTS: f64 = 8.0;
+/// The owners' shares of a quota whose even shares are less than a request.
+const OWNER_SHARES: [f64; OWNERS as usize] = [0.5, 0.3, 0.2];
+/// An even share, in the parts that shares are told in.
+const EVEN_PARTS: f64 = 100.0;
+
+/// Units in the amounts that tokens are counted in, rounded up.
+fn round_up(units: f64) -> u64 {
+    (units * UNIT as f64).ceil() as u64
+}
+
+/// Units in the amounts that tokens are counted in, rounded down.
+fn round_down(units: f64) -> u64 {
+    (units * UNIT as f64) as u64
+}
+
+impl Tenant {
+    /// The units that the tokens held here come to.
+    pub(super) fn tokens_in_hand(&self) -> f64 {
+        self.purse.held() as f64 / UNIT as f64
+    }
+}
+
+impl DecisionEngine {
+    /// Notes the decision on a request. What was granted here, by whatever count, is spent: an instance never holds
+    /// tokens for what the counter gave away.
+    pub(in crate::engine) fn record_decision(&mut self, slot: usize, within_quota: bool) {
+        let request = &mut self.requests[slot];
+        request.within_quota = within_quota;
+        if within_quota && request.quota_owner.is_none() && self.params.has_quota_owners {
+            let (index, units) = (request.tenant, round_up(request.units));
+            let terms = self.token_terms(index);
+            self.tenants[index]
+                .purse
+                .spend(&terms, units, self.now as u64);
+        }
+    }
+
+    /// Units that were granted and not used can be granted again.
+    pub(super) fn put_back_tokens(&mut self, index: usize, units: f64) {
+        let terms = self.token_terms(index);
+        self.tenants[index]
+            .purse
+            .put_back(&terms, round_up(units), self.now as u64);
+    }
+
+    /// The counter has told what is left of the quota: this instance holds its share of that.
+    pub(in crate::engine) fn set_tokens_from_total(&mut self, index: usize) {
+        let terms = self.token_terms(index);
+        let tenant = &mut self.tenants[index];
+        tenant.purse.set(
+            &terms,
+            round_down(tenant.remaining.max(0.0)),
+            self.now as u64,
+        );
+    }
+
+    /// The quota in even shares. Where these are less than a request, hundreds would have to be fetched before the first
+    /// is granted: the owners share all of it then, and whoever reaches one of them is served.
+    fn token_terms(&self, index: usize) -> Terms {
+        let tenant = &self.tenants[index];
+        let plan = &self.params.plans[tenant.plan];
+        let ways = tenant.instances as u64;
+        let whole = EVEN_PARTS as u64 * ways;
+        let is_thin =
+            plan.burst < LEAST_EVEN_SHARE * tenant.instances && self.params.has_quota_owners;
+        let (even, own) = if is_thin {
+            let number = self
+                .quota_owners(index)
+                .position(|owner| owner == self.params.instance);
+            (
+                0,
+                number.map_or(0, |number| (OWNER_SHARES[number] * whole as f64) as u64),
+            )
+        } else {
+            (EVEN_PARTS as u64, EVEN_PARTS as u64)
+        };
+        Terms {
+            rate: round_down(plan.rate),
+            burst: round_down(plan.burst),
+            ways,
+            own,
+            even,
+            whole,
+            largest: round_down(self.params.max_units),
+        }
+    }
+
+    /// As far as this instance can tell, the counter says nothing. One that is too small rejects and fails calls all day,
+    /// and still decides: taken for silent, it made instances refuse what had room.
+    pub(super) fn is_counter_silent(&self) -> bool {
+        let is_silent = self
+            .counter_heard_at
+            .is_none_or(|at| self.now - at > SILENT_AFTER);
+        let has_failed = !self.breaker.is_closed() || self.breaker.has_failures();
+        !self.params.has_counter || is_silent && has_failed
+    }
+
+    /// Whether there is room without asking the counter: by the local count, or, if the counter says nothing at all, by
+    /// the tokens in hand. What was counted with its totals before is no licence then: each side of a partition would go
+    /// by the whole quota, and each start would hand out a burst until the breaker opens.
+    pub(in crate::engine) fn has_room_without_counter(&mut self, slot: usize) -> bool {
+        let Request {
+            tenant: index,
+            units,
+            peer_origin,
+            ..
+        } = self.requests[slot];
+        if !self.params.has_quota_owners || !self.is_counter_silent() {
+            let tenant = &mut self.tenants[index];
+            return tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now);
+        }
+        let (terms, now) = (self.token_terms(index), self.now as u64);
+        let tenant = &mut self.tenants[index];
+        let number = f64::from(self.params.instance) - tenant.first_instance;
+        let place = number.rem_euclid(self.params.instances) as u64;
+        let has_tokens = tenant.purse.may(&terms, place, round_up(units), now);
+        if !has_tokens {
+            self.request_tokens(index, &terms);
+        }
+        has_tokens || peer_origin.is_none() && self.use_spare_grant(index, units)
+    }
+
+    /// Lets a request through though no token is in hand and nobody can be asked: a thin quota's even share is less than
+    /// a request, and whoever reaches nobody would refuse all. An instance that has heard the counter since its start
+    /// lets one request of a tenant through in each silence of the counter, and no more often than the even share brings
+    /// one.
+    fn use_spare_grant(&mut self, index: usize, units: f64) -> bool {
+        let has_spare = self.has_spare_grant(index, units);
+        if has_spare {
+            self.tenants[index].spare_grant = SpareGrant {
+                counter_heard_at: self.counter_heard_at,
+                at: self.now,
+            };
+        }
+        has_spare
+    }
+
+    /// What the local count let through before the silence was noticed counts as that request.
+    pub(super) fn has_spare_grant(&mut self, index: usize, units: f64) -> bool {
+        let terms = self.token_terms(index);
+        let refill = terms.largest as f64 * terms.ways as f64 / terms.rate.max(1) as f64;
+        let tenant = &mut self.tenants[index];
+        let last = tenant.spare_grant;
+        let is_refilled = last.counter_heard_at.is_none() || self.now - last.at >= refill;
+        let is_unused = last.counter_heard_at != self.counter_heard_at && is_refilled;
+        let is_allowed = terms.even == 0 && self.counter_heard_at.is_some() && is_unused;
+        is_allowed && tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now)
+    }
+
+    /// Out of tokens, an owner asks instances of the set that have not given any lately for what they hold, in turn and
+    /// each at most twice in the time that fills the burst: what idle instances hold goes to where the traffic is.
+    fn request_tokens(&mut self, index: usize, terms: &Terms) {
+        let tenant = &self.tenants[index];
+        if self.now - tenant.owned_at > OWNERSHIP_TIME {
+            return;
+        }
+        // A thin quota is all with the owners.
+        let is_thin = terms.even == 0;
+        let holders = if is_thin {
+            u64::from(OWNERS)
+        } else {
+            terms.ways
+        };
+        let interval =
+            (terms.window() as f64 / holders as f64).max(self.params.token_request_interval);
+        let cursor = tenant.token_request;
+        let due = ((self.now - cursor.asked_at) / interval).min(MAX_TOKEN_REQUESTS) as usize;
+        if due == 0 {
+            return;
+        }
+        let mut owners = [0; OWNERS as usize];
+        owners
+            .iter_mut()
+            .zip(self.quota_owners(index))
+            .for_each(|(place, owner)| *place = owner);
+        let holder = |number: u64| {
+            let number = (number % holders) as usize;
+            if is_thin {
+                owners[number]
+            } else {
+                ((tenant.first_instance + number as f64) % self.params.instances) as u16
+            }
+        };
+        let now = self.now as u64;
+        let may_hold = |number: &u64| {
+            let peer = holder(*number);
+            peer != self.params.instance && !tenant.purse.heard(terms, peer, now)
+        };
+        let asked: Vec<u64> = (cursor.next..cursor.next + holders)
+            .filter(may_hold)
+            .take(due)
+            .collect();
+        let peers: Vec<u16> = asked.iter().map(|number| holder(*number)).collect();
+        if let Some(last) = asked.last() {
+            let cursor = &mut self.tenants[index].token_request;
+            cursor.next = (last + 1) % holders;
+            cursor.asked_at = self.now;
+        }
+        let key = self.tenant_key(index);
+        for peer in peers {
+            self.send_to_peer(peer, PeerMessage::TokenRequest { key });
+        }
+    }
+
+    /// An owner asks for the tokens held here.
+    pub(super) fn accept_token_request(&mut self, peer: u16, key: &TenantKey) {
+        let Some(index) = self.find_or_add_named_tenant(key) else {
+            return;
+        };
+        let tenant = &self.tenants[index];
+        let is_idle = self.now - tenant.last_request_at > self.params.plans[tenant.plan].window;
+        // An instance that has requests of its own and gets no answer may be one that can't be heard.
+        if !is_idle && !self.peers[usize::from(peer)].is_answering {
+            return;
+        }
+        let steps = self.give_all_tokens(index);
+        if steps > 0 {
+            let id = self.next_message_id();
+            self.send_to_peer(
+                peer,
+                PeerMessage::TokenTransfer {
+                    id,
+                    key: *key,
+                    steps,
+                },
+            );
+        }
+    }
+
+    /// Takes all tokens out, to be given away; how many steps of the burst they are.
+    pub(super) fn give_all_tokens(&mut self, index: usize) -> u16 {
+        let terms = self.token_terms(index);
+        self.tenants[index].purse.give(&terms, self.now as u64)
+    }
+
+    /// Takes in tokens that a peer gave away along with that message.
+    pub(super) fn take_tokens(&mut self, index: usize, peer: u16, id: MessageId, steps: u16) {
+        let gift = Gift {
+            steps,
+            at: self.time_of(id),
+        };
+        let terms = self.token_terms(index);
+        self.tenants[index]
+            .purse
+            .take(&terms, peer, gift, self.now as u64);
+    }
+
+    /// When a peer sent that message, by the clock that all read.
+    fn time_of(&self, id: MessageId) -> u64 {
+        let now = self.now as u64;
+        let since = id.0.wrapping_sub(now as u32) as i32;
+        now.wrapping_add_signed(i64::from(since))
+    }
+}
--- a/crates/aspendrum-core/src/lib.rs
+++ b/crates/aspendrum-core/src/lib.rs
@@ -1,10 +1,13 @@
-//! The decisions of the aspendrum quota gateway: `api` is the interface, `engine` decides.
-
-// Not yet finished for readers: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs, clippy::wildcard_imports)]
+//! The decisions of the aspendrum gateway, free of I/O, clocks and threads.
+//!
+//! [`engine::DecisionEngine`] is told events with their time and answers with actions; both are defined in [`api`].
+//! [`settings`] reads what an engine is started with. [`peer_message`] is the format of datagrams between instances.
 
 pub mod api;
 pub mod engine;
+pub mod peer_message;
 pub mod settings;
+
+mod rng;
+mod spread;
 mod state;
-pub mod word;
--- a/crates/aspendrum-core/tests/keepers.rs
+++ b/crates/aspendrum-core/tests/quota_owner.rs
@@ -5,6 +5,7 @@
 
 use aspendrum_core::api::*;
 use aspendrum_core::engine::DecisionEngine;
+use aspendrum_core::peer_message::{MessageId, PeerMessage, QuotaRequest, TenantKey};
 use test_case::test_case;
 
 const SERVERS: u32 = 40;
@@ -592,49 +593,46 @@
     assert_eq!(granted(&mut fleet, 40), 1);
 }
 
-/// Limiters of the version before gifts beside this one: their questions are answered, what they give back,
-/// which could come twice, is not taken, and they drop the words that they do not know.
+/// Instances of the version before token transfers beside this one: their quota requests are understood, their returns,
+/// which could come twice, are not taken, and they drop the kinds of messages that they do not know.
 #[test]
-fn words_of_the_version_before_are_understood_or_ignored() {
-    use aspendrum_core::word::{Whose, Word};
+fn messages_of_the_version_before_are_understood_or_ignored() {
     let old = [1, 0, 9, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
-    let whose = Whose {
-        acct: 5,
+    let key = TenantKey {
+        tenant: 5,
         plan: 0,
-        first: 0,
-        spread: 40,
+        first_instance: 0,
+        instances: 40,
     };
-    let ask = Word::Ask {
-        stamp: 9,
-        whose,
+    let request = PeerMessage::QuotaRequest(QuotaRequest {
+        id: MessageId(9),
+        key,
         units: 1.0,
-        ceiling: false,
-        gift: 0,
-    };
-    assert_eq!(Word::read(&old), Some(ask));
-    assert_eq!(
-        Word::read(&[4, 0, 9, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0]),
-        Some(Word::Old)
-    );
-    for word in [
-        ask,
-        Word::Hello { stamp: 7 },
-        Word::Back { stamp: 8 },
-        Word::Want { whose },
-        Word::Gift {
-            stamp: 9,
-            whose,
-            gift: 3,
+        charges_ceiling: false,
+        transferred_steps: 0,
+    });
+    assert_eq!(PeerMessage::decode(&old), Some(request));
+    let old_return = [4, 0, 9, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
+    assert_eq!(PeerMessage::decode(&old_return), Some(PeerMessage::Legacy));
+    for message in [
+        request,
+        PeerMessage::Ping { id: MessageId(7) },
+        PeerMessage::Return { id: MessageId(8) },
+        PeerMessage::TokenRequest { key },
+        PeerMessage::TokenTransfer {
+            id: MessageId(9),
+            key,
+            steps: 3,
         },
     ] {
-        let bytes = word.write();
-        assert_eq!(Word::read(&bytes), Some(word));
+        let bytes = message.encode();
+        assert_eq!(PeerMessage::decode(&bytes), Some(message));
         assert!(
             bytes[0] > 4 && bytes.len() <= 256,
             "the version before drops it"
         );
         for cut in 0..bytes.len() {
-            assert_ne!(Word::read(&bytes[..cut]), Some(word));
+            assert_ne!(PeerMessage::decode(&bytes[..cut]), Some(message));
         }
     }
 }
--- a/crates/aspendrum-core/tests/wire_bytes.rs
+++ b/crates/aspendrum-core/tests/wire_bytes.rs
@@ -1,16 +1,16 @@
 //! The bytes of each datagram between instances, as `fixtures/datagrams.txt` pins them.
 
-use aspendrum_core::word::{Whose, Word};
+use aspendrum_core::peer_message::{MessageId, PeerMessage, QuotaReply, QuotaRequest, TenantKey};
 use test_case::test_case;
 
-const WHOSE: Whose = Whose {
-    acct: 0x12_3456_789a,
+const KEY: TenantKey = TenantKey {
+    tenant: 0x12_3456_789a,
     plan: 7,
-    first: 0x1122,
-    spread: 0x3344,
+    first_instance: 0x1122,
+    instances: 0x3344,
 };
-const STAMP: u32 = 0x89ab_cdef;
-const SEQ: u16 = 0xcdef;
+const ID: MessageId = MessageId(0x89ab_cdef);
+const SEQUENCE: u16 = 0xcdef;
 
 fn fixture(name: &str) -> Vec<u8> {
     let text = include_str!("fixtures/datagrams.txt");
@@ -31,58 +31,62 @@
         .collect()
 }
 
-fn ask(ceiling: bool) -> Word {
-    Word::Ask {
-        stamp: STAMP,
-        whose: WHOSE,
+fn ask(charges_ceiling: bool) -> PeerMessage {
+    let transferred_steps = 0x5566;
+    PeerMessage::QuotaRequest(QuotaRequest {
+        id: ID,
+        key: KEY,
         units: 2.5,
-        ceiling,
-        gift: 0x5566,
-    }
+        charges_ceiling,
+        transferred_steps,
+    })
 }
 
-fn answer(granted: bool, alone: bool, wait: f64) -> Word {
-    Word::Answer {
-        seq: SEQ,
+fn answer(granted: bool, lacks_counter: bool, retry_after: f64) -> PeerMessage {
+    PeerMessage::QuotaReply(QuotaReply {
+        sequence: SEQUENCE,
         granted,
-        alone,
-        wait,
-    }
+        lacks_counter,
+        retry_after,
+    })
 }
 
-#[test_case("probe", Word::Hello { stamp: STAMP } ; "probe")]
+#[test_case("probe", PeerMessage::Ping { id: ID } ; "probe")]
 #[test_case("ask", ask(false) ; "ask")]
 #[test_case("ask_ceiling", ask(true) ; "ask that takes from the ceiling too")]
 #[test_case("answer_refused", answer(false, false, 500.0) ; "refused")]
 #[test_case("answer_granted", answer(true, false, 0.0) ; "granted")]
 #[test_case("answer_refused_isolated", answer(false, true, 65_535.0) ; "refused without the counter")]
 #[test_case("answer_granted_isolated", answer(true, true, 7.0) ; "granted without the counter")]
-#[test_case("give_back", Word::Back { stamp: STAMP } ; "units given back")]
-#[test_case("gift_request", Word::Want { whose: WHOSE } ; "request for gifts")]
-#[test_case("gift", Word::Gift { stamp: STAMP, whose: WHOSE, gift: 0x5566 } ; "gift")]
-fn each_datagram_is_written_and_read_as_these_bytes(name: &str, word: Word) {
+#[test_case("give_back", PeerMessage::Return { id: ID } ; "units given back")]
+#[test_case("gift_request", PeerMessage::TokenRequest { key: KEY } ; "request for gifts")]
+#[test_case("gift", PeerMessage::TokenTransfer { id: ID, key: KEY, steps: 0x5566 } ; "gift")]
+fn each_datagram_is_written_and_read_as_these_bytes(name: &str, message: PeerMessage) {
     let bytes = fixture(name);
-    assert_eq!(word.write(), bytes);
-    assert_eq!(Word::read(&bytes), Some(word));
+    assert_eq!(message.encode(), bytes);
+    assert_eq!(PeerMessage::decode(&bytes), Some(message));
 }
 
 #[test_case("legacy_ask", false ; "ask")]
 #[test_case("legacy_ask_ceiling", true ; "ask that takes from the ceiling too")]
-fn an_ask_of_the_version_before_is_read_as_one_without_a_gift(name: &str, ceiling: bool) {
-    let read = Word::Ask {
-        stamp: SEQ.into(),
-        whose: WHOSE,
+fn an_ask_of_the_version_before_is_read_as_one_without_a_gift(name: &str, charges_ceiling: bool) {
+    let read = PeerMessage::QuotaRequest(QuotaRequest {
+        id: MessageId(SEQUENCE.into()),
+        key: KEY,
         units: 2.5,
-        ceiling,
-        gift: 0,
-    };
-    assert_eq!(Word::read(&fixture(name)), Some(read));
+        charges_ceiling,
+        transferred_steps: 0,
+    });
+    assert_eq!(PeerMessage::decode(&fixture(name)), Some(read));
 }
 
 #[test]
 fn units_given_back_by_the_version_before_are_known_and_written_by_nobody() {
-    assert_eq!(Word::read(&fixture("legacy_give_back")), Some(Word::Old));
-    assert_eq!(Word::Old.write(), Vec::<u8>::new());
+    assert_eq!(
+        PeerMessage::decode(&fixture("legacy_give_back")),
+        Some(PeerMessage::Legacy)
+    );
+    assert_eq!(PeerMessage::Legacy.encode(), Vec::<u8>::new());
 }
 
 /// A wait is told in whole milliseconds of two bytes.
@@ -90,7 +94,7 @@
 #[test_case(12.9, 12 ; "fraction")]
 #[test_case(1e9, 65_535 ; "beyond two bytes")]
 fn a_wait_is_written_within_two_bytes(wait: f64, written: u16) {
-    let bytes = answer(false, false, wait).write();
+    let bytes = answer(false, false, wait).encode();
     assert_eq!(bytes[4..], written.to_be_bytes());
 }
 
@@ -103,16 +107,24 @@
     {
         let bytes = fixture(name);
         for cut in 0..bytes.len() {
-            assert_eq!(Word::read(&bytes[..cut]), None, "{name} cut to {cut}");
+            assert_eq!(
+                PeerMessage::decode(&bytes[..cut]),
+                None,
+                "{name} cut to {cut}"
+            );
         }
         let mut longer = bytes.clone();
         longer.push(0);
-        assert_eq!(Word::read(&longer), None, "{name} with a byte more");
+        assert_eq!(
+            PeerMessage::decode(&longer),
+            None,
+            "{name} with a byte more"
+        );
     }
     for kind in [0, 11, 12, 0x7f, 0xff] {
         for size in 1..40 {
             assert_eq!(
-                Word::read(&vec![kind; size]),
+                PeerMessage::decode(&vec![kind; size]),
                 None,
                 "kind {kind} of {size} bytes"
             );
