--- a/crates/aspendrum-core/src/engine/admission.rs
+++ b/crates/aspendrum-core/src/engine/admission.rs
@@ -4,7 +4,7 @@
 use crate::api::{Action, Millis, NewRequest, TenantId};
 use crate::state::request::Request;
 use crate::state::tenant::{RateLimitShare, Tenant};
-use aspendrum_token_bucket::Purse;
+use aspendrum_token_bucket::TokenBucket;
 
 /// A tenant that is not remembered has not been used for so long: its ceiling shares have filled for that time.
 pub(super) const IDLE_TIMEOUT: Millis = 90_000.0;
@@ -66,7 +66,7 @@
             ceiling_share: share,
             owner_ceiling_share: share,
             // Whatever it held before its start it has forgotten, and it may have spent or given away all of that.
-            purse: Purse::empty(filled_from as u64, self.started_at as u64),
+            token_bucket: TokenBucket::new(filled_from as u64, self.started_at as u64),
             ..Tenant::default()
         };
         let plan = &self.params.plans[plan];
--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -9,7 +9,7 @@
 use crate::state::breaker::PROBE_INTERVAL;
 use crate::state::request::Request;
 use crate::state::tenant::{SpareGrant, Tenant, LEAST_EVEN_SHARE};
-use aspendrum_token_bucket::{Gift, Terms, UNIT};
+use aspendrum_token_bucket::{BucketLimits, TokenTransfer, ONE_TOKEN};
 
 /// While the breaker is open a probe a second asks the counter: two without an answer, and it is silent.
 const SILENT_AFTER: Millis = 2.5 * PROBE_INTERVAL;
@@ -22,18 +22,18 @@
 
 /// Units in the amounts that tokens are counted in, rounded up.
 fn round_up(units: f64) -> u64 {
-    (units * UNIT as f64).ceil() as u64
+    (units * ONE_TOKEN as f64).ceil() as u64
 }
 
 /// Units in the amounts that tokens are counted in, rounded down.
 fn round_down(units: f64) -> u64 {
-    (units * UNIT as f64) as u64
+    (units * ONE_TOKEN as f64) as u64
 }
 
 impl Tenant {
     /// The units that the tokens held here come to.
     pub(super) fn tokens_in_hand(&self) -> f64 {
-        self.purse.held() as f64 / UNIT as f64
+        self.token_bucket.tokens() as f64 / ONE_TOKEN as f64
     }
 }
 
@@ -45,27 +45,27 @@
         request.within_quota = within_quota;
         if within_quota && request.quota_owner.is_none() && self.params.has_quota_owners {
             let (index, units) = (request.tenant, round_up(request.units));
-            let terms = self.token_terms(index);
+            let limits = self.bucket_limits(index);
             self.tenants[index]
-                .purse
-                .spend(&terms, units, self.now as u64);
+                .token_bucket
+                .spend(&limits, units, self.now as u64);
         }
     }
 
     /// Units that were granted and not used can be granted again.
     pub(super) fn put_back_tokens(&mut self, index: usize, units: f64) {
-        let terms = self.token_terms(index);
+        let limits = self.bucket_limits(index);
         self.tenants[index]
-            .purse
-            .put_back(&terms, round_up(units), self.now as u64);
+            .token_bucket
+            .refund(&limits, round_up(units), self.now as u64);
     }
 
     /// The counter has told what is left of the quota: this instance holds its share of that.
     pub(in crate::engine) fn set_tokens_from_total(&mut self, index: usize) {
-        let terms = self.token_terms(index);
+        let limits = self.bucket_limits(index);
         let tenant = &mut self.tenants[index];
-        tenant.purse.set(
-            &terms,
+        tenant.token_bucket.set_remaining(
+            &limits,
             round_down(tenant.remaining.max(0.0)),
             self.now as u64,
         );
@@ -73,32 +73,34 @@
 
     /// The quota in even shares. Where these are less than a request, hundreds would have to be fetched before the first
     /// is granted: the owners share all of it then, and whoever reaches one of them is served.
-    fn token_terms(&self, index: usize) -> Terms {
+    fn bucket_limits(&self, index: usize) -> BucketLimits {
         let tenant = &self.tenants[index];
         let plan = &self.params.plans[tenant.plan];
-        let ways = tenant.instances as u64;
-        let whole = EVEN_PARTS as u64 * ways;
+        let limiters = tenant.instances as u64;
+        let total_shares = EVEN_PARTS as u64 * limiters;
         let is_thin =
             plan.burst < LEAST_EVEN_SHARE * tenant.instances && self.params.has_quota_owners;
-        let (even, own) = if is_thin {
+        let (even_shares, own_shares) = if is_thin {
             let number = self
                 .quota_owners(index)
                 .position(|owner| owner == self.params.instance);
             (
                 0,
-                number.map_or(0, |number| (OWNER_SHARES[number] * whole as f64) as u64),
+                number.map_or(0, |number| {
+                    (OWNER_SHARES[number] * total_shares as f64) as u64
+                }),
             )
         } else {
             (EVEN_PARTS as u64, EVEN_PARTS as u64)
         };
-        Terms {
+        BucketLimits {
             rate: round_down(plan.rate),
             burst: round_down(plan.burst),
-            ways,
-            own,
-            even,
-            whole,
-            largest: round_down(self.params.max_units),
+            limiters,
+            own_shares,
+            even_shares,
+            total_shares,
+            largest_request: round_down(self.params.max_units),
         }
     }
 
@@ -126,13 +128,15 @@
             let tenant = &mut self.tenants[index];
             return tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now);
         }
-        let (terms, now) = (self.token_terms(index), self.now as u64);
+        let (limits, now) = (self.bucket_limits(index), self.now as u64);
         let tenant = &mut self.tenants[index];
         let number = f64::from(self.params.instance) - tenant.first_instance;
         let place = number.rem_euclid(self.params.instances) as u64;
-        let has_tokens = tenant.purse.may(&terms, place, round_up(units), now);
+        let has_tokens = tenant
+            .token_bucket
+            .can_spend(&limits, place, round_up(units), now);
         if !has_tokens {
-            self.request_tokens(index, &terms);
+            self.request_tokens(index, &limits);
         }
         has_tokens || peer_origin.is_none() && self.use_spare_grant(index, units)
     }
@@ -154,32 +158,33 @@
 
     /// What the local count let through before the silence was noticed counts as that request.
     pub(super) fn has_spare_grant(&mut self, index: usize, units: f64) -> bool {
-        let terms = self.token_terms(index);
-        let refill = terms.largest as f64 * terms.ways as f64 / terms.rate.max(1) as f64;
+        let limits = self.bucket_limits(index);
+        let refill =
+            limits.largest_request as f64 * limits.limiters as f64 / limits.rate.max(1) as f64;
         let tenant = &mut self.tenants[index];
         let last = tenant.spare_grant;
         let is_refilled = last.counter_heard_at.is_none() || self.now - last.at >= refill;
         let is_unused = last.counter_heard_at != self.counter_heard_at && is_refilled;
-        let is_allowed = terms.even == 0 && self.counter_heard_at.is_some() && is_unused;
+        let is_allowed = limits.even_shares == 0 && self.counter_heard_at.is_some() && is_unused;
         is_allowed && tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now)
     }
 
     /// Out of tokens, an owner asks instances of the set that have not given any lately for what they hold, in turn and
     /// each at most twice in the time that fills the burst: what idle instances hold goes to where the traffic is.
-    fn request_tokens(&mut self, index: usize, terms: &Terms) {
+    fn request_tokens(&mut self, index: usize, limits: &BucketLimits) {
         let tenant = &self.tenants[index];
         if self.now - tenant.owned_at > OWNERSHIP_TIME {
             return;
         }
         // A thin quota is all with the owners.
-        let is_thin = terms.even == 0;
+        let is_thin = limits.even_shares == 0;
         let holders = if is_thin {
             u64::from(OWNERS)
         } else {
-            terms.ways
+            limits.limiters
         };
         let interval =
-            (terms.window() as f64 / holders as f64).max(self.params.token_request_interval);
+            (limits.fill_time() as f64 / holders as f64).max(self.params.token_request_interval);
         let cursor = tenant.token_request;
         let due = ((self.now - cursor.asked_at) / interval).min(MAX_TOKEN_REQUESTS) as usize;
         if due == 0 {
@@ -201,7 +206,7 @@
         let now = self.now as u64;
         let may_hold = |number: &u64| {
             let peer = holder(*number);
-            peer != self.params.instance && !tenant.purse.heard(terms, peer, now)
+            peer != self.params.instance && !tenant.token_bucket.heard_lately(limits, peer, now)
         };
         let asked: Vec<u64> = (cursor.next..cursor.next + holders)
             .filter(may_hold)
@@ -246,20 +251,22 @@
 
     /// Takes all tokens out, to be given away; how many steps of the burst they are.
     pub(super) fn give_all_tokens(&mut self, index: usize) -> u16 {
-        let terms = self.token_terms(index);
-        self.tenants[index].purse.give(&terms, self.now as u64)
+        let limits = self.bucket_limits(index);
+        self.tenants[index]
+            .token_bucket
+            .withdraw_all(&limits, self.now as u64)
     }
 
     /// Takes in tokens that a peer gave away along with that message.
     pub(super) fn take_tokens(&mut self, index: usize, peer: u16, id: MessageId, steps: u16) {
-        let gift = Gift {
+        let transfer = TokenTransfer {
             steps,
-            at: self.time_of(id),
+            sent_at: self.time_of(id),
         };
-        let terms = self.token_terms(index);
+        let limits = self.bucket_limits(index);
         self.tenants[index]
-            .purse
-            .take(&terms, peer, gift, self.now as u64);
+            .token_bucket
+            .receive(&limits, peer, transfer, self.now as u64);
     }
 
     /// When a peer sent that message, by the clock that all read.
--- a/crates/aspendrum-core/src/state/tenant.rs
+++ b/crates/aspendrum-core/src/state/tenant.rs
@@ -4,7 +4,7 @@
 use crate::api::{Millis, TenantId};
 use crate::spread;
 use crate::state::parameters::PlanParameters;
-use aspendrum_token_bucket::Purse;
+use aspendrum_token_bucket::TokenBucket;
 use std::collections::VecDeque;
 
 /// How long the shared counter keeps a name. The longest that it allows: each rebirth hides what others added just
@@ -149,7 +149,7 @@
     /// The owner's share of the ceiling, spent at the owner alone.
     pub(crate) owner_ceiling_share: RateLimitShare,
     /// What it may spend without the counter, where instances talk to each other.
-    pub(crate) purse: Purse,
+    pub(crate) token_bucket: TokenBucket,
     pub(crate) spare_grant: SpareGrant,
     /// When a client's request last came here.
     pub(crate) last_request_at: Millis,
