--- a/crates/aspendrum-simulator-adapter/src/lib.rs
+++ b/crates/aspendrum-simulator-adapter/src/lib.rs
@@ -1,7 +1,8 @@
-//! The adapter between the simulator's wire and the decision module. It translates and decides nothing.
+//! The adapter between the simulator's frames and the decision engine. It translates and decides nothing.
 
-// Not yet finished for readers: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs, clippy::wildcard_imports)]
+pub mod adapter;
+pub mod batch;
+pub mod error;
+pub mod reply;
 
-pub mod frame;
-pub mod host;
+mod record;
--- a/crates/aspendrum-simulator-adapter/src/main.rs
+++ b/crates/aspendrum-simulator-adapter/src/main.rs
@@ -1,9 +1,12 @@
-//! Reads batches from standard input, hands each event to its instance, writes one reply a batch.
+//! Reads frames from standard input, hands each event to its instance, and writes one reply a frame.
 
-use aspendrum_simulator_adapter::host::Host;
+use aspendrum_simulator_adapter::adapter::Adapter;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
+/// The number of records and the length of the frame.
+const PREFIX_BYTES: usize = 8;
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -16,38 +19,41 @@
 
 fn run() -> Result<(), String> {
     let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
-    let (mut host, mut frame, mut reply) = (Host::default(), Vec::new(), Vec::new());
+    let (mut adapter, mut frame, mut reply) = (Adapter::default(), Vec::new(), Vec::new());
     while read_frame(&mut input, &mut frame)? {
-        host.answer(&frame, &mut reply)?;
-        output
-            .write_all(&reply)
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("writing a reply: {e}"))?;
+        adapter
+            .process(&frame, &mut reply)
+            .map_err(|error| error.to_string())?;
+        let written = output.write_all(&reply).and_then(|()| output.flush());
+        written.map_err(|error| format!("writing a reply: {error}"))?;
     }
     Ok(())
 }
 
-/// Grows the buffer by what really arrives, never by what a length field claims.
+/// Reads a frame in place of what the buffer holds; false at the input's end. The buffer grows by what really arrives,
+/// never by what the frame says of its length.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, String> {
     frame.clear();
-    input
-        .take(8)
-        .read_to_end(frame)
-        .map_err(|e| format!("reading a frame: {e}"))?;
-    let Ok(head) = <[u8; 8]>::try_from(frame.as_slice()) else {
+    read_up_to(input, PREFIX_BYTES as u64, frame)?;
+    let Ok(prefix) = <[u8; PREFIX_BYTES]>::try_from(frame.as_slice()) else {
         return if frame.is_empty() {
             Ok(false)
         } else {
             Err("short frame: header cut off".into())
         };
     };
-    let size = u64::from(u32::from_be_bytes([head[4], head[5], head[6], head[7]]));
-    input
-        .take(size.saturating_sub(8))
-        .read_to_end(frame)
-        .map_err(|e| format!("reading a frame: {e}"))?;
+    let size = u64::from(u32::from_be_bytes([
+        prefix[4], prefix[5], prefix[6], prefix[7],
+    ]));
+    read_up_to(input, size.saturating_sub(PREFIX_BYTES as u64), frame)?;
     if (frame.len() as u64) < size {
         return Err(format!("short frame: {} of {size} bytes", frame.len()));
     }
     Ok(true)
 }
+
+fn read_up_to(input: &mut impl Read, bytes: u64, frame: &mut Vec<u8>) -> Result<(), String> {
+    let read = input.take(bytes).read_to_end(frame);
+    read.map(|_| ())
+        .map_err(|error| format!("reading a frame: {error}"))
+}
--- a/crates/aspendrum-simulator-adapter/tests/wire.rs
+++ b/crates/aspendrum-simulator-adapter/tests/examples.rs
@@ -1,9 +1,10 @@
-//! The adapter against WIRE's worked frames, and one bad frame of each kind.
+//! Example frames, and one bad frame of each kind.
 
 use aspendrum_core::api::{Action, Event, ListKind};
 use aspendrum_core::settings;
-use aspendrum_simulator_adapter::frame::{Batch, Reply, WireEvent};
-use aspendrum_simulator_adapter::host::Host;
+use aspendrum_simulator_adapter::adapter::Adapter;
+use aspendrum_simulator_adapter::batch::{Batch, Record};
+use aspendrum_simulator_adapter::reply::Reply;
 use test_case::test_case;
 
 const CLOCK: &str = "4020d3126e978d50";
@@ -40,13 +41,15 @@
     out
 }
 
-fn begin(host: &mut Host, extra: &[&str]) -> Result<Vec<u8>, String> {
+fn start(adapter: &mut Adapter, extra: &[&str]) -> Result<Vec<u8>, String> {
     let first = format!("03 0000000000000007 00000000 {:08x}", SETTINGS.len());
     let mut records = vec!["08 00000003", first.as_str()];
     records.extend_from_slice(extra);
     let mut reply = Vec::new();
-    host.answer(&frame(&records, SETTINGS.as_bytes()), &mut reply)
+    adapter
+        .process(&frame(&records, SETTINGS.as_bytes()), &mut reply)
         .map(|()| reply)
+        .map_err(|error| error.to_string())
 }
 
 #[test_case("09 000d9f1c5d3a91c4 0000 40214df3b645a1cb 91f03b7c55d20a64 00000000 40400000 40000000 3f800000 01",
@@ -59,25 +62,25 @@
     "CounterReplied { name: 9041552, outcome: Ok, total: 38.0, rtt: 2.15" ; "tally back")]
 #[test_case("01 03124a07 0004 3f92f1a9fbe76c8b", "ProbeEnded { server: 51530247, outcome: ConnectFailed" ; "sampled")]
 #[test_case("0c 000d9f1c5d3a91c4 02 03124a07 3f92f1a9fbe76c8b", "forward: 2, server: 51530247" ; "begun")]
-fn worked_events(record: &str, shown: &str) {
+fn example_events_are_read(record: &str, shown: &str) {
     let frame = frame(&[record], b"");
-    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     assert_eq!(batch.now(), 8412.25);
-    let WireEvent::Told(event) = batch.event(0, &mut members).unwrap() else {
+    let Record::Event(event) = batch.record(0, &mut servers).unwrap() else {
         panic!("not an event")
     };
     assert!(format!("{event:?}").contains(shown), "{event:?}");
 }
 
 #[test]
-fn worked_list() {
+fn an_example_list_of_servers_is_read() {
     let tail = bytes(
         "03124a07 01 0000 00 3f800000 00 0000000000000000 2c9011f2 01 0000 01 3fc00000 00 4018666666666666",
     );
     let frame = frame(&["05 02 00000029 00000000 00000002"], &tail);
-    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    match batch.event(0, &mut members).unwrap() {
-        WireEvent::Told(Event::ServerList {
+    let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
+    match batch.record(0, &mut servers).unwrap() {
+        Record::Event(Event::ServerList {
             list,
             version,
             entries,
@@ -108,10 +111,10 @@
 #[test_case(Action::CloseConnections { server: 9 }, "45 00000009 00000000000000000000000000000000000000", "" ; "let go")]
 #[test_case(Action::WatchServers { on: true }, "4c 01 00000000000000000000000000000000000000000000", "" ; "track")]
 #[test_case(Action::FetchServers, "46 0000000000000000000000000000000000000000000000", "" ; "refresh")]
-fn worked_actions(action: Action, record: &str, tail: &str) {
+fn example_actions_are_written(action: Action, record: &str, tail: &str) {
     let mut out = Vec::new();
-    let mut reply = Reply::begin(&mut out);
-    reply.write(3, &mut vec![action]);
+    let mut reply = Reply::new(&mut out);
+    reply.add(3, &mut vec![action]);
     reply.finish().unwrap();
     let mut expected = bytes("00000002");
     expected.extend_from_slice(&((56 + tail.len() / 2) as u32).to_be_bytes());
@@ -122,22 +125,23 @@
 }
 
 #[test]
-fn empty_batch_gets_an_empty_reply() {
+fn an_empty_frame_gets_an_empty_reply() {
     let mut reply = vec![1, 2, 3];
-    Host::default()
-        .answer(&frame(&[], b""), &mut reply)
+    Adapter::default()
+        .process(&frame(&[], b""), &mut reply)
         .unwrap();
     assert_eq!(reply, bytes("00000000 00000008"));
 }
 
 #[test]
-fn stop_then_begin_in_one_batch_starts_anew() {
-    let mut host = Host::default();
-    begin(&mut host, &[]).unwrap();
+fn an_instance_stops_and_starts_again_in_one_frame() {
+    let mut adapter = Adapter::default();
+    start(&mut adapter, &[]).unwrap();
     let again = format!("03 0000000000000008 00000000 {:08x}", SETTINGS.len());
     let records = ["08 00000003", "04", again.as_str()];
     let mut reply = Vec::new();
-    host.answer(&frame(&records, SETTINGS.as_bytes()), &mut reply)
+    adapter
+        .process(&frame(&records, SETTINGS.as_bytes()), &mut reply)
         .unwrap();
     assert_eq!(reply[8], 78);
 }
@@ -151,7 +155,7 @@
 #[test_case("01 00000001 0001 0000000000000000 05", "record 2: Load with 5 values" ; "load")]
 fn bad_events_are_refused(record: &str, text: &str) {
     assert_eq!(
-        begin(&mut Host::default(), &[record]),
+        start(&mut Adapter::default(), &[record]),
         Err(text.to_string())
     );
 }
@@ -161,21 +165,21 @@
 #[test_case("00000002 00000010 4020d3126e978d50", "record count 2 does not fit a frame of 16 bytes" ; "count")]
 #[test_case("00000000 00000010 7ff0000000000000", "clock is not a finite number" ; "clock")]
 fn bad_frames_are_refused(hex: &str, text: &str) {
-    assert_eq!(
-        Host::default().answer(&bytes(hex), &mut Vec::new()),
-        Err(text.to_string())
-    );
+    let refused = Adapter::default()
+        .process(&bytes(hex), &mut Vec::new())
+        .unwrap_err();
+    assert_eq!(refused.to_string(), text);
 }
 
 #[test]
 fn an_event_for_no_instance_is_refused() {
-    let told = Host::default().answer(
+    let told = Adapter::default().process(
         &frame(&["08 00000004", "02 00000001"], b""),
         &mut Vec::new(),
     );
     assert_eq!(
-        told,
-        Err("record 1: On for no such instance: 4".to_string())
+        told.unwrap_err().to_string(),
+        "record 1: On for no such instance: 4"
     );
 }
 
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -3,7 +3,8 @@
 use aspendrum_core::api::{
     Action, Event, Health, ListKind, LoadReport, NewRequest, Outcome, ServerEntry,
 };
-use aspendrum_simulator_adapter::frame::{Batch, Reply, WireEvent};
+use aspendrum_simulator_adapter::batch::{Batch, Record};
+use aspendrum_simulator_adapter::reply::Reply;
 use test_case::test_case;
 
 const EVENT: usize = 48;
@@ -139,9 +140,9 @@
 #[test_case("stream", Event::StreamStarted { id: ID, forward: 9, server: NUMBER, rtt: 18.5 } ; "stream started")]
 fn each_event_is_read_from_these_bytes(name: &str, expected: Event<'_>) {
     let frame = frame(name);
-    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     assert_eq!((batch.now(), batch.count()), (8412.25, 1));
-    let WireEvent::Told(event) = batch.event(0, &mut members).unwrap() else {
+    let Record::Event(event) = batch.record(0, &mut servers).unwrap() else {
         panic!("not an event")
     };
     assert_eq!(event, expected);
@@ -150,18 +151,18 @@
 #[test]
 fn the_instance_that_events_are_for_is_read_from_these_bytes() {
     let frame = frame("on");
-    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
+    let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     assert!(matches!(
-        batch.event(0, &mut members),
-        Ok(WireEvent::On(NUMBER))
+        batch.record(0, &mut servers),
+        Ok(Record::SelectInstance(NUMBER))
     ));
 }
 
 #[test]
 fn a_start_carries_the_seed_and_the_settings() {
     let frame = frame("begin");
-    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Begin(seed, settings)) = batch.event(0, &mut members) else {
+    let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
+    let Ok(Record::Start(seed, settings)) = batch.record(0, &mut servers) else {
         panic!("not a start")
     };
     assert_eq!(seed, ID);
@@ -171,8 +172,8 @@
 #[test]
 fn a_stop_is_read_from_these_bytes() {
     let frame = frame("stop");
-    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    assert!(matches!(batch.event(0, &mut members), Ok(WireEvent::Stop)));
+    let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
+    assert!(matches!(batch.record(0, &mut servers), Ok(Record::Stop)));
 }
 
 #[test_case(0, Outcome::Error)]
@@ -186,8 +187,8 @@
 fn each_outcome_has_its_number(number: u8, expected: Outcome) {
     let mut frame = frame("counted");
     frame[16 + 10] = number;
-    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::CounterReplied { outcome, .. })) = batch.event(0, &mut members)
+    let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
+    let Ok(Record::Event(Event::CounterReplied { outcome, .. })) = batch.record(0, &mut servers)
     else {
         panic!("not counted")
     };
@@ -201,8 +202,8 @@
 fn each_kind_of_list_has_its_number(number: u8, expected: ListKind) {
     let mut frame = frame("members");
     frame[16 + 1] = number;
-    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::ServerList { list, .. })) = batch.event(0, &mut members) else {
+    let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
+    let Ok(Record::Event(Event::ServerList { list, .. })) = batch.record(0, &mut servers) else {
         panic!("not a list")
     };
     assert_eq!(list, expected);
@@ -215,8 +216,8 @@
 fn flags_of_a_query_are_bits(flags: u8, repeat: bool, writes: bool) {
     let mut frame = frame("query");
     frame[16 + 43] = flags;
-    let (batch, mut members) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(WireEvent::Told(Event::Request(new))) = batch.event(0, &mut members) else {
+    let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
+    let Ok(Record::Event(Event::Request(new))) = batch.record(0, &mut servers) else {
         panic!("not a query")
     };
     assert_eq!((new.is_client_retry, new.is_write), (repeat, writes));
@@ -239,8 +240,8 @@
 #[test_case("log", Action::Log("log".into()) ; "log")]
 fn each_action_is_written_as_these_bytes(name: &str, action: Action) {
     let mut out = Vec::new();
-    let mut reply = Reply::begin(&mut out);
-    reply.write(NUMBER, &mut vec![action]);
+    let mut reply = Reply::new(&mut out);
+    reply.add(NUMBER, &mut vec![action]);
     reply.finish().unwrap();
     let (instance, _) = fixture("instance", ACTION);
     let (record, tail) = fixture(name, ACTION);
@@ -256,10 +257,10 @@
 #[test]
 fn actions_of_two_instances_share_a_reply() {
     let mut out = Vec::new();
-    let mut reply = Reply::begin(&mut out);
-    reply.write(1, &mut vec![Action::Log("ab".into()), Action::FetchServers]);
-    reply.write(1, &mut vec![Action::Log("c".into())]);
-    reply.write(2, &mut vec![Action::FetchServers]);
+    let mut reply = Reply::new(&mut out);
+    reply.add(1, &mut vec![Action::Log("ab".into()), Action::FetchServers]);
+    reply.add(1, &mut vec![Action::Log("c".into())]);
+    reply.add(2, &mut vec![Action::FetchServers]);
     reply.finish().unwrap();
     let records = [
         "4e 00000001",
