--- a/crates/aspendrum-reconcile/examples/overnight/main.rs
+++ b/crates/aspendrum-reconcile/examples/overnight/main.rs
@@ -53,36 +53,63 @@
     format!("{median:.0} (median), {percentile_99:.0} (99th percentile), {max:.0} ms (maximum)")
 }
 
-fn main() {
-    let arguments: Vec<f64> = std::env::args()
-        .skip(1)
-        .filter_map(|argument| argument.parse().ok())
-        .collect();
-    let argument = |index: usize, default: f64| arguments.get(index).copied().unwrap_or(default);
-    let seeds = argument(0, DEFAULT_SEEDS) as u64;
-    let hours = argument(1, DEFAULT_HOURS);
-    let changes = argument(2, DEFAULT_CHANGES) as u32;
-    let nodes = argument(3, DEFAULT_NODES) as usize;
-    let threads = thread::available_parallelism().map_or(1, usize::from) as u64;
-    let simulate = |thread: u64| {
+/// What is simulated.
+#[derive(Clone, Copy)]
+struct Options {
+    seeds: u64,
+    hours: f64,
+    changes: u32,
+    nodes: usize,
+}
+
+impl Options {
+    fn from_arguments() -> Options {
+        let arguments: Vec<f64> = std::env::args()
+            .skip(1)
+            .filter_map(|argument| argument.parse().ok())
+            .collect();
+        let argument = |index: usize, default| arguments.get(index).copied().unwrap_or(default);
+        Options {
+            seeds: argument(0, DEFAULT_SEEDS) as u64,
+            hours: argument(1, DEFAULT_HOURS),
+            changes: argument(2, DEFAULT_CHANGES) as u32,
+            nodes: argument(3, DEFAULT_NODES) as usize,
+        }
+    }
+
+    /// Simulates the nights of one of so many threads.
+    fn simulate(&self, thread: u64, threads: u64) -> Totals {
         let mut totals = Totals::default();
-        for seed in (1..=seeds).filter(|seed| seed % threads == thread) {
-            let mut simulation = Simulation::new(nodes, seed, Variant::Sound);
-            let converged_after = simulation.run(hours, changes);
+        for seed in (1..=self.seeds).filter(|seed| seed % threads == thread) {
+            let mut simulation = Simulation::new(self.nodes, seed, Variant::Sound);
+            let converged_after = simulation.run(self.hours, self.changes);
             totals.add_night(converged_after, simulation.metrics);
         }
         totals
-    };
-    let mut totals = Totals::default();
-    thread::scope(|scope| {
-        let handles: Vec<_> = (0..threads)
-            .map(|thread| scope.spawn(move || simulate(thread)))
-            .collect();
-        handles
-            .into_iter()
-            .filter_map(|handle| handle.join().ok())
-            .for_each(|part| totals.add(part));
-    });
+    }
+
+    fn simulate_all(&self) -> Totals {
+        let threads = thread::available_parallelism().map_or(1, usize::from) as u64;
+        let mut totals = Totals::default();
+        thread::scope(|scope| {
+            let handles: Vec<_> = (0..threads)
+                .map(|thread| scope.spawn(move || self.simulate(thread, threads)))
+                .collect();
+            for handle in handles {
+                totals.add(handle.join().unwrap_or_default());
+            }
+        });
+        totals
+    }
+}
+
+fn print(options: &Options, totals: Totals) {
+    let Options {
+        seeds,
+        hours,
+        changes,
+        nodes,
+    } = options;
     let metrics = totals.metrics;
     println!(
         "{seeds} nights of {hours} h, {nodes} nodes, {changes} changes: {} non-idempotent requests, {} violations, \
@@ -93,16 +120,26 @@
         metrics.max_staleness,
         totals.never_converged
     );
-    println!(
-        "all nodes agreed after the last fault: {}",
-        percentiles(totals.convergence_times)
-    );
-    println!(
-        "nodes out of sync rejected requests after: {}",
-        percentiles(metrics.detection_times)
-    );
-    println!(
-        "nodes were current after the end of their fault: {}",
-        percentiles(metrics.recovery_times)
-    );
+    let lines = [
+        (
+            "all nodes agreed after the last fault",
+            totals.convergence_times,
+        ),
+        (
+            "nodes out of sync rejected requests after",
+            metrics.detection_times,
+        ),
+        (
+            "nodes were current after the end of their fault",
+            metrics.recovery_times,
+        ),
+    ];
+    for (name, times) in lines {
+        println!("{name}: {}", percentiles(times));
+    }
+}
+
+fn main() {
+    let options = Options::from_arguments();
+    print(&options, options.simulate_all());
 }
--- a/crates/aspendrum/src/backoff.rs
+++ b/crates/aspendrum/src/backoff.rs
@@ -1,39 +1,42 @@
-//! How long to wait before a call to a service that all limiters share is made again: full jitter over a time
-//! that doubles with each failure. What it stands against: a hundred limiters that start at once, are turned
-//! away together and come again together are turned away again, for as long as they live.
+//! Exponential backoff with full jitter, for calls to a service that all limiters share.
+//!
+//! A hundred limiters that start at once, are rejected together and retry together would be rejected again for as long as
+//! they run. The delay is drawn from the whole interval, whose length doubles with each failure.
 
 use fastrand::Rng;
 use std::time::Duration;
 
+/// Higher powers of two are beyond any maximum.
+const MAX_DOUBLINGS: u32 = 20;
+
+/// The delays between the attempts of one caller.
 pub struct Backoff {
-    first: Duration,
-    top: Duration,
+    initial: Duration,
+    max: Duration,
     failures: u32,
-    chance: Rng,
+    rng: Rng,
 }
 
 impl Backoff {
-    /// `first` is the longest wait after no failure at all, `top` the longest of any.
-    pub fn new(first: Duration, top: Duration, seed: u64) -> Backoff {
+    /// `initial` is the longest delay before any failure, `max` the longest of all.
+    pub fn new(initial: Duration, max: Duration, seed: u64) -> Backoff {
         Backoff {
-            first: first.min(top),
-            top,
+            initial: initial.min(max),
+            max,
             failures: 0,
-            chance: Rng::with_seed(seed),
+            rng: Rng::with_seed(seed),
         }
     }
 
-    /// From nothing to the longest wait there is now, alike likely; the next is up to twice as long.
-    pub fn wait(&mut self) -> Duration {
-        let longest = self
-            .first
-            .saturating_mul(1 << self.failures.min(20))
-            .min(self.top);
+    /// The delay before the next attempt, evenly distributed from zero to the present interval. Counts as a failure.
+    pub fn next_delay(&mut self) -> Duration {
+        let doublings = self.failures.min(MAX_DOUBLINGS);
+        let interval = self.initial.saturating_mul(1 << doublings).min(self.max);
         self.failures = self.failures.saturating_add(1);
-        longest.mul_f64(self.chance.f64())
+        interval.mul_f64(self.rng.f64())
     }
 
-    /// After a call that went well.
+    /// Returns to the initial interval, after a call that succeeded.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/aspendrum/src/clock.rs
+++ b/crates/aspendrum/src/clock.rs
@@ -1,49 +1,54 @@
-//! Milliseconds, and a clock that never steps.
+//! Conversions of milliseconds, and a clock that shows Unix time but is never set back or forward.
 
 use aspendrum_core::api::Ms;
 use aspendrum_core::settings::MS;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds as the standard library has them; what is below nothing counts as nothing.
-pub fn ms(ms: Ms) -> Duration {
-    Duration::try_from_secs_f64(ms.max(0.0) / MS).unwrap_or(Duration::ZERO)
+/// Milliseconds as a duration; negative ones and those beyond any duration count as zero.
+pub fn duration_from_millis(millis: Ms) -> Duration {
+    Duration::try_from_secs_f64(millis.max(0.0) / MS).unwrap_or(Duration::ZERO)
 }
-/// A duration in milliseconds, as the module has it.
-pub fn as_ms(duration: Duration) -> Ms {
+
+/// A duration in milliseconds.
+pub fn millis_from_duration(duration: Duration) -> Ms {
     duration.as_secs_f64() * MS
 }
 
-/// Unix time in milliseconds, as every machine reads it, but one that never steps.
+/// Unix time in milliseconds, read once from the system and advanced by the monotonic clock from then on.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    unix: Ms,
+    start_unix: Ms,
 }
 
 impl Clock {
+    /// Reads the system's time.
     #[expect(
         clippy::disallowed_methods,
-        reason = "the deployments in service tell moments so; read once, never after"
+        reason = "limiters and servers exchange times as Unix time; read once, never after"
     )]
     pub fn start() -> Clock {
-        let unix = SystemTime::now()
+        let start_unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0.0, as_ms);
+            .map_or(0.0, millis_from_duration);
         Clock {
             start: Instant::now(),
-            unix,
+            start_unix,
         }
     }
 
-    pub fn at(&self, when: Instant) -> Ms {
-        self.unix + as_ms(when.saturating_duration_since(self.start))
+    /// The time at that instant.
+    pub fn time_at(&self, instant: Instant) -> Ms {
+        self.start_unix + millis_from_duration(instant.saturating_duration_since(self.start))
     }
 
+    /// The present time.
     pub fn now(&self) -> Ms {
-        self.at(Instant::now())
+        self.time_at(Instant::now())
     }
 
-    pub fn instant(&self, at: Ms) -> Instant {
-        self.start + ms(at - self.unix)
+    /// The instant at that time.
+    pub fn instant_at(&self, time: Ms) -> Instant {
+        self.start + duration_from_millis(time - self.start_unix)
     }
 }
--- /dev/null
+++ b/crates/aspendrum/src/dispatcher.rs
@@ -0,0 +1,366 @@
+//! The dispatcher: the one thread that owns the decision core, its timers, and the requests in progress.
+//!
+//! All other threads notify it through one bounded mailbox. It passes what happened to the decision core, carries out the
+//! actions that the core returns, and never waits for anybody.
+
+mod pending_request;
+mod timers;
+
+use crate::counter::CounterClient;
+use crate::event::{AttemptEnd, DiscoveryRequest, DispatcherEvent, RequestDecision};
+use crate::health_check::start_health_check;
+use crate::peers::PeerSocket;
+use crate::state::LimiterState;
+use aspendrum_core::api::{Action, Event, Load, Ms, Outcome, QueryId, ServerId, Settings};
+use aspendrum_core::control::Control;
+use aspendrum_net::disconnect_metrics::{DisconnectReporter, REACTION_DEADLINE};
+use aspendrum_net::disconnects::ClientConnection;
+use aspendrum_net::forward::{ForwardStage, Progress};
+use aspendrum_net::mailbox::{MailboxReceiver, RecvError};
+use crossbeam_channel::Sender;
+use pending_request::{Attempt, PendingRequest};
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Instant;
+use timers::Timers;
+
+/// The target of the decision core's own log lines.
+const CORE_LOG_TARGET: &str = "aspendrum::module";
+
+/// The services that carry out the decision core's actions.
+pub(crate) struct Services {
+    pub(crate) counter: Option<CounterClient>,
+    pub(crate) discovery: Sender<DiscoveryRequest>,
+    pub(crate) peers: Option<PeerSocket>,
+}
+
+/// The dispatcher's state.
+pub(crate) struct Dispatcher {
+    core: Control,
+    state: Arc<LimiterState>,
+    services: Services,
+    requests: HashMap<QueryId, PendingRequest>,
+    timers: Timers,
+    /// What the core returned and is still to be carried out; kept for its allocation.
+    actions: Vec<Action>,
+    /// Requests whose threads take no decision any more. The core hears of it after the event in progress.
+    abandoned: Vec<QueryId>,
+    last_expiry: Instant,
+    disconnect_reporter: DisconnectReporter,
+}
+
+impl Dispatcher {
+    pub(crate) fn new(
+        state: Arc<LimiterState>,
+        settings: &Settings,
+        seed: u64,
+        services: Services,
+    ) -> Dispatcher {
+        let mut actions = Vec::new();
+        let core = Control::new(state.dispatcher.clock.now(), seed, settings, &mut actions);
+        Dispatcher {
+            core,
+            state,
+            services,
+            requests: HashMap::new(),
+            timers: Timers::default(),
+            actions,
+            abandoned: Vec::new(),
+            last_expiry: Instant::now(),
+            disconnect_reporter: DisconnectReporter::default(),
+        }
+    }
+
+    /// Handles events and timers until the limiter stops.
+    pub(crate) fn run(mut self, events: &MailboxReceiver<DispatcherEvent>) {
+        self.carry_out_actions();
+        loop {
+            let due = self
+                .timers
+                .next_due()
+                .map(|time| self.state.dispatcher.clock.instant_at(time));
+            match events.recv_deadline(due) {
+                Ok(DispatcherEvent::Stop) | Err(RecvError::Disconnected) => return,
+                Ok(event) => self.handle(event),
+                Err(RecvError::TimedOut) => {}
+            }
+            while let Some(id) = self.abandoned.pop() {
+                self.handle_abandoned(id);
+            }
+            self.run_due();
+        }
+    }
+
+    fn now(&self) -> Ms {
+        self.state.dispatcher.clock.now()
+    }
+
+    fn handle(&mut self, event: DispatcherEvent) {
+        match event {
+            DispatcherEvent::Request {
+                request,
+                decisions,
+                forward,
+            } => {
+                self.requests
+                    .insert(request.id, PendingRequest::new(decisions, forward));
+                self.notify_core(&Event::Query(request));
+            }
+            DispatcherEvent::ClientDisconnected { id } => self.handle_disconnect(id),
+            DispatcherEvent::AttemptEnded(end) => self.handle_attempt_end(&end),
+            DispatcherEvent::Abandoned { id } => self.handle_abandoned(id),
+            DispatcherEvent::Core(event) => self.notify_core(&event),
+            DispatcherEvent::Servers {
+                list,
+                version,
+                entries,
+            } => {
+                self.notify_core(&Event::Members {
+                    list,
+                    version,
+                    entries: &entries,
+                });
+            }
+            DispatcherEvent::PeerDatagram { from, data } => {
+                self.notify_core(&Event::PeerSaid { from, data: &data });
+            }
+            DispatcherEvent::CounterMoved { to } => {
+                if let Some(counter) = &mut self.services.counter {
+                    counter.move_to(to);
+                }
+            }
+            DispatcherEvent::Stop => {}
+        }
+    }
+
+    /// Passes an event to the decision core, and carries out what it returns.
+    fn notify_core(&mut self, event: &Event<'_>) {
+        self.core.handle(self.now(), event, &mut self.actions);
+        self.carry_out_actions();
+    }
+
+    fn handle_disconnect(&mut self, id: QueryId) {
+        let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|request| !request.is_finished)
+        else {
+            return;
+        };
+        request.is_finished = true;
+        // While an attempt is in flight, the request's thread reads this after its end.
+        let _ = request.decisions.try_send(RequestDecision::ClientGone);
+        self.notify_core(&Event::ClientLeft { id });
+        self.forget_if_done(id);
+    }
+
+    /// The request's thread reads no decision any more.
+    fn handle_abandoned(&mut self, id: QueryId) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let in_flight = request.in_flight.take();
+        if !std::mem::replace(&mut request.is_finished, true) {
+            self.notify_core(&Event::ClientLeft { id });
+        }
+        match in_flight {
+            // An attempt that no thread started never ran.
+            Some(Attempt { number, server }) => self.handle_attempt_end(&AttemptEnd {
+                id,
+                attempt: number,
+                server,
+                outcome: Outcome::Moot,
+                rtt: 0.0,
+                charged: 0,
+                load: Load::default(),
+            }),
+            None => self.forget_if_done(id),
+        }
+    }
+
+    fn handle_attempt_end(&mut self, end: &AttemptEnd) {
+        let id = end.id;
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.in_flight = None;
+        request.is_finished |= end.outcome == Outcome::Ok;
+        let event = Event::ForwardEnded {
+            id,
+            forward: end.attempt,
+            server: end.server,
+            outcome: end.outcome,
+            rtt: end.rtt,
+            over: request.is_finished,
+            used: 0,
+            actual: end.charged,
+            load: end.load,
+        };
+        self.notify_core(&event);
+        self.forget_if_done(id);
+    }
+
+    /// Forgets a request once it is finished and no attempt is in flight.
+    fn forget_if_done(&mut self, id: QueryId) {
+        if self.requests.get(&id).is_some_and(PendingRequest::is_done) {
+            self.requests.remove(&id);
+        }
+    }
+
+    fn run_due(&mut self) {
+        let now = self.now();
+        while let Some(token) = self.timers.pop_due(now) {
+            if let Some(counter) = &mut self.services.counter {
+                counter.expire();
+            }
+            self.notify_core(&Event::Timer { token });
+        }
+        if self.state.disconnect_watcher.is_due() {
+            self.check_disconnects();
+        }
+        if self.last_expiry.elapsed() >= self.state.limits.dispatcher.expiry_interval {
+            self.last_expiry = Instant::now();
+            self.state.pool.close_expired();
+        }
+    }
+
+    /// Checks whether the clients of all requests in progress are still connected. For one that is not, nothing more is
+    /// sent; what happens to an attempt at a server is the decision core's to say.
+    fn check_disconnects(&mut self) {
+        let state = self.state.clone();
+        let sessions = state.sessions.with_request();
+        for session in state.disconnect_watcher.poll_disconnects(&sessions) {
+            let Some(id) = session.connection.request() else {
+                continue;
+            };
+            if let Some(request) = self.requests.get(&id) {
+                let stage = request.forward.handle_disconnect();
+                state
+                    .disconnect_metrics
+                    .record_disconnect(request.forward.kind, stage);
+            }
+            self.handle_disconnect(id);
+        }
+        sessions
+            .iter()
+            .for_each(|session| self.check_reaction(&session.connection));
+        if let Some(line) = self
+            .disconnect_reporter
+            .next_line(&state.disconnect_metrics)
+        {
+            tracing::info!("{line}");
+        }
+    }
+
+    /// Records a violation of the invariant that a request which was not sent completely within [`REACTION_DEADLINE`] of its
+    /// client's disconnect is never sent.
+    fn check_reaction(&self, connection: &ClientConnection) {
+        let watcher = &self.state.disconnect_watcher;
+        let since_disconnect = connection.time_since_disconnect(watcher);
+        let is_late = since_disconnect
+            .is_some_and(|time| !watcher.was_suspended() && time > REACTION_DEADLINE);
+        let request = connection
+            .request()
+            .filter(|_| is_late)
+            .and_then(|id| self.requests.get(&id));
+        let Some(forward) = request.map(|request| &request.forward) else {
+            return;
+        };
+        let Progress {
+            stage,
+            is_aborted,
+            ended_ago,
+        } = forward.progress();
+        let is_ending = ended_ago.is_some_and(|time| time <= REACTION_DEADLINE);
+        if stage != ForwardStage::AtServer && !is_ending && connection.mark_overdue() {
+            self.state
+                .disconnect_metrics
+                .record_overdue(forward.kind, stage, is_aborted);
+        }
+    }
+
+    fn carry_out_actions(&mut self) {
+        let mut actions = std::mem::take(&mut self.actions);
+        for action in actions.drain(..) {
+            self.carry_out(action);
+        }
+        self.actions = actions;
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Forward {
+                id,
+                server,
+                timeout,
+            } => self.forward(id, server, timeout),
+            Action::Shed {
+                id, retry_after, ..
+            } => {
+                let retry_after = Some(retry_after).filter(|time| *time > 0.0);
+                self.finish(id, RequestDecision::Shed { retry_after });
+            }
+            Action::Drop { id } => self.finish(id, RequestDecision::Drop),
+            Action::Cancel { id, forward } => {
+                if let Some(request) = self.requests.get(&id) {
+                    request.forward.cancel_up_to(forward);
+                }
+            }
+            Action::Count { name, add, ttl } => {
+                if let Some(counter) = &self.services.counter {
+                    counter.add(name, add, ttl);
+                }
+            }
+            Action::Probe { server } => start_health_check(&self.state, server),
+            Action::Close { server } => self.state.pool.close_idle(server),
+            Action::Timer { token, wait } => self.timers.add(self.now() + wait.max(0.0), token),
+            // A full channel holds the same request already.
+            Action::Fetch => drop(self.services.discovery.try_send(DiscoveryRequest::Fetch)),
+            Action::Watch { on } => drop(
+                self.services
+                    .discovery
+                    .try_send(DiscoveryRequest::Watch(on)),
+            ),
+            Action::Tell { to, data } => {
+                if let Some(peers) = &self.services.peers {
+                    peers.send(to, &data);
+                }
+            }
+            Action::Log(text) => tracing::info!(target: CORE_LOG_TARGET, "{text}"),
+            Action::Fault(text) => tracing::error!(target: CORE_LOG_TARGET, "{text}"),
+        }
+    }
+
+    fn forward(&mut self, id: QueryId, server: ServerId, timeout: Ms) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let attempt = request.start_attempt(server);
+        let timeout = Some(timeout).filter(|timeout| *timeout > 0.0);
+        if request
+            .decisions
+            .try_send(RequestDecision::Forward {
+                attempt,
+                server,
+                timeout,
+            })
+            .is_err()
+        {
+            self.abandoned.push(id);
+        }
+    }
+
+    fn finish(&mut self, id: QueryId, decision: RequestDecision) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.is_finished = true;
+        // A full mailbox means that the request's thread takes no decisions: it ends by its own time-out.
+        let _ = request.decisions.try_send(decision);
+        if let Some(attempt) = &request.in_flight {
+            // The response is written now, and nobody is left to read what the server still sends.
+            request.forward.cancel_up_to(attempt.number);
+        }
+        self.forget_if_done(id);
+    }
+}
--- /dev/null
+++ b/crates/aspendrum/src/dispatcher/timers.rs
@@ -0,0 +1,44 @@
+//! The decision core's timers.
+
+use aspendrum_core::api::Ms;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
+
+/// A timer; ordered by its due time, then by its token.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    due_us: u64,
+    token: u32,
+}
+
+/// Timers in the order in which they are due, to the microsecond.
+#[derive(Default)]
+pub(super) struct Timers(BinaryHeap<Reverse<Timer>>);
+
+impl Timers {
+    pub(super) fn add(&mut self, due: Ms, token: u32) {
+        let due_us = (due * MICROSECONDS_PER_MILLISECOND) as u64;
+        self.0.push(Reverse(Timer { due_us, token }));
+    }
+
+    /// When the first timer is due.
+    pub(super) fn next_due(&self) -> Option<Ms> {
+        self.0
+            .peek()
+            .map(|Reverse(timer)| timer.due_us as f64 / MICROSECONDS_PER_MILLISECOND)
+    }
+
+    /// Removes the first timer if it is due, and returns its token.
+    pub(super) fn pop_due(&mut self, now: Ms) -> Option<u32> {
+        let now_us = (now * MICROSECONDS_PER_MILLISECOND) as u64;
+        let Reverse(timer) = self
+            .0
+            .peek()
+            .copied()
+            .filter(|Reverse(timer)| timer.due_us <= now_us)?;
+        self.0.pop();
+        Some(timer.token)
+    }
+}
--- /dev/null
+++ b/crates/aspendrum/src/http/response.rs
@@ -0,0 +1,70 @@
+//! The limiter's responses to clients.
+
+use super::status::reason_phrase;
+use aspendrum_core::api::Ms;
+use aspendrum_core::settings::MS;
+use aspendrum_net::ring_buffer::RingBuffer;
+use std::io::Write;
+
+/// A response to a client.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct OwnResponse<'a> {
+    /// The status code.
+    pub status: u16,
+    /// After how long the client may retry.
+    pub retry_after: Option<Ms>,
+    /// Whether the connection is closed after it.
+    pub close: bool,
+    /// The type of the body, or nothing.
+    pub content_type: &'a [u8],
+    /// The body.
+    pub body: &'a [u8],
+}
+
+impl OwnResponse<'_> {
+    /// A response without a body, after which the connection stays open.
+    pub fn empty(status: u16) -> OwnResponse<'static> {
+        OwnResponse {
+            status,
+            ..OwnResponse::default()
+        }
+    }
+
+    /// A response without a body, after which the connection is closed.
+    pub fn closing(status: u16) -> OwnResponse<'static> {
+        OwnResponse {
+            status,
+            close: true,
+            ..OwnResponse::default()
+        }
+    }
+
+    /// Writes the whole response. Returns false if the buffer is too small.
+    pub fn write(&self, out: &mut RingBuffer) -> bool {
+        let reason = reason_phrase(self.status);
+        let body_bytes = self.body.len();
+        write!(
+            out,
+            "HTTP/1.1 {} {reason}\r\nContent-Length: {body_bytes}\r\n",
+            self.status
+        )
+        .is_ok()
+            && self.write_fields(out)
+            && out.append(b"\r\n")
+            && out.append(self.body)
+    }
+
+    fn write_fields(&self, out: &mut RingBuffer) -> bool {
+        let write_retry_after = |out: &mut RingBuffer, time: Ms| {
+            write!(out, "Retry-After: {:.3}\r\n", time / MS).is_ok()
+        };
+        self.retry_after
+            .is_none_or(|time| write_retry_after(out, time))
+            && (!self.close || out.append(b"Connection: close\r\n"))
+            && (self.content_type.is_empty() || self.write_content_type(out))
+    }
+
+    fn write_content_type(&self, out: &mut RingBuffer) -> bool {
+        out.append(b"Content-Type: ") && out.append(self.content_type) && out.append(b"\r\n")
+    }
+}
--- a/crates/aspendrum/src/limits.rs
+++ b/crates/aspendrum/src/limits.rs
@@ -1,164 +1,290 @@
-//! All sizes, counts and times of the input and output in one place, filled at start and handed down.
-//! What is decided about queries is not here but in the module.
+//! All sizes, counts and times of the limiter's input and output, computed from the configuration at the start.
+//!
+//! How requests are decided is not here but in `aspendrum_core`.
 
-use crate::clock::ms;
+use crate::clock::duration_from_millis;
 use crate::config::Config;
 use aspendrum_net::connection::ConnectionOptions;
+use aspendrum_net::http1::MessageLimits;
 use aspendrum_net::pool::PoolLimits;
 use std::time::Duration;
 
+/// All limits.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Descriptors: what clients may hold, what servers may hold; the rest is for the counter, discovery and
-    /// the program's own.
-    pub client_sockets: usize,
-    pub server_sockets: usize,
-    /// Sockets over the clients' share that are still answered, each with a shed.
+    /// Connections of clients.
+    pub clients: ClientLimits,
+    /// HTTP messages.
+    pub messages: MessageLimits,
+    /// The buffer of one direction of a connection.
+    pub buffers: BufferLimits,
+    /// Connections to servers.
+    pub servers: ServerLimits,
+    /// Calls to the counter.
+    pub counter: CounterLimits,
+    /// Requests to discovery.
+    pub discovery: DiscoveryLimits,
+    /// The dispatcher's mailboxes and timers.
+    pub dispatcher: DispatcherLimits,
+    /// Graceful shutdown.
+    pub drain: DrainLimits,
+    /// Threads.
+    pub threads: ThreadLimits,
+    /// No time-out of a socket is shorter: the system accepts no time-out of zero.
+    pub min_socket_timeout: Duration,
+}
+
+/// Limits of client connections.
+#[derive(Clone, Debug)]
+pub struct ClientLimits {
+    /// Connections that are served.
+    pub max_connections: usize,
+    /// Connections beyond those that are still answered, each with a rejection.
     pub overflow: usize,
-    pub spare_workers: usize,
-    /// Connections that may wait with the machine to be taken in.
+    /// Threads that answer these.
+    pub overflow_threads: usize,
+    /// Connections that the system holds until they are accepted.
     pub backlog: i32,
-    pub head: usize,
-    pub body: usize,
-    /// A ring's size at the start, and at the most: a whole message, with what this hop adds to its head.
-    pub ring: usize,
-    pub ring_top: usize,
-    pub stack: usize,
-    pub desk_queue: usize,
-    pub orders: usize,
-    pub lanes: usize,
-    pub lane_queue: usize,
-    /// No wait for a socket is shorter: the system takes none of nothing.
-    pub shortest: Duration,
-    pub idle_workers: Duration,
-    /// From a connection's start, or a later query's first byte, to the query's last byte.
-    pub slow_query: Duration,
-    /// For writing an answer.
-    pub slow_client: Duration,
-    /// A connection on which nothing was asked for so long is closed.
-    pub idle_client: Duration,
-    /// The same while more than half of the clients' descriptors are taken.
-    pub idle_crowded: Duration,
+    /// How long accepting pauses while there are no descriptors.
+    pub accept_pause: Duration,
+    /// From a connection's start, or a later request's first byte, to the request's last byte.
+    pub request_timeout: Duration,
+    /// For writing a response.
+    pub write_timeout: Duration,
+    /// A connection that is idle for so long is closed.
+    pub idle_timeout: Duration,
+    /// The same while more than half of [`Self::max_connections`] are open.
+    pub crowded_idle_timeout: Duration,
+    /// How long a connection is read after a final response, so that the client can read that.
     pub linger: Duration,
-    pub connect_wait: Duration,
-    pub probe_wait: Duration,
-    /// How long one write to a server may take, and how long one read waits before the time is looked at.
-    pub server_write: Duration,
-    pub server_read: Duration,
-    pub idle_server: Duration,
-    /// A query's own end if the desk does not say anything: so long after the client's time.
-    pub desk_late: Duration,
-    pub counter_wait: Duration,
-    pub counter_idle: Duration,
-    pub counter_silence: Duration,
+    /// A connection that was idle for less is not closed to make room, for its client may be about to send a request.
+    pub min_idle: Duration,
+    /// The same for a connection on which no request has come yet.
+    pub min_silent: Duration,
+    /// The same for a connection that has had requests, while there are some that have not.
+    pub min_idle_beside_silent: Duration,
+}
+
+/// Sizes of buffers.
+#[derive(Clone, Copy, Debug)]
+pub struct BufferLimits {
+    /// At the start.
+    pub initial_bytes: usize,
+    /// A whole message, with what this hop adds to its head.
+    pub max_bytes: usize,
+}
+
+/// Limits of connections to servers.
+#[derive(Clone, Debug)]
+pub struct ServerLimits {
+    /// Connections to all servers.
+    pub max_connections: usize,
+    /// For connecting.
+    pub connect_timeout: Duration,
+    /// For a health check, from connecting to the response's last byte.
+    pub health_check_timeout: Duration,
+    /// For one write.
+    pub write_timeout: Duration,
+    /// How long one read waits before the deadline is checked.
+    pub read_timeout: Duration,
+    /// A connection that is idle for so long is closed.
+    pub idle_timeout: Duration,
+    /// A connection rests for so long between two requests: bytes that follow a response have arrived by then, and are
+    /// not taken for the next response.
+    pub min_idle: Duration,
+}
+
+/// Limits of calls to the counter.
+#[derive(Clone, Debug)]
+pub struct CounterLimits {
+    /// Connections to the counter.
+    pub connections: usize,
+    /// Calls that wait for a connection.
+    pub max_queued: usize,
+    /// For a call.
+    pub timeout: Duration,
+    /// A connection that is idle for so long is replaced before the next call.
+    pub idle_timeout: Duration,
+    /// A connection with pending calls on which nothing was read for so long is given up.
+    pub silence_timeout: Duration,
+}
+
+/// Limits of requests to discovery.
+#[derive(Clone, Debug)]
+pub struct DiscoveryLimits {
+    /// How long discovery may hold a watch.
     pub watch_hold: Duration,
-    pub watch_late: Duration,
-    /// Between calls to discovery after a failure, with jitter: the longest wait at first, and at most.
-    pub discovery_first: Duration,
-    pub discovery_top: Duration,
-    pub sweep: Duration,
-    /// After a SIGTERM: how long idle connections stay open, and how often it is looked whether all are gone.
-    pub drain_open: Duration,
-    pub drain_step: Duration,
-    /// No connection is closed for room, or at the end, that has shown a sign of life since, or came since
-    /// and has asked nothing yet.
-    pub fresh: Duration,
-    pub fresh_stranger: Duration,
-    /// One that has asked before and was idle for so long is closed rather than a newcomer kept waiting.
-    pub settled: Duration,
-    /// A connection to a server rests for so long between two forwards: whatever comes behind an answer has
-    /// come by then, and is not taken for the next one's.
-    pub rest: Duration,
-    pub accept_pause: Duration,
+    /// How much later than that its response may arrive.
+    pub response_timeout: Duration,
+    /// The longest delay after the first failure.
+    pub initial_backoff: Duration,
+    /// The longest delay after any failure.
+    pub max_backoff: Duration,
 }
 
-/// Of a second of a shared discovery, what one limiter's first call may count on.
-const DISCOVERY_SHARE: Duration = Duration::from_millis(10);
-const DISCOVERY_TOP: Duration = Duration::from_millis(10_000);
-/// What one client with the largest query and answer costs at the most: bodies, rings, two stacks.
+/// Limits of the dispatcher.
+#[derive(Clone, Debug)]
+pub struct DispatcherLimits {
+    /// Events that wait for the dispatcher.
+    pub max_queued_events: usize,
+    /// Decisions that wait for one request's thread.
+    pub max_queued_decisions: usize,
+    /// How long after its client's deadline a request ends if no decision comes.
+    pub max_lateness: Duration,
+    /// Between two searches for expired connections to servers.
+    pub expiry_interval: Duration,
+}
+
+/// Limits of a graceful shutdown.
+#[derive(Clone, Debug)]
+pub struct DrainLimits {
+    /// How long idle connections stay open.
+    pub keep_open: Duration,
+    /// Between two checks whether all connections are closed.
+    pub check_interval: Duration,
+}
+
+/// Limits of threads.
+#[derive(Clone, Debug)]
+pub struct ThreadLimits {
+    /// The stack of each thread.
+    pub stack_bytes: usize,
+    /// A thread without a connection ends after this.
+    pub idle_timeout: Duration,
+}
+
+/// Header fields of one message at most.
+pub const MAX_HEADERS: usize = 64;
+/// What one client with the largest request and response takes at most: bodies, buffers, two stacks.
 const CLIENT_KB: usize = 160;
-/// Headers of one message; parsing needs the number where it is built.
-pub const HEADERS: usize = 64;
-/// Threads that answer connections for which there is no room.
-const SPARE_WORKERS: usize = 4;
+/// The limiter's own descriptors: standard streams, listener, signals, counter, discovery, peers, and spare ones.
+const OWN_DESCRIPTORS: usize = 40;
+const HEAD_BYTES: usize = 8 << 10;
+const BODY_BYTES: usize = 64 << 10;
+/// What this hop adds to a message's head at most.
+const ADDED_HEAD_BYTES: usize = 512;
+/// What one limiter's first request may take of a discovery that a whole fleet shares.
+const DISCOVERY_SHARE: Duration = Duration::from_millis(10);
+const MAX_SHARED_DISCOVERY_BACKOFF: Duration = Duration::from_millis(10_000);
+/// Where discovery pushes its lists, the agent on this machine answers requests at no cost.
+const LOCAL_DISCOVERY_BACKOFF: Duration = Duration::from_millis(100);
 
 impl Limits {
-    /// What the pool of connections to servers needs of them.
-    pub fn lines(&self) -> PoolLimits {
+    /// The limits that follow from a configuration.
+    pub fn new(config: &Config) -> Limits {
+        let own_descriptors = OWN_DESCRIPTORS.min(config.max_descriptors / 4);
+        let descriptors = config.max_descriptors - own_descriptors;
+        Limits {
+            clients: ClientLimits::new(descriptors, config.memory_mb as usize),
+            messages: MessageLimits {
+                head_bytes: HEAD_BYTES,
+                body_bytes: BODY_BYTES,
+            },
+            buffers: BufferLimits {
+                initial_bytes: 1 << 10,
+                max_bytes: HEAD_BYTES + BODY_BYTES + ADDED_HEAD_BYTES,
+            },
+            servers: ServerLimits::new(descriptors, config),
+            counter: CounterLimits {
+                connections: 2,
+                max_queued: 1024,
+                timeout: duration_from_millis(config.settings.counter_wait),
+                idle_timeout: Duration::from_millis(2000),
+                silence_timeout: Duration::from_millis(1000),
+            },
+            discovery: DiscoveryLimits::new(config),
+            dispatcher: DispatcherLimits {
+                max_queued_events: 4096,
+                max_queued_decisions: 8,
+                max_lateness: Duration::from_millis(20),
+                expiry_interval: Duration::from_millis(1000),
+            },
+            drain: DrainLimits {
+                keep_open: Duration::from_millis(450),
+                check_interval: Duration::from_millis(10),
+            },
+            threads: ThreadLimits {
+                stack_bytes: 128 << 10,
+                idle_timeout: Duration::from_millis(3000),
+            },
+            min_socket_timeout: Duration::from_millis(1),
+        }
+    }
+
+    /// The limits of the pool of connections to servers.
+    pub fn pool_limits(&self) -> PoolLimits {
         PoolLimits {
-            max_connections: self.server_sockets,
-            min_idle: self.rest,
+            max_connections: self.servers.max_connections,
+            min_idle: self.servers.min_idle,
             connection: ConnectionOptions {
-                initial_buffer_bytes: self.ring,
-                max_buffer_bytes: self.ring_top,
-                min_timeout: self.shortest,
-                write_timeout: self.server_write,
-                read_timeout: self.server_read,
-                idle_timeout: self.idle_server,
+                initial_buffer_bytes: self.buffers.initial_bytes,
+                max_buffer_bytes: self.buffers.max_bytes,
+                min_timeout: self.min_socket_timeout,
+                write_timeout: self.servers.write_timeout,
+                read_timeout: self.servers.read_timeout,
+                idle_timeout: self.servers.idle_timeout,
             },
         }
     }
+}
+
+impl ClientLimits {
+    fn new(descriptors: usize, memory_mb: usize) -> ClientLimits {
+        ClientLimits {
+            max_connections: (descriptors / 2).min(memory_mb * 1024 / CLIENT_KB),
+            overflow: descriptors / 16,
+            overflow_threads: 4,
+            backlog: 4096,
+            accept_pause: Duration::from_millis(5),
+            request_timeout: Duration::from_millis(2000),
+            write_timeout: Duration::from_millis(10_000),
+            idle_timeout: Duration::from_millis(4000),
+            crowded_idle_timeout: Duration::from_millis(500),
+            linger: Duration::from_millis(200),
+            min_idle: Duration::from_millis(150),
+            min_silent: Duration::from_millis(100),
+            min_idle_beside_silent: Duration::from_millis(2000),
+        }
+    }
+}
 
-    pub fn of(config: &Config) -> Limits {
-        // The program's own: standard streams, listener, signals, counter, discovery, peers, and spare ones.
-        let own = 40.min(config.sockets / 4);
-        let free = config.sockets - own;
-        let (head, body) = (8 << 10, 64 << 10);
-        // Where lists come unasked, the agent on this machine answers at no cost.
-        let s = &config.settings;
-        let (soon, share) = (ms(100.0), DISCOVERY_SHARE.mul_f64(f64::from(s.instances)));
-        let (first, top) = if s.discovery_asks {
-            (soon.max(share), DISCOVERY_TOP)
+impl ServerLimits {
+    fn new(descriptors: usize, config: &Config) -> ServerLimits {
+        ServerLimits {
+            max_connections: descriptors / 8 * 3,
+            connect_timeout: config.connect_timeout,
+            health_check_timeout: config.connect_timeout,
+            write_timeout: config.connect_timeout,
+            read_timeout: Duration::from_millis(500),
+            idle_timeout: config.server_keepalive / 2,
+            min_idle: Duration::from_millis(10),
+        }
+    }
+}
+
+impl DiscoveryLimits {
+    fn new(config: &Config) -> DiscoveryLimits {
+        let settings = &config.settings;
+        let (initial_backoff, max_backoff) = if settings.discovery_asks {
+            let fleet_share = DISCOVERY_SHARE.mul_f64(f64::from(settings.instances));
+            (
+                LOCAL_DISCOVERY_BACKOFF.max(fleet_share),
+                MAX_SHARED_DISCOVERY_BACKOFF,
+            )
         } else {
-            (soon, soon)
+            (LOCAL_DISCOVERY_BACKOFF, LOCAL_DISCOVERY_BACKOFF)
         };
-        Limits {
-            client_sockets: (free / 2).min(config.memory_mb as usize * 1024 / CLIENT_KB),
-            server_sockets: free / 8 * 3,
-            overflow: free / 16,
-            spare_workers: SPARE_WORKERS,
-            backlog: 4096,
-            head,
-            body,
-            ring: 1 << 10,
-            ring_top: head + body + 512,
-            stack: 128 << 10,
-            desk_queue: 4096,
-            orders: 8,
-            lanes: 2,
-            lane_queue: 1024,
-            shortest: ms(1.0),
-            idle_workers: ms(3000.0),
-            slow_query: ms(2000.0),
-            slow_client: ms(10_000.0),
-            idle_client: ms(4000.0),
-            idle_crowded: ms(500.0),
-            linger: ms(200.0),
-            connect_wait: config.connect_wait,
-            probe_wait: config.connect_wait,
-            server_write: config.connect_wait,
-            server_read: ms(500.0),
-            idle_server: config.keepalive / 2,
-            desk_late: ms(20.0),
-            counter_wait: ms(config.settings.counter_wait),
-            counter_idle: ms(2000.0),
-            counter_silence: ms(1000.0),
-            watch_hold: ms(5000.0),
-            watch_late: ms(1000.0),
-            discovery_first: first,
-            discovery_top: if s.must_ask_in > 0.0 {
-                top.min(ms(s.must_ask_in))
+        let has_deadline = settings.must_ask_in > 0.0;
+        let deadline = duration_from_millis(settings.must_ask_in);
+        DiscoveryLimits {
+            watch_hold: Duration::from_millis(5000),
+            response_timeout: Duration::from_millis(1000),
+            initial_backoff,
+            max_backoff: if has_deadline {
+                max_backoff.min(deadline)
             } else {
-                top
+                max_backoff
             },
-            sweep: ms(1000.0),
-            drain_open: ms(450.0),
-            drain_step: ms(10.0),
-            fresh: ms(150.0),
-            fresh_stranger: ms(100.0),
-            settled: ms(2000.0),
-            rest: ms(10.0),
-            accept_pause: ms(5.0),
         }
     }
 }
--- a/crates/aspendrum/src/main.rs
+++ b/crates/aspendrum/src/main.rs
@@ -1,12 +1,15 @@
-//! The command line. Everything else is in the library.
+//! The command line of the limiter. Everything else is in the library.
 
-mod logs;
+mod logging;
 
-use aspendrum::config::{Config, CONFIG_VARIABLE};
-use aspendrum::shutdown::{Told, Wanted};
+use aspendrum::config::{Config, ConfigError, CONFIG_VARIABLE};
+use aspendrum::limiter::{ReloadError, StartError};
+use aspendrum::signals::{ProgramSignals, SignalRequest};
 use aspendrum::Limiter;
 use clap::{Args, Parser, Subcommand};
-use logs::Form;
+use derive_more::{Display, Error, From};
+use logging::{LogFormat, LoggingError};
+use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -15,10 +18,10 @@
     name = "aspendrum",
     about = "A limiter that keeps each customer of a shared back end to its plan"
 )]
-struct Line {
+struct CommandLine {
     /// How log lines are written to standard error
-    #[arg(long, global = true, value_enum, default_value_t = Form::Text)]
-    log: Form,
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
@@ -26,59 +29,81 @@
 #[derive(Subcommand)]
 enum Command {
     /// Runs the limiter in the foreground until SIGTERM; SIGHUP reads the configuration again
-    Serve(Source),
+    Serve(ConfigSource),
     /// Reads and checks the configuration, and says what is wrong with it
-    CheckConfig(Source),
+    CheckConfig(ConfigSource),
     /// Prints the version
     Version,
 }
 
 #[derive(Args)]
-struct Source {
+struct ConfigSource {
     /// The configuration file; without it, the one that EDGE_CONFIG names
     #[arg(long)]
     config: Option<PathBuf>,
 }
 
-impl Source {
-    fn load(&self) -> Result<Config, String> {
-        let told = self
+/// Why the program fails, or does not take a new configuration.
+#[derive(Debug, Display, Error, From)]
+enum ProgramError {
+    #[display("{_0}")]
+    Logging(LoggingError),
+    #[display("no --config, and {CONFIG_VARIABLE} is not set")]
+    NoConfig,
+    #[display("{_0}")]
+    Config(ConfigError),
+    #[display("signals: {_0}")]
+    Signals(io::Error),
+    #[display("{_0}")]
+    Start(StartError),
+    #[display("{_0}")]
+    Reload(ReloadError),
+}
+
+impl ConfigSource {
+    fn load(&self) -> Result<Config, ProgramError> {
+        let path = self
             .config
             .clone()
             .or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from));
-        Config::load(&told.ok_or(format!("no --config, and {CONFIG_VARIABLE} is not set"))?)
+        Ok(Config::load(&path.ok_or(ProgramError::NoConfig)?)?)
     }
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let done = logs::start(line.log).and_then(|()| match line.command {
-        Command::Serve(source) => serve(&source),
-        Command::CheckConfig(source) => source.load().map(|c| println!("{}: well-formed", c.name)),
-        Command::Version => {
-            println!("aspendrum {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
-    });
-    match done {
+    match run(&CommandLine::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("aspendrum: {text}");
+        Err(error) => {
+            eprintln!("aspendrum: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(source: &Source) -> Result<(), String> {
-    let mut told = Told::expect().map_err(|e| format!("signals: {e}"))?;
+fn run(command_line: &CommandLine) -> Result<(), ProgramError> {
+    logging::start(command_line.log)?;
+    match &command_line.command {
+        Command::Serve(source) => serve(source)?,
+        Command::CheckConfig(source) => println!("{}: well-formed", source.load()?.name),
+        Command::Version => println!("aspendrum {}", env!("CARGO_PKG_VERSION")),
+    }
+    Ok(())
+}
+
+fn serve(source: &ConfigSource) -> Result<(), ProgramError> {
+    let mut signals = ProgramSignals::register()?;
     let limiter = Limiter::start(source.load()?)?;
-    while told.wait() == Wanted::Reload {
-        // Read whole and checked whole, by the reader of the start: a bad file changes nothing.
-        match source.load().and_then(|config| limiter.reload(&config)) {
-            Ok(()) => tracing::info!("the configuration is read again"),
-            Err(text) => tracing::error!(why = text, "the configuration stays as it was"),
+    while signals.wait() == SignalRequest::Reload {
+        // Read and checked completely, as at the start: a faulty file changes nothing.
+        match reload(source, &limiter) {
+            Ok(()) => tracing::info!("the configuration was reloaded"),
+            Err(error) => tracing::error!(why = %error, "the configuration was not reloaded"),
         }
     }
     limiter.drain();
     Ok(())
 }
+
+fn reload(source: &ConfigSource, limiter: &Limiter) -> Result<(), ProgramError> {
+    Ok(limiter.reload(&source.load()?)?)
+}
--- a/crates/aspendrum/src/peers.rs
+++ b/crates/aspendrum/src/peers.rs
@@ -1,62 +1,79 @@
 //! Datagrams between limiters, where the settings allow them.
 
-use crate::notes::{Door, Note};
+use crate::dispatcher_handle::DispatcherHandle;
+use crate::event::DispatcherEvent;
 use aspendrum_net::threads::spawn;
+use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// A longer datagram is not allowed.
-const LONGEST: usize = 256;
+/// Longer datagrams are neither sent nor received.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
-pub struct Peers {
+/// The addresses of the other limiters.
+pub struct PeerAddresses {
+    /// By the limiters' numbers.
+    pub peers: Vec<SocketAddr>,
+    /// The address that reaches all of them.
+    pub broadcast: Option<SocketAddr>,
+}
+
+/// The socket for datagrams to and from other limiters.
+pub struct PeerSocket {
     socket: Arc<UdpSocket>,
-    peers: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    addresses: PeerAddresses,
 }
 
-impl Peers {
+impl PeerSocket {
+    /// Binds the socket, and notifies the dispatcher of each datagram that a known peer sends.
+    ///
+    /// # Errors
+    /// The error of the socket or of the thread that reads it.
     pub fn start(
         listen: SocketAddr,
-        peers: Vec<SocketAddr>,
-        all: Option<SocketAddr>,
-        door: &Arc<Door>,
-        stack: usize,
-    ) -> std::io::Result<Peers> {
+        addresses: PeerAddresses,
+        dispatcher: &Arc<DispatcherHandle>,
+        stack_bytes: usize,
+    ) -> io::Result<PeerSocket> {
         let socket = Arc::new(UdpSocket::bind(listen)?);
-        let (theirs, known, door) = (socket.clone(), peers.clone(), door.clone());
-        spawn("peers", stack, move || {
-            let mut space = [0; LONGEST + 1];
-            loop {
-                // A failure here is the echo of a datagram that found nobody.
-                let Ok((n, sender)) = theirs.recv_from(&mut space) else {
-                    continue;
-                };
-                let from = known
-                    .iter()
-                    .position(|p| *p == sender)
-                    .and_then(|i| u16::try_from(i).ok());
-                let Some(from) = from.filter(|_| n <= LONGEST) else {
-                    continue;
-                };
-                if !door.tell(Note::Peer {
-                    from,
-                    data: space[..n].to_vec(),
-                }) {
-                    return;
-                }
-            }
+        let receiver = socket.clone();
+        let known_peers = addresses.peers.clone();
+        let dispatcher = dispatcher.clone();
+        spawn("peers", stack_bytes, move || {
+            receive(&receiver, &known_peers, &dispatcher)
         })?;
-        Ok(Peers { socket, peers, all })
+        Ok(PeerSocket { socket, addresses })
+    }
+
+    /// Sends to one peer by its number, or to all. A datagram that cannot be sent is lost, as the network may lose it.
+    pub fn send(&self, to: Option<u32>, data: &[u8]) {
+        let address = match to {
+            Some(peer) => self.addresses.peers.get(peer as usize).copied(),
+            None => self.addresses.broadcast,
+        };
+        if let Some(address) = address.filter(|_| data.len() <= MAX_DATAGRAM_BYTES) {
+            let _ = self.socket.send_to(data, address);
+        }
     }
+}
 
-    /// To one peer by its number, or to all. What does not fit or go is lost, as the network may lose it.
-    pub fn tell(&self, to: Option<u32>, data: &[u8]) {
-        let addr = match to {
-            Some(n) => self.peers.get(n as usize).copied(),
-            None => self.all,
+fn receive(socket: &UdpSocket, known_peers: &[SocketAddr], dispatcher: &DispatcherHandle) {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
+    loop {
+        // An error here reports an earlier datagram that could not be delivered.
+        let Ok((size, sender)) = socket.recv_from(&mut buffer) else {
+            continue;
+        };
+        let number = known_peers.iter().position(|peer| *peer == sender);
+        let from = number.and_then(|number| u16::try_from(number).ok());
+        let Some(from) = from.filter(|_| size <= MAX_DATAGRAM_BYTES) else {
+            continue;
         };
-        if let Some(addr) = addr.filter(|_| data.len() <= LONGEST) {
-            let _ = self.socket.send_to(data, addr);
+        if !dispatcher.send(DispatcherEvent::PeerDatagram {
+            from,
+            data: buffer[..size].to_vec(),
+        }) {
+            return;
         }
     }
 }
--- a/crates/aspendrum/src/shutdown.rs
+++ b/crates/aspendrum/src/shutdown.rs
@@ -1,54 +1,32 @@
-//! The signals, and a planned end: connections are taken in for as long as they may come, everything taken is
-//! answered, each answer closes its connection, and then idle connections are closed.
+//! Graceful shutdown: connections are accepted for as long as they may come, everything accepted is answered, each response
+//! closes its connection, and then idle connections are closed.
 
-use crate::clients::Room;
-use crate::Shop;
-use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-use signal_hook::iterator::Signals;
-use std::sync::atomic::Ordering;
+use crate::sessions::Capacity;
+use crate::state::LimiterState;
 use std::thread::sleep;
 
-/// What the operator wants.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wanted {
-    End,
-    /// The configuration has been replaced.
-    Reload,
-}
-
-/// The signals. Asked for before anything else, so that none comes too early: one that nobody has asked for
-/// ends the program with all that it holds.
-pub struct Told(Signals);
-
-impl Told {
-    pub fn expect() -> std::io::Result<Told> {
-        Signals::new([SIGTERM, SIGINT, SIGHUP]).map(Told)
-    }
-
-    pub fn wait(&mut self) -> Wanted {
-        match self.0.forever().next() {
-            Some(SIGHUP) => Wanted::Reload,
-            _ => Wanted::End,
-        }
-    }
-}
-
-/// Returns once nothing is left to answer. Never gives up on a query: whoever started us may.
-pub fn drain(shop: &Shop) {
-    let limits = &shop.limits;
-    let begun = shop.age();
-    shop.drain();
-    let [open, fresh] = [limits.drain_open, limits.fresh].map(|wait| wait.as_millis() as u64);
+/// Returns once nothing is left to answer. Never gives up on a request: whoever started the limiter may.
+pub(crate) fn drain(state: &LimiterState) {
+    let limits = &state.limits;
+    let lifecycle = &state.lifecycle;
+    let started_ms = lifecycle.uptime_ms();
+    lifecycle.start_draining();
+    let keep_open_ms = limits.drain.keep_open.as_millis() as u64;
+    let min_quiet_ms = limits.clients.min_idle.as_millis() as u64;
     loop {
-        let now = shop.age();
-        let quiet = now.saturating_sub(shop.accepted.load(Ordering::Relaxed)) >= fresh;
-        if now - begun >= open {
-            // Between queries a close is allowed; a client whose query crosses it sends that again.
-            while shop.clients.close_one(shop) == Room::Made {}
-            if quiet && shop.clients.count() == 0 {
+        let now_ms = lifecycle.uptime_ms();
+        let is_quiet = now_ms.saturating_sub(lifecycle.last_accepted_ms()) >= min_quiet_ms;
+        if now_ms - started_ms >= keep_open_ms {
+            // Between requests a close is allowed; a client whose request crosses it sends that again.
+            while state
+                .sessions
+                .close_idle(lifecycle.uptime_ms(), &limits.clients)
+                == Capacity::Available
+            {}
+            if is_quiet && state.sessions.count() == 0 {
                 return;
             }
         }
-        sleep(limits.drain_step);
+        sleep(limits.drain.check_interval);
     }
 }
--- a/crates/aspendrum/tests/fleet/main.rs
+++ b/crates/aspendrum/tests/fleet/main.rs
@@ -1,69 +1,97 @@
-//! Fleets of limiters on loopback: what is fine for one and hurts when all do it. A program of its own, so
-//! that its load does not disturb the tests of single limiters.
+//! Fleets of limiters on loopback: what is harmless for one and harmful when all do it. A program of its own, so that its
+//! load does not disturb the tests of single limiters.
 
-// The stand-ins are those of the suite, which uses more of them.
+// The fake services are those of the suite, which uses more of them.
 #[allow(dead_code)]
-#[path = "../suite/helper.rs"]
-mod helper;
+#[path = "../suite/support/mod.rs"]
+mod support;
 
-use helper::*;
-use serde_json::json;
+use serde_json::{json, Value};
 use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
+use support::configuration::config;
+use support::fake_services::{counter, listen, read_message, response, FakeServer, RESPONDS_OK};
+use support::{list, start};
 
-/// A discovery that takes three calls in a quarter of a second, works on no more, and turns all away while
-/// more come: a fleet that started at once and came again together every 100 ms never got a list, and sent to
-/// drained servers for the whole day.
-#[test]
-fn a_fleet_that_starts_at_once_gets_its_lists_from_an_overbooked_discovery() {
-    let servers = [server(WELL).0];
-    let list = json!({"seq": 2, "whole": true, "hosts": hosts(&servers)}).to_string();
-    let (told, came) = (
-        Arc::new(AtomicUsize::new(0)),
-        Arc::new(Mutex::new(Vec::<Instant>::new())),
-    );
-    let count = told.clone();
-    let overbooked = listen(move |mut stream| {
-        let (mut rest, mut watched) = (Vec::new(), false);
-        while message(&mut stream, &mut rest).is_some() {
-            let mut came = came.lock().unwrap();
-            came.retain(|at| at.elapsed() < Duration::from_millis(250));
-            came.push(Instant::now());
-            let room = came.len() <= 3;
-            drop(came);
-            let answer = if room { "200 OK" } else { "503 No" };
-            let body = if room { list.as_str() } else { "" };
-            let head = format!(
-                "HTTP/1.1 {answer}\r\nContent-Length: {}\r\n\r\n",
-                body.len()
-            );
-            let _ = stream.write_all((head + body).as_bytes());
-            if room && !std::mem::replace(&mut watched, true) {
-                count.fetch_add(1, Ordering::SeqCst);
-                // The watch goes on, and there is nothing to tell.
-                message(&mut stream, &mut rest);
-                thread::sleep(Duration::from_secs(30));
-                return;
+const LIMITERS: usize = 10;
+const MAX_REQUESTS: usize = 3;
+const RATE_WINDOW: Duration = Duration::from_millis(250);
+
+/// A discovery that serves a few requests in a window, and rejects all while more come.
+struct OverloadedDiscovery {
+    list: String,
+    /// When requests came, within the last window.
+    recent_requests: Mutex<Vec<Instant>>,
+    /// Connections on which a list was sent.
+    informed: AtomicUsize,
+}
+
+impl OverloadedDiscovery {
+    fn start(list: String) -> (Arc<OverloadedDiscovery>, SocketAddr) {
+        let (recent_requests, informed) = Default::default();
+        let discovery = Arc::new(OverloadedDiscovery {
+            list,
+            recent_requests,
+            informed,
+        });
+        let server = discovery.clone();
+        (discovery, listen(move |stream| server.serve(stream)))
+    }
+
+    fn serve(&self, mut stream: TcpStream) {
+        let mut rest = Vec::new();
+        while read_message(&mut stream, &mut rest).is_some() {
+            if !self.has_capacity() {
+                let _ = stream.write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+                continue;
             }
+            let _ = stream.write_all(response(&self.list).as_bytes());
+            self.informed.fetch_add(1, Ordering::SeqCst);
+            // The watch that follows is held: there are no changes.
+            read_message(&mut stream, &mut rest);
+            thread::sleep(Duration::from_secs(30));
+            return;
         }
-    });
-    let limiters: Vec<_> = (0..10)
-        .map(|n| {
-            let mut config = config(&servers, counter(None), overbooked);
-            (config["settings"]["Discovery"], config["seed"]) =
-                (json!("ask"), json!(format!("{n}")));
-            config["settings"]["Instances"] = json!(100);
-            config["settings"]["Invariants"]["MustAskInS"] = json!(10.0);
-            start(&config)
-        })
+    }
+
+    fn has_capacity(&self) -> bool {
+        let mut recent = self.recent_requests.lock().unwrap();
+        recent.retain(|at| at.elapsed() < RATE_WINDOW);
+        recent.push(Instant::now());
+        recent.len() <= MAX_REQUESTS
+    }
+
+    fn informed(&self) -> usize {
+        self.informed.load(Ordering::SeqCst)
+    }
+}
+
+fn fleet_config(servers: &[SocketAddr], discovery: SocketAddr, seed: usize) -> Value {
+    let mut config = config(servers, counter(None), discovery);
+    config["seed"] = json!(format!("{seed}"));
+    config["settings"]["Discovery"] = json!("ask");
+    config["settings"]["Instances"] = json!(100);
+    config["settings"]["Invariants"]["MustAskInS"] = json!(10.0);
+    config
+}
+
+/// Risk: a fleet that starts at once and retries together every 100 ms never gets a list, and forwards to servers that are
+/// gone for the whole day.
+#[test]
+fn a_fleet_that_starts_at_once_gets_its_lists_from_an_overloaded_discovery() {
+    let servers = [FakeServer::start(RESPONDS_OK).address];
+    let (discovery, address) = OverloadedDiscovery::start(list(&servers, 2));
+    let limiters: Vec<_> = (0..LIMITERS)
+        .map(|seed| start(&fleet_config(&servers, address, seed)))
         .collect();
-    let begun = Instant::now();
-    while told.load(Ordering::SeqCst) < 10 && begun.elapsed() < Duration::from_secs(20) {
+    let started_at = Instant::now();
+    while discovery.informed() < LIMITERS && started_at.elapsed() < Duration::from_secs(20) {
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(told.load(Ordering::SeqCst), 10);
-    limiters.into_iter().for_each(|l| l.stop());
+    assert_eq!(discovery.informed(), LIMITERS);
+    limiters.into_iter().for_each(|limiter| limiter.stop());
 }
--- a/crates/aspendrum/tests/suite/main.rs
+++ b/crates/aspendrum/tests/suite/main.rs
@@ -1,6 +1,15 @@
-//! The limiter's tests: stand-ins on loopback, no bench.
+//! The limiter among fake services on loopback.
 
-mod helper;
-mod limiter;
-mod pieces;
+mod backoff;
+mod client_connections;
+mod config;
+mod counter;
+mod disconnects;
+mod discovery;
+mod http;
+mod malformed_requests;
+mod ring_buffer;
+mod server_responses;
+mod shutdown_and_reload;
+mod support;
 mod wire_bytes;
--- /dev/null
+++ b/crates/aspendrum/tests/suite/ring_buffer.rs
@@ -0,0 +1,52 @@
+//! The buffer of one direction of a connection.
+
+use aspendrum_net::ring_buffer::RingBuffer;
+use std::io::{Error, ErrorKind, Result, Write};
+
+#[test]
+fn a_buffer_wraps_around_grows_to_its_limit_and_is_drained_whole() {
+    let mut buffer = RingBuffer::new(4, 16);
+    for round in 0..20u8 {
+        assert!(buffer.append(&[round, 1, 2]));
+        assert_eq!(buffer.contiguous(), [round, 1, 2]);
+        buffer.consume(2);
+        assert!(buffer.append(&[3, 4]));
+        assert_eq!(buffer.contiguous(), [2, 3, 4]);
+        buffer.consume(3);
+        assert!(buffer.is_empty());
+    }
+    assert!(buffer.append(&[7; 10]) && !buffer.append(&[8; 7]) && buffer.append(&[8; 6]));
+    assert_eq!(
+        buffer.fill(&mut &[9u8][..]).unwrap_err().kind(),
+        ErrorKind::OutOfMemory
+    );
+    let mut out = Vec::new();
+    buffer.drain(&mut out).unwrap();
+    assert_eq!((out.len(), out[9], out[10]), (16, 7, 8));
+}
+
+/// Accepts so many bytes, then fails.
+struct BreaksAfter(usize);
+
+impl Write for BreaksAfter {
+    fn write(&mut self, data: &[u8]) -> Result<usize> {
+        let accepted = self.0.min(data.len());
+        self.0 -= accepted;
+        if accepted > 0 {
+            Ok(accepted)
+        } else {
+            Err(Error::from(ErrorKind::BrokenPipe))
+        }
+    }
+    fn flush(&mut self) -> Result<()> {
+        Ok(())
+    }
+}
+
+#[test]
+fn a_buffer_that_could_not_be_written_keeps_the_rest() {
+    let mut buffer = RingBuffer::new(4, 16);
+    buffer.append(b"hello you");
+    assert!(buffer.drain(&mut BreaksAfter(5)).is_err());
+    assert_eq!(buffer.contiguous(), b" you");
+}
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -4,15 +4,18 @@
 //!
 //! A fixture `*.txt` holds one message a line: a name, a blank, and the bytes with `\r`, `\n`, `\"` and `\xNN` escaped.
 
-use crate::helper::*;
+use crate::support::configuration::config;
+use crate::support::fake_services::{counter, listen, read_message, response};
+use crate::support::{eventually, start};
 use aspendrum::clock::Clock;
 use aspendrum::config::Config;
-use aspendrum::http::{self, Call, Lanes};
+use aspendrum::counter::resp::{self, CounterReply, ParsedReply};
+use aspendrum::dispatcher_handle::DispatcherHandle;
+use aspendrum::event::DispatcherEvent;
+use aspendrum::http::{self, IncomingRequest, MessageSchema};
 use aspendrum::limits::Limits;
-use aspendrum::notes::{Door, Note};
-use aspendrum::peers::Peers;
-use aspendrum::resp::{self, Parsed, Reply};
-use aspendrum::roster::{Names, Roster};
+use aspendrum::peers::{PeerAddresses, PeerSocket};
+use aspendrum::server_list::{LocationNames, ServerList};
 use aspendrum_core::api::{Health, Load, LoadValue, Semantics};
 use aspendrum_net::mailbox;
 use aspendrum_net::ring_buffer::RingBuffer;
@@ -60,7 +63,7 @@
 fn messages(fixture: &str) -> Vec<(&str, Vec<u8>)> {
     fixture
         .lines()
-        .filter_map(|l| l.split_once(' '))
+        .filter_map(|line| line.split_once(' '))
         .map(|(name, text)| (name, unescape(text)))
         .collect()
 }
@@ -68,42 +71,42 @@
 fn bytes(fixture: &str, name: &str) -> Vec<u8> {
     messages(fixture)
         .into_iter()
-        .find(|m| m.0 == name)
+        .find(|message| message.0 == name)
         .unwrap()
         .1
 }
 
-fn ring(bytes: &[u8]) -> RingBuffer {
-    let mut ring = RingBuffer::new(8, 1 << 16);
-    assert!(ring.append(bytes));
-    ring
+fn buffer_of(bytes: &[u8]) -> RingBuffer {
+    let mut buffer = RingBuffer::new(8, 1 << 16);
+    assert!(buffer.append(bytes));
+    buffer
 }
 
 fn written(write: impl FnOnce(&mut RingBuffer) -> bool) -> Vec<u8> {
-    let mut ring = RingBuffer::new(8, 1 << 16);
-    assert!(write(&mut ring));
-    ring.contiguous().to_vec()
+    let mut buffer = RingBuffer::new(8, 1 << 16);
+    assert!(write(&mut buffer));
+    buffer.contiguous().to_vec()
 }
 
 fn limits() -> Limits {
-    let here: SocketAddr = "127.0.0.1:1".parse().unwrap();
-    Limits::of(&Config::read(&config(&[], here, here).to_string()).unwrap())
+    let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
+    Limits::new(&Config::parse(&config(&[], address, address).to_string()).unwrap())
 }
 
-fn lanes() -> Lanes {
+fn schema() -> MessageSchema {
     let by_name = |names: [&str; 3]| {
         names
             .iter()
-            .map(|n| n.to_string())
+            .map(|name| name.to_string())
             .zip(0..)
             .collect::<HashMap<_, u16>>()
     };
-    Lanes {
-        groups: by_name(["look", "book", "pay"]),
-        plans: HashMap::from([("free".to_string(), 0), ("team".to_string(), 1)]),
+    MessageSchema {
+        group_numbers: by_name(["look", "book", "pay"]),
+        plan_numbers: HashMap::from([("free".to_string(), 0), ("team".to_string(), 1)]),
         semantics: vec![Semantics::Repeatable, Semantics::Keyed, Semantics::Mutating],
-        instances: 3.0,
-        units_top: 4.0,
+        limiters: 3.0,
+        max_units: 4.0,
         load_values: vec![
             LoadValue::InHand,
             LoadValue::Waiting,
@@ -117,7 +120,7 @@
 fn calls_to_the_counter() {
     let call = |name, (id, add, ttl): (u64, f32, f64)| {
         let mut out = Vec::new();
-        resp::add(&mut out, id, add, ttl);
+        resp::write_add(&mut out, id, add, ttl);
         line(name, &out)
     };
     let calls = [
@@ -132,22 +135,22 @@
 #[test]
 fn replies_of_the_counter() {
     let read = |(name, bytes): (&'static str, Vec<u8>)| {
-        let mut ring = ring(&bytes);
-        let reply = resp::reply(&mut ring);
-        (name, reply, ring.is_empty())
+        let mut buffer = buffer_of(&bytes);
+        let reply = resp::parse_reply(&mut buffer);
+        (name, reply, buffer.is_empty())
     };
     let replies: Vec<_> = messages(COUNTER_REPLIES).into_iter().map(read).collect();
-    let total = |total| Parsed::Whole(Reply::Total(total));
+    let total = |total| ParsedReply::Complete(CounterReply::Total(total));
     let expected = [
         ("bulk-string", total(12.5), true),
         ("bulk-string-below-zero", total(-3.0), true),
         ("integer", total(7.0), true),
         ("simple-string", total(3.5), true),
-        ("busy", Parsed::Whole(Reply::TurnedAway), true),
-        ("error", Parsed::Whole(Reply::TurnedAway), true),
-        ("other-error", Parsed::Nonsense, false),
-        ("array", Parsed::Nonsense, false),
-        ("half", Parsed::More, false),
+        ("busy", ParsedReply::Complete(CounterReply::Rejected), true),
+        ("error", ParsedReply::Complete(CounterReply::Rejected), true),
+        ("other-error", ParsedReply::Invalid, false),
+        ("array", ParsedReply::Invalid, false),
+        ("half", ParsedReply::Incomplete, false),
     ];
     assert_eq!(replies, expected);
 }
@@ -158,19 +161,35 @@
     let answer = |name: &str, status, advice, close, kind: &[u8], body: &[u8]| {
         line(
             name,
-            &written(|out| http::reply(out, status, advice, close, kind, body)),
+            &written(|out| {
+                http::OwnResponse {
+                    status,
+                    retry_after: advice,
+                    close,
+                    content_type: kind,
+                    body,
+                }
+                .write(out)
+            }),
         )
     };
     let mut lines: Vec<String> = [200, 400, 405, 408, 409, 411, 413, 431, 502, 503, 504]
-        .map(|status| answer(&format!("status-{status}"), status, 0.0, false, b"", b""))
+        .map(|status| answer(&format!("status-{status}"), status, None, false, b"", b""))
         .to_vec();
-    lines.push(answer("closed", 503, 0.0, true, b"", b""));
-    lines.push(answer("retry-after", 503, 1234.5, false, b"", b""));
-    lines.push(answer("retry-after-and-closed", 503, 0.4, true, b"", b""));
+    lines.push(answer("closed", 503, None, true, b"", b""));
+    lines.push(answer("retry-after", 503, Some(1234.5), false, b"", b""));
+    lines.push(answer(
+        "retry-after-and-closed",
+        503,
+        Some(0.4),
+        true,
+        b"",
+        b"",
+    ));
     lines.push(answer(
         "with-a-body",
         200,
-        0.0,
+        None,
         false,
         b"text/plain; charset=utf-8",
         b"hello\x00\xff",
@@ -181,14 +200,14 @@
 #[test]
 fn requests_read_and_sent_on() {
     let forwarded = |name: &str| {
-        let mut incoming = ring(&bytes(REQUESTS, name));
-        let http::Parsed::Complete(Call::Query(query)) =
-            http::call(&mut incoming, &lanes(), &limits())
+        let mut incoming = buffer_of(&bytes(REQUESTS, name));
+        let http::Parsed::Complete(IncomingRequest::Forwardable(query)) =
+            http::parse_request(&mut incoming, &schema(), &limits().messages)
         else {
             panic!("{name} was not read")
         };
         assert!(incoming.is_empty());
-        (written(|out| query.forward(899.5, out)), query)
+        (written(|out| query.write_forwarded(899.5, out)), query)
     };
     let (out, get) = forwarded("read");
     assert_eq!(
@@ -196,44 +215,42 @@
         line("read-sent-on", &bytes(REQUESTS, "read-sent-on"))
     );
     assert_eq!(
-        (get.group, get.plan, get.acct, get.wait),
+        (get.group, get.plan, get.tenant, get.remaining),
         (0, 1, 0xb4d6_5521, 900.0)
     );
     assert_eq!((get.units, get.spread, get.first), (1.5, 2.0, 1.0));
-    assert_eq!(
-        (get.client_repeat, get.write, get.close),
-        (true, false, true)
-    );
-    assert_eq!(get.txn, b"9b1f000000000001");
+    assert_eq!((get.is_retry, get.is_write, get.close), (true, false, true));
+    assert_eq!(get.transaction, b"9b1f000000000001");
     let (out, post) = forwarded("write");
     assert_eq!(
         line("write-sent-on", &out),
         line("write-sent-on", &bytes(REQUESTS, "write-sent-on"))
     );
     assert_eq!(
-        (post.group, post.plan, post.acct, post.wait),
+        (post.group, post.plan, post.tenant, post.remaining),
         (1, 0, 1, 0.25)
     );
     assert_eq!((post.units, post.spread, post.first), (4.0, 1.0, 0.0));
     assert_eq!(
-        (post.client_repeat, post.write, post.close),
+        (post.is_retry, post.is_write, post.close),
         (false, true, false)
     );
 }
 
 #[test]
 fn the_readiness_question() {
-    let mut incoming = ring(&bytes(REQUESTS, "readiness"));
-    let read = http::call(&mut incoming, &lanes(), &limits());
+    let mut incoming = buffer_of(&bytes(REQUESTS, "readiness"));
+    let read = http::parse_request(&mut incoming, &schema(), &limits().messages);
     assert!(matches!(
         read,
-        http::Parsed::Complete(Call::Ready { close: false })
+        http::Parsed::Complete(IncomingRequest::Readiness { close: false })
     ));
 }
 
 #[test]
 fn health_checks_of_servers() {
-    let lines = [http::LIVE, http::STATS].map(|path| written(|out| http::get(out, path)));
+    let lines = [http::HEALTH_CHECK_PATH, http::LOAD_REPORT_PATH]
+        .map(|path| written(|out| http::write_get(out, path)));
     assert_eq!(lines[0], bytes(REQUESTS, "health-check"));
     assert_eq!(lines[1], bytes(REQUESTS, "load-report"));
 }
@@ -250,15 +267,15 @@
 #[test]
 fn answers_of_servers() {
     let read = |name| {
-        let mut incoming = ring(&bytes(SERVER_ANSWERS, name));
-        match http::answer(&mut incoming, &lanes(), &limits()) {
+        let mut incoming = buffer_of(&bytes(SERVER_ANSWERS, name));
+        match http::parse_server_response(&mut incoming, &schema(), &limits().messages) {
             http::Parsed::Complete(answer) => answer,
             _ => panic!("{name} was not read"),
         }
     };
     let full = read("with-each-header");
     assert_eq!(
-        (full.status, full.turned_away, full.close),
+        (full.status, full.is_rejected, full.close),
         (200, false, false)
     );
     assert_eq!(
@@ -273,7 +290,7 @@
     assert_eq!(other.load, load(&[5.0, 6.0, 0.75, 8.0]));
     let refused = read("turned-away");
     assert_eq!(
-        (refused.status, refused.turned_away, refused.close),
+        (refused.status, refused.is_rejected, refused.close),
         (503, true, true)
     );
     assert_eq!((refused.charged, refused.load), (None, Load::default()));
@@ -284,7 +301,7 @@
     let values = [LoadValue::AnsweredPerS, LoadValue::DroppedPerS];
     for body in ["qps=90,eps=2", "TEXT served_ps=90\nfailed_ps=2"] {
         assert_eq!(
-            http::load_of_body(body.as_bytes(), &values),
+            http::parse_load_report(body.as_bytes(), &values),
             load(&[90.0, 2.0])
         );
     }
@@ -299,19 +316,18 @@
     );
     let address = listen(move |mut stream| {
         let mut rest = Vec::new();
-        while let Some(request) = message(&mut stream, &mut rest) {
+        while let Some(request) = read_message(&mut stream, &mut rest) {
             let mut seen = own.lock().unwrap();
             seen.push(request);
             if seen.len() > 2 {
                 return;
             }
             drop(seen);
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
-            let _ = stream.write_all((head + &list).as_bytes());
+            let _ = stream.write_all(response(&list).as_bytes());
         }
     });
     let limiter = start(&config(&[], counter(None), address));
-    assert!(soon(|| seen.lock().unwrap().len() > 1));
+    assert!(eventually(|| seen.lock().unwrap().len() > 1));
     limiter.stop();
     let seen = seen.lock().unwrap();
     let lines = [
@@ -323,50 +339,31 @@
 
 #[test]
 fn a_list_of_discovery() {
-    let names = Names {
+    let names = LocationNames {
         zones: vec!["a".into(), "b".into()],
-        kinds: vec!["m1".into(), "m2".into()],
+        machine_kinds: vec!["m1".into(), "m2".into()],
     };
     let list: Value = serde_json::from_str(DISCOVERY_LIST).unwrap();
-    let roster = Roster::read(&list, &names).unwrap();
-    assert_eq!((roster.version, roster.whole), (43, true));
-    let read: Vec<_> = roster
-        .entries
-        .iter()
-        .map(|(m, dial)| {
-            (
-                m.server, m.health, m.zone, m.kind, m.cell, m.size, m.started, *dial,
-            )
-        })
-        .collect();
-    let dial = |text: &str| text.parse().ok();
+    let list = ServerList::parse(&list, &names).unwrap();
+    assert_eq!((list.version, list.is_complete), (43, true));
+    let [first, second, third] = &list.entries[..] else {
+        panic!("{} entries", list.entries.len())
+    };
+    // A server's number is the FNV-1a hash of its name, the same at every limiter.
+    let numbers = [first, second, third].map(|(member, _)| member.server);
+    assert_eq!(numbers, [0x4cae_c46a, 0x189b_ada4, 0x1b9b_b25d]);
+    let health = [first, second, third].map(|(member, _)| member.health);
+    assert_eq!(health, [Health::Ready, Health::Draining, Health::Gone]);
+    let addresses = [first, second, third].map(|(_, address)| *address);
+    let address = |text: &str| text.parse().ok();
     assert_eq!(
-        read,
-        [
-            // A server's number is the FNV-1a hash of its name, the same at every limiter.
-            (
-                0x4cae_c46a,
-                Health::Ready,
-                1,
-                1,
-                3,
-                2.5,
-                1e12,
-                dial("10.1.0.18:9000")
-            ),
-            (
-                0x189b_ada4,
-                Health::Draining,
-                0,
-                0,
-                0,
-                1.0,
-                0.0,
-                dial("[::1]:9001")
-            ),
-            (0x1b9b_b25d, Health::Gone, 0, 0, 65_535, 0.5, 7.5, None),
-        ]
+        addresses,
+        [address("10.1.0.18:9000"), address("[::1]:9001"), None]
     );
+    let places = [first, second, third].map(|(member, _)| (member.zone, member.kind, member.cell));
+    assert_eq!(places, [(1, 1, 3), (0, 0, 0), (0, 0, 65_535)]);
+    let figures = [first, second, third].map(|(member, _)| (member.size, member.started));
+    assert_eq!(figures, [(2.5, 1e12), (1.0, 0.0), (0.5, 7.5)]);
 }
 
 #[test]
@@ -381,21 +378,32 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let (notes, told) = mailbox::for_current_thread(8);
-    let door = Arc::new(Door::new(notes, Clock::start()));
+    let (sender, events) = mailbox::for_current_thread(8);
+    let dispatcher = Arc::new(DispatcherHandle::new(sender, Clock::start()));
     let unknown = "127.0.0.1:9".parse().unwrap();
-    let peers = Peers::start(listen, vec![unknown, there], Some(there), &door, 128 << 10).unwrap();
+    let peers = PeerSocket::start(
+        listen,
+        PeerAddresses {
+            peers: vec![unknown, there],
+            broadcast: Some(there),
+        },
+        &dispatcher,
+        128 << 10,
+    )
+    .unwrap();
     let longest: Vec<u8> = (0..=255).collect();
     other.send_to(&[0; 257], listen).unwrap();
     other.send_to(&longest, listen).unwrap();
-    match told.recv_deadline(Some(Instant::now() + Duration::from_secs(5))) {
-        Ok(Note::Peer { from, data }) => assert_eq!((from, &data), (1, &longest)),
+    match events.recv_deadline(Some(Instant::now() + Duration::from_secs(5))) {
+        Ok(DispatcherEvent::PeerDatagram { from, data }) => {
+            assert_eq!((from, &data), (1, &longest))
+        }
         _ => panic!("no datagram came"),
     }
     let mut space = [0; 512];
-    peers.tell(Some(1), &[1; 257]);
+    peers.send(Some(1), &[1; 257]);
     for to in [Some(1), None] {
-        peers.tell(to, &longest);
+        peers.send(to, &longest);
         let (size, _) = other.recv_from(&mut space).unwrap();
         assert_eq!(space[..size], longest);
     }
@@ -403,7 +411,7 @@
 
 #[test]
 fn each_key_of_the_configuration() {
-    let config = Config::read(CONFIGURATION).unwrap();
+    let config = Config::parse(CONFIGURATION).unwrap();
     let address = |text: &str| text.parse::<SocketAddr>().unwrap();
     assert_eq!(config.name, "limiter-3");
     assert_eq!(config.listen, address("127.0.0.1:7001"));
@@ -414,33 +422,41 @@
         config.peers,
         [address("127.0.0.1:7005"), address("127.0.0.1:7006")]
     );
-    assert_eq!(config.peers_all, Some(address("127.0.0.1:7007")));
+    assert_eq!(config.peer_broadcast, Some(address("127.0.0.1:7007")));
+}
+
+#[test]
+fn each_key_of_limits_and_settings() {
+    let config = Config::parse(CONFIGURATION).unwrap();
     assert_eq!(
-        (config.seed, config.memory_mb, config.sockets),
+        (config.seed, config.memory_mb, config.max_descriptors),
         (0x5eed, 256, 2048)
     );
     assert_eq!(
-        (config.connect_wait, config.keepalive),
+        (config.connect_timeout, config.server_keepalive),
         (Duration::from_millis(125), Duration::from_secs(20))
     );
     let (groups, plans) = ([("look", 0), ("pay", 1)], [("free", 0), ("team", 1)]);
     assert_eq!(
-        config.groups,
+        config.group_numbers,
         groups.map(|(name, at)| (name.to_string(), at)).into()
     );
     assert_eq!(
-        config.plans,
+        config.plan_numbers,
         plans.map(|(name, at)| (name.to_string(), at)).into()
     );
     assert_eq!(
-        (config.names.zones, config.names.kinds),
+        (
+            config.location_names.zones,
+            config.location_names.machine_kinds
+        ),
         (vec!["a".into(), "b".into()], vec!["m2".into()])
     );
     assert_eq!(
         (
-            config.known.version,
-            config.known.whole,
-            config.known.entries.len()
+            config.known_servers.version,
+            config.known_servers.is_complete,
+            config.known_servers.entries.len()
         ),
         (9, true, 1)
     );
@@ -467,24 +483,32 @@
             .unwrap()
             .remove(key);
     }
-    let config = Config::read(&text.to_string()).unwrap();
+    let config = Config::parse(&text.to_string()).unwrap();
     assert_eq!(
-        (config.name.as_str(), config.memory_mb, config.sockets),
+        (
+            config.name.as_str(),
+            config.memory_mb,
+            config.max_descriptors
+        ),
         ("limiter", 192, 1024)
     );
     assert_eq!(
-        (config.peer_listen, config.peers.len(), config.peers_all),
+        (
+            config.peer_listen,
+            config.peers.len(),
+            config.peer_broadcast
+        ),
         (None, 0, None)
     );
     assert_eq!(
-        (config.connect_wait, config.keepalive),
+        (config.connect_timeout, config.server_keepalive),
         (Duration::from_millis(250), Duration::from_secs(30))
     );
     assert_eq!(
         (
-            config.known.version,
-            config.known.whole,
-            config.known.entries.len()
+            config.known_servers.version,
+            config.known_servers.is_complete,
+            config.known_servers.entries.len()
         ),
         (0, false, 0)
     );
