--- a/crates/aspendrum-core/src/api.rs
+++ b/crates/aspendrum-core/src/api.rs
@@ -1,17 +1,17 @@
 //! The interface of the decision module: what it is told, what it may do, how it is set up.
 //! Nothing here belongs to one protocol, and nothing here decides. Times are milliseconds.
 
-pub type Ms = f64;
-pub type QueryId = u64;
+pub type Millis = f64;
+pub type RequestId = u64;
 pub type ServerId = u32;
 /// At most 40 bits: names of counts hold it beside a window. Wider ones are mapped at the door.
-pub type AcctId = u64;
+pub type TenantId = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Semantics {
-    Repeatable,
-    Keyed,
-    Mutating,
+    Idempotent,
+    Deduplicated,
+    NonIdempotent,
 }
 
 /// The servers that know a keyed query's repeats.
@@ -27,7 +27,7 @@
     #[default]
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// How a forward, a probe or a counter call ended.
@@ -35,12 +35,12 @@
 pub enum Outcome {
     Ok,
     Error,
-    Full,
+    Rejected,
     TimedOut,
     ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
+    NotSent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,32 +53,32 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadValue {
-    InHand,
-    Waiting,
-    CpuShare,
-    ServiceMs,
-    AnsweredPerS,
-    DroppedPerS,
+    RequestsInFlight,
+    RequestsQueued,
+    CpuUtilization,
+    ServiceTimeMs,
+    ResponsesPerSecond,
+    FailuresPerSecond,
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportsVia {
-    Answers,
+pub enum LoadReportChannel {
+    Responses,
     Probes,
-    Nothing,
+    Disabled,
 }
 
 /// A load report: `n` values in the order of `Settings::load_values`; none if `n` is 0. One that could not be
 /// read is not a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
-    pub n: u8,
+pub struct LoadReport {
+    pub count: u8,
     pub values: [f32; 4],
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Member {
+pub struct ServerEntry {
     pub server: ServerId,
     /// Queries of a pool go to its members only. 0 where there is one pool.
     pub pool: u16,
@@ -86,74 +86,74 @@
     pub cell: u16,
     pub zone: u8,
     /// How many times dearer it is than a server at hand; 0: told by its zone.
-    pub far: f32,
-    pub size: f32,
+    pub distance_cost: f32,
+    pub capacity: f32,
     pub kind: u8,
     /// 0: long ago.
-    pub started: Ms,
+    pub started_at: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NewQuery {
-    pub id: QueryId,
+pub struct NewRequest {
+    pub id: RequestId,
     pub group: u16,
-    pub until: Ms,
-    pub acct: AcctId,
+    pub deadline: Millis,
+    pub tenant: TenantId,
     pub plan: u32,
-    pub spread: f32,
+    pub instances: f32,
     pub units: f32,
-    pub first: f32,
-    pub client_repeat: bool,
-    pub write: bool,
+    pub first_instance: f32,
+    pub is_client_retry: bool,
+    pub is_write: bool,
     pub pool: u16,
     /// Zones whose servers may run it, a bit each; all where it does not matter.
-    pub zones: u64,
+    pub allowed_zones: u64,
     /// Servers to which it may be sent, one after another.
-    pub most: u8,
+    pub max_attempts: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    Members {
+    ServerList {
         list: ListKind,
         version: u32,
-        entries: &'a [Member],
+        entries: &'a [ServerEntry],
     },
-    Query(NewQuery),
-    ForwardEnded {
-        id: QueryId,
+    Request(NewRequest),
+    AttemptEnded {
+        id: RequestId,
         forward: u8,
         server: ServerId,
         outcome: Outcome,
-        rtt: Ms,
+        rtt: Millis,
         /// The query is over, by this outcome or earlier.
-        over: bool,
-        used: u16,
-        actual: u16,
-        load: Load,
+        is_final: bool,
+        metered: u16,
+        actual_units: u16,
+        load: LoadReport,
     },
     StreamStarted {
-        id: QueryId,
+        id: RequestId,
         forward: u8,
         server: ServerId,
-        rtt: Ms,
+        rtt: Millis,
     },
-    ClientLeft {
-        id: QueryId,
+    ClientDisconnected {
+        id: RequestId,
     },
-    Counted {
+    CounterReplied {
         name: u64,
         outcome: Outcome,
         total: f32,
-        rtt: Ms,
+        rtt: Millis,
     },
-    Probed {
+    ProbeEnded {
         server: ServerId,
         outcome: Outcome,
-        rtt: Ms,
-        load: Load,
+        rtt: Millis,
+        load: LoadReport,
     },
-    PeerSaid {
+    DatagramReceived {
         from: u16,
         data: &'a [u8],
     },
@@ -166,44 +166,44 @@
 pub enum Action {
     /// `timeout` 0: until the client gives up.
     Forward {
-        id: QueryId,
+        id: RequestId,
         server: ServerId,
-        timeout: Ms,
+        timeout: Millis,
     },
     Shed {
-        id: QueryId,
-        retry_after: Ms,
+        id: RequestId,
+        retry_after: Millis,
         /// It was beyond its customer's quota.
-        beyond: bool,
+        beyond_quota: bool,
     },
     Drop {
-        id: QueryId,
+        id: RequestId,
     },
     Cancel {
-        id: QueryId,
+        id: RequestId,
         forward: u8,
     },
-    Count {
+    AddToCounter {
         name: u64,
-        add: f32,
-        ttl: Ms,
+        units: f32,
+        ttl: Millis,
     },
     Probe {
         server: ServerId,
     },
-    Close {
+    CloseConnections {
         server: ServerId,
     },
     Timer {
         token: u32,
-        wait: Ms,
+        wait: Millis,
     },
-    Fetch,
-    Watch {
+    FetchServers,
+    WatchServers {
         on: bool,
     },
     /// `to` absent: every peer.
-    Tell {
+    SendDatagram {
         to: Option<u32>,
         data: Vec<u8>,
     },
@@ -212,29 +212,29 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Group {
-    pub slo: Ms,
-    pub limit: Ms,
+pub struct GroupSettings {
+    pub latency_target: Millis,
+    pub hard_limit: Millis,
     pub semantics: Semantics,
     pub repeat_group: RepeatGroup,
-    pub repeat_window: Ms,
+    pub repeat_window: Millis,
     pub importance: f64,
-    pub late_share: f64,
-    pub stream: bool,
+    pub late_value_share: f64,
+    pub is_streaming: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct PlanSettings {
     /// Counted by windows of burst over rate whatever its size, as the source has it.
-    pub windowed: bool,
+    pub is_windowed: bool,
     /// Units a second; 0: no such quota.
     pub rate: f64,
     pub burst: f64,
     pub price: f64,
-    pub over_worth: f64,
-    pub over_cost: f64,
+    pub overage_value: f64,
+    pub overage_cost: f64,
     /// Forwards out at once; 0: no such quota.
-    pub open: u32,
+    pub max_in_flight: u32,
     pub ceiling_rate: f64,
     pub ceiling_burst: f64,
     pub ceiling_slack: f64,
@@ -242,36 +242,36 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    pub me: u32,
+    pub instance: u32,
     pub instances: u32,
     pub zone: u8,
-    pub tick: Ms,
-    pub groups: Vec<Group>,
-    pub plans: Vec<Plan>,
+    pub tick: Millis,
+    pub groups: Vec<GroupSettings>,
+    pub plans: Vec<PlanSettings>,
     pub load_values: Vec<LoadValue>,
-    pub reports: ReportsVia,
-    pub discovery_asks: bool,
-    pub must_ask_in: Ms,
-    pub drain_grace: Ms,
-    pub fall_multiple: f64,
-    pub fall_window: Ms,
-    pub cold_share: f64,
-    pub cold_time: Ms,
-    pub answer_grace: Ms,
+    pub load_reports: LoadReportChannel,
+    pub polls_discovery: bool,
+    pub discovery_poll_limit: Millis,
+    pub drain_grace: Millis,
+    pub collapse_multiple: f64,
+    pub collapse_window: Millis,
+    pub slow_start_capacity: f64,
+    pub slow_start_time: Millis,
+    pub answer_grace: Millis,
     pub may_cancel: bool,
     pub may_probe: bool,
-    pub may_tell: bool,
-    pub second_copies: bool,
-    pub send_cap: u32,
-    pub retry_after: bool,
-    pub max_retry_after: Ms,
-    pub counter: bool,
-    pub counter_wait: Ms,
+    pub may_send_datagrams: bool,
+    pub may_hedge: bool,
+    pub max_attempts: u32,
+    pub sends_retry_after: bool,
+    pub max_retry_after: Millis,
+    pub has_counter: bool,
+    pub counter_timeout: Millis,
     pub counter_price: f64,
     pub probe_price: f64,
     pub cross_zone_price: f64,
-    pub units_top: f64,
-    pub cost_after: bool,
-    pub meter: Ms,
-    pub peer_in_per_s: f64,
+    pub max_units: f64,
+    pub cost_known_after: bool,
+    pub metering_window: Millis,
+    pub peer_datagrams_per_second: f64,
 }
--- a/crates/aspendrum-core/src/control.rs
+++ b/crates/aspendrum-core/src/engine.rs
@@ -3,7 +3,7 @@
 //! waits. Types: `api.rs`; reasons: docs/design.md; customers: `counting.rs`; servers: `servers.rs`.
 
 use crate::api::*;
-pub use crate::state::Control;
+pub use crate::state::DecisionEngine;
 use crate::state::*;
 
 use counting::{spend_part, LEAD_PART, PROBE_EVERY};
@@ -13,79 +13,87 @@
 mod keepers;
 mod servers;
 
-const BEAT: Ms = 5.0;
+const BEAT: Millis = 5.0;
 const GOLDEN: f64 = 0.618_033_988_75;
-const IDLE: Ms = 90_000.0;
+const IDLE: Millis = 90_000.0;
 
 /// Rules 1 and 2: the only place that says whether a query may be sent on again or shed.
 const RULES: [(Semantics, Known, Resend, May); 9] = [
     (
-        Semantics::Repeatable,
+        Semantics::Idempotent,
         Known::NeverRan,
         Resend::Anywhere,
         May::Shed,
     ),
     (
-        Semantics::Repeatable,
+        Semantics::Idempotent,
         Known::MayHaveRun,
         Resend::Anywhere,
         May::Shed,
     ),
     (
-        Semantics::Repeatable,
+        Semantics::Idempotent,
         Known::StillOut,
         Resend::No,
         May::Shed,
     ),
     (
-        Semantics::Keyed,
+        Semantics::Deduplicated,
         Known::NeverRan,
         Resend::Anywhere,
         May::Shed,
     ),
     (
-        Semantics::Keyed,
+        Semantics::Deduplicated,
         Known::MayHaveRun,
         Resend::InGroup,
         May::ShedIfAll,
     ),
     (
-        Semantics::Keyed,
+        Semantics::Deduplicated,
         Known::StillOut,
         Resend::No,
         May::ShedIfAll,
     ),
     (
-        Semantics::Mutating,
+        Semantics::NonIdempotent,
         Known::NeverRan,
         Resend::Anywhere,
         May::Shed,
     ),
     (
-        Semantics::Mutating,
+        Semantics::NonIdempotent,
         Known::MayHaveRun,
         Resend::No,
         May::Drop,
     ),
-    (Semantics::Mutating, Known::StillOut, Resend::No, May::Drop),
+    (
+        Semantics::NonIdempotent,
+        Known::StillOut,
+        Resend::No,
+        May::Drop,
+    ),
 ];
 
-impl Control {
-    pub fn new(now: Ms, seed: u64, s: &Settings, out: &mut Vec<Action>) -> Self {
+impl DecisionEngine {
+    pub fn new(now: Millis, seed: u64, s: &Settings, out: &mut Vec<Action>) -> Self {
         out.push(Action::Timer {
             token: 0,
             wait: BEAT,
         });
-        out.extend(s.discovery_asks.then_some(Action::Watch { on: true }));
+        out.extend(
+            s.polls_discovery
+                .then_some(Action::WatchServers { on: true }),
+        );
         let mut fig = Figures::new(s);
         fig.crowd = (fig.instances / PROBERS).max(1.0);
         (fig.keepers, fig.want_every) = (
-            s.may_tell && fig.crowd > 1.0,
-            Self::want_every(s.peer_in_per_s),
+            s.may_send_datagrams && fig.crowd > 1.0,
+            Self::want_every(s.peer_datagrams_per_second),
         );
         fig.own_part = if fig.keepers { 1.0 - LEAD_PART } else { 1.0 };
-        fig.turn = (f64::from(s.me) * GOLDEN).fract();
-        fig.cold_budget = (COLD_SHARE * s.fall_multiple).min(COLD_FAIR) * s.fall_window;
+        fig.turn = (f64::from(s.instance) * GOLDEN).fract();
+        fig.cold_budget = (COLD_SHARE * s.collapse_multiple).min(COLD_FAIR) * s.collapse_window;
         let slo = fig
             .groups
             .iter()
@@ -94,7 +102,7 @@
         let (chance, typical) = (Chance::new(seed), slo / 4.0);
         let paces = fig.groups.iter().map(|_| Pace::default()).collect();
         let peers = vec![Peer::default(); s.instances as usize];
-        let own = Control {
+        let own = DecisionEngine {
             now,
             begun: now,
             chance,
@@ -102,28 +110,28 @@
             typical,
             fig,
             peers,
-            ..Control::default()
+            ..DecisionEngine::default()
         };
-        Control {
+        DecisionEngine {
             ease: 1.0,
             ask: 1.0,
             ..own
         }
     }
 
-    pub fn handle(&mut self, now: Ms, event: &Event<'_>, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Millis, event: &Event<'_>, out: &mut Vec<Action>) {
         self.now = now;
         std::mem::swap(&mut self.acts, out);
         match *event {
-            Event::Members { list, entries, .. } => self.members(list, entries),
-            Event::Query(ref new) => self.take(new),
-            Event::ForwardEnded {
+            Event::ServerList { list, entries, .. } => self.members(list, entries),
+            Event::Request(ref new) => self.take(new),
+            Event::AttemptEnded {
                 id,
                 forward,
                 outcome,
                 rtt,
-                over,
-                actual,
+                is_final: over,
+                actual_units: actual,
                 load,
                 ..
             } => {
@@ -143,43 +151,43 @@
                     .into_iter()
                     .for_each(|slot| self.queries[slot].streaming = true);
             }
-            Event::ClientLeft { id } => self
+            Event::ClientDisconnected { id } => self
                 .queries
                 .find(id)
                 .into_iter()
                 .for_each(|slot| self.close(slot)),
-            Event::Counted {
+            Event::CounterReplied {
                 name,
                 outcome,
                 total,
                 rtt,
             } => self.told(name, outcome, total.into(), rtt),
-            Event::Probed {
+            Event::ProbeEnded {
                 server,
                 outcome,
                 load,
                 ..
             } => self.probed(server, outcome, &load),
             Event::Timer { .. } => self.beat(),
-            Event::PeerSaid { from, data } => self.hear(from, data),
+            Event::DatagramReceived { from, data } => self.hear(from, data),
         }
         std::mem::swap(&mut self.acts, out);
     }
 
-    fn take(&mut self, new: &NewQuery) {
+    fn take(&mut self, new: &NewRequest) {
         let (group, plan) = (usize::from(new.group), new.plan as usize);
         let known = self.queries.find(new.id).is_some();
         if known || group >= self.fig.groups.len() || plan >= self.fig.plans.len() {
             return self.acts.push(Action::Drop { id: new.id });
         }
-        let acct = self.acct(new.acct, plan, f64::from(new.spread).max(1.0));
+        let acct = self.acct(new.tenant, plan, f64::from(new.instances).max(1.0));
         let (g, mut query) = (&self.fig.groups[group], Query::new(new, acct, self.now));
         (query.slo_at, query.worth) = (self.now + g.slo, g.importance * self.fig.plans[plan].price);
         let slot = self.queries.add(new.id, query);
         self.live.push(slot);
         (self.accts[acct].in_hand, self.accts[acct].used_at) =
             (self.accts[acct].in_hand + 1, self.now);
-        self.accts[acct].first = f64::from(new.first);
+        self.accts[acct].first = f64::from(new.first_instance);
         self.begin(slot);
     }
 
@@ -301,7 +309,7 @@
         // Pools without a server that may be used now, and the last pool's free share.
         let (mut stuck, mut spare) = (0_u64, None);
         while !self.waiting.is_empty() {
-            let mut order: Option<(f64, Ms, usize)> = None;
+            let mut order: Option<(f64, Millis, usize)> = None;
             for (i, &slot) in self.waiting.iter().enumerate() {
                 let q = &self.queries[slot];
                 let a = &self.accts[q.acct];
@@ -335,13 +343,13 @@
     #[allow(clippy::too_many_arguments)]
     fn ended(
         &mut self,
-        id: QueryId,
+        id: RequestId,
         n: usize,
         how: Outcome,
-        rtt: Ms,
+        rtt: Millis,
         over: bool,
         actual: f64,
-        load: &Load,
+        load: &LoadReport,
     ) {
         let Some(slot) = self.queries.find(id) else {
             return;
@@ -370,7 +378,7 @@
     }
 
     /// The one place for final answers given here.
-    fn give_up(&mut self, slot: usize, advice: Ms) {
+    fn give_up(&mut self, slot: usize, advice: Millis) {
         let q = &self.queries[slot];
         let all = self.fig.groups[q.group].repeat_group == RepeatGroup::All;
         // Who comes back past the SLO time spends quota and servers on an answer that is worth nothing.
@@ -382,12 +390,12 @@
         };
         let (id, may) = (q.id, self.rule(q).1);
         let shed = may == May::Shed || may == May::ShedIfAll && all;
-        let beyond = !q.inside;
+        let beyond_quota = !q.inside;
         self.acts.push(if shed {
             Action::Shed {
                 id,
                 retry_after,
-                beyond,
+                beyond_quota,
             }
         } else {
             Action::Drop { id }
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -7,10 +7,10 @@
 //! change the fixture; its commit says which.
 
 use aspendrum_core::api::{
-    Action, Event, Group, Health, ListKind, Load, LoadValue, Member, NewQuery, Outcome, Plan,
-    RepeatGroup, ReportsVia, Semantics, Settings,
+    Action, Event, GroupSettings, Health, ListKind, LoadReport, LoadReportChannel, LoadValue,
+    NewRequest, Outcome, PlanSettings, RepeatGroup, Semantics, ServerEntry, Settings,
 };
-use aspendrum_core::control::Control;
+use aspendrum_core::engine::DecisionEngine;
 use std::collections::HashMap;
 use std::fmt::Write;
 use test_case::test_case;
@@ -84,7 +84,7 @@
             Action::Shed {
                 id,
                 retry_after,
-                beyond,
+                beyond_quota: beyond,
             } => {
                 self.number(*id);
                 self.float(*retry_after);
@@ -100,7 +100,11 @@
                 self.number((*forward).into());
                 3
             }
-            Action::Count { name, add, ttl } => {
+            Action::AddToCounter {
+                name,
+                units: add,
+                ttl,
+            } => {
                 self.number(*name);
                 self.number(add.to_bits().into());
                 self.float(*ttl);
@@ -110,7 +114,7 @@
                 self.number((*server).into());
                 5
             }
-            Action::Close { server } => {
+            Action::CloseConnections { server } => {
                 self.number((*server).into());
                 6
             }
@@ -119,12 +123,12 @@
                 self.float(*wait);
                 7
             }
-            Action::Fetch => 8,
-            Action::Watch { on } => {
+            Action::FetchServers => 8,
+            Action::WatchServers { on } => {
                 self.number((*on).into());
                 9
             }
-            Action::Tell { to, data } => {
+            Action::SendDatagram { to, data } => {
                 self.number(to.map_or(u64::MAX, u64::from));
                 data.iter().for_each(|byte| self.number((*byte).into()));
                 10
@@ -201,7 +205,7 @@
     script: Script,
     draws: Draws,
     step: u64,
-    limiters: Vec<Control>,
+    limiters: Vec<DecisionEngine>,
     due: HashMap<u64, Vec<(usize, Arrival)>>,
     totals: HashMap<u64, f32>,
     /// Forwards of each query so far, by limiter and query.
@@ -245,13 +249,13 @@
         self.step / SECOND
     }
 
-    fn start(&mut self, me: usize) -> Control {
+    fn start(&mut self, me: usize) -> DecisionEngine {
         let settings = Settings {
-            me: me as u32,
+            instance: me as u32,
             ..self.script.settings.clone()
         };
         let mut out = Vec::new();
-        let limiter = Control::new(self.now(), 7 + me as u64, &settings, &mut out);
+        let limiter = DecisionEngine::new(self.now(), 7 + me as u64, &settings, &mut out);
         out.iter().for_each(|action| self.digest.action(me, action));
         limiter
     }
@@ -297,7 +301,9 @@
                     }
                 }
             }
-            Action::Count { name, add, .. } => self.count(me, name, add),
+            Action::AddToCounter {
+                name, units: add, ..
+            } => self.count(me, name, add),
             Action::Probe { server } => {
                 let outcome = if self.draws.one_in(4) {
                     Outcome::TimedOut
@@ -306,7 +312,7 @@
                 };
                 self.later(3, me, Arrival::Probe { server, outcome });
             }
-            Action::Tell {
+            Action::SendDatagram {
                 to: Some(to),
                 ref data,
             } => {
@@ -366,11 +372,11 @@
         let outcome = if self.draws.one_in(failing) {
             let failures = [
                 Outcome::Error,
-                Outcome::Full,
+                Outcome::Rejected,
                 Outcome::TimedOut,
                 Outcome::ConnectFailed,
                 Outcome::Reset,
-                Outcome::Moot,
+                Outcome::NotSent,
             ];
             failures[self.draws.below(6) as usize]
         } else {
@@ -400,7 +406,7 @@
         let (outcome, steps) = match state {
             Counter::Answers => (Outcome::Ok, 1),
             Counter::Slow => (Outcome::Ok, 2 + self.draws.below(4)),
-            Counter::Overfull if self.draws.one_in(3) => (Outcome::Full, 1),
+            Counter::Overfull if self.draws.one_in(3) => (Outcome::Rejected, 1),
             Counter::Overfull => (Outcome::Ok, 2),
             Counter::Silent => (Outcome::TimedOut, 6),
             Counter::Refuses => (Outcome::ConnectFailed, 1),
@@ -442,15 +448,15 @@
                 let used = actual;
                 self.tell(
                     me,
-                    &Event::ForwardEnded {
+                    &Event::AttemptEnded {
                         id,
                         forward,
                         server,
                         outcome,
                         rtt,
-                        over,
-                        used,
-                        actual,
+                        is_final: over,
+                        metered: used,
+                        actual_units: actual,
                         load,
                     },
                 );
@@ -474,7 +480,7 @@
             } => {
                 self.tell(
                     me,
-                    &Event::Counted {
+                    &Event::CounterReplied {
                         name,
                         outcome,
                         total,
@@ -486,7 +492,7 @@
                 let load = self.load();
                 self.tell(
                     me,
-                    &Event::Probed {
+                    &Event::ProbeEnded {
                         server,
                         outcome,
                         rtt: 3.0,
@@ -495,45 +501,45 @@
                 );
             }
             Arrival::Datagram { from, data } => {
-                self.tell(me, &Event::PeerSaid { from, data: &data })
+                self.tell(me, &Event::DatagramReceived { from, data: &data })
             }
         }
     }
 
-    fn load(&mut self) -> Load {
+    fn load(&mut self) -> LoadReport {
         let busy = self.draws.below(120) as f32 / 100.0;
         match self.draws.below(8) {
-            0 => Load::default(),
-            1 if self.draws.one_in(3) => Load {
-                n: 1,
+            0 => LoadReport::default(),
+            1 if self.draws.one_in(3) => LoadReport {
+                count: 1,
                 values: [9.0, 0.0, 0.0, 0.0],
             },
-            1 => Load {
-                n: 1,
+            1 => LoadReport {
+                count: 1,
                 values: [f32::NAN, 0.0, 0.0, 0.0],
             },
-            2..=4 => Load {
-                n: 1,
+            2..=4 => LoadReport {
+                count: 1,
                 values: [busy, 0.0, 0.0, 0.0],
             },
-            _ => Load {
-                n: 2,
+            _ => LoadReport {
+                count: 2,
                 values: [busy, busy / 2.0, 0.0, 0.0],
             },
         }
     }
 
-    fn members(&self) -> Vec<Member> {
-        let member = |(at, (health, started)): (usize, &(Health, f64))| Member {
+    fn members(&self) -> Vec<ServerEntry> {
+        let member = |(at, (health, started)): (usize, &(Health, f64))| ServerEntry {
             server: at as u32 + 1,
             pool: u16::from(at % 7 == 6),
             health: *health,
             cell: (at % 3) as u16,
             zone: (at % 2) as u8,
-            far: if at % 5 == 4 { 1.5 } else { 0.0 },
-            size: if at % 4 == 3 { 2.0 } else { 1.0 },
+            distance_cost: if at % 5 == 4 { 1.5 } else { 0.0 },
+            capacity: if at % 4 == 3 { 2.0 } else { 1.0 },
             kind: 0,
-            started: *started,
+            started_at: *started,
         };
         self.health.iter().enumerate().map(member).collect()
     }
@@ -543,7 +549,7 @@
         let version = self.step as u32;
         self.tell(
             me,
-            &Event::Members {
+            &Event::ServerList {
                 list,
                 version,
                 entries: &entries,
@@ -557,8 +563,8 @@
         self.health[at] = match self.health[at].0 {
             Health::Ready if self.draws.one_in(2) => (Health::Draining, self.health[at].1),
             Health::Ready => (Health::Ready, self.now()),
-            Health::Draining => (Health::Gone, self.health[at].1),
-            Health::Gone => (Health::Ready, self.now() - self.draws.below(3000) as f64),
+            Health::Draining => (Health::Removed, self.health[at].1),
+            Health::Removed => (Health::Ready, self.now() - self.draws.below(3000) as f64),
         };
         let kinds = [
             ListKind::Delta,
@@ -581,29 +587,29 @@
         let tenant = self.draws.below(self.script.tenants) + self.second() / 2;
         let spreads = self.script.spreads;
         let spread = spreads[(self.second() / 3) as usize % spreads.len()];
-        let new = NewQuery {
+        let new = NewRequest {
             id,
             group: self.draws.below(groups as u64) as u16,
-            until: self.now() + 800.0 + self.draws.below(2000) as f64,
-            acct: tenant,
+            deadline: self.now() + 800.0 + self.draws.below(2000) as f64,
+            tenant,
             // One query in a thousand names a plan that is not there.
             plan: if id % 1000 == 999 {
                 99
             } else {
                 tenant as u32 % plans as u32
             },
-            spread,
+            instances: spread,
             units: [1.0, 1.0, 2.0, 0.5][self.draws.below(4) as usize],
-            first: (tenant % u64::from(self.script.settings.instances)) as f32,
-            client_repeat: self.draws.one_in(10),
-            write: self.draws.one_in(3),
+            first_instance: (tenant % u64::from(self.script.settings.instances)) as f32,
+            is_client_retry: self.draws.one_in(10),
+            is_write: self.draws.one_in(3),
             pool: u16::from(self.draws.one_in(12)),
-            zones: if self.draws.one_in(10) { 2 } else { u64::MAX },
-            most: if self.draws.one_in(10) { 1 } else { u8::MAX },
+            allowed_zones: if self.draws.one_in(10) { 2 } else { u64::MAX },
+            max_attempts: if self.draws.one_in(10) { 1 } else { u8::MAX },
         };
-        self.tell(me, &Event::Query(new));
+        self.tell(me, &Event::Request(new));
         if self.draws.one_in(40) {
-            self.tell(me, &Event::ClientLeft { id });
+            self.tell(me, &Event::ClientDisconnected { id });
         }
         // One that is known already.
         let open = self
@@ -611,7 +617,7 @@
             .get(&(me, id))
             .is_some_and(|sent| sent.iter().any(|forward| forward.1));
         if open && self.draws.one_in(50) {
-            self.tell(me, &Event::Query(new));
+            self.tell(me, &Event::Request(new));
         }
     }
 
@@ -619,14 +625,14 @@
         let mut plans = self.script.settings.plans.clone();
         plans[0].rate *= 1.5;
         plans[0].burst *= 2.0;
-        plans.push(Plan {
+        plans.push(PlanSettings {
             rate: 9.0,
             burst: 3.0,
             ..plans[0].clone()
         });
         let mut groups = self.script.settings.groups.clone();
-        groups.push(Group {
-            slo: 400.0,
+        groups.push(GroupSettings {
+            latency_target: 400.0,
             ..groups[0].clone()
         });
         for limiter in &mut self.limiters {
@@ -655,7 +661,7 @@
                 .collect();
             let me = self.draws.below(self.limiters.len() as u64) as usize;
             let from = self.draws.below(60) as u16;
-            self.tell(me, &Event::PeerSaid { from, data: &data });
+            self.tell(me, &Event::DatagramReceived { from, data: &data });
         }
         (0..self.limiters.len()).for_each(|me| self.tell(me, &Event::Timer { token: 0 }));
         if self.step.is_multiple_of(SECOND) {
@@ -690,28 +696,33 @@
     }
 }
 
-fn group(semantics: Semantics, repeat_group: RepeatGroup, slo: f64, importance: f64) -> Group {
-    Group {
-        slo,
-        limit: 3.0 * slo,
+fn group(
+    semantics: Semantics,
+    repeat_group: RepeatGroup,
+    slo: f64,
+    importance: f64,
+) -> GroupSettings {
+    GroupSettings {
+        latency_target: slo,
+        hard_limit: 3.0 * slo,
         semantics,
         repeat_group,
         repeat_window: 60.0,
         importance,
-        late_share: 0.0,
-        stream: false,
+        late_value_share: 0.0,
+        is_streaming: false,
     }
 }
 
-fn plan(rate: f64, burst: f64) -> Plan {
-    Plan {
-        windowed: false,
+fn plan(rate: f64, burst: f64) -> PlanSettings {
+    PlanSettings {
+        is_windowed: false,
         rate,
         burst,
         price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
-        open: 0,
+        overage_value: 0.0,
+        overage_cost: 1.0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
@@ -720,30 +731,30 @@
 
 fn base() -> Settings {
     let groups = vec![
-        group(Semantics::Repeatable, RepeatGroup::All, 500.0, 1.0),
-        group(Semantics::Keyed, RepeatGroup::Zone, 800.0, 2.0),
-        group(Semantics::Keyed, RepeatGroup::Cell, 300.0, 0.5),
-        group(Semantics::Mutating, RepeatGroup::All, 600.0, 1.5),
+        group(Semantics::Idempotent, RepeatGroup::All, 500.0, 1.0),
+        group(Semantics::Deduplicated, RepeatGroup::Zone, 800.0, 2.0),
+        group(Semantics::Deduplicated, RepeatGroup::Cell, 300.0, 0.5),
+        group(Semantics::NonIdempotent, RepeatGroup::All, 600.0, 1.5),
     ];
-    let ceiling = Plan {
+    let ceiling = PlanSettings {
         ceiling_rate: 9.0,
         ceiling_burst: 18.0,
         ..plan(4.0, 8.0)
     };
-    let overdraft = Plan {
-        over_worth: 0.8,
-        over_cost: 0.2,
+    let overdraft = PlanSettings {
+        overage_value: 0.8,
+        overage_cost: 0.2,
         ceiling_rate: 60.0,
         ceiling_burst: 50.0,
         ..plan(6.0, 6.0)
     };
-    let limited = Plan {
-        open: 5,
+    let limited = PlanSettings {
+        max_in_flight: 5,
         price: 2.0,
         ..plan(20.0, 40.0)
     };
-    let windowed = Plan {
-        windowed: true,
+    let windowed = PlanSettings {
+        is_windowed: true,
         ..plan(8.0, 8.0)
     };
     Settings {
@@ -758,9 +769,9 @@
             plan(0.5, 1.5),
         ],
         cross_zone_price: 0.02,
-        units_top: 2.0,
+        max_units: 2.0,
         max_retry_after: 900.0,
-        ..common::settings(Semantics::Repeatable, RepeatGroup::All)
+        ..common::settings(Semantics::Idempotent, RepeatGroup::All)
     }
 }
 
@@ -781,7 +792,7 @@
     Script {
         settings: Settings {
             instances: 3,
-            cost_after: true,
+            cost_known_after: true,
             ..base()
         },
         seconds: 45,
@@ -802,14 +813,14 @@
 fn no_counter() -> Script {
     let settings = Settings {
         instances: 1,
-        counter: false,
-        counter_wait: 0.0,
+        has_counter: false,
+        counter_timeout: 0.0,
         may_cancel: false,
-        retry_after: false,
-        reports: ReportsVia::Probes,
-        discovery_asks: true,
-        send_cap: 2,
-        cold_time: 4000.0,
+        sends_retry_after: false,
+        load_reports: LoadReportChannel::Probes,
+        polls_discovery: true,
+        max_attempts: 2,
+        slow_start_time: 4000.0,
         ..base()
     };
     Script {
@@ -831,9 +842,9 @@
 fn overload() -> Script {
     Script {
         settings: Settings {
-            cold_time: 4000.0,
-            fall_multiple: 2.0,
-            send_cap: 3,
+            slow_start_time: 4000.0,
+            collapse_multiple: 2.0,
+            max_attempts: 3,
             ..base()
         },
         seconds: 30,
@@ -853,9 +864,9 @@
 fn large_fleet(counter: fn(u64) -> Counter) -> Script {
     let settings = Settings {
         instances: 40,
-        may_tell: true,
-        load_values: vec![LoadValue::Unknown, LoadValue::CpuShare],
-        peer_in_per_s: 60.0,
+        may_send_datagrams: true,
+        load_values: vec![LoadValue::Unknown, LoadValue::CpuUtilization],
+        peer_datagrams_per_second: 60.0,
         ..base()
     };
     Script {
--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -6,7 +6,7 @@
 use crate::clock::duration_from_millis;
 use crate::server_list::{LocationNames, ServerList, ServerListError};
 use aspendrum_core::api::Settings;
-use aspendrum_core::settings::{self, MS};
+use aspendrum_core::settings::{self, MILLIS_PER_SECOND};
 use derive_more::{Display, Error};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -179,8 +179,8 @@
         };
         let known_servers = known_servers(&root, &location_names)?;
         let address_if = |is_used: bool, key| is_used.then(|| address(&root, key)).transpose();
-        let counter = address_if(settings.counter, "counter")?;
-        let has_peers = settings.may_tell && root.get("peer_listen").is_some();
+        let counter = address_if(settings.has_counter, "counter")?;
+        let has_peers = settings.may_send_datagrams && root.get("peer_listen").is_some();
         let peers = if has_peers {
             peer_addresses(&root)?
         } else {
@@ -359,6 +359,6 @@
         value: format!("{value:?}"),
     };
     seconds
-        .map(|seconds| duration_from_millis(seconds * MS))
+        .map(|seconds| duration_from_millis(seconds * MILLIS_PER_SECOND))
         .ok_or_else(out_of_range)
 }
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -8,7 +8,7 @@
 
 use crate::dispatcher_handle::DispatcherHandle;
 use crate::limits::Limits;
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_net::mailbox::{self, MailboxReceiver, MailboxSender};
 use aspendrum_net::threads::spawn;
 use connection::{Call, CounterConnection};
@@ -73,7 +73,7 @@
 
     /// Adds `amount` to the total of that name, which expires after `ttl` if it is new. The outcome is reported to the
     /// dispatcher, in the order of the calls of that name.
-    pub fn add(&self, name: u64, amount: f32, ttl: Ms) {
+    pub fn add(&self, name: u64, amount: f32, ttl: Millis) {
         let index = name as usize % self.connections.len().max(1);
         let Some(connection) = self.connections.get(index) else {
             return;
--- a/crates/aspendrum/src/counter/connection.rs
+++ b/crates/aspendrum/src/counter/connection.rs
@@ -9,7 +9,7 @@
 use crate::dispatcher_handle::DispatcherHandle;
 use crate::event::DispatcherEvent;
 use crate::limits::Limits;
-use aspendrum_core::api::{Event, Ms, Outcome};
+use aspendrum_core::api::{Event, Millis, Outcome};
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_net::threads::{lock, spawn};
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
     /// The total's name.
     pub(super) name: u64,
     pub(super) amount: f32,
-    pub(super) ttl: Ms,
+    pub(super) ttl: Millis,
     pub(super) called_at: Instant,
 }
 
@@ -314,7 +314,7 @@
         total: f32,
     ) {
         let rtt = millis_from_duration(called_at.elapsed());
-        undelivered.push_back(DispatcherEvent::Core(Event::Counted {
+        undelivered.push_back(DispatcherEvent::Engine(Event::CounterReplied {
             name,
             outcome,
             total,
@@ -374,7 +374,7 @@
                     (Outcome::TimedOut, 0.0)
                 }
                 CounterReply::Total(total) => (Outcome::Ok, total),
-                CounterReply::Rejected => (Outcome::Full, 0.0),
+                CounterReply::Rejected => (Outcome::Rejected, 0.0),
             };
             if !call.is_reported {
                 self.report(
--- a/crates/aspendrum/src/counter/resp.rs
+++ b/crates/aspendrum/src/counter/resp.rs
@@ -1,6 +1,6 @@
 //! The counter's protocol, RESP2 (the Redis serialization protocol): calls out, replies in.
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_net::ring_buffer::RingBuffer;
 use std::io::Write;
 
@@ -30,7 +30,7 @@
 }
 
 /// Writes a call that adds `amount` to the total of that name, which expires after `ttl` if it is new.
-pub fn write_add(out: &mut impl Write, name: u64, amount: f32, ttl: Ms) {
+pub fn write_add(out: &mut impl Write, name: u64, amount: f32, ttl: Millis) {
     let name = name.to_string();
     let amount = amount.to_string();
     let ttl = (ttl.ceil().max(1.0) as u64).to_string();
--- a/crates/aspendrum/src/discovery.rs
+++ b/crates/aspendrum/src/discovery.rs
@@ -8,7 +8,7 @@
 pub(crate) use endpoint::DiscoveryEndpoint;
 
 use crate::event::DispatcherEvent;
-use crate::server_list::ServerList;
+use crate::server_list::{ListedServer, ServerList};
 use crate::state::LimiterState;
 use aspendrum_core::api::{Health, ListKind};
 use std::collections::HashSet;
@@ -17,18 +17,22 @@
 /// known.
 pub(crate) fn publish(state: &LimiterState, kind: ListKind, list: ServerList) {
     let mut listed = HashSet::new();
-    for (member, address) in &list.entries {
-        if let Some(address) = address.filter(|_| member.health != Health::Gone) {
-            listed.insert(member.server);
-            state.pool.set_address(member.server, address);
+    for ListedServer { entry, address } in &list.entries {
+        if let Some(address) = address.filter(|_| entry.health != Health::Removed) {
+            listed.insert(entry.server);
+            state.pool.set_address(entry.server, address);
         } else {
-            state.pool.forget(member.server);
+            state.pool.forget(entry.server);
         }
     }
     if list.is_complete {
         state.pool.retain(&listed);
     }
-    let entries = list.entries.into_iter().map(|(member, _)| member).collect();
+    let entries = list
+        .entries
+        .into_iter()
+        .map(|listed| listed.entry)
+        .collect();
     let version = list.version as u32;
     state.dispatcher.send(DispatcherEvent::Servers {
         list: kind,
--- a/crates/aspendrum/src/dispatcher.rs
+++ b/crates/aspendrum/src/dispatcher.rs
@@ -11,8 +11,10 @@
 use crate::health_check::start_health_check;
 use crate::peers::PeerSocket;
 use crate::state::LimiterState;
-use aspendrum_core::api::{Action, Event, Load, Ms, Outcome, QueryId, ServerId, Settings};
-use aspendrum_core::control::Control;
+use aspendrum_core::api::{
+    Action, Event, LoadReport, Millis, Outcome, RequestId, ServerId, Settings,
+};
+use aspendrum_core::engine::DecisionEngine;
 use aspendrum_net::disconnect_metrics::{DisconnectReporter, REACTION_DEADLINE};
 use aspendrum_net::disconnects::ClientConnection;
 use aspendrum_net::forward::{ForwardStage, Progress};
@@ -36,15 +38,15 @@
 
 /// The dispatcher's state.
 pub(crate) struct Dispatcher {
-    core: Control,
+    engine: DecisionEngine,
     state: Arc<LimiterState>,
     services: Services,
-    requests: HashMap<QueryId, PendingRequest>,
+    requests: HashMap<RequestId, PendingRequest>,
     timers: Timers,
     /// What the core returned and is still to be carried out; kept for its allocation.
     actions: Vec<Action>,
     /// Requests whose threads take no decision any more. The core hears of it after the event in progress.
-    abandoned: Vec<QueryId>,
+    abandoned: Vec<RequestId>,
     last_expiry: Instant,
     disconnect_reporter: DisconnectReporter,
 }
@@ -57,9 +59,10 @@
         services: Services,
     ) -> Dispatcher {
         let mut actions = Vec::new();
-        let core = Control::new(state.dispatcher.clock.now(), seed, settings, &mut actions);
+        let engine =
+            DecisionEngine::new(state.dispatcher.clock.now(), seed, settings, &mut actions);
         Dispatcher {
-            core,
+            engine,
             state,
             services,
             requests: HashMap::new(),
@@ -91,7 +94,7 @@
         }
     }
 
-    fn now(&self) -> Ms {
+    fn now(&self) -> Millis {
         self.state.dispatcher.clock.now()
     }
 
@@ -104,25 +107,25 @@
             } => {
                 self.requests
                     .insert(request.id, PendingRequest::new(decisions, forward));
-                self.notify_core(&Event::Query(request));
+                self.notify_engine(&Event::Request(request));
             }
             DispatcherEvent::ClientDisconnected { id } => self.handle_disconnect(id),
             DispatcherEvent::AttemptEnded(end) => self.handle_attempt_end(&end),
             DispatcherEvent::Abandoned { id } => self.handle_abandoned(id),
-            DispatcherEvent::Core(event) => self.notify_core(&event),
+            DispatcherEvent::Engine(event) => self.notify_engine(&event),
             DispatcherEvent::Servers {
                 list,
                 version,
                 entries,
             } => {
-                self.notify_core(&Event::Members {
+                self.notify_engine(&Event::ServerList {
                     list,
                     version,
                     entries: &entries,
                 });
             }
             DispatcherEvent::PeerDatagram { from, data } => {
-                self.notify_core(&Event::PeerSaid { from, data: &data });
+                self.notify_engine(&Event::DatagramReceived { from, data: &data });
             }
             DispatcherEvent::CounterMoved { to } => {
                 if let Some(counter) = &mut self.services.counter {
@@ -134,12 +137,12 @@
     }
 
     /// Passes an event to the decision core, and carries out what it returns.
-    fn notify_core(&mut self, event: &Event<'_>) {
-        self.core.handle(self.now(), event, &mut self.actions);
+    fn notify_engine(&mut self, event: &Event<'_>) {
+        self.engine.handle(self.now(), event, &mut self.actions);
         self.carry_out_actions();
     }
 
-    fn handle_disconnect(&mut self, id: QueryId) {
+    fn handle_disconnect(&mut self, id: RequestId) {
         let Some(request) = self
             .requests
             .get_mut(&id)
@@ -150,18 +153,18 @@
         request.is_finished = true;
         // While an attempt is in flight, the request's thread reads this after its end.
         let _ = request.decisions.try_send(RequestDecision::ClientGone);
-        self.notify_core(&Event::ClientLeft { id });
+        self.notify_engine(&Event::ClientDisconnected { id });
         self.forget_if_done(id);
     }
 
     /// The request's thread reads no decision any more.
-    fn handle_abandoned(&mut self, id: QueryId) {
+    fn handle_abandoned(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         let in_flight = request.in_flight.take();
         if !std::mem::replace(&mut request.is_finished, true) {
-            self.notify_core(&Event::ClientLeft { id });
+            self.notify_engine(&Event::ClientDisconnected { id });
         }
         match in_flight {
             // An attempt that no thread started never ran.
@@ -169,10 +172,10 @@
                 id,
                 attempt: number,
                 server,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 rtt: 0.0,
                 charged: 0,
-                load: Load::default(),
+                load: LoadReport::default(),
             }),
             None => self.forget_if_done(id),
         }
@@ -185,23 +188,23 @@
         };
         request.in_flight = None;
         request.is_finished |= end.outcome == Outcome::Ok;
-        let event = Event::ForwardEnded {
+        let event = Event::AttemptEnded {
             id,
             forward: end.attempt,
             server: end.server,
             outcome: end.outcome,
             rtt: end.rtt,
-            over: request.is_finished,
-            used: 0,
-            actual: end.charged,
+            is_final: request.is_finished,
+            metered: 0,
+            actual_units: end.charged,
             load: end.load,
         };
-        self.notify_core(&event);
+        self.notify_engine(&event);
         self.forget_if_done(id);
     }
 
     /// Forgets a request once it is finished and no attempt is in flight.
-    fn forget_if_done(&mut self, id: QueryId) {
+    fn forget_if_done(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(PendingRequest::is_done) {
             self.requests.remove(&id);
         }
@@ -213,7 +216,7 @@
             if let Some(counter) = &mut self.services.counter {
                 counter.expire();
             }
-            self.notify_core(&Event::Timer { token });
+            self.notify_engine(&Event::Timer { token });
         }
         if self.state.disconnect_watcher.is_due() {
             self.check_disconnects();
@@ -306,22 +309,22 @@
                     request.forward.cancel_up_to(forward);
                 }
             }
-            Action::Count { name, add, ttl } => {
+            Action::AddToCounter { name, units, ttl } => {
                 if let Some(counter) = &self.services.counter {
-                    counter.add(name, add, ttl);
+                    counter.add(name, units, ttl);
                 }
             }
             Action::Probe { server } => start_health_check(&self.state, server),
-            Action::Close { server } => self.state.pool.close_idle(server),
+            Action::CloseConnections { server } => self.state.pool.close_idle(server),
             Action::Timer { token, wait } => self.timers.add(self.now() + wait.max(0.0), token),
             // A full channel holds the same request already.
-            Action::Fetch => drop(self.services.discovery.try_send(DiscoveryRequest::Fetch)),
-            Action::Watch { on } => drop(
+            Action::FetchServers => drop(self.services.discovery.try_send(DiscoveryRequest::Fetch)),
+            Action::WatchServers { on } => drop(
                 self.services
                     .discovery
                     .try_send(DiscoveryRequest::Watch(on)),
             ),
-            Action::Tell { to, data } => {
+            Action::SendDatagram { to, data } => {
                 if let Some(peers) = &self.services.peers {
                     peers.send(to, &data);
                 }
@@ -331,7 +334,7 @@
         }
     }
 
-    fn forward(&mut self, id: QueryId, server: ServerId, timeout: Ms) {
+    fn forward(&mut self, id: RequestId, server: ServerId, timeout: Millis) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -350,7 +353,7 @@
         }
     }
 
-    fn finish(&mut self, id: QueryId, decision: RequestDecision) {
+    fn finish(&mut self, id: RequestId, decision: RequestDecision) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
--- a/crates/aspendrum/src/dispatcher/timers.rs
+++ b/crates/aspendrum/src/dispatcher/timers.rs
@@ -1,6 +1,6 @@
 //! The decision core's timers.
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -18,20 +18,20 @@
 pub(super) struct Timers(BinaryHeap<Reverse<Timer>>);
 
 impl Timers {
-    pub(super) fn add(&mut self, due: Ms, token: u32) {
+    pub(super) fn add(&mut self, due: Millis, token: u32) {
         let due_us = (due * MICROSECONDS_PER_MILLISECOND) as u64;
         self.0.push(Reverse(Timer { due_us, token }));
     }
 
     /// When the first timer is due.
-    pub(super) fn next_due(&self) -> Option<Ms> {
+    pub(super) fn next_due(&self) -> Option<Millis> {
         self.0
             .peek()
             .map(|Reverse(timer)| timer.due_us as f64 / MICROSECONDS_PER_MILLISECOND)
     }
 
     /// Removes the first timer if it is due, and returns its token.
-    pub(super) fn pop_due(&mut self, now: Ms) -> Option<u32> {
+    pub(super) fn pop_due(&mut self, now: Millis) -> Option<u32> {
         let now_us = (now * MICROSECONDS_PER_MILLISECOND) as u64;
         let Reverse(timer) = self
             .0
--- a/crates/aspendrum/src/dispatcher_handle.rs
+++ b/crates/aspendrum/src/dispatcher_handle.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::event::DispatcherEvent;
-use aspendrum_core::api::QueryId;
+use aspendrum_core::api::RequestId;
 use aspendrum_net::mailbox::MailboxSender;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
@@ -26,7 +26,7 @@
     }
 
     /// The id of a new request.
-    pub(crate) fn next_request_id(&self) -> QueryId {
+    pub(crate) fn next_request_id(&self) -> RequestId {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
--- a/crates/aspendrum/src/event.rs
+++ b/crates/aspendrum/src/event.rs
@@ -1,7 +1,7 @@
 //! The messages between the dispatcher and the limiter's other threads.
 
 use aspendrum_core::api::{
-    Event, ListKind, Load, Member, Ms, NewQuery, Outcome, QueryId, ServerId,
+    Event, ListKind, LoadReport, Millis, NewRequest, Outcome, RequestId, ServerEntry, ServerId,
 };
 use aspendrum_net::forward::ForwardHandle;
 use aspendrum_net::mailbox::MailboxSender;
@@ -13,7 +13,7 @@
     /// A request was read.
     Request {
         /// What the decision core needs to know of it.
-        request: NewQuery,
+        request: NewRequest,
         /// Where its decisions are sent.
         decisions: MailboxSender<RequestDecision>,
         /// The means to cancel its attempts.
@@ -22,17 +22,17 @@
     /// The client disconnected while its request was in progress.
     ClientDisconnected {
         /// The request.
-        id: QueryId,
+        id: RequestId,
     },
     /// The attempt in flight has ended.
     AttemptEnded(AttemptEnd),
     /// The request has its response without a decision; no further decision is read.
     Abandoned {
         /// The request.
-        id: QueryId,
+        id: RequestId,
     },
     /// An event that goes to the decision core unchanged.
-    Core(Event<'static>),
+    Engine(Event<'static>),
     /// Discovery's list, or that there is none.
     Servers {
         /// What the list is.
@@ -40,7 +40,7 @@
         /// Its version.
         version: u32,
         /// Its servers.
-        entries: Vec<Member>,
+        entries: Vec<ServerEntry>,
     },
     /// A datagram of another limiter.
     PeerDatagram {
@@ -61,7 +61,7 @@
 /// How an attempt to run a request at a server ended.
 pub struct AttemptEnd {
     /// The request.
-    pub id: QueryId,
+    pub id: RequestId,
     /// The attempt's number.
     pub attempt: u8,
     /// The server.
@@ -69,11 +69,11 @@
     /// The outcome.
     pub outcome: Outcome,
     /// How long the attempt took.
-    pub rtt: Ms,
+    pub rtt: Millis,
     /// Units that the server charged.
     pub charged: u16,
     /// The load that the server reported.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 /// What the dispatcher decides for a request. One of the last three ends it.
@@ -85,12 +85,12 @@
         /// The server.
         server: ServerId,
         /// How long the attempt may take; the client's deadline, if there is none.
-        timeout: Option<Ms>,
+        timeout: Option<Millis>,
     },
     /// Reject it: it did not run.
     Shed {
         /// After how long the client may retry.
-        retry_after: Option<Ms>,
+        retry_after: Option<Millis>,
     },
     /// Give it up: it may have run.
     Drop,
--- a/crates/aspendrum/src/http.rs
+++ b/crates/aspendrum/src/http.rs
@@ -38,6 +38,6 @@
 impl MessageSchema {
     /// Whether the requests of that group may run any number of times.
     pub(crate) fn is_idempotent(&self, group: u16) -> bool {
-        self.semantics.get(usize::from(group)) == Some(&Semantics::Repeatable)
+        self.semantics.get(usize::from(group)) == Some(&Semantics::Idempotent)
     }
 }
--- a/crates/aspendrum/src/http/fields.rs
+++ b/crates/aspendrum/src/http/fields.rs
@@ -1,6 +1,6 @@
 //! The header fields of requests: their names, and how their values are read.
 
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 
 /// The client's id of a transaction.
 pub(super) const TRANSACTION: &str = "X-Txn";
@@ -50,7 +50,7 @@
 /// Tenants are numbers below this, written with [`TENANT_DIGITS`] hexadecimal digits.
 const TENANTS: u64 = 1 << 33;
 const TENANT_DIGITS: usize = 16;
-const MAX_REMAINING: Ms = 3_600_000.0;
+const MAX_REMAINING: Millis = 3_600_000.0;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
 pub(super) fn has_duplicate_field(headers: &[httparse::Header<'_>]) -> bool {
@@ -91,7 +91,7 @@
 }
 
 /// A time with its unit: `m` for milliseconds, `u` for microseconds.
-pub(super) fn remaining_time(text: &str) -> Option<Ms> {
+pub(super) fn remaining_time(text: &str) -> Option<Millis> {
     let millis = match text.as_bytes().last()? {
         b'm' => number(&text[..text.len() - 1])?,
         b'u' => number(&text[..text.len() - 1])? / MICROSECONDS_PER_MILLISECOND,
@@ -104,9 +104,9 @@
 pub(super) struct QuotaShare {
     pub(super) units: f64,
     /// How many limiters share the quota.
-    pub(super) spread: f64,
+    pub(super) instances: f64,
     /// The number of the first of them.
-    pub(super) first: f64,
+    pub(super) first_instance: f64,
 }
 
 impl QuotaShare {
@@ -124,18 +124,19 @@
                 return None;
             }
         }
-        let [units, spread, first] = values;
+        let [units, instances, first_instance] = values;
         Some(QuotaShare {
             units: units?,
-            spread: spread?,
-            first: first?,
+            instances: instances?,
+            first_instance: first_instance?,
         })
     }
 
     /// Whether such a set of limiters exists, and a request may take so many units.
     pub(super) fn is_valid(&self, limiters: f64, max_units: f64) -> bool {
-        let is_set = self.spread >= 1.0 && self.spread <= limiters && self.first < limiters;
-        let is_whole = self.spread.fract() == 0.0 && self.first.fract() == 0.0;
+        let is_set =
+            self.instances >= 1.0 && self.instances <= limiters && self.first_instance < limiters;
+        let is_whole = self.instances.fract() == 0.0 && self.first_instance.fract() == 0.0;
         is_set && is_whole && self.units > 0.0 && self.units <= max_units
     }
 }
--- a/crates/aspendrum/src/http/forwarded.rs
+++ b/crates/aspendrum/src/http/forwarded.rs
@@ -2,7 +2,7 @@
 
 use super::fields::REMAINING;
 use super::request::ClientRequest;
-use aspendrum_core::api::Ms;
+use aspendrum_core::api::Millis;
 use aspendrum_net::ring_buffer::RingBuffer;
 use std::io::Write;
 
@@ -17,7 +17,7 @@
 impl ClientRequest {
     /// Writes the request as it is forwarded, with the time that its client still waits. Returns false if the buffer is too
     /// small.
-    pub fn write_forwarded(&self, remaining: Ms, out: &mut RingBuffer) -> bool {
+    pub fn write_forwarded(&self, remaining: Millis, out: &mut RingBuffer) -> bool {
         let remaining_us = (remaining * MICROSECONDS_PER_MILLISECOND).max(1.0) as u64;
         let body_bytes = self.body.len();
         let has_length = body_bytes > 0 || self.is_write;
--- a/crates/aspendrum/src/http/request.rs
+++ b/crates/aspendrum/src/http/request.rs
@@ -9,7 +9,7 @@
 };
 use super::MessageSchema;
 use crate::limits::MAX_HEADERS;
-use aspendrum_core::api::{Ms, Semantics};
+use aspendrum_core::api::{Millis, Semantics};
 use aspendrum_net::http1::{
     body_length, header, raw_header, wants_close, BodyLength, MessageLimits, Parsed,
 };
@@ -41,13 +41,13 @@
     /// Its tenant.
     pub tenant: u64,
     /// The time until its client gives up.
-    pub remaining: Ms,
+    pub remaining: Millis,
     /// The units that it takes.
     pub units: f32,
     /// How many limiters share the tenant's quota.
-    pub spread: f32,
+    pub instances: f32,
     /// The number of the first of them.
-    pub first: f32,
+    pub first_instance: f32,
     /// Whether the client sent it before.
     pub is_retry: bool,
     /// Whether it may change something: its method is not GET.
@@ -150,8 +150,8 @@
         tenant: tenant(headers)?,
         remaining: remaining_time(header(headers, REMAINING)?)?,
         units: quota.units as f32,
-        spread: quota.spread as f32,
-        first: quota.first as f32,
+        instances: quota.instances as f32,
+        first_instance: quota.first_instance as f32,
         is_retry: header(headers, RESENT) == Some("1"),
         is_write: method != "GET",
         close: wants_close(headers, head.version),
@@ -169,11 +169,11 @@
     body: &[u8],
 ) -> bool {
     match semantics {
-        Semantics::Repeatable => method == "GET" && body.is_empty(),
-        Semantics::Keyed => {
+        Semantics::Idempotent => method == "GET" && body.is_empty(),
+        Semantics::Deduplicated => {
             method == "POST" && header(headers, IDEMPOTENCY_KEY).is_some_and(|key| !key.is_empty())
         }
-        Semantics::Mutating => method != "GET",
+        Semantics::NonIdempotent => method != "GET",
     }
 }
 
--- a/crates/aspendrum/src/http/response.rs
+++ b/crates/aspendrum/src/http/response.rs
@@ -1,8 +1,8 @@
 //! The limiter's responses to clients.
 
 use super::status::reason_phrase;
-use aspendrum_core::api::Ms;
-use aspendrum_core::settings::MS;
+use aspendrum_core::api::Millis;
+use aspendrum_core::settings::MILLIS_PER_SECOND;
 use aspendrum_net::ring_buffer::RingBuffer;
 use std::io::Write;
 
@@ -12,7 +12,7 @@
     /// The status code.
     pub status: u16,
     /// After how long the client may retry.
-    pub retry_after: Option<Ms>,
+    pub retry_after: Option<Millis>,
     /// Whether the connection is closed after it.
     pub close: bool,
     /// The type of the body, or nothing.
@@ -55,8 +55,8 @@
     }
 
     fn write_fields(&self, out: &mut RingBuffer) -> bool {
-        let write_retry_after = |out: &mut RingBuffer, time: Ms| {
-            write!(out, "Retry-After: {:.3}\r\n", time / MS).is_ok()
+        let write_retry_after = |out: &mut RingBuffer, time: Millis| {
+            write!(out, "Retry-After: {:.3}\r\n", time / MILLIS_PER_SECOND).is_ok()
         };
         self.retry_after
             .is_none_or(|time| write_retry_after(out, time))
--- a/crates/aspendrum/src/http/server_response.rs
+++ b/crates/aspendrum/src/http/server_response.rs
@@ -8,7 +8,7 @@
 };
 use super::MessageSchema;
 use crate::limits::MAX_HEADERS;
-use aspendrum_core::api::{Load, Outcome};
+use aspendrum_core::api::{LoadReport, Outcome};
 use aspendrum_net::http1::{
     body_length, header, parse_chunked, raw_header, wants_close, BodyLength, MessageLimits, Parsed,
 };
@@ -32,7 +32,7 @@
     /// The units that the request took, if the server says so.
     pub charged: Option<f32>,
     /// The server's load.
-    pub load: Load,
+    pub load: LoadReport,
     /// The type of the body, or nothing.
     pub content_type: Vec<u8>,
     /// The body, without any framing.
@@ -44,7 +44,7 @@
     pub(crate) fn outcome(&self) -> Outcome {
         match self.status {
             OK => Outcome::Ok,
-            SERVICE_UNAVAILABLE | GATEWAY_TIMEOUT if self.is_rejected => Outcome::Full,
+            SERVICE_UNAVAILABLE | GATEWAY_TIMEOUT if self.is_rejected => Outcome::Rejected,
             _ => Outcome::Error,
         }
     }
@@ -53,7 +53,7 @@
     pub(crate) fn health_check_outcome(&self) -> Outcome {
         match self.status {
             OK => Outcome::Ok,
-            SERVICE_UNAVAILABLE => Outcome::Full,
+            SERVICE_UNAVAILABLE => Outcome::Rejected,
             _ => Outcome::Error,
         }
     }
--- a/crates/aspendrum/src/limiter.rs
+++ b/crates/aspendrum/src/limiter.rs
@@ -191,7 +191,7 @@
             .map(|group| group.semantics)
             .collect(),
         limiters: f64::from(settings.instances),
-        max_units: settings.units_top,
+        max_units: settings.max_units,
         load_values: settings.load_values.clone(),
     }
 }
@@ -233,7 +233,7 @@
         endpoint,
         location_names: config.location_names,
         requests,
-        is_on_request: config.settings.discovery_asks,
+        is_on_request: config.settings.polls_discovery,
         known_version: config.known_servers.version,
         knows_servers: !config.known_servers.entries.is_empty(),
         backoff: Backoff::new(limits.initial_backoff, limits.max_backoff, config.seed),
--- a/crates/aspendrum/src/limits.rs
+++ b/crates/aspendrum/src/limits.rs
@@ -188,7 +188,7 @@
             counter: CounterLimits {
                 connections: 2,
                 max_queued: 1024,
-                timeout: duration_from_millis(config.settings.counter_wait),
+                timeout: duration_from_millis(config.settings.counter_timeout),
                 idle_timeout: Duration::from_millis(2000),
                 silence_timeout: Duration::from_millis(1000),
             },
@@ -265,7 +265,7 @@
 impl DiscoveryLimits {
     fn new(config: &Config) -> DiscoveryLimits {
         let settings = &config.settings;
-        let (initial_backoff, max_backoff) = if settings.discovery_asks {
+        let (initial_backoff, max_backoff) = if settings.polls_discovery {
             let fleet_share = DISCOVERY_SHARE.mul_f64(f64::from(settings.instances));
             (
                 LOCAL_DISCOVERY_BACKOFF.max(fleet_share),
@@ -274,8 +274,8 @@
         } else {
             (LOCAL_DISCOVERY_BACKOFF, LOCAL_DISCOVERY_BACKOFF)
         };
-        let has_deadline = settings.must_ask_in > 0.0;
-        let deadline = duration_from_millis(settings.must_ask_in);
+        let has_deadline = settings.discovery_poll_limit > 0.0;
+        let deadline = duration_from_millis(settings.discovery_poll_limit);
         DiscoveryLimits {
             watch_hold: Duration::from_millis(5000),
             response_timeout: Duration::from_millis(1000),
--- a/crates/aspendrum/src/main.rs
+++ b/crates/aspendrum/src/main.rs
@@ -96,8 +96,8 @@
     while signals.wait() == SignalRequest::Reload {
         // Read and checked completely, as at the start: a faulty file changes nothing.
         match reload(source, &limiter) {
-            Ok(()) => tracing::info!("the configuration was reloaded"),
-            Err(error) => tracing::error!(why = %error, "the configuration was not reloaded"),
+            Ok(()) => tracing::info!("the configuration is read again"),
+            Err(error) => tracing::error!(why = %error, "the configuration stays as it was"),
         }
     }
     limiter.drain();
--- a/crates/aspendrum/src/request_handler.rs
+++ b/crates/aspendrum/src/request_handler.rs
@@ -9,7 +9,7 @@
 use crate::http::status::{GATEWAY_TIMEOUT, OK, SERVICE_UNAVAILABLE};
 use crate::http::{ClientRequest, OwnResponse, ServerResponse};
 use crate::state::LimiterState;
-use aspendrum_core::api::{Load, Ms, NewQuery, Outcome, QueryId, ServerId};
+use aspendrum_core::api::{LoadReport, Millis, NewRequest, Outcome, RequestId, ServerId};
 use aspendrum_net::connection::Connection;
 use aspendrum_net::forward::{ForwardHandle, ForwardStage, RequestKind};
 use aspendrum_net::mailbox::{self, MailboxReceiver};
@@ -21,7 +21,7 @@
     state: &'r LimiterState,
     session: &'r ClientSession,
     request: &'r ClientRequest,
-    id: QueryId,
+    id: RequestId,
     /// When its client gives up.
     deadline: Instant,
     forward: Arc<ForwardHandle>,
@@ -42,7 +42,7 @@
         state: &'r LimiterState,
         session: &'r ClientSession,
         request: &'r ClientRequest,
-        id: QueryId,
+        id: RequestId,
         read_at: Instant,
     ) -> RequestHandler<'r> {
         let is_idempotent = state.schema.is_idempotent(request.group);
@@ -117,21 +117,21 @@
         (decisions, is_submitted)
     }
 
-    fn new_query(&self) -> NewQuery {
-        NewQuery {
+    fn new_query(&self) -> NewRequest {
+        NewRequest {
             id: self.id,
             group: self.request.group,
-            until: self.state.dispatcher.clock.time_at(self.deadline),
-            acct: self.request.tenant,
+            deadline: self.state.dispatcher.clock.time_at(self.deadline),
+            tenant: self.request.tenant,
             plan: self.request.plan,
-            spread: self.request.spread,
+            instances: self.request.instances,
             units: self.request.units,
-            first: self.request.first,
-            client_repeat: self.request.is_retry,
-            write: self.request.is_write,
+            first_instance: self.request.first_instance,
+            is_client_retry: self.request.is_retry,
+            is_write: self.request.is_write,
             pool: 0,
-            zones: u64::MAX,
-            most: u8::MAX,
+            allowed_zones: u64::MAX,
+            max_attempts: u8::MAX,
         }
     }
 
@@ -148,7 +148,12 @@
     }
 
     /// Forwards the request to a server, and its response, if it is one, to the client.
-    fn forward_to(&mut self, attempt: u8, server: ServerId, timeout: Option<Ms>) -> AfterAttempt {
+    fn forward_to(
+        &mut self,
+        attempt: u8,
+        server: ServerId,
+        timeout: Option<Millis>,
+    ) -> AfterAttempt {
         let deadline_in =
             |timeout| (Instant::now() + duration_from_millis(timeout)).min(self.deadline);
         let deadline = timeout.map_or(self.deadline, deadline_in);
@@ -157,7 +162,7 @@
         let rtt = millis_from_duration(started_at.elapsed());
         let never_ran = matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         self.may_have_run |= !never_ran;
         let client_error = response
@@ -168,7 +173,7 @@
         }
         let load = response
             .as_ref()
-            .map_or(Load::default(), |response| response.load);
+            .map_or(LoadReport::default(), |response| response.load);
         let is_ok = outcome == Outcome::Ok;
         let charged = response
             .as_ref()
@@ -235,7 +240,7 @@
     ) -> (Outcome, Option<ServerResponse>) {
         let remaining = || deadline.saturating_duration_since(Instant::now());
         if remaining().is_zero() {
-            return (Outcome::Moot, None);
+            return (Outcome::NotSent, None);
         }
         let timeout = remaining().min(self.state.limits.servers.connect_timeout);
         // The handle gets the socket before it is connected: a request that is cancelled meanwhile must not wait for a
@@ -249,7 +254,14 @@
             Ok(connection) => connection,
             Err(outcome) => {
                 let is_cancelled = self.forward.end_attempt(attempt);
-                return (if is_cancelled { Outcome::Moot } else { outcome }, None);
+                return (
+                    if is_cancelled {
+                        Outcome::NotSent
+                    } else {
+                        outcome
+                    },
+                    None,
+                );
             }
         };
         let sent = self.send(attempt, &mut connection, millis_from_duration(remaining()));
@@ -268,7 +280,12 @@
         }
     }
 
-    fn send(&self, attempt: u8, connection: &mut Connection, remaining: Ms) -> Result<(), Outcome> {
+    fn send(
+        &self,
+        attempt: u8,
+        connection: &mut Connection,
+        remaining: Millis,
+    ) -> Result<(), Outcome> {
         let since_disconnect = self
             .session
             .connection
@@ -285,7 +302,7 @@
         let sent = if is_sent {
             connection.send()
         } else {
-            Err(Outcome::Moot)
+            Err(Outcome::NotSent)
         };
         self.forward.advance(attempt, ForwardStage::AtServer);
         sent
@@ -295,8 +312,8 @@
 fn failed_outcome(outcome: Outcome, is_cancelled: bool) -> Outcome {
     match outcome {
         // The last byte was not written, because the attempt was cancelled: no fault of the server's.
-        Outcome::ConnectFailed | Outcome::Moot if is_cancelled => Outcome::Moot,
-        Outcome::ConnectFailed | Outcome::Moot => outcome,
+        Outcome::ConnectFailed | Outcome::NotSent if is_cancelled => Outcome::NotSent,
+        Outcome::ConnectFailed | Outcome::NotSent => outcome,
         _ if is_cancelled => Outcome::Cancelled,
         _ => outcome,
     }
--- a/crates/aspendrum/src/server_list.rs
+++ b/crates/aspendrum/src/server_list.rs
@@ -1,6 +1,6 @@
 //! Lists of servers, as discovery and the configuration write them in JSON.
 
-use aspendrum_core::api::{Health, Member, Ms, ServerId};
+use aspendrum_core::api::{Health, Millis, ServerEntry, ServerId};
 use derive_more::{Display, Error};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -59,7 +59,12 @@
 }
 
 /// A server, and its address unless it is terminated.
-pub type ServerEntry = (Member, Option<SocketAddr>);
+pub struct ListedServer {
+    /// What the decision core needs to know of it.
+    pub entry: ServerEntry,
+    /// Its address.
+    pub address: Option<SocketAddr>,
+}
 
 /// A complete list of servers, or the changes since an earlier version.
 #[derive(Default)]
@@ -69,7 +74,7 @@
     /// Whether it names all servers. Otherwise it names those that changed.
     pub is_complete: bool,
     /// The servers.
-    pub entries: Vec<ServerEntry>,
+    pub entries: Vec<ListedServer>,
 }
 
 impl ServerList {
@@ -91,13 +96,13 @@
             .get("whole")
             .and_then(Value::as_bool)
             .ok_or(ServerListError::NoCompleteness)?;
-        let entry = |(index, host)| {
+        let listed = |(index, host)| {
             parse_entry(host, names).map_err(|source| ServerListError::Entry { index, source })
         };
         let entries = hosts
             .iter()
             .enumerate()
-            .map(entry)
+            .map(listed)
             .collect::<Result<_, _>>()?;
         Ok(ServerList {
             version,
@@ -107,31 +112,31 @@
     }
 }
 
-fn parse_entry(host: &Value, names: &LocationNames) -> Result<ServerEntry, ServerEntryError> {
+fn parse_entry(host: &Value, names: &LocationNames) -> Result<ListedServer, ServerEntryError> {
     let health = match text(host, "health")? {
         "in_service" => Health::Ready,
         "terminating" => Health::Draining,
-        "terminated" => Health::Gone,
+        "terminated" => Health::Removed,
         other => return Err(ServerEntryError::UnknownHealth(other.to_string())),
     };
     let address = text(host, "dial")
         .ok()
         .and_then(|address| address.parse().ok());
-    if address.is_none() && health != Health::Gone {
+    if address.is_none() && health != Health::Removed {
         return Err(ServerEntryError::NoAddress);
     }
-    let member = Member {
+    let entry = ServerEntry {
         server: server_id(text(host, "host")?),
         pool: 0,
-        far: 0.0,
+        distance_cost: 0.0,
         health,
         cell: number(host, "block").unwrap_or(0.0) as u16,
         zone: index_of(&names.zones, text(host, "site").unwrap_or("")),
-        size: number(host, "share").unwrap_or(1.0) as f32,
+        capacity: number(host, "share").unwrap_or(1.0) as f32,
         kind: index_of(&names.machine_kinds, text(host, "class").unwrap_or("")),
-        started: number(host, "born_ms")? as Ms,
+        started_at: number(host, "born_ms")? as Millis,
     };
-    Ok((member, address))
+    Ok(ListedServer { entry, address })
 }
 
 fn text<'v>(host: &'v Value, key: &'static str) -> Result<&'v str, ServerEntryError> {
--- a/crates/aspendrum/tests/suite/counter.rs
+++ b/crates/aspendrum/tests/suite/counter.rs
@@ -94,7 +94,7 @@
             self.counter.expire();
             let deadline = Instant::now() + Duration::from_millis(5);
             let event = self.events.recv_deadline(Some(deadline));
-            if let Ok(DispatcherEvent::Core(Event::Counted {
+            if let Ok(DispatcherEvent::Engine(Event::CounterReplied {
                 name,
                 outcome,
                 total,
--- a/crates/aspendrum/tests/suite/discovery.rs
+++ b/crates/aspendrum/tests/suite/discovery.rs
@@ -4,7 +4,7 @@
 use crate::support::configuration::config;
 use crate::support::fake_services::{counter, discovery, FakeServer, RESPONDS_OK};
 use crate::support::start;
-use aspendrum::server_list::{LocationNames, ServerList};
+use aspendrum::server_list::{ListedServer, LocationNames, ServerList};
 use aspendrum_core::api::Health;
 use serde_json::json;
 use std::thread;
@@ -34,18 +34,18 @@
          "health": "terminating", "share": 2.5, "born_ms": 1e12, "later": 7},
         {"host": "s-1", "health": "terminated", "born_ms": 0}]});
     let list = ServerList::parse(&json, &names).unwrap();
-    let (member, address) = list.entries[0];
+    let ListedServer { entry, address } = &list.entries[0];
     assert_eq!(
         (list.version, list.is_complete, list.entries.len()),
         (43, false, 2)
     );
     assert_eq!(
-        (member.health, member.zone, member.cell),
+        (entry.health, entry.zone, entry.cell),
         (Health::Draining, 1, 3)
     );
     assert_eq!(
-        (member.size, member.started, address),
+        (entry.capacity, entry.started_at, *address),
         (2.5, 1e12, "10.1.0.18:9000".parse().ok())
     );
-    assert_ne!(member.server, list.entries[1].0.server);
+    assert_ne!(entry.server, list.entries[1].entry.server);
 }
--- a/crates/aspendrum/tests/suite/http.rs
+++ b/crates/aspendrum/tests/suite/http.rs
@@ -27,12 +27,12 @@
         semantics: Vec::new(),
         limiters: 1.0,
         max_units: 1.0,
-        load_values: vec![LoadValue::CpuShare, LoadValue::Waiting],
+        load_values: vec![LoadValue::CpuUtilization, LoadValue::RequestsQueued],
     };
     let mut buffer = RingBuffer::new(8, 512);
     assert!(buffer.append(bytes));
     let parsed = match parse_server_response(&mut buffer, &schema, &Limits::new(&config).messages) {
-        Parsed::Complete(response) => Some((response.load.n, response.charged)),
+        Parsed::Complete(response) => Some((response.load.count, response.charged)),
         _ => None,
     };
     assert_eq!(parsed, expected);
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -16,7 +16,7 @@
 use aspendrum::limits::Limits;
 use aspendrum::peers::{PeerAddresses, PeerSocket};
 use aspendrum::server_list::{LocationNames, ServerList};
-use aspendrum_core::api::{Health, Load, LoadValue, Semantics};
+use aspendrum_core::api::{Health, LoadReport, LoadValue, Semantics};
 use aspendrum_net::mailbox;
 use aspendrum_net::ring_buffer::RingBuffer;
 use serde_json::{json, Value};
@@ -104,14 +104,18 @@
     MessageSchema {
         group_numbers: by_name(["look", "book", "pay"]),
         plan_numbers: HashMap::from([("free".to_string(), 0), ("team".to_string(), 1)]),
-        semantics: vec![Semantics::Repeatable, Semantics::Keyed, Semantics::Mutating],
+        semantics: vec![
+            Semantics::Idempotent,
+            Semantics::Deduplicated,
+            Semantics::NonIdempotent,
+        ],
         limiters: 3.0,
         max_units: 4.0,
         load_values: vec![
-            LoadValue::InHand,
-            LoadValue::Waiting,
-            LoadValue::CpuShare,
-            LoadValue::ServiceMs,
+            LoadValue::RequestsInFlight,
+            LoadValue::RequestsQueued,
+            LoadValue::CpuUtilization,
+            LoadValue::ServiceTimeMs,
         ],
     }
 }
@@ -218,7 +222,10 @@
         (get.group, get.plan, get.tenant, get.remaining),
         (0, 1, 0xb4d6_5521, 900.0)
     );
-    assert_eq!((get.units, get.spread, get.first), (1.5, 2.0, 1.0));
+    assert_eq!(
+        (get.units, get.instances, get.first_instance),
+        (1.5, 2.0, 1.0)
+    );
     assert_eq!((get.is_retry, get.is_write, get.close), (true, false, true));
     assert_eq!(get.transaction, b"9b1f000000000001");
     let (out, post) = forwarded("write");
@@ -230,7 +237,10 @@
         (post.group, post.plan, post.tenant, post.remaining),
         (1, 0, 1, 0.25)
     );
-    assert_eq!((post.units, post.spread, post.first), (4.0, 1.0, 0.0));
+    assert_eq!(
+        (post.units, post.instances, post.first_instance),
+        (4.0, 1.0, 0.0)
+    );
     assert_eq!(
         (post.is_retry, post.is_write, post.close),
         (false, true, false)
@@ -255,10 +265,10 @@
     assert_eq!(lines[1], bytes(REQUESTS, "load-report"));
 }
 
-fn load(values: &[f32]) -> Load {
-    let mut load = Load {
-        n: values.len() as u8,
-        ..Load::default()
+fn load(values: &[f32]) -> LoadReport {
+    let mut load = LoadReport {
+        count: values.len() as u8,
+        ..LoadReport::default()
     };
     load.values[..values.len()].copy_from_slice(values);
     load
@@ -293,12 +303,15 @@
         (refused.status, refused.is_rejected, refused.close),
         (503, true, true)
     );
-    assert_eq!((refused.charged, refused.load), (None, Load::default()));
+    assert_eq!(
+        (refused.charged, refused.load),
+        (None, LoadReport::default())
+    );
 }
 
 #[test]
 fn a_load_report_names_each_value_in_two_ways() {
-    let values = [LoadValue::AnsweredPerS, LoadValue::DroppedPerS];
+    let values = [LoadValue::ResponsesPerSecond, LoadValue::FailuresPerSecond];
     for body in ["qps=90,eps=2", "TEXT served_ps=90\nfailed_ps=2"] {
         assert_eq!(
             http::parse_load_report(body.as_bytes(), &values),
@@ -350,19 +363,21 @@
         panic!("{} entries", list.entries.len())
     };
     // A server's number is the FNV-1a hash of its name, the same at every limiter.
-    let numbers = [first, second, third].map(|(member, _)| member.server);
+    let numbers = [first, second, third].map(|listed| listed.entry.server);
     assert_eq!(numbers, [0x4cae_c46a, 0x189b_ada4, 0x1b9b_b25d]);
-    let health = [first, second, third].map(|(member, _)| member.health);
-    assert_eq!(health, [Health::Ready, Health::Draining, Health::Gone]);
-    let addresses = [first, second, third].map(|(_, address)| *address);
+    let health = [first, second, third].map(|listed| listed.entry.health);
+    assert_eq!(health, [Health::Ready, Health::Draining, Health::Removed]);
+    let addresses = [first, second, third].map(|listed| listed.address);
     let address = |text: &str| text.parse().ok();
     assert_eq!(
         addresses,
         [address("10.1.0.18:9000"), address("[::1]:9001"), None]
     );
-    let places = [first, second, third].map(|(member, _)| (member.zone, member.kind, member.cell));
+    let places = [first, second, third]
+        .map(|listed| (listed.entry.zone, listed.entry.kind, listed.entry.cell));
     assert_eq!(places, [(1, 1, 3), (0, 0, 0), (0, 0, 65_535)]);
-    let figures = [first, second, third].map(|(member, _)| (member.size, member.started));
+    let figures =
+        [first, second, third].map(|listed| (listed.entry.capacity, listed.entry.started_at));
     assert_eq!(figures, [(2.5, 1e12), (1.0, 0.0), (0.5, 7.5)]);
 }
 
@@ -462,13 +477,17 @@
     );
     assert_eq!(
         (
-            config.settings.me,
+            config.settings.instance,
             config.settings.instances,
             config.settings.zone
         ),
         (1, 3, 1)
     );
-    assert!(config.settings.may_tell && config.settings.counter && config.settings.discovery_asks);
+    assert!(
+        config.settings.may_send_datagrams
+            && config.settings.has_counter
+            && config.settings.polls_discovery
+    );
 }
 
 #[test]
