--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -6,7 +6,7 @@
 use crate::clock::duration_from_millis;
 use crate::server_list::{LocationNames, ServerList, ServerListError};
 use aspendrum_core::api::Settings;
-use aspendrum_core::settings::{self, MILLIS_PER_SECOND};
+use aspendrum_core::settings::{self, SettingsError, MILLIS_PER_SECOND};
 use derive_more::{Display, Error};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -57,7 +57,7 @@
     Missing(#[error(not(source))] String),
     /// A setting of the decision core is missing or faulty.
     #[display("{_0}")]
-    Setting(#[error(not(source))] String),
+    Setting(SettingsError),
     /// The value of a key is no address.
     #[display("{key} is not an address: {value}")]
     NoAddress {
@@ -171,8 +171,7 @@
         let raw = root
             .get("settings")
             .ok_or(ConfigError::Missing("settings".into()))?;
-        let settings = settings::read(&as_pairs(raw))
-            .map_err(|error| ConfigError::Setting(error.to_string()))?;
+        let settings = settings::read(&as_pairs(raw)).map_err(ConfigError::Setting)?;
         let location_names = LocationNames {
             zones: words(raw, "Zones"),
             machine_kinds: words(raw, "Kinds"),
