--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -6,7 +6,7 @@
 use crate::clock::duration_from_millis;
 use crate::server_list::{LocationNames, ServerList, ServerListError};
 use aspendrum_core::api::Settings;
-use aspendrum_core::settings::{self, MILLIS_PER_SECOND};
+use aspendrum_core::settings::{self, SettingsError, MILLIS_PER_SECOND};
 use derive_more::{Display, Error};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -57,7 +57,7 @@
     Missing(#[error(not(source))] String),
     /// A setting of the decision core is missing or faulty.
     #[display("{_0}")]
-    Setting(settings::SettingsError),
+    Setting(SettingsError),
     /// The value of a key is no address.
     #[display("{key} is not an address: {value}")]
     NoAddress {
