--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -76,7 +76,7 @@
 
 fn node(host: &str, decided: &StateDigest, node: &NodeReport) -> Value {
     let differing = Section::differing(&node.applied, decided);
-    let differing = differing.iter().map(|s| format!("{s:?}").to_lowercase());
+    let differing = differing.iter().map(|section| section.as_str());
     json!({
         "host": node.host,
         "front": node.proxy,
@@ -86,7 +86,7 @@
         "standing": node.status.as_str(),
         "off-ms": node.not_current_ms,
         "applied": digest(&node.applied),
-        "differs": differing.collect::<Vec<String>>(),
+        "differs": differing.collect::<Vec<&str>>(),
         "told": node.sent_update,
         "acknowledged": node.acknowledged_update,
     })
