--- a/crates/aspendrum-testbed/src/config.rs
+++ b/crates/aspendrum-testbed/src/config.rs
@@ -1,93 +1,111 @@
-//! The configuration that each limiter of a scenario is started with, in the platform's form.
+//! The configuration that each limiter of a scenario is started with, in the platform's form (JSON).
 
 use crate::scenario::{Group, Plan, Reports, Scenario};
 use aspendrum_checker::limiter::RetrySafety;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Where one limiter finds everything, all by links of its own.
-pub struct Places {
+/// The addresses that one limiter is told, all of links of its own.
+pub struct LimiterAddresses {
+    /// Where it listens for clients.
     pub listen: SocketAddr,
+    /// Discovery's agent.
     pub discovery: SocketAddr,
+    /// The shared counter.
     pub counter: SocketAddr,
+    /// Where it listens for datagrams of other limiters.
     pub peer_listen: SocketAddr,
+    /// Each limiter, itself included.
     pub peers: Vec<SocketAddr>,
-    pub peers_all: SocketAddr,
-    /// The list of servers as it held it last.
-    pub known: Value,
+    /// All other limiters at once.
+    pub broadcast: SocketAddr,
+    /// The list of servers, as discovery sent it last.
+    pub initial_list: Value,
 }
 
-/// The limiter with that number, at its start with that seed.
-pub fn limiter(scenario: &Scenario, me: usize, seed: u64, at: &Places) -> Value {
-    let peers: Vec<String> = at.peers.iter().map(SocketAddr::to_string).collect();
+/// The configuration of the limiter with that number, at its start with that seed.
+pub fn limiter_config(
+    scenario: &Scenario,
+    number: usize,
+    seed: u64,
+    addresses: &LimiterAddresses,
+) -> Value {
+    let peers: Vec<String> = addresses.peers.iter().map(SocketAddr::to_string).collect();
     json!({
-        "name": format!("n{me}"),
-        "listen": at.listen.to_string(),
-        "discovery": at.discovery.to_string(),
-        "counter": at.counter.to_string(),
-        "peer_listen": at.peer_listen.to_string(),
+        "name": format!("n{number}"),
+        "listen": addresses.listen.to_string(),
+        "discovery": addresses.discovery.to_string(),
+        "counter": addresses.counter.to_string(),
+        "peer_listen": addresses.peer_listen.to_string(),
         "peers": peers,
-        "peers_all": at.peers_all.to_string(),
+        "peers_all": addresses.broadcast.to_string(),
         "seed": format!("{seed:x}"),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": scenario.limiters.sockets},
-        "known": at.known,
-        "settings": settings(scenario, me),
+        "known": addresses.initial_list,
+        "settings": settings(scenario, number),
     })
 }
 
-fn settings(s: &Scenario, me: usize) -> Value {
-    let zones: Vec<String> = (0..s.limiters.zones).map(|z| format!("zone-{z}")).collect();
-    let (names, via): (&[&str], &str) = match s.servers.reports {
+/// What the operators set for all limiters, in the names of their form.
+fn settings(scenario: &Scenario, number: usize) -> Value {
+    let zones: Vec<String> = (0..scenario.limiters.zones)
+        .map(|z| format!("zone-{z}"))
+        .collect();
+    let (names, via): (&[&str], &str) = match scenario.servers.reports {
         Reports::Answers => (&["busy_reqs", "pending", "cpu_share"], "inline"),
         Reports::Probes => (&["busy_reqs", "pending", "cpu_share"], "on_probe"),
         Reports::Off => (&[], "off"),
     };
-    let units = s.customers.iter().map(|c| c.units).fold(1.0, f64::max);
+    let units = scenario
+        .customers
+        .iter()
+        .map(|c| c.units)
+        .fold(1.0, f64::max);
     json!({
-        "Me": me, "Instances": s.limiters.count, "Zone": s.zone(me), "Zones": zones, "Kinds": ["plain"],
+        "Me": number, "Instances": scenario.limiters.count, "Zone": scenario.zone(number), "Zones": zones, "Kinds": ["plain"],
         "TickS": 0.004,
-        "Discovery": if s.discovery.asked { "ask" } else { "push" },
+        "Discovery": if scenario.discovery.asked { "ask" } else { "push" },
         "Feedback": {"Names": names, "Via": via},
         "Invariants": {
-            "DrainGraceS": s.rules.drain_grace_s, "FallMultiple": s.rules.fall_multiple,
-            "FallS": s.rules.fall_s, "GraceToAnswerS": 0.016, "RampTimeS": s.servers.ramp_s,
-            "StartCapacity": s.servers.cold_share, "MustAskInS": 10.0,
+            "DrainGraceS": scenario.rules.drain_grace_s, "FallMultiple": scenario.rules.fall_multiple,
+            "FallS": scenario.rules.fall_s, "GraceToAnswerS": 0.016, "RampTimeS": scenario.servers.ramp_s,
+            "StartCapacity": scenario.servers.cold_share, "MustAskInS": 10.0,
         },
         "Limits": {
-            "Cancelling": true, "ConnectTimeoutS": 0.25, "KeepaliveS": 30.0, "MayTell": s.limiters.datagrams,
-            "Probes": s.servers.reports == Reports::Probes, "RetryAfter": false, "SecondCopies": false,
+            "Cancelling": true, "ConnectTimeoutS": 0.25, "KeepaliveS": 30.0, "MayTell": scenario.limiters.datagrams,
+            "Probes": scenario.servers.reports == Reports::Probes, "RetryAfter": false, "SecondCopies": false,
             "SendCap": 4,
         },
-        "Profiles": s.groups.iter().map(group).collect::<Vec<_>>(),
+        "Profiles": scenario.groups.iter().map(group).collect::<Vec<_>>(),
         "Specifics": {
-            "CostAfter": false, "CountWaitS": s.counter.wait_ms / 1000.0, "Counter": s.counter.there,
-            "UnitsTop": units, "PeerInPerS": s.limiters.datagrams_per_s,
+            "CostAfter": false, "CountWaitS": scenario.counter.wait_ms / 1000.0, "Counter": scenario.counter.there,
+            "UnitsTop": units, "PeerInPerS": scenario.limiters.datagrams_per_s,
         },
-        "TiersOfService": s.plans.iter().map(plan).collect::<Vec<_>>(),
+        "TiersOfService": scenario.plans.iter().map(plan).collect::<Vec<_>>(),
     })
 }
 
-/// A keyed query's repeat is dropped for so long, seconds.
-pub const REPEAT_WINDOW_S: f64 = 5.0;
-/// Of a ceiling, what may be passed.
-pub const CEILING_SLACK: f64 = 0.1;
+/// For so long a repeat of a query with a key is dropped, in seconds.
+pub const DEDUPLICATION_WINDOW_S: f64 = 5.0;
+/// The share by which a hard limit may be exceeded.
+pub const HARD_LIMIT_SLACK: f64 = 0.1;
 
-fn group(g: &Group) -> Value {
-    let semantics = match g.repeats {
+fn group(group: &Group) -> Value {
+    let semantics = match group.repeats {
         RetrySafety::Idempotent => "retryable",
         RetrySafety::Deduplicated => "dedup",
         RetrySafety::NonIdempotent => "fragile",
     };
     json!({
-        "Name": g.name, "AimS": g.slo_s, "HardLimitS": g.limit_s, "Semantics": semantics, "Group": "all",
-        "RepeatWindowS": REPEAT_WINDOW_S, "Credit": g.importance, "Stream": false,
+        "Name": group.name, "AimS": group.slo_s, "HardLimitS": group.limit_s, "Semantics": semantics, "Group": "all",
+        "RepeatWindowS": DEDUPLICATION_WINDOW_S, "Credit": group.importance, "Stream": false,
     })
 }
 
-fn plan(p: &Plan) -> Value {
+fn plan(plan: &Plan) -> Value {
     json!({
-        "Name": p.name, "PerSecond": p.rate, "Depth": p.burst, "Concurrency": 0, "WorthFactor": 1.0,
-        "NeverOverRate": p.ceiling_rate, "NeverOverDepth": p.ceiling_burst, "CapSlack": CEILING_SLACK,
+        "Name": plan.name, "PerSecond": plan.rate, "Depth": plan.burst, "Concurrency": 0, "WorthFactor": 1.0,
+        "NeverOverRate": plan.ceiling_rate, "NeverOverDepth": plan.ceiling_burst, "CapSlack": HARD_LIMIT_SLACK,
         "BeyondCosts": 1.0,
     })
 }
--- a/crates/aspendrum-testbed/src/run.rs
+++ b/crates/aspendrum-testbed/src/run.rs
@@ -1,8 +1,8 @@
 //! One run of a scenario: everything started and linked, the traffic and the faults, the record and its
 //! verdict.
 
-use crate::clients::{self, Customer, Front};
-use crate::config::{self, Places};
+use crate::clients::{self, ClientPool, Customer};
+use crate::config::{self, LimiterAddresses};
 use crate::process::Process;
 use crate::program::Program;
 use crate::scenario::{Path as LinkPath, Scenario, Way, What, Which};
@@ -201,9 +201,9 @@
 
     let customers = Arc::new(clients::customers(scenario));
     let addrs = fleet.front.iter().map(Relay::addr).collect();
-    let front = Arc::new(Front::new(fleet.clock, addrs));
+    let front = Arc::new(ClientPool::new(fleet.clock, addrs));
     let from = fleet.clock.now();
-    let plan = clients::plan(scenario, &customers, from);
+    let plan = clients::plan_queries(scenario, &customers, from);
     progress(&format!(
         "{} queries over {:.0} s",
         plan.len(),
@@ -254,16 +254,16 @@
 
 async fn traffic(
     fleet: &Arc<Fleet>,
-    front: &Arc<Front>,
+    front: &Arc<ClientPool>,
     customers: &Arc<Vec<Customer>>,
-    plan: Vec<clients::Planned>,
+    plan: Vec<clients::PlannedQuery>,
 ) -> Vec<Query> {
     let mut tasks = JoinSet::new();
     for query in plan {
         sleep_until(moment(fleet.clock, query.at)).await;
         let (front, customers, scenario) =
             (front.clone(), customers.clone(), fleet.scenario.clone());
-        tasks.spawn(async move { front.ask(&scenario, &customers, &query).await });
+        tasks.spawn(async move { front.send(&scenario, &customers, &query).await });
     }
     tasks.join_all().await
 }
@@ -374,17 +374,17 @@
         slot.starts += 1;
         let seed = self.scenario.seed << 32 | (me as u64) << 16 | slot.starts;
         let dials: Vec<SocketAddr> = self.to_servers[me].iter().map(Relay::addr).collect();
-        let places = Places {
+        let addresses = LimiterAddresses {
             listen: self.listens[me],
             discovery: self.to_discovery[me].addr(),
             counter: self.to_counter[me].addr(),
             peer_listen: self.peer_listens[me],
             peers: self.mesh.peers(me).map_err(failed)?,
-            peers_all: self.mesh.broadcast_addr(me).map_err(failed)?,
-            known: self.discovery.initial_list(&dials),
+            broadcast: self.mesh.broadcast_addr(me).map_err(failed)?,
+            initial_list: self.discovery.initial_list(&dials),
         };
         let config = self.folder.join(format!("n{me}.json"));
-        let text = config::limiter(&self.scenario, me, seed, &places).to_string();
+        let text = config::limiter_config(&self.scenario, me, seed, &addresses).to_string();
         std::fs::write(&config, text).map_err(failed)?;
         let log = self.folder.join(format!("n{me}.log"));
         slot.process = Some(Process::start(&self.start, &config, &log).map_err(failed)?);
@@ -832,7 +832,7 @@
     ) -> Record {
         let s = &self.scenario;
         let customer = |(n, c): (usize, &Customer)| {
-            let (plan, of) = (&s.plans[c.plan], &s.customers[c.of]);
+            let (plan, of) = (&s.plans[c.plan], &s.customers[c.entry]);
             limiter::Customer {
                 name: format!("{}-{n}", plan.name),
                 rate: plan.rate / 1000.0,
@@ -858,7 +858,7 @@
                 drain_grace: s.rules.drain_grace_s * 1000.0 + 50.0,
                 collapse_multiple: s.rules.fall_multiple,
                 collapse_window: s.rules.fall_s * 1000.0,
-                limit_slack: config::CEILING_SLACK,
+                limit_slack: config::HARD_LIMIT_SLACK,
                 ..RuleLimits::default()
             },
             groups: s.groups.iter().map(group).collect(),
@@ -893,7 +893,7 @@
         reports_in_answers: s.servers.reports == crate::scenario::Reports::Answers,
         answers_probes: s.servers.reports == crate::scenario::Reports::Probes,
         groups: groups.collect(),
-        deduplication_window: config::REPEAT_WINDOW_S * 1000.0,
+        deduplication_window: config::DEDUPLICATION_WINDOW_S * 1000.0,
     }
 }
 
