--- a/crates/aspendrum-testbed/src/sweep.rs
+++ b/crates/aspendrum-testbed/src/sweep.rs
@@ -132,25 +132,3 @@
     }
     out
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_swept_names_a_key_and_values() {
-        let over = Over::read("limiters.count=5, 20,40").unwrap();
-        assert_eq!(
-            (over.key.as_str(), over.values),
-            ("limiters.count", vec!["5".into(), "20".into(), "40".into()])
-        );
-        for bad in [
-            "limiters.count",
-            "=5",
-            "limiters.count=",
-            "limiters.count=5,,6",
-        ] {
-            assert!(Over::read(bad).is_err(), "{bad}");
-        }
-    }
-}
--- a/crates/aspendrum-testbed/src/system/play.rs
+++ b/crates/aspendrum-testbed/src/system/play.rs
@@ -219,7 +219,7 @@
         run.note("steps were under way long after the traffic's end");
         steps.shutdown().await;
     }
-    let read_back = run.operator.read_back(fleet.after(0)).await;
+    let read_back = run.operator.final_version(fleet.after(0)).await;
     let calls = run.operator.calls();
     let mut book = run.book();
     if s.bounds.agree {
--- a/crates/aspendrum-testbed/src/system/steps.rs
+++ b/crates/aspendrum-testbed/src/system/steps.rs
@@ -2,7 +2,7 @@
 
 use super::clients::{KEYS, PATHS};
 use super::fleet::{Fleet, Slot, SERVICES};
-use super::operator::{Came, Operator};
+use super::operator::{Operator, OrderOutcome};
 use super::scenario::{Scenario, Step, What, Who};
 use aspendrum_checker::system::Evacuation;
 use aspendrum_checker::system::{ConfigVersion, ProxyFault, RouteRule, TenantRule};
@@ -105,14 +105,18 @@
     }
 
     /// Sends the next configuration, beginning at that machine of control.
-    pub async fn change(&self, first: usize, how: impl FnOnce(&mut ConfigVersion)) -> (u32, Came) {
+    pub async fn change(
+        &self,
+        first: usize,
+        how: impl FnOnce(&mut ConfigVersion),
+    ) -> (u32, OrderOutcome) {
         let next = self.next(None, how);
         (next.number, self.send(first, &next).await)
     }
 
-    async fn send(&self, first: usize, v: &ConfigVersion) -> Came {
-        let came = self.operator.set(first, v.number, &v.text).await;
-        if let Came::Acknowledged(at) = came {
+    async fn send(&self, first: usize, v: &ConfigVersion) -> OrderOutcome {
+        let came = self.operator.send_config(first, v.number, &v.text).await;
+        if let OrderOutcome::Acknowledged(at) = came {
             let mut book = lock(&self.book);
             let same = |k: &&mut ConfigVersion| k.number == v.number && k.text == v.text;
             if let Some(known) = book.versions.iter_mut().find(same) {
@@ -134,7 +138,8 @@
                 };
                 let members = self.fleet.members();
                 let first = members[(first + n) % members.len()];
-                if let (number, Came::Refused(_) | Came::Unclear) = self.change(first, |_| {}).await
+                if let (number, OrderOutcome::Refused(_) | OrderOutcome::Unclear) =
+                    self.change(first, |_| {}).await
                 {
                     self.note(&format!("the change {number:08x} was not acknowledged"));
                 }
@@ -154,7 +159,7 @@
                 v.tenants[1].has_key = !v.tenants[1].has_key;
             });
             let (a, b) = tokio::join!(self.send(one, &a), self.send(other, &b));
-            if [a, b].contains(&Came::Unclear) {
+            if [a, b].contains(&OrderOutcome::Unclear) {
                 self.note(&format!(
                     "the race {round} ended without a clear answer: {a:?}, {b:?}"
                 ));
@@ -246,7 +251,7 @@
             What::Resend => self.resend(first, step.all).await,
             What::Show => {
                 self.operator
-                    .show(first, Duration::from_secs_f64(step.wait_s))
+                    .shown_version(first, Duration::from_secs_f64(step.wait_s))
                     .await;
             }
             What::Evacuate => {
@@ -432,12 +437,12 @@
         };
         let came = self.operator.evacuate(first, &zone, on).await;
         let ended = self.now();
-        if came == Came::Unclear || matches!(came, Came::Refused(_)) {
+        if came == OrderOutcome::Unclear || matches!(came, OrderOutcome::Refused(_)) {
             self.note(&format!("the evacuation of {zone}, begun {on}: {came:?}"));
         }
         let order = &mut lock(&self.book).evacuations[at];
         order.ended_at = ended;
-        if let Came::Acknowledged(acked) = came {
+        if let OrderOutcome::Acknowledged(acked) = came {
             order.acknowledged_at = Some(acked);
         }
     }
--- a/crates/aspendrum-testbed/tests/operator.rs
+++ b/crates/aspendrum-testbed/tests/operator.rs
@@ -1,32 +1,32 @@
-//! The stand-in operator: what ends an order, after the protocol's words.
+//! The operator of the testbed: what ends an order, by the protocol.
 
-use aspendrum_testbed::system::operator::{means, Means};
+use aspendrum_testbed::system::operator::{next_step, OrderStep};
 use aspendrum_testbed::system::scenario::Scenario;
 
 #[test]
 fn an_answer_ends_an_order_as_the_protocol_says() {
-    let once = |status| means(status, &mut 0);
+    let once = |status| next_step(status, &mut 0);
     for status in [200, 204] {
-        assert_eq!(once(Some(status)), Means::Done);
+        assert_eq!(once(Some(status)), OrderStep::Acknowledged);
     }
     for status in [400, 409, 412, 413, 422] {
-        assert_eq!(once(Some(status)), Means::Refused(status));
+        assert_eq!(once(Some(status)), OrderStep::Refused(status));
     }
     for status in [None, Some(408), Some(429), Some(500), Some(503), Some(307)] {
-        assert_eq!(once(status), Means::Again);
+        assert_eq!(once(status), OrderStep::Retry);
     }
     let mut others = 0;
-    let told: Vec<Means> = [404, 503, 403, 429, 404]
-        .map(|s| means(Some(s), &mut others))
+    let steps: Vec<OrderStep> = [404, 503, 403, 429, 404]
+        .map(|s| next_step(Some(s), &mut others))
         .to_vec();
     assert_eq!(
-        told,
+        steps,
         [
-            Means::Again,
-            Means::Again,
-            Means::Again,
-            Means::Again,
-            Means::Refused(404)
+            OrderStep::Retry,
+            OrderStep::Retry,
+            OrderStep::Retry,
+            OrderStep::Retry,
+            OrderStep::Refused(404)
         ]
     );
 }
