--- a/crates/aspendrum-testbed/src/days.rs
+++ b/crates/aspendrum-testbed/src/days.rs
@@ -161,7 +161,7 @@
         let day = format!("drawn-{seed}");
         let site = how.only[n % how.only.len()].clone();
         let file = how.out.join(format!("{day}-{site}.toml"));
-        let text = drawn::day(&day, seed, &contracts(&site_file(how, &site)?)?);
+        let text = drawn::draw_day(&day, seed, &contracts(&site_file(how, &site)?)?);
         std::fs::write(&file, text).map_err(failed)?;
         plays.push(Play {
             day,
--- a/crates/aspendrum-testbed/src/drawn.rs
+++ b/crates/aspendrum-testbed/src/drawn.rs
@@ -1,89 +1,94 @@
-//! Days for the users' bench drawn from a seed: any kind of trouble at any moment, several at once and more than once,
-//! with few or hundreds of changes, and an end of each kind. The same seed draws the same day on the same site.
+//! Days for the users' bench, drawn from a seed: any kind of fault at any time, several at once and repeatedly, with few or
+//! hundreds of configuration changes, and a closing fault of each kind. The same seed draws the same day on the same site.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::fmt::Write;
 
-/// A kind of entry and what its fields may be, as the bench's `kinds` words them.
-struct Kind {
+/// A kind of entry and the values of its fields, in the words of the bench's `kinds`.
+struct EntryKind {
     name: &'static str,
-    /// Planned work, or a fault.
-    planned: bool,
+    /// Whether it is planned work; else it is a fault.
+    is_planned: bool,
     /// The contract that must be in force on the site.
     contract: &'static str,
-    /// How often it is drawn beside the others.
+    /// How often it is drawn, relative to the others.
     weight: u32,
-    /// Each field as one of these texts.
+    /// For each field the texts that it is drawn from.
     fields: &'static [&'static [&'static str]],
 }
 
 const fn kind(
     name: &'static str,
-    planned: bool,
+    is_planned: bool,
     weight: u32,
     fields: &'static [&'static [&'static str]],
-) -> Kind {
-    Kind {
+) -> EntryKind {
+    EntryKind {
         name,
-        planned,
+        is_planned,
         contract: BASE,
         weight,
         fields,
     }
 }
 
-/// A kind that only some sites know.
-const fn under(contract: &'static str, of: Kind) -> Kind {
-    Kind { contract, ..of }
+/// A kind for sites with that contract only.
+const fn with_contract(contract: &'static str, kind: EntryKind) -> EntryKind {
+    EntryKind { contract, ..kind }
 }
 
 const BASE: &str = "base";
 
-const FOR: &[&str] = &["for_s = 1.0", "for_s = 2.5", "for_s = 5.0", "for_s = 9.0"];
-const SHARE: &[&str] = &["share = 0.1", "share = 0.3", "share = 0.6"];
-const LEAVERS: &[&str] = &["share = 0.3", "share = 0.6", "share = 1.0"];
-const GAP: &[&str] = &["gap_s = 0.3", "gap_s = 1.0", "gap_s = 3.0"];
+const DURATIONS: &[&str] = &["for_s = 1.0", "for_s = 2.5", "for_s = 5.0", "for_s = 9.0"];
+const SHARES: &[&str] = &["share = 0.1", "share = 0.3", "share = 0.6"];
+const CLIENT_SHARES: &[&str] = &["share = 0.3", "share = 0.6", "share = 1.0"];
+const GAPS: &[&str] = &["gap_s = 0.3", "gap_s = 1.0", "gap_s = 3.0"];
 const MACHINES: &[&str] = &["", "", "on = \"core\", count = 1", "count = 2"];
 
-/// Everything that `kinds` lists for the contracts in force.
-const KINDS: &[Kind] = &[
+/// All that `kinds` lists for the contracts in force.
+const KINDS: &[EntryKind] = &[
     kind(
         "hot_tenant",
         false,
         1,
-        &[FOR, &["x = 4", "x = 8"], &["", "count = 2"]],
+        &[DURATIONS, &["x = 4", "x = 8"], &["", "count = 2"]],
     ),
     kind(
         "srv_crash",
         false,
         2,
         &[
-            FOR,
-            SHARE,
+            DURATIONS,
+            SHARES,
             &["", "how = \"dark\"", "how = \"gone\"", "how = \"across\""],
         ],
     ),
-    kind("release", true, 2, &[SHARE, GAP, &["", "x = 3"]]),
+    kind("release", true, 2, &[SHARES, GAPS, &["", "x = 3"]]),
     kind(
         "scale_in",
         true,
         2,
-        &[SHARE, &["", "how = \"spot\", x = 2"]],
+        &[SHARES, &["", "how = \"spot\", x = 2"]],
+    ),
+    kind(
+        "cold_return",
+        false,
+        1,
+        &[DURATIONS, &["", "how = \"dark\""]],
     ),
-    kind("cold_return", false, 1, &[FOR, &["", "how = \"dark\""]]),
     kind(
         "answer_lost",
         false,
         2,
-        &[FOR, &["", "how = \"reset\", x = 0.05"]],
+        &[DURATIONS, &["", "how = \"reset\", x = 0.05"]],
     ),
     kind(
         "garble",
         false,
         2,
         &[
-            FOR,
+            DURATIONS,
             &[
                 "",
                 "how = \"extra\"",
@@ -107,7 +112,7 @@
                 "how = \"seed\"",
                 "how = \"hard\"",
             ],
-            FOR,
+            DURATIONS,
         ],
     ),
     kind(
@@ -116,7 +121,7 @@
         3,
         &[
             MACHINES,
-            FOR,
+            DURATIONS,
             &["", "how = \"leader\"", "how = \"turn\"", "how = \"meet\""],
         ],
     ),
@@ -138,7 +143,7 @@
                 "how = \"remove\", count = 1",
                 "how = \"drain\"",
             ],
-            GAP,
+            GAPS,
         ],
     ),
     kind(
@@ -148,7 +153,7 @@
         &[
             &["", "on = \"core\"", "share = 0.3"],
             &["", "how = \"power\"", "how = \"taken\""],
-            FOR,
+            DURATIONS,
         ],
     ),
     kind(
@@ -163,7 +168,7 @@
                 "how = \"taken\"",
                 "count = 2",
             ],
-            FOR,
+            DURATIONS,
         ],
     ),
     kind(
@@ -172,7 +177,7 @@
         5,
         &[
             &["", "how = \"timed\"", "how = \"taken\"", "how = \"oldest\""],
-            FOR,
+            DURATIONS,
         ],
     ),
     kind(
@@ -180,18 +185,18 @@
         false,
         1,
         &[
-            FOR,
+            DURATIONS,
             &["x = 2400", "x = 30000"],
             &["", "how = \"back\"", "how = \"ahead\"", "how = \"leader\""],
         ],
     ),
-    kind("zone_loss", false, 2, &[FOR, &["", "how = \"race\""]]),
+    kind("zone_loss", false, 2, &[DURATIONS, &["", "how = \"race\""]]),
     kind(
         "core_cut",
         false,
         5,
         &[
-            FOR,
+            DURATIONS,
             &[
                 "",
                 "how = \"all\"",
@@ -212,8 +217,8 @@
         false,
         3,
         &[
-            FOR,
-            SHARE,
+            DURATIONS,
+            SHARES,
             &[
                 "",
                 "how = \"all\"",
@@ -236,7 +241,7 @@
             "how = \"idle\"",
         ]],
     ),
-    kind("config_race", true, 3, &[&["count = 1", "count = 4"], GAP]),
+    kind("config_race", true, 3, &[&["count = 1", "count = 4"], GAPS]),
     kind(
         "config_storm",
         true,
@@ -253,7 +258,7 @@
         3,
         &[
             &["count = 3"],
-            GAP,
+            GAPS,
             &[
                 "",
                 "how = \"cut_short\"",
@@ -268,71 +273,80 @@
             ],
         ],
     ),
-    kind("revoke", true, 3, &[&["count = 1", "count = 4"], GAP]),
-    kind("evacuate", true, 3, &[FOR, &["", "how = \"warm\""]]),
+    kind("revoke", true, 3, &[&["count = 1", "count = 4"], GAPS]),
+    kind("evacuate", true, 3, &[DURATIONS, &["", "how = \"warm\""]]),
     kind(
         "burst",
         false,
         1,
         &[&["for_s = 3.0"], &["x = 1.7", "x = 3"]],
     ),
-    kind("retry_abuse", false, 1, &[FOR, &["x = 3"]]),
+    kind("retry_abuse", false, 1, &[DURATIONS, &["x = 3"]]),
     // Seen only beside servers that are slower than clients wait.
     kind(
         "give_up",
         false,
         4,
-        &[FOR, LEAVERS, &["", "x = 60", "x = 100", "x = 400"]],
+        &[
+            DURATIONS,
+            CLIENT_SHARES,
+            &["", "x = 60", "x = 100", "x = 400"],
+        ],
     ),
     kind(
         "srv_slow",
         false,
         4,
         &[
-            FOR,
-            LEAVERS,
+            DURATIONS,
+            CLIENT_SHARES,
             &["", "x = 15", "x = 40"],
             &["", "", "how = \"all\""],
         ],
     ),
-    under(
+    with_contract(
         "health",
-        kind("srv_flap", false, 1, &[FOR, &["share = 0.1"], GAP]),
+        kind("srv_flap", false, 1, &[DURATIONS, &["share = 0.1"], GAPS]),
     ),
-    under(
+    with_contract(
         "health",
         kind(
             "srv_grey",
             false,
             1,
-            &[FOR, &["how = \"shed\", x = 0.4", ""]],
+            &[DURATIONS, &["how = \"shed\", x = 0.4", ""]],
         ),
     ),
-    under(
+    with_contract(
         "health",
         kind(
             "srv_lying_health",
             false,
             1,
-            &[FOR, &["", "how = \"reset\""]],
+            &[DURATIONS, &["", "how = \"reset\""]],
         ),
     ),
-    under(
+    with_contract(
         "pool",
-        kind("idle_race", false, 1, &[FOR, &["share = 0.5, x = 320"]]),
+        kind(
+            "idle_race",
+            false,
+            1,
+            &[DURATIONS, &["share = 0.5, x = 320"]],
+        ),
     ),
     kind(
         "replace_with_reuse",
         false,
         3,
-        &[SHARE, &["", "how = \"drain\"", "how = \"dark\""]],
+        &[SHARES, &["", "how = \"drain\"", "how = \"dark\""]],
     ),
-    kind("scale_out", true, 1, &[&["share = 0.3"], GAP]),
+    kind("scale_out", true, 1, &[&["share = 0.3"], GAPS]),
     kind(
         "node_slow",
         false,
         2,
-        &[MACHINES, FOR, &["x = 5", "x = 20"]],
+        &[MACHINES, DURATIONS, &["x = 5", "x = 20"]],
     ),
     kind(
         "replace_core",
@@ -349,21 +363,21 @@
         ],
     ),
     kind("seed_turnover", true, 2, &[]),
-    kind("disk_slow", false, 3, &[FOR, &["", "x = 100"]]),
-    kind("disk_full", false, 3, &[FOR, &["", "count = 2"]]),
-    kind("disk_stall", false, 3, &[FOR, &["", "count = 2"]]),
-    kind("hup", true, 2, &[SHARE, GAP]),
+    kind("disk_slow", false, 3, &[DURATIONS, &["", "x = 100"]]),
+    kind("disk_full", false, 3, &[DURATIONS, &["", "count = 2"]]),
+    kind("disk_stall", false, 3, &[DURATIONS, &["", "count = 2"]]),
+    kind("hup", true, 2, &[SHARES, GAPS]),
     kind(
         "reset_conns",
         false,
         2,
-        &[SHARE, &["", "on = \"core\", x = 1"]],
+        &[SHARES, &["", "on = \"core\", x = 1"]],
     ),
-    kind("zone_cut", false, 2, &[FOR]),
-    kind("ack_lost", false, 3, &[FOR, &["x = 0.7", "x = 1"]]),
+    kind("zone_cut", false, 2, &[DURATIONS]),
+    kind("ack_lost", false, 3, &[DURATIONS, &["x = 0.7", "x = 1"]]),
 ];
 
-const CLOSINGS: &[&str] = &[
+const CLOSING_FAULTS: &[&str] = &[
     "{ kind = \"power_off_all\", down_s = 0.8 }",
     "{ kind = \"kill_all\", down_s = 1.4 }",
     "{ kind = \"wipe_after_ack\", down_s = 1.0 }",
@@ -373,55 +387,70 @@
     "{ kind = \"kill_all\", down_s = 0.6, how = \"timed\" }",
 ];
 
-/// Seconds of traffic in which entries begin.
-const LENGTH_S: f64 = 28.0;
+/// The seconds of traffic in which entries begin.
+const TRAFFIC_S: f64 = 28.0;
 
-fn entry(rng: &mut SmallRng, of: &Kind) -> String {
-    let at = 1.0 + rng.random_range(0.0..LENGTH_S);
-    let mut out = format!("    {{ at = {at:.2}, kind = \"{}\"", of.name);
-    for choices in of.fields {
+/// Entries begin after so many seconds of traffic.
+const FIRST_S: f64 = 1.0;
+/// The number of entries of a day.
+const ENTRIES: std::ops::Range<i32> = 3..12;
+/// One day in so many has a storm of changes.
+const STORM_EVERY: i32 = 3;
+/// The number of changes of a storm.
+const STORM_CHANGES: std::ops::Range<i32> = 120..260;
+/// Draws without a closing fault, beside one for each kind of it.
+const NO_CLOSING_FAULT: usize = 2;
+
+fn draw_entry(rng: &mut SmallRng, kind: &EntryKind) -> String {
+    let at = FIRST_S + rng.random_range(0.0..TRAFFIC_S);
+    let mut entry = format!("    {{ at = {at:.2}, kind = \"{}\"", kind.name);
+    for choices in kind.fields {
         let chosen = choices[rng.random_range(0..choices.len())];
-        // A field that an earlier choice named already stays as it is.
-        for field in chosen.split(", ").filter(|f| !f.is_empty()) {
+        // A field that an earlier choice has set stays as it is.
+        for field in chosen.split(", ").filter(|field| !field.is_empty()) {
             let key = field.split(' ').next().unwrap_or("");
-            if !out.contains(&format!(", {key} =")) {
-                // Writing to memory does not fail.
-                let _ = write!(out, ", {field}");
+            if !entry.contains(&format!(", {key} =")) {
+                // Writing to memory does not fail, here and below.
+                let _ = write!(entry, ", {field}");
             }
         }
     }
-    out + " },\n"
+    entry + " },\n"
+}
+
+/// The kinds for a site with these contracts, each as often as its weight.
+fn weighted_kinds(contracts: &[String]) -> Vec<&'static EntryKind> {
+    let is_in_force = |kind: &&EntryKind| contracts.iter().any(|c| c == kind.contract);
+    let kinds = KINDS.iter().filter(is_in_force);
+    kinds
+        .flat_map(|kind| std::iter::repeat_n(kind, kind.weight as usize))
+        .collect()
 }
 
 /// The text of the day with that seed, on a site with these contracts.
-pub fn day(name: &str, seed: u64, contracts: &[String]) -> String {
+pub fn draw_day(name: &str, seed: u64, contracts: &[String]) -> String {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let known = KINDS
-        .iter()
-        .filter(|k| contracts.iter().any(|c| c == k.contract));
-    let pool: Vec<&Kind> = known
-        .flat_map(|k| std::iter::repeat_n(k, k.weight as usize))
-        .collect();
+    let kinds = weighted_kinds(contracts);
     let (mut plan, mut faults) = (String::new(), String::new());
-    for _ in 0..rng.random_range(3..12) {
-        let drawn = pool[rng.random_range(0..pool.len())];
-        let into = if drawn.planned {
+    for _ in 0..rng.random_range(ENTRIES) {
+        let kind = kinds[rng.random_range(0..kinds.len())];
+        let entries = if kind.is_planned {
             &mut plan
         } else {
             &mut faults
         };
-        into.push_str(&entry(&mut rng, drawn));
+        entries.push_str(&draw_entry(&mut rng, kind));
     }
-    // One in three is a day of hundreds of changes.
-    if rng.random_range(0..3) == 0 {
-        let (count, gap) = (rng.random_range(120..260), 0.1);
+    if rng.random_range(0..STORM_EVERY) == 0 {
+        let (count, gap) = (rng.random_range(STORM_CHANGES), 0.1);
         let _ = writeln!(
             plan,
             "    {{ at = 2.0, kind = \"config_storm\", count = {count}, gap_s = {gap} }},"
         );
     }
-    let closing = CLOSINGS.get(rng.random_range(0..CLOSINGS.len() + 2));
-    let closing = closing.map_or(String::new(), |c| format!("closing = {c}\n"));
+    let closing = rng.random_range(0..CLOSING_FAULTS.len() + NO_CLOSING_FAULT);
+    let closing = CLOSING_FAULTS.get(closing);
+    let closing = closing.map_or(String::new(), |fault| format!("closing = {fault}\n"));
     let head = format!("name = \"{name}\"\nslot = \"trouble\"\nseed = {seed}\n{closing}");
     format!("{head}plan = [\n{plan}]\nfaults = [\n{faults}]\n")
 }
--- a/crates/aspendrum-testbed/tests/days.rs
+++ b/crates/aspendrum-testbed/tests/days.rs
@@ -75,11 +75,11 @@
 #[test]
 fn a_seed_draws_one_day_and_many_seeds_draw_every_kind() {
     let all = ["base", "health", "pool"].map(str::to_string);
-    assert_eq!(drawn::day("d", 7, &all), drawn::day("d", 7, &all));
-    assert!((0..400).all(|seed| !drawn::day("d", seed, &all[..1]).contains("srv_grey")));
+    assert_eq!(drawn::draw_day("d", 7, &all), drawn::draw_day("d", 7, &all));
+    assert!((0..400).all(|seed| !drawn::draw_day("d", seed, &all[..1]).contains("srv_grey")));
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..400 {
-        let day: toml::Table = toml::from_str(&drawn::day("d", seed, &all)).unwrap();
+        let day: toml::Table = toml::from_str(&drawn::draw_day("d", seed, &all)).unwrap();
         for list in ["plan", "faults"] {
             for entry in day[list].as_array().unwrap() {
                 kinds.insert(entry["kind"].as_str().unwrap().to_string());
