--- /dev/null
+++ b/crates/aspendrum-benchmarks/src/components/consensus.rs
@@ -0,0 +1,215 @@
+//! The replicated state: messages, bytes, disk writes and processor time of each command. Messages are delivered in
+//! their order, and none is lost.
+
+use crate::figure::FigureLine;
+use crate::fleet_data::config_text;
+use crate::fleet_size::{zone, FleetSize, GRADES, TARGET};
+use crate::measure::{thread_cpu_ms, Samples};
+use aspendrum_consensus::membership::voters_tolerating;
+use aspendrum_consensus::{Command, Effect, NodeId, Replica, ReplicaOptions, Voters};
+use aspendrum_model::compression::compress;
+use aspendrum_model::hash::digest;
+use serde::Serialize;
+use std::collections::{BTreeMap, VecDeque};
+
+/// Bytes that a frame adds to a message: its length, and the variants of the two enums around it.
+const FRAME_OVERHEAD: usize = 6;
+/// Commands that each figure is the mean of.
+const REPEATS: usize = 9;
+const VOTER_COUNTS: [usize; 4] = [3, 4, 5, 7];
+/// Nodes at the first start, and how many disks may be lost at once.
+const FOUNDINGS: [(usize, usize); 6] = [(3, 1), (4, 1), (4, 2), (5, 2), (6, 2), (7, 3)];
+const INCARNATION: u64 = 1 << 24;
+
+pub(super) fn run() {
+    for (nodes, tolerated_losses) in FOUNDINGS {
+        measure_founding(nodes, tolerated_losses);
+    }
+    for size in GRADES {
+        let config = CompressedConfig::new(&size);
+        for voters in VOTER_COUNTS {
+            let set_config = |n: usize| config.command(n as u32 + 1);
+            measure_commands("consensus.config", voters, config.text.len(), set_config);
+        }
+    }
+    for voters in VOTER_COUNTS {
+        let set_evacuation = |n: usize| Command::SetEvacuation {
+            zone: zone(n / 2),
+            evacuated: n.is_multiple_of(2),
+        };
+        measure_commands("consensus.evacuation", voters, 0, set_evacuation);
+        measure_commands("consensus.read", voters, 0, |_| Command::Read);
+    }
+    // Reads by a node that holds the target's configuration, as all others do.
+    let config = CompressedConfig::new(&TARGET);
+    for voters in VOTER_COUNTS {
+        let read_config = |n: usize| match n {
+            0 => config.command(1),
+            _ => Command::Read,
+        };
+        measure_commands(
+            "consensus.read.held",
+            voters,
+            config.text.len(),
+            read_config,
+        );
+    }
+}
+
+struct CompressedConfig {
+    text: Vec<u8>,
+    digest: u64,
+}
+
+impl CompressedConfig {
+    fn new(size: &FleetSize) -> CompressedConfig {
+        let text = config_text(size, size.services, 1);
+        CompressedConfig {
+            text: compress(text.as_bytes()),
+            digest: digest(text.as_bytes()),
+        }
+    }
+
+    fn command(&self, version: u32) -> Command {
+        Command::SetConfig {
+            version,
+            packed_text: self.text.clone(),
+            digest: self.digest,
+        }
+    }
+}
+
+/// What commands cost, all nodes together.
+#[derive(Clone, Copy, Default)]
+struct Cost {
+    messages: usize,
+    message_bytes: usize,
+    disk_writes: usize,
+    disk_bytes: usize,
+}
+
+impl Cost {
+    fn add(&mut self, node: NodeId, effect: &Effect, replica: Option<&Replica>) {
+        match effect {
+            Effect::Send { to, message } if *to != node => {
+                self.messages += 1;
+                self.message_bytes += FRAME_OVERHEAD + encoded_bytes(message);
+            }
+            Effect::Persist => {
+                self.disk_writes += 1;
+                self.disk_bytes += replica.map_or(0, |r| encoded_bytes(r.state()));
+            }
+            _ => {}
+        }
+    }
+}
+
+fn encoded_bytes<T: Serialize>(value: &T) -> usize {
+    postcard::to_allocvec(value).map_or(0, |bytes| bytes.len())
+}
+
+/// The replicas of all control nodes.
+struct Cluster {
+    replicas: BTreeMap<NodeId, Replica>,
+    cost: Cost,
+}
+
+impl Cluster {
+    /// Nodes that were all there at the first start, the first `voters` of them as the voters of the first epoch.
+    fn new(nodes: usize, voters: usize) -> Cluster {
+        let nodes: Vec<NodeId> = (1..=nodes as u32).map(NodeId::new).collect();
+        let start = |node: &NodeId| {
+            let options = ReplicaOptions {
+                node: *node,
+                is_first_start: true,
+                seeds: &nodes,
+                new_disk: u64::from(node.as_u32()),
+                incarnation: INCARNATION,
+            };
+            Replica::start(options, None).0
+        };
+        let mut cluster = Cluster {
+            replicas: nodes.iter().map(|node| (*node, start(node))).collect(),
+            cost: Cost::default(),
+        };
+        let disk = |node: &NodeId| (*node, u64::from(node.as_u32()));
+        let voters = Voters(nodes.iter().take(voters).map(disk).collect());
+        cluster.run(0.0, |first| first.propose_voters(0.0, voters));
+        cluster
+    }
+
+    /// Submits a command at the first node. Returns its processor time, all nodes together, in milliseconds.
+    fn submit(&mut self, now: f64, command: Command) -> f64 {
+        self.run(now, |first| first.submit(now, command, Some(1)))
+    }
+
+    /// Carries out everything that follows from what the first node does. Returns the processor time in milliseconds.
+    fn run(&mut self, now: f64, start: impl FnOnce(&mut Replica) -> Vec<Effect>) -> f64 {
+        let started_at = thread_cpu_ms();
+        // The time that the benchmark itself takes to count.
+        let mut counting_time = 0.0;
+        let first_node = NodeId::new(1);
+        let Some(first) = self.replicas.get_mut(&first_node) else {
+            return 0.0;
+        };
+        let effects = start(first);
+        let mut pending: VecDeque<_> = effects.into_iter().map(|e| (first_node, e)).collect();
+        while let Some((node, effect)) = pending.pop_front() {
+            let counting_from = thread_cpu_ms();
+            self.cost.add(node, &effect, self.replicas.get(&node));
+            counting_time += thread_cpu_ms() - counting_from;
+            let Effect::Send { to, message } = effect else {
+                continue;
+            };
+            if let Some(receiver) = self.replicas.get_mut(&to) {
+                let effects = receiver.step(now, node, message);
+                pending.extend(effects.into_iter().map(|e| (to, e)));
+            }
+        }
+        thread_cpu_ms() - started_at - counting_time
+    }
+}
+
+/// Submits the commands of numbers 0 to [`REPEATS`]; the first is not measured.
+fn measure_commands(
+    name: &str,
+    voters: usize,
+    packed_bytes: usize,
+    command: impl Fn(usize) -> Command,
+) {
+    let mut cluster = Cluster::new(voters, voters);
+    let mut now = 1000.0;
+    cluster.submit(now, command(0));
+    cluster.cost = Cost::default();
+    let mut times = Vec::new();
+    for number in 1..=REPEATS {
+        now += 1000.0;
+        times.push(cluster.submit(now, command(number)));
+    }
+    let mean = |total: usize| total as f64 / REPEATS as f64;
+    let cost = cluster.cost;
+    FigureLine::new(name)
+        .with("voters", voters)
+        .with("packed", packed_bytes)
+        .number("words", mean(cost.messages))
+        .number("bytes", mean(cost.message_bytes))
+        .number("syncs", mean(cost.disk_writes))
+        .number("disk_bytes", mean(cost.disk_bytes))
+        .milliseconds("cpu", &Samples::new(times))
+        .print();
+}
+
+/// The first start: the nodes decide who votes.
+fn measure_founding(nodes: usize, tolerated_losses: usize) {
+    let started_at = thread_cpu_ms();
+    let voters = voters_tolerating(tolerated_losses).min(nodes);
+    let cluster = Cluster::new(nodes, voters);
+    FigureLine::new("consensus.founding")
+        .with("machines", nodes)
+        .with("losses", tolerated_losses)
+        .with("voters", voters)
+        .with("words", cluster.cost.messages)
+        .with("bytes", cluster.cost.message_bytes)
+        .number("cpu_ms", thread_cpu_ms() - started_at)
+        .print();
+}
--- /dev/null
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/processes.rs
@@ -0,0 +1,354 @@
+//! Real control processes, and real limiters where wanted, with fault proxies between them that count bytes and delay
+//! them.
+
+use super::plan::Plan;
+use crate::error::BenchmarkError;
+use crate::fleet_size::{region, region_by_zone, zone, REGIONS, ZONES};
+use aspendrum_fault_proxy::{Fault, Relay};
+use aspendrum_testbed::process::{build, Process, Start};
+use serde_json::{json, Map, Value};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::path::{Path, PathBuf};
+
+const PORT_RANGE: [u16; 2] = [27_600, 27_615];
+const AGENT_PORT: u16 = PORT_RANGE[0] + 2;
+const OPERATOR_PORT: u16 = 28_200;
+const LOOKUP_PORT: u16 = 28_201;
+const PROXY_PORT: u16 = 28_202;
+const READINESS_PORT: u16 = 28_203;
+const PLATFORM_PORT: u16 = 28_205;
+const FAULT_PROXY_IP: Ipv4Addr = Ipv4Addr::new(127, 60, 3, 1);
+/// Control nodes that the settings name as seeds, at most.
+const MAX_SEEDS: usize = 3;
+/// The number of a [`Relay`]'s fault.
+const DELAY_FAULT: u32 = 1;
+/// Bytes that a [`Relay`] reads at once; after each chunk it waits for its delay.
+const RELAY_CHUNK_BYTES: f64 = 16_384.0;
+
+const CONTROL: &str = "aspendrum-control";
+const PROXY: &str = "aspendrum-proxy";
+const AGENT: &str = "aspendrum-agent";
+
+/// A process of the system.
+pub(super) struct Member {
+    pub(super) name: String,
+    start: Start,
+    settings: PathBuf,
+    folder: PathBuf,
+    process: Option<Process>,
+}
+
+impl Member {
+    /// Writes the settings of a process.
+    fn new(
+        program: &str,
+        name: String,
+        settings: &Value,
+        folder: &Path,
+    ) -> Result<Member, BenchmarkError> {
+        let start = Start::system(program).map_err(|e| BenchmarkError::Programs(e.to_string()))?;
+        let file = folder.join(format!("{name}.json"));
+        let write_error = |source| BenchmarkError::WriteSettings {
+            process: name.clone(),
+            source,
+        };
+        std::fs::write(&file, settings.to_string()).map_err(write_error)?;
+        Ok(Member {
+            name,
+            start,
+            settings: file,
+            folder: folder.to_path_buf(),
+            process: None,
+        })
+    }
+
+    pub(super) fn start(&mut self) -> Result<(), BenchmarkError> {
+        let process = Process::start(&self.start, &self.settings, &self.log_file());
+        let start_error = |source| BenchmarkError::StartProcess {
+            process: self.name.clone(),
+            source,
+        };
+        self.process = Some(process.map_err(start_error)?);
+        Ok(())
+    }
+
+    pub(super) async fn kill(&mut self) {
+        if let Some(mut process) = self.process.take() {
+            process.kill().await;
+        }
+    }
+
+    /// The id of the process, while it is up.
+    pub(super) fn process_id(&self) -> Option<i32> {
+        self.process.as_ref().map(Process::id)
+    }
+
+    /// A value of the process' status page, in kB or a count; none of a process that is down.
+    pub(super) fn status(&self, key: &str) -> Option<u64> {
+        process_status(self.process_id()?, key)
+    }
+
+    pub(super) fn open_descriptors(&self) -> usize {
+        let folder = self.process_id().map(|id| format!("/proc/{id}/fd"));
+        let entries = folder.and_then(|folder| std::fs::read_dir(folder).ok());
+        entries.map_or(0, Iterator::count)
+    }
+
+    /// Processor time so far, seconds.
+    pub(super) fn cpu_s(&self) -> f64 {
+        let process = self.process.as_ref();
+        process.and_then(Process::cpu_s).unwrap_or(0.0)
+    }
+
+    /// Whether its log contains that text.
+    pub(super) fn has_logged(&self, text: &str) -> bool {
+        std::fs::read_to_string(self.log_file()).is_ok_and(|log| log.contains(text))
+    }
+
+    /// The size of a control node's database.
+    pub(super) fn database_bytes(&self) -> u64 {
+        let file = data_folder(&self.folder, &self.name).join("vault.redb");
+        std::fs::metadata(file).map_or(0, |metadata| metadata.len())
+    }
+
+    fn log_file(&self) -> PathBuf {
+        self.folder.join(format!("{}.log", self.name))
+    }
+}
+
+fn data_folder(folder: &Path, name: &str) -> PathBuf {
+    folder.join(format!("{name}-disk"))
+}
+
+/// A value of a process' status page, in kB or a count.
+pub(super) fn process_status(id: i32, key: &str) -> Option<u64> {
+    let text = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
+    let value = text.lines().find_map(|line| line.strip_prefix(key))?;
+    let mut words = value.trim_start_matches(':').split_whitespace();
+    words.next()?.parse().ok()
+}
+
+/// The processes, and the fault proxies between them.
+pub(super) struct Processes {
+    pub(super) control_nodes: Vec<Member>,
+    /// The proxy and the agent of each real limiter, one limiter after another.
+    pub(super) limiters: Vec<Member>,
+    /// From control node to control node.
+    control_relays: Vec<Relay>,
+    /// From real limiters to control.
+    limiter_relays: Vec<Relay>,
+}
+
+fn control_ip(number: usize) -> Ipv4Addr {
+    Ipv4Addr::new(127, 60, 1, number as u8 + 1)
+}
+
+/// Where agents and other control nodes reach a control node.
+pub(super) fn control_addr(number: usize) -> SocketAddr {
+    (control_ip(number), PORT_RANGE[0]).into()
+}
+
+/// Where operators reach a control node.
+pub(super) fn operator_addr(number: usize) -> SocketAddrV4 {
+    SocketAddrV4::new(control_ip(number), OPERATOR_PORT)
+}
+
+/// Where clients look up proxies at a control node.
+pub(super) fn lookup_addr(number: usize) -> SocketAddrV4 {
+    SocketAddrV4::new(control_ip(number), LOOKUP_PORT)
+}
+
+/// Where the platform is.
+pub(super) fn platform_addr() -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(127, 60, 2, 1), PLATFORM_PORT)
+}
+
+/// Where clients reach the real limiter of that number.
+pub(super) fn limiter_addr(number: usize) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(127, 60, 20, number as u8 + 1), PROXY_PORT)
+}
+
+/// The zone of a control node: each is in a region of its own, as far as there are regions.
+fn control_zone(number: usize) -> usize {
+    number * ZONES / REGIONS + number
+}
+
+async fn start_relay(to: SocketAddr, delay_ms: f64) -> Result<Relay, BenchmarkError> {
+    let relay = Relay::start(IpAddr::V4(FAULT_PROXY_IP), to).await;
+    let relay = relay.map_err(BenchmarkError::FaultProxy)?;
+    if delay_ms > 0.0 {
+        let fault = Fault {
+            delay_ms,
+            ..Fault::default()
+        };
+        relay.there.put(DELAY_FAULT, fault);
+        relay.back.put(DELAY_FAULT, fault);
+    }
+    Ok(relay)
+}
+
+fn relayed_bytes(relays: &[Relay]) -> u64 {
+    let bytes = |relay: &Relay| relay.there.carried().bytes + relay.back.carried().bytes;
+    relays.iter().map(bytes).sum()
+}
+
+/// What is special to the settings of one process.
+struct OwnSettings {
+    node: Value,
+    zone: usize,
+    binds: Value,
+    /// Where to connect to instead of an address.
+    address_overrides: Map<String, Value>,
+}
+
+fn settings(plan: &Plan, own: OwnSettings) -> Value {
+    let mut node = own.node;
+    node["az"] = zone(own.zone).into();
+    node["geo"] = region(own.zone).into();
+    let seeds: Vec<SocketAddrV4> = (0..plan.control_nodes.min(MAX_SEEDS))
+        .map(operator_addr)
+        .collect();
+    let zones = serde_json::to_value(region_by_zone()).unwrap_or_default();
+    json!({
+        "self": node,
+        "net": {
+            "binds": own.binds,
+            "port-range": PORT_RANGE,
+            "seeds": seeds,
+            "zones": zones,
+            "ways": own.address_overrides,
+        },
+        "plat": {"cloud-api": {
+            "addr": platform_addr(),
+            "rate-s": plan.platform_calls_per_s,
+            "lag-ms": 800,
+        }},
+        "terms": {"tolerate": {"machs": plan.tolerated_losses}, "bounds": {
+            "apply-ms": 7000,
+            "drain-ms": 4000,
+            "ack-ms": 8000,
+            "stretch-ms": 10000,
+            "grace-s": 6,
+            "ttl_max_s": 5,
+        }},
+    })
+}
+
+impl Processes {
+    /// Builds the programs, writes the settings and starts the fault proxies; starts no process.
+    pub(super) async fn prepare(plan: &Plan, folder: &Path) -> Result<Processes, BenchmarkError> {
+        build(&[PROXY, AGENT, CONTROL]).map_err(|e| BenchmarkError::Programs(e.to_string()))?;
+        let mut processes = Processes {
+            control_nodes: Vec::new(),
+            limiters: Vec::new(),
+            control_relays: Vec::new(),
+            limiter_relays: Vec::new(),
+        };
+        for number in 0..plan.control_nodes {
+            processes.add_control_node(plan, folder, number).await?;
+        }
+        for number in 0..plan.limiters {
+            processes.add_limiter(plan, folder, number).await?;
+        }
+        Ok(processes)
+    }
+
+    async fn add_control_node(
+        &mut self,
+        plan: &Plan,
+        folder: &Path,
+        number: usize,
+    ) -> Result<(), BenchmarkError> {
+        let mut address_overrides = Map::new();
+        for peer in (0..plan.control_nodes).filter(|peer| *peer != number) {
+            let relay = start_relay(control_addr(peer), plan.control_delay_ms).await?;
+            let relay_addr = relay.addr().to_string();
+            address_overrides.insert(control_addr(peer).to_string(), relay_addr.into());
+            self.control_relays.push(relay);
+        }
+        let name = format!("core-{number}");
+        let own = OwnSettings {
+            node: json!({
+                "host-name": name,
+                "ip": control_ip(number),
+                "quorum": true,
+                "init": true,
+                "datadir": data_folder(folder, &name),
+            }),
+            zone: control_zone(number),
+            binds: json!({"ctl": operator_addr(number), "dir": lookup_addr(number)}),
+            address_overrides,
+        };
+        let settings = settings(plan, own);
+        let member = Member::new(CONTROL, name, &settings, folder)?;
+        self.control_nodes.push(member);
+        Ok(())
+    }
+
+    async fn add_limiter(
+        &mut self,
+        plan: &Plan,
+        folder: &Path,
+        number: usize,
+    ) -> Result<(), BenchmarkError> {
+        let limiter = limiter_addr(number);
+        // Agents listen on 127.0.0.1; several of them on one machine need addresses of their own.
+        let agent_ip = Ipv4Addr::new(127, 60, 21, number as u8 + 1);
+        let agent_addr = SocketAddrV4::new(agent_ip, AGENT_PORT).to_string();
+        let default_agent_addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, AGENT_PORT).to_string();
+        let mut address_overrides = Map::new();
+        address_overrides.insert(default_agent_addr, agent_addr.into());
+        for control_node in 0..plan.control_nodes {
+            let relay = start_relay(control_addr(control_node), chunk_delay_ms(plan)).await?;
+            let relay_addr = relay.addr().to_string();
+            address_overrides.insert(control_addr(control_node).to_string(), relay_addr.into());
+            self.limiter_relays.push(relay);
+        }
+        let readiness_addr = SocketAddrV4::new(*limiter.ip(), READINESS_PORT);
+        let own = OwnSettings {
+            node: json!({
+                "host-name": format!("whole-{number}"),
+                "ip": limiter.ip(),
+                "caps": {"nofile": 4100, "mem-mb": 160},
+            }),
+            zone: number,
+            binds: json!({"front": limiter, "readyz": readiness_addr}),
+            address_overrides,
+        };
+        let settings = settings(plan, own);
+        let proxy = Member::new(PROXY, format!("proxy-{number}"), &settings, folder)?;
+        let agent = Member::new(AGENT, format!("agent-{number}"), &settings, folder)?;
+        self.limiters.extend([proxy, agent]);
+        Ok(())
+    }
+
+    /// The proxy processes of the real limiters.
+    pub(super) fn proxies(&self) -> impl Iterator<Item = &Member> {
+        self.limiters.iter().step_by(2)
+    }
+
+    /// Bytes that control nodes have sent each other.
+    pub(super) fn control_bytes(&self) -> u64 {
+        relayed_bytes(&self.control_relays)
+    }
+
+    /// Bytes between real limiters and control.
+    pub(super) fn limiter_bytes(&self) -> u64 {
+        relayed_bytes(&self.limiter_relays)
+    }
+
+    /// The size of the largest database of a control node.
+    pub(super) fn database_bytes(&self) -> u64 {
+        let sizes = self.control_nodes.iter().map(Member::database_bytes);
+        sizes.max().unwrap_or(0)
+    }
+}
+
+/// The delay of a chunk that makes up the bandwidth from a real limiter to control.
+fn chunk_delay_ms(plan: &Plan) -> f64 {
+    if plan.bandwidth_mbps > 0.0 {
+        RELAY_CHUNK_BYTES * 8.0 / (plan.bandwidth_mbps * 1000.0)
+    } else {
+        0.0
+    }
+}
