--- a/crates/aspendrum-core/tests/common/mod.rs
+++ b/crates/aspendrum-core/tests/common/mod.rs
@@ -1,6 +1,8 @@
-//! Settings that the tables of the module's tests start from.
+//! Settings that the engine's tests start from.
 
-use aspendrum_core::api::*;
+use aspendrum_core::api::{
+    GroupSettings, LoadReportChannel, LoadValue, PlanSettings, RepeatGroup, Semantics, Settings,
+};
 
 pub(crate) fn settings(semantics: Semantics, repeat_group: RepeatGroup) -> Settings {
     Settings {
--- /dev/null
+++ b/crates/aspendrum-core/tests/decisions/ceiling.rs
@@ -0,0 +1,64 @@
+//! Ceilings, which hold whatever fails.
+
+use crate::common::settings;
+use crate::harness::{member, Harness};
+use aspendrum_core::api::{
+    Health, Outcome, PlanSettings, RepeatGroup, Semantics, ServerEntry, Settings,
+};
+use test_case::test_case;
+
+fn ceiling() -> Settings {
+    let mut s = settings(Semantics::Idempotent, RepeatGroup::All);
+    s.plans[0] = PlanSettings {
+        ceiling_rate: 4.0,
+        ceiling_burst: 8.0,
+        overage_value: 0.5,
+        overage_cost: 0.0,
+        ..s.plans[0].clone()
+    };
+    s
+}
+
+/// All instances together stay under the ceiling whatever the counter says and however many they are, and
+/// some of it is granted.
+#[test_case(2, true ; "counter up, asked far beyond")]
+#[test_case(2, false ; "counter down from the start")]
+#[test_case(100, true ; "a hundred instances")]
+#[test_case(100, false ; "a hundred instances without a counter")]
+fn the_ceiling_holds_right_after_a_restart(instances: usize, counter: bool) {
+    let servers: Vec<ServerEntry> = (1..40)
+        .map(|id| member(id, Health::Ready, 0, 0.0))
+        .collect();
+    let mut s = ceiling();
+    let many = instances as f64 / 2.0;
+    (s.plans[0].ceiling_burst, s.plans[0].ceiling_rate) = (8.0 * many, 4.0 * many);
+    let mut harnesses: Vec<Harness> = (0..instances)
+        .map(|_| Harness::with(&s, &servers))
+        .collect();
+    let mut total = 0.0;
+    for step in 0..400u64 {
+        for (n, harness) in harnesses.iter_mut().enumerate() {
+            let (id, before) = (step * 200 + n as u64, harness.calls.len());
+            harness.ask_of(id, 9, instances as f32);
+            for i in before..harness.calls.len() {
+                total += harness.calls[i].1;
+                let outcome = if counter {
+                    Outcome::Ok
+                } else {
+                    Outcome::Rejected
+                };
+                harness.count(harness.calls[i].0, outcome, total);
+            }
+            if harness.sent(id) > 0 {
+                harness.end(id, 0, Outcome::Ok);
+            }
+            harness.wait(5.0);
+        }
+        let sent = harnesses.iter().map(|r| r.forwards.len()).sum::<usize>() as f64;
+        assert!(
+            sent <= many * (8.0 + 4.0 * (step as f64 + 1.0) * 0.005),
+            "{sent} at step {step}"
+        );
+    }
+    assert!(harnesses.iter().map(|r| r.forwards.len()).sum::<usize>() >= 2);
+}
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -1,20 +1,23 @@
-//! Pools of servers, plans by windows and new configurations, as the system's proxies use the module.
+//! Pools of servers, plans by windows and new configurations, as the proxies use the engine.
 
 mod common;
 
-use aspendrum_core::api::*;
+use aspendrum_core::api::{
+    Action, Event, Health, ListKind, Millis, NewRequest, Outcome, PlanSettings, RepeatGroup,
+    RequestId, Semantics, ServerEntry, ServerId,
+};
 use aspendrum_core::engine::DecisionEngine;
 use common::settings;
 
-struct Rig {
-    c: DecisionEngine,
+struct Harness {
+    engine: DecisionEngine,
     now: Millis,
     next: RequestId,
     out: Vec<Action>,
 }
 
-impl Rig {
-    fn new(windowed: bool, burst: f64) -> Rig {
+impl Harness {
+    fn new(windowed: bool, burst: f64) -> Harness {
         let mut s = settings(Semantics::NonIdempotent, RepeatGroup::All);
         s.plans[0] = PlanSettings {
             is_windowed: windowed,
@@ -23,8 +26,8 @@
             ..s.plans[0].clone()
         };
         let mut out = Vec::new();
-        Rig {
-            c: DecisionEngine::new(1000.0, 7, &s, &mut out),
+        Harness {
+            engine: DecisionEngine::new(1000.0, 7, &s, &mut out),
             now: 1000.0,
             next: 1,
             out,
@@ -33,7 +36,7 @@
 
     fn tell(&mut self, event: &Event<'_>) -> Vec<Action> {
         self.out.clear();
-        self.c.handle(self.now, event, &mut self.out);
+        self.engine.handle(self.now, event, &mut self.out);
         self.out.clone()
     }
 
@@ -57,20 +60,20 @@
         });
     }
 
-    /// A query whose add finds no counter; what the module does with it.
-    fn ask(&mut self, pool: u16, zones: u64, spread: f32) -> Vec<Action> {
+    /// A request whose counter call fails; what the engine does with it.
+    fn ask(&mut self, pool: u16, zones: u64, instances: f32) -> Vec<Action> {
         let id = self.next;
         self.next += 1;
         let until = self.now + 3000.0;
-        let (group, acct, plan, units, first) = (0, 5, 0, 1.0, 0.0);
+        let (group, tenant, plan, units, first) = (0, 5, 0, 1.0, 0.0);
         let (client_repeat, write, most) = (false, true, 3);
         let new = NewRequest {
             id,
             group,
             deadline: until,
-            tenant: acct,
+            tenant,
             plan,
-            instances: spread,
+            instances,
             units,
             first_instance: first,
             is_client_retry: client_repeat,
@@ -105,60 +108,63 @@
 }
 
 #[test]
-fn a_query_goes_to_its_pool_and_its_zones_only() {
-    let mut rig = Rig::new(false, 0.0);
-    rig.servers(&[(1, 0, 0), (2, 1, 0), (3, 1, 1), (4, 1, 2)]);
+fn a_request_goes_to_its_pool_and_its_zones_only() {
+    let mut harness = Harness::new(false, 0.0);
+    harness.servers(&[(1, 0, 0), (2, 1, 0), (3, 1, 1), (4, 1, 2)]);
     for _ in 0..3 {
-        assert_eq!(forwarded(&rig.ask(1, 1 << 1, 2.0)), Some(3));
+        assert_eq!(forwarded(&harness.ask(1, 1 << 1, 2.0)), Some(3));
     }
-    assert_eq!(forwarded(&rig.ask(0, u64::MAX, 2.0)), Some(1));
-    assert_eq!(forwarded(&rig.ask(0, 1 << 2, 2.0)), None);
-    assert_eq!(forwarded(&rig.ask(2, u64::MAX, 2.0)), None);
+    assert_eq!(forwarded(&harness.ask(0, u64::MAX, 2.0)), Some(1));
+    assert_eq!(forwarded(&harness.ask(0, 1 << 2, 2.0)), None);
+    assert_eq!(forwarded(&harness.ask(2, u64::MAX, 2.0)), None);
 }
 
-/// Danger: queries that wait for a pool without servers would hold up those of every other pool.
+/// Requests that wait for a pool without servers would hold up those of every other pool.
 #[test]
 fn a_pool_without_servers_holds_up_no_other() {
-    let mut rig = Rig::new(false, 0.0);
-    rig.servers(&[(1, 0, 0)]);
+    let mut harness = Harness::new(false, 0.0);
+    harness.servers(&[(1, 0, 0)]);
     for _ in 0..5 {
-        assert_eq!(forwarded(&rig.ask(1, u64::MAX, 2.0)), None);
+        assert_eq!(forwarded(&harness.ask(1, u64::MAX, 2.0)), None);
     }
-    assert_eq!(forwarded(&rig.ask(0, u64::MAX, 2.0)), Some(1));
+    assert_eq!(forwarded(&harness.ask(0, u64::MAX, 2.0)), Some(1));
 }
 
-/// Danger: half of the limiters are killed, the list changes five times in a third of a second, and each time
+/// Half of the instances are killed, the list changes five times in a third of a second, and each time
 /// the tenant's local count was split anew: 1,330 run where 1,248 were allowed.
 #[test]
-fn limiters_that_come_and_go_hand_nobody_a_fresh_part() {
-    let mut rig = Rig::new(true, 90.0);
-    rig.servers(&(1..200).map(|s| (s, 0, 0)).collect::<Vec<_>>());
-    rig.now += 20_000.0;
+fn instances_that_come_and_go_hand_nobody_a_fresh_share() {
+    let mut harness = Harness::new(true, 90.0);
+    harness.servers(&(1..200).map(|s| (s, 0, 0)).collect::<Vec<_>>());
+    harness.now += 20_000.0;
     let mut granted = 0;
-    for spread in [9.0, 8.0, 7.0, 6.0, 5.0, 4.0_f32] {
+    for instances in [9.0, 8.0, 7.0, 6.0, 5.0, 4.0_f32] {
         for _ in 0..100 {
-            granted += u32::from(forwarded(&rig.ask(0, u64::MAX, spread)).is_some());
+            granted += u32::from(forwarded(&harness.ask(0, u64::MAX, instances)).is_some());
         }
     }
-    // An even part of the burst as the set was when it was first met.
+    // An even share of the burst as the set was when the tenant was first met.
     assert_eq!(granted, 10);
 }
 
-/// Danger: a limiter that was killed may have granted its whole part just before.
+/// An instance that was killed may have granted its whole share just before.
 #[test]
 fn right_after_a_start_a_windowed_plan_has_only_what_its_rate_brings() {
-    let mut rig = Rig::new(true, 90.0);
-    rig.servers(&[(1, 0, 0)]);
-    assert_eq!(forwarded(&rig.ask(0, u64::MAX, 9.0)), None);
-    rig.now += 200.0;
-    assert_eq!(forwarded(&rig.ask(0, u64::MAX, 9.0)), Some(1));
+    let mut harness = Harness::new(true, 90.0);
+    harness.servers(&[(1, 0, 0)]);
+    assert_eq!(forwarded(&harness.ask(0, u64::MAX, 9.0)), None);
+    harness.now += 200.0;
+    assert_eq!(forwarded(&harness.ask(0, u64::MAX, 9.0)), Some(1));
 }
 
 #[test]
 fn a_new_configuration_brings_groups_and_quotas_without_a_new_start() {
-    let mut rig = Rig::new(true, 0.0);
-    rig.servers(&[(1, 0, 0)]);
-    assert!(forwarded(&rig.ask(0, u64::MAX, 1.0)).is_some(), "no quota");
+    let mut harness = Harness::new(true, 0.0);
+    harness.servers(&[(1, 0, 0)]);
+    assert!(
+        forwarded(&harness.ask(0, u64::MAX, 1.0)).is_some(),
+        "no quota"
+    );
     let s = settings(Semantics::NonIdempotent, RepeatGroup::All);
     let plan = PlanSettings {
         is_windowed: true,
@@ -166,11 +172,11 @@
         burst: 1.0,
         ..s.plans[0].clone()
     };
-    rig.c.configure(&s.groups, &[]);
+    harness.engine.configure(&s.groups, &[]);
     assert!(
-        forwarded(&rig.ask(0, u64::MAX, 1.0)).is_some(),
+        forwarded(&harness.ask(0, u64::MAX, 1.0)).is_some(),
         "fewer plans than before are not taken"
     );
-    rig.c.configure(&s.groups, &[plan]);
-    assert!(forwarded(&rig.ask(0, u64::MAX, 1.0)).is_none());
+    harness.engine.configure(&s.groups, &[plan]);
+    assert!(forwarded(&harness.ask(0, u64::MAX, 1.0)).is_none());
 }
--- a/crates/aspendrum-core/tests/quota_owner.rs
+++ b/crates/aspendrum-core/tests/quota_owner.rs
@@ -1,28 +1,31 @@
-//! Fleets of decision modules that hear each other's datagrams, without the bench and without sockets: a
-//! customer's count kept by one limiter of its set.
+//! Fleets of decision engines that get each other's datagrams, without sockets: a tenant's quota has an owner among its
+//! instances.
 
 mod common;
 
-use aspendrum_core::api::*;
+use aspendrum_core::api::{
+    Action, Event, Health, ListKind, LoadReport, LoadReportChannel, Millis, NewRequest, Outcome,
+    PlanSettings, RepeatGroup, RequestId, Semantics, ServerEntry, ServerId, Settings, TenantId,
+};
 use aspendrum_core::engine::DecisionEngine;
 use aspendrum_core::peer_message::{MessageId, PeerMessage, QuotaRequest, TenantKey};
 use test_case::test_case;
 
 const SERVERS: u32 = 40;
 const BEGUN: Millis = 100_000.0;
-/// Purses fill from a limiter's start: a burst's refill, and some.
+/// Token buckets fill from an instance's start: the time that fills a burst, and some.
 const FULL: Millis = 4000.0;
 
-/// Limiters on one clock, and what is on its way between them.
+/// Instances on one clock, and what is on its way between them.
 struct Fleet {
     now: Millis,
     settings: Settings,
-    limiters: Vec<Option<DecisionEngine>>,
+    instances: Vec<Option<DecisionEngine>>,
     mail: Vec<(usize, usize, Vec<u8>)>,
     /// Every so many datagrams one is lost; 0: none.
     lose: usize,
     said: usize,
-    /// Whether the second hears the first at that time since the start.
+    /// Whether the second gets datagrams of the first at that time since the start.
     hears: fn(Millis, usize, usize) -> bool,
     granted: Vec<RequestId>,
     sent: Vec<ServerId>,
@@ -30,7 +33,7 @@
     open: Vec<(usize, RequestId, ServerId)>,
 }
 
-fn settings(limiters: u32, counter: bool, ceiling: f64) -> Settings {
+fn settings(instances: u32, counter: bool, ceiling: f64) -> Settings {
     let base = common::settings(Semantics::Idempotent, RepeatGroup::All);
     let (ceiling_rate, ceiling_burst) = (2.0 * ceiling, 6.0 * ceiling);
     let plan = PlanSettings {
@@ -40,7 +43,7 @@
         ..base.plans[0].clone()
     };
     Settings {
-        instances: limiters,
+        instances,
         tick: 1.0,
         plans: vec![plan],
         load_values: vec![],
@@ -59,14 +62,14 @@
 impl Fleet {
     fn of(settings: Settings) -> Fleet {
         let (mail, granted, sent, shed, open) = Default::default();
-        let mut limiters = Vec::new();
-        limiters.resize_with(settings.instances as usize, || None);
+        let mut instances = Vec::new();
+        instances.resize_with(settings.instances as usize, || None);
         let (now, lose, said) = (BEGUN, 0, 0);
         let hears = |_, _, _| true;
         let mut fleet = Fleet {
             now,
             settings,
-            limiters,
+            instances,
             mail,
             lose,
             said,
@@ -76,7 +79,7 @@
             shed,
             open,
         };
-        (0..fleet.limiters.len()).for_each(|me| fleet.start(me));
+        (0..fleet.instances.len()).for_each(|me| fleet.start(me));
         fleet
     }
 
@@ -86,7 +89,7 @@
             instance: me as u32,
             ..self.settings.clone()
         };
-        self.limiters[me] = Some(DecisionEngine::new(
+        self.instances[me] = Some(DecisionEngine::new(
             self.now,
             7 + me as u64,
             &s,
@@ -116,7 +119,7 @@
 
     fn tell(&mut self, me: usize, event: &Event<'_>) {
         let mut out = Vec::new();
-        let Some(control) = &mut self.limiters[me] else {
+        let Some(control) = &mut self.instances[me] else {
             return;
         };
         control.handle(self.now, event, &mut out);
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Five milliseconds: datagrams arrive, forwards are answered, beats go by.
+    /// Five milliseconds: datagrams arrive, attempts end, timers are due.
     fn step(&mut self) {
         self.now += 5.0;
         for (from, to, data) in std::mem::take(&mut self.mail) {
@@ -168,24 +171,24 @@
                 },
             );
         }
-        (0..self.limiters.len()).for_each(|me| self.tell(me, &Event::Timer { token: 0 }));
+        (0..self.instances.len()).for_each(|me| self.tell(me, &Event::Timer { token: 0 }));
     }
 
     fn wait(&mut self, ms: Millis) {
         (0..(ms / 5.0) as u32).for_each(|_| self.step());
     }
 
-    fn ask(&mut self, me: usize, id: RequestId, acct: TenantId) {
-        let spread = self.limiters.len() as f32;
+    fn ask(&mut self, me: usize, id: RequestId, tenant: TenantId) {
+        let instances = self.instances.len() as f32;
         self.tell(
             me,
             &Event::Request(NewRequest {
                 id,
                 group: 0,
                 deadline: self.now + 3000.0,
-                tenant: acct,
+                tenant,
                 plan: 0,
-                instances: spread,
+                instances,
                 units: 1.0,
                 first_instance: 0.0,
                 is_client_retry: false,
@@ -197,11 +200,11 @@
         );
     }
 
-    /// Customer 5 asks `n` times, `ms` apart, through each limiter in turn.
+    /// Tenant 5 asks `n` times, `ms` apart, through each instance in turn.
     fn ask_in_turn(&mut self, from: RequestId, n: u64, ms: Millis) {
         for id in from..from + n {
-            let me = id as usize % self.limiters.len();
-            if self.limiters[me].is_some() {
+            let me = id as usize % self.instances.len();
+            if self.instances[me].is_some() {
                 self.ask(me, id, 5);
             }
             self.wait(ms);
@@ -210,51 +213,54 @@
     }
 }
 
-/// Forty limiters that each see a customer once in seconds granted each their first query: 40 units where the
-/// quota had 6 and 2 a second. What one limiter grants the others must know, though the counter says nothing
+/// Forty instances that each see a tenant once in seconds granted each their first request: 40 units where the
+/// quota had 6 and 2 a second. What one instance grants the others must know, though the counter says nothing
 /// and though datagrams get lost.
 #[test_case(false, 0 ; "no counter")]
 #[test_case(true, 0 ; "a counter that never answers")]
 #[test_case(false, 7 ; "one datagram in seven is lost")]
-fn all_limiters_together_grant_the_quota_and_no_more(counter: bool, lose: usize) {
+fn all_instances_together_grant_the_quota_and_no_more(counter: bool, lose: usize) {
     let mut fleet = Fleet::of(settings(40, counter, 0.0));
     fleet.lose = lose;
     fleet.wait(FULL);
     fleet.ask_in_turn(0, 80, 50.0);
     // 6 at once, and 2 a second for 4 s.
     let granted = fleet.granted.len();
-    // A unit or two are still with limiters that have nobody to ask for, or lost on the way.
+    // A unit or two are still with instances that have nobody to ask for, or lost on the way.
     assert!((12..=14).contains(&granted), "{granted} granted");
-    assert_eq!(granted + fleet.shed.len(), 80, "each query has one answer");
+    assert_eq!(
+        granted + fleet.shed.len(),
+        80,
+        "each request has one answer"
+    );
 }
 
-/// A killed keeper answers nobody: its customers' queries are decided all the same, by the next keeper, at
-/// most one more burst goes out, and once it is back it takes over again.
+/// A killed owner answers nobody: its tenants' requests are decided all the same, by the next owner; at most one more
+/// burst is granted; once it is back it takes over again.
 #[test]
-fn a_killed_keeper_costs_a_burst_at_most() {
+fn a_killed_owner_costs_a_burst_at_most() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     fleet.ask_in_turn(0, 40, 50.0);
     let before = fleet.granted.len();
-    // Whoever was told most of all is the keeper; it is found by killing one after another, each for a
-    // second.
+    // The owner is found by killing one after another, each for a second.
     for me in 0..40 {
-        fleet.limiters[me] = None;
+        fleet.instances[me] = None;
         fleet.ask_in_turn(100 + 10 * me as u64, 10, 50.0);
         fleet.start(me);
     }
     let (granted, answered) = (fleet.granted.len(), fleet.granted.len() + fleet.shed.len());
-    // 40 times a second with 2 units, three keepers with a burst each, before and after.
+    // 40 times a second with 2 units, three owners with a burst each, before and after.
     let most = before + 80 + 6 * 6 + 4;
     assert!(
         granted > before + 60 && granted <= most,
         "{granted} of {most}"
     );
-    // One query in ten at the most met the killed limiter itself.
+    // One request in ten at the most met the killed instance itself.
     assert!(answered >= 40 + 360, "{answered} answered");
 }
 
-/// Rule 5: all traffic through one limiter got its even part, a fortieth, of a ceiling that the customer did
-/// not come near; and no restart of any limiter, the keeper's neither, hands out a part anew.
+/// Rule 5: all traffic through one instance got its even share, a fortieth, of a ceiling that the tenant did
+/// not come near; and no restart of any instance, the owner's neither, hands out a share anew.
 #[test]
 fn a_ceiling_goes_where_the_traffic_is_and_holds_through_restarts() {
     let mut fleet = Fleet::of(settings(40, false, 1.5));
@@ -265,7 +271,7 @@
         fleet.wait(50.0);
     }
     let uneven = fleet.granted.len();
-    // The keeper's part fills from nothing with 0.54 of 3 a second; the even one with less than a tenth.
+    // The owner's share fills from nothing with 0.54 of 3 a second; the even one with less than a tenth.
     assert!(uneven >= 3, "{uneven} granted in 3 s");
     for id in 0..400u64 {
         if id % 10 == 0 {
@@ -282,17 +288,17 @@
     );
 }
 
-/// A customer's part of a ceiling filled only from its first query on, which was refused for that: with
-/// hundreds of limiters many customers' first query of the day. It fills from the limiter's start.
+/// A tenant's share of a ceiling filled only from its first request on, which was refused for that: with
+/// hundreds of instances many tenants' first request of the day. It fills from the instance's start.
 #[test]
-fn a_part_of_a_ceiling_fills_from_the_limiters_start() {
+fn a_share_of_a_ceiling_fills_from_the_instances_start() {
     let mut fleet = Fleet::of(settings(40, false, 1.5));
     fleet.wait(5000.0);
     fleet.ask_in_turn(0, 2, 5.0);
     assert_eq!(
         fleet.granted.len(),
         2,
-        "2.7 units have come together in the keeper's part"
+        "2.7 units have come together in the owner's part"
     );
     (0..40).for_each(|me| fleet.start(me));
     fleet.ask_in_turn(100, 40, 5.0);
@@ -303,8 +309,8 @@
     );
 }
 
-/// Datagrams that no limiter writes: cut short, too long, of unknown kinds, absurd, from nobody, or naming a
-/// customer with another plan. None may panic, be answered, or take anything from a real customer.
+/// Datagrams that no instance writes: cut short, too long, of unknown kinds, absurd, from nobody, or naming a
+/// tenant with another plan. None may panic, be answered, or take anything from a real tenant.
 #[test_case(&[] ; "empty")]
 #[test_case(&[9; 17] ; "unknown kind")]
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0] ; "one byte short")]
@@ -312,11 +318,11 @@
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x7f, 0xc0, 0, 0] ; "units not a number")]
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x7f, 0x80, 0, 0] ; "units without end")]
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0xbf, 0x80, 0, 0] ; "units below nothing")]
-#[test_case(&[4, 0, 0, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x47, 0, 0, 0] ; "more given back than one query takes")]
+#[test_case(&[4, 0, 0, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x47, 0, 0, 0] ; "more returned than one request takes")]
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 7, 0, 0, 0, 40, 0x3f, 0x80, 0, 0] ; "a plan that is not there")]
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 0, 0x3f, 0x80, 0, 0] ; "a set of nobody")]
 #[test_case(&[3, 0, 1, 4, 0, 0] ; "neither granted nor refused")]
-#[test_case(&[3, 0, 1, 1, 0, 0] ; "an answer that nobody asked for")]
+#[test_case(&[3, 0, 1, 1, 0, 0] ; "a reply to no request")]
 fn datagrams_that_make_no_sense_change_nothing(data: &[u8]) {
     let asked = |fleet: &mut Fleet| {
         fleet.ask_in_turn(0, 40, 5.0);
@@ -337,14 +343,13 @@
     let (there, here) = (asked(&mut undisturbed), asked(&mut fleet));
     assert!(
         here == there && here >= 5,
-        "the customer's burst is untouched: {here} of {there}"
+        "the tenant's burst is untouched: {here} of {there}"
     );
 }
 
-/// A question that came twice is one question: its units are taken once, and the second is answered as the
-/// first.
+/// A quota request that comes twice is one: its units are taken once, and the second is answered as the first.
 #[test]
-fn a_question_asked_twice_takes_its_units_once() {
+fn a_quota_request_sent_twice_takes_its_units_once() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     fleet.wait(FULL);
     let ask = [1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
@@ -369,25 +374,25 @@
     assert_eq!(fleet.mail.pop(), Some((3, 8, vec![3, 0, 2, 3, 0, 0])));
 }
 
-/// A few limiters that see their customers often need no keeper, and where datagrams are not allowed none is
+/// A few instances that see their tenants often need no owner, and where datagrams are not allowed none is
 /// sent.
 #[test_case(4, true ; "a small fleet")]
 #[test_case(40, false ; "datagrams not allowed")]
-fn no_datagrams_where_there_is_no_need_or_no_leave(limiters: u32, may_tell: bool) {
+fn no_datagrams_where_none_is_needed_or_allowed(instances: u32, may_tell: bool) {
     let mut fleet = Fleet::of(Settings {
         may_send_datagrams: may_tell,
-        ..settings(limiters, false, 0.0)
+        ..settings(instances, false, 0.0)
     });
     fleet.ask_in_turn(0, 40, 20.0);
     assert_eq!(fleet.said, 0);
     assert!(!fleet.granted.is_empty());
 }
 
-/// Rule 3 over a whole fleet: six in ten servers are told to drain, in steps, while every limiter has queries
-/// in hand, some still waiting for a keeper's word. None goes to a server that its limiter was told of, and
+/// Rule 3 over a whole fleet: six in ten servers are told to drain, in steps, while every instance has requests
+/// in hand, some still waiting for an owner's reply. None goes to a server that its instance knows to drain, and
 /// the new ones are used.
 #[test]
-fn six_in_ten_servers_replaced_get_nothing_new_from_any_limiter() {
+fn six_in_ten_servers_replaced_get_nothing_new_from_any_instance() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     fleet.wait(FULL);
     let mut id = 0;
@@ -443,7 +448,7 @@
     );
 }
 
-/// Forty limiters through which one customer asks for twenty times its quota for 60 s while the counter says
+/// Forty instances through which one tenant asks for twenty times its quota for 60 s while the counter says
 /// nothing; granted over quota. `kill`: all are killed and start again from nothing each time so long has
 /// passed.
 fn played(hears: fn(Millis, usize, usize) -> bool, lose: usize, kill: Option<Millis>) -> f64 {
@@ -453,7 +458,7 @@
     let begun = fleet.now;
     let mut killed = begun;
     for id in 0..2400u64 {
-        // Scattered over the limiters, with no pattern in time.
+        // Scattered over the instances, with no pattern in time.
         let me = (id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32) as usize % 40;
         if kill.is_some_and(|every| fleet.now - killed >= every) {
             killed = fleet.now;
@@ -471,19 +476,19 @@
     over
 }
 
-/// With links cut each side's keeper went by the whole quota: 2.41 of it in halves, 2.62 in quarters, 2.79 in
-/// halves that change, 1.90 with a tenth that is not heard. What was not given it nobody spends now, however
-/// links are cut; what is held by limiters that cannot give it waits until it comes to a whole query.
+/// In a partition each side's owner went by the whole quota: 2.41 of it in halves, 2.62 in quarters, 2.79 in
+/// halves that change, 1.90 with a tenth that is not heard. However links are cut, nobody spends now what it was not given; what is
+/// held by instances that can't give it waits until it comes to a whole request.
 #[test_case(|_, _, _| true, 0, None, 0.93 ; "whole")]
 #[test_case(|_, _, _| true, 9, None, 0.85 ; "one datagram in nine is lost")]
 #[test_case(|_, a, b| a / 20 == b / 20, 0, None, 0.9 ; "halves")]
 #[test_case(|_, a, b| a / 10 == b / 10, 0, None, 0.65 ; "quarters")]
-#[test_case(|_, _, _| false, 0, None, 0.5 ; "every limiter alone")]
+#[test_case(|_, _, _| false, 0, None, 0.5 ; "every instance alone")]
 #[test_case(|_, _, b| b >= 4, 0, None, 0.75 ; "a tenth hears nothing")]
 #[test_case(|_, a, _| a >= 4, 0, None, 0.75 ; "a tenth is not heard")]
 #[test_case(turning, 0, None, 0.75 ; "halves that change every 2 s")]
 #[test_case(|_, _, _| true, 0, Some(10_000.0), 0.85 ; "all killed every 10 s")]
-fn no_cut_of_the_links_grants_more_than_the_quota(
+fn no_partition_grants_more_than_the_quota(
     hears: fn(Millis, usize, usize) -> bool,
     lose: usize,
     kill: Option<Millis>,
@@ -502,12 +507,12 @@
     (a + turn * 7) % 40 / 20 == (b + turn * 7) % 40 / 20
 }
 
-/// A quota whose even parts are whole queries (burst 80): each limiter alone goes by its even part, and no more is
+/// A quota whose even shares are whole requests (burst 80): each instance alone goes by its even share, and no more is
 /// granted than the quota however links are cut.
 #[test_case(|_, _, _| true, 0.93 ; "whole")]
 #[test_case(|_, a, b| a / 20 == b / 20, 0.85 ; "halves")]
-#[test_case(|_, _, _| false, 0.85 ; "every limiter alone")]
-fn even_parts_of_a_wide_quota_are_kept_and_used(
+#[test_case(|_, _, _| false, 0.85 ; "every instance alone")]
+fn even_shares_of_a_wide_quota_are_kept_and_used(
     hears: fn(Millis, usize, usize) -> bool,
     least: f64,
 ) {
@@ -529,25 +534,25 @@
     );
 }
 
-/// All of a customer's traffic through one limiter: what the idle ones hold is fetched for it, and the keeper
+/// All of a tenant's traffic through one instance: what the idle ones hold is fetched for it, and the owner
 /// that was cut off from it is replaced by the next.
 #[test]
-fn idle_limiters_parts_go_to_where_the_traffic_is() {
+fn idle_instances_shares_go_to_where_the_traffic_is() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     fleet.wait(FULL);
     for id in 0..1200 {
         fleet.ask(17, id, 5);
         fleet.wait(25.0);
     }
-    // 6 and 2 a second for 30 s; the first keeper's own part is 0.61 of it.
+    // 6 and 2 a second for 30 s; the first owner's own share is 0.61 of it.
     let granted = fleet.granted.len();
     println!("{granted} of 66");
     assert!((56..=66).contains(&granted), "{granted} of 66");
 }
 
-/// A unit given back twice, or by one that never had it, is given back once or not at all.
+/// A unit returned twice, or by an instance that never had it, is taken once or not at all.
 #[test]
-fn what_is_given_back_comes_back_once() {
+fn returned_units_come_back_once() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     fleet.wait(FULL);
     let ask = |stamp: u8| [1, 0, stamp, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
@@ -566,7 +571,7 @@
             .count()
     };
     let first = granted(&mut fleet, 1);
-    assert_eq!(first, 3, "the keeper's own part of a burst of 6");
+    assert_eq!(first, 3, "the owner's own share of a burst of 6");
     for _ in 0..10 {
         fleet.tell(
             3,
