--- a/crates/aspendrum-proxy/src/main.rs
+++ b/crates/aspendrum-proxy/src/main.rs
@@ -6,10 +6,6 @@
 
 fn main() -> ExitCode {
     let about = "The proxy of the system: carries clients' queries to servers";
-    daemon::run(
-        "aspendrum-proxy",
-        about,
-        || Settings::load().map(|s| s.host_name),
-        aspendrum_proxy::serve,
-    )
+    let check = || Settings::load().map(|settings| settings.host_name);
+    daemon::run("aspendrum-proxy", about, check, aspendrum_proxy::serve)
 }
