--- a/crates/aspendrum-core/src/engine.rs
+++ b/crates/aspendrum-core/src/engine.rs
@@ -5,31 +5,44 @@
 //! A request passes through `admission` (its tenant's `quota`, decided by the shared `counter`, a
 //! `quota_owner` or this instance alone), is queued and sent to a server (`dispatch`, `endpoint_selection`), and
 //! ends (`completion`). Reasons stand in docs/design.md.
+//!
+//! Decisions between states stand in tables. Five rules hold whatever fails, and are named by number: 1, each request has
+//! one final answer in time; 2, no effect happens twice; 3, a draining server gets nothing new; 4, a starting server
+//! gets no more than it can stand; 5, no tenant gets more than its ceiling.
 
 mod admission;
+mod breaker;
+mod ceiling;
 mod completion;
 mod concurrency_limit;
 mod counter;
+mod counter_name;
 mod dispatch;
 mod endpoint_selection;
+mod fleet;
 mod health_check;
+mod latency;
 mod maintenance;
 mod membership;
 mod outlier_ejection;
+mod parameters;
 mod quota;
 mod quota_owner;
 mod retry_rules;
+mod sampling;
 mod slow_start;
+mod tenant_count;
 
+use self::breaker::CircuitBreaker;
+use self::fleet::FleetStatistics;
+use self::latency::LatencyBaseline;
+use self::parameters::{GroupParameters, Parameters, PlanParameters};
+use self::quota_owner::reply_cache::ReplyCache;
+use self::sampling::CounterSampling;
 use crate::api::{Action, Event, GroupSettings, Millis, PlanSettings, Settings};
 use crate::rng::Rng;
-use crate::state::breaker::CircuitBreaker;
-use crate::state::fleet::FleetStatistics;
-use crate::state::latency::LatencyBaseline;
-use crate::state::parameters::{GroupParameters, Parameters, PlanParameters};
-use crate::state::peer::{Peer, ReplyCache};
+use crate::state::peer::Peer;
 use crate::state::request::Request;
-use crate::state::sampling::CounterSampling;
 use crate::state::server::Server;
 use crate::state::slab::Slab;
 use crate::state::tenant::Tenant;
--- a/crates/aspendrum-core/src/engine/counter.rs
+++ b/crates/aspendrum-core/src/engine/counter.rs
@@ -1,10 +1,11 @@
 //! The shared counter: calls and their answers, what a total says of a quota, and units settled later.
 
+use super::breaker::{BreakerEffect, BreakerEvent};
+use super::counter_name::{is_window_name, tenant_of_name};
 use super::{DecisionEngine, Settlement};
 use crate::api::{Action, Millis, Outcome};
-use crate::state::breaker::{BreakerEffect, BreakerEvent};
 use crate::state::request::RequestStage;
-use crate::state::tenant::{is_window_name, tenant_of_name, CounterCall, CounterCallOwner};
+use crate::state::tenant::{CounterCall, CounterCallOwner};
 
 /// An answer is prompt within this part of the counter's time-out.
 const PROMPT: f64 = 0.5;
--- a/crates/aspendrum-core/src/engine/quota.rs
+++ b/crates/aspendrum-core/src/engine/quota.rs
@@ -150,18 +150,4 @@
         }
         self.conclude_admission(slot, within_quota);
     }
-
-    /// Takes a request's units out of the tenant's ceiling; false if it has no room. A peer's request is charged to the
-    /// owner's share, and only where the peer's own is spent.
-    fn pay_ceiling(&mut self, slot: usize) -> bool {
-        let request = &self.requests[slot];
-        match request.peer_origin {
-            Some(_) => !request.charges_owner_ceiling || self.pay_owner_ceiling_share(slot),
-            None => {
-                request.ceiling_paid
-                    || self.pay_ceiling_share(slot)
-                    || self.pay_owner_ceiling_share(slot)
-            }
-        }
-    }
 }
--- a/crates/aspendrum-core/src/engine/quota_owner.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner.rs
@@ -6,8 +6,8 @@
 //! (`DecisionEngine::decide_quota`); the others ask it ([`routing`], [`replies`]). While the counter says nothing,
 //! instances spend tokens that they hold and give to each other ([`tokens`]).
 
-mod ceiling;
 mod messages;
 mod replies;
+pub(super) mod reply_cache;
 mod routing;
 mod tokens;
--- a/crates/aspendrum-core/src/engine/quota_owner/messages.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/messages.rs
@@ -1,9 +1,9 @@
 //! Datagrams from other instances.
 
-use super::super::DecisionEngine;
 use crate::api::Action;
+use crate::engine::counter_name::fits_counter_name;
+use crate::engine::DecisionEngine;
 use crate::peer_message::{PeerMessage, TenantKey};
-use crate::state::tenant::fits_counter_name;
 
 impl DecisionEngine {
     /// A datagram from a peer. One that makes no sense is dropped and counted.
--- a/crates/aspendrum-core/src/engine/quota_owner/replies.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/replies.rs
@@ -1,8 +1,8 @@
 //! What an owner answers to quota requests, and units that were granted and not used.
 
-use super::super::DecisionEngine;
+use super::reply_cache::{peer_request_id, CachedReply};
+use crate::engine::DecisionEngine;
 use crate::peer_message::{MessageId, PeerMessage, QuotaReply, QuotaRequest};
-use crate::state::peer::{peer_request_id, CachedReply};
 use crate::state::request::{PeerOrigin, Request, RequestStage};
 
 impl DecisionEngine {
@@ -47,7 +47,7 @@
         let plan = &self.params.plans[tenant.plan];
         let granted = request.within_quota;
         let in_hand = if lacks_counter {
-            tenant.tokens_in_hand()
+            self.tokens_in_hand(request.tenant)
         } else {
             tenant.local_tokens
         };
--- a/crates/aspendrum-core/src/engine/quota_owner/routing.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/routing.rs
@@ -1,10 +1,10 @@
 //! Which instance decides on a request's quota, and what it is asked.
 
-use super::super::DecisionEngine;
 use crate::api::{Action, Millis};
+use crate::engine::breaker::PROBE_INTERVAL;
+use crate::engine::DecisionEngine;
 use crate::peer_message::{MessageId, PeerMessage, QuotaRequest, TenantKey};
 use crate::spread;
-use crate::state::breaker::PROBE_INTERVAL;
 use crate::state::peer::Peer;
 
 /// Instances of a tenant's set that may own its quota, one after another as those before don't answer.
@@ -44,7 +44,7 @@
 
     /// The instances that may own the tenant's quota, the first one first. Told by its id and its set, so that all of the
     /// set conclude the same.
-    pub(super) fn quota_owners(&self, index: usize) -> impl Iterator<Item = u16> {
+    pub(in crate::engine) fn quota_owners(&self, index: usize) -> impl Iterator<Item = u16> {
         let tenant = &self.tenants[index];
         let (id, first, set, instances) = (
             tenant.id as f64,
--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -1,14 +1,15 @@
 //! Tokens that instances hold, spend and give to each other while the shared counter says nothing. However messages are
 //! lost, all instances together never hold more than the quota has brought (docs/shared-state.md).
 
-use super::super::quota::OWNERSHIP_TIME;
-use super::super::DecisionEngine;
 use super::routing::OWNERS;
 use crate::api::Millis;
+use crate::engine::breaker::PROBE_INTERVAL;
+use crate::engine::quota::OWNERSHIP_TIME;
+use crate::engine::tenant_count::LEAST_EVEN_SHARE;
+use crate::engine::DecisionEngine;
 use crate::peer_message::{MessageId, PeerMessage, TenantKey};
-use crate::state::breaker::PROBE_INTERVAL;
 use crate::state::request::Request;
-use crate::state::tenant::{SpareGrant, Tenant, LEAST_EVEN_SHARE};
+use crate::state::tenant::SpareGrant;
 use aspendrum_token_bucket::{BucketLimits, TokenTransfer, ONE_TOKEN};
 
 /// While the breaker is open a probe a second asks the counter: two without an answer, and it is silent.
@@ -30,14 +31,12 @@
     (units * ONE_TOKEN as f64) as u64
 }
 
-impl Tenant {
+impl DecisionEngine {
     /// The units that the tokens held here come to.
-    pub(super) fn tokens_in_hand(&self) -> f64 {
-        self.token_bucket.tokens() as f64 / ONE_TOKEN as f64
+    pub(super) fn tokens_in_hand(&self, index: usize) -> f64 {
+        self.tenants[index].token_bucket.tokens() as f64 / ONE_TOKEN as f64
     }
-}
 
-impl DecisionEngine {
     /// Notes the decision on a request. What was granted here, by whatever count, is spent: an instance never holds
     /// tokens for what the counter gave away.
     pub(in crate::engine) fn record_decision(&mut self, slot: usize, within_quota: bool) {
