--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -173,8 +173,8 @@
             .ok_or(ConfigError::Missing("settings".into()))?;
         let settings = settings::read(&as_pairs(raw)).map_err(ConfigError::Setting)?;
         let location_names = LocationNames {
-            zones: words(raw, "Zones"),
-            machine_kinds: words(raw, "Kinds"),
+            zones: string_list(raw, "Zones"),
+            machine_kinds: string_list(raw, "Kinds"),
         };
         let known_servers = known_servers(&root, &location_names)?;
         let address_if = |is_used: bool, key| is_used.then(|| address(&root, key)).transpose();
@@ -265,7 +265,7 @@
     }
 }
 
-fn words(settings: &Value, key: &str) -> Vec<String> {
+fn string_list(settings: &Value, key: &str) -> Vec<String> {
     let list = settings.get(key).and_then(Value::as_array);
     list.into_iter()
         .flatten()
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -100,7 +100,7 @@
         let connections = self.connections_to(address);
         let old = std::mem::replace(&mut self.connections, connections);
         for (from, to) in old.iter().zip(&self.connections) {
-            to.take_over(from.retire(), || self.request_open(to));
+            to.adopt_queued(from.retire(), || self.request_open(to));
         }
         self.retired.extend(old);
     }
--- a/crates/aspendrum/src/counter/connection.rs
+++ b/crates/aspendrum/src/counter/connection.rs
@@ -122,7 +122,7 @@
     }
 
     /// Takes over the calls that another connection has not written.
-    pub(super) fn take_over(&self, calls: VecDeque<Call>, request_open: impl FnOnce() -> bool) {
+    pub(super) fn adopt_queued(&self, calls: VecDeque<Call>, request_open: impl FnOnce() -> bool) {
         let mut state = self.state();
         state.queued = calls;
         self.ensure_opening(&mut state, request_open);
@@ -208,7 +208,7 @@
         };
         let (connection, readable) = (self.clone(), stream.clone());
         let reader = move || connection.read_replies(&readable);
-        if spawn("counter in", self.limits.threads.stack_bytes, reader).is_err() {
+        if spawn("counter reader", self.limits.threads.stack_bytes, reader).is_err() {
             return self.fail_queued(&mut state);
         }
         let now = Instant::now();
--- a/crates/aspendrum/src/discovery/client.rs
+++ b/crates/aspendrum/src/discovery/client.rs
@@ -1,7 +1,7 @@
 //! Requests to discovery: a complete list, then one watch after another.
 
 use super::endpoint::DiscoveryEndpoint;
-use super::publish;
+use super::publish::publish;
 use crate::backoff::Backoff;
 use crate::event::{DiscoveryRequest, DispatcherEvent};
 use crate::http::status::OK;
@@ -83,7 +83,7 @@
             self.back_off();
         }
         while !self.state.lifecycle.is_stopped() && self.receive_requests() {
-            if self.options.endpoint.take_moved() {
+            if self.options.endpoint.take_has_moved() {
                 self.start_over();
             }
             if self.should_fetch || self.should_watch {
@@ -92,22 +92,22 @@
         }
     }
 
-    /// Takes in what the decision core requests; waits for it if there is nothing to do. Returns false if there is no
+    /// Receives what the decision core requests; waits for it if there is nothing to do. Returns false if there is no
     /// decision core any more.
     fn receive_requests(&mut self) -> bool {
         if !self.should_fetch && !self.should_watch {
             let Ok(request) = self.options.requests.recv() else {
                 return false;
             };
-            self.take_in(request);
+            self.apply_request(request);
         }
         while let Ok(request) = self.options.requests.try_recv() {
-            self.take_in(request);
+            self.apply_request(request);
         }
         true
     }
 
-    fn take_in(&mut self, request: DiscoveryRequest) {
+    fn apply_request(&mut self, request: DiscoveryRequest) {
         match request {
             DiscoveryRequest::Fetch => self.should_fetch = true,
             DiscoveryRequest::Watch(on) => self.should_watch = on,
@@ -132,7 +132,7 @@
                 }
             }
             // A request that was ended by the move is no failure.
-            Err(_) if self.options.endpoint.take_moved() => self.start_over(),
+            Err(_) if self.options.endpoint.take_has_moved() => self.start_over(),
             Err(error) => self.handle_failure(&error),
         }
     }
@@ -157,11 +157,11 @@
         self.back_off();
     }
 
-    /// Waits before the next request, and takes in what is requested meanwhile; a request to fetch ends the delay.
+    /// Waits before the next request, and receives what is requested meanwhile; a request to fetch ends the delay.
     fn back_off(&mut self) {
         let deadline = Instant::now() + self.options.backoff.next_delay();
         while let Ok(request) = self.options.requests.recv_deadline(deadline) {
-            self.take_in(request);
+            self.apply_request(request);
             if request == DiscoveryRequest::Fetch {
                 return;
             }
--- a/crates/aspendrum/src/discovery/endpoint.rs
+++ b/crates/aspendrum/src/discovery/endpoint.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether the address has changed since the last call.
-    pub(super) fn take_moved(&self) -> bool {
+    pub(super) fn take_has_moved(&self) -> bool {
         std::mem::take(&mut lock(&self.0).has_moved)
     }
 
--- a/crates/aspendrum/src/dispatcher.rs
+++ b/crates/aspendrum/src/dispatcher.rs
@@ -76,7 +76,7 @@
 
     /// Handles events and timers until the limiter stops.
     pub(crate) fn run(mut self, events: &MailboxReceiver<DispatcherEvent>) {
-        self.carry_out_actions();
+        self.perform_actions();
         loop {
             let due = self
                 .timers
@@ -139,7 +139,7 @@
     /// Passes an event to the decision core, and carries out what it returns.
     fn notify_engine(&mut self, event: &Event<'_>) {
         self.engine.handle(self.now(), event, &mut self.actions);
-        self.carry_out_actions();
+        self.perform_actions();
     }
 
     fn handle_disconnect(&mut self, id: RequestId) {
@@ -152,7 +152,9 @@
         };
         request.is_finished = true;
         // While an attempt is in flight, the request's thread reads this after its end.
-        let _ = request.decisions.try_send(RequestDecision::ClientGone);
+        let _ = request
+            .decisions
+            .try_send(RequestDecision::ClientDisconnected);
         self.notify_engine(&Event::ClientDisconnected { id });
         self.forget_if_done(id);
     }
@@ -282,15 +284,15 @@
         }
     }
 
-    fn carry_out_actions(&mut self) {
+    fn perform_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.perform(action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Forward {
                 id,
--- a/crates/aspendrum/src/event.rs
+++ b/crates/aspendrum/src/event.rs
@@ -95,7 +95,7 @@
     /// Give it up: it may have run.
     Drop,
     /// The client has disconnected: there is nobody to respond to.
-    ClientGone,
+    ClientDisconnected,
 }
 
 /// What the decision core requests of discovery, where lists must be asked for.
--- a/crates/aspendrum/src/http/request.rs
+++ b/crates/aspendrum/src/http/request.rs
@@ -4,10 +4,10 @@
     has_duplicate_field, is_forwarded, remaining_time, tenant, QuotaShare, GROUP, IDEMPOTENCY_KEY,
     PLAN, QUOTA, REMAINING, RESENT, TRANSACTION,
 };
+use super::schema::MessageSchema;
 use super::status::{
     BAD_REQUEST, CONTENT_TOO_LARGE, HEADER_FIELDS_TOO_LARGE, LENGTH_REQUIRED, METHOD_NOT_ALLOWED,
 };
-use super::MessageSchema;
 use crate::limits::MAX_HEADERS;
 use aspendrum_core::api::{Millis, Semantics};
 use aspendrum_net::http1::{
--- a/crates/aspendrum/src/http/server_response.rs
+++ b/crates/aspendrum/src/http/server_response.rs
@@ -2,11 +2,11 @@
 
 use super::fields::number;
 use super::load_report::parse_load;
+use super::schema::MessageSchema;
 use super::status::{
     BAD_GATEWAY, GATEWAY_TIMEOUT, NOT_MODIFIED, NO_CONTENT, OK, SERVICE_UNAVAILABLE,
     SWITCHING_PROTOCOLS,
 };
-use super::MessageSchema;
 use crate::limits::MAX_HEADERS;
 use aspendrum_core::api::{LoadReport, Outcome};
 use aspendrum_net::http1::{
--- a/crates/aspendrum/src/overflow.rs
+++ b/crates/aspendrum/src/overflow.rs
@@ -18,7 +18,7 @@
     for _ in 0..limits.clients.overflow_threads {
         let (state, streams) = (state.clone(), streams.clone());
         let body = move || reject_all(&state, &streams);
-        if let Err(error) = spawn("spare", limits.threads.stack_bytes, body) {
+        if let Err(error) = spawn("overflow", limits.threads.stack_bytes, body) {
             tracing::warn!(%error, "an overflow thread did not start");
         }
     }
--- a/crates/aspendrum/src/request_handler.rs
+++ b/crates/aspendrum/src/request_handler.rs
@@ -84,7 +84,9 @@
                     ..OwnResponse::empty(SERVICE_UNAVAILABLE)
                 }),
                 Some(RequestDecision::Drop) => self.respond(OwnResponse::empty(GATEWAY_TIMEOUT)),
-                Some(RequestDecision::ClientGone) => AfterAttempt::Responded { stays_open: false },
+                Some(RequestDecision::ClientDisconnected) => {
+                    AfterAttempt::Responded { stays_open: false }
+                }
                 None => self.abandon(),
             };
             if let AfterAttempt::Responded { stays_open } = after {
@@ -154,17 +156,11 @@
         server: ServerId,
         timeout: Option<Millis>,
     ) -> AfterAttempt {
-        let deadline_in =
-            |timeout| (Instant::now() + duration_from_millis(timeout)).min(self.deadline);
-        let deadline = timeout.map_or(self.deadline, deadline_in);
+        let deadline = self.attempt_deadline(timeout);
         let started_at = Instant::now();
         let (outcome, response) = self.attempt(attempt, server, deadline);
         let rtt = millis_from_duration(started_at.elapsed());
-        let never_ran = matches!(
-            outcome,
-            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
-        );
-        self.may_have_run |= !never_ran;
+        self.may_have_run |= !never_ran(outcome);
         let client_error = response
             .as_ref()
             .filter(|response| response.is_client_error());
@@ -197,6 +193,13 @@
         after
     }
 
+    fn attempt_deadline(&self, timeout: Option<Millis>) -> Instant {
+        match timeout {
+            Some(timeout) => (Instant::now() + duration_from_millis(timeout)).min(self.deadline),
+            None => self.deadline,
+        }
+    }
+
     /// A server that takes the request for malformed says nothing of itself, and others would answer the same: the fault is
     /// the client's, who is told.
     fn report_client_error(&self, status: u16) -> AfterAttempt {
@@ -243,26 +246,9 @@
             return (Outcome::NotSent, None);
         }
         let timeout = remaining().min(self.state.limits.servers.connect_timeout);
-        // The handle gets the socket before it is connected: a request that is cancelled meanwhile must not wait for a
-        // server that never accepts.
-        let begin = |stream: &Arc<_>| self.forward.begin_attempt(attempt, stream);
-        let mut connection = match self
-            .state
-            .pool
-            .acquire(server, timeout, Duration::MAX, begin)
-        {
+        let mut connection = match self.connect(attempt, server, timeout) {
             Ok(connection) => connection,
-            Err(outcome) => {
-                let is_cancelled = self.forward.end_attempt(attempt);
-                return (
-                    if is_cancelled {
-                        Outcome::NotSent
-                    } else {
-                        outcome
-                    },
-                    None,
-                );
-            }
+            Err(outcome) => return (outcome, None),
         };
         let sent = self.send(attempt, &mut connection, millis_from_duration(remaining()));
         let received = sent.and_then(|()| self.state.receive(&mut connection, deadline));
@@ -280,6 +266,28 @@
         }
     }
 
+    /// Takes a connection from the pool, or opens one.
+    ///
+    /// The handle gets the socket before it is connected: a request that is cancelled meanwhile must not wait for a server
+    /// that never accepts.
+    fn connect(
+        &self,
+        attempt: u8,
+        server: ServerId,
+        timeout: Duration,
+    ) -> Result<Connection, Outcome> {
+        let begin = |stream: &Arc<_>| self.forward.begin_attempt(attempt, stream);
+        let pool = &self.state.pool;
+        let connection = pool.acquire(server, timeout, Duration::MAX, begin);
+        connection.map_err(|outcome| {
+            if self.forward.end_attempt(attempt) {
+                Outcome::NotSent
+            } else {
+                outcome
+            }
+        })
+    }
+
     fn send(
         &self,
         attempt: u8,
@@ -309,6 +317,14 @@
     }
 }
 
+/// Whether the outcome proves that the request did not run.
+fn never_ran(outcome: Outcome) -> bool {
+    matches!(
+        outcome,
+        Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+    )
+}
+
 fn failed_outcome(outcome: Outcome, is_cancelled: bool) -> Outcome {
     match outcome {
         // The last byte was not written, because the attempt was cancelled: no fault of the server's.
--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -441,7 +441,7 @@
 }
 
 #[test]
-fn each_key_of_limits_and_settings() {
+fn each_key_of_limits() {
     let config = Config::parse(CONFIGURATION).unwrap();
     assert_eq!(
         (config.seed, config.memory_mb, config.max_descriptors),
@@ -451,6 +451,11 @@
         (config.connect_timeout, config.server_keepalive),
         (Duration::from_millis(125), Duration::from_secs(20))
     );
+}
+
+#[test]
+fn each_key_that_names_groups_plans_and_servers() {
+    let config = Config::parse(CONFIGURATION).unwrap();
     let (groups, plans) = ([("look", 0), ("pay", 1)], [("free", 0), ("team", 1)]);
     assert_eq!(
         config.group_numbers,
