--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -206,7 +206,8 @@
         let now = self.now as u64;
         let may_hold = |number: &u64| {
             let peer = holder(*number);
-            peer != self.params.instance && !tenant.token_bucket.heard_lately(limits, peer, now)
+            peer != self.params.instance
+                && !tenant.token_bucket.received_recently(limits, peer, now)
         };
         let asked: Vec<u64> = (cursor.next..cursor.next + holders)
             .filter(may_hold)
--- a/crates/aspendrum-gossip/src/lib.rs
+++ b/crates/aspendrum-gossip/src/lib.rs
@@ -10,6 +10,3 @@
 pub use message::{GossipAction, GossipMessage};
 pub use node::GossipNode;
 pub use view::{Neighbour, PartialView};
-
-/// Milliseconds on the agent's own monotonic clock.
-pub type Millis = f64;
--- a/crates/aspendrum-gossip/src/message.rs
+++ b/crates/aspendrum-gossip/src/message.rs
@@ -4,8 +4,8 @@
 //! (`tests/wire_bytes.rs`).
 
 use crate::view::Neighbour;
-use crate::Millis;
 use aspendrum_model::message::StateDigest;
+use aspendrum_model::time::Millis;
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
--- a/crates/aspendrum-gossip/src/node.rs
+++ b/crates/aspendrum-gossip/src/node.rs
@@ -6,8 +6,8 @@
 
 use crate::message::{GossipAction, GossipMessage};
 use crate::view::PartialView;
-use crate::Millis;
 use aspendrum_model::message::StateDigest;
+use aspendrum_model::time::Millis;
 use fastrand::Rng;
 use std::net::Ipv4Addr;
 
@@ -98,14 +98,14 @@
 
     /// Handles a datagram.
     ///
-    /// `held` is the state that this agent holds; `confirmed_as_of` is when a majority held nothing newer, unless this
+    /// `local_state` is the state that this agent holds; `confirmed_as_of` is when a majority held nothing newer, unless this
     /// agent is isolated.
     pub fn handle(
         &mut self,
         now: Millis,
         from: Ipv4Addr,
         message: GossipMessage,
-        held: &StateDigest,
+        local_state: &StateDigest,
         confirmed_as_of: Option<Millis>,
     ) -> Vec<GossipAction> {
         match message {
@@ -121,7 +121,7 @@
                 Vec::new()
             }
             GossipMessage::ReportRequest { sent_at } => {
-                let message = answer_request(now, sent_at, held, confirmed_as_of);
+                let message = answer_request(now, sent_at, local_state, confirmed_as_of);
                 vec![GossipAction::Send { to: from, message }]
             }
             GossipMessage::NoReport { sent_at } => {
@@ -133,7 +133,7 @@
                 age,
                 decided,
             } => self
-                .handle_report(now, from, sent_at as Millis, age, &decided, held)
+                .handle_report(now, from, sent_at as Millis, age, &decided, local_state)
                 .into_iter()
                 .collect(),
         }
@@ -183,17 +183,17 @@
         requested_at: Millis,
         age: u32,
         decided: &StateDigest,
-        held: &StateDigest,
+        local_state: &StateDigest,
     ) -> Option<GossipAction> {
         // A time in the future answers no request of this process.
         if requested_at > now {
             return None;
         }
         // Two contents under one revision: only control can say which of them was decided.
-        if held.revision == decided.revision && held.digests != decided.digests {
+        if local_state.revision == decided.revision && local_state.digests != decided.digests {
             return None;
         }
-        if held.revision.covers(&decided.revision) {
+        if local_state.revision.covers(&decided.revision) {
             return Some(GossipAction::ConfirmedAsOf(requested_at - f64::from(age)));
         }
         if now - self.last_fetch < FETCH_INTERVAL {
@@ -208,7 +208,7 @@
 fn answer_request(
     now: Millis,
     sent_at: u64,
-    held: &StateDigest,
+    local_state: &StateDigest,
     confirmed_as_of: Option<Millis>,
 ) -> GossipMessage {
     match confirmed_as_of {
@@ -217,7 +217,7 @@
             GossipMessage::Report {
                 sent_at,
                 age,
-                decided: *held,
+                decided: *local_state,
             }
         }
         None => GossipMessage::NoReport { sent_at },
--- a/crates/aspendrum-model/src/lib.rs
+++ b/crates/aspendrum-model/src/lib.rs
@@ -9,3 +9,4 @@
 pub mod message;
 pub mod servers;
 pub mod settings;
+pub mod time;
--- a/crates/aspendrum-reconcile/src/lib.rs
+++ b/crates/aspendrum-reconcile/src/lib.rs
@@ -13,10 +13,8 @@
 pub mod state_digest;
 pub mod sync_status;
 
+pub use aspendrum_model::time::Millis;
 pub use majority_report::{MajorityReport, ReportValidity};
 pub use repair::{Repair, RepairStep};
 pub use state_digest::{state_digest, Section};
 pub use sync_status::{SyncAssessment, SyncStatus};
-
-/// Milliseconds on the node's own monotonic clock.
-pub type Millis = f64;
--- a/crates/aspendrum-reconcile/src/majority_report.rs
+++ b/crates/aspendrum-reconcile/src/majority_report.rs
@@ -1,7 +1,7 @@
 //! What a majority of control confirmed, and for how long a node may rely on it.
 
-use crate::Millis;
 use aspendrum_model::message::StateDigest;
+use aspendrum_model::time::Millis;
 
 /// A report that a majority of control's disks held nothing newer than `decided` at the time `as_of`.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/aspendrum-reconcile/src/repair.rs
+++ b/crates/aspendrum-reconcile/src/repair.rs
@@ -4,7 +4,9 @@
 //! tables and is filled from nothing. The first steps follow each other quickly, later ones with exponential backoff,
 //! and a node that no step repairs raises one alert.
 
-use crate::{Millis, Section, SyncStatus};
+use crate::state_digest::Section;
+use crate::sync_status::SyncStatus;
+use aspendrum_model::time::Millis;
 
 /// What is to be done about a node now.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,7 +45,7 @@
 }
 
 impl Repair {
-    /// Takes in the node's present status and the sections in which it differs; returns the step that is due, if any.
+    /// Considers the node's present status and the sections in which it differs; returns the step that is due, if any.
     pub fn next_step(
         &mut self,
         now: Millis,
--- a/crates/aspendrum-reconcile/src/sync_status.rs
+++ b/crates/aspendrum-reconcile/src/sync_status.rs
@@ -3,8 +3,9 @@
 //! An assessment rests on a [`MajorityReport`] and expires by itself on the node's monotonic clock: a node that receives
 //! nothing, sleeps or is partitioned off stops by itself, without a message that tells it to.
 
-use crate::{MajorityReport, Millis, ReportValidity};
+use crate::majority_report::{MajorityReport, ReportValidity};
 use aspendrum_model::message::StateDigest;
+use aspendrum_model::time::Millis;
 
 /// How the state that a node applied relates to the state that was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/aspendrum-token-bucket/src/bucket.rs
+++ b/crates/aspendrum-token-bucket/src/bucket.rs
@@ -11,25 +11,26 @@
 //! each bucket has a capacity: what was granted in any time T is at most the rate times T and what all buckets held at its
 //! beginning.
 
-use crate::transfer::{amount_of, steps_in, TransferSources};
-use crate::{BucketLimits, Millis, NanoTokens, TokenTransfer};
+use crate::limits::BucketLimits;
+use crate::transfer::{amount_of, steps_in, TokenTransfer, TransferSources};
+use crate::units::{ClockMillis, NanoTokens};
 
 /// A bucket that fills at this limiter's share of the rate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TokenBucket {
     tokens: NanoTokens,
     /// When `tokens` was last brought up to date.
-    filled_at: Millis,
+    filled_at: ClockMillis,
     /// What that filling left over of a nano-token, in fractions of `total_shares`.
     remainder: u64,
     /// When this limiter started.
-    started_at: Millis,
+    started_at: ClockMillis,
     sources: TransferSources,
 }
 
 impl TokenBucket {
     /// A bucket that is empty at `empty_at`, of a limiter that started at `started_at` and accepts no transfer from before.
-    pub fn new(empty_at: Millis, started_at: Millis) -> TokenBucket {
+    pub fn new(empty_at: ClockMillis, started_at: ClockMillis) -> TokenBucket {
         TokenBucket {
             filled_at: empty_at,
             started_at,
@@ -42,36 +43,42 @@
         self.tokens
     }
 
-    /// Whether the limiter in that place of the set (0 is the first) may spend so much now.
+    /// Whether the limiter at that position of the set (0 is the first) may spend so much now.
     ///
     /// Where its share of the burst is less than the amount, limiters take turns by the clock, as many at a time as the
     /// burst has such amounts: all limiters could hold one, and all at once would spend many times the burst.
     pub fn can_spend(
         &mut self,
         limits: &BucketLimits,
-        place: u64,
+        position: u64,
         amount: NanoTokens,
-        now: Millis,
+        now: ClockMillis,
     ) -> bool {
         self.fill(limits, now);
         self.tokens >= amount
-            && (self.share_of_burst(limits, now) >= amount || limits.is_turn_of(place, amount, now))
+            && (self.share_of_burst(limits, now) >= amount
+                || limits.is_turn_of(position, amount, now))
     }
 
     /// Removes the amount, as far as it is there. Also for what the counter granted, which is spent here too.
-    pub fn spend(&mut self, limits: &BucketLimits, amount: NanoTokens, now: Millis) {
+    pub fn spend(&mut self, limits: &BucketLimits, amount: NanoTokens, now: ClockMillis) {
         self.fill(limits, now);
         self.tokens = self.tokens.saturating_sub(amount);
     }
 
     /// Adds what was spent for a request that went to no server.
-    pub fn refund(&mut self, limits: &BucketLimits, amount: NanoTokens, now: Millis) {
+    pub fn refund(&mut self, limits: &BucketLimits, amount: NanoTokens, now: ClockMillis) {
         self.fill(limits, now);
         self.add(limits, amount, now);
     }
 
     /// Sets the bucket to this limiter's share of what the counter says is left of the whole quota.
-    pub fn set_remaining(&mut self, limits: &BucketLimits, remaining: NanoTokens, now: Millis) {
+    pub fn set_remaining(
+        &mut self,
+        limits: &BucketLimits,
+        remaining: NanoTokens,
+        now: ClockMillis,
+    ) {
         self.fill(limits, now);
         let share = self.share_of_burst(limits, now);
         let remaining = remaining.min(limits.burst);
@@ -83,7 +90,7 @@
     ///
     /// What is above this limiter's share of the burst is discarded: transferred, the whole requests that limiters may
     /// hold for times when they are alone would add up to many bursts.
-    pub fn withdraw_all(&mut self, limits: &BucketLimits, now: Millis) -> u16 {
+    pub fn withdraw_all(&mut self, limits: &BucketLimits, now: ClockMillis) -> u16 {
         self.fill(limits, now);
         let share = self.share_of_burst(limits, now);
         let steps = steps_in(limits, self.tokens.min(share));
@@ -103,7 +110,7 @@
         limits: &BucketLimits,
         sender: u16,
         transfer: TokenTransfer,
-        now: Millis,
+        now: ClockMillis,
     ) -> bool {
         self.fill(limits, now);
         if !self
@@ -117,12 +124,12 @@
     }
 
     /// Whether that limiter sent a transfer so lately that it need not be asked for its tokens.
-    pub fn heard_lately(&self, limits: &BucketLimits, limiter: u16, now: Millis) -> bool {
-        self.sources.heard_lately(limits, limiter, now)
+    pub fn received_recently(&self, limits: &BucketLimits, limiter: u16, now: ClockMillis) -> bool {
+        self.sources.received_recently(limits, limiter, now)
     }
 
     /// This limiter's own share of the burst, and one for each recent sender: what these sent they do not hold.
-    fn share_of_burst(&self, limits: &BucketLimits, now: Millis) -> NanoTokens {
+    fn share_of_burst(&self, limits: &BucketLimits, now: ClockMillis) -> NanoTokens {
         let senders = self.sources.recent_count(limits, now);
         limits.share_of(
             limits.burst,
@@ -131,11 +138,11 @@
     }
 
     /// The most that it holds: its share of the burst, or one whole request where that is more.
-    fn capacity(&self, limits: &BucketLimits, now: Millis) -> NanoTokens {
+    fn capacity(&self, limits: &BucketLimits, now: ClockMillis) -> NanoTokens {
         self.share_of_burst(limits, now).max(limits.largest_request)
     }
 
-    fn add(&mut self, limits: &BucketLimits, amount: NanoTokens, now: Millis) {
+    fn add(&mut self, limits: &BucketLimits, amount: NanoTokens, now: ClockMillis) {
         self.tokens = self
             .tokens
             .saturating_add(amount)
@@ -143,7 +150,7 @@
     }
 
     /// Adds this limiter's share of what the rate has brought since it was last filled.
-    fn fill(&mut self, limits: &BucketLimits, now: Millis) {
+    fn fill(&mut self, limits: &BucketLimits, now: ClockMillis) {
         let total_shares = u128::from(limits.total_shares.max(1));
         let elapsed = u128::from(now.saturating_sub(self.filled_at));
         let fractions = u128::from(limits.rate) * elapsed * u128::from(limits.own_shares)
--- a/crates/aspendrum-token-bucket/src/lib.rs
+++ b/crates/aspendrum-token-bucket/src/lib.rs
@@ -8,16 +8,9 @@
 mod bucket;
 mod limits;
 mod transfer;
+mod units;
 
 pub use bucket::TokenBucket;
 pub use limits::BucketLimits;
 pub use transfer::{TokenTransfer, MAX_CLOCK_SKEW, TRANSFER_LIFETIME};
-
-/// Milliseconds of the clock that all limiters read.
-pub type Millis = u64;
-
-/// Billionths of a token. Whole numbers, so that a transfer adds exactly what it took.
-pub type NanoTokens = u64;
-
-/// One token, in [`NanoTokens`].
-pub const ONE_TOKEN: NanoTokens = 1_000_000_000;
+pub use units::{ClockMillis, NanoTokens, ONE_TOKEN};
--- a/crates/aspendrum-token-bucket/src/limits.rs
+++ b/crates/aspendrum-token-bucket/src/limits.rs
@@ -1,6 +1,6 @@
 //! The limits of a tenant's quota, and what follows from them for one limiter of its set.
 
-use crate::{Millis, NanoTokens};
+use crate::units::{ClockMillis, NanoTokens};
 
 /// A tenant's quota, and how it is divided among the limiters of its set.
 ///
@@ -25,7 +25,7 @@
 
 impl BucketLimits {
     /// The time in which the rate fills the burst; at least 1.
-    pub fn fill_time(&self) -> Millis {
+    pub fn fill_time(&self) -> ClockMillis {
         (self.burst / self.rate.max(1)).max(1)
     }
 
@@ -48,14 +48,14 @@
         (even / amount.max(1)).clamp(1, self.limiters.max(1))
     }
 
-    /// Whether it is the turn of the limiter in that place of the set to spend more than its share of the burst.
+    /// Whether it is the turn of the limiter at that position of the set to spend more than its share of the burst.
     ///
     /// In each fill time [`Self::concurrent_spenders`] limiters have their turn, the next ones in the next.
-    pub(crate) fn is_turn_of(&self, place: u64, amount: NanoTokens, now: Millis) -> bool {
+    pub(crate) fn is_turn_of(&self, position: u64, amount: NanoTokens, now: ClockMillis) -> bool {
         let limiters = self.limiters.max(1);
         let spenders = self.concurrent_spenders(amount);
         let first = now / self.fill_time() % limiters * spenders % limiters;
-        (place % limiters + limiters - first) % limiters < spenders
+        (position % limiters + limiters - first) % limiters < spenders
     }
 
     /// What all buckets of the set may hold together. What is granted in any time `t` is at most `rate * t` and this.
--- a/crates/aspendrum-token-bucket/src/transfer.rs
+++ b/crates/aspendrum-token-bucket/src/transfer.rs
@@ -1,14 +1,15 @@
 //! Transfers of tokens between limiters, and the record of transfers received.
 
-use crate::{BucketLimits, Millis, NanoTokens};
+use crate::limits::BucketLimits;
+use crate::units::{ClockMillis, NanoTokens};
 
 /// A transfer that is older on arrival is discarded. Longer than datagrams take, and shorter than a bucket is kept after
 /// its last use.
-pub const TRANSFER_LIFETIME: Millis = 1_000;
+pub const TRANSFER_LIFETIME: ClockMillis = 1_000;
 
 /// The most by which two limiters' clocks differ. A transfer sent so soon after its receiver's start may have been sent
 /// before it.
-pub const MAX_CLOCK_SKEW: Millis = 50;
+pub const MAX_CLOCK_SKEW: ClockMillis = 50;
 
 /// Tokens that a limiter sends to the owner of a tenant's quota along with an admission request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -16,7 +17,7 @@
     /// The amount in steps, as [`TokenBucket::withdraw_all`](crate::TokenBucket::withdraw_all) counts them.
     pub steps: u16,
     /// When it was sent, on the sender's clock. No two transfers of one sender have the same time.
-    pub sent_at: Millis,
+    pub sent_at: ClockMillis,
 }
 
 /// The last transfer that was accepted from one limiter.
@@ -24,9 +25,9 @@
 struct TransferSource {
     limiter: u16,
     /// By the sender's clock.
-    sent_at: Millis,
+    sent_at: ClockMillis,
     /// By the receiver's clock.
-    received_at: Millis,
+    received_at: ClockMillis,
 }
 
 /// The limiters from which a bucket accepted transfers of late. It accepts each transfer at most once.
@@ -35,20 +36,25 @@
 
 impl TransferSources {
     /// How many limiters sent a transfer within the last fill time.
-    pub(crate) fn recent_count(&self, limits: &BucketLimits, now: Millis) -> u64 {
+    pub(crate) fn recent_count(&self, limits: &BucketLimits, now: ClockMillis) -> u64 {
         let recent =
             |source: &&TransferSource| now.saturating_sub(source.received_at) <= limits.fill_time();
         self.0.iter().filter(recent).count() as u64
     }
 
     /// Whether that limiter sent a transfer within the last half of a fill time.
-    pub(crate) fn heard_lately(&self, limits: &BucketLimits, limiter: u16, now: Millis) -> bool {
-        let lately = |source: &TransferSource| {
+    pub(crate) fn received_recently(
+        &self,
+        limits: &BucketLimits,
+        limiter: u16,
+        now: ClockMillis,
+    ) -> bool {
+        let is_recent = |source: &TransferSource| {
             now.saturating_sub(source.received_at) <= limits.fill_time() / 2
         };
         self.0
             .iter()
-            .any(|source| source.limiter == limiter && lately(source))
+            .any(|source| source.limiter == limiter && is_recent(source))
     }
 
     /// Accepts a transfer unless it is too old, a duplicate or older than the last one of its sender, or may have been sent
@@ -57,9 +63,9 @@
         &mut self,
         limits: &BucketLimits,
         sender: u16,
-        sent_at: Millis,
-        started_at: Millis,
-        now: Millis,
+        sent_at: ClockMillis,
+        started_at: ClockMillis,
+        now: ClockMillis,
     ) -> bool {
         let expired = sent_at + TRANSFER_LIFETIME < now;
         let from_the_future = sent_at > now + MAX_CLOCK_SKEW;
@@ -88,7 +94,7 @@
     }
 
     /// Forgets senders whose transfers are so old that none could be accepted twice.
-    fn forget_old(&mut self, limits: &BucketLimits, sender: u16, now: Millis) {
+    fn forget_old(&mut self, limits: &BucketLimits, sender: u16, now: ClockMillis) {
         let kept_for = limits.fill_time().max(TRANSFER_LIFETIME + MAX_CLOCK_SKEW);
         self.0.retain(|source| {
             source.limiter == sender || now.saturating_sub(source.received_at) <= kept_for
--- a/crates/aspendrum-token-bucket/tests/model.rs
+++ b/crates/aspendrum-token-bucket/tests/model.rs
@@ -5,7 +5,8 @@
 //! check finds each of the broken variants.
 
 use aspendrum_token_bucket::{
-    BucketLimits, Millis, NanoTokens, TokenBucket, TokenTransfer, MAX_CLOCK_SKEW, TRANSFER_LIFETIME,
+    BucketLimits, ClockMillis, NanoTokens, TokenBucket, TokenTransfer, MAX_CLOCK_SKEW,
+    TRANSFER_LIFETIME,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -13,8 +14,8 @@
 const TENANTS: usize = 2;
 /// The limiter that owns each tenant's quota.
 const OWNER: [usize; TENANTS] = [0, 1];
-const START: Millis = 10 * TRANSFER_LIFETIME;
-const TICK: Millis = 300;
+const START: ClockMillis = 10 * TRANSFER_LIFETIME;
+const TICK: ClockMillis = 300;
 const TICKS: u64 = 5;
 const MAX_DEPTH: usize = 9;
 const MAX_IN_FLIGHT: usize = 2;
@@ -52,11 +53,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    now: Millis,
+    now: ClockMillis,
     limiters: Vec<Limiter>,
     in_flight: Vec<Datagram>,
     granted: [NanoTokens; TENANTS],
-    transfers_sent: [Millis; LIMITERS],
+    transfers_sent: [ClockMillis; LIMITERS],
     crashes: u8,
     stalls: u8,
     duplicates: u8,
@@ -139,7 +140,7 @@
 }
 
 impl LimiterSet {
-    fn start(&self, limiter: usize, now: Millis) -> Limiter {
+    fn start(&self, limiter: usize, now: ClockMillis) -> Limiter {
         let started_at = if self.0 == Variant::AcceptsFromBeforeStart {
             0
         } else {
--- a/crates/aspendrum-token-bucket/tests/schedules.rs
+++ b/crates/aspendrum-token-bucket/tests/schedules.rs
@@ -2,7 +2,7 @@
 //! differ. What was granted in any time is at most what the rate brings in it and what the buckets may hold.
 
 use aspendrum_token_bucket::{
-    BucketLimits, Millis, NanoTokens, TokenBucket, TokenTransfer, MAX_CLOCK_SKEW, ONE_TOKEN,
+    BucketLimits, ClockMillis, NanoTokens, TokenBucket, TokenTransfer, MAX_CLOCK_SKEW, ONE_TOKEN,
     TRANSFER_LIFETIME,
 };
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 const OWNERS: usize = 3;
 const RATE: NanoTokens = 2 * ONE_TOKEN / 1000;
 const BURST: NanoTokens = 6 * ONE_TOKEN;
-const START: Millis = 1_000_000;
+const START: ClockMillis = 1_000_000;
 
 /// Sixty shares in a hundred are the first limiter's own.
 fn limits(limiter: usize) -> BucketLimits {
@@ -42,18 +42,18 @@
         limiter: usize,
         owner: usize,
         is_alone: bool,
-        delay: Millis,
+        delay: ClockMillis,
         copies: u8,
     },
     /// A limiter grants a request out of its bucket.
     Spend(usize),
     Restart(usize),
     /// A limiter receives and does nothing for so long.
-    Stall(usize, Millis),
+    Stall(usize, ClockMillis),
 }
 
 /// An event, and the time before it.
-fn event() -> impl Strategy<Value = (Millis, Event)> {
+fn event() -> impl Strategy<Value = (ClockMillis, Event)> {
     let request = (
         0..LIMITERS,
         0..OWNERS,
@@ -79,12 +79,12 @@
 
 struct Limiter {
     bucket: TokenBucket,
-    stalled_until: Millis,
-    last_sent_at: Millis,
+    stalled_until: ClockMillis,
+    last_sent_at: ClockMillis,
 }
 
 impl Limiter {
-    fn start(local_time: Millis) -> Limiter {
+    fn start(local_time: ClockMillis) -> Limiter {
         let bucket = TokenBucket::new(local_time, local_time);
         Limiter {
             bucket,
@@ -95,28 +95,28 @@
 }
 
 struct Datagram {
-    arrives_at: Millis,
+    arrives_at: ClockMillis,
     sender: usize,
     receiver: usize,
     transfer: TokenTransfer,
 }
 
 struct Grant {
-    at: Millis,
+    at: ClockMillis,
     amount: NanoTokens,
 }
 
 struct LimiterSet {
-    now: Millis,
+    now: ClockMillis,
     /// How far each limiter's clock is ahead.
-    clock_errors: Vec<Millis>,
+    clock_errors: Vec<ClockMillis>,
     limiters: Vec<Limiter>,
     in_flight: Vec<Datagram>,
     grants: Vec<Grant>,
 }
 
 impl LimiterSet {
-    fn new(clock_errors: Vec<Millis>) -> LimiterSet {
+    fn new(clock_errors: Vec<ClockMillis>) -> LimiterSet {
         let limiters = clock_errors
             .iter()
             .map(|error| Limiter::start(START + error))
@@ -130,7 +130,7 @@
         }
     }
 
-    fn advance(&mut self, time: Millis) {
+    fn advance(&mut self, time: ClockMillis) {
         self.now += time;
         self.in_flight.sort_by_key(|datagram| datagram.arrives_at);
         let due = self
@@ -190,7 +190,7 @@
         }
     }
 
-    fn transfer(&mut self, sender: usize, receiver: usize, delay: Millis, copies: u8) {
+    fn transfer(&mut self, sender: usize, receiver: usize, delay: ClockMillis, copies: u8) {
         let local_time = self.now + self.clock_errors[sender];
         let limiter = &mut self.limiters[sender];
         if self.now < limiter.stalled_until {
@@ -203,7 +203,7 @@
             sent_at: limiter.last_sent_at,
         };
         for copy in 0..copies {
-            let arrives_at = self.now + delay + Millis::from(copy);
+            let arrives_at = self.now + delay + ClockMillis::from(copy);
             self.in_flight.push(Datagram {
                 arrives_at,
                 sender,
