--- a/crates/aspendrum-checker/src/lib.rs
+++ b/crates/aspendrum-checker/src/lib.rs
@@ -7,5 +7,4 @@
 pub mod limiter;
 pub mod system;
 
-/// Milliseconds: a point in time since the run began, or a duration.
-pub type Millis = f64;
+pub use aspendrum_model::time::Millis;
--- a/crates/aspendrum-consensus/src/node.rs
+++ b/crates/aspendrum-consensus/src/node.rs
@@ -4,8 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// Milliseconds on the caller's steady clock.
-pub type Millis = f64;
+pub use aspendrum_model::time::Millis;
 
 /// A control node, identified by its IPv4 address. Encoded as a plain `u32`.
 #[derive(
--- a/crates/aspendrum-core/src/api.rs
+++ b/crates/aspendrum-core/src/api.rs
@@ -13,8 +13,8 @@
     GroupSettings, LoadReportChannel, LoadValue, PlanSettings, RepeatGroup, Semantics, Settings,
 };
 
-/// Milliseconds: a duration, or a moment of one steady clock.
-pub type Millis = f64;
+pub use aspendrum_model::time::Millis;
+
 /// Identifies a request. The highest bit must not be set: ids of requests that come from other instances have it.
 pub type RequestId = u64;
 /// Identifies a server.
