--- a/crates/aspendrum-benchmarks/src/error.rs
+++ b/crates/aspendrum-benchmarks/src/error.rs
@@ -1,6 +1,7 @@
 //! Why a benchmark cannot be run.
 
 use aspendrum_model::config::ConfigError;
+use aspendrum_testbed::program::ProgramError;
 use derive_more::{Display, Error};
 use std::io;
 
@@ -23,7 +24,7 @@
     TemporaryFolder(io::Error),
     /// The programs that are measured cannot be built or found.
     #[display("{_0}")]
-    Programs(#[error(not(source))] String),
+    Programs(ProgramError),
     /// The settings of a process cannot be written.
     #[display("settings of {process}: {source}")]
     WriteSettings {
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/processes.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/processes.rs
@@ -5,7 +5,8 @@
 use crate::error::BenchmarkError;
 use crate::fleet_size::{region, region_by_zone, zone, REGIONS, ZONES};
 use aspendrum_fault_proxy::{Fault, Relay};
-use aspendrum_testbed::process::{build, Process, Start};
+use aspendrum_testbed::process::Process;
+use aspendrum_testbed::program::{build, Program};
 use serde_json::{json, Map, Value};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -32,7 +33,7 @@
 /// A process of the system.
 pub(super) struct Member {
     pub(super) name: String,
-    start: Start,
+    program: Program,
     settings: PathBuf,
     folder: PathBuf,
     process: Option<Process>,
@@ -46,7 +47,7 @@
         settings: &Value,
         folder: &Path,
     ) -> Result<Member, BenchmarkError> {
-        let start = Start::system(program).map_err(|e| BenchmarkError::Programs(e.to_string()))?;
+        let program = Program::system(program).map_err(BenchmarkError::Programs)?;
         let file = folder.join(format!("{name}.json"));
         let write_error = |source| BenchmarkError::WriteSettings {
             process: name.clone(),
@@ -55,7 +56,7 @@
         std::fs::write(&file, settings.to_string()).map_err(write_error)?;
         Ok(Member {
             name,
-            start,
+            program,
             settings: file,
             folder: folder.to_path_buf(),
             process: None,
@@ -63,7 +64,7 @@
     }
 
     pub(super) fn start(&mut self) -> Result<(), BenchmarkError> {
-        let process = Process::start(&self.start, &self.settings, &self.log_file());
+        let process = Process::start(&self.program, &self.settings, &self.log_file());
         let start_error = |source| BenchmarkError::StartProcess {
             process: self.name.clone(),
             source,
@@ -97,7 +98,7 @@
     /// Processor time so far, seconds.
     pub(super) fn cpu_s(&self) -> f64 {
         let process = self.process.as_ref();
-        process.and_then(Process::cpu_s).unwrap_or(0.0)
+        process.and_then(Process::cpu_seconds).unwrap_or(0.0)
     }
 
     /// Whether its log contains that text.
@@ -181,14 +182,14 @@
             delay_ms,
             ..Fault::default()
         };
-        relay.there.put(DELAY_FAULT, fault);
-        relay.back.put(DELAY_FAULT, fault);
+        relay.forward.set_fault(DELAY_FAULT, fault);
+        relay.backward.set_fault(DELAY_FAULT, fault);
     }
     Ok(relay)
 }
 
 fn relayed_bytes(relays: &[Relay]) -> u64 {
-    let bytes = |relay: &Relay| relay.there.carried().bytes + relay.back.carried().bytes;
+    let bytes = |relay: &Relay| relay.forward.stats().bytes + relay.backward.stats().bytes;
     relays.iter().map(bytes).sum()
 }
 
@@ -237,7 +238,7 @@
 impl Processes {
     /// Builds the programs, writes the settings and starts the fault proxies; starts no process.
     pub(super) async fn prepare(plan: &Plan, folder: &Path) -> Result<Processes, BenchmarkError> {
-        build(&[PROXY, AGENT, CONTROL]).map_err(|e| BenchmarkError::Programs(e.to_string()))?;
+        build(&[PROXY, AGENT, CONTROL]).map_err(BenchmarkError::Programs)?;
         let mut processes = Processes {
             control_nodes: Vec::new(),
             limiters: Vec::new(),
--- a/crates/aspendrum-testbed/src/run.rs
+++ b/crates/aspendrum-testbed/src/run.rs
@@ -3,16 +3,17 @@
 
 use crate::clients::{self, Customer, Front};
 use crate::config::{self, Places};
-use crate::process::{Process, Start};
+use crate::process::Process;
+use crate::program::Program;
 use crate::scenario::{Path as LinkPath, Scenario, Way, What, Which};
-use crate::timeline::{self, Moment};
+use crate::timeline::{self, FaultTransition};
 use aspendrum_checker::limiter::{self, check, ExemptPeriod, Query, Record, RuleLimits, Verdict};
 use aspendrum_checker::Millis;
 use aspendrum_fake_services::counter::{self, Counter};
 use aspendrum_fake_services::discovery::{self, Discovery, Health};
-use aspendrum_fake_services::server::{self, Server, Shared};
+use aspendrum_fake_services::server::{self, RateServer, ServerLog};
 use aspendrum_fake_services::{lock, Clock};
-use aspendrum_fault_proxy::{Carried, Fault, Link, Mesh, Relay};
+use aspendrum_fault_proxy::{Fault, Link, LinkStats, Mesh, Relay};
 use futures_util::future::join_all;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 use nix::sys::signal::Signal;
@@ -47,9 +48,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Datagrams between limiters: sent, bytes, lost or cut off.
-    pub datagrams: Carried,
-    pub counter: counter::Seen,
-    pub discovery: discovery::Seen,
+    pub datagrams: LinkStats,
+    pub counter: counter::CounterStats,
+    pub discovery: discovery::DiscoveryStats,
 }
 
 /// What a run came to.
@@ -133,7 +134,7 @@
 /// [`run`] on a runtime of its own, ended by an interrupt like by any other failure: with all it has started.
 pub fn play(
     scenario: &Scenario,
-    start: &Start,
+    start: &Program,
     folder: &Path,
     progress: &(dyn Fn(&str) + Sync),
 ) -> Result<Outcome, String> {
@@ -159,8 +160,8 @@
     scenario: Arc<Scenario>,
     clock: Clock,
     folder: PathBuf,
-    start: Start,
-    servers: Vec<Arc<Server>>,
+    start: Program,
+    servers: Vec<Arc<RateServer>>,
     counter: Arc<Counter>,
     discovery: Arc<Discovery>,
     mesh: Mesh,
@@ -173,7 +174,7 @@
     peer_listens: Vec<SocketAddr>,
     slots: Vec<tokio::sync::Mutex<Slot>>,
     /// The beginnings of the faults that have not ended.
-    standing: Mutex<Vec<Moment>>,
+    standing: Mutex<Vec<FaultTransition>>,
     excuses: Mutex<Vec<ExemptPeriod>>,
     failures: Mutex<Vec<String>>,
     _claim: TcpListener,
@@ -182,7 +183,7 @@
 /// Plays the scenario; what the limiters wrote and were told stands in `folder`.
 pub async fn run(
     scenario: &Scenario,
-    start: &Start,
+    start: &Program,
     folder: &Path,
     progress: &(dyn Fn(&str) + Sync),
 ) -> Result<Outcome, String> {
@@ -268,7 +269,7 @@
 }
 
 fn moment(clock: Clock, at: Millis) -> Instant {
-    Instant::from_std(clock.begun() + Duration::from_secs_f64(at.max(0.0) / 1000.0))
+    Instant::from_std(clock.started_at() + Duration::from_secs_f64(at.max(0.0) / 1000.0))
 }
 
 #[expect(clippy::disallowed_methods, reason = "discovery tells moments so")]
@@ -279,28 +280,30 @@
 }
 
 impl Fleet {
-    async fn build(s: &Scenario, start: &Start, folder: &Path) -> std::io::Result<Fleet> {
+    async fn build(s: &Scenario, start: &Program, folder: &Path) -> std::io::Result<Fleet> {
         let (a, b, claim) = claim()?;
         let (n, clock) = (s.limiters.count, Clock::start());
         let own = |n: usize, port| SocketAddr::from((Ipv4Addr::new(127, a, b, n as u8 + 1), port));
-        let shared = Shared::new(clock);
+        let shared = ServerLog::new(clock);
         let mut servers = Vec::new();
         for number in 0..s.servers.count {
-            servers.push(Server::start(HERE, number, figures(s), s.seed, shared.clone()).await?);
+            servers
+                .push(RateServer::start(HERE, number, figures(s), s.seed, shared.clone()).await?);
         }
-        let told = counter::Figures {
-            calls_per_s: s.counter.calls_per_s,
-            busy_after: Duration::from_secs_f64(s.counter.busy_after_ms / 1000.0),
+        let told = counter::CounterOptions {
+            calls_per_second: s.counter.calls_per_s,
+            max_wait: Duration::from_secs_f64(s.counter.busy_after_ms / 1000.0),
         };
         let counter = Counter::start(HERE, told, clock).await?;
         let zones: Vec<usize> = (0..s.servers.count).map(|server| s.zone(server)).collect();
         let discovery = Discovery::new(clock, &zones);
-        discovery
-            .ail(|a| (a.late_ms, a.calls_per_s) = (s.discovery.late_ms, s.discovery.calls_per_s));
+        discovery.change_faults(|a| {
+            (a.delay_ms, a.max_calls_per_second) = (s.discovery.late_ms, s.discovery.calls_per_s)
+        });
         let listens: Vec<SocketAddr> = (0..n).map(|n| own(n, LISTEN)).collect();
         let peer_listens: Vec<SocketAddr> = (0..n).map(|n| own(n, PEER_LISTEN)).collect();
         let mut mesh = Mesh::bind(HERE, n).await?;
-        mesh.carry(&peer_listens);
+        mesh.start(&peer_listens);
         let (mut front, mut to_counter, mut to_discovery) = (Vec::new(), Vec::new(), Vec::new());
         let mut to_servers = Vec::new();
         for (limiter, listen) in listens.iter().enumerate() {
@@ -309,8 +312,9 @@
                 relays.push(Relay::start(HERE, server.addr()).await?);
             }
             let dials = relays.iter().map(Relay::addr).collect();
-            to_discovery
-                .push(Relay::start(HERE, discovery.agent(HERE, limiter, dials).await?).await?);
+            to_discovery.push(
+                Relay::start(HERE, discovery.start_agent(HERE, limiter, dials).await?).await?,
+            );
             to_counter.push(Relay::start(HERE, counter.addr()).await?);
             front.push(Relay::start(HERE, *listen).await?);
             to_servers.push(relays);
@@ -376,8 +380,8 @@
             counter: self.to_counter[me].addr(),
             peer_listen: self.peer_listens[me],
             peers: self.mesh.peers(me).map_err(failed)?,
-            peers_all: self.mesh.peers_all(me).map_err(failed)?,
-            known: self.discovery.known(&dials),
+            peers_all: self.mesh.broadcast_addr(me).map_err(failed)?,
+            known: self.discovery.initial_list(&dials),
         };
         let config = self.folder.join(format!("n{me}.json"));
         let text = config::limiter(&self.scenario, me, seed, &places).to_string();
@@ -389,7 +393,7 @@
             if ready(self.listens[me]).await {
                 return Ok(());
             }
-            if let Some(status) = slot.process.as_mut().and_then(Process::ended) {
+            if let Some(status) = slot.process.as_mut().and_then(Process::exit_status) {
                 slot.process = None;
                 return Err(format!("limiter {me} ended at its start: {status}"));
             }
@@ -401,7 +405,7 @@
     /// The timeline, to its last moment.
     async fn play(self: Arc<Fleet>, from: Millis) {
         let mut tasks = JoinSet::new();
-        for m in timeline::moments(&self.scenario) {
+        for m in timeline::transitions(&self.scenario) {
             sleep_until(moment(self.clock, from + m.at)).await;
             // Starts and ends of processes take their time, and the next moment does not wait for them.
             let fleet = self.clone();
@@ -410,11 +414,11 @@
         tasks.join_all().await;
     }
 
-    async fn turn(&self, m: Moment) {
+    async fn turn(&self, m: FaultTransition) {
         let s = &*self.scenario;
         {
             let mut standing = lock(&self.standing);
-            standing.retain(|other| other.number != m.number);
+            standing.retain(|other| other.occurrence != m.occurrence);
             let what = &s.faults[m.fault].what;
             standing.extend((m.begins && !what.at_once()).then_some(m));
         }
@@ -433,13 +437,13 @@
                 twice,
             } => {
                 let fault = Fault {
-                    cut: *cut,
-                    refuse: false,
-                    lose: *lose,
+                    is_cut: *cut,
+                    refuses_connections: false,
+                    loss: *lose,
                     delay_ms: *delay_ms,
                     jitter_ms: *jitter_ms,
-                    reorder: *reorder,
-                    twice: *twice,
+                    reordering: *reorder,
+                    duplication: *twice,
                 };
                 let links = self.links(*path, of, to, *way);
                 if m.begins {
@@ -447,12 +451,12 @@
                 }
                 for link in links {
                     match m.begins {
-                        true if fault != Fault::default() => link.put(m.number, fault),
+                        true if fault != Fault::default() => link.set_fault(m.occurrence, fault),
                         true => {}
-                        false => link.heal(m.number),
+                        false => link.clear_fault(m.occurrence),
                     }
                     if *reset && m.begins {
-                        link.reset();
+                        link.reset_connections();
                     }
                 }
             }
@@ -481,7 +485,7 @@
                 self.ail_counter();
                 match (m.begins, emptied, replaced) {
                     (true, _, true) => self.counter.replace(),
-                    (true, true, _) => self.counter.empty(),
+                    (true, true, _) => self.counter.clear(),
                     _ => {}
                 }
             }
@@ -500,7 +504,7 @@
     /// Sums of the faults that stand on each server: the slowest, and every share by itself.
     fn ail_servers(&self) {
         let s = &self.scenario;
-        let mut all = vec![server::Ails::default(); s.servers.count];
+        let mut all = vec![server::RateServerFaults::default(); s.servers.count];
         for what in self.standing() {
             let What::Server {
                 of,
@@ -516,19 +520,19 @@
             };
             for n in of.of(s.servers.count, s.limiters.zones) {
                 let a = &mut all[n];
-                a.slow = a.slow.max(*slow);
-                a.failing = a.failing.max(*failing);
-                a.resetting = a.resetting.max(*resetting);
-                (a.silent, a.draining) = (a.silent || *silent, a.draining || *drain);
+                a.slowdown = a.slowdown.max(*slow);
+                a.error_share = a.error_share.max(*failing);
+                a.reset_share = a.reset_share.max(*resetting);
+                (a.is_silent, a.is_draining) = (a.is_silent || *silent, a.is_draining || *drain);
             }
         }
         for (server, ails) in self.servers.iter().zip(all) {
-            server.ail(|a| *a = ails);
+            server.change_faults(|a| *a = ails);
         }
     }
 
     fn ail_counter(&self) {
-        let mut all = counter::Ails::default();
+        let mut all = counter::CounterFaults::default();
         for what in self.standing() {
             let What::Counter {
                 silent,
@@ -539,20 +543,20 @@
             else {
                 continue;
             };
-            (all.silent, all.busy) = (all.silent || *silent, all.busy || *busy);
-            all.slow_ms = all.slow_ms.max(*slow_ms);
+            (all.is_silent, all.is_busy) = (all.is_silent || *silent, all.is_busy || *busy);
+            all.extra_ms = all.extra_ms.max(*slow_ms);
         }
-        self.counter.ail(|a| *a = all);
+        self.counter.change_faults(|a| *a = all);
     }
 
     fn ail_discovery(&self) {
         let usual = &self.scenario.discovery;
         let (late_ms, calls_per_s) = (usual.late_ms, usual.calls_per_s);
-        let mut all = discovery::Ails {
-            silent: false,
-            late_ms,
-            stale: false,
-            calls_per_s,
+        let mut all = discovery::DiscoveryFaults {
+            is_silent: false,
+            delay_ms: late_ms,
+            is_stale: false,
+            max_calls_per_second: calls_per_s,
         };
         for what in self.standing() {
             let What::Discovery {
@@ -564,15 +568,15 @@
             else {
                 continue;
             };
-            (all.silent, all.stale) = (all.silent || *silent, all.stale || *stale);
-            all.late_ms = all.late_ms.max(*late_ms);
-            all.calls_per_s = if *calls_per_s > 0.0 {
+            (all.is_silent, all.is_stale) = (all.is_silent || *silent, all.is_stale || *stale);
+            all.delay_ms = all.delay_ms.max(*late_ms);
+            all.max_calls_per_second = if *calls_per_s > 0.0 {
                 *calls_per_s
             } else {
-                all.calls_per_s
+                all.max_calls_per_second
             };
         }
-        self.discovery.ail(|a| *a = all);
+        self.discovery.change_faults(|a| *a = all);
     }
 
     /// The same for each of these limiters, all at once.
@@ -603,7 +607,7 @@
         };
         let asked = self.clock.now();
         let _ = process.signal(signal);
-        let ended = process.end().await;
+        let ended = process.wait().await;
         slot.process = None;
         match signal {
             // What it held is lost from the first moment on.
@@ -620,7 +624,7 @@
         }
     }
 
-    async fn stall(&self, me: usize, m: Moment) {
+    async fn stall(&self, me: usize, m: FaultTransition) {
         let slot = self.slots[me].lock().await;
         let Some(process) = &slot.process else { return };
         let signal = if m.begins {
@@ -646,15 +650,17 @@
             } else {
                 Health::Terminated
             };
-            self.discovery.change(n, health, None);
+            self.discovery.set_health(n, health, None);
             if !drain {
-                self.servers[n].die();
+                self.servers[n].kill();
             }
             return;
         }
-        self.servers[n].die();
-        match self.servers[n].back().await {
-            Ok(Some(_)) => self.discovery.change(n, Health::InService, Some(unix_ms())),
+        self.servers[n].kill();
+        match self.servers[n].restart().await {
+            Ok(Some(_)) => self
+                .discovery
+                .set_health(n, Health::InService, Some(unix_ms())),
             Ok(None) => {}
             Err(e) => self.failed(format!("stand-in server {n} does not come back: {e}")),
         }
@@ -680,7 +686,7 @@
             .for_each(|e| e.to = now);
     }
 
-    fn excuse_links(&self, path: LinkPath, of: &Which, to: &Which, m: Moment) {
+    fn excuse_links(&self, path: LinkPath, of: &Which, to: &Which, m: FaultTransition) {
         let s = &self.scenario;
         let now = self.clock.now();
         let until = s.faults[m.fault]
@@ -736,8 +742,8 @@
                     .collect(),
             };
             for relay in relays {
-                links.extend(there.then(|| relay.there.clone()));
-                links.extend(back.then(|| relay.back.clone()));
+                links.extend(there.then(|| relay.forward.clone()));
+                links.extend(back.then(|| relay.backward.clone()));
             }
         }
         links
@@ -751,13 +757,13 @@
             let Some(process) = slot.process.as_mut() else {
                 continue;
             };
-            if let Some(status) = process.ended() {
+            if let Some(status) = process.exit_status() {
                 self.failed(format!("limiter {me} ended unasked: {status}"));
                 slot.process = None;
                 continue;
             }
-            memory.extend(process.memory_kb());
-            cpu += process.cpu_s().unwrap_or(0.0);
+            memory.extend(process.resident_memory_kb());
+            cpu += process.cpu_seconds().unwrap_or(0.0);
         }
         (memory, cpu)
     }
@@ -772,7 +778,7 @@
             };
             let _ = process.signal(Signal::SIGCONT);
             let _ = process.signal(Signal::SIGTERM);
-            match timeout(END, process.end()).await {
+            match timeout(END, process.wait()).await {
                 Ok(Ok(status)) if status.success() => {}
                 Ok(Ok(status)) => self.failed(format!(
                     "limiter {me} ended badly after a SIGTERM: {status}"
@@ -801,10 +807,10 @@
     }
 
     fn traffic(&self) -> Traffic {
-        let (n, mut datagrams) = (self.slots.len(), Carried::default());
+        let (n, mut datagrams) = (self.slots.len(), LinkStats::default());
         for from in 0..n {
             for to in (0..n).filter(|to| *to != from) {
-                let c = self.mesh.link(from, to).carried();
+                let c = self.mesh.link(from, to).stats();
                 datagrams.messages += c.messages;
                 datagrams.bytes += c.bytes;
                 datagrams.lost += c.lost;
@@ -812,8 +818,8 @@
         }
         Traffic {
             datagrams,
-            counter: self.counter.seen(),
-            discovery: self.discovery.seen(),
+            counter: self.counter.stats(),
+            discovery: self.discovery.stats(),
         }
     }
 
@@ -846,7 +852,7 @@
             retry_safety: g.repeats,
             mean_work: g.work_ms,
         };
-        let shared = self.servers.first().map(|s| s.shared());
+        let shared = self.servers.first().map(|s| s.log());
         Record {
             limits: RuleLimits {
                 drain_grace: s.rules.drain_grace_s * 1000.0 + 50.0,
@@ -860,34 +866,34 @@
             servers: vec![server; s.servers.count],
             queries,
             forwards: shared.map_or(Vec::new(), |s| s.forwards()),
-            discovery_updates: self.discovery.told(),
-            incarnations: self.servers.iter().flat_map(|s| s.lives()).collect(),
+            discovery_updates: self.discovery.updates(),
+            incarnations: self.servers.iter().flat_map(|s| s.incarnations()).collect(),
             exempt_periods: lock(&self.excuses).clone(),
-            faults: timeline::troubles(s, from),
+            faults: timeline::fault_periods(s, from),
             from,
             to,
         }
     }
 }
 
-fn figures(s: &Scenario) -> server::Figures {
+fn figures(s: &Scenario) -> server::RateServerOptions {
     let groups = s
         .groups
         .iter()
         .map(|g| (g.name.clone(), (g.work_ms, g.repeats)));
-    server::Figures {
+    server::RateServerOptions {
         cores: s.servers.cores,
-        queue: s.servers.queue,
-        connections: s.servers.connections,
-        handshake: s.servers.handshake_ms,
-        cold_share: s.servers.cold_share,
-        ramp: s.servers.ramp_s * 1000.0,
-        fall_multiple: s.rules.fall_multiple,
-        fall_window: s.rules.fall_s * 1000.0,
+        queue_capacity: s.servers.queue,
+        max_connections: s.servers.connections,
+        handshake_time: s.servers.handshake_ms,
+        slow_start_capacity: s.servers.cold_share,
+        slow_start: s.servers.ramp_s * 1000.0,
+        collapse_multiple: s.rules.fall_multiple,
+        collapse_window: s.rules.fall_s * 1000.0,
         reports_in_answers: s.servers.reports == crate::scenario::Reports::Answers,
-        probes: s.servers.reports == crate::scenario::Reports::Probes,
+        answers_probes: s.servers.reports == crate::scenario::Reports::Probes,
         groups: groups.collect(),
-        repeat_window: config::REPEAT_WINDOW_S * 1000.0,
+        deduplication_window: config::REPEAT_WINDOW_S * 1000.0,
     }
 }
 
--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -6,7 +6,7 @@
 use crate::clock::duration_from_millis;
 use crate::server_list::{LocationNames, ServerList, ServerListError};
 use aspendrum_core::api::Settings;
-use aspendrum_core::settings::{self, MILLIS_PER_SECOND};
+use aspendrum_core::settings::{self, SettingsError, MILLIS_PER_SECOND};
 use derive_more::{Display, Error};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -57,7 +57,7 @@
     Missing(#[error(not(source))] String),
     /// A setting of the decision core is missing or faulty.
     #[display("{_0}")]
-    Setting(settings::SettingsError),
+    Setting(SettingsError),
     /// The value of a key is no address.
     #[display("{key} is not an address: {value}")]
     NoAddress {
@@ -173,8 +173,8 @@
             .ok_or(ConfigError::Missing("settings".into()))?;
         let settings = settings::read(&as_pairs(raw)).map_err(ConfigError::Setting)?;
         let location_names = LocationNames {
-            zones: words(raw, "Zones"),
-            machine_kinds: words(raw, "Kinds"),
+            zones: string_list(raw, "Zones"),
+            machine_kinds: string_list(raw, "Kinds"),
         };
         let known_servers = known_servers(&root, &location_names)?;
         let address_if = |is_used: bool, key| is_used.then(|| address(&root, key)).transpose();
@@ -265,7 +265,7 @@
     }
 }
 
-fn words(settings: &Value, key: &str) -> Vec<String> {
+fn string_list(settings: &Value, key: &str) -> Vec<String> {
     let list = settings.get(key).and_then(Value::as_array);
     list.into_iter()
         .flatten()
