--- a/crates/aspendrum-core/src/api/settings.rs
+++ b/crates/aspendrum-core/src/api/settings.rs
@@ -75,7 +75,7 @@
     pub is_streaming: bool,
 }
 
-/// A plan: the quota that each tenant of it has, and its ceiling.
+/// A plan: the quota that each tenant of it has, and its rate limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanSettings {
     /// The quota is counted in fixed windows of burst over rate, however large it is.
@@ -92,12 +92,12 @@
     pub overage_cost: f64,
     /// Requests in flight at once; 0: unlimited.
     pub max_in_flight: u32,
-    /// Units a second that must never be exceeded, whatever fails; 0: no ceiling.
-    pub ceiling_rate: f64,
+    /// Units a second that must never be exceeded, whatever fails; 0: no rate limit.
+    pub rate_limit: f64,
     /// Units at once that must never be exceeded.
-    pub ceiling_burst: f64,
-    /// Units by which the ceiling may be exceeded all the same.
-    pub ceiling_slack: f64,
+    pub rate_limit_burst: f64,
+    /// Units by which the rate limit may be exceeded all the same.
+    pub rate_limit_slack: f64,
 }
 
 /// All that an engine is started with.
--- a/crates/aspendrum-core/src/engine.rs
+++ b/crates/aspendrum-core/src/engine.rs
@@ -8,11 +8,10 @@
 //!
 //! Decisions between states stand in tables. Five rules hold whatever fails, and are named by number: 1, each request has
 //! one final answer in time; 2, no effect happens twice; 3, a draining server gets nothing new; 4, a starting server
-//! gets no more than it can stand; 5, no tenant gets more than its ceiling.
+//! gets no more than it can stand; 5, no tenant gets more than its rate limit.
 
 mod admission;
 mod breaker;
-mod ceiling;
 mod completion;
 mod concurrency_limit;
 mod counter;
@@ -28,6 +27,7 @@
 mod parameters;
 mod quota;
 mod quota_owner;
+mod rate_limit;
 mod retry_rules;
 mod sampling;
 mod slow_start;
--- a/crates/aspendrum-core/src/engine/admission.rs
+++ b/crates/aspendrum-core/src/engine/admission.rs
@@ -6,11 +6,11 @@
 use crate::state::tenant::{RateLimitShare, Tenant};
 use aspendrum_token_bucket::TokenBucket;
 
-/// A tenant that is not remembered has not been used for so long: its ceiling shares have filled for that time.
+/// A tenant that is not remembered has not been used for so long: its rate limit shares have filled for that time.
 pub(super) const IDLE_TIMEOUT: Millis = 90_000.0;
 /// For so long after a start, an instance may have granted its share of a windowed quota just before it.
 const RECENT_START: Millis = 5000.0;
-/// A request beyond its quota leaves this part of the ceiling share to those within theirs.
+/// A request beyond its quota leaves this part of the rate limit share to those within theirs.
 const CEILING_RESERVE: f64 = 0.5;
 
 impl DecisionEngine {
@@ -63,8 +63,8 @@
             plan,
             instances,
             owned_at: f64::NEG_INFINITY,
-            ceiling_share: share,
-            owner_ceiling_share: share,
+            rate_limit_share: share,
+            owner_rate_limit_share: share,
             // Whatever it held before its start it has forgotten, and it may have spent or given away all of that.
             token_bucket: TokenBucket::new(filled_from as u64, self.started_at as u64),
             ..Tenant::default()
@@ -81,9 +81,9 @@
     pub(super) fn conclude_admission(&mut self, slot: usize, within_quota: bool) {
         self.record_decision(slot, within_quota);
         let request = &mut self.requests[slot];
-        if request.ceiling_paid && !within_quota {
-            request.ceiling_paid = false;
-            self.tenants[request.tenant].ceiling_share.tokens += request.units;
+        if request.rate_limit_charged && !within_quota {
+            request.rate_limit_charged = false;
+            self.tenants[request.tenant].rate_limit_share.tokens += request.units;
         }
         if request.peer_origin.is_some() {
             self.reply_to_peer(slot);
@@ -99,16 +99,16 @@
     }
 
     /// Whether a request beyond its quota is let through all the same: the plan earns more for it than it costs, and
-    /// the ceiling has room for it.
+    /// the rate limit has room for it.
     fn accepts_beyond_quota(&mut self, slot: usize) -> bool {
         let request = &mut self.requests[slot];
         let tenant = &mut self.tenants[request.tenant];
         let plan = &self.params.plans[tenant.plan];
         request.priority *= plan.overage_value;
         let pays = plan.overage_value > plan.overage_cost && self.breaker.is_closed();
-        let share = self.params.split_ceiling_share / tenant.instances;
+        let share = self.params.split_rate_limit_share / tenant.instances;
         pays && tenant
-            .ceiling_share
+            .rate_limit_share
             .spend(plan, share, request.units, CEILING_RESERVE, self.now)
     }
 
--- a/crates/aspendrum-core/src/engine/parameters.rs
+++ b/crates/aspendrum-core/src/engine/parameters.rs
@@ -9,7 +9,7 @@
 
 /// With more instances than these, each probes servers less often: hundreds would load what they probe.
 const PROBING_INSTANCES: f64 = 16.0;
-/// Of a ceiling, what the first quota owner grants from; the instances split the rest.
+/// Of a rate limit, what the first quota owner grants from; the instances split the rest.
 pub(crate) const OWNER_CEILING_SHARE: f64 = 0.6;
 /// Of the datagrams that an instance takes in, the share that it may ask for with token requests.
 const TOKEN_REPLY_SHARE: f64 = 0.25;
@@ -41,7 +41,7 @@
     }
 }
 
-/// A plan's quota and ceiling. Rates are units a millisecond.
+/// A plan's quota and rate limit. Rates are units a millisecond.
 pub(crate) struct PlanParameters {
     /// The quota is counted in fixed windows, however large it is.
     pub(crate) is_windowed: bool,
@@ -56,9 +56,9 @@
     pub(crate) overage_cost: f64,
     /// Requests in flight at once; 0: unlimited.
     pub(crate) max_in_flight: u32,
-    /// 0: no ceiling.
-    pub(crate) ceiling_rate: f64,
-    pub(crate) ceiling_burst: f64,
+    /// 0: no rate limit.
+    pub(crate) rate_limit: f64,
+    pub(crate) rate_limit_burst: f64,
 }
 
 impl From<&PlanSettings> for PlanParameters {
@@ -76,8 +76,8 @@
             overage_value: plan.overage_value,
             overage_cost: plan.overage_cost,
             max_in_flight: plan.max_in_flight,
-            ceiling_rate: plan.ceiling_rate / 1000.0,
-            ceiling_burst: plan.ceiling_burst,
+            rate_limit: plan.rate_limit / 1000.0,
+            rate_limit_burst: plan.rate_limit_burst,
         }
     }
 }
@@ -113,8 +113,8 @@
     pub(crate) has_quota_owners: bool,
     /// The least time between two token requests.
     pub(crate) token_request_interval: Millis,
-    /// Of a ceiling, what the instances split evenly.
-    pub(crate) split_ceiling_share: f64,
+    /// Of a rate limit, what the instances split evenly.
+    pub(crate) split_rate_limit_share: f64,
     /// Requests in a window that all instances may send to a starting server, for each that a warm one answers in a
     /// millisecond.
     pub(crate) slow_start_budget: f64,
@@ -163,7 +163,7 @@
             instance: settings.instance as u16,
             has_quota_owners,
             token_request_interval: token_request_interval(settings.peer_datagrams_per_second),
-            split_ceiling_share: if has_quota_owners {
+            split_rate_limit_share: if has_quota_owners {
                 1.0 - OWNER_CEILING_SHARE
             } else {
                 1.0
--- a/crates/aspendrum-core/src/engine/quota.rs
+++ b/crates/aspendrum-core/src/engine/quota.rs
@@ -112,7 +112,7 @@
             units,
             ..
         } = self.requests[slot];
-        let within_quota = self.tenants[index].remaining >= units && self.pay_ceiling(slot);
+        let within_quota = self.tenants[index].remaining >= units && self.charge_rate_limit(slot);
         if within_quota {
             let tenant = &mut self.tenants[index];
             tenant.remaining -= units;
@@ -130,7 +130,7 @@
     /// Decides by the local count. `is_logged`: the counter is not called, and is told of the grant once it is back;
     /// else `unsettled` takes the difference to what it was told.
     pub(super) fn decide_locally(&mut self, slot: usize, is_logged: bool) {
-        let within_quota = self.has_room_without_counter(slot) && self.pay_ceiling(slot);
+        let within_quota = self.has_room_without_counter(slot) && self.charge_rate_limit(slot);
         let request = &self.requests[slot];
         let (index, units) = (request.tenant, request.units);
         let difference = if within_quota { units } else { 0.0 } - request.counted_units;
--- a/crates/aspendrum-core/src/engine/quota_owner/replies.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/replies.rs
@@ -31,7 +31,7 @@
         };
         let mut request = Request::from_peer(id, origin, tenant, f64::from(quota_request.units));
         request.priority = self.params.plans[self.tenants[tenant].plan].price;
-        request.charges_owner_ceiling = quota_request.charges_ceiling;
+        request.charges_owner_rate_limit = quota_request.charges_rate_limit;
         let slot = self.add_request(request);
         self.decide_quota(slot);
     }
--- a/crates/aspendrum-core/src/engine/quota_owner/routing.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/routing.rs
@@ -81,16 +81,16 @@
         if self.now < self.tenants[index].exhausted_until {
             return self.conclude_admission(slot, false);
         }
-        let is_paid = self.requests[slot].ceiling_paid || self.pay_ceiling_share(slot);
+        let is_paid = self.requests[slot].rate_limit_charged || self.charge_rate_limit_share(slot);
         let (id, key) = (self.next_message_id(), self.tenant_key(index));
         let units = self.requests[slot].units as f32;
         let quota_request = |transferred_steps| {
-            let charges_ceiling = !is_paid;
+            let charges_rate_limit = !is_paid;
             PeerMessage::QuotaRequest(QuotaRequest {
                 id,
                 key,
                 units,
-                charges_ceiling,
+                charges_rate_limit,
                 transferred_steps,
             })
         };
@@ -111,7 +111,7 @@
         let request = &mut self.requests[slot];
         request.quota_owner = Some(peer);
         request.waiting_since = self.now;
-        request.ceiling_paid = is_paid;
+        request.rate_limit_charged = is_paid;
         request.message_to_owner = Some(message);
         self.send_to_peer(peer, message);
     }
--- a/crates/aspendrum-core/src/peer_message.rs
+++ b/crates/aspendrum-core/src/peer_message.rs
@@ -41,8 +41,8 @@
     pub key: TenantKey,
     /// The units asked for; above 0.
     pub units: f32,
-    /// The units are to come out of the owner's share of the ceiling too.
-    pub charges_ceiling: bool,
+    /// The units are to come out of the owner's share of the rate limit too.
+    pub charges_rate_limit: bool,
     /// Tokens that the sender gives away along with it, in steps of the burst.
     pub transferred_steps: u16,
 }
@@ -97,11 +97,11 @@
 }
 
 const LEGACY_QUOTA_REQUEST: u8 = 1;
-const LEGACY_QUOTA_REQUEST_CEILING: u8 = 2;
+const LEGACY_QUOTA_REQUEST_RATE_LIMIT: u8 = 2;
 const QUOTA_REPLY: u8 = 3;
 const LEGACY_RETURN: u8 = 4;
 const QUOTA_REQUEST: u8 = 5;
-const QUOTA_REQUEST_CEILING: u8 = 6;
+const QUOTA_REQUEST_RATE_LIMIT: u8 = 6;
 const RETURN: u8 = 7;
 const TOKEN_REQUEST: u8 = 8;
 const TOKEN_TRANSFER: u8 = 9;
@@ -169,19 +169,19 @@
         let (&kind, body) = data.split_first()?;
         let mut fields = Fields(body);
         let message = match kind {
-            QUOTA_REQUEST | QUOTA_REQUEST_CEILING => PeerMessage::QuotaRequest(QuotaRequest {
+            QUOTA_REQUEST | QUOTA_REQUEST_RATE_LIMIT => PeerMessage::QuotaRequest(QuotaRequest {
                 id: fields.id()?,
                 key: fields.key()?,
                 units: fields.units()?,
-                charges_ceiling: kind == QUOTA_REQUEST_CEILING,
+                charges_rate_limit: kind == QUOTA_REQUEST_RATE_LIMIT,
                 transferred_steps: fields.u16()?,
             }),
-            LEGACY_QUOTA_REQUEST | LEGACY_QUOTA_REQUEST_CEILING => {
+            LEGACY_QUOTA_REQUEST | LEGACY_QUOTA_REQUEST_RATE_LIMIT => {
                 PeerMessage::QuotaRequest(QuotaRequest {
                     id: MessageId(fields.u16()?.into()),
                     key: fields.key()?,
                     units: fields.units()?,
-                    charges_ceiling: kind == LEGACY_QUOTA_REQUEST_CEILING,
+                    charges_rate_limit: kind == LEGACY_QUOTA_REQUEST_RATE_LIMIT,
                     transferred_steps: 0,
                 })
             }
@@ -209,8 +209,8 @@
 
 impl QuotaRequest {
     fn encode(&self, out: &mut Vec<u8>) {
-        out.push(if self.charges_ceiling {
-            QUOTA_REQUEST_CEILING
+        out.push(if self.charges_rate_limit {
+            QUOTA_REQUEST_RATE_LIMIT
         } else {
             QUOTA_REQUEST
         });
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -232,9 +232,9 @@
         overage_value: pairs.number_or_zero(&format!("{path}.ExtraWorth"))?,
         overage_cost: pairs.number_or_zero(&format!("{path}.BeyondCosts"))?,
         max_in_flight: pairs.integer(&format!("{path}.Concurrency"), MAX_CONCURRENCY)?,
-        ceiling_rate: pairs.number(&format!("{path}.NeverOverRate"))?,
-        ceiling_burst: pairs.number(&format!("{path}.NeverOverDepth"))?,
-        ceiling_slack: pairs.number(&format!("{path}.CapSlack"))?,
+        rate_limit: pairs.number(&format!("{path}.NeverOverRate"))?,
+        rate_limit_burst: pairs.number(&format!("{path}.NeverOverDepth"))?,
+        rate_limit_slack: pairs.number(&format!("{path}.CapSlack"))?,
     })
 }
 
--- a/crates/aspendrum-core/src/state/request.rs
+++ b/crates/aspendrum-core/src/state/request.rs
@@ -98,10 +98,10 @@
     pub(crate) peer_origin: Option<PeerOrigin>,
     /// `message_to_owner` was sent a second time.
     pub(crate) repeated_to_owner: bool,
-    /// Its units have been taken out of this instance's share of the ceiling.
-    pub(crate) ceiling_paid: bool,
-    /// Its units are to come out of the owner's share of the ceiling too.
-    pub(crate) charges_owner_ceiling: bool,
+    /// Its units have been taken out of this instance's share of the rate limit.
+    pub(crate) rate_limit_charged: bool,
+    /// Its units are to come out of the owner's share of the rate limit too.
+    pub(crate) charges_owner_rate_limit: bool,
 }
 
 impl Request {
--- a/crates/aspendrum-core/src/state/tenant.rs
+++ b/crates/aspendrum-core/src/state/tenant.rs
@@ -1,5 +1,5 @@
 //! What an instance remembers of a tenant: its quota as followed from the shared counter, its local count, its shares of
-//! the ceiling, and the tokens that it may spend without the counter.
+//! the rate limit, and the tokens that it may spend without the counter.
 
 use crate::api::{Millis, TenantId};
 use aspendrum_token_bucket::TokenBucket;
@@ -24,7 +24,7 @@
     pub(crate) name: u64,
 }
 
-/// A token bucket that holds an instance's share of a tenant's ceiling. It starts empty.
+/// A token bucket that holds an instance's share of a tenant's rate limit. It starts empty.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RateLimitShare {
     pub(crate) tokens: f64,
@@ -84,10 +84,10 @@
     /// Units left by the local count.
     pub(crate) local_tokens: f64,
     pub(crate) local_refilled_at: Millis,
-    /// This instance's even share of the ceiling.
-    pub(crate) ceiling_share: RateLimitShare,
-    /// The owner's share of the ceiling, spent at the owner alone.
-    pub(crate) owner_ceiling_share: RateLimitShare,
+    /// This instance's even share of the rate limit.
+    pub(crate) rate_limit_share: RateLimitShare,
+    /// The owner's share of the rate limit, spent at the owner alone.
+    pub(crate) owner_rate_limit_share: RateLimitShare,
     /// What it may spend without the counter, where instances talk to each other.
     pub(crate) token_bucket: TokenBucket,
     pub(crate) spare_grant: SpareGrant,
--- a/crates/aspendrum-core/tests/decisions/main.rs
+++ b/crates/aspendrum-core/tests/decisions/main.rs
@@ -4,9 +4,9 @@
 mod common;
 
 mod breaker;
-mod ceiling;
 mod counter;
 mod harness;
+mod rate_limit;
 mod retries;
 mod sampling;
 mod servers;
--- a/crates/aspendrum-core/tests/decisions/ceiling.rs
+++ b/crates/aspendrum-core/tests/decisions/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Ceilings, which hold whatever fails.
+//! Rate limits, which hold whatever fails.
 
 use crate::common::settings;
 use crate::harness::{member, Harness};
@@ -7,11 +7,11 @@
 };
 use test_case::test_case;
 
-fn ceiling() -> Settings {
+fn rate_limit() -> Settings {
     let mut s = settings(Semantics::Idempotent, RepeatGroup::All);
     s.plans[0] = PlanSettings {
-        ceiling_rate: 4.0,
-        ceiling_burst: 8.0,
+        rate_limit: 4.0,
+        rate_limit_burst: 8.0,
         overage_value: 0.5,
         overage_cost: 0.0,
         ..s.plans[0].clone()
@@ -19,19 +19,19 @@
     s
 }
 
-/// All instances together stay under the ceiling whatever the counter says and however many they are, and
+/// All instances together stay under the rate limit whatever the counter says and however many they are, and
 /// some of it is granted.
 #[test_case(2, true ; "counter up, asked far beyond")]
 #[test_case(2, false ; "counter down from the start")]
 #[test_case(100, true ; "a hundred instances")]
 #[test_case(100, false ; "a hundred instances without a counter")]
-fn the_ceiling_holds_right_after_a_restart(instances: usize, counter: bool) {
+fn the_rate_limit_holds_right_after_a_restart(instances: usize, counter: bool) {
     let servers: Vec<ServerEntry> = (1..40)
         .map(|id| member(id, Health::Ready, 0, 0.0))
         .collect();
-    let mut s = ceiling();
+    let mut s = rate_limit();
     let many = instances as f64 / 2.0;
-    (s.plans[0].ceiling_burst, s.plans[0].ceiling_rate) = (8.0 * many, 4.0 * many);
+    (s.plans[0].rate_limit_burst, s.plans[0].rate_limit) = (8.0 * many, 4.0 * many);
     let mut harnesses: Vec<Harness> = (0..instances)
         .map(|_| Harness::with(&s, &servers))
         .collect();
--- a/crates/aspendrum-core/tests/quota_owner.rs
+++ b/crates/aspendrum-core/tests/quota_owner.rs
@@ -33,13 +33,13 @@
     open: Vec<(usize, RequestId, ServerId)>,
 }
 
-fn settings(instances: u32, counter: bool, ceiling: f64) -> Settings {
+fn settings(instances: u32, counter: bool, rate_limit: f64) -> Settings {
     let base = common::settings(Semantics::Idempotent, RepeatGroup::All);
-    let (ceiling_rate, ceiling_burst) = (2.0 * ceiling, 6.0 * ceiling);
+    let (rate_limit, rate_limit_burst) = (2.0 * rate_limit, 6.0 * rate_limit);
     let plan = PlanSettings {
         burst: 6.0,
-        ceiling_rate,
-        ceiling_burst,
+        rate_limit,
+        rate_limit_burst,
         ..base.plans[0].clone()
     };
     Settings {
@@ -259,10 +259,10 @@
     assert!(answered >= 40 + 360, "{answered} answered");
 }
 
-/// Rule 5: all traffic through one instance got its even share, a fortieth, of a ceiling that the tenant did
+/// Rule 5: all traffic through one instance got its even share, a fortieth, of a rate limit that the tenant did
 /// not come near; and no restart of any instance, the owner's neither, hands out a share anew.
 #[test]
-fn a_ceiling_goes_where_the_traffic_is_and_holds_through_restarts() {
+fn a_rate_limit_goes_where_the_traffic_is_and_holds_through_restarts() {
     let mut fleet = Fleet::of(settings(40, false, 1.5));
     let begun = fleet.now;
     fleet.wait(FULL);
@@ -280,18 +280,18 @@
         fleet.ask((id * 7 % 40) as usize, 1000 + id, 5);
         fleet.wait(25.0);
     }
-    let ceiling = 9.0 + 3.0 * (fleet.now - begun) / 1000.0;
+    let rate_limit = 9.0 + 3.0 * (fleet.now - begun) / 1000.0;
     assert!(
-        (fleet.granted.len() as f64) <= ceiling,
-        "{} of {ceiling}",
+        (fleet.granted.len() as f64) <= rate_limit,
+        "{} of {rate_limit}",
         fleet.granted.len()
     );
 }
 
-/// A tenant's share of a ceiling filled only from its first request on, which was refused for that: with
+/// A tenant's share of a rate limit filled only from its first request on, which was refused for that: with
 /// hundreds of instances many tenants' first request of the day. It fills from the instance's start.
 #[test]
-fn a_share_of_a_ceiling_fills_from_the_instances_start() {
+fn a_share_of_a_rate_limit_fills_from_the_instances_start() {
     let mut fleet = Fleet::of(settings(40, false, 1.5));
     fleet.wait(5000.0);
     fleet.ask_in_turn(0, 2, 5.0);
@@ -613,7 +613,7 @@
         id: MessageId(9),
         key,
         units: 1.0,
-        charges_ceiling: false,
+        charges_rate_limit: false,
         transferred_steps: 0,
     });
     assert_eq!(PeerMessage::decode(&old), Some(request));
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -723,9 +723,9 @@
         overage_value: 0.0,
         overage_cost: 1.0,
         max_in_flight: 0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
+        rate_limit: 0.0,
+        rate_limit_burst: 0.0,
+        rate_limit_slack: 0.0,
     }
 }
 
@@ -736,16 +736,16 @@
         group(Semantics::Deduplicated, RepeatGroup::Cell, 300.0, 0.5),
         group(Semantics::NonIdempotent, RepeatGroup::All, 600.0, 1.5),
     ];
-    let ceiling = PlanSettings {
-        ceiling_rate: 9.0,
-        ceiling_burst: 18.0,
+    let rate_limit = PlanSettings {
+        rate_limit: 9.0,
+        rate_limit_burst: 18.0,
         ..plan(4.0, 8.0)
     };
     let overdraft = PlanSettings {
         overage_value: 0.8,
         overage_cost: 0.2,
-        ceiling_rate: 60.0,
-        ceiling_burst: 50.0,
+        rate_limit: 60.0,
+        rate_limit_burst: 50.0,
         ..plan(6.0, 6.0)
     };
     let limited = PlanSettings {
@@ -761,7 +761,7 @@
         groups,
         plans: vec![
             plan(5.0, 10.0),
-            ceiling,
+            rate_limit,
             overdraft,
             limited,
             windowed,
--- a/crates/aspendrum-core/tests/settings.rs
+++ b/crates/aspendrum-core/tests/settings.rs
@@ -53,9 +53,9 @@
             overage_value: 0.4,
             overage_cost: 0.3,
             max_in_flight: 11,
-            ceiling_rate: 1.125,
-            ceiling_burst: 4.5,
-            ceiling_slack: 0.15,
+            rate_limit: 1.125,
+            rate_limit_burst: 4.5,
+            rate_limit_slack: 0.15,
         },
         PlanSettings {
             is_windowed: false,
@@ -65,9 +65,9 @@
             overage_value: 0.0,
             overage_cost: 0.0,
             max_in_flight: 0,
-            ceiling_rate: 0.0,
-            ceiling_burst: 0.0,
-            ceiling_slack: 0.0,
+            rate_limit: 0.0,
+            rate_limit_burst: 0.0,
+            rate_limit_slack: 0.0,
         },
     ]
 }
--- a/crates/aspendrum-core/tests/wire_bytes.rs
+++ b/crates/aspendrum-core/tests/wire_bytes.rs
@@ -31,13 +31,13 @@
         .collect()
 }
 
-fn ask(charges_ceiling: bool) -> PeerMessage {
+fn ask(charges_rate_limit: bool) -> PeerMessage {
     let transferred_steps = 0x5566;
     PeerMessage::QuotaRequest(QuotaRequest {
         id: ID,
         key: KEY,
         units: 2.5,
-        charges_ceiling,
+        charges_rate_limit,
         transferred_steps,
     })
 }
@@ -69,12 +69,15 @@
 
 #[test_case("legacy_ask", false ; "ask")]
 #[test_case("legacy_ask_ceiling", true ; "ask that takes from the ceiling too")]
-fn an_ask_of_the_version_before_is_read_as_one_without_a_gift(name: &str, charges_ceiling: bool) {
+fn an_ask_of_the_version_before_is_read_as_one_without_a_gift(
+    name: &str,
+    charges_rate_limit: bool,
+) {
     let read = PeerMessage::QuotaRequest(QuotaRequest {
         id: MessageId(SEQUENCE.into()),
         key: KEY,
         units: 2.5,
-        charges_ceiling,
+        charges_rate_limit,
         transferred_steps: 0,
     });
     assert_eq!(PeerMessage::decode(&fixture(name)), Some(read));
--- a/crates/aspendrum-proxy/src/dispatcher/engine.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/engine.rs
@@ -35,9 +35,9 @@
         overage_value: 0.0,
         overage_cost: 1.0,
         max_in_flight: 0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
+        rate_limit: 0.0,
+        rate_limit_burst: 0.0,
+        rate_limit_slack: 0.0,
     }
 }
 
