--- a/crates/aspendrum/src/limiter.rs
+++ b/crates/aspendrum/src/limiter.rs
@@ -112,7 +112,7 @@
     }
 
     /// The address at which clients connect.
-    pub fn addr(&self) -> SocketAddr {
+    pub fn address(&self) -> SocketAddr {
         self.address
     }
 
--- a/crates/aspendrum/tests/suite/support/client.rs
+++ b/crates/aspendrum/tests/suite/support/client.rs
@@ -29,7 +29,7 @@
 pub(crate) const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\n\r\n";
 
 pub(crate) fn connect(limiter: &Limiter) -> TcpStream {
-    let stream = TcpStream::connect(limiter.addr()).unwrap();
+    let stream = TcpStream::connect(limiter.address()).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
