--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -1,4 +1,4 @@
-//! Long drawn runs of the decision module, pinned action by action: what a run decided at the commit that recorded
+//! Long drawn runs of the decision engine, pinned action by action: what a run decided at the commit that recorded
 //! it, it decides today, to the last bit of each number.
 //!
 //! `fixtures/recorded_runs.txt` holds a line for each second of each run: how many actions of each kind, and a
@@ -22,7 +22,7 @@
 const STARTED: f64 = 100_000.0;
 const KINDS: usize = 13;
 
-/// SplitMix64 (Steele, Lea and Flood, 2014): what the world around the limiters draws from.
+/// SplitMix64 (Steele, Lea and Flood, 2014): what the world around the instances draws from.
 struct Draws(u64);
 
 impl Draws {
@@ -68,8 +68,8 @@
         self.number(number.to_bits());
     }
 
-    fn action(&mut self, limiter: usize, action: &Action) {
-        self.number(limiter as u64);
+    fn action(&mut self, engine: usize, action: &Action) {
+        self.number(engine as u64);
         let kind = match action {
             Action::Forward {
                 id,
@@ -141,7 +141,7 @@
     }
 }
 
-/// What is on its way to a limiter, due at a step.
+/// What is on its way to a instance, due at a step.
 enum Arrival {
     Forward {
         id: u64,
@@ -171,23 +171,27 @@
     },
 }
 
-/// What the world does to the limiters, by the second of the run.
+/// What the world does to the instances, by the second of the run.
 struct Script {
     settings: Settings,
     seconds: u64,
     servers: u32,
     /// Answer times are multiplied by this.
     slowness: f64,
-    /// One new query a step and limiter in so many draws.
-    query_in: u64,
+    /// One attempt in so many fails; at server 4 one in three.
+    failing_in: u64,
+    /// One new request in so many draws.
+    request_in: u64,
+    /// Draws a step.
+    draws_a_step: u64,
     tenants: u64,
     /// The counter's state in that second.
     counter: fn(u64) -> Counter,
-    /// Whether the second limiter gets datagrams of the first in that second.
+    /// Whether the second instance gets datagrams of the first in that second.
     linked: fn(u64, usize, usize) -> bool,
-    /// All limiters get another configuration in that second.
+    /// All instances get another configuration in that second.
     configured_at: Option<u64>,
-    /// A limiter is killed and starts again every so many seconds; 0: never.
+    /// A instance is killed and starts again every so many seconds; 0: never.
     killed_every: u64,
     spreads: &'static [f32],
 }
@@ -205,12 +209,12 @@
     script: Script,
     draws: Draws,
     step: u64,
-    limiters: Vec<DecisionEngine>,
+    engines: Vec<DecisionEngine>,
     due: HashMap<u64, Vec<(usize, Arrival)>>,
     totals: HashMap<u64, f32>,
-    /// Forwards of each query so far, by limiter and query.
+    /// Forwards of each request so far, by instance and request.
     forwards: HashMap<(usize, u64), Vec<(u32, bool)>>,
-    next_query: u64,
+    next_request: u64,
     health: Vec<(Health, f64)>,
     digest: Digest,
     text: String,
@@ -221,22 +225,22 @@
         let mut world = World {
             draws: Draws(seed),
             step: 0,
-            limiters: Vec::new(),
+            engines: Vec::new(),
             due: HashMap::new(),
             totals: HashMap::new(),
             forwards: HashMap::new(),
-            next_query: 0,
+            next_request: 0,
             health: vec![(Health::Ready, 0.0); script.servers as usize],
             digest: Digest::default(),
             text: String::new(),
             script,
         };
-        for me in 0..world.script.settings.instances as usize {
-            let limiter = world.start(me);
-            world.limiters.push(limiter);
+        for instance in 0..world.script.settings.instances as usize {
+            let engine = world.start(instance);
+            world.engines.push(engine);
         }
-        for me in 0..world.limiters.len() {
-            world.tell_members(me, ListKind::Full);
+        for instance in 0..world.engines.len() {
+            world.send_server_list(instance, ListKind::Full);
         }
         world
     }
@@ -249,46 +253,47 @@
         self.step / SECOND
     }
 
-    fn start(&mut self, me: usize) -> DecisionEngine {
+    fn start(&mut self, instance: usize) -> DecisionEngine {
         let settings = Settings {
-            instance: me as u32,
+            instance: instance as u32,
             ..self.script.settings.clone()
         };
         let mut out = Vec::new();
-        let limiter = DecisionEngine::new(self.now(), 7 + me as u64, &settings, &mut out);
-        out.iter().for_each(|action| self.digest.action(me, action));
-        limiter
+        let engine = DecisionEngine::new(self.now(), 7 + instance as u64, &settings, &mut out);
+        out.iter()
+            .for_each(|action| self.digest.action(instance, action));
+        engine
     }
 
-    fn tell(&mut self, me: usize, event: &Event<'_>) {
+    fn handle(&mut self, instance: usize, event: &Event<'_>) {
         let mut out = Vec::new();
         let now = self.now();
-        self.limiters[me].handle(now, event, &mut out);
+        self.engines[instance].handle(now, event, &mut out);
         for action in &out {
-            self.digest.action(me, action);
-            self.carry_out(me, action);
+            self.digest.action(instance, action);
+            self.carry_out(instance, action);
         }
     }
 
-    fn later(&mut self, steps: u64, me: usize, arrival: Arrival) {
+    fn later(&mut self, steps: u64, instance: usize, arrival: Arrival) {
         self.due
             .entry(self.step + steps.max(1))
             .or_default()
-            .push((me, arrival));
+            .push((instance, arrival));
     }
 
-    fn carry_out(&mut self, me: usize, action: &Action) {
+    fn carry_out(&mut self, instance: usize, action: &Action) {
         match *action {
-            Action::Forward { id, server, .. } => self.forward(me, id, server),
+            Action::Forward { id, server, .. } => self.forward(instance, id, server),
             Action::Cancel { id, forward } => {
-                if let Some(sent) = self.forwards.get_mut(&(me, id)) {
+                if let Some(sent) = self.forwards.get_mut(&(instance, id)) {
                     let (server, open) = &mut sent[usize::from(forward)];
                     let (server, was_open) = (*server, std::mem::replace(open, false));
                     let (outcome, rtt, actual) = (Outcome::Cancelled, 9.0, 0);
                     if was_open {
                         self.later(
                             1,
-                            me,
+                            instance,
                             Arrival::Forward {
                                 id,
                                 forward,
@@ -303,21 +308,21 @@
             }
             Action::AddToCounter {
                 name, units: add, ..
-            } => self.count(me, name, add),
+            } => self.count(instance, name, add),
             Action::Probe { server } => {
                 let outcome = if self.draws.one_in(4) {
                     Outcome::TimedOut
                 } else {
                     Outcome::Ok
                 };
-                self.later(3, me, Arrival::Probe { server, outcome });
+                self.later(3, instance, Arrival::Probe { server, outcome });
             }
             Action::SendDatagram {
                 to: Some(to),
                 ref data,
             } => {
                 let to = to as usize;
-                if !(self.script.linked)(self.second(), me, to) || self.draws.one_in(15) {
+                if !(self.script.linked)(self.second(), instance, to) || self.draws.one_in(15) {
                     return;
                 }
                 let steps = 1 + self.draws.below(4);
@@ -325,7 +330,7 @@
                     steps,
                     to,
                     Arrival::Datagram {
-                        from: me as u16,
+                        from: instance as u16,
                         data: data.clone(),
                     },
                 );
@@ -335,7 +340,7 @@
                         steps,
                         to,
                         Arrival::Datagram {
-                            from: me as u16,
+                            from: instance as u16,
                             data: data.clone(),
                         },
                     );
@@ -345,8 +350,8 @@
         }
     }
 
-    fn forward(&mut self, me: usize, id: u64, server: u32) {
-        let sent = self.forwards.entry((me, id)).or_default();
+    fn forward(&mut self, instance: usize, id: u64, server: u32) {
+        let sent = self.forwards.entry((instance, id)).or_default();
         sent.push((server, true));
         let forward = (sent.len() - 1) as u8;
         // Server 2 hangs and comes back; server 3 is slow; server 4 fails much.
@@ -355,7 +360,7 @@
             let (outcome, rtt, actual) = (Outcome::TimedOut, 1500.0, 0);
             return self.later(
                 300,
-                me,
+                instance,
                 Arrival::Forward {
                     id,
                     forward,
@@ -368,7 +373,11 @@
         }
         let rtt = 10.0 + self.draws.below(40) as f64 + if server == 3 { 120.0 } else { 0.0 };
         let rtt = rtt * self.script.slowness;
-        let failing = if server == 4 { 3 } else { 60 };
+        let failing = if server == 4 {
+            3
+        } else {
+            self.script.failing_in
+        };
         let outcome = if self.draws.one_in(failing) {
             let failures = [
                 Outcome::Error,
@@ -384,12 +393,12 @@
         };
         let actual = self.draws.below(3) as u16;
         if self.draws.one_in(30) {
-            self.later(1, me, Arrival::Stream { id, server });
+            self.later(1, instance, Arrival::Stream { id, server });
         }
         let steps = (rtt / STEP) as u64;
         self.later(
             steps,
-            me,
+            instance,
             Arrival::Forward {
                 id,
                 forward,
@@ -401,7 +410,7 @@
         );
     }
 
-    fn count(&mut self, me: usize, name: u64, add: f32) {
+    fn count(&mut self, instance: usize, name: u64, add: f32) {
         let state = (self.script.counter)(self.second());
         let (outcome, steps) = match state {
             Counter::Answers => (Outcome::Ok, 1),
@@ -417,7 +426,7 @@
         let (total, rtt) = (*total, steps as f64 * STEP);
         self.later(
             steps,
-            me,
+            instance,
             Arrival::Counter {
                 name,
                 outcome,
@@ -427,7 +436,7 @@
         );
     }
 
-    fn arrive(&mut self, me: usize, arrival: Arrival) {
+    fn arrive(&mut self, instance: usize, arrival: Arrival) {
         match arrival {
             Arrival::Forward {
                 id,
@@ -437,7 +446,7 @@
                 rtt,
                 actual,
             } => {
-                if let Some(sent) = self.forwards.get_mut(&(me, id)) {
+                if let Some(sent) = self.forwards.get_mut(&(instance, id)) {
                     let was_open = std::mem::replace(&mut sent[usize::from(forward)].1, false);
                     if !was_open && outcome != Outcome::Cancelled {
                         return;
@@ -446,8 +455,8 @@
                 let over = outcome == Outcome::Ok || outcome == Outcome::Error && id % 2 == 0;
                 let load = self.load();
                 let used = actual;
-                self.tell(
-                    me,
+                self.handle(
+                    instance,
                     &Event::AttemptEnded {
                         id,
                         forward,
@@ -462,8 +471,8 @@
                 );
             }
             Arrival::Stream { id, server } => {
-                self.tell(
-                    me,
+                self.handle(
+                    instance,
                     &Event::StreamStarted {
                         id,
                         forward: 0,
@@ -478,8 +487,8 @@
                 total,
                 rtt,
             } => {
-                self.tell(
-                    me,
+                self.handle(
+                    instance,
                     &Event::CounterReplied {
                         name,
                         outcome,
@@ -490,8 +499,8 @@
             }
             Arrival::Probe { server, outcome } => {
                 let load = self.load();
-                self.tell(
-                    me,
+                self.handle(
+                    instance,
                     &Event::ProbeEnded {
                         server,
                         outcome,
@@ -501,7 +510,7 @@
                 );
             }
             Arrival::Datagram { from, data } => {
-                self.tell(me, &Event::DatagramReceived { from, data: &data })
+                self.handle(instance, &Event::DatagramReceived { from, data: &data })
             }
         }
     }
@@ -529,7 +538,7 @@
         }
     }
 
-    fn members(&self) -> Vec<ServerEntry> {
+    fn server_entries(&self) -> Vec<ServerEntry> {
         let member = |(at, (health, started)): (usize, &(Health, f64))| ServerEntry {
             server: at as u32 + 1,
             pool: u16::from(at % 7 == 6),
@@ -544,11 +553,11 @@
         self.health.iter().enumerate().map(member).collect()
     }
 
-    fn tell_members(&mut self, me: usize, list: ListKind) {
-        let entries = self.members();
+    fn send_server_list(&mut self, instance: usize, list: ListKind) {
+        let entries = self.server_entries();
         let version = self.step as u32;
-        self.tell(
-            me,
+        self.handle(
+            instance,
             &Event::ServerList {
                 list,
                 version,
@@ -573,12 +582,12 @@
             ListKind::Failed,
         ];
         let list = kinds[self.draws.below(4) as usize];
-        (0..self.limiters.len()).for_each(|me| self.tell_members(me, list));
+        (0..self.engines.len()).for_each(|instance| self.send_server_list(instance, list));
     }
 
-    fn query(&mut self, me: usize) {
-        let id = self.next_query;
-        self.next_query += 1;
+    fn request(&mut self, instance: usize) {
+        let id = self.next_request;
+        self.next_request += 1;
         let (groups, plans) = (
             self.script.settings.groups.len(),
             self.script.settings.plans.len(),
@@ -592,7 +601,7 @@
             group: self.draws.below(groups as u64) as u16,
             deadline: self.now() + 800.0 + self.draws.below(2000) as f64,
             tenant,
-            // One query in a thousand names a plan that is not there.
+            // One request in a thousand names a plan that is not there.
             plan: if id % 1000 == 999 {
                 99
             } else {
@@ -607,17 +616,17 @@
             allowed_zones: if self.draws.one_in(10) { 2 } else { u64::MAX },
             max_attempts: if self.draws.one_in(10) { 1 } else { u8::MAX },
         };
-        self.tell(me, &Event::Request(new));
+        self.handle(instance, &Event::Request(new));
         if self.draws.one_in(40) {
-            self.tell(me, &Event::ClientDisconnected { id });
+            self.handle(instance, &Event::ClientDisconnected { id });
         }
         // One that is known already.
         let open = self
             .forwards
-            .get(&(me, id))
+            .get(&(instance, id))
             .is_some_and(|sent| sent.iter().any(|forward| forward.1));
         if open && self.draws.one_in(50) {
-            self.tell(me, &Event::Request(new));
+            self.handle(instance, &Event::Request(new));
         }
     }
 
@@ -635,21 +644,23 @@
             latency_target: 400.0,
             ..groups[0].clone()
         });
-        for limiter in &mut self.limiters {
-            limiter.configure(&groups, &plans);
-            limiter.configure(&groups[..1], &plans[..1]);
+        for engine in &mut self.engines {
+            engine.configure(&groups, &plans);
+            engine.configure(&groups[..1], &plans[..1]);
         }
         (self.script.settings.groups, self.script.settings.plans) = (groups, plans);
     }
 
     fn step(&mut self) {
         self.step += 1;
-        for (me, arrival) in self.due.remove(&self.step).unwrap_or_default() {
-            self.arrive(me, arrival);
+        for (instance, arrival) in self.due.remove(&self.step).unwrap_or_default() {
+            self.arrive(instance, arrival);
         }
-        for me in 0..self.limiters.len() {
-            if self.draws.one_in(self.script.query_in) {
-                self.query(me);
+        for instance in 0..self.engines.len() {
+            for _ in 0..self.script.draws_a_step {
+                if self.draws.one_in(self.script.request_in) {
+                    self.request(instance);
+                }
             }
         }
         if self.draws.one_in(200) {
@@ -659,11 +670,12 @@
             let data: Vec<u8> = (0..self.draws.below(24))
                 .map(|_| self.draws.below(256) as u8)
                 .collect();
-            let me = self.draws.below(self.limiters.len() as u64) as usize;
+            let instance = self.draws.below(self.engines.len() as u64) as usize;
             let from = self.draws.below(60) as u16;
-            self.tell(me, &Event::DatagramReceived { from, data: &data });
+            self.handle(instance, &Event::DatagramReceived { from, data: &data });
         }
-        (0..self.limiters.len()).for_each(|me| self.tell(me, &Event::Timer { token: 0 }));
+        (0..self.engines.len())
+            .for_each(|instance| self.handle(instance, &Event::Timer { token: 0 }));
         if self.step.is_multiple_of(SECOND) {
             self.end_second();
         }
@@ -678,13 +690,13 @@
             self.configure();
         }
         if self.script.killed_every > 0 && second.is_multiple_of(self.script.killed_every) {
-            let me = self.draws.below(self.limiters.len() as u64) as usize;
-            self.limiters[me] = self.start(me);
-            self.forwards.retain(|of, _| of.0 != me);
+            let instance = self.draws.below(self.engines.len() as u64) as usize;
+            self.engines[instance] = self.start(instance);
+            self.forwards.retain(|of, _| of.0 != instance);
             self.due
                 .values_mut()
-                .for_each(|due| due.retain(|(of, _)| *of != me));
-            self.tell_members(me, ListKind::Full);
+                .for_each(|due| due.retain(|(of, _)| *of != instance));
+            self.send_server_list(instance, ListKind::Full);
         }
     }
 
@@ -798,7 +810,9 @@
         seconds: 45,
         servers: 40,
         slowness: 1.0,
-        query_in: 2,
+        request_in: 2,
+        draws_a_step: 1,
+        failing_in: 60,
         tenants: 23,
         counter: troubled,
         linked: |_, _, _| true,
@@ -808,7 +822,7 @@
     }
 }
 
-/// One limiter of a large fleet's settings, driven hard: without a counter, with reports by probes, no advice and no
+/// One instance of a large fleet's settings, driven hard: without a counter, with reports by probes, no advice and no
 /// cancels.
 fn no_counter() -> Script {
     let settings = Settings {
@@ -828,7 +842,9 @@
         seconds: 30,
         servers: 24,
         slowness: 1.0,
-        query_in: 1,
+        request_in: 1,
+        draws_a_step: 1,
+        failing_in: 60,
         tenants: 40,
         counter: |_| Counter::Answers,
         linked: |_, _, _| true,
@@ -838,7 +854,7 @@
     }
 }
 
-/// Two limiters whose servers are slow and busy, with more queries than they can take, many beyond their quota.
+/// Two instances whose servers are slow and busy, with more requests than they can take, many beyond their quota.
 fn overload() -> Script {
     Script {
         settings: Settings {
@@ -850,7 +866,9 @@
         seconds: 30,
         servers: 30,
         slowness: 5.0,
-        query_in: 1,
+        request_in: 1,
+        draws_a_step: 1,
+        failing_in: 60,
         tenants: 9,
         counter: |_| Counter::Answers,
         linked: |_, _, _| true,
@@ -860,6 +878,58 @@
     }
 }
 
+/// One instance that drives servers as hard as their concurrency limits allow, without quotas.
+fn saturation() -> Script {
+    Script {
+        settings: Settings {
+            instances: 1,
+            has_counter: false,
+            counter_timeout: 0.0,
+            slow_start_time: 0.0,
+            plans: vec![plan(0.0, 0.0)],
+            ..base()
+        },
+        seconds: 20,
+        servers: 12,
+        slowness: 0.4,
+        request_in: 1,
+        draws_a_step: 24,
+        failing_in: 4000,
+        tenants: 5,
+        counter: |_| Counter::Answers,
+        linked: |_, _, _| true,
+        configured_at: None,
+        killed_every: 0,
+        spreads: &[1.0],
+    }
+}
+
+/// A hundred instances that jam a few slow servers, of which some have just started, without quotas.
+fn crowd() -> Script {
+    Script {
+        settings: Settings {
+            instances: 100,
+            has_counter: false,
+            counter_timeout: 0.0,
+            slow_start_time: 6000.0,
+            plans: vec![plan(0.0, 0.0)],
+            ..base()
+        },
+        seconds: 15,
+        servers: 12,
+        slowness: 12.0,
+        request_in: 20,
+        draws_a_step: 1,
+        failing_in: 400,
+        tenants: 50,
+        counter: |_| Counter::Answers,
+        linked: |_, _, _| true,
+        configured_at: None,
+        killed_every: 4,
+        spreads: &[100.0],
+    }
+}
+
 /// Instances that speak to each other: the owner of a tenant's quota is asked, units are lent, links are cut.
 fn large_fleet(counter: fn(u64) -> Counter) -> Script {
     let settings = Settings {
@@ -874,7 +944,9 @@
         seconds: 40,
         servers: 60,
         slowness: 1.0,
-        query_in: 8,
+        request_in: 8,
+        draws_a_step: 1,
+        failing_in: 60,
         tenants: 30,
         counter,
         linked: |second, a, b| match second {
@@ -893,6 +965,8 @@
 #[test_case("small_fleet", small_fleet ; "small fleet with a counter in trouble")]
 #[test_case("no_counter", no_counter ; "one instance without a counter")]
 #[test_case("overload", overload ; "overload")]
+#[test_case("saturation", saturation ; "saturated servers")]
+#[test_case("crowd", crowd ; "a hundred instances and slow servers")]
 #[test_case("large_fleet", || large_fleet(troubled) ; "large fleet with a counter in trouble")]
 #[test_case("large_fleet_alone", || large_fleet(|_| Counter::Silent) ; "large fleet whose counter never answers")]
 fn a_drawn_run_decides_as_recorded(name: &str, script: fn() -> Script) {
