--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -2,7 +2,8 @@
 
 use super::scenario::{Form, Scenario, Who};
 use super::tamper::{How, Tamper};
-use crate::process::{build, Process, Start};
+use crate::process::Process;
+use crate::program::{build, Program};
 use aspendrum_fake_services::cloud::CloudApi;
 use aspendrum_fake_services::origin::{ExecutionLog, OriginOptions, OriginServer};
 use aspendrum_fake_services::{lock, Clock};
@@ -36,21 +37,24 @@
 const SEEDS: usize = 3;
 
 /// The programs of the system, built once in this process' life.
-pub fn programs() -> Result<[Start; 3], String> {
+pub fn programs() -> Result<[Program; 3], String> {
     static BUILT: OnceLock<Result<(), String>> = OnceLock::new();
     BUILT
-        .get_or_init(|| build(&["aspendrum-proxy", "aspendrum-agent", "aspendrum-control"]))
+        .get_or_init(|| {
+            build(&["aspendrum-proxy", "aspendrum-agent", "aspendrum-control"])
+                .map_err(|e| e.to_string())
+        })
         .clone()?;
     Ok([
-        Start::system("aspendrum-proxy")?,
-        Start::system("aspendrum-agent")?,
-        Start::system("aspendrum-control")?,
+        Program::system("aspendrum-proxy").map_err(|e| e.to_string())?,
+        Program::system("aspendrum-agent").map_err(|e| e.to_string())?,
+        Program::system("aspendrum-control").map_err(|e| e.to_string())?,
     ])
 }
 
 /// One process: what it is, where its settings and its log are, and its life.
 pub struct Slot {
-    start: Start,
+    start: Program,
     settings: PathBuf,
     log: PathBuf,
     disk: Option<PathBuf>,
@@ -230,7 +234,7 @@
             }
             loans.push(row);
         }
-        let slot = |start: &Start, name: String, disk: Option<PathBuf>| {
+        let slot = |start: &Program, name: String, disk: Option<PathBuf>| {
             let (settings, log) = (
                 folder.join(format!("{name}.json")),
                 folder.join(format!("{name}.log")),
@@ -473,10 +477,10 @@
         };
         let mut all: Vec<&Arc<Link>> = Vec::new();
         if let (Some(d), Who::Core(to)) = (dialler(from), to) {
-            all.push(&self.controls[d][to].there);
+            all.push(&self.controls[d][to].forward);
         }
         if let (Who::Core(from), Some(d)) = (from, dialler(to)) {
-            all.push(&self.controls[d][from].back);
+            all.push(&self.controls[d][from].backward);
         }
         let linked = self.scenario.edge_links;
         if let (Who::Edge(a) | Who::Agent(a), Who::Edge(b) | Who::Agent(b), true) =
@@ -484,16 +488,18 @@
         {
             all.extend([
                 self.words.link(a, b),
-                &self.loans[a][b].there,
-                &self.loans[b][a].back,
+                &self.loans[a][b].forward,
+                &self.loans[b][a].backward,
             ]);
         }
         match (from, to) {
             (Who::Edge(a) | Who::Proxy(a), Who::Edge(b) | Who::Proxy(b)) if linked => {
                 all.push(self.counts.link(a, b));
             }
-            (Who::Edge(a) | Who::Proxy(a), Who::Origin(b)) => all.push(&self.servers[a][b].there),
-            (Who::Origin(a), Who::Edge(b) | Who::Proxy(b)) => all.push(&self.servers[b][a].back),
+            (Who::Edge(a) | Who::Proxy(a), Who::Origin(b)) => all.push(&self.servers[a][b].forward),
+            (Who::Origin(a), Who::Edge(b) | Who::Proxy(b)) => {
+                all.push(&self.servers[b][a].backward)
+            }
             _ => {}
         }
         all
@@ -526,15 +532,15 @@
             Fault::CUT
         };
         self.each_link(of, from, one_way, |link| {
-            link.put(number, fault);
+            link.set_fault(number, fault);
             if form != Form::Silent {
-                link.reset();
+                link.reset_connections();
             }
         });
     }
 
     pub fn heal(&self, of: &[Who], from: &[Who], one_way: bool, number: u32) {
-        self.each_link(of, from, one_way, |link| link.heal(number));
+        self.each_link(of, from, one_way, |link| link.clear_fault(number));
     }
 
     fn each_link(&self, of: &[Who], from: &[Who], one_way: bool, what: impl Fn(&Link)) {
@@ -566,12 +572,12 @@
 }
 
 async fn mesh(members: &[IpAddr], port: u16) -> io::Result<Mesh> {
-    let mut mesh = Mesh::among(members).await?;
+    let mut mesh = Mesh::bind_each(members).await?;
     let listens: Vec<SocketAddr> = members
         .iter()
         .map(|ip| SocketAddr::from((*ip, port)))
         .collect();
-    mesh.carry(&listens);
+    mesh.start(&listens);
     Ok(mesh)
 }
 
--- a/crates/aspendrum/src/dispatcher.rs
+++ b/crates/aspendrum/src/dispatcher.rs
@@ -1,7 +1,7 @@
-//! The dispatcher: the one thread that owns the decision core, its timers, and the requests in progress.
+//! The dispatcher: the one thread that owns the decision engine, its timers, and the requests in progress.
 //!
-//! All other threads notify it through one bounded mailbox. It passes what happened to the decision core, carries out the
-//! actions that the core returns, and never waits for anybody.
+//! All other threads notify it through one bounded mailbox. It passes what happened to the decision engine, carries out the
+//! actions that the engine returns, and never waits for anybody.
 
 mod pending_request;
 mod timers;
@@ -26,10 +26,10 @@
 use std::time::Instant;
 use timers::Timers;
 
-/// The target of the decision core's own log lines.
-const CORE_LOG_TARGET: &str = "aspendrum::module";
+/// The target of the decision engine's own log lines.
+const ENGINE_LOG_TARGET: &str = "aspendrum::module";
 
-/// The services that carry out the decision core's actions.
+/// The services that carry out the decision engine's actions.
 pub(crate) struct Services {
     pub(crate) counter: Option<CounterClient>,
     pub(crate) discovery: Sender<DiscoveryRequest>,
@@ -43,9 +43,9 @@
     services: Services,
     requests: HashMap<RequestId, PendingRequest>,
     timers: Timers,
-    /// What the core returned and is still to be carried out; kept for its allocation.
+    /// What the engine returned and is still to be carried out; kept for its allocation.
     actions: Vec<Action>,
-    /// Requests whose threads take no decision any more. The core hears of it after the event in progress.
+    /// Requests whose threads take no decision any more. The engine is notified after the event in progress.
     abandoned: Vec<RequestId>,
     last_expiry: Instant,
     disconnect_reporter: DisconnectReporter,
@@ -76,7 +76,7 @@
 
     /// Handles events and timers until the limiter stops.
     pub(crate) fn run(mut self, events: &MailboxReceiver<DispatcherEvent>) {
-        self.carry_out_actions();
+        self.perform_actions();
         loop {
             let due = self
                 .timers
@@ -136,10 +136,10 @@
         }
     }
 
-    /// Passes an event to the decision core, and carries out what it returns.
+    /// Passes an event to the decision engine, and carries out what it returns.
     fn notify_engine(&mut self, event: &Event<'_>) {
         self.engine.handle(self.now(), event, &mut self.actions);
-        self.carry_out_actions();
+        self.perform_actions();
     }
 
     fn handle_disconnect(&mut self, id: RequestId) {
@@ -152,7 +152,9 @@
         };
         request.is_finished = true;
         // While an attempt is in flight, the request's thread reads this after its end.
-        let _ = request.decisions.try_send(RequestDecision::ClientGone);
+        let _ = request
+            .decisions
+            .try_send(RequestDecision::ClientDisconnected);
         self.notify_engine(&Event::ClientDisconnected { id });
         self.forget_if_done(id);
     }
@@ -228,7 +230,7 @@
     }
 
     /// Checks whether the clients of all requests in progress are still connected. For one that is not, nothing more is
-    /// sent; what happens to an attempt at a server is the decision core's to say.
+    /// sent; what happens to an attempt at a server is the decision engine's to say.
     fn check_disconnects(&mut self) {
         let state = self.state.clone();
         let sessions = state.sessions.with_request();
@@ -282,15 +284,15 @@
         }
     }
 
-    fn carry_out_actions(&mut self) {
+    fn perform_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.perform(action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Forward {
                 id,
@@ -329,8 +331,8 @@
                     peers.send(to, &data);
                 }
             }
-            Action::Log(text) => tracing::info!(target: CORE_LOG_TARGET, "{text}"),
-            Action::Fault(text) => tracing::error!(target: CORE_LOG_TARGET, "{text}"),
+            Action::Log(text) => tracing::info!(target: ENGINE_LOG_TARGET, "{text}"),
+            Action::Fault(text) => tracing::error!(target: ENGINE_LOG_TARGET, "{text}"),
         }
     }
 
