--- a/crates/aspendrum-core/src/engine/quota.rs
+++ b/crates/aspendrum-core/src/engine/quota.rs
@@ -112,7 +112,7 @@
             units,
             ..
         } = self.requests[slot];
-        let within_quota = self.tenants[index].remaining >= units && self.pay_ceiling(slot);
+        let within_quota = self.tenants[index].remaining >= units && self.charge_rate_limit(slot);
         if within_quota {
             let tenant = &mut self.tenants[index];
             tenant.remaining -= units;
@@ -130,7 +130,7 @@
     /// Decides by the local count. `is_logged`: the counter is not called, and is told of the grant once it is back;
     /// else `unsettled` takes the difference to what it was told.
     pub(super) fn decide_locally(&mut self, slot: usize, is_logged: bool) {
-        let within_quota = self.has_room_without_counter(slot) && self.pay_ceiling(slot);
+        let within_quota = self.has_room_without_counter(slot) && self.charge_rate_limit(slot);
         let request = &self.requests[slot];
         let (index, units) = (request.tenant, request.units);
         let difference = if within_quota { units } else { 0.0 } - request.counted_units;
@@ -150,18 +150,4 @@
         }
         self.conclude_admission(slot, within_quota);
     }
-
-    /// Takes a request's units out of the tenant's ceiling; false if it has no room. A peer's request is charged to the
-    /// owner's share, and only where the peer's own is spent.
-    fn pay_ceiling(&mut self, slot: usize) -> bool {
-        let request = &self.requests[slot];
-        match request.peer_origin {
-            Some(_) => !request.charges_owner_ceiling || self.pay_owner_ceiling_share(slot),
-            None => {
-                request.ceiling_paid
-                    || self.pay_ceiling_share(slot)
-                    || self.pay_owner_ceiling_share(slot)
-            }
-        }
-    }
 }
--- a/crates/aspendrum-core/src/engine/quota_owner/routing.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/routing.rs
@@ -1,10 +1,10 @@
 //! Which instance decides on a request's quota, and what it is asked.
 
-use super::super::DecisionEngine;
 use crate::api::{Action, Millis};
+use crate::engine::breaker::PROBE_INTERVAL;
+use crate::engine::DecisionEngine;
 use crate::peer_message::{MessageId, PeerMessage, QuotaRequest, TenantKey};
 use crate::spread;
-use crate::state::breaker::PROBE_INTERVAL;
 use crate::state::peer::Peer;
 
 /// Instances of a tenant's set that may own its quota, one after another as those before don't answer.
@@ -44,7 +44,7 @@
 
     /// The instances that may own the tenant's quota, the first one first. Told by its id and its set, so that all of the
     /// set conclude the same.
-    pub(super) fn quota_owners(&self, index: usize) -> impl Iterator<Item = u16> {
+    pub(in crate::engine) fn quota_owners(&self, index: usize) -> impl Iterator<Item = u16> {
         let tenant = &self.tenants[index];
         let (id, first, set, instances) = (
             tenant.id as f64,
@@ -81,16 +81,16 @@
         if self.now < self.tenants[index].exhausted_until {
             return self.conclude_admission(slot, false);
         }
-        let is_paid = self.requests[slot].ceiling_paid || self.pay_ceiling_share(slot);
+        let is_paid = self.requests[slot].rate_limit_charged || self.charge_rate_limit_share(slot);
         let (id, key) = (self.next_message_id(), self.tenant_key(index));
         let units = self.requests[slot].units as f32;
         let quota_request = |transferred_steps| {
-            let charges_ceiling = !is_paid;
+            let charges_rate_limit = !is_paid;
             PeerMessage::QuotaRequest(QuotaRequest {
                 id,
                 key,
                 units,
-                charges_ceiling,
+                charges_rate_limit,
                 transferred_steps,
             })
         };
@@ -111,7 +111,7 @@
         let request = &mut self.requests[slot];
         request.quota_owner = Some(peer);
         request.waiting_since = self.now;
-        request.ceiling_paid = is_paid;
+        request.rate_limit_charged = is_paid;
         request.message_to_owner = Some(message);
         self.send_to_peer(peer, message);
     }
--- a/crates/aspendrum/src/http/request.rs
+++ b/crates/aspendrum/src/http/request.rs
@@ -4,10 +4,10 @@
     has_duplicate_field, is_forwarded, remaining_time, tenant, QuotaShare, GROUP, IDEMPOTENCY_KEY,
     PLAN, QUOTA, REMAINING, RESENT, TRANSACTION,
 };
+use super::schema::MessageSchema;
 use super::status::{
     BAD_REQUEST, CONTENT_TOO_LARGE, HEADER_FIELDS_TOO_LARGE, LENGTH_REQUIRED, METHOD_NOT_ALLOWED,
 };
-use super::MessageSchema;
 use crate::limits::MAX_HEADERS;
 use aspendrum_core::api::{Millis, Semantics};
 use aspendrum_net::http1::{
@@ -118,7 +118,7 @@
     Ok(IncomingRequest::Forwardable(Box::new(request)))
 }
 
-/// None if anything is out of order. Such a request is rejected before the decision core sees it: it may come in the name
+/// None if anything is out of order. Such a request is rejected before the decision engine sees it: it may come in the name
 /// of a tenant that has nothing to do with it, and must change nothing that is known of that tenant.
 fn client_request(
     head: &httparse::Request<'_, '_>,
