--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -1,7 +1,7 @@
 //! The machines of a run, each at a loopback address of its own, and the links between them.
 
 use super::scenario::{Form, Scenario, Who};
-use super::tamper::{How, Tamper};
+use super::tamper::{Tampering, TamperingRelay};
 use crate::process::Process;
 use crate::program::{build, Program};
 use aspendrum_fake_services::cloud::CloudApi;
@@ -138,8 +138,8 @@
     counts: Mesh,
     words: Mesh,
     /// By edge, then core: words of control to its agent; by edge: the agent's to its proxy.
-    pushes: Vec<Vec<Tamper>>,
-    feeds: Vec<Tamper>,
+    pushes: Vec<Vec<TamperingRelay>>,
+    feeds: Vec<TamperingRelay>,
     /// By edge, then edge: snapshots between agents.
     loans: Vec<Vec<Relay>>,
     _cloud: Arc<CloudApi>,
@@ -195,11 +195,11 @@
                 let mut to = SocketAddr::from((*core, PORTS[0]));
                 if dialler >= s.machines() {
                     tampers.push(
-                        Tamper::start(IpAddr::V4(*core), to, SERVICES)
+                        TamperingRelay::start(IpAddr::V4(*core), to, SERVICES)
                             .await
                             .map_err(failed)?,
                     );
-                    to = tampers.last().map_or(to, Tamper::addr);
+                    to = tampers.last().map_or(to, TamperingRelay::addr);
                 }
                 row.push(relay(IpAddr::V4(*core), to).await?);
             }
@@ -208,7 +208,7 @@
                 pushes.push(tampers);
                 let agent = SocketAddr::from((ip(net, 102, n), AGENT));
                 feeds.push(
-                    Tamper::start(agent.ip(), agent, SERVICES)
+                    TamperingRelay::start(agent.ip(), agent, SERVICES)
                         .await
                         .map_err(failed)?,
                 );
@@ -506,7 +506,7 @@
     }
 
     /// What happens to configurations on their way to that agent or proxy.
-    pub fn tamper(&self, who: Who, how: Option<How>) {
+    pub fn tamper(&self, who: Who, how: Option<Tampering>) {
         match who {
             Who::Agent(n) => self.pushes[n].iter().for_each(|t| t.set(how)),
             Who::Proxy(n) => self.feeds[n].set(how),
--- a/crates/aspendrum-testbed/src/system/scenario.rs
+++ b/crates/aspendrum-testbed/src/system/scenario.rs
@@ -1,6 +1,6 @@
 //! A scenario of the system: its size, its terms, what happens when, and what must hold in the end.
 
-use super::tamper::How;
+use super::tamper::Tampering;
 use aspendrum_checker::Millis;
 use serde::Deserialize;
 
@@ -179,7 +179,7 @@
     #[serde(default)]
     pub zone: String,
     /// What is done to configurations.
-    pub how: Option<How>,
+    pub how: Option<Tampering>,
     /// The share of requests that servers spoil.
     #[serde(default)]
     pub share: f64,
--- a/crates/aspendrum-testbed/src/system/tamper.rs
+++ b/crates/aspendrum-testbed/src/system/tamper.rs
@@ -1,5 +1,5 @@
-//! A way between two processes of the system on which pushes go wrong: configurations are dropped, come late, come
-//! behind the next one, or say something else by their number, while every other word passes.
+//! A relay between two processes of the system on which updates go wrong: configurations are dropped, delayed, reordered or
+//! corrupted, while every other message passes.
 
 use aspendrum_fake_services::lock;
 use aspendrum_model::compression::{compress, decompress};
@@ -17,159 +17,196 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-/// What is done to configurations on their way.
+/// What is done to configurations.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
+pub enum Tampering {
+    /// They are lost.
     Drop,
-    /// Later by [`LATE`].
+    /// They arrive [`DELAY`] later.
     Delay,
-    /// Behind the next one.
+    /// One arrives after the next one.
     Reorder,
-    /// Its services changed places, under the same number.
-    Torn,
+    /// Two services change places in them, under the same version and checksum.
+    #[serde(rename = "torn")]
+    Corrupt,
 }
 
-pub const LATE: Duration = Duration::from_secs(20);
-/// Words that may wait for a reader.
-const ROOM: usize = 256;
+/// How long configurations are delayed.
+pub const DELAY: Duration = Duration::from_secs(20);
+/// Messages that may wait for the receiver.
+const QUEUE_CAPACITY: usize = 256;
+const LENGTH_BYTES: usize = 4;
 
-pub struct Tamper {
-    addr: SocketAddr,
-    how: Arc<Mutex<Option<How>>>,
+/// What is done at present.
+type SharedTampering = Arc<Mutex<Option<Tampering>>>;
+
+/// A relay that can tamper. It ends when it is dropped.
+pub struct TamperingRelay {
+    address: SocketAddr,
+    tampering: SharedTampering,
     task: AbortHandle,
 }
 
-impl Drop for Tamper {
+impl Drop for TamperingRelay {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Tamper {
-    /// Listens there and leads to `to`; what comes back from there is what can be tampered with. `services`: the two
-    /// that a torn configuration mixes up.
+impl TamperingRelay {
+    /// Listens at a free port of that address, and leads to the destination, whose messages it can tamper with. `services`:
+    /// the two that change places in a corrupt configuration.
+    ///
+    /// # Errors
+    /// No port is free.
     pub async fn start(
-        at: IpAddr,
-        to: SocketAddr,
+        ip: IpAddr,
+        destination: SocketAddr,
         services: [&'static str; 2],
-    ) -> io::Result<Tamper> {
-        let listener = TcpListener::bind((at, 0)).await?;
-        let addr = listener.local_addr()?;
-        let how = Arc::new(Mutex::new(None));
-        let own = how.clone();
-        let run = async move {
+    ) -> io::Result<TamperingRelay> {
+        let listener = TcpListener::bind((ip, 0)).await?;
+        let address = listener.local_addr()?;
+        let tampering = SharedTampering::default();
+        let shared = tampering.clone();
+        let accept = async move {
             loop {
-                let Ok((near, _)) = listener.accept().await else {
-                    continue;
-                };
-                tokio::spawn(carry(near, to, own.clone(), services));
+                if let Ok((near, _)) = listener.accept().await {
+                    tokio::spawn(carry(near, destination, shared.clone(), services));
+                }
             }
         };
-        Ok(Tamper {
-            addr,
-            how,
-            task: tokio::spawn(run).abort_handle(),
+        let task = tokio::spawn(accept).abort_handle();
+        Ok(TamperingRelay {
+            address,
+            tampering,
+            task,
         })
     }
 
+    /// Where to connect instead of the destination.
     pub fn addr(&self) -> SocketAddr {
-        self.addr
+        self.address
     }
 
-    pub fn set(&self, how: Option<How>) {
-        *lock(&self.how) = how;
+    /// Sets what is done from now on; `None`: nothing.
+    pub fn set(&self, tampering: Option<Tampering>) {
+        *lock(&self.tampering) = tampering;
     }
 }
 
 async fn carry(
     near: TcpStream,
-    to: SocketAddr,
-    how: Arc<Mutex<Option<How>>>,
+    destination: SocketAddr,
+    tampering: SharedTampering,
     services: [&'static str; 2],
 ) {
-    let Ok(far) = TcpStream::connect(to).await else {
+    let Ok(far) = TcpStream::connect(destination).await else {
         return;
     };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((mut near_in, near_out), (far_in, mut far_out)) = (near.into_split(), far.into_split());
-    // Either direction's end is both ends'.
+    let (frames, received) = mpsc::channel(QUEUE_CAPACITY);
+    let (delayed, due) = mpsc::channel(QUEUE_CAPACITY);
+    let writer = TamperingWriter {
+        to: near_out,
+        received,
+        due,
+        delayed,
+        reordered: None,
+        tampering,
+        services,
+    };
+    // The end of either direction is the end of both.
     tokio::select! {
         _ = tokio::io::copy(&mut near_in, &mut far_out) => {}
-        _ = down(far_in, near_out, &how, services) => {}
+        _ = read_frames(far_in, frames) => {}
+        _ = writer.run() => {}
+    }
+}
+
+async fn read_frames(mut from: OwnedReadHalf, frames: mpsc::Sender<Vec<u8>>) -> io::Result<()> {
+    loop {
+        let mut length = [0; LENGTH_BYTES];
+        from.read_exact(&mut length).await?;
+        let mut frame = length.to_vec();
+        frame.resize(LENGTH_BYTES + u32::from_le_bytes(length) as usize, 0);
+        from.read_exact(&mut frame[LENGTH_BYTES..]).await?;
+        if frames.send(frame).await.is_err() {
+            return Ok(());
+        }
     }
 }
 
-async fn down(
-    mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
-    how: &Mutex<Option<How>>,
+/// The direction that is tampered with.
+struct TamperingWriter {
+    to: OwnedWriteHalf,
+    /// What has arrived.
+    received: mpsc::Receiver<Vec<u8>>,
+    /// Delayed frames whose time has come.
+    due: mpsc::Receiver<Vec<u8>>,
+    delayed: mpsc::Sender<Vec<u8>>,
+    /// A frame that is written after the next configuration.
+    reordered: Option<Vec<u8>>,
+    tampering: SharedTampering,
     services: [&'static str; 2],
-) -> io::Result<()> {
-    let (late, mut later) = mpsc::channel::<Vec<u8>>(ROOM);
-    let (words, mut read) = mpsc::channel::<Vec<u8>>(ROOM);
-    let reader = async move {
+}
+
+impl TamperingWriter {
+    async fn run(mut self) -> io::Result<()> {
         loop {
-            let mut length = [0; 4];
-            from.read_exact(&mut length).await?;
-            let mut frame = length.to_vec();
-            frame.resize(4 + u32::from_le_bytes(length) as usize, 0);
-            from.read_exact(&mut frame[4..]).await?;
-            if words.send(frame).await.is_err() {
-                return io::Result::Ok(());
+            tokio::select! {
+                Some(frame) = self.due.recv() => self.to.write_all(&frame).await?,
+                frame = self.received.recv() => match frame {
+                    Some(frame) => self.write(frame).await?,
+                    None => return Ok(()),
+                },
             }
         }
-    };
-    let writer = async move {
-        let mut held: Option<Vec<u8>> = None;
-        loop {
-            let frame = tokio::select! {
-                Some(frame) = later.recv() => {
-                    to.write_all(&frame).await?;
-                    continue;
-                }
-                frame = read.recv() => match frame {
-                    Some(frame) => frame,
-                    None => return io::Result::Ok(()),
-                },
-            };
-            let how = *lock(how);
-            let config = frames::read_frame::<FromControl>(&mut &frame[..])
-                .ok()
-                .filter(is_config);
-            match (config, how) {
-                (Some(_), Some(How::Drop)) => {}
-                (Some(_), Some(How::Delay)) => {
-                    let late = late.clone();
-                    tokio::spawn(async move {
-                        sleep(LATE).await;
-                        let _ = late.send(frame).await;
-                    });
-                }
-                (Some(_), Some(How::Reorder)) if held.is_none() => held = Some(frame),
-                (Some(news), Some(How::Torn)) => {
-                    to.write_all(&frames::encode_frame(&torn(news, services)))
-                        .await?
-                }
-                (Some(_), _) => {
-                    to.write_all(&frame).await?;
-                    if let Some(before) = held.take() {
-                        to.write_all(&before).await?;
-                    }
+    }
+
+    async fn write(&mut self, frame: Vec<u8>) -> io::Result<()> {
+        let message = frames::read_frame::<FromControl>(&mut &frame[..]).ok();
+        let Some(config) = message.filter(is_config) else {
+            return self.to.write_all(&frame).await;
+        };
+        let tampering = *lock(&self.tampering);
+        match tampering {
+            Some(Tampering::Drop) => Ok(()),
+            Some(Tampering::Delay) => {
+                self.delay(frame);
+                Ok(())
+            }
+            Some(Tampering::Reorder) if self.reordered.is_none() => {
+                self.reordered = Some(frame);
+                Ok(())
+            }
+            Some(Tampering::Corrupt) => {
+                let corrupt = corrupt(config, self.services);
+                self.to.write_all(&frames::encode_frame(&corrupt)).await
+            }
+            Some(Tampering::Reorder) | None => {
+                self.to.write_all(&frame).await?;
+                match self.reordered.take() {
+                    Some(previous) => self.to.write_all(&previous).await,
+                    None => Ok(()),
                 }
-                (None, _) => to.write_all(&frame).await?,
             }
         }
-    };
-    tokio::select! {
-        done = reader => done,
-        done = writer => done,
+    }
+
+    fn delay(&self, frame: Vec<u8>) {
+        let delayed = self.delayed.clone();
+        tokio::spawn(async move {
+            sleep(DELAY).await;
+            let _ = delayed.send(frame).await;
+        });
     }
 }
 
-fn is_config(word: &FromControl) -> bool {
+fn is_config(message: &FromControl) -> bool {
     matches!(
-        word,
+        message,
         FromControl::Update {
             section: StateSection::Config { .. },
             ..
@@ -177,32 +214,35 @@
     )
 }
 
-fn torn(word: FromControl, [one, other]: [&str; 2]) -> FromControl {
-    let FromControl::Update {
-        number,
-        section:
-            StateSection::Config {
-                version,
-                compressed_text,
-                checksum,
-            },
-    } = word
+/// The update with the two services in each other's place.
+fn corrupt(update: FromControl, [one, other]: [&str; 2]) -> FromControl {
+    let FromControl::Update { number, section } = update else {
+        return update;
+    };
+    let StateSection::Config {
+        version,
+        compressed_text,
+        checksum,
+    } = section
     else {
-        return word;
+        return FromControl::Update { number, section };
+    };
+    let text = decompress(&compressed_text).unwrap_or_default();
+    let text = swap_services(String::from_utf8(text).unwrap_or_default(), one, other);
+    let compressed_text = compress(text.as_bytes());
+    let section = StateSection::Config {
+        version,
+        compressed_text,
+        checksum,
     };
-    let named = |s: &str| format!("\"svc\":\"{s}\"");
-    let text =
-        String::from_utf8(decompress(&compressed_text).unwrap_or_default()).unwrap_or_default();
+    FromControl::Update { number, section }
+}
+
+fn swap_services(text: String, one: &str, other: &str) -> String {
+    let field = |service: &str| format!("\"svc\":\"{service}\"");
+    let placeholder = field("?");
     let text = text
-        .replace(&named(one), "\"svc\":\"?\"")
-        .replace(&named(other), &named(one));
-    let text = text.replace("\"svc\":\"?\"", &named(other));
-    FromControl::Update {
-        number,
-        section: StateSection::Config {
-            version,
-            compressed_text: compress(text.as_bytes()),
-            checksum,
-        },
-    }
+        .replace(&field(one), &placeholder)
+        .replace(&field(other), &field(one));
+    text.replace(&placeholder, &field(other))
 }
