--- /dev/null
+++ b/crates/aspendrum-testbed/src/days/play.rs
@@ -0,0 +1,218 @@
+//! Days played on the users' bench, and a table of what became of them.
+
+use super::day::{all_days, days_dir};
+use super::error::DaysError;
+use super::verdict::{verdict, BenchVerdict};
+use crate::drawn;
+use serde_json::Value;
+use std::path::{Path, PathBuf};
+use std::process::{Command, ExitStatus, Stdio};
+use std::sync::{Mutex, PoisonError};
+
+const TABLE_HEAD: &str =
+    "| day | site | seed | score | served | broken, faults, gate |\n|---|---|---|---|---|---|";
+
+/// How days are played.
+#[derive(Clone, Debug)]
+pub struct PlayOptions {
+    /// The bench's program. It runs in the present directory, which must be a checkout's root.
+    pub bench: PathBuf,
+    /// The directories with site files.
+    pub site_dirs: Vec<PathBuf>,
+    /// The names of days; empty: all.
+    pub days: Vec<String>,
+    /// The names of sites; empty: all that a day is meant for.
+    pub only_sites: Vec<String>,
+    /// Whether each day is played with its first seed only.
+    pub first_seed_only: bool,
+    /// The cores that one play may use.
+    pub jobs: Option<usize>,
+    /// How many plays go on at once.
+    pub parallel_plays: usize,
+    /// Where the bench's output and reports go.
+    pub out: PathBuf,
+}
+
+/// One day on one site with one seed.
+struct Play {
+    day: String,
+    file: PathBuf,
+    site: String,
+    seed: u64,
+    /// Why it is played, for the bench's journal.
+    why: String,
+}
+
+/// Plays days of the testbed, and prints a line for each. Returns whether all was well.
+///
+/// # Errors
+/// [`DaysError`] if a day cannot be played.
+pub fn play_days(options: &PlayOptions) -> Result<bool, DaysError> {
+    let mut days = all_days()?;
+    let is_unknown = |name: &&String| days.iter().all(|day| day.name != **name);
+    if let Some(unknown) = options.days.iter().find(is_unknown) {
+        return Err(DaysError::UnknownDay {
+            day: unknown.clone(),
+            directory: days_dir(),
+        });
+    }
+    days.retain(|day| options.days.is_empty() || options.days.contains(&day.name));
+    let is_meant =
+        |site: &&String| options.only_sites.is_empty() || options.only_sites.contains(site);
+    let max_seeds = if options.first_seed_only {
+        1
+    } else {
+        usize::MAX
+    };
+    let mut plays = Vec::new();
+    for day in &days {
+        for site in day.sites.iter().filter(is_meant) {
+            plays.extend(day.seeds.iter().take(max_seeds).map(|seed| Play {
+                day: day.name.clone(),
+                file: days_dir().join(format!("{}.toml", day.name)),
+                site: site.clone(),
+                seed: *seed,
+                why: format!("own day {}", day.name),
+            }));
+        }
+    }
+    play_all(options, plays)
+}
+
+/// Plays the days drawn from these seeds, each on one of the sites in turn. Returns whether all was well.
+///
+/// # Errors
+/// [`DaysError`] if a day cannot be played, or no site is named.
+pub fn play_drawn_days(
+    options: &PlayOptions,
+    seeds: std::ops::RangeInclusive<u64>,
+) -> Result<bool, DaysError> {
+    let sites = &options.only_sites;
+    if sites.is_empty() {
+        return Err(DaysError::NoSites);
+    }
+    std::fs::create_dir_all(&options.out).map_err(DaysError::io(&options.out))?;
+    let mut plays = Vec::new();
+    for (index, seed) in seeds.enumerate() {
+        let day = format!("drawn-{seed}");
+        let site = sites[index % sites.len()].clone();
+        let file = options.out.join(format!("{day}-{site}.toml"));
+        let contracts = contracts_of(&site_file(options, &site)?)?;
+        let text = drawn::draw_day(&day, seed, &contracts);
+        std::fs::write(&file, text).map_err(DaysError::io(&options.out))?;
+        let why = format!("day drawn from seed {seed}");
+        plays.push(Play {
+            day,
+            file,
+            site,
+            seed,
+            why,
+        });
+    }
+    play_all(options, plays)
+}
+
+fn play_all(options: &PlayOptions, plays: Vec<Play>) -> Result<bool, DaysError> {
+    std::fs::create_dir_all(&options.out).map_err(DaysError::io(&options.out))?;
+    println!("{TABLE_HEAD}");
+    let queue = Mutex::new(plays.into_iter());
+    let next = || queue.lock().unwrap_or_else(PoisonError::into_inner).next();
+    let play_queued = || -> Result<bool, DaysError> {
+        let mut all_good = true;
+        while let Some(play) = next() {
+            let row = play_one(options, &play)?;
+            all_good &= row.is_good;
+            println!("{}", row.text);
+        }
+        Ok(all_good)
+    };
+    std::thread::scope(|scope| {
+        let threads = 0..options.parallel_plays.max(1);
+        let threads: Vec<_> = threads.map(|_| scope.spawn(play_queued)).collect();
+        let mut all_good = true;
+        for thread in threads {
+            all_good &= thread.join().unwrap_or(Err(DaysError::PlayPanicked))?;
+        }
+        Ok(all_good)
+    })
+}
+
+/// A line of the table.
+struct Row {
+    text: String,
+    is_good: bool,
+}
+
+fn site_file(options: &PlayOptions, site: &str) -> Result<PathBuf, DaysError> {
+    let mut files = options
+        .site_dirs
+        .iter()
+        .map(|directory| directory.join(format!("{site}.toml")));
+    let found = files.find(|file| file.exists());
+    found.ok_or(DaysError::UnknownSite {
+        site: site.to_string(),
+    })
+}
+
+/// The contracts that are in force on a site.
+fn contracts_of(site: &Path) -> Result<Vec<String>, DaysError> {
+    let path = site.to_path_buf();
+    let text = std::fs::read_to_string(site).map_err(DaysError::io(site))?;
+    let table: toml::Table = match toml::from_str(&text) {
+        Ok(table) => table,
+        Err(source) => return Err(DaysError::InvalidSite { path, source }),
+    };
+    let contracts = table.get("contracts").and_then(toml::Value::as_array);
+    let contracts = contracts.ok_or(DaysError::NoContracts { path })?;
+    Ok(contracts
+        .iter()
+        .filter_map(toml::Value::as_str)
+        .map(str::to_string)
+        .collect())
+}
+
+fn play_one(options: &PlayOptions, play: &Play) -> Result<Row, DaysError> {
+    let Play {
+        day, site, seed, ..
+    } = play;
+    let base = options.out.join(format!("{day}-{site}-{seed}"));
+    let (output, report) = (base.with_extension("txt"), base.with_extension("json"));
+    let _ = std::fs::remove_file(&report);
+    let status = run_bench(options, play, &output, &report)?;
+    let report = std::fs::read_to_string(&report).ok();
+    let report: Option<Value> = report.and_then(|text| serde_json::from_str(&text).ok());
+    let not_played = || BenchVerdict {
+        text: format!("not played: {status}"),
+        is_good: false,
+    };
+    let BenchVerdict { text, is_good } = report.as_ref().map_or_else(not_played, verdict);
+    let figure = |key: &str| {
+        let value = report.as_ref().and_then(|report| report[key].as_f64());
+        value.map_or("-".into(), |value| format!("{value:.3}"))
+    };
+    let (score, served) = (figure("G"), figure("served"));
+    let text = format!("| {day} | {site} | {seed} | {score} | {served} | {text} |");
+    Ok(Row { text, is_good })
+}
+
+fn run_bench(
+    options: &PlayOptions,
+    play: &Play,
+    output: &Path,
+    report: &Path,
+) -> Result<ExitStatus, DaysError> {
+    let mut command = Command::new(&options.bench);
+    command
+        .arg("run")
+        .arg(site_file(options, &play.site)?)
+        .arg(&play.file);
+    command.args(["--seed", &play.seed.to_string(), "--why", &play.why]);
+    command.arg("--report").arg(report);
+    if let Some(jobs) = options.jobs {
+        command.args(["--jobs", &jobs.to_string()]);
+    }
+    let stdout = std::fs::File::create(output).map_err(DaysError::io(output))?;
+    let stderr = stdout.try_clone().map_err(DaysError::io(output))?;
+    command.stdin(Stdio::null()).stdout(stdout).stderr(stderr);
+    command.status().map_err(DaysError::io(&options.bench))
+}
--- a/crates/aspendrum-testbed/src/main.rs
+++ b/crates/aspendrum-testbed/src/main.rs
@@ -191,11 +191,13 @@
             at_once,
             &out,
         )),
-        Command::Days { days, .. } if days == ["list"] => days::all().map(|all| {
-            all.iter()
-                .for_each(|d| println!("{:<20} {}", d.name, d.about));
-            true
-        }),
+        Command::Days { days, .. } if days == ["list"] => {
+            days::all_days().map_err(|e| e.to_string()).map(|all| {
+                all.iter()
+                    .for_each(|d| println!("{:<20} {}", d.name, d.about));
+                true
+            })
+        }
         Command::Days {
             days,
             bench,
@@ -209,20 +211,21 @@
         } => {
             let bench = bench.ok_or("name the bench's program with --bench".to_string());
             bench.and_then(|bench| {
-                let how = days::How {
+                let options = days::PlayOptions {
                     bench,
-                    sites,
+                    site_dirs: sites,
                     days,
-                    only,
-                    first,
+                    only_sites: only,
+                    first_seed_only: first,
                     jobs,
-                    at_once,
+                    parallel_plays: at_once,
                     out,
                 };
-                match drawn {
-                    Some(seeds) => days::play_drawn(&how, seeds),
-                    None => days::play(&how),
-                }
+                let played = match drawn {
+                    Some(seeds) => days::play_drawn_days(&options, seeds),
+                    None => days::play_days(&options),
+                };
+                played.map_err(|e| e.to_string())
             })
         }
         Command::PassThrough { config } => pass_through::serve(&config)
--- a/crates/aspendrum-testbed/tests/days.rs
+++ b/crates/aspendrum-testbed/tests/days.rs
@@ -1,12 +1,12 @@
 //! Days of our own for the users' bench: every file says what it aims at, and what a report says is told.
 
-use aspendrum_testbed::days::{all, verdict, Day};
+use aspendrum_testbed::days::{all_days, verdict, BenchVerdict, Day};
 use aspendrum_testbed::drawn;
 use serde_json::json;
 
 #[test]
 fn every_day_says_what_it_aims_at_and_where_it_is_played() {
-    let days = all().unwrap();
+    let days = all_days().unwrap();
     assert!(days.len() >= 20, "{}", days.len());
     for day in &days {
         let aimed = ["Point", "Incident "]
@@ -48,27 +48,30 @@
         (whole.replace("\"cut\"", "\"other\""), "name"),
         (whole.replace("name =", "name"), "cut"),
     ] {
-        let said = Day::read("cut", &bad).unwrap_err();
+        let said = Day::read("cut", &bad).unwrap_err().to_string();
         assert!(said.contains(why), "{bad}: {said}");
     }
 }
 
 #[test]
-fn a_broken_rule_a_fault_and_a_missed_gate_are_told() {
+fn a_broken_rule_a_fault_and_a_missed_gate_are_reported() {
     assert_eq!(
         verdict(&json!({"breaks": {}, "fault": null, "short": []})),
-        ("none".into(), true)
+        BenchVerdict {
+            text: "none".into(),
+            is_good: true
+        }
     );
     let told = verdict(&json!({"breaks": {"CONFIG": 3}, "fault": "an end", "short": ["served"]}));
     assert_eq!(
         told,
-        (
-            "CONFIG 3; fault: \"an end\"; gate: \"served\"".into(),
-            false
-        )
+        BenchVerdict {
+            text: "CONFIG 3; fault: \"an end\"; gate: \"served\"".into(),
+            is_good: false
+        }
     );
     // A report without what it should hold is no clean bill.
-    assert!(!verdict(&json!({})).1);
+    assert!(!verdict(&json!({})).is_good);
 }
 
 /// Danger: a day that cannot be played again, or kinds that no day ever holds.
