--- a/crates/aspendrum-agent/src/control_connection.rs
+++ b/crates/aspendrum-agent/src/control_connection.rs
@@ -16,12 +16,12 @@
 const STACK_BYTES: usize = 96 << 10;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 const RECONNECT_EVERY: Duration = Duration::from_millis(60);
-/// Bytes that control does not acknowledge for so long mean that it is gone.
+/// TCP user time-out: control counts as unreachable if it acknowledges no bytes within this time.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Messages that may wait to be written.
 const QUEUE_LENGTH: usize = 64;
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// After a connection that lasted so long the nearest node is tried first again.
+/// If a connection lasted at least this long, the nearest node is tried first again after it.
 const LASTING: Duration = Duration::from_secs(4);
 
 /// Keeps one connection for as long as the process runs; the coordinator ends one that is of no use.
--- a/crates/aspendrum-agent/src/control_endpoints.rs
+++ b/crates/aspendrum-agent/src/control_endpoints.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A node that was left is not dialled again for so long.
+/// How long a node that the agent has disconnected from is not dialled again.
 const AVOID_FOR: Duration = Duration::from_secs(4);
 
 /// The control nodes in the order in which they are dialled, shared between threads.
--- a/crates/aspendrum-agent/src/coordinator/control_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/control_session.rs
@@ -7,7 +7,7 @@
 use aspendrum_reconcile::Millis;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Control that sends nothing for so long is left for another node.
+/// Time-out of a control node: without a message within this time the agent connects to another one.
 const SILENT_AFTER: Millis = 1100.0;
 
 /// Why a connection is of no use.
@@ -28,7 +28,7 @@
     connected_at: Millis,
     /// When a majority held nothing newer, by this node's own reports.
     as_of: Option<Millis>,
-    /// The proxy's address that the node was told of.
+    /// The proxy's address, as last sent to this node.
     announced: Option<SocketAddrV4>,
 }
 
--- a/crates/aspendrum-agent/src/coordinator/majority.rs
+++ b/crates/aspendrum-agent/src/coordinator/majority.rs
@@ -2,12 +2,13 @@
 
 use aspendrum_reconcile::Millis;
 
-/// Without a report for so long the agent counts itself as cut off, and leaves its control node for another.
+/// Time-out of majority reports: without one within this time the agent considers itself partitioned from the majority,
+/// and connects to another control node.
 pub(super) const STALE_AFTER: Millis = 1300.0;
 /// Between two connections that are ended because an update was missed.
 const RESYNC_EVERY: Millis = 1000.0;
 
-/// What is known of control's majority, whoever reported it.
+/// What is known of control's majority, whether control or a neighbour reported it.
 #[derive(Default)]
 pub(super) struct MajorityStatus {
     as_of: Option<Millis>,
--- a/crates/aspendrum-agent/src/coordinator/mod.rs
+++ b/crates/aspendrum-agent/src/coordinator/mod.rs
@@ -26,13 +26,13 @@
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
-/// Between two heartbeats to control: an agent that is heard of less often counts as gone.
+/// Heartbeat interval to control, which considers an agent without heartbeats as failed.
 const HEARTBEAT_EVERY: Millis = 300.0;
 /// The same before control's first report of what a majority holds: a proxy waits for it.
 const FIRST_HEARTBEATS_EVERY: Millis = 60.0;
-/// Control that was not heard of for so long may have removed this machine from its list.
+/// After this time without control, control may have removed this machine from its list.
 const CONTROL_SILENT_AFTER: Millis = 1500.0;
-/// A proxy that is told to end together with its agent says so sooner.
+/// A proxy that gets its termination signal together with the agent reports the shutdown within this time.
 const PROXY_NOTICE: Millis = 1000.0;
 
 /// The process is to end.
@@ -182,7 +182,7 @@
                 self.last_update = number;
                 self.update(section, Source::Control);
             }
-            // Agents are never told to start over.
+            // Only proxies are asked to resynchronize.
             FromControl::Resync => {}
         }
     }
@@ -398,7 +398,7 @@
         }
     }
 
-    /// Lets the process end once its proxy has ended, or goes on taking requests and was not told to end.
+    /// Lets the process end once its proxy has ended, or shows by its readiness that it is not shutting down.
     fn finish_shutdown(&self) {
         let Some(shutdown) = &self.shutdown else {
             return;
--- a/crates/aspendrum-agent/src/coordinator/proxy_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/proxy_session.rs
@@ -9,7 +9,7 @@
 };
 use std::net::SocketAddrV4;
 
-/// A proxy that sends nothing for so long is not ready, whatever it said last.
+/// Time-out of the proxy: without a heartbeat within this time it counts as not ready.
 const SILENT_AFTER: Millis = 900.0;
 
 /// Who the proxy says that it is.
--- a/crates/aspendrum-agent/src/event.rs
+++ b/crates/aspendrum-agent/src/event.rs
@@ -1,4 +1,4 @@
-//! What the coordinator is told by the other threads.
+//! Events that the other threads send to the coordinator.
 
 use aspendrum_gossip::GossipMessage;
 use aspendrum_model::message::{FromControl, StateSection, ToControl};
@@ -7,7 +7,7 @@
 use crossbeam_channel::Sender;
 use std::net::Ipv4Addr;
 
-/// What the coordinator is told. Connections are numbered: an event of one that was replaced is recognised by its `id`.
+/// An event for the coordinator. Connections are numbered: an event of one that was replaced is recognised by its `id`.
 pub enum Event {
     /// A connection to control is open.
     ControlConnected {
@@ -67,7 +67,7 @@
     SettingsChanged(Box<Settings>),
     /// The process is to end.
     Shutdown {
-        /// Is told when the proxy needs this agent no more.
+        /// Notified when the proxy no longer needs this agent.
         done: Sender<()>,
     },
 }
--- a/crates/aspendrum-agent/src/process.rs
+++ b/crates/aspendrum-agent/src/process.rs
@@ -21,7 +21,7 @@
 /// Of the grace period, how long the agent waits for its proxy's end.
 const WAIT_FOR_PROXY_SHARE: f64 = 0.95;
 
-/// Runs an agent until it is told to end.
+/// Runs an agent until a termination signal.
 ///
 /// # Errors
 ///
@@ -77,7 +77,7 @@
     Ok((Arc::new(events), sender))
 }
 
-/// A proxy that drains finishes its requests, and needs to hear of servers and updates meanwhile.
+/// A draining proxy finishes its requests, and needs updates meanwhile.
 fn wait_for_proxy(events: &MailboxSender<Event>, timeout: Duration) {
     let (done, proxy_has_ended) = bounded(1);
     events.send(Event::Shutdown { done }, None);
--- a/crates/aspendrum-agent/src/proxy_listener.rs
+++ b/crates/aspendrum-agent/src/proxy_listener.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 const STACK_BYTES: usize = 96 << 10;
-/// Bytes that the proxy does not acknowledge for so long end the connection.
+/// TCP user time-out: the connection ends if the proxy acknowledges no bytes within this time.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Messages that may wait to be written.
 const QUEUE_LENGTH: usize = 64;
--- a/crates/aspendrum-agent/src/snapshot.rs
+++ b/crates/aspendrum-agent/src/snapshot.rs
@@ -15,7 +15,7 @@
 
 const STACK_BYTES: usize = 96 << 10;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// An agent that sends nothing more of its snapshot for so long is given up.
+/// Read time-out while a snapshot is received.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1500);
 const READ_BUFFER_BYTES: usize = 4 << 10;
 /// After a connection could not be accepted: no descriptor is free, and one may be in a moment.
--- a/crates/aspendrum-core/src/api.rs
+++ b/crates/aspendrum-core/src/api.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision engine: what it is told ([`Event`]), what is to be done ([`Action`]) and what it is
+//! The interface of the decision engine: its input ([`Event`]), its output ([`Action`]) and what it is
 //! started with ([`Settings`]). It belongs to no protocol.
 
 mod action;
--- a/crates/aspendrum-core/src/api/action.rs
+++ b/crates/aspendrum-core/src/api/action.rs
@@ -18,7 +18,7 @@
     Shed {
         /// The request.
         id: RequestId,
-        /// When the client may try again; 0: not told.
+        /// After how long the client may retry; 0 if no advice is sent.
         retry_after: Millis,
         /// It was beyond its tenant's quota.
         beyond_quota: bool,
--- a/crates/aspendrum-core/src/api/event.rs
+++ b/crates/aspendrum-core/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What the engine is told.
+//! Events: the input of the engine.
 
 use super::{ListKind, LoadReport, Millis, RequestId, ServerEntry, ServerId, TenantId};
 
--- a/crates/aspendrum-core/src/api/server.rs
+++ b/crates/aspendrum-core/src/api/server.rs
@@ -1,4 +1,4 @@
-//! What the engine is told of servers.
+//! Servers as the engine is informed about them.
 
 use super::{Millis, ServerId};
 
@@ -50,7 +50,7 @@
     pub cell: u16,
     /// The zone.
     pub zone: u8,
-    /// How many times dearer a request to it is than to a server nearby; 0: told by its zone.
+    /// How many times dearer a request to it is than to a server nearby; 0: derived from its zone.
     pub distance_cost: f32,
     /// Its capacity in relation to other servers.
     pub capacity: f32,
--- a/crates/aspendrum-core/src/api/settings.rs
+++ b/crates/aspendrum-core/src/api/settings.rs
@@ -123,7 +123,7 @@
     pub polls_discovery: bool,
     /// If it must be asked for: the longest time between two times.
     pub discovery_poll_limit: Millis,
-    /// How long after it was told that a server drains an instance may still send to it.
+    /// For how long an instance may still send requests to a server after it was notified that the server drains.
     pub drain_grace: Millis,
     /// A starting server that is sent more than this multiple of its capacity collapses.
     pub collapse_multiple: f64,
@@ -145,9 +145,9 @@
     pub may_hedge: bool,
     /// Attempts of one request.
     pub max_attempts: u32,
-    /// Clients may be told when to try again.
+    /// Rejections may advise clients when to retry.
     pub sends_retry_after: bool,
-    /// The longest time that they may be told.
+    /// The longest advice, in milliseconds.
     pub max_retry_after: Millis,
     /// There is a shared counter.
     pub has_counter: bool,
--- a/crates/aspendrum-core/src/engine.rs
+++ b/crates/aspendrum-core/src/engine.rs
@@ -1,4 +1,4 @@
-//! The decision engine of one instance: what happens to each request, by what the instance has been told.
+//! The decision engine of one instance: what happens to each request, decided by the events so far.
 //!
 //! Make one [`DecisionEngine`] an instance, give it each event with its time ([`DecisionEngine::handle`]), and carry
 //! out the actions that it appends, in order. It never looks at a clock: the timer that it asks for drives what waits.
@@ -53,7 +53,7 @@
 /// Of the shortest latency target, the first guess of a response time.
 const FIRST_RESPONSE_TIME: f64 = 0.25;
 
-/// Units that the shared counter is to be told of by a call of their own, if no other call takes them along before.
+/// Units still to be added to the shared counter: by a call of their own if no other call carries them before.
 struct Settlement {
     /// The tenant's index.
     tenant: usize,
@@ -64,7 +64,7 @@
 pub struct DecisionEngine {
     now: Millis,
     started_at: Millis,
-    /// The actions of the event at hand.
+    /// The actions that follow from the event that is being handled.
     actions: Vec<Action>,
     params: Parameters,
     rng: Rng,
@@ -94,7 +94,7 @@
     /// By instance number.
     peers: Vec<Peer>,
     reply_cache: ReplyCache,
-    /// The time that the last message's id stands for.
+    /// The time that the last message's id encodes.
     last_message_at: u64,
     malformed_datagrams: u64,
 }
--- a/crates/aspendrum-core/src/engine/admission.rs
+++ b/crates/aspendrum-core/src/engine/admission.rs
@@ -6,9 +6,10 @@
 use crate::state::tenant::{RateLimitShare, Tenant};
 use aspendrum_token_bucket::TokenBucket;
 
-/// A tenant that is not remembered has not been used for so long: its rate limit shares have filled for that time.
+/// Tenants are forgotten after this time without requests: the rate limit shares of an unknown tenant have filled for at
+/// least this long.
 pub(super) const IDLE_TIMEOUT: Millis = 90_000.0;
-/// For so long after a start, an instance may have granted its share of a windowed quota just before it.
+/// Within this time after a start, the process before may have granted its share of a windowed quota just before it ended.
 const RECENT_START: Millis = 5000.0;
 /// A request beyond its quota leaves this part of the rate limit share to those within theirs.
 const CEILING_RESERVE: f64 = 0.5;
@@ -42,7 +43,7 @@
         slot
     }
 
-    /// The tenant's index. A new one starts with nothing in hand but its local count.
+    /// The tenant's index. A new tenant starts without tokens; it has only its local count.
     pub(super) fn find_or_add_tenant(
         &mut self,
         id: TenantId,
--- a/crates/aspendrum-core/src/engine/counter.rs
+++ b/crates/aspendrum-core/src/engine/counter.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The counter is to be told of these units: with the tenant's next call, or after a while by themselves.
+    /// Schedules units for the counter: they are added with the tenant's next call, or by a call of their own after a while.
     pub(super) fn settle_later(&mut self, index: usize, units: f64) {
         let tenant = &mut self.tenants[index];
         // What a sparse tenant is refused stays counted until the window ends.
--- a/crates/aspendrum-core/src/engine/health_check.rs
+++ b/crates/aspendrum-core/src/engine/health_check.rs
@@ -84,7 +84,7 @@
         } else {
             PROBE_INTERVAL
         };
-        // A report that one of hundreds hears steers too little of the load to pay for the probe.
+        // A load report that reaches one of hundreds of instances influences too little of the load to be worth the probe.
         let reports_pay = self.params.reports_by_probe && self.params.probe_spacing <= 1.0;
         let is_wanted = is_ejected || self.is_slow_starting(server.started_at) && reports_pay;
         let is_possible =
--- a/crates/aspendrum-core/src/engine/maintenance.rs
+++ b/crates/aspendrum-core/src/engine/maintenance.rs
@@ -11,7 +11,7 @@
 /// A queued request is given up when this many response times, or this part of the latency target, are left of it.
 const RESPONSE_TIMES_LEFT: f64 = 3.0;
 const TARGET_LEFT: f64 = 0.9;
-/// What clients are told to wait for when servers have no room, in response times.
+/// The retry advice to clients while servers have no capacity, in multiples of the response time.
 const RETRY_AFTER_RESPONSE_TIMES: f64 = 2.0;
 /// Idle things are looked for so many times in an idle time-out.
 const SWEEPS: f64 = 10.0;
@@ -85,7 +85,7 @@
         self.now >= request.target_at - time_left
     }
 
-    /// Forgets idle tenants, and servers that are gone for good once no request names them.
+    /// Forgets idle tenants, and removed servers once no request refers to them.
     fn forget_idle(&mut self) {
         if self.now - self.swept_at < IDLE_TIMEOUT / SWEEPS {
             return;
--- a/crates/aspendrum-core/src/engine/parameters.rs
+++ b/crates/aspendrum-core/src/engine/parameters.rs
@@ -98,7 +98,7 @@
     pub(crate) may_cancel: bool,
     pub(crate) may_probe: bool,
     pub(crate) max_attempts: usize,
-    /// The longest `retry_after` that clients are told.
+    /// The longest `retry_after` that is sent to clients.
     pub(crate) max_retry_after: Millis,
     pub(crate) zone: u8,
     pub(crate) cross_zone_price: f64,
--- a/crates/aspendrum-core/src/engine/quota.rs
+++ b/crates/aspendrum-core/src/engine/quota.rs
@@ -92,7 +92,7 @@
     fn ask_counter(&mut self, slot: usize, probability: f64) {
         let request = &mut self.requests[slot];
         let tenant = &mut self.tenants[request.tenant];
-        // A sparse tenant's call stands for the requests that did not ask.
+        // A sparse tenant's call also counts the requests that did not ask.
         let stands_for = if tenant.is_sparse {
             1.0 / probability
         } else {
@@ -127,8 +127,8 @@
         self.conclude_admission(slot, within_quota);
     }
 
-    /// Decides by the local count. `is_logged`: the counter is not called, and is told of the grant once it is back;
-    /// else `unsettled` takes the difference to what it was told.
+    /// Decides by the local count. `is_logged`: the counter is not called, and the grant is replayed to it once it is back;
+    /// otherwise `unsettled` takes the difference to what the counter has counted.
     pub(super) fn decide_locally(&mut self, slot: usize, is_logged: bool) {
         let within_quota = self.has_room_without_counter(slot) && self.charge_rate_limit(slot);
         let request = &self.requests[slot];
--- a/crates/aspendrum-core/src/engine/quota_owner/replies.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/replies.rs
@@ -133,7 +133,7 @@
         self.settle_later(index, -units);
     }
 
-    /// Returns the units of a request that was granted and went to no server, to whoever granted them.
+    /// Returns the units of a granted request that was sent to no server, to the instance or counter that granted them.
     pub(in crate::engine) fn return_units(&mut self, slot: usize) {
         let Request {
             tenant: index,
--- a/crates/aspendrum-core/src/engine/quota_owner/routing.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/routing.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The instances that may own the tenant's quota, the first one first. Told by its id and its set, so that all of the
+    /// The instances that may own the tenant's quota, the first one first. Derived from its id and its set, so that all of the
     /// set conclude the same.
     pub(in crate::engine) fn quota_owners(&self, index: usize) -> impl Iterator<Item = u16> {
         let tenant = &self.tenants[index];
@@ -105,7 +105,7 @@
             // What is given to an owner that can't be heard is lost, and what it grants too.
             (false, true) => PeerMessage::Ping { id },
             // The counter makes good what an owner that can't be heard grants. An owner that can read the counter needs
-            // no tokens: what each instance holds it has in hand when the counter falls silent.
+            // no tokens: each instance keeps its tokens for when the counter becomes unreachable.
             (_, false) => quota_request(0),
         };
         let request = &mut self.requests[slot];
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The next owner may hear what this instance does not. But with the counter, or with a spare grant, the request need
+    /// The next owner may be able to reach what this instance cannot. But with the counter, or with a spare grant, the request need
     /// not wait for other owners' time-outs too: three of them are half of a latency target.
     fn decide_without_owner(&mut self, slot: usize, owner: u16) {
         let index = self.requests[slot].tenant;
--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -18,7 +18,7 @@
 const MAX_TOKEN_REQUESTS: f64 = 8.0;
 /// The owners' shares of a quota whose even shares are less than a request.
 const OWNER_SHARES: [f64; OWNERS as usize] = [0.5, 0.3, 0.2];
-/// An even share, in the parts that shares are told in.
+/// An even share, in the unit of shares.
 const EVEN_PARTS: f64 = 100.0;
 
 /// Units in the amounts that tokens are counted in, rounded up.
@@ -59,7 +59,7 @@
             .refund(&limits, round_up(units), self.now as u64);
     }
 
-    /// The counter has told what is left of the quota: this instance holds its share of that.
+    /// The counter has reported what is left of the quota: this instance holds its share of that.
     pub(in crate::engine) fn set_tokens_from_total(&mut self, index: usize) {
         let limits = self.bucket_limits(index);
         let tenant = &mut self.tenants[index];
@@ -71,7 +71,7 @@
     }
 
     /// The quota in even shares. Where these are less than a request, hundreds would have to be fetched before the first
-    /// is granted: the owners share all of it then, and whoever reaches one of them is served.
+    /// is granted: the owners share all of it then, and each instance that reaches one of them is served.
     fn bucket_limits(&self, index: usize) -> BucketLimits {
         let tenant = &self.tenants[index];
         let plan = &self.params.plans[tenant.plan];
@@ -114,7 +114,7 @@
     }
 
     /// Whether there is room without asking the counter: by the local count, or, if the counter says nothing at all, by
-    /// the tokens in hand. What was counted with its totals before is no licence then: each side of a partition would go
+    /// the tokens held. What was counted with its totals before permits nothing then: each side of a partition would go
     /// by the whole quota, and each start would hand out a burst until the breaker opens.
     pub(in crate::engine) fn has_room_without_counter(&mut self, slot: usize) -> bool {
         let Request {
@@ -140,8 +140,8 @@
         has_tokens || peer_origin.is_none() && self.use_spare_grant(index, units)
     }
 
-    /// Lets a request through though no token is in hand and nobody can be asked: a thin quota's even share is less than
-    /// a request, and whoever reaches nobody would refuse all. An instance that has heard the counter since its start
+    /// Admits a request though no tokens are left and no peer can be asked: a thin quota's even share is less than
+    /// a request, and an instance that reaches no peer would reject everything. An instance that has heard the counter since its start
     /// lets one request of a tenant through in each silence of the counter, and no more often than the even share brings
     /// one.
     fn use_spare_grant(&mut self, index: usize, units: f64) -> bool {
--- a/crates/aspendrum-core/src/engine/retry_rules.rs
+++ b/crates/aspendrum-core/src/engine/retry_rules.rs
@@ -22,11 +22,11 @@
 /// How a request may be given up.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum GiveUpAction {
-    /// Its client is told that it may retry.
+    /// The response tells its client that a retry is safe.
     Shed,
     /// As `Shed` if all servers recognize repeats, else as `Drop`.
     ShedIfAllDeduplicate,
-    /// Its client is told of an error.
+    /// The response tells its client of an error.
     Drop,
 }
 
--- a/crates/aspendrum-core/src/engine/tenant_count.rs
+++ b/crates/aspendrum-core/src/engine/tenant_count.rs
@@ -45,7 +45,7 @@
         self.local_tokens >= units
     }
 
-    /// Splits the local count among that many instances. It starts anew: an instance that takes it over, or gives it
+    /// Splits the local count among `instances` instances. It starts anew: an instance that takes it over, or gives it
     /// back, knows nothing yet of what the others used.
     pub(crate) fn split_local_count(&mut self, plan: &PlanParameters, among: f64, now: Millis) {
         let keeps_count = plan.is_windowed && self.split_among > 0.0;
--- a/crates/aspendrum-core/src/lib.rs
+++ b/crates/aspendrum-core/src/lib.rs
@@ -1,6 +1,6 @@
 //! The decisions of the aspendrum gateway, free of I/O, clocks and threads.
 //!
-//! [`engine::DecisionEngine`] is told events with their time and answers with actions; both are defined in [`api`].
+//! [`engine::DecisionEngine`] handles events with their time and answers with actions; both are defined in [`api`].
 //! [`settings`] reads what an engine is started with. [`peer_message`] is the format of datagrams between instances.
 
 pub mod api;
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -8,7 +8,7 @@
 use derive_more::{Display, Error};
 use std::collections::HashMap;
 
-/// Settings are told in seconds, the engine counts in milliseconds.
+/// Settings are given in seconds, the engine counts in milliseconds.
 pub const MILLIS_PER_SECOND: f64 = 1000.0;
 
 /// The most instances, and entries of a list.
--- a/crates/aspendrum-core/src/state/server.rs
+++ b/crates/aspendrum-core/src/state/server.rs
@@ -34,7 +34,7 @@
     pub(crate) ejection: EjectionState,
     pub(crate) cell: u16,
     pub(crate) zone: u8,
-    /// How many times dearer a request is here than nearby; 0: told by its zone.
+    /// How many times dearer a request is here than nearby; 0: derived from its zone.
     pub(crate) distance_cost: f64,
     /// Capacity in relation to other servers.
     pub(crate) size: f64,
--- a/crates/aspendrum-core/src/state/tenant.rs
+++ b/crates/aspendrum-core/src/state/tenant.rs
@@ -31,13 +31,13 @@
     pub(crate) refilled_at: Millis,
 }
 
-/// A grant that the shared counter was not told of.
+/// A grant that the shared counter has not counted.
 pub(crate) struct LoggedGrant {
     pub(crate) at: Millis,
     pub(crate) units: f64,
 }
 
-/// A request let through while the counter was silent, though nothing was in hand.
+/// A request admitted without tokens while the counter was unreachable.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SpareGrant {
     /// The counter's last sign of life before the grant.
@@ -79,7 +79,7 @@
     pub(crate) total: f64,
     /// `total` is known.
     pub(crate) total_known: bool,
-    /// Units that the counter is still to be told of.
+    /// Units that are still to be added to the counter.
     pub(crate) unsettled: f64,
     /// Units left by the local count.
     pub(crate) local_tokens: f64,
@@ -106,7 +106,7 @@
 }
 
 impl Tenant {
-    /// Remembers a grant that the counter is to be told of later, and forgets those that have left the window.
+    /// Logs a grant that is to be replayed to the counter later, and forgets those that have left the window.
     pub(crate) fn log_grant(&mut self, units: f64, window: Millis, now: Millis) {
         self.grant_log.push_back(LoggedGrant { at: now, units });
         while self
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -14,7 +14,7 @@
 /// Updates hold whole configurations: reading one takes more stack than a request does.
 const STACK_BYTES: usize = 512 << 10;
 const RECONNECT_EVERY: Duration = Duration::from_millis(100);
-/// Bytes that the agent does not acknowledge for so long end the connection.
+/// TCP user time-out: the connection ends if the agent acknowledges no bytes within this time.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Messages that may wait to be written.
 const QUEUE_LENGTH: usize = 32;
--- a/crates/aspendrum-proxy/src/counter/client.rs
+++ b/crates/aspendrum-proxy/src/counter/client.rs
@@ -10,7 +10,7 @@
 /// A call that waits for its answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
-    /// The counter and its window as the decision module names them.
+    /// The counter and its window as the decision engine names them.
     pub engine_name: u64,
     /// The proxy that was asked.
     pub owner: Ipv4Addr,
@@ -29,7 +29,7 @@
 }
 
 impl CounterClient {
-    /// Replaces the proxies that may own counters. Returns the calls to proxies that are gone, which have failed; `None`
+    /// Replaces the proxies that may own counters. Returns the calls to removed proxies, which have failed; `None`
     /// if nothing changed.
     pub fn set_owners(&mut self, owners: Vec<Ipv4Addr>) -> Option<Vec<CounterCall>> {
         if self.owners == owners {
--- a/crates/aspendrum-proxy/src/counter/mod.rs
+++ b/crates/aspendrum-proxy/src/counter/mod.rs
@@ -1,5 +1,5 @@
 //! Tenants' request counters. Each tenant's counter has one owner among the proxies, found by rendezvous hashing; the
-//! other proxies ask the owner with one datagram and are answered with one. The decision module grants or rejects a
+//! other proxies ask the owner with one datagram and are answered with one. The decision engine grants or rejects a
 //! request by the total that comes back.
 //!
 //! Only the socket does I/O. Nothing in this module reads a clock; times are milliseconds of the caller's clock.
--- a/crates/aspendrum-proxy/src/counter/store.rs
+++ b/crates/aspendrum-proxy/src/counter/store.rs
@@ -7,7 +7,7 @@
 use aspendrum_core::api::Millis;
 use std::collections::HashMap;
 
-/// Beyond a window: for so long other proxies may go by an older list of owners.
+/// How much longer than a window other proxies may use an older list of owners.
 const STALE_OWNERS: Millis = 400.0;
 
 /// What was granted in the current window of one counter.
--- a/crates/aspendrum-proxy/src/disconnects.rs
+++ b/crates/aspendrum-proxy/src/disconnects.rs
@@ -7,7 +7,7 @@
 use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
 use std::time::Duration;
 
-/// A run goes on for so long after its client has left: most end within that, and their connections are kept. A crowd
+/// How long an execution may continue after its client disconnected: most end within this time, and their connections are kept. A crowd
 /// that leaves servers at their usual pace costs no new connections.
 const FINISH_WITHIN: Duration = Duration::from_millis(90);
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// What is due so long after a client has left, and a check of the invariant that its request is then over.
+/// What is due this long after a disconnect, and a check of the invariant that the request is over by then.
 fn follow_up(
     state: &ProxyState,
     session: &ClientSession,
--- a/crates/aspendrum-proxy/src/dispatcher/admission.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Requests that the decision module decides of, and how their threads learn of its decisions.
+//! Requests that the decision engine decides of, and how their threads learn of its decisions.
 
 use super::configuration::ConfigSnapshot;
 use aspendrum_core::api::{Millis, NewRequest, RequestId, ServerId};
@@ -74,7 +74,7 @@
 
 impl Default for PendingRequests {
     fn default() -> PendingRequests {
-        // 0 stands for no request where connections are watched.
+        // The disconnect watcher uses 0 for "no request".
         PendingRequests {
             requests: HashMap::new(),
             next_id: 1,
@@ -140,7 +140,7 @@
     }
 }
 
-/// A request as the decision module is told of it. `quota_sharers`: among so many the tenant's quota is divided while its
+/// The request as an event for the decision engine. `quota_sharers`: among so many the tenant's quota is divided while its
 /// counter does not answer.
 pub(super) fn new_request(
     id: RequestId,
--- a/crates/aspendrum-proxy/src/dispatcher/attempt.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts to run requests at servers: whether one may start now, and what the decision module hears of its end.
+//! Attempts to run requests at servers: whether one may start now, and how its end is reported to the decision engine.
 
 use super::admission::{PendingRequests, RequestDecision};
 use crate::endpoints::EndpointSet;
@@ -26,7 +26,7 @@
         },
     };
 
-    /// As the decision module is told of it. `is_final`: the request is over;
+    /// As an event for the decision engine. `is_final`: the request is over;
     /// `actual_units`: what was spent on it.
     pub(super) fn event(
         &self,
@@ -51,10 +51,10 @@
     }
 }
 
-/// What follows from an attempt that the decision module wants.
+/// What follows from an attempt that the decision engine wants.
 #[derive(Default)]
 pub(super) struct StartedAttempt {
-    /// The server's health changed for the decision module.
+    /// The server's health changed for the decision engine.
     pub(super) change: Option<ServerEntry>,
     /// The end of an attempt that did not start.
     pub(super) not_sent: Option<Event<'static>>,
--- a/crates/aspendrum-proxy/src/dispatcher/configuration.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration as requests read it, and the tables that the decision module needs for it.
+//! A configuration as requests read it, and the tables that the decision engine needs for it.
 
 use super::engine::{default_group, quota_plan};
 use crate::counter::{CounterId, Quota};
@@ -8,7 +8,7 @@
 use aspendrum_reconcile::state_digest;
 use std::collections::HashMap;
 
-/// A configuration that is in force, and the decision module's numbers for its parts.
+/// A configuration that is in force, and the decision engine's numbers for its parts.
 pub struct ConfigSnapshot {
     /// The configuration.
     pub config: Config,
@@ -23,7 +23,7 @@
     pub(super) tenants: Vec<TenantNumbers>,
 }
 
-/// A tenant as the decision module numbers it; both are 0 for requests without a tenant.
+/// A tenant as the decision engine numbers it; both are 0 for requests without a tenant.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TenantNumbers {
     pub(super) id: TenantId,
@@ -58,7 +58,7 @@
     numbers.fold(0, |bits, number| bits | 1 << number)
 }
 
-/// Routes that the decision module treats alike share a group. Numbers are compared by their bits.
+/// Routes that the decision engine treats alike share a group. Numbers are compared by their bits.
 #[derive(PartialEq, Eq, Hash)]
 struct GroupKey {
     goal: u64,
@@ -67,7 +67,7 @@
     priority: u64,
 }
 
-/// The decision module's groups and plans. They only ever grow: numbers stay valid for requests in flight.
+/// The decision engine's groups and plans. They only ever grow: numbers stay valid for requests in flight.
 pub(super) struct EngineTables {
     pub(super) groups: Vec<GroupSettings>,
     pub(super) plans: Vec<PlanSettings>,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The decision module's id of a tenant: its counter's.
+/// The decision engine's id of a tenant: its counter's.
 pub(super) fn tenant_id(tenant: &str) -> TenantId {
     CounterId::of_tenant(tenant).0
 }
--- a/crates/aspendrum-proxy/src/dispatcher/counters.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/counters.rs
@@ -1,4 +1,4 @@
-//! Tenants' counters as the decision module uses them: those of this proxy are added to at once, the others by a call to
+//! Tenants' counters as the decision engine uses them: those of this proxy are added to at once, the others by a call to
 //! their owner.
 
 use crate::counter::{
@@ -13,7 +13,7 @@
 /// Of its even share of a quota, what a proxy spends without its counter's answer: the counter's last window may have
 /// been spent just before.
 const LOCAL_SHARE: f64 = 0.75;
-/// A proxy that hears nothing of control may be counted as gone by the others, who share out the whole quota. It spends
+/// The others may consider a proxy without contact to control as failed, and divide the whole quota among themselves. It spends
 /// so much of its even share: with a sixth of the proxies cut off that stays within the quota's tolerance.
 const CONTROL_SILENT_SHARE: f64 = 0.4;
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// As the decision module is told of it.
+    /// As an event for the decision engine.
     pub(super) fn event(&self) -> Event<'static> {
         let CounterResult {
             engine_name: name,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Adds to the counter that the decision module names. `None`: its owner was asked, and the answer follows.
+    /// Adds to the counter that the decision engine names. `None`: its owner was asked, and the answer follows.
     pub(super) fn add(
         &mut self,
         now: Millis,
@@ -207,7 +207,7 @@
         }
     }
 
-    /// While control is silent others may count this proxy as gone: it asks no owner. Returns whether that changed.
+    /// While control is unreachable, others may consider this proxy as failed: it asks no owner. Returns whether that changed.
     pub(super) fn set_control_silent(&mut self, is_silent: bool) -> bool {
         std::mem::replace(&mut self.control_silent, is_silent) != is_silent
     }
--- a/crates/aspendrum-proxy/src/dispatcher/engine.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/engine.rs
@@ -1,11 +1,11 @@
-//! How the decision module is set up in a proxy. Its zones are the system's regions.
+//! How the decision engine is set up in a proxy. Its zones are the system's regions.
 
 use aspendrum_core::api::{
     GroupSettings, LoadReportChannel, LoadValue, Millis, PlanSettings, RepeatGroup, Semantics,
     Settings,
 };
 
-/// How often the decision module's timer runs.
+/// How often the decision engine's timer runs.
 pub const TICK_MS: Millis = 5.0;
 /// The module sends to a server what answers have paid back; so many limiters share the initial credit. With more, a few
 /// servers' initial credits hold requests up at a proxy that sees a tenth of the traffic.
@@ -41,7 +41,7 @@
     }
 }
 
-/// The decision module's settings in a proxy of that region.
+/// The decision engine's settings in a proxy of that region.
 pub(super) fn engine_settings(region: u8) -> Settings {
     Settings {
         instance: 0,
--- a/crates/aspendrum-proxy/src/dispatcher/mod.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: the decision module, the endpoints that it may use, the counters and the requests in flight, behind
+//! The dispatcher: the decision engine, the endpoints that it may use, the counters and the requests in flight, behind
 //! one lock. Each thread reports what happened and goes on; nothing under the lock waits for anything.
 //!
 //! [`Dispatcher`] owns the lock; `state` composes what stands behind it out of the parts that the other modules hold.
@@ -32,7 +32,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// The decision module's clock does not begin at 0, which means "long ago" to it.
+/// The decision engine's clock does not begin at 0, which means "long ago" to it.
 const CLOCK_START: Millis = 1000.0;
 
 /// Each attempt costs one unit.
--- a/crates/aspendrum-proxy/src/dispatcher/state.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/state.rs
@@ -1,4 +1,4 @@
-//! What stands behind the dispatcher's lock: the decision module, and the parts that its events come from and its actions
+//! What stands behind the dispatcher's lock: the decision engine, and the parts that its events come from and its actions
 //! go to.
 
 use super::admission::{new_request, AdmissionRequest, PendingRequests, RequestDecision};
--- a/crates/aspendrum-proxy/src/drain.rs
+++ b/crates/aspendrum-proxy/src/drain.rs
@@ -4,13 +4,13 @@
 
 use aspendrum_core::api::Millis;
 
-/// Idle connections stay open for so long: their clients learn of the shutdown with their next answer.
+/// How long idle connections stay open: their clients learn of the shutdown with their next answer.
 const KEEPS_IDLE: Millis = 1200.0;
 /// After the last new connection it may end once no connection is open.
 const QUIET: Millis = 400.0;
 /// What is left of the grace period when the process ends whatever is in flight.
 const RESERVE: Millis = 400.0;
-/// New requests are taken for so long at least: the directory names this proxy for about half of that.
+/// The least time for which new requests are accepted: lookups name this proxy for about half of it.
 const MIN_ACCEPTS: Millis = 1000.0;
 
 /// When each stage of a graceful shutdown begins.
@@ -25,7 +25,7 @@
 }
 
 impl DrainSchedule {
-    /// `grace_period`: the platform kills the process after that. `longest_request`: a request may last so long. Whatever
+    /// `grace_period`: the platform kills the process after that. `longest_request`: the longest time that a request may take. Whatever
     /// is taken has its full time before the end, and nothing is taken in the second half of the grace period.
     pub fn new(grace_period: Millis, longest_request: Millis) -> DrainSchedule {
         let ends_at = (grace_period - RESERVE).max(grace_period / 2.0);
--- a/crates/aspendrum-proxy/src/endpoints/mod.rs
+++ b/crates/aspendrum-proxy/src/endpoints/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints: the servers that the decision module may use now. These are the servers of the platform's list that do
+//! Endpoints: the servers that the decision engine may use now. These are the servers of the platform's list that do
 //! not drain, are in no evacuated zone, and are past their slow start or have a token left for this proxy. The module
 //! also keeps the budget of retries.
 //!
--- a/crates/aspendrum-proxy/src/endpoints/set.rs
+++ b/crates/aspendrum-proxy/src/endpoints/set.rs
@@ -1,4 +1,4 @@
-//! The set of endpoints, and the changes of it that the decision module is to hear of.
+//! The set of endpoints, and the changes of it that are reported to the decision engine.
 
 use super::location::ZoneLocation;
 use super::preference::PreferredServers;
@@ -49,7 +49,7 @@
     cost: f32,
     slow_start_until: Millis,
     slow_start_tokens: SlowStartTokens,
-    /// As the decision module was told last.
+    /// As last reported to the decision engine.
     reported: Health,
 }
 
@@ -69,7 +69,7 @@
 pub struct Reservation {
     /// It may; a token was spent if the server is in slow start.
     pub granted: bool,
-    /// A change of the server's health that the decision module is to hear of.
+    /// A change of the server's health, to be reported to the decision engine.
     pub change: Option<ServerEntry>,
 }
 
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Refills tokens. Returns the endpoints whose health changed for the decision module.
+    /// Refills tokens. Returns the endpoints whose health changed for the decision engine.
     pub fn refresh(&mut self, now: Millis) -> Vec<ServerEntry> {
         let ids: Vec<ServerId> = self.endpoints.keys().copied().collect();
         ids.into_iter()
@@ -275,7 +275,7 @@
         share.tokens_per_s()
     }
 
-    /// A request is about to leave for that server, whatever the decision module knew when it decided.
+    /// A request is about to leave for that server, whatever the decision engine knew when it decided.
     pub fn reserve(&mut self, now: Millis, id: ServerId) -> Reservation {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return Reservation {
@@ -293,7 +293,7 @@
         }
     }
 
-    /// The endpoint's health, if it differs from what the decision module was told last.
+    /// The endpoint's health, if it differs from what was last reported to the decision engine.
     fn report_change(&mut self, now: Millis, id: ServerId) -> Option<ServerEntry> {
         let endpoint = self.endpoints.get_mut(&id)?;
         let health = health(now, endpoint, &self.evacuated_zones);
@@ -326,7 +326,7 @@
     }
 }
 
-/// The health that the decision module is to go by.
+/// The health that the decision engine is to go by.
 fn health(now: Millis, endpoint: &Endpoint, evacuated_zones: &HashSet<String>) -> Health {
     let is_out = endpoint.server.draining || evacuated_zones.contains(&endpoint.server.zone);
     let has_capacity = !endpoint.in_slow_start(now) || endpoint.slow_start_tokens.available();
--- a/crates/aspendrum-proxy/src/health_check.rs
+++ b/crates/aspendrum-proxy/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers, as the decision module asks for them.
+//! Health checks of servers, as the decision engine asks for them.
 
 use crate::dispatcher::HealthCheckResult;
 use crate::state::ProxyState;
--- a/crates/aspendrum-proxy/src/idle_limit.rs
+++ b/crates/aspendrum-proxy/src/idle_limit.rs
@@ -8,7 +8,7 @@
 
 /// Of the idle time after which a connection was found dropped, the share that is still trusted.
 const TRUSTED_SHARE: f64 = 0.5;
-/// For so long the limit holds: the server may be well again, and a new connection for each request has its price.
+/// How long the limit holds: after that the server may have recovered, and a new connection for each request is expensive.
 const LIMIT_LASTS: Millis = 15_000.0;
 
 /// The longest idle time that is trusted.
--- a/crates/aspendrum-proxy/src/listener.rs
+++ b/crates/aspendrum-proxy/src/listener.rs
@@ -30,7 +30,7 @@
 /// The configuration's time-outs count for so much at least: a socket takes none of nothing.
 const MIN_TIMEOUT_MS: f64 = 1.0;
 
-/// Accepts connections until the process ends or takes no more requests: then the listener is closed, and whoever comes
+/// Accepts connections until the process ends or takes no more requests: then the listener is closed, and a client that comes
 /// is refused.
 pub fn accept(state: &Arc<ProxyState>, listener: TcpListener) {
     let _ = SockRef::from(&listener).listen(BACKLOG);
--- a/crates/aspendrum-proxy/src/periodic.rs
+++ b/crates/aspendrum-proxy/src/periodic.rs
@@ -1,4 +1,4 @@
-//! What is due from time to time: the decision module's timer, health checks, heartbeats to the agent, and looks after
+//! What is due from time to time: the decision engine's timer, health checks, heartbeats to the agent, and looks after
 //! clients that have left.
 
 use crate::dispatcher::TICK_MS;
@@ -14,7 +14,7 @@
 const HEARTBEAT_EVERY: Duration = Duration::from_millis(250);
 /// The same while the proxy is not ready: it may be for want of a report of control's.
 const FIRST_HEARTBEATS_EVERY: Duration = Duration::from_millis(40);
-/// An agent that said nothing for so long is gone, and control is not heard of without it.
+/// Time-out of the agent. Without an agent the proxy has no contact to control.
 const CONTROL_SILENT_AFTER_MS: u64 = 1200;
 const SWEEP_POOL_EVERY: Duration = Duration::from_millis(1000);
 /// Between two digests of the tables: a table that changed under its proxy shows within that.
@@ -96,7 +96,7 @@
 fn start_health_checks(state: &Arc<ProxyState>) {
     for server in state.dispatcher.tick() {
         let own_state = state.clone();
-        // Without a free thread the check is not made, and the decision module asks again.
+        // Without a free thread the check is not made, and the decision engine asks again.
         let _ = state
             .workers
             .run(Box::new(move || health_check::check(&own_state, server)));
--- a/crates/aspendrum-proxy/src/process.rs
+++ b/crates/aspendrum-proxy/src/process.rs
@@ -16,7 +16,7 @@
 /// Between two looks whether the proxy has become ready.
 const READY_POLL: Duration = Duration::from_millis(20);
 
-/// Runs a proxy until it is told to end.
+/// Runs a proxy until a termination signal.
 ///
 /// # Errors
 ///
--- a/crates/aspendrum-proxy/src/request/context.rs
+++ b/crates/aspendrum-proxy/src/request/context.rs
@@ -16,7 +16,7 @@
 const DECISIONS: usize = 8;
 /// Of a request's latency target, how long it waits for a server at most.
 const MAX_QUEUED_SHARE: f64 = 0.4;
-/// Without a decision a request ends so long after its deadline.
+/// How long after its deadline a request ends if no decision has come.
 const DECISION_OVERDUE: Duration = Duration::from_millis(20);
 
 /// A request in flight.
--- a/crates/aspendrum-proxy/src/shutdown.rs
+++ b/crates/aspendrum-proxy/src/shutdown.rs
@@ -29,7 +29,7 @@
         }
         if !state.accepts_requests() && !listener_is_woken {
             listener_is_woken = true;
-            // The listener closes with the next connection: whoever comes later is refused and goes elsewhere at once.
+            // The listener closes with the next connection: later connections are refused, and their clients go elsewhere at once.
             let _ = TcpStream::connect_timeout(&listen_address.into(), WAKE_TIMEOUT);
         }
         if schedule.is_finished(elapsed, state.sessions.count(), state.quiet_ms() as f64) {
--- a/crates/aspendrum-proxy/src/state.rs
+++ b/crates/aspendrum-proxy/src/state.rs
@@ -24,7 +24,7 @@
 pub(crate) const STACK_BYTES: usize = 128 << 10;
 /// A worker thread without work ends after that.
 const WORKER_IDLE: Duration = Duration::from_secs(5);
-/// A server that does not accept a connection for so long is passed over.
+/// Connect time-out of servers.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Of the time in which a revoked credential must be unknown everywhere, what a lease leaves for clocks that drift and
 /// threads that wake late.
--- a/crates/aspendrum-proxy/tests/counter.rs
+++ b/crates/aspendrum-proxy/tests/counter.rs
@@ -7,7 +7,7 @@
 use std::net::Ipv4Addr;
 
 const COUNTER: CounterId = CounterId(7);
-/// The counter as the decision module names it, in some window.
+/// The counter as the decision engine names it, in some window.
 const ENGINE_NAME: u64 = 3 << 40 | 7;
 const TOLERANCE: QuotaTolerance = QuotaTolerance {
     span_s: 5.0,
--- a/crates/aspendrum-proxy/tests/endpoints.rs
+++ b/crates/aspendrum-proxy/tests/endpoints.rs
@@ -55,7 +55,7 @@
     endpoints
 }
 
-/// What the decision module was told of each server last.
+/// What the decision engine was told of each server last.
 #[derive(Default)]
 struct ReportedHealth(HashMap<ServerId, Health>);
 
@@ -151,7 +151,7 @@
         }],
         |_| LOCAL,
     );
-    // The decision module chose it before it was reported.
+    // The decision engine chose it before it was reported.
     let reservation = endpoints.reserve(101.0, id);
     assert!(!reservation.granted);
     reported.record(reservation.change);
