--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -18,7 +18,7 @@
 const MAX_TOKEN_REQUESTS: f64 = 8.0;
 /// The owners' shares of a quota whose even shares are less than a request.
 const OWNER_SHARES: [f64; OWNERS as usize] = [0.5, 0.3, 0.2];
-/// An even share, in the parts that shares are told in.
+/// An even share, in the unit of shares.
 const EVEN_PARTS: f64 = 100.0;
 
 /// Units in the amounts that tokens are counted in, rounded up.
@@ -59,7 +59,7 @@
             .refund(&limits, round_up(units), self.now as u64);
     }
 
-    /// The counter has told what is left of the quota: this instance holds its share of that.
+    /// The counter has reported what is left of the quota: this instance holds its share of that.
     pub(in crate::engine) fn set_tokens_from_total(&mut self, index: usize) {
         let limits = self.bucket_limits(index);
         let tenant = &mut self.tenants[index];
@@ -71,7 +71,7 @@
     }
 
     /// The quota in even shares. Where these are less than a request, hundreds would have to be fetched before the first
-    /// is granted: the owners share all of it then, and whoever reaches one of them is served.
+    /// is granted: the owners share all of it then, and each instance that reaches one of them is served.
     fn bucket_limits(&self, index: usize) -> BucketLimits {
         let tenant = &self.tenants[index];
         let plan = &self.params.plans[tenant.plan];
@@ -114,7 +114,7 @@
     }
 
     /// Whether there is room without asking the counter: by the local count, or, if the counter says nothing at all, by
-    /// the tokens in hand. What was counted with its totals before is no licence then: each side of a partition would go
+    /// the tokens held. What was counted with its totals before permits nothing then: each side of a partition would go
     /// by the whole quota, and each start would hand out a burst until the breaker opens.
     pub(in crate::engine) fn has_room_without_counter(&mut self, slot: usize) -> bool {
         let Request {
@@ -140,8 +140,8 @@
         has_tokens || peer_origin.is_none() && self.use_spare_grant(index, units)
     }
 
-    /// Lets a request through though no token is in hand and nobody can be asked: a thin quota's even share is less than
-    /// a request, and whoever reaches nobody would refuse all. An instance that has heard the counter since its start
+    /// Admits a request though no tokens are left and no peer can be asked: a thin quota's even share is less than
+    /// a request, and an instance that reaches no peer would reject everything. An instance that has heard the counter since its start
     /// lets one request of a tenant through in each silence of the counter, and no more often than the even share brings
     /// one.
     fn use_spare_grant(&mut self, index: usize, units: f64) -> bool {
@@ -164,7 +164,7 @@
         let last = tenant.spare_grant;
         let is_refilled = last.counter_heard_at.is_none() || self.now - last.at >= refill;
         let is_unused = last.counter_heard_at != self.counter_heard_at && is_refilled;
-        let is_allowed = limits.even_shares == 0 && self.counter_heard_at.is_some() && is_unused;
+        let is_allowed = is_held_by_owners(&limits) && self.counter_heard_at.is_some() && is_unused;
         is_allowed && tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now)
     }
 
@@ -175,20 +175,36 @@
         if self.now - tenant.owned_at > OWNERSHIP_TIME {
             return;
         }
-        // A thin quota is all with the owners.
-        let is_thin = limits.even_shares == 0;
-        let holders = if is_thin {
-            u64::from(OWNERS)
-        } else {
-            limits.limiters
-        };
+        let holders = token_holders(limits);
         let interval =
             (limits.fill_time() as f64 / holders as f64).max(self.params.token_request_interval);
-        let cursor = tenant.token_request;
-        let due = ((self.now - cursor.asked_at) / interval).min(MAX_TOKEN_REQUESTS) as usize;
+        let since_last = self.now - tenant.token_request.asked_at;
+        let due = (since_last / interval).min(MAX_TOKEN_REQUESTS) as usize;
         if due == 0 {
             return;
         }
+        let asked = self.next_token_holders(index, limits, due);
+        if let Some((last, _)) = asked.last() {
+            let cursor = &mut self.tenants[index].token_request;
+            cursor.next = (last + 1) % holders;
+            cursor.asked_at = self.now;
+        }
+        let key = self.tenant_key(index);
+        for (_, peer) in asked {
+            self.send_to_peer(peer, PeerMessage::TokenRequest { key });
+        }
+    }
+
+    /// The next instances to ask for tokens, `count` at most, each with its number in the turn: those other than this one
+    /// from which no tokens have come lately.
+    fn next_token_holders(
+        &self,
+        index: usize,
+        limits: &BucketLimits,
+        count: usize,
+    ) -> Vec<(u64, u16)> {
+        let tenant = &self.tenants[index];
+        let holders = token_holders(limits);
         let mut owners = [0; OWNERS as usize];
         owners
             .iter_mut()
@@ -196,32 +212,23 @@
             .for_each(|(place, owner)| *place = owner);
         let holder = |number: u64| {
             let number = (number % holders) as usize;
-            if is_thin {
+            if is_held_by_owners(limits) {
                 owners[number]
             } else {
                 ((tenant.first_instance + number as f64) % self.params.instances) as u16
             }
         };
         let now = self.now as u64;
-        let may_hold = |number: &u64| {
-            let peer = holder(*number);
+        let may_hold = |peer: u16| {
             peer != self.params.instance
                 && !tenant.token_bucket.received_recently(limits, peer, now)
         };
-        let asked: Vec<u64> = (cursor.next..cursor.next + holders)
-            .filter(may_hold)
-            .take(due)
-            .collect();
-        let peers: Vec<u16> = asked.iter().map(|number| holder(*number)).collect();
-        if let Some(last) = asked.last() {
-            let cursor = &mut self.tenants[index].token_request;
-            cursor.next = (last + 1) % holders;
-            cursor.asked_at = self.now;
-        }
-        let key = self.tenant_key(index);
-        for peer in peers {
-            self.send_to_peer(peer, PeerMessage::TokenRequest { key });
-        }
+        let first = tenant.token_request.next;
+        (first..first + holders)
+            .map(|number| (number, holder(number)))
+            .filter(|(_, peer)| may_hold(*peer))
+            .take(count)
+            .collect()
     }
 
     /// An owner asks for the tokens held here.
@@ -276,3 +283,17 @@
         now.wrapping_add_signed(i64::from(since))
     }
 }
+
+/// Whether the quota is too small to be divided, so that its owners alone hold tokens.
+fn is_held_by_owners(limits: &BucketLimits) -> bool {
+    limits.even_shares == 0
+}
+
+/// How many instances of the tenant's set may hold tokens.
+fn token_holders(limits: &BucketLimits) -> u64 {
+    if is_held_by_owners(limits) {
+        u64::from(OWNERS)
+    } else {
+        limits.limiters
+    }
+}
