--- a/crates/aspendrum-client/tests/transcripts.rs
+++ b/crates/aspendrum-client/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! What an operator types and what comes back, against a stand-in for control that knows two machines of it.
+//! What an operator types and what comes back, against a fake of control with two nodes.
 
 use aspendrum_net::http1::{MessageLimits, Request};
 use aspendrum_net::http_server::{listen, Reply, ServerOptions};
--- a/crates/aspendrum-fake-services/src/counter.rs
+++ b/crates/aspendrum-fake-services/src/counter.rs
@@ -3,6 +3,7 @@
 use crate::resp::{parse_call, Call, MAX_CALL_BYTES};
 use crate::{lock, Clock, MILLIS_PER_SECOND};
 use std::collections::HashMap;
+use std::fmt;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -83,19 +84,35 @@
     lifetime_ms: f64,
 }
 
+/// Why a call is refused; the caller reads the text.
+#[derive(Clone, Copy)]
+enum InvalidCall {
+    UnknownName,
+    NotANumber,
+    OutOfRange,
+}
+
+impl fmt::Display for InvalidCall {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            InvalidCall::UnknownName => "no such call",
+            InvalidCall::NotANumber => "not a number",
+            InvalidCall::OutOfRange => "out of range",
+        })
+    }
+}
+
 impl AddCall<'_> {
-    /// # Errors
-    /// What the caller is told.
-    fn parse(call: &Call) -> Result<AddCall<'_>, &'static str> {
+    fn parse(call: &Call) -> Result<AddCall<'_>, InvalidCall> {
         let (amount, lifetime_ms) = (call.text(2).parse::<f64>(), call.text(3).parse::<f64>());
         let (Ok(amount), Ok(lifetime_ms)) = (amount, lifetime_ms) else {
-            return Err("not a number");
+            return Err(InvalidCall::NotANumber);
         };
         let name = &call.parts[1];
         let is_named = (1..=MAX_NAME_BYTES).contains(&name.len());
         let is_valid_amount = amount.is_finite() && amount.abs() <= MAX_AMOUNT;
         if !is_named || !is_valid_amount || lifetime_ms.is_nan() || lifetime_ms < 1.0 {
-            return Err("out of range");
+            return Err(InvalidCall::OutOfRange);
         }
         Ok(AddCall {
             name,
@@ -198,7 +215,7 @@
             "PING" => return b"+PONG\r\n".to_vec(),
             "CLIENT" | "SELECT" => return b"+OK\r\n".to_vec(),
             "CNT.ADD" if call.parts.len() == ADD_PARTS => {}
-            _ => return self.refuse("no such call"),
+            _ => return self.refuse(InvalidCall::UnknownName),
         }
         match AddCall::parse(call) {
             Ok(call) => self.add(&call).await,
@@ -252,7 +269,7 @@
         total.units
     }
 
-    fn refuse(&self, why: &str) -> Vec<u8> {
+    fn refuse(&self, why: InvalidCall) -> Vec<u8> {
         lock(&self.state).stats.invalid += 1;
         format!("-ERR {why}\r\n").into_bytes()
     }
--- a/crates/aspendrum-model/src/settings.rs
+++ b/crates/aspendrum-model/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file of a process, as the platform writes it (JSON).
 //!
-//! [`Settings`] declares each setting with its place in the file, type, default and range. Fields of the file that are
+//! [`Settings`] declares each setting with its path in the file, type, default and range. Fields of the file that are
 //! not declared are ignored.
 
 mod error;
@@ -16,9 +16,9 @@
 /// The environment variable that holds the file's path.
 pub const SETTINGS_VARIABLE: &str = "ASPENDRUM_SETTINGS";
 
-/// Declares the settings, one a line: `field: type = "place", default or required, check of the range`.
+/// Declares the settings, one a line: `field: type = "key.path", default or required, check of the range`.
 macro_rules! settings {
-    ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $type:ty = $place:literal, $default:expr,
+    ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $type:ty = $key_path:literal, $default:expr,
         $check:expr;)* }) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq)]
@@ -34,7 +34,7 @@
             pub fn read(text: &[u8]) -> Result<$name, SettingsError> {
                 let document: Value = serde_json::from_slice(text).map_err(SettingsError::Syntax)?;
                 let mut invalid = Vec::new();
-                $(let $field: Option<$type> = find_setting(&document, $place, $default, $check, &mut invalid);)*
+                $(let $field: Option<$type> = find_setting(&document, $key_path, $default, $check, &mut invalid);)*
                 match ($($field,)*) {
                     ($(Some($field),)*) if invalid.is_empty() => Ok($name { $($field,)* }),
                     _ => Err(SettingsError::Invalid(invalid)),
--- a/crates/aspendrum-model/src/settings/error.rs
+++ b/crates/aspendrum-model/src/settings/error.rs
@@ -26,28 +26,28 @@
     Invalid(#[error(not(source))] Vec<InvalidSetting>),
 }
 
-/// A setting that is wrong, by its place in the file.
+/// A setting that is wrong, by its path in the file.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum InvalidSetting {
     /// It is required, and not there.
-    #[display("{place} is missing")]
+    #[display("{key_path} is missing")]
     Missing {
         /// Its keys, from the outermost on, joined by dots.
-        place: &'static str,
+        key_path: &'static str,
     },
     /// It has another type.
-    #[display("{place} must be {expected}")]
+    #[display("{key_path} must be {expected}")]
     WrongType {
         /// Its keys, from the outermost on, joined by dots.
-        place: &'static str,
+        key_path: &'static str,
         /// What it should be, in words.
         expected: &'static str,
     },
     /// Its value is not allowed.
-    #[display("{place} is out of range")]
+    #[display("{key_path} is out of range")]
     OutOfRange {
         /// Its keys, from the outermost on, joined by dots.
-        place: &'static str,
+        key_path: &'static str,
     },
 }
 
--- a/crates/aspendrum-model/src/settings/value.rs
+++ b/crates/aspendrum-model/src/settings/value.rs
@@ -58,30 +58,30 @@
     u16::try_from(json.get(index)?.as_u64()?).ok()
 }
 
-/// The setting at that place of the file, or its default. `None` adds to `invalid` why there is none; a setting without
+/// The setting at that path of the file, or its default. `None` adds to `invalid` why there is none; a setting without
 /// default is required.
 pub(super) fn find_setting<T: Setting>(
     document: &Value,
-    place: &'static str,
+    key_path: &'static str,
     default: Option<T>,
     is_in_range: fn(&T) -> bool,
     invalid: &mut Vec<InvalidSetting>,
 ) -> Option<T> {
-    let found = place
+    let found = key_path
         .split('.')
         .try_fold(document, |object, key| object.get(key));
     let value = match found {
         Some(json) => T::from_json(json).ok_or(InvalidSetting::WrongType {
-            place,
+            key_path,
             expected: T::EXPECTED,
         }),
-        None => default.ok_or(InvalidSetting::Missing { place }),
+        None => default.ok_or(InvalidSetting::Missing { key_path }),
     };
     let in_range = |value| {
         if is_in_range(&value) {
             Ok(value)
         } else {
-            Err(InvalidSetting::OutOfRange { place })
+            Err(InvalidSetting::OutOfRange { key_path })
         }
     };
     match value.and_then(in_range) {
