--- a/crates/aspendrum-core/src/api/action.rs
+++ b/crates/aspendrum-core/src/api/action.rs
@@ -1,4 +1,4 @@
-//! What the engine asks for.
+//! Actions: the engine's output.
 
 use super::{Millis, RequestId, ServerId};
 
@@ -18,7 +18,7 @@
     Shed {
         /// The request.
         id: RequestId,
-        /// When the client may try again; 0: not told.
+        /// When the client may try again; 0: not given.
         retry_after: Millis,
         /// It was beyond its tenant's quota.
         beyond_quota: bool,
--- a/crates/aspendrum-core/src/api/event.rs
+++ b/crates/aspendrum-core/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What the engine is told.
+//! Events: the engine's input.
 
 use super::{ListKind, LoadReport, Millis, RequestId, ServerEntry, ServerId, TenantId};
 
--- a/crates/aspendrum-core/src/api/server.rs
+++ b/crates/aspendrum-core/src/api/server.rs
@@ -1,4 +1,4 @@
-//! What the engine is told of servers.
+//! What the engine learns about servers.
 
 use super::{Millis, ServerId};
 
@@ -32,8 +32,8 @@
 pub struct LoadReport {
     /// How many of `values` there are; 0: no report.
     pub count: u8,
-    /// Values in the order of [`Settings::load_values`](super::Settings::load_values). One that could not be read is
-    /// not a number.
+    /// Values in the order of [`Settings::load_values`](super::Settings::load_values). One that
+    /// could not be read is not a number.
     pub values: [f32; 4],
 }
 
@@ -50,7 +50,7 @@
     pub cell: u16,
     /// The zone.
     pub zone: u8,
-    /// How many times dearer a request to it is than to a server nearby; 0: told by its zone.
+    /// How many times dearer a request to it is than to a server nearby; 0: derived from its zone.
     pub distance_cost: f32,
     /// Its capacity in relation to other servers.
     pub capacity: f32,
--- a/crates/aspendrum-core/src/api/settings.rs
+++ b/crates/aspendrum-core/src/api/settings.rs
@@ -123,7 +123,8 @@
     pub polls_discovery: bool,
     /// If it must be asked for: the longest time between two times.
     pub discovery_poll_limit: Millis,
-    /// How long after it was told that a server drains an instance may still send to it.
+    /// How long an instance may still send to a server after it was notified that the server
+    /// drains.
     pub drain_grace: Millis,
     /// A starting server that is sent more than this multiple of its capacity collapses.
     pub collapse_multiple: f64,
@@ -145,9 +146,9 @@
     pub may_hedge: bool,
     /// Attempts of one request.
     pub max_attempts: u32,
-    /// Clients may be told when to try again.
+    /// Clients may be given a time to retry after.
     pub sends_retry_after: bool,
-    /// The longest time that they may be told.
+    /// The longest such time.
     pub max_retry_after: Millis,
     /// There is a shared counter.
     pub has_counter: bool,
--- a/crates/aspendrum-core/src/engine.rs
+++ b/crates/aspendrum-core/src/engine.rs
@@ -1,14 +1,17 @@
-//! The decision engine of one instance: what happens to each request, by what the instance has been told.
+//! The decision engine of one instance: it decides what happens to each request, by the events that
+//! the instance has received.
 //!
-//! Make one [`DecisionEngine`] an instance, give it each event with its time ([`DecisionEngine::handle`]), and carry
-//! out the actions that it appends, in order. It never looks at a clock: the timer that it asks for drives what waits.
-//! A request passes through `admission` (its tenant's `quota`, decided by the shared `counter`, a
-//! `quota_owner` or this instance alone), is queued and sent to a server (`dispatch`, `endpoint_selection`), and
+//! Make one [`DecisionEngine`] an instance, give it each event with its time
+//! ([`DecisionEngine::handle`]), and carry out the actions that it appends, in order. It never
+//! looks at a clock: the timer that it requests drives time-outs and the queue. A request passes
+//! through `admission` (its tenant's `quota`, decided by the shared `counter`, a `quota_owner` or
+//! this instance alone), is queued and sent to a server (`dispatch`, `endpoint_selection`), and
 //! ends (`completion`). Reasons stand in docs/design.md.
 //!
-//! Decisions between states stand in tables. Five rules hold whatever fails, and are named by number: 1, each request has
-//! one final answer in time; 2, no effect happens twice; 3, a draining server gets nothing new; 4, a starting server
-//! gets no more than it can stand; 5, no tenant gets more than its ceiling.
+//! Decisions between states stand in tables. Five rules hold whatever fails, and are named by
+//! number: 1, each request has one final answer in time; 2, no effect happens twice; 3, a draining
+//! server gets nothing new; 4, a starting server gets no more than it can stand; 5, no tenant gets
+//! more than its ceiling.
 
 mod admission;
 mod breaker;
@@ -53,7 +56,8 @@
 /// Of the shortest latency target, the first guess of a response time.
 const FIRST_RESPONSE_TIME: f64 = 0.25;
 
-/// Units that the shared counter is to be told of by a call of their own, if no other call takes them along before.
+/// Units that are added to the shared counter by a call of their own, if no other call includes
+/// them before.
 struct Settlement {
     /// The tenant's index.
     tenant: usize,
@@ -61,6 +65,9 @@
 }
 
 /// One instance's decisions and all that it remembers for them.
+///
+/// Its functions name the request that they are about by its index in `requests`, called `slot`,
+/// and a tenant or server by its `index` in `tenants` or `servers`.
 pub struct DecisionEngine {
     now: Millis,
     started_at: Millis,
@@ -143,7 +150,8 @@
         }
     }
 
-    /// Takes in an event and appends what is to be done now. Times must not go back from one call to the next.
+    /// Takes in an event and appends what is to be done now. Times must not go back from one call
+    /// to the next.
     pub fn handle(&mut self, now: Millis, event: &Event<'_>, actions: &mut Vec<Action>) {
         self.now = now;
         std::mem::swap(&mut self.actions, actions);
@@ -190,8 +198,8 @@
         std::mem::swap(&mut self.actions, actions);
     }
 
-    /// A new configuration: endpoint groups and plans keep their numbers, and more may follow behind them. One with
-    /// fewer than before is ignored.
+    /// A new configuration: endpoint groups and plans keep their numbers, and more may follow
+    /// behind them. One with fewer than before is ignored.
     pub fn configure(&mut self, groups: &[GroupSettings], plans: &[PlanSettings]) {
         if groups.len() < self.params.groups.len() || plans.len() < self.params.plans.len() {
             return;
--- a/crates/aspendrum-core/src/engine/admission.rs
+++ b/crates/aspendrum-core/src/engine/admission.rs
@@ -6,15 +6,18 @@
 use crate::state::tenant::{RateLimitShare, Tenant};
 use aspendrum_token_bucket::TokenBucket;
 
-/// A tenant that is not remembered has not been used for so long: its ceiling shares have filled for that time.
+/// A tenant that is not remembered has not been used for so long: its ceiling shares have filled
+/// for that time.
 pub(super) const IDLE_TIMEOUT: Millis = 90_000.0;
-/// For so long after a start, an instance may have granted its share of a windowed quota just before it.
+/// For so long after a start, an instance may have granted its share of a windowed quota just
+/// before it.
 const RECENT_START: Millis = 5000.0;
 /// A request beyond its quota leaves this part of the ceiling share to those within theirs.
 const CEILING_RESERVE: f64 = 0.5;
 
 impl DecisionEngine {
-    /// A client's request. One with a known id, or of a group or plan that is not configured, is dropped.
+    /// A client's request. One with a known id, or of a group or plan that is not configured, is
+    /// dropped.
     pub(super) fn accept_request(&mut self, new: &NewRequest) {
         let (group, plan) = (usize::from(new.group), new.plan as usize);
         let is_known = self.requests.find(new.id).is_some();
@@ -65,7 +68,8 @@
             owned_at: f64::NEG_INFINITY,
             ceiling_share: share,
             owner_ceiling_share: share,
-            // Whatever it held before its start it has forgotten, and it may have spent or given away all of that.
+            // Whatever it held before its start it has forgotten, and it may have spent or given
+            // away all of that.
             token_bucket: TokenBucket::new(filled_from as u64, self.started_at as u64),
             ..Tenant::default()
         };
@@ -77,7 +81,8 @@
         self.tenants.insert(id, tenant)
     }
 
-    /// The quota has been decided on: a peer gets its reply, a client's request is queued or given up.
+    /// The quota has been decided on: a peer gets its reply, a client's request is queued or given
+    /// up.
     pub(super) fn conclude_admission(&mut self, slot: usize, within_quota: bool) {
         self.record_decision(slot, within_quota);
         let request = &mut self.requests[slot];
@@ -98,8 +103,8 @@
         }
     }
 
-    /// Whether a request beyond its quota is let through all the same: the plan earns more for it than it costs, and
-    /// the ceiling has room for it.
+    /// Whether a request beyond its quota is let through all the same: the plan earns more for it
+    /// than it costs, and the ceiling has room for it.
     fn accepts_beyond_quota(&mut self, slot: usize) -> bool {
         let request = &mut self.requests[slot];
         let tenant = &mut self.tenants[request.tenant];
--- a/crates/aspendrum-core/src/engine/breaker.rs
+++ b/crates/aspendrum-core/src/engine/breaker.rs
@@ -4,7 +4,8 @@
 
 /// How often the counter is probed while the breaker is open.
 pub(crate) const PROBE_INTERVAL: Millis = 1000.0;
-/// Failures in a row that open the breaker. Three let it swing open on a counter that still answered most calls.
+/// Failures in a row that open the breaker. Three let it swing open on a counter that still
+/// answered most calls.
 const FAILURE_THRESHOLD: u32 = 5;
 
 /// Whether the shared counter is called.
--- a/crates/aspendrum-core/src/engine/ceiling.rs
+++ b/crates/aspendrum-core/src/engine/ceiling.rs
@@ -1,5 +1,5 @@
-//! Rule 5: ceilings, which hold whatever fails. Each of a tenant's instances has an even share of the ceiling, and the
-//! tenant's first quota owner has one more.
+//! Rule 5: ceilings, which hold whatever fails. Each of a tenant's instances has an even share of
+//! the ceiling, and the tenant's first quota owner has one more.
 
 use super::parameters::{PlanParameters, OWNER_CEILING_SHARE};
 use super::DecisionEngine;
@@ -11,8 +11,8 @@
 const CEILING_USED: f64 = 0.9;
 
 impl RateLimitShare {
-    /// Takes units out, if `reserve` of the bucket's size stays. `share`: of the whole ceiling. A plan without a
-    /// ceiling always has room.
+    /// Takes units out, if `reserve` of the bucket's size stays. `share`: of the whole ceiling. A
+    /// plan without a ceiling always has room.
     pub(super) fn spend(
         &mut self,
         plan: &PlanParameters,
@@ -34,8 +34,8 @@
 }
 
 impl DecisionEngine {
-    /// Takes a request's units out of the tenant's ceiling; false if it has no room. A peer's request is charged to the
-    /// owner's share, and only where the peer's own is spent.
+    /// Takes a request's units out of the tenant's ceiling; false if it has no room. A peer's
+    /// request is charged to the owner's share, and only where the peer's own is spent.
     pub(super) fn pay_ceiling(&mut self, slot: usize) -> bool {
         let request = &self.requests[slot];
         match request.peer_origin {
@@ -59,8 +59,8 @@
             .spend(plan, share, units, 0.0, self.now)
     }
 
-    /// Takes the request's units out of the owner's share, which only the first of the tenant's owners has; false if
-    /// this instance is another one or the share has no room.
+    /// Takes the request's units out of the owner's share, which only the first of the tenant's
+    /// owners has; false if this instance is another one or the share has no room.
     fn pay_owner_ceiling_share(&mut self, slot: usize) -> bool {
         let Request {
             tenant: index,
--- a/crates/aspendrum-core/src/engine/completion.rs
+++ b/crates/aspendrum-core/src/engine/completion.rs
@@ -8,7 +8,8 @@
     /// Answers a request that no server will answer. The only place that does.
     pub(super) fn give_up(&mut self, slot: usize, retry_after: Millis) {
         let request = &self.requests[slot];
-        // Who comes back past the latency target spends quota and servers on an answer that is worth nothing.
+        // Who comes back past the latency target spends quota and servers on an answer that is
+        // worth nothing.
         let is_useful =
             self.now + 2.0 * (retry_after + self.fleet.response_time) < request.target_at;
         let retry_after = if is_useful {
--- a/crates/aspendrum-core/src/engine/concurrency_limit.rs
+++ b/crates/aspendrum-core/src/engine/concurrency_limit.rs
@@ -1,5 +1,5 @@
-//! Adaptive concurrency limits: how many requests a server gets at once, by how its response times compare with the
-//! latency target (additive increase; multiplicative decrease on failures).
+//! Adaptive concurrency limits: how many requests a server gets at once, by how its response times
+//! compare with the latency target (additive increase; multiplicative decrease on failures).
 
 use super::DecisionEngine;
 use crate::api::{Millis, Outcome};
@@ -11,22 +11,24 @@
 const LIMIT_GAIN: f64 = 0.3;
 const FAILURE_DECREASE: f64 = 0.7;
 const RESPONSE_TIME_SMOOTHING: f64 = 0.1;
-/// By how much a response changes all limits together, times its distance from the target. An instance of hundreds gets
-/// few responses to learn of an overload from, and may not go on holding many requests: it changes them up to
-/// `SCALE_GAIN_LARGE_FLEET` times as fast.
+/// By how much a response changes all limits together, times its distance from the target. An
+/// instance of hundreds gets few responses to learn of an overload from, and may not go on holding
+/// many requests: it changes them up to `SCALE_GAIN_LARGE_FLEET` times as fast.
 const SCALE_GAIN: f64 = 0.1;
 const SCALE_GAIN_LARGE_FLEET: f64 = 4.0;
-/// The response time to aim at, in parts of the latency target: a multiple of the baseline within these bounds.
+/// The response time to aim at, in parts of the latency target: a multiple of the baseline within
+/// these bounds.
 const LEAST_AIM: f64 = 0.25;
 const MAX_AIM: f64 = 0.33;
 const AIM_BASELINES: f64 = 2.0;
-/// A fleet overloaded from the start never shows its baseline; to aim this much above what it shows always shrinks it.
+/// A fleet overloaded from the start never shows its baseline; to aim this much above what it shows
+/// always shrinks it.
 const LEAST_ABOVE_BASELINE: f64 = 1.2;
 /// A server that reports more load than this gets no higher limit.
 const FULL_LOAD: f64 = 0.98;
 /// After a failure a server counts as at least so slow, in parts of the latency target.
 const RESPONSE_TIME_AFTER_FAILURE: f64 = 0.25;
-/// A server that rejected a request rests for about as long as it takes a place to come free.
+/// A server that rejected a request rests for about as long as a server takes to finish a request.
 const REJECTION_BACKOFF: f64 = 0.5;
 const REJECTION_SCORE: f64 = 0.2;
 const FAILURE_SCORE: f64 = 1.0;
@@ -91,8 +93,8 @@
         }
     }
 
-    /// The response time to aim at, in parts of the latency target. It stands on the least time seen lately: an aim
-    /// under what an idle server needs would starve the fleet.
+    /// The response time to aim at, in parts of the latency target. It stands on the least time
+    /// seen lately: an aim under what an idle server needs would starve the fleet.
     fn aim(&mut self, group: usize, response_time: Millis) -> f64 {
         let target = self.params.groups[group].target;
         let baseline = self.latency_baselines[group].record(response_time, self.now) / target;
--- a/crates/aspendrum-core/src/engine/counter.rs
+++ b/crates/aspendrum-core/src/engine/counter.rs
@@ -1,4 +1,5 @@
-//! The shared counter: calls and their answers, what a total says of a quota, and units settled later.
+//! The shared counter: calls and their answers, what a total says of a quota, and units settled
+//! later.
 
 use super::breaker::{BreakerEffect, BreakerEvent};
 use super::counter_name::{is_window_name, tenant_of_name};
@@ -11,7 +12,8 @@
 const PROMPT: f64 = 0.5;
 /// For how long a late or failed call makes the counter count as strained.
 const STRAINED_TIME: Millis = 2000.0;
-/// How long units wait for another call of their tenant to take them along, while all requests ask the counter.
+/// How long units wait for another call of their tenant to take them along, while all requests ask
+/// the counter.
 const SETTLEMENT_DELAY: Millis = 200.0;
 
 impl DecisionEngine {
@@ -132,8 +134,8 @@
         }
     }
 
-    /// Settles what was granted while the breaker was open: one sum a tenant, which goes with the tenant's next call, or
-    /// by itself where none comes soon.
+    /// Settles what was granted while the breaker was open: one sum a tenant, which goes with the
+    /// tenant's next call, or by itself where none comes soon.
     fn replay_grants(&mut self) {
         self.breaker.clear_failures();
         for index in std::mem::take(&mut self.tenants_with_log) {
@@ -156,7 +158,8 @@
         }
     }
 
-    /// Follows the tenant's quota from the counter's totals, as if others had added evenly since the last one.
+    /// Follows the tenant's quota from the counter's totals, as if others had added evenly since
+    /// the last one.
     fn follow_total(&mut self, index: usize, call: &CounterCall, total: f64) {
         let tenant = &mut self.tenants[index];
         let plan = &self.params.plans[tenant.plan];
@@ -173,7 +176,8 @@
         }
     }
 
-    /// The counter is to be told of these units: with the tenant's next call, or after a while by themselves.
+    /// These units are to be added to the counter: with the tenant's next call, or after a while by
+    /// themselves.
     pub(super) fn settle_later(&mut self, index: usize, units: f64) {
         let tenant = &mut self.tenants[index];
         // What a sparse tenant is refused stays counted until the window ends.
--- a/crates/aspendrum-core/src/engine/counter_name.rs
+++ b/crates/aspendrum-core/src/engine/counter_name.rs
@@ -1,9 +1,10 @@
-//! Names in the shared counter: a tenant's id, and above it the number of a window where the tenant is counted by windows.
+//! Names in the shared counter: a tenant's id, and above it the number of a window where the tenant
+//! is counted by windows.
 
 use crate::api::{Millis, TenantId};
 
-/// How long the shared counter keeps a name. The longest that it allows: each rebirth hides what others added just
-/// before.
+/// How long the shared counter keeps a name. The longest that it allows: each rebirth hides what
+/// others added just before.
 const NAME_TTL: Millis = 60_000.0;
 /// How much longer than its window a window's name lives: more than the way to the counter.
 const WINDOW_NAME_GRACE: Millis = 1000.0;
--- a/crates/aspendrum-core/src/engine/dispatch.rs
+++ b/crates/aspendrum-core/src/engine/dispatch.rs
@@ -5,7 +5,8 @@
 use crate::api::{Action, LoadReport, Millis, Outcome, RequestId};
 use crate::state::request::{ExecutionStatus, Request, RequestStage};
 
-/// A request beyond its tenant's quota is sent while more than this share of the concurrency limits is free.
+/// A request beyond its tenant's quota is sent while more than this share of the concurrency limits
+/// is free.
 const FREE_SHARE_BEYOND_QUOTA: f64 = 0.5;
 
 /// How an attempt ended.
@@ -40,8 +41,8 @@
         }
     }
 
-    /// The request to send next, by its position in the queue: the one of highest priority, of equals the one with
-    /// least time left.
+    /// The request to send next, by its position in the queue: the one of highest priority, of
+    /// equals the one with least time left.
     fn next_in_queue(&self, pools_without_server: u64) -> Option<usize> {
         let mut next: Option<(f64, Millis, usize)> = None;
         let mut last_free_share: Option<(u16, f64)> = None;
@@ -56,20 +57,20 @@
             let known = last_free_share.filter(|(pool, _)| *pool == request.pool);
             let (_, free) = *last_free_share
                 .insert(known.unwrap_or_else(|| (request.pool, self.free_share(request.pool))));
-            if free
-                > if request.within_quota {
-                    0.0
-                } else {
-                    FREE_SHARE_BEYOND_QUOTA
-                }
-            {
+            let free_share_needed = if request.within_quota {
+                0.0
+            } else {
+                FREE_SHARE_BEYOND_QUOTA
+            };
+            if free > free_share_needed {
                 next = Some((rank.0, rank.1, position));
             }
         }
         next.map(|(.., position)| position)
     }
 
-    /// As many of its tenant's requests are in flight as this instance's share of the plan's limit allows.
+    /// As many of its tenant's requests are in flight as this instance's share of the plan's limit
+    /// allows.
     fn awaits_tenants_turn(&self, request: &Request) -> bool {
         let tenant = &self.tenants[request.tenant];
         let limit = f64::from(self.params.plans[tenant.plan].max_in_flight);
--- a/crates/aspendrum-core/src/engine/endpoint_selection.rs
+++ b/crates/aspendrum-core/src/engine/endpoint_selection.rs
@@ -1,12 +1,14 @@
-//! Which server a request is sent to: the least expected cost, among those that may and can take it.
+//! Which server a request is sent to: the least expected cost, among those that may and can take
+//! it.
 
 use super::DecisionEngine;
 use crate::state::server::{EjectionState, Server};
 
 /// How much a price for crossing zones counts in a server's cost.
 const CROSS_ZONE_WEIGHT: f64 = 40.0;
-/// The cost of a starting server, where hundreds of instances send to it: its turn comes so seldom to each of them that
-/// it is taken as it comes. Less than what an idle warm server's fading response time comes to, in any zone.
+/// The cost of a starting server, where hundreds of instances send to it: each of them selects it
+/// so seldom that it is taken as it comes. Less than what an idle warm server's fading response
+/// time comes to, in any zone.
 const SLOW_START_COST: f64 = 0.1;
 /// Costs are drawn within a tenth around their value, lest all instances choose alike.
 const LEAST_JITTER: f64 = 0.95;
@@ -51,8 +53,8 @@
             && (!self.is_slow_starting(server.started_at) || server.slow_start_tokens >= 1.0)
     }
 
-    /// The expected time to a response, weighted by distance and load. A server that holds a request for long is as
-    /// slow as that request says.
+    /// The expected time to a response, weighted by distance and load. A server that holds a
+    /// request for long is as slow as that request says.
     fn expected_cost(&self, server: &Server) -> f64 {
         let is_same_zone = server.zone == self.params.zone;
         let zone_cost = if is_same_zone {
@@ -75,8 +77,8 @@
             * preference
     }
 
-    /// The share of the pool's concurrency limits that is not in use. Each server keeps at least one request of its
-    /// own limit; the sum bounds them all.
+    /// The share of the pool's concurrency limits that is not in use. Each server keeps at least
+    /// one request of its own limit; the sum bounds them all.
     pub(super) fn free_share(&self, pool: u16) -> f64 {
         let (mut limit, mut in_flight) = (0.0, 0.0);
         for server in self
--- a/crates/aspendrum-core/src/engine/fleet.rs
+++ b/crates/aspendrum-core/src/engine/fleet.rs
@@ -14,8 +14,8 @@
     pub(crate) response_time: Millis,
     /// Exponentially smoothed load report.
     pub(crate) load: f64,
-    /// By this all concurrency limits shrink together: an overdriven fleet gives each server too few responses for its
-    /// own limit to follow.
+    /// By this all concurrency limits shrink together: an overdriven fleet gives each server too
+    /// few responses for its own limit to follow.
     pub(crate) limit_scale: f64,
     response_rate: f64,
     response_rate_at: Millis,
--- a/crates/aspendrum-core/src/engine/health_check.rs
+++ b/crates/aspendrum-core/src/engine/health_check.rs
@@ -12,8 +12,8 @@
 const HANG_RESPONSE_TIMES: f64 = 8.0;
 const PROBE_INTERVAL: Millis = 500.0;
 const PROBE_INTERVAL_EJECTED: Millis = 250.0;
-/// How fast what is known of a server fades to what all have in common, a tick. An idle one fades to half their response
-/// time.
+/// How fast what is known of a server fades to what all have in common, a tick. An idle one fades
+/// to half their response time.
 const FADING: f64 = 0.000_3;
 const IDLE_RESPONSE_TIME: f64 = 0.5;
 
--- a/crates/aspendrum-core/src/engine/latency.rs
+++ b/crates/aspendrum-core/src/engine/latency.rs
@@ -7,7 +7,8 @@
 /// By how much the baseline grows a millisecond, so that it follows servers that become slower.
 const GROWTH: f64 = 0.000_01;
 
-/// The least mean of a block of response times, as Gradient and Vegas limiters use it for the time without load.
+/// The least mean of a block of response times, as Gradient and Vegas limiters use it for the time
+/// without load.
 #[derive(Default)]
 pub(crate) struct LatencyBaseline {
     block_sum: Millis,
--- a/crates/aspendrum-core/src/engine/maintenance.rs
+++ b/crates/aspendrum-core/src/engine/maintenance.rs
@@ -8,10 +8,11 @@
 
 /// How long after its time-out a counter call that did not end is given up.
 const COUNTER_GRACE: Millis = 4.0 * TICK;
-/// A queued request is given up when this many response times, or this part of the latency target, are left of it.
+/// A queued request is given up when this many response times, or this part of the latency target,
+/// are left of it.
 const RESPONSE_TIMES_LEFT: f64 = 3.0;
 const TARGET_LEFT: f64 = 0.9;
-/// What clients are told to wait for when servers have no room, in response times.
+/// The `retry_after` when servers have no room, in response times.
 const RETRY_AFTER_RESPONSE_TIMES: f64 = 2.0;
 /// Idle things are looked for so many times in an idle time-out.
 const SWEEPS: f64 = 10.0;
--- a/crates/aspendrum-core/src/engine/membership.rs
+++ b/crates/aspendrum-core/src/engine/membership.rs
@@ -11,7 +11,8 @@
 const SLOW_START_CONCURRENCY_LIMIT: f64 = 1.0;
 
 impl DecisionEngine {
-    /// Takes in a list of servers, whole or of changes. A list that could not be had is asked for again.
+    /// Takes in a list of servers, whole or of changes. A list that could not be had is asked for
+    /// again.
     pub(super) fn update_servers(&mut self, list: ListKind, entries: &[ServerEntry]) {
         if list == ListKind::Failed {
             self.actions.extend(
@@ -42,7 +43,8 @@
         self.dispatch();
     }
 
-    /// The server's index. One that has started again is a new server, but for what it has in flight.
+    /// The server's index. One that has started again is a new server, but for what it has in
+    /// flight.
     fn find_or_add_server(&mut self, member: &ServerEntry) -> usize {
         let new = self.new_server(member);
         let id = u64::from(member.server);
@@ -63,7 +65,8 @@
         } else {
             FIRST_CONCURRENCY_LIMIT / self.params.instances
         };
-        // Each instance starts at another part of a token, so that hundreds send to a starting server in turn.
+        // Each instance starts at another part of a token, so that hundreds send to a starting
+        // server in turn.
         let phase = self.params.slow_start_phase + f64::from(member.server) * GOLDEN_FRACTION;
         Server {
             id: member.server,
--- a/crates/aspendrum-core/src/engine/outlier_ejection.rs
+++ b/crates/aspendrum-core/src/engine/outlier_ejection.rs
@@ -13,8 +13,8 @@
 /// One in so many servers of a pool may be ejected.
 const EJECTABLE: u32 = 3;
 
-/// State, sample and next state. Whatever is not listed changes nothing. A hung server passes probes: on probation it
-/// gets one request, no more, to prove itself.
+/// State, sample and next state. Whatever is not listed changes nothing. A hung server passes
+/// probes: on probation it gets one request, no more, to prove itself.
 const TRANSITIONS: [(EjectionState, HealthSample, EjectionState); 5] = [
     (
         EjectionState::Healthy,
@@ -44,8 +44,8 @@
 ];
 
 impl DecisionEngine {
-    /// Ejects the server, unless a third of its pool is not healthy: then the fault is not single servers', and the rest
-    /// stays.
+    /// Ejects the server, unless a third of its pool is not healthy: then the fault is not single
+    /// servers', and the rest stays.
     pub(super) fn eject(&mut self, index: usize) {
         let pool = self.servers[index].pool;
         let (mut ready, mut unhealthy) = (0, 0);
--- a/crates/aspendrum-core/src/engine/parameters.rs
+++ b/crates/aspendrum-core/src/engine/parameters.rs
@@ -7,7 +7,8 @@
 use crate::spread;
 use crate::state::request::MAX_ATTEMPTS;
 
-/// With more instances than these, each probes servers less often: hundreds would load what they probe.
+/// With more instances than these, each probes servers less often: hundreds would load what they
+/// probe.
 const PROBING_INSTANCES: f64 = 16.0;
 /// Of a ceiling, what the first quota owner grants from; the instances split the rest.
 pub(crate) const OWNER_CEILING_SHARE: f64 = 0.6;
@@ -88,7 +89,7 @@
     pub(crate) plans: Vec<PlanParameters>,
     /// Where in a load report the share of capacity in use stands.
     pub(crate) load_index: Option<usize>,
-    /// LoadReport reports come with probes alone.
+    /// Load reports come with probes only.
     pub(crate) reports_by_probe: bool,
     /// The list of servers is asked for, not pushed.
     pub(crate) polls_discovery: bool,
@@ -98,7 +99,7 @@
     pub(crate) may_cancel: bool,
     pub(crate) may_probe: bool,
     pub(crate) max_attempts: usize,
-    /// The longest `retry_after` that clients are told.
+    /// The longest `retry_after` that clients get.
     pub(crate) max_retry_after: Millis,
     pub(crate) zone: u8,
     pub(crate) cross_zone_price: f64,
@@ -115,8 +116,8 @@
     pub(crate) token_request_interval: Millis,
     /// Of a ceiling, what the instances split evenly.
     pub(crate) split_ceiling_share: f64,
-    /// Requests in a window that all instances may send to a starting server, for each that a warm one answers in a
-    /// millisecond.
+    /// Requests in a window that all instances may send to a starting server, for each that a warm
+    /// one answers in a millisecond.
     pub(crate) slow_start_budget: f64,
     /// Where in `0.0..1.0` this instance begins to fill slow start tokens.
     pub(crate) slow_start_phase: f64,
--- a/crates/aspendrum-core/src/engine/quota.rs
+++ b/crates/aspendrum-core/src/engine/quota.rs
@@ -1,4 +1,5 @@
-//! Whether a tenant's quota has room for a request: by the shared counter's total, or by this instance's local count.
+//! Whether a tenant's quota has room for a request: by the shared counter's total, or by this
+//! instance's local count.
 
 use super::DecisionEngine;
 use crate::api::Millis;
@@ -36,8 +37,8 @@
         }
     }
 
-    /// There is no room, as is known well enough without the counter: from a count that is the tenant's at its owner,
-    /// or from the last total while the counter is short of calls.
+    /// There is no room, as is known well enough without the counter: from a count that is the
+    /// tenant's at its owner, or from the last total while the counter is short of calls.
     fn is_surely_exhausted(&mut self, slot: usize, is_owner: bool) -> bool {
         let Request { tenant, units, .. } = self.requests[slot];
         let tenant = &mut self.tenants[tenant];
@@ -59,8 +60,8 @@
         is_sure && tenant.total_known && room < units
     }
 
-    /// Draws whether this request asks the counter; the probability with which it does. Those that the local count would
-    /// reject ask first of all, and a sparse tenant's first one in a window.
+    /// Draws whether this request asks the counter; the probability with which it does. Those that
+    /// the local count would reject ask first of all, and a sparse tenant's first one in a window.
     fn draw_counter_call(&mut self, slot: usize) -> Option<f64> {
         let Request {
             tenant,
@@ -127,8 +128,8 @@
         self.conclude_admission(slot, within_quota);
     }
 
-    /// Decides by the local count. `is_logged`: the counter is not called, and is told of the grant once it is back;
-    /// else `unsettled` takes the difference to what it was told.
+    /// Decides by the local count. `is_logged`: the counter is not called, and the grant is added
+    /// to it once it is back; else `unsettled` takes the difference to what was added.
     pub(super) fn decide_locally(&mut self, slot: usize, is_logged: bool) {
         let within_quota = self.has_room_without_counter(slot) && self.pay_ceiling(slot);
         let request = &self.requests[slot];
--- a/crates/aspendrum-core/src/engine/quota_owner/replies.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/replies.rs
@@ -6,7 +6,8 @@
 use crate::state::request::{PeerOrigin, Request, RequestStage};
 
 impl DecisionEngine {
-    /// A peer asks for units of a quota that this instance owns. A request that comes again gets the same reply.
+    /// A peer asks for units of a quota that this instance owns. A request that comes again gets
+    /// the same reply.
     pub(super) fn accept_quota_request(&mut self, peer: u16, quota_request: &QuotaRequest) {
         let id = peer_request_id(peer, quota_request.id);
         if let Some(message) = self.reply_cache.find(id).map(|reply| reply.message) {
@@ -36,7 +37,8 @@
         self.decide_quota(slot);
     }
 
-    /// Sends the decision on a peer's request; if it is refused, with the time until the quota has room.
+    /// Sends the decision on a peer's request; if it is refused, with the time until the quota has
+    /// room.
     pub(in crate::engine) fn reply_to_peer(&mut self, slot: usize) {
         let lacks_counter = self.is_counter_silent();
         let request = &self.requests[slot];
@@ -82,7 +84,8 @@
         self.send_to_peer(peer, PeerMessage::QuotaReply(reply));
     }
 
-    /// An owner's reply decides on the request that waits for it. A reply to a ping shows that the owner can be asked.
+    /// An owner's reply decides on the request that waits for it. A reply to a ping shows that the
+    /// owner can be asked.
     pub(super) fn accept_quota_reply(&mut self, peer: u16, reply: &QuotaReply) {
         let known = &mut self.peers[usize::from(peer)];
         known.missed_replies = 0;
@@ -115,8 +118,8 @@
         self.conclude_admission(slot, reply.granted);
     }
 
-    /// A peer returns units. Only what was granted here is taken, and once: units are granted anew as often as they are
-    /// returned.
+    /// A peer returns units. Only what was granted here is taken, and once: units are granted anew
+    /// as often as they are returned.
     pub(super) fn accept_return(&mut self, peer: u16, id: MessageId) {
         let Some(reply) = self.reply_cache.find(peer_request_id(peer, id)) else {
             return;
@@ -133,7 +136,8 @@
         self.settle_later(index, -units);
     }
 
-    /// Returns the units of a request that was granted and went to no server, to whoever granted them.
+    /// Returns the units of a request that was granted and went to no server, to whoever granted
+    /// them.
     pub(in crate::engine) fn return_units(&mut self, slot: usize) {
         let Request {
             tenant: index,
--- a/crates/aspendrum-core/src/engine/quota_owner/reply_cache.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/reply_cache.rs
@@ -1,4 +1,5 @@
-//! The last replies to quota requests, to be sent again when their requests come again: a request is decided once.
+//! The last replies to quota requests, to be sent again when their requests come again: a request
+//! is decided once.
 
 use crate::api::{RequestId, TenantId};
 use crate::peer_message::{MessageId, PeerMessage};
--- a/crates/aspendrum-core/src/engine/quota_owner/routing.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/routing.rs
@@ -7,13 +7,15 @@
 use crate::spread;
 use crate::state::peer::Peer;
 
-/// Instances of a tenant's set that may own its quota, one after another as those before don't answer.
+/// Instances of a tenant's set that may own its quota, one after another as those before don't
+/// answer.
 pub(super) const OWNERS: u32 = 3;
 /// An owner answers within its counter's time-out and the way there and back.
 const REPLY_TIMEOUT: Millis = 100.0;
 /// A request is sent once more before it counts as missed: datagrams get lost.
 const REPEAT_AFTER: Millis = 50.0;
-/// So many missed replies in a row are not due to lost datagrams: the owner is not asked for a while.
+/// So many missed replies in a row are not due to lost datagrams: the owner is not asked for a
+/// while.
 const MISSED_REPLIES: u32 = 2;
 
 impl DecisionEngine {
@@ -24,8 +26,8 @@
         self.route_to_owner(slot, 0);
     }
 
-    /// The first reachable one of the tenant's owners decides, from that of number `first` on; this instance if it is
-    /// that one or none is reachable.
+    /// The first reachable one of the tenant's owners decides, from that of number `first` on; this
+    /// instance if it is that one or none is reachable.
     fn route_to_owner(&mut self, slot: usize, first: usize) {
         let tenant = self.requests[slot].tenant;
         let owner = self
@@ -42,8 +44,8 @@
         }
     }
 
-    /// The instances that may own the tenant's quota, the first one first. Told by its id and its set, so that all of the
-    /// set conclude the same.
+    /// The instances that may own the tenant's quota, the first one first. Told by its id and its
+    /// set, so that all of the set conclude the same.
     pub(in crate::engine) fn quota_owners(&self, index: usize) -> impl Iterator<Item = u16> {
         let tenant = &self.tenants[index];
         let (id, first, set, instances) = (
@@ -102,10 +104,12 @@
         let needs_tokens = lacks_counter || self.is_counter_silent();
         let message = match (is_answering, needs_tokens) {
             (true, true) => quota_request(self.give_all_tokens(index)),
-            // What is given to an owner that can't be heard is lost, and what it grants too.
+            // Tokens given to an owner whose datagrams are lost are lost too, and so are its
+            // grants.
             (false, true) => PeerMessage::Ping { id },
-            // The counter makes good what an owner that can't be heard grants. An owner that can read the counter needs
-            // no tokens: what each instance holds it has in hand when the counter falls silent.
+            // The counter makes good the grants of an owner whose datagrams are lost. An owner that
+            // can read the counter needs no tokens: what each instance holds it has in hand when
+            // the counter falls silent.
             (_, false) => quota_request(0),
         };
         let request = &mut self.requests[slot];
@@ -116,8 +120,8 @@
         self.send_to_peer(peer, message);
     }
 
-    /// The owner has not answered yet: it is asked again, then given up for this request, and after misses in a row for a
-    /// while.
+    /// The owner has not answered yet: it is asked again, then given up for this request, and after
+    /// misses in a row for a while.
     pub(in crate::engine) fn check_quota_owner(&mut self, slot: usize, peer: u16) {
         let request = &mut self.requests[slot];
         let waited = self.now - request.waiting_since;
@@ -145,8 +149,9 @@
         }
     }
 
-    /// The next owner may hear what this instance does not. But with the counter, or with a spare grant, the request need
-    /// not wait for other owners' time-outs too: three of them are half of a latency target.
+    /// The next owner may reach peers that this instance does not. But with the counter, or with a
+    /// spare grant, the request need not wait for other owners' time-outs too: three of them are
+    /// half of a latency target.
     fn decide_without_owner(&mut self, slot: usize, owner: u16) {
         let index = self.requests[slot].tenant;
         let units = self.requests[slot].units;
--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -1,5 +1,6 @@
-//! Tokens that instances hold, spend and give to each other while the shared counter says nothing. However messages are
-//! lost, all instances together never hold more than the quota has brought (docs/shared-state.md).
+//! Tokens that instances hold, spend and give to each other while the shared counter says nothing.
+//! However messages are lost, all instances together never hold more than the quota has brought
+//! (docs/shared-state.md).
 
 use super::routing::OWNERS;
 use crate::api::Millis;
@@ -12,13 +13,14 @@
 use crate::state::tenant::SpareGrant;
 use aspendrum_token_bucket::{BucketLimits, TokenTransfer, ONE_TOKEN};
 
-/// While the breaker is open a probe a second asks the counter: two without an answer, and it is silent.
+/// While the breaker is open a probe a second asks the counter: two without an answer, and it is
+/// silent.
 const SILENT_AFTER: Millis = 2.5 * PROBE_INTERVAL;
 /// Token requests sent at once at most.
 const MAX_TOKEN_REQUESTS: f64 = 8.0;
 /// The owners' shares of a quota whose even shares are less than a request.
 const OWNER_SHARES: [f64; OWNERS as usize] = [0.5, 0.3, 0.2];
-/// An even share, in the parts that shares are told in.
+/// An even share, in the parts in which shares are expressed.
 const EVEN_PARTS: f64 = 100.0;
 
 /// Units in the amounts that tokens are counted in, rounded up.
@@ -37,8 +39,8 @@
         self.tenants[index].token_bucket.tokens() as f64 / ONE_TOKEN as f64
     }
 
-    /// Notes the decision on a request. What was granted here, by whatever count, is spent: an instance never holds
-    /// tokens for what the counter gave away.
+    /// Notes the decision on a request. What was granted here, by whatever count, is spent: an
+    /// instance never holds tokens for what the counter gave away.
     pub(in crate::engine) fn record_decision(&mut self, slot: usize, within_quota: bool) {
         let request = &mut self.requests[slot];
         request.within_quota = within_quota;
@@ -59,7 +61,7 @@
             .refund(&limits, round_up(units), self.now as u64);
     }
 
-    /// The counter has told what is left of the quota: this instance holds its share of that.
+    /// The counter's total shows what is left of the quota: this instance holds its share of that.
     pub(in crate::engine) fn set_tokens_from_total(&mut self, index: usize) {
         let limits = self.bucket_limits(index);
         let tenant = &mut self.tenants[index];
@@ -70,8 +72,9 @@
         );
     }
 
-    /// The quota in even shares. Where these are less than a request, hundreds would have to be fetched before the first
-    /// is granted: the owners share all of it then, and whoever reaches one of them is served.
+    /// The quota in even shares. Where these are less than a request, hundreds would have to be
+    /// fetched before the first is granted: the owners share all of it then, and whoever reaches
+    /// one of them is served.
     fn bucket_limits(&self, index: usize) -> BucketLimits {
         let tenant = &self.tenants[index];
         let plan = &self.params.plans[tenant.plan];
@@ -103,8 +106,9 @@
         }
     }
 
-    /// As far as this instance can tell, the counter says nothing. One that is too small rejects and fails calls all day,
-    /// and still decides: taken for silent, it made instances refuse what had room.
+    /// As far as this instance can tell, the counter says nothing. One that is too small rejects
+    /// and fails calls all day, and still decides: taken for silent, it made instances refuse what
+    /// had room.
     pub(super) fn is_counter_silent(&self) -> bool {
         let is_silent = self
             .counter_heard_at
@@ -113,9 +117,10 @@
         !self.params.has_counter || is_silent && has_failed
     }
 
-    /// Whether there is room without asking the counter: by the local count, or, if the counter says nothing at all, by
-    /// the tokens in hand. What was counted with its totals before is no licence then: each side of a partition would go
-    /// by the whole quota, and each start would hand out a burst until the breaker opens.
+    /// Whether there is room without asking the counter: by the local count, or, if the counter
+    /// says nothing at all, by the tokens in hand. What was counted with its totals before is no
+    /// licence then: each side of a partition would go by the whole quota, and each start would
+    /// hand out a burst until the breaker opens.
     pub(in crate::engine) fn has_room_without_counter(&mut self, slot: usize) -> bool {
         let Request {
             tenant: index,
@@ -140,10 +145,10 @@
         has_tokens || peer_origin.is_none() && self.use_spare_grant(index, units)
     }
 
-    /// Lets a request through though no token is in hand and nobody can be asked: a thin quota's even share is less than
-    /// a request, and whoever reaches nobody would refuse all. An instance that has heard the counter since its start
-    /// lets one request of a tenant through in each silence of the counter, and no more often than the even share brings
-    /// one.
+    /// Lets a request through though no token is in hand and nobody can be asked: a thin quota's
+    /// even share is less than a request, and whoever reaches nobody would refuse all. An instance
+    /// that has had an answer of the counter since its start lets one request of a tenant through
+    /// in each silence of the counter, and no more often than the even share brings one.
     fn use_spare_grant(&mut self, index: usize, units: f64) -> bool {
         let has_spare = self.has_spare_grant(index, units);
         if has_spare {
@@ -168,8 +173,9 @@
         is_allowed && tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now)
     }
 
-    /// Out of tokens, an owner asks instances of the set that have not given any lately for what they hold, in turn and
-    /// each at most twice in the time that fills the burst: what idle instances hold goes to where the traffic is.
+    /// Out of tokens, an owner asks instances of the set that have not given any lately for what
+    /// they hold, in turn and each at most twice in the time that fills the burst: what idle
+    /// instances hold goes to where the traffic is.
     fn request_tokens(&mut self, index: usize, limits: &BucketLimits) {
         let tenant = &self.tenants[index];
         if self.now - tenant.owned_at > OWNERSHIP_TIME {
@@ -231,7 +237,8 @@
         };
         let tenant = &self.tenants[index];
         let is_idle = self.now - tenant.last_request_at > self.params.plans[tenant.plan].window;
-        // An instance that has requests of its own and gets no answer may be one that can't be heard.
+        // An instance that has requests of its own and gets no answer may be one whose datagrams
+        // are lost.
         if !is_idle && !self.peers[usize::from(peer)].is_answering {
             return;
         }
--- a/crates/aspendrum-core/src/engine/retry_rules.rs
+++ b/crates/aspendrum-core/src/engine/retry_rules.rs
@@ -1,5 +1,5 @@
-//! Rules 1 and 2: whether a request may be sent to another server, and how it may be given up. Nothing else decides
-//! on either.
+//! Rules 1 and 2: whether a request may be sent to another server, and how it may be given up.
+//! Nothing else decides on either.
 
 use super::{DecisionEngine, TICK};
 use crate::api::{Millis, RepeatGroup, Semantics};
@@ -22,11 +22,11 @@
 /// How a request may be given up.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum GiveUpAction {
-    /// Its client is told that it may retry.
+    /// Its client gets an answer that allows a retry.
     Shed,
     /// As `Shed` if all servers recognize repeats, else as `Drop`.
     ShedIfAllDeduplicate,
-    /// Its client is told of an error.
+    /// Its client gets an error.
     Drop,
 }
 
--- a/crates/aspendrum-core/src/engine/sampling.rs
+++ b/crates/aspendrum-core/src/engine/sampling.rs
@@ -1,9 +1,10 @@
-//! Which share of the requests asks the shared counter. A counter past its capacity rejects most calls; then only some
-//! requests ask it, and the others go by the local count.
+//! Which share of the requests asks the shared counter. A counter past its capacity rejects most
+//! calls; then only some requests ask it, and the others go by the local count.
 
 use crate::api::Millis;
 
-/// The rate grows with each prompt answer and with time (a millisecond), and shrinks with late and failed calls.
+/// The rate grows with each prompt answer and with time (a millisecond), and shrinks with late and
+/// failed calls.
 const GROWTH: f64 = 0.03;
 const GROWTH_PER_MS: f64 = 0.000_005;
 const CUT: f64 = 0.2;
@@ -60,8 +61,8 @@
         self.rate = (self.rate * (1.0 + GROWTH)).min(1.0);
     }
 
-    /// A call of that time is not part of a failure that the rate was cut for already: calls that are out together
-    /// fail together, from one cause, and count once.
+    /// A call of that time is not part of a failure that the rate was cut for already: calls that
+    /// are out together fail together, from one cause, and count once.
     pub(crate) fn is_news(&self, called_at: Millis) -> bool {
         called_at >= self.cut_at
     }
--- a/crates/aspendrum-core/src/engine/slow_start.rs
+++ b/crates/aspendrum-core/src/engine/slow_start.rs
@@ -1,4 +1,5 @@
-//! Rule 4: slow start. A server that has just started gets no more than it can stand, from all instances together.
+//! Rule 4: slow start. A server that has just started gets no more than it can stand, from all
+//! instances together.
 
 use super::DecisionEngine;
 use crate::api::{Health, Millis};
@@ -16,8 +17,8 @@
         self.params.slow_start_capacity + (1.0 - self.params.slow_start_capacity) * progress
     }
 
-    /// Gives each starting server the tokens that this instance may spend on it: of what it stands in a window, the part
-    /// that this instance has of all traffic.
+    /// Gives each starting server the tokens that this instance may spend on it: of what it stands
+    /// in a window, the part that this instance has of all traffic.
     pub(super) fn refill_slow_start_tokens(&mut self) {
         let (mut count, mut sizes, mut capacity) = (0.0, 0.0, 0.0);
         for server in self
--- a/crates/aspendrum-core/src/engine/tenant_count.rs
+++ b/crates/aspendrum-core/src/engine/tenant_count.rs
@@ -1,4 +1,5 @@
-//! A tenant's quota as an instance counts it: by a local token bucket, and by the shared counter's totals.
+//! A tenant's quota as an instance counts it: by a local token bucket, and by the shared counter's
+//! totals.
 
 use super::counter_name::CounterName;
 use super::parameters::PlanParameters;
@@ -6,11 +7,13 @@
 use crate::spread;
 use crate::state::tenant::Tenant;
 
-/// With an even share of the burst of fewer units than this, an instance sees a tenant too seldom to follow its count.
+/// With an even share of the burst of fewer units than this, an instance sees a tenant too seldom
+/// to follow its count.
 pub(crate) const LEAST_EVEN_SHARE: f64 = 1.0;
 
 impl Tenant {
-    /// The time in windows of its quota. Each tenant's windows turn at another moment, lest all do at once.
+    /// The time in windows of its quota. Each tenant's windows begin at another moment, so that not
+    /// all begin at once.
     pub(crate) fn window_position(&self, now: Millis, plan: &PlanParameters) -> f64 {
         now / plan.window.max(1.0) + spread::phase(self.id as f64)
     }
@@ -25,8 +28,8 @@
         }
     }
 
-    /// Whether the local count has room: a token bucket of an even share of rate and burst, and of whatever the last
-    /// total left it.
+    /// Whether the local count has room: a token bucket of an even share of rate and burst, and of
+    /// whatever the last total left it.
     pub(crate) fn has_local_room(
         &mut self,
         plan: &PlanParameters,
@@ -45,8 +48,8 @@
         self.local_tokens >= units
     }
 
-    /// Splits the local count among that many instances. It starts anew: an instance that takes it over, or gives it
-    /// back, knows nothing yet of what the others used.
+    /// Splits the local count among that many instances. It starts anew: an instance that takes it
+    /// over, or gives it back, knows nothing yet of what the others used.
     pub(crate) fn split_local_count(&mut self, plan: &PlanParameters, among: f64, now: Millis) {
         let keeps_count = plan.is_windowed && self.split_among > 0.0;
         self.split_among = among;
@@ -54,7 +57,8 @@
         if keeps_count {
             return; // Instances that come and go hand nobody a fresh share.
         }
-        // Shares of less than one request would let nobody send: each instance of a sparse tenant may send one.
+        // Shares of less than one request would let nobody send: each instance of a sparse tenant
+        // may send one.
         self.local_tokens = if self.is_sparse {
             plan.burst
         } else {
@@ -80,7 +84,8 @@
     }
 }
 
-/// What the shared counter's total says of the quota. `added`: the units of the call that brought it, part of `total`.
+/// What the shared counter's total says of the quota. `added`: the units of the call that brought
+/// it, part of `total`.
 impl Tenant {
     /// The total of a window counts all that was used in it.
     pub(crate) fn follow_window_total(
@@ -120,8 +125,8 @@
         self.total_known = true;
     }
 
-    /// One of several instances knows what the others added from the difference between two totals. `noise`: by how
-    /// much a total may fall through units that are returned.
+    /// One of several instances knows what the others added from the difference between two totals.
+    /// `noise`: by how much a total may fall through units that are returned.
     pub(crate) fn follow_total_among_others(
         &mut self,
         plan: &PlanParameters,
@@ -131,7 +136,8 @@
         now: Millis,
     ) {
         let mut added_by_others = total - self.total - added;
-        // A total far below the last one betrays a name that the counter has lost: the count goes on.
+        // A total far below the last one betrays a name that the counter has lost: the count goes
+        // on.
         let is_reborn = !self.total_known || added_by_others < -noise;
         if is_reborn {
             added_by_others = (total - added).max(0.0);
--- a/crates/aspendrum-core/src/lib.rs
+++ b/crates/aspendrum-core/src/lib.rs
@@ -1,7 +1,8 @@
 //! The decisions of the aspendrum gateway, free of I/O, clocks and threads.
 //!
-//! [`engine::DecisionEngine`] is told events with their time and answers with actions; both are defined in [`api`].
-//! [`settings`] reads what an engine is started with. [`peer_message`] is the format of datagrams between instances.
+//! [`engine::DecisionEngine`] takes events with their time and returns actions; both are defined in
+//! [`api`]. [`settings`] reads what an engine is started with. [`peer_message`] is the format of
+//! datagrams between instances.
 
 pub mod api;
 pub mod engine;
--- a/crates/aspendrum-core/src/peer_message.rs
+++ b/crates/aspendrum-core/src/peer_message.rs
@@ -1,9 +1,9 @@
-//! The datagrams between instances about a tenant's quota: the only place that knows their bytes. Numbers are
-//! big-endian. A datagram that does not fit its format exactly is not understood.
+//! The datagrams between instances about a tenant's quota: the only place that knows their bytes.
+//! Numbers are big-endian. A datagram that does not fit its format exactly is not understood.
 //!
-//! The first byte tells kind and version. Kinds 1, 2 and 4 are those of the version before token transfers: its quota
-//! requests are understood, as requests without a transfer; its returns are not, since they could come twice. That
-//! version drops the kinds from 5 on.
+//! The first byte tells kind and version. Kinds 1, 2 and 4 are those of the version before token
+//! transfers: its quota requests are understood, as requests without a transfer; its returns are
+//! not, since they could come twice. That version drops the kinds from 5 on.
 
 use crate::api::{Millis, TenantId};
 
@@ -20,8 +20,8 @@
     pub instances: u16,
 }
 
-/// Identifies a message among those of its sender: the low bits of the sender's clock in milliseconds. No two messages
-/// of one sender have the same.
+/// Identifies a message among those of its sender: the low bits of the sender's clock in
+/// milliseconds. No two messages of one sender have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageId(pub u32);
 
@@ -63,13 +63,14 @@
 /// A datagram between instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// Asks whether the receiver is there. It answers with a [`QuotaReply`] that grants nothing. Sent before a quota
-    /// request to a peer that may not be heard: such a peer would grant what nobody gets.
+    /// Asks whether the receiver is there. It answers with a [`QuotaReply`] that grants nothing.
+    /// Sent before a quota request to a peer whose datagrams may be lost: such a peer would grant
+    /// units that nobody uses.
     Ping {
         /// Its low bits come back with the reply.
         id: MessageId,
     },
-    /// Asks for units.
+    /// Requests units.
     QuotaRequest(QuotaRequest),
     /// Answers.
     QuotaReply(QuotaReply),
@@ -204,7 +205,8 @@
     }
 }
 
-/// A return of the version before has the fields of its quota request. What they hold is not looked at.
+/// A return of the version before has the fields of its quota request. What they hold is not looked
+/// at.
 const LEGACY_RETURN_BODY: usize = 16;
 
 impl QuotaRequest {
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -1,5 +1,6 @@
-//! Reads settings from lines of `path=value`: those of the simulator and of the gateway's configuration alike. Unknown
-//! paths are ignored; one that is needed and missing, or whose value makes no sense, is refused by name.
+//! Reads settings from lines of `path=value`: those of the simulator and of the gateway's
+//! configuration alike. Unknown paths are ignored; one that is needed and missing, or whose value
+//! makes no sense, is refused by name.
 
 use crate::api::{
     GroupSettings, LoadReportChannel, LoadValue, Millis, PlanSettings, RepeatGroup, Semantics,
@@ -8,7 +9,7 @@
 use derive_more::{Display, Error};
 use std::collections::HashMap;
 
-/// Settings are told in seconds, the engine counts in milliseconds.
+/// Settings are in seconds, the engine counts in milliseconds.
 pub const MILLIS_PER_SECOND: f64 = 1000.0;
 
 /// The most instances, and entries of a list.
--- a/crates/aspendrum-core/src/spread.rs
+++ b/crates/aspendrum-core/src/spread.rs
@@ -1,6 +1,7 @@
 //! Even spreading of numbered things over an interval, without coordination between instances.
 
-/// The golden ratio's fractional part. Multiples of it, modulo 1, form a low-discrepancy sequence (Weyl).
+/// The golden ratio's fractional part. Multiples of it, modulo 1, form a low-discrepancy sequence
+/// (Weyl).
 pub(crate) const GOLDEN_FRACTION: f64 = 0.618_033_988_75;
 
 /// Where the thing of that number lies in `0.0..1.0`.
--- a/crates/aspendrum-core/src/state/request.rs
+++ b/crates/aspendrum-core/src/state/request.rs
@@ -92,7 +92,8 @@
     pub(crate) priority: f64,
     /// The instance that decides on its quota, or has.
     pub(crate) quota_owner: Option<u16>,
-    /// What that instance was asked. Asked again in the same bytes, since a transfer of tokens counts once.
+    /// What that instance was asked. Asked again in the same bytes, since a transfer of tokens
+    /// counts once.
     pub(crate) message_to_owner: Option<PeerMessage>,
     /// Set where this is another instance's request for quota.
     pub(crate) peer_origin: Option<PeerOrigin>,
@@ -122,7 +123,8 @@
         }
     }
 
-    /// Another instance's request for units of a tenant's quota, which goes to no server and has no deadline.
+    /// Another instance's request for units of a tenant's quota, which goes to no server and has no
+    /// deadline.
     pub(crate) fn from_peer(id: RequestId, origin: PeerOrigin, tenant: usize, units: f64) -> Self {
         Request {
             id,
--- a/crates/aspendrum-core/src/state/server.rs
+++ b/crates/aspendrum-core/src/state/server.rs
@@ -8,13 +8,13 @@
     /// It gets as many requests as its concurrency limit allows.
     #[default]
     Healthy,
-    /// It gets probes alone.
+    /// It gets only probes.
     Ejected,
     /// It gets one request at a time, to prove that it works.
     Probation,
 }
 
-/// What tells of a server's health.
+/// An observation of a server's health.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum HealthSample {
     /// A request succeeded.
@@ -34,7 +34,7 @@
     pub(crate) ejection: EjectionState,
     pub(crate) cell: u16,
     pub(crate) zone: u8,
-    /// How many times dearer a request is here than nearby; 0: told by its zone.
+    /// How many times dearer a request is here than nearby; 0: derived from its zone.
     pub(crate) distance_cost: f64,
     /// Capacity in relation to other servers.
     pub(crate) size: f64,
--- a/crates/aspendrum-core/src/state/slab.rs
+++ b/crates/aspendrum-core/src/state/slab.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
-/// Values found by id or by index. An index stays valid until its value is removed, then it is used again; a removed
-/// value stays readable, and part of [`Slab::iter`], until then.
+/// Values found by id or by index. An index stays valid until its value is removed, then it is used
+/// again; a removed value stays readable, and part of [`Slab::iter`], until then.
 pub(crate) struct Slab<T> {
     values: Vec<T>,
     index_of: HashMap<u64, usize>,
--- a/crates/aspendrum-core/src/state/tenant.rs
+++ b/crates/aspendrum-core/src/state/tenant.rs
@@ -1,5 +1,5 @@
-//! What an instance remembers of a tenant: its quota as followed from the shared counter, its local count, its shares of
-//! the ceiling, and the tokens that it may spend without the counter.
+//! What an instance remembers of a tenant: its quota as followed from the shared counter, its local
+//! count, its shares of the ceiling, and the tokens that it may spend without the counter.
 
 use crate::api::{Millis, TenantId};
 use aspendrum_token_bucket::TokenBucket;
@@ -31,7 +31,7 @@
     pub(crate) refilled_at: Millis,
 }
 
-/// A grant that the shared counter was not told of.
+/// A grant that has not been added to the shared counter.
 pub(crate) struct LoggedGrant {
     pub(crate) at: Millis,
     pub(crate) units: f64,
@@ -79,7 +79,7 @@
     pub(crate) total: f64,
     /// `total` is known.
     pub(crate) total_known: bool,
-    /// Units that the counter is still to be told of.
+    /// Units that are still to be added to the counter.
     pub(crate) unsettled: f64,
     /// Units left by the local count.
     pub(crate) local_tokens: f64,
@@ -106,7 +106,7 @@
 }
 
 impl Tenant {
-    /// Remembers a grant that the counter is to be told of later, and forgets those that have left the window.
+    /// Logs a grant to be replayed to the counter, and drops those that have left the window.
     pub(crate) fn log_grant(&mut self, units: f64, window: Millis, now: Millis) {
         self.grant_log.push_back(LoggedGrant { at: now, units });
         while self
--- a/crates/aspendrum-core/tests/decisions/breaker.rs
+++ b/crates/aspendrum-core/tests/decisions/breaker.rs
@@ -56,7 +56,8 @@
     );
 }
 
-// The danger: a small counter whose line the replays fill, so that they fail and the breaker never closes.
+// The danger: a small counter whose line the replays fill, so that they fail and the breaker never
+// closes.
 #[test]
 fn replays_go_with_the_next_call_not_at_once() {
     let mut harness = Harness::plain();
@@ -78,7 +79,8 @@
     );
 }
 
-// One unreadable answer ends the connection, and all that was written there with it: that is one failure.
+// One unreadable answer ends the connection, and all that was written there with it: that is one
+// failure.
 #[test]
 fn calls_that_fail_together_do_not_open_the_breaker() {
     let mut harness = Harness::plain();
--- a/crates/aspendrum-core/tests/decisions/ceiling.rs
+++ b/crates/aspendrum-core/tests/decisions/ceiling.rs
@@ -19,8 +19,8 @@
     s
 }
 
-/// All instances together stay under the ceiling whatever the counter says and however many they are, and
-/// some of it is granted.
+/// All instances together stay under the ceiling whatever the counter says and however many they
+/// are, and some of it is granted.
 #[test_case(2, true ; "counter up, asked far beyond")]
 #[test_case(2, false ; "counter down from the start")]
 #[test_case(100, true ; "a hundred instances")]
--- a/crates/aspendrum-core/tests/decisions/counter.rs
+++ b/crates/aspendrum-core/tests/decisions/counter.rs
@@ -59,8 +59,8 @@
     assert_eq!(harness.finals(1), 1);
 }
 
-// An amount whose call was turned away must go again by itself: kept for a next add that may never come, it
-// held a tenant who came once in memory for ever.
+// An amount whose call was turned away must go again by itself: kept for a next add that may never
+// come, it held a tenant who came once in memory for ever.
 #[test]
 fn units_of_a_rejected_call_are_settled_again() {
     let mut harness = Harness::plain();
@@ -70,8 +70,9 @@
     assert_eq!(harness.calls, [(9, 1.0), (9, 1.0)]);
 }
 
-/// A tenant of a hundred instances is counted under a name for each window, the same at all of them; what is
-/// refused stays counted; once the counter is late, a call stands for those that did not ask.
+/// A tenant of a hundred instances is counted under a name for each window, the same at all of
+/// them; what is refused stays counted; once the counter is late, a call stands for those that did
+/// not ask.
 #[test]
 fn a_sparse_tenant_is_counted_by_windows() {
     let mut harnesses = [Harness::plain(), Harness::plain()];
--- a/crates/aspendrum-core/tests/decisions/sampling.rs
+++ b/crates/aspendrum-core/tests/decisions/sampling.rs
@@ -3,8 +3,8 @@
 use crate::harness::Harness;
 use aspendrum_core::api::{Event, Outcome};
 
-// Calls that are out together fail together: one stall of four calls cut the share by four fifths to the
-// fourth, and a counter that was well again got next to nothing for tens of seconds.
+// Calls that are out together fail together: one stall of four calls cut the share by four fifths
+// to the fourth, and a counter that was well again got next to nothing for tens of seconds.
 #[test]
 fn a_stall_cuts_the_sampling_rate_once() {
     let mut harness = Harness::plain();
@@ -24,8 +24,8 @@
     assert!((140..190).contains(&asked), "{asked} of 200 ask");
 }
 
-// With a counter that cannot answer all, a third of what the local count turned away had half its store free:
-// those ask first, and whoever has room here needs no word of others.
+// With a counter that cannot answer all, a third of what the local count turned away had half its
+// store free: those ask first, and whoever has room here needs no word of others.
 #[test]
 fn requests_without_local_room_ask_before_the_others() {
     let mut harness = Harness::plain();
@@ -45,7 +45,8 @@
     assert!(asked[1] > 2 * asked[0], "{asked:?}");
 }
 
-/// After a failed call the counter is not asked for what surely has no room, and little for the rest.
+/// After a failed call the counter is not asked for what surely has no room, and little for the
+/// rest.
 #[test]
 fn a_strained_counter_gets_few_calls() {
     let mut harness = Harness::plain();
@@ -84,9 +85,9 @@
     );
 }
 
-/// A sparse tenant's first request of a window at this instance knows nothing of the others' use: with
-/// hundreds of instances, each one's free request let such a tenant far beyond its quota. Where few may ask,
-/// it asks first.
+/// A sparse tenant's first request of a window at this instance knows nothing of the others' use:
+/// with hundreds of instances, each one's free request let such a tenant far beyond its quota.
+/// Where few may ask, it asks first.
 #[test]
 fn a_sparse_tenants_first_request_asks_first_when_few_may_ask() {
     let mut harness = Harness::plain();
--- a/crates/aspendrum-core/tests/decisions/servers.rs
+++ b/crates/aspendrum-core/tests/decisions/servers.rs
@@ -92,7 +92,8 @@
     );
 }
 
-/// Responses that take nearly the latency target bring down what is in flight, and quick ones bring it back.
+/// Responses that take nearly the latency target bring down what is in flight, and quick ones bring
+/// it back.
 #[test]
 fn an_overload_shrinks_the_limits_until_it_is_over() {
     let mut harness = Harness::plain();
--- a/crates/aspendrum-core/tests/decisions/slow_start.rs
+++ b/crates/aspendrum-core/tests/decisions/slow_start.rs
@@ -36,8 +36,8 @@
     );
 }
 
-/// Requests sent to starting servers in the 3 s after their start, out of 600, when `instances` share the load of
-/// `warm` warm servers and `fresh` more start.
+/// Requests sent to starting servers in the 3 s after their start, out of 600, when `instances`
+/// share the load of `warm` warm servers and `fresh` more start.
 fn sent_to_starting_servers(instances: u32, warm: u32, fresh: u32) -> f64 {
     let servers: Vec<ServerEntry> = (1..=warm)
         .map(|id| member(id, Health::Ready, 0, 0.0))
@@ -74,7 +74,8 @@
     cold
 }
 
-/// Rule 4: however many instances share the same load, a starting server gets a few times its share at most.
+/// Rule 4: however many instances share the same load, a starting server gets a few times its share
+/// at most.
 #[test_case(1 ; "one")]
 #[test_case(3 ; "three")]
 #[test_case(100 ; "a hundred")]
@@ -88,10 +89,10 @@
     );
 }
 
-/// A starting server's turn comes to one of a hundred instances once in many seconds. Passed over for warm servers
-/// that look quick because nobody asked them lately, and counted as a whole server, six fresh ones beside
-/// four got next to nothing while the four were overloaded. Each is to get most of what it can do, and no more than
-/// that.
+/// A starting server's turn comes to one of a hundred instances once in many seconds. Passed over
+/// for warm servers that look quick because nobody asked them lately, and counted as a whole
+/// server, six fresh ones beside four got next to nothing while the four were overloaded. Each is
+/// to get most of what it can do, and no more than that.
 #[test]
 fn starting_servers_get_their_share_from_a_hundred_instances() {
     let cold = sent_to_starting_servers(100, 4, 6);
@@ -101,8 +102,9 @@
     assert!(cold >= 0.6 * part && cold <= 1.2 * part, "{cold} of {part}");
 }
 
-/// Probes are paid for by the whole fleet: hundreds of instances that each ask a starting server for its load
-/// report, of which each steers a few hundredths of the load, cost more than they tell.
+/// Probes are paid for by the whole fleet: hundreds of instances that each ask a starting server
+/// for its load report, of which each steers a few hundredths of the load, cost more than they
+/// tell.
 #[test_case(4, true ; "a few instances ask")]
 #[test_case(300, false ; "hundreds do not")]
 fn starting_servers_are_probed_for_reports_only_by_a_small_fleet(instances: u32, probed: bool) {
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -130,8 +130,8 @@
     assert_eq!(forwarded(&harness.ask(0, u64::MAX, 2.0)), Some(1));
 }
 
-/// Half of the instances are killed, the list changes five times in a third of a second, and each time
-/// the tenant's local count was split anew: 1,330 run where 1,248 were allowed.
+/// Half of the instances are killed, the list changes five times in a third of a second, and each
+/// time the tenant's local count was split anew: 1,330 run where 1,248 were allowed.
 #[test]
 fn instances_that_come_and_go_hand_nobody_a_fresh_share() {
     let mut harness = Harness::new(true, 90.0);
--- a/crates/aspendrum-core/tests/quota_owner.rs
+++ b/crates/aspendrum-core/tests/quota_owner.rs
@@ -1,5 +1,5 @@
-//! Fleets of decision engines that get each other's datagrams, without sockets: a tenant's quota has an owner among its
-//! instances.
+//! Fleets of decision engines that get each other's datagrams, without sockets: a tenant's quota
+//! has an owner among its instances.
 
 mod common;
 
@@ -213,9 +213,9 @@
     }
 }
 
-/// Forty instances that each see a tenant once in seconds granted each their first request: 40 units where the
-/// quota had 6 and 2 a second. What one instance grants the others must know, though the counter says nothing
-/// and though datagrams get lost.
+/// Forty instances that each see a tenant once in seconds granted each their first request: 40
+/// units where the quota had 6 and 2 a second. What one instance grants the others must know,
+/// though the counter says nothing and though datagrams get lost.
 #[test_case(false, 0 ; "no counter")]
 #[test_case(true, 0 ; "a counter that never answers")]
 #[test_case(false, 7 ; "one datagram in seven is lost")]
@@ -235,8 +235,8 @@
     );
 }
 
-/// A killed owner answers nobody: its tenants' requests are decided all the same, by the next owner; at most one more
-/// burst is granted; once it is back it takes over again.
+/// A killed owner answers nobody: its tenants' requests are decided all the same, by the next
+/// owner; at most one more burst is granted; once it is back it takes over again.
 #[test]
 fn a_killed_owner_costs_a_burst_at_most() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
@@ -259,8 +259,9 @@
     assert!(answered >= 40 + 360, "{answered} answered");
 }
 
-/// Rule 5: all traffic through one instance got its even share, a fortieth, of a ceiling that the tenant did
-/// not come near; and no restart of any instance, the owner's neither, hands out a share anew.
+/// Rule 5: all traffic through one instance got its even share, a fortieth, of a ceiling that the
+/// tenant did not come near; and no restart of any instance, the owner's neither, hands out a share
+/// anew.
 #[test]
 fn a_ceiling_goes_where_the_traffic_is_and_holds_through_restarts() {
     let mut fleet = Fleet::of(settings(40, false, 1.5));
@@ -271,7 +272,8 @@
         fleet.wait(50.0);
     }
     let uneven = fleet.granted.len();
-    // The owner's share fills from nothing with 0.54 of 3 a second; the even one with less than a tenth.
+    // The owner's share fills from nothing with 0.54 of 3 a second; the even one with less than a
+    // tenth.
     assert!(uneven >= 3, "{uneven} granted in 3 s");
     for id in 0..400u64 {
         if id % 10 == 0 {
@@ -288,8 +290,9 @@
     );
 }
 
-/// A tenant's share of a ceiling filled only from its first request on, which was refused for that: with
-/// hundreds of instances many tenants' first request of the day. It fills from the instance's start.
+/// A tenant's share of a ceiling filled only from its first request on, which was refused for that:
+/// with hundreds of instances many tenants' first request of the day. It fills from the instance's
+/// start.
 #[test]
 fn a_share_of_a_ceiling_fills_from_the_instances_start() {
     let mut fleet = Fleet::of(settings(40, false, 1.5));
@@ -309,8 +312,9 @@
     );
 }
 
-/// Datagrams that no instance writes: cut short, too long, of unknown kinds, absurd, from nobody, or naming a
-/// tenant with another plan. None may panic, be answered, or take anything from a real tenant.
+/// Datagrams that no instance writes: cut short, too long, of unknown kinds, absurd, from nobody,
+/// or naming a tenant with another plan. None may panic, be answered, or take anything from a real
+/// tenant.
 #[test_case(&[] ; "empty")]
 #[test_case(&[9; 17] ; "unknown kind")]
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0] ; "one byte short")]
@@ -347,7 +351,8 @@
     );
 }
 
-/// A quota request that comes twice is one: its units are taken once, and the second is answered as the first.
+/// A quota request that comes twice is one: its units are taken once, and the second is answered as
+/// the first.
 #[test]
 fn a_quota_request_sent_twice_takes_its_units_once() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
@@ -374,8 +379,8 @@
     assert_eq!(fleet.mail.pop(), Some((3, 8, vec![3, 0, 2, 3, 0, 0])));
 }
 
-/// A few instances that see their tenants often need no owner, and where datagrams are not allowed none is
-/// sent.
+/// A few instances that see their tenants often need no owner, and where datagrams are not allowed
+/// none is sent.
 #[test_case(4, true ; "a small fleet")]
 #[test_case(40, false ; "datagrams not allowed")]
 fn no_datagrams_where_none_is_needed_or_allowed(instances: u32, may_tell: bool) {
@@ -388,9 +393,9 @@
     assert!(!fleet.granted.is_empty());
 }
 
-/// Rule 3 over a whole fleet: six in ten servers are told to drain, in steps, while every instance has requests
-/// in hand, some still waiting for an owner's reply. None goes to a server that its instance knows to drain, and
-/// the new ones are used.
+/// Rule 3 over a whole fleet: six in ten servers are told to drain, in steps, while every instance
+/// has requests in hand, some still waiting for an owner's reply. None goes to a server that its
+/// instance knows to drain, and the new ones are used.
 #[test]
 fn six_in_ten_servers_replaced_get_nothing_new_from_any_instance() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
@@ -448,9 +453,9 @@
     );
 }
 
-/// Forty instances through which one tenant asks for twenty times its quota for 60 s while the counter says
-/// nothing; granted over quota. `kill`: all are killed and start again from nothing each time so long has
-/// passed.
+/// Forty instances through which one tenant asks for twenty times its quota for 60 s while the
+/// counter says nothing; granted over quota. `kill`: all are killed and start again from nothing
+/// each time so long has passed.
 fn played(hears: fn(Millis, usize, usize) -> bool, lose: usize, kill: Option<Millis>) -> f64 {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     (fleet.hears, fleet.lose) = (hears, lose);
@@ -476,9 +481,10 @@
     over
 }
 
-/// In a partition each side's owner went by the whole quota: 2.41 of it in halves, 2.62 in quarters, 2.79 in
-/// halves that change, 1.90 with a tenth that is not heard. However links are cut, nobody spends now what it was not given; what is
-/// held by instances that can't give it waits until it comes to a whole request.
+/// In a partition each side's owner went by the whole quota: 2.41 of it in halves, 2.62 in
+/// quarters, 2.79 in halves that change, 1.90 with a tenth that is not heard. However links are
+/// cut, nobody spends now what it was not given; what is held by instances that can't give it waits
+/// until it comes to a whole request.
 #[test_case(|_, _, _| true, 0, None, 0.93 ; "whole")]
 #[test_case(|_, _, _| true, 9, None, 0.85 ; "one datagram in nine is lost")]
 #[test_case(|_, a, b| a / 20 == b / 20, 0, None, 0.9 ; "halves")]
@@ -507,8 +513,8 @@
     (a + turn * 7) % 40 / 20 == (b + turn * 7) % 40 / 20
 }
 
-/// A quota whose even shares are whole requests (burst 80): each instance alone goes by its even share, and no more is
-/// granted than the quota however links are cut.
+/// A quota whose even shares are whole requests (burst 80): each instance alone goes by its even
+/// share, and no more is granted than the quota however links are cut.
 #[test_case(|_, _, _| true, 0.93 ; "whole")]
 #[test_case(|_, a, b| a / 20 == b / 20, 0.85 ; "halves")]
 #[test_case(|_, _, _| false, 0.85 ; "every instance alone")]
@@ -534,8 +540,8 @@
     );
 }
 
-/// All of a tenant's traffic through one instance: what the idle ones hold is fetched for it, and the owner
-/// that was cut off from it is replaced by the next.
+/// All of a tenant's traffic through one instance: what the idle ones hold is fetched for it, and
+/// the owner that was cut off from it is replaced by the next.
 #[test]
 fn idle_instances_shares_go_to_where_the_traffic_is() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
@@ -598,8 +604,9 @@
     assert_eq!(granted(&mut fleet, 40), 1);
 }
 
-/// Instances of the version before token transfers beside this one: their quota requests are understood, their returns,
-/// which could come twice, are not taken, and they drop the kinds of messages that they do not know.
+/// Instances of the version before token transfers beside this one: their quota requests are
+/// understood, their returns, which could come twice, are not taken, and they drop the kinds of
+/// messages that they do not know.
 #[test]
 fn messages_of_the_version_before_are_understood_or_ignored() {
     let old = [1, 0, 9, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -1,10 +1,10 @@
-//! Long drawn runs of the decision engine, pinned action by action: what a run decided at the commit that recorded
-//! it, it decides today, to the last bit of each number.
+//! Long drawn runs of the decision engine, pinned action by action: what a run decided at the
+//! commit that recorded it, it decides today, to the last bit of each number.
 //!
-//! `fixtures/recorded_runs.txt` holds a line for each second of each run: how many actions of each kind, and a
-//! digest of all their numbers. The first second that differs is where behaviour has changed. The text of
-//! actions is left out of the digest, the numbers in it are not wire formats. Only a wanted change of decisions may
-//! change the fixture; its commit says which.
+//! `fixtures/recorded_runs.txt` holds a line for each second of each run: how many actions of each
+//! kind, and a digest of all their numbers. The first second that differs is where behaviour has
+//! changed. The text of actions is left out of the digest, the numbers in it are not wire formats.
+//! Only a wanted change of decisions may change the fixture; its commit says which.
 
 use aspendrum_core::api::{
     Action, Event, GroupSettings, Health, ListKind, LoadReport, LoadReportChannel, LoadValue,
@@ -822,8 +822,8 @@
     }
 }
 
-/// One instance of a large fleet's settings, driven hard: without a counter, with reports by probes, no advice and no
-/// cancels.
+/// One instance of a large fleet's settings, driven hard: without a counter, with reports by
+/// probes, no advice and no cancels.
 fn no_counter() -> Script {
     let settings = Settings {
         instances: 1,
@@ -854,7 +854,8 @@
     }
 }
 
-/// Two instances whose servers are slow and busy, with more requests than they can take, many beyond their quota.
+/// Two instances whose servers are slow and busy, with more requests than they can take, many
+/// beyond their quota.
 fn overload() -> Script {
     Script {
         settings: Settings {
@@ -904,7 +905,8 @@
     }
 }
 
-/// A hundred instances that jam a few slow servers, of which some have just started, without quotas.
+/// A hundred instances that jam a few slow servers, of which some have just started, without
+/// quotas.
 fn crowd() -> Script {
     Script {
         settings: Settings {
@@ -930,7 +932,8 @@
     }
 }
 
-/// Instances that speak to each other: the owner of a tenant's quota is asked, units are lent, links are cut.
+/// Instances that speak to each other: the owner of a tenant's quota is asked, units are lent,
+/// links are cut.
 fn large_fleet(counter: fn(u64) -> Counter) -> Script {
     let settings = Settings {
         instances: 40,
--- a/crates/aspendrum-core/tests/settings.rs
+++ b/crates/aspendrum-core/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Each key of the settings, as `fixtures/settings.txt` gives it one value, and what is read from it.
+//! Each key of the settings, as `fixtures/settings.txt` gives it one value, and what is read from
+//! it.
 
 use aspendrum_core::api::{
     GroupSettings, LoadReportChannel, LoadValue, PlanSettings, RepeatGroup, Semantics, Settings,
--- a/crates/aspendrum-simulator-adapter/src/batch.rs
+++ b/crates/aspendrum-simulator-adapter/src/batch.rs
@@ -82,7 +82,8 @@
         self.records.len() / RECORD_BYTES
     }
 
-    /// Reads the record of that number, which must be below [`Batch::count`]. A list of servers is put into `servers`.
+    /// Reads the record of that number, which must be below [`Batch::count`]. A list of servers is
+    /// put into `servers`.
     pub fn record<'b>(
         &'b self,
         index: usize,
--- a/crates/aspendrum-simulator-adapter/src/lib.rs
+++ b/crates/aspendrum-simulator-adapter/src/lib.rs
@@ -1,4 +1,5 @@
-//! The adapter between the simulator's frames and the decision engine. It translates and decides nothing.
+//! The adapter between the simulator's frames and the decision engine. It translates and decides
+//! nothing.
 
 pub mod adapter;
 pub mod batch;
--- a/crates/aspendrum-simulator-adapter/src/main.rs
+++ b/crates/aspendrum-simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Reads frames from standard input, hands each event to its instance, and writes one reply a frame.
+//! Reads frames from standard input, hands each event to its instance, and writes one reply a
+//! frame.
 
 use aspendrum_simulator_adapter::adapter::Adapter;
 use std::io::{self, Read, Write};
@@ -30,8 +31,8 @@
     Ok(())
 }
 
-/// Reads a frame in place of what the buffer holds; false at the input's end. The buffer grows by what really arrives,
-/// never by what the frame says of its length.
+/// Reads a frame in place of what the buffer holds; false at the input's end. The buffer grows by
+/// what really arrives, never by what the frame says of its length.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, String> {
     frame.clear();
     read_up_to(input, PREFIX_BYTES as u64, frame)?;
