--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -164,7 +164,7 @@
         let last = tenant.spare_grant;
         let is_refilled = last.counter_heard_at.is_none() || self.now - last.at >= refill;
         let is_unused = last.counter_heard_at != self.counter_heard_at && is_refilled;
-        let is_allowed = limits.even_shares == 0 && self.counter_heard_at.is_some() && is_unused;
+        let is_allowed = is_held_by_owners(limits) && self.counter_heard_at.is_some() && is_unused;
         is_allowed && tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now)
     }
 
@@ -175,20 +175,36 @@
         if self.now - tenant.owned_at > OWNERSHIP_TIME {
             return;
         }
-        // A thin quota is all with the owners.
-        let is_thin = limits.even_shares == 0;
-        let holders = if is_thin {
-            u64::from(OWNERS)
-        } else {
-            limits.limiters
-        };
+        let holders = token_holders(limits);
         let interval =
             (limits.fill_time() as f64 / holders as f64).max(self.params.token_request_interval);
-        let cursor = tenant.token_request;
-        let due = ((self.now - cursor.asked_at) / interval).min(MAX_TOKEN_REQUESTS) as usize;
+        let since_last = self.now - tenant.token_request.asked_at;
+        let due = (since_last / interval).min(MAX_TOKEN_REQUESTS) as usize;
         if due == 0 {
             return;
         }
+        let asked = self.next_token_holders(index, limits, due);
+        if let Some((last, _)) = asked.last() {
+            let cursor = &mut self.tenants[index].token_request;
+            cursor.next = (last + 1) % holders;
+            cursor.asked_at = self.now;
+        }
+        let key = self.tenant_key(index);
+        for (_, peer) in asked {
+            self.send_to_peer(peer, PeerMessage::TokenRequest { key });
+        }
+    }
+
+    /// The next instances to ask for tokens, `count` at most, each with its number in the turn: those other than this one
+    /// from which no tokens have come lately.
+    fn next_token_holders(
+        &self,
+        index: usize,
+        limits: &BucketLimits,
+        count: usize,
+    ) -> Vec<(u64, u16)> {
+        let tenant = &self.tenants[index];
+        let holders = token_holders(limits);
         let mut owners = [0; OWNERS as usize];
         owners
             .iter_mut()
@@ -196,32 +212,23 @@
             .for_each(|(place, owner)| *place = owner);
         let holder = |number: u64| {
             let number = (number % holders) as usize;
-            if is_thin {
+            if is_held_by_owners(limits) {
                 owners[number]
             } else {
                 ((tenant.first_instance + number as f64) % self.params.instances) as u16
             }
         };
         let now = self.now as u64;
-        let may_hold = |number: &u64| {
-            let peer = holder(*number);
+        let may_hold = |peer: u16| {
             peer != self.params.instance
                 && !tenant.token_bucket.received_recently(limits, peer, now)
         };
-        let asked: Vec<u64> = (cursor.next..cursor.next + holders)
-            .filter(may_hold)
-            .take(due)
-            .collect();
-        let peers: Vec<u16> = asked.iter().map(|number| holder(*number)).collect();
-        if let Some(last) = asked.last() {
-            let cursor = &mut self.tenants[index].token_request;
-            cursor.next = (last + 1) % holders;
-            cursor.asked_at = self.now;
-        }
-        let key = self.tenant_key(index);
-        for peer in peers {
-            self.send_to_peer(peer, PeerMessage::TokenRequest { key });
-        }
+        let first = tenant.token_request.next;
+        (first..first + holders)
+            .map(|number| (number, holder(number)))
+            .filter(|(_, peer)| may_hold(*peer))
+            .take(count)
+            .collect()
     }
 
     /// An owner asks for the tokens held here.
@@ -276,3 +283,17 @@
         now.wrapping_add_signed(i64::from(since))
     }
 }
+
+/// Whether the quota is too small to be divided, so that its owners alone hold tokens.
+fn is_held_by_owners(limits: &BucketLimits) -> bool {
+    limits.even_shares == 0
+}
+
+/// How many instances of the tenant's set may hold tokens.
+fn token_holders(limits: &BucketLimits) -> u64 {
+    if is_held_by_owners(limits) {
+        u64::from(OWNERS)
+    } else {
+        limits.limiters
+    }
+}
