--- a/crates/aspendrum-core/src/api/event.rs
+++ b/crates/aspendrum-core/src/api/event.rs
@@ -1,4 +1,4 @@
-//! Events: the input of the engine.
+//! Events: the engine's input.
 
 use super::{ListKind, LoadReport, Millis, RequestId, ServerEntry, ServerId, TenantId};
 
--- a/crates/aspendrum-core/src/state/server.rs
+++ b/crates/aspendrum-core/src/state/server.rs
@@ -8,13 +8,13 @@
     /// It gets as many requests as its concurrency limit allows.
     #[default]
     Healthy,
-    /// It gets probes alone.
+    /// It gets only probes.
     Ejected,
     /// It gets one request at a time, to prove that it works.
     Probation,
 }
 
-/// What tells of a server's health.
+/// An observation of a server's health.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum HealthSample {
     /// A request succeeded.
--- a/crates/aspendrum-core/src/state/tenant.rs
+++ b/crates/aspendrum-core/src/state/tenant.rs
@@ -31,13 +31,13 @@
     pub(crate) refilled_at: Millis,
 }
 
-/// A grant that the shared counter has not counted.
+/// A grant that has not been added to the shared counter.
 pub(crate) struct LoggedGrant {
     pub(crate) at: Millis,
     pub(crate) units: f64,
 }
 
-/// A request admitted without tokens while the counter was unreachable.
+/// A request let through while the counter was silent, though nothing was in hand.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SpareGrant {
     /// The counter's last sign of life before the grant.
@@ -106,7 +106,7 @@
 }
 
 impl Tenant {
-    /// Logs a grant that is to be replayed to the counter later, and forgets those that have left the window.
+    /// Logs a grant to be replayed to the counter, and drops those that have left the window.
     pub(crate) fn log_grant(&mut self, units: f64, window: Millis, now: Millis) {
         self.grant_log.push_back(LoggedGrant { at: now, units });
         while self
