--- a/crates/aspendrum-consensus/src/acceptor.rs
+++ b/crates/aspendrum-consensus/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! The acceptor of single-decree Paxos (Lamport, "Paxos Made Simple", 2001). What the value is about, who the acceptors
-//! are and how many of them form a quorum is the caller's concern.
+//! The acceptor of single-decree Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2). The type of the value, the
+//! set of acceptors and the size of a quorum are the caller's concern.
 
 use crate::ballot::Ballot;
 use derive_more::{Display, Error};
--- a/crates/aspendrum-consensus/src/ballot.rs
+++ b/crates/aspendrum-consensus/src/ballot.rs
@@ -5,8 +5,8 @@
 
 /// The number of a proposal. Ordered by the counter first; node and incarnation make it unique.
 ///
-/// Invariant: no two incarnations of any node share a ballot, so a promise that was made to an earlier incarnation says
-/// nothing to a later one, which has forgotten what it proposed.
+/// Invariant: no two incarnations of any node share a ballot. A restarted node has forgotten what it proposed, and must
+/// not count promises that were made to its earlier incarnation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -32,7 +32,7 @@
 /// Hands out the ballots of one incarnation of a node, each above all that were observed.
 #[derive(Debug)]
 pub(crate) struct BallotGenerator {
-    /// Names the node and the incarnation.
+    /// Carries the node and the incarnation of each ballot; its counter is not used.
     own: Ballot,
     highest_observed: Ballot,
 }
--- a/crates/aspendrum-consensus/src/effect.rs
+++ b/crates/aspendrum-consensus/src/effect.rs
@@ -12,13 +12,13 @@
 pub enum Outcome {
     /// A majority of disks holds what the command changed. Carries everything that is known to be committed.
     Committed(Box<ReplicatedState>),
-    /// Another text was decided for the version: this one is in force nowhere and never will be.
+    /// Another text was decided for the version, so the command's text will never be in force on any node.
     VersionConflict,
     /// No majority answered in time. The command may still take effect.
     NoQuorum,
 }
 
-/// What the caller is to do, in this order.
+/// An action that the caller has to carry out. Effects must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Write the state to the disk and sync it before any effect that follows, of this call or a later one.
@@ -27,12 +27,12 @@
     Send {
         /// The receiver.
         to: NodeId,
-        /// What it is sent.
+        /// The message.
         message: Message,
     },
-    /// Report the outcome of a command to whoever gave it.
+    /// Report the outcome of a command to the caller that submitted it.
     Completed {
-        /// Of the command.
+        /// The id under which the command was submitted.
         command_id: CommandId,
         /// How it ended.
         outcome: Outcome,
--- a/crates/aspendrum-consensus/src/lib.rs
+++ b/crates/aspendrum-consensus/src/lib.rs
@@ -11,8 +11,31 @@
 //!   the old ones acknowledged before they answer anything (as in Lamport, Malkhi and Zhou, "Vertical Paxos and
 //!   Primary-Backup Replication", 2009, without the master that decides on configurations there).
 //!
-//! The crate does no I/O and reads no clock. The caller passes each message and each tick with its time to a
-//! [`Replica`], and carries out the [`Effect`]s that come back, in their order.
+//! # How it works
+//!
+//! The crate does no I/O and reads no clock. Each control node owns one [`Replica`]. The caller passes it every message
+//! that arrives ([`Replica::step`]), every command of an operator ([`Replica::submit`]) and, several times a second,
+//! the time ([`Replica::tick`]). Each call returns [`Effect`]s, which the caller carries out in their order: write
+//! [`DurableState`] to the disk and sync it, send a [`Message`], report the [`Outcome`] of a command.
+//!
+//! A command goes to one of two proposing parts. [`Command::SetConfig`] starts a Paxos proposer for its version.
+//! [`Command::SetEvacuation`] and [`Command::Read`] start an operation on the registers. Either part sends requests to
+//! the voters, the sender's own node included; each voter changes its durable state and replies once the change is
+//! synced; the part counts the replies and ends the command when a majority has answered.
+//!
+//! Every request carries the number of the sender's epoch, and a voter answers only requests of its own epoch. So once
+//! a majority of the voters has entered the next epoch, no command can be acknowledged in the former one.
+//!
+//! # Order of reading
+//!
+//! 1. `node`, [`membership`] and [`ballot`]: identities, voters and epochs, proposal numbers.
+//! 2. [`replicated_state`], [`versions`] and [`state`]: what is replicated, and what one node keeps on its disk.
+//! 3. [`message`] and `effect`: the inputs and outputs.
+//! 4. [`acceptor`], `proposer` and `voter`: Paxos, and how a voter answers requests.
+//! 5. `replica_core`, then `version_proposal`, `quorum_operation`, `membership_change` and `state_transfer`: the parts
+//!    of a replica.
+//! 6. [`replica`]: composes the parts. [`membership_planner`]: decides when to propose other voters; the caller runs
+//!    it.
 
 pub mod acceptor;
 pub mod ballot;
@@ -28,7 +51,7 @@
 mod effect;
 mod membership_change;
 mod proposer;
-mod quorum_read;
+mod quorum_operation;
 mod replica_core;
 mod state_transfer;
 mod version_proposal;
--- a/crates/aspendrum-consensus/src/membership.rs
+++ b/crates/aspendrum-consensus/src/membership.rs
@@ -8,11 +8,11 @@
 /// The identity of a disk, drawn at random when it is first used.
 pub type DiskId = u64;
 
-/// Stands for the disk that a node had at the first start of the whole system, when the disks' ids were not known to
-/// each other. Also what a node without a usable disk reports.
+/// Among the [`Voters`] of an epoch: the disk that a node had at the first start of the whole system, when the nodes
+/// did not know each other's disk ids yet. In a node's status: the node has no usable disk.
 pub const FOUNDING_DISK: DiskId = 0;
 
-/// How many voters leave a majority when so many disks are lost at once.
+/// How many voters are needed so that a majority remains after the loss of `losses` disks at once.
 pub fn voters_tolerating(losses: usize) -> usize {
     2 * losses + 1
 }
@@ -22,22 +22,22 @@
 pub struct Voters(pub BTreeMap<NodeId, DiskId>);
 
 impl Voters {
-    /// Nodes whose disks' ids are not known yet.
+    /// The voters of the founding epoch: `nodes`, whose disk ids are not known yet.
     pub fn founding(nodes: &[NodeId]) -> Voters {
         Voters(nodes.iter().map(|node| (*node, FOUNDING_DISK)).collect())
     }
 
-    /// How many there are.
+    /// The number of voters.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none: the epoch is not known.
+    /// Whether there are no voters, which means that the epoch is not known.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// How many voters form a majority.
+    /// The number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.0.len() / 2 + 1
     }
@@ -47,12 +47,13 @@
         self.0.keys().copied()
     }
 
-    /// Whether some disk of that node votes.
+    /// Whether `node` is a voter, with whichever disk.
     pub fn contains_node(&self, node: NodeId) -> bool {
         self.0.contains_key(&node)
     }
 
-    /// Whether that disk of that node votes. `is_founding_disk`: the node has had it since the system's first start.
+    /// Whether `node` with `disk` is a voter. `is_founding_disk`: the node has had this disk since the system's first
+    /// start.
     pub fn contains_disk(&self, node: NodeId, disk: DiskId, is_founding_disk: bool) -> bool {
         match self.0.get(&node) {
             Some(&FOUNDING_DISK) => is_founding_disk,
@@ -100,7 +101,7 @@
         self.number > other.number || (other.voters.is_empty() && !self.voters.is_empty())
     }
 
-    /// Whether its voters take commands: those of the founding epoch only decide the next one.
+    /// Whether the epoch's voters take commands. Those of the founding epoch only decide the next epoch.
     pub fn takes_commands(&self) -> bool {
         self.number > 0
     }
--- a/crates/aspendrum-consensus/src/membership_change.rs
+++ b/crates/aspendrum-consensus/src/membership_change.rs
@@ -7,8 +7,8 @@
 use crate::proposer::{Phase, Proposer};
 use crate::replica_core::{ReplicaCore, COMMAND_TIMEOUT, RESEND_AFTER};
 
-/// After how long a set of voters that this node accepted and that is not decided yet is proposed by this node. Left
-/// alone it would be taken up by a much later change, when its nodes may be gone.
+/// How long a set of voters that this node accepted may stay undecided before this node proposes it itself. Otherwise
+/// Paxos would make a much later change adopt this set, when its nodes may be gone.
 const COMPLETE_AFTER: Millis = COMMAND_TIMEOUT;
 
 /// A ballot under which this node accepted voters of the next epoch, and when that was first noticed.
@@ -109,7 +109,8 @@
         ballot: Ballot,
         answer: SuccessorAnswer,
     ) -> Option<Epoch> {
-        let (voters, quorum) = (core.voter_count(), core.quorum());
+        let voter_count = core.voter_count();
+        let quorum = core.quorum();
         let retry_at = core.draw_retry_time();
         let proposer = self.proposer.as_mut().filter(|p| p.ballot() == ballot)?;
         match answer {
@@ -124,7 +125,7 @@
                 is_decided.then(|| core.durable.epoch.next(proposer.value().clone()))
             }
             SuccessorAnswer::Preempted(by) => {
-                proposer.on_preempted(from, voters, quorum, retry_at);
+                proposer.on_preempted(from, voter_count, quorum, retry_at);
                 core.ballots.observe(by);
                 None
             }
--- a/crates/aspendrum-consensus/src/membership_planner.rs
+++ b/crates/aspendrum-consensus/src/membership_planner.rs
@@ -1,31 +1,32 @@
-//! When the voters are to change, and to whom: a decision that every voter takes by itself. That one set is decided in
-//! the end is the concern of Paxos; here turns keep the voters from preempting each other.
+//! Plans changes of the voters. Every voter plans by itself, from what it knows of the other nodes; Paxos makes sure
+//! that a single set is decided. Voters propose in turn, so that they do not preempt each other.
 
 use crate::membership::{voters_tolerating, DiskId, Epoch, Voters, FOUNDING_DISK};
 use crate::node::{Millis, NodeId};
 use std::collections::BTreeMap;
 
-/// The first voters are chosen once all seeds and as many nodes as must vote are there, or after this time.
+/// The first voters are chosen once all seeds and [`MembershipPolicy::voters`] nodes are up, or after this time.
 const MAX_FOUNDING_WAIT: Millis = 2500.0;
 /// Voters propose one after another, this far apart.
 const PROPOSAL_TURN: Millis = 300.0;
-/// How long a missing voter is waited for, as a share of the time within which its successor must count.
+/// After which share of the sync time a silent voter is replaced. The rest is left for the change of the voters and the
+/// transfer of the state.
 const REPLACE_SHARE: f64 = 0.4;
-/// No node counts as missing sooner: heartbeats come each half second.
+/// No voter counts as lost before this time without contact: three heartbeats, one each half second, may be missed.
 const MIN_REPLACE_AFTER: Millis = 1600.0;
-/// A node that was not heard of for so long is not chosen as a voter.
+/// A node without contact for this time is not chosen as a voter.
 const CANDIDATE_TIMEOUT: Millis = 1000.0;
 
-/// What is known of a control node.
+/// What this node knows of a control node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeStatus {
-    /// The disk that it may vote with; [`FOUNDING_DISK`] if it has none.
+    /// The disk that the node may vote with; [`FOUNDING_DISK`] if it has none.
     pub disk: DiskId,
-    /// The zone that it runs in.
+    /// The zone that the node runs in.
     pub zone: String,
-    /// Time since it was heard of last.
+    /// The time since the last message from the node.
     pub time_since_contact: Millis,
-    /// It is shutting down.
+    /// Whether the node is shutting down.
     pub is_leaving: bool,
 }
 
@@ -44,9 +45,9 @@
 /// The requirements of a deployment that the choice of voters rests on.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipPolicy {
-    /// How many nodes are to vote.
+    /// The number of nodes that should vote.
     pub voters: usize,
-    /// A voter that was silent for so long is replaced by a standby.
+    /// A voter without contact for this time is replaced by a standby.
     pub replace_after: Millis,
 }
 
@@ -60,10 +61,10 @@
     }
 }
 
-/// Voters that this node finds should be proposed.
+/// A change of the voters that this node has found due.
 #[derive(Debug)]
 struct PlannedChange {
-    /// The epoch that they are to follow.
+    /// The number of the epoch whose voters would change.
     epoch: u32,
     voters: Voters,
     since: Millis,
@@ -89,8 +90,8 @@
         }
     }
 
-    /// The voters that this node is to propose now. `nodes`: all control nodes that were ever heard of, this one among
-    /// them.
+    /// The voters that this node should propose now, if any. `nodes`: all control nodes that this node ever heard of,
+    /// itself included.
     pub fn due_change(
         &mut self,
         now: Millis,
@@ -118,7 +119,7 @@
         (now - since >= PROPOSAL_TURN * position as Millis).then_some(voters)
     }
 
-    /// How many voters propose before this one. None: this node does not vote.
+    /// The number of voters whose turn to propose comes before this node's; none if this node does not vote.
     fn proposal_position(
         &self,
         voters: &Voters,
@@ -135,7 +136,7 @@
         able.position(|(node, _)| *node == self.local_node)
     }
 
-    /// The seeds that are there, and of the other nodes those whose zones have the fewest voters yet.
+    /// The seeds that are up, filled up to the wanted number with the nodes whose zones have the fewest voters.
     fn first_voters(
         &self,
         now: Millis,
@@ -145,8 +146,8 @@
         let able = |status: &&NodeStatus| status.may_become_voter();
         let disk_of = |seed: NodeId| nodes.get(&seed).filter(able).map(|status| status.disk);
         let able_count = nodes.values().filter(able).count();
-        let all_there = seeds.nodes().all(|seed| disk_of(seed).is_some());
-        let is_complete = all_there && able_count >= self.policy.voters;
+        let all_seeds_up = seeds.nodes().all(|seed| disk_of(seed).is_some());
+        let is_complete = all_seeds_up && able_count >= self.policy.voters;
         if !is_complete && now - self.started_at < MAX_FOUNDING_WAIT {
             return None;
         }
@@ -176,8 +177,9 @@
     Some((*node, status.disk))
 }
 
-/// The voters after one change, if one is due: a node that came back with another disk takes its own place; a missing
-/// voter is added; one that shuts down or was silent for long gives way to a standby.
+/// The voters after one change, if one is due. In this order: a voter that came back with another disk votes with that
+/// disk; a standby is added where voters are too few; a standby replaces a voter that shuts down or that has been
+/// without contact for [`MembershipPolicy::replace_after`].
 pub fn next_voters(
     voters: &Voters,
     nodes: &BTreeMap<NodeId, NodeStatus>,
@@ -204,7 +206,7 @@
     Some(next)
 }
 
-/// A voter that came back with another disk than it votes with, and that disk.
+/// A voter whose node came back with another disk, and that disk.
 fn find_replaced_disk(
     voters: &Voters,
     nodes: &BTreeMap<NodeId, NodeStatus>,
--- a/crates/aspendrum-consensus/src/message.rs
+++ b/crates/aspendrum-consensus/src/message.rs
@@ -11,27 +11,28 @@
 /// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// To a voter of that epoch, which replies only while it votes in it.
+    /// A request to a voter of `epoch`. A node that is in another epoch sends its own epoch back instead of replying.
     Request {
         /// The sender's epoch.
         epoch: u32,
-        /// What is asked.
+        /// The request.
         request: Request,
     },
     /// The answer to a request, given while the sender voted in that epoch.
     Reply {
         /// The epoch of the request.
         epoch: u32,
-        /// What was asked for.
+        /// The reply.
         reply: Reply,
     },
-    /// The newest epoch that the sender knows of, sent to whoever spoke in another.
+    /// The newest epoch that the sender knows of, sent to a node whose message named another epoch.
     Epoch(Box<Epoch>),
-    /// That epoch was decided: the receiver closes the one before for ever and sends what it holds.
+    /// `epoch` was decided: the receiver enters it, never again replies in an earlier epoch, and sends its state in
+    /// [`Message::Sealed`].
     Seal {
         /// The epoch that was decided.
         epoch: Box<Epoch>,
-        /// Of the sender's replicated state: a receiver with the same state need not send it.
+        /// The digest of the sender's replicated state: a receiver with the same state leaves it out of its answer.
         digest: u64,
     },
     /// The answer to a seal.
@@ -40,43 +41,43 @@
     Decided {
         /// The version.
         version: u32,
-        /// Of its text.
+        /// The digest of the decided text.
         digest: u64,
     },
-    /// A command was committed somewhere: the receiver may want to read soon.
+    /// Another node committed a command: the receiver should read soon, so that it does not serve an older state.
     CommitNotice,
 }
 
-/// What a node holds that has closed the epoch before `epoch`.
+/// The state of a node that has closed every epoch before `epoch`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SealReply {
     /// The number of the epoch that was decided.
     pub epoch: u32,
-    /// The sender was a voter of the epoch before.
+    /// Whether the sender was a voter of the epoch before `epoch`.
     pub was_voter: bool,
-    /// The sender has joined `epoch` already: it holds everything that was acknowledged before.
+    /// Whether the sender has joined `epoch` already, and so holds everything that was acknowledged before it began.
     pub has_joined: bool,
-    /// The sender's state; none if it is the asker's.
+    /// The sender's replicated state; none if its digest equals that of the seal.
     pub state: Option<ReplicatedState>,
     /// The sender's part in deciding configuration versions.
     pub versions: VersionTable,
 }
 
-/// What is asked of a voter.
+/// A request to a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// What do you hold?
+    /// Returns the voter's replicated state.
     Read {
-        /// Comes back with the reply.
+        /// Copied into the reply.
         request_id: u64,
-        /// Of the sender's state: the full state is sent back only if it differs.
+        /// The digest of the sender's replicated state: the reply carries the voter's state only if it differs.
         digest: u64,
     },
-    /// Store that state, merged into your own.
+    /// Merges `state` into the voter's durable state.
     Write {
-        /// Comes back with the reply.
+        /// Copied into the reply.
         request_id: u64,
-        /// What is to be stored.
+        /// The state to merge.
         state: Box<ReplicatedState>,
     },
     /// Phase 1 of deciding a configuration version.
@@ -109,54 +110,55 @@
     },
 }
 
-/// What a voter holds.
+/// A voter's answer to [`Request::Read`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReadReply {
-    /// Of the request.
+    /// The id of the request.
     pub request_id: u64,
-    /// Of the voter's state.
+    /// The digest of the voter's replicated state.
     pub digest: u64,
-    /// The voter's state; none if it is the asker's.
+    /// The voter's replicated state; none if its digest equals that of the request.
     pub state: Option<Box<ReplicatedState>>,
-    /// The highest version above the configuration in force that the voter has accepted and does not know to be decided.
+    /// The highest version above the configuration in force that the voter has accepted and does not know to be
+    /// decided.
     pub open: Option<Box<OpenVersion>>,
 }
 
 /// A voter's answer to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`Request::Read`].
+    /// Answers [`Request::Read`].
     Read(ReadReply),
-    /// To [`Request::Write`]: it is stored.
+    /// Answers [`Request::Write`] once the merged state is synced.
     Written {
-        /// Of the request.
+        /// The id of the request.
         request_id: u64,
     },
-    /// To [`Request::Prepare`] and [`Request::Accept`].
+    /// Answers [`Request::Prepare`] and [`Request::Accept`].
     Version {
-        /// Of the request.
+        /// The version that the request is about.
         version: u32,
-        /// Of the request.
+        /// The ballot of the request.
         ballot: Ballot,
         /// The acceptor's answer.
         answer: Box<VersionAnswer>,
     },
-    /// To [`Request::PrepareSuccessor`] and [`Request::AcceptSuccessor`].
+    /// Answers [`Request::PrepareSuccessor`] and [`Request::AcceptSuccessor`].
     Successor {
-        /// Of the request.
+        /// The ballot of the request.
         ballot: Ballot,
         /// The acceptor's answer.
         answer: SuccessorAnswer,
     },
 }
 
-/// A voter's answer to whoever proposes the voters of the next epoch.
+/// A voter's answer to a proposer of the next epoch's voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SuccessorAnswer {
-    /// Phase 1 is granted; what was accepted before.
+    /// Phase 1 is granted. Carries the proposal that the voter had accepted before, if any.
     Promised(Option<Accepted<Voters>>),
     /// Phase 2 is granted.
     Accepted,
-    /// That higher ballot was promised before.
+    /// The voter has promised this higher ballot before.
     Preempted(Ballot),
 }
--- a/crates/aspendrum-consensus/src/proposer.rs
+++ b/crates/aspendrum-consensus/src/proposer.rs
@@ -6,14 +6,14 @@
 use crate::node::{Millis, NodeId};
 use std::collections::BTreeSet;
 
-/// How far a proposal has come.
+/// The phase of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Phase {
     /// Phase 1: promises are collected.
     Preparing,
     /// Phase 2: acceptances are collected.
     Accepting,
-    /// Higher ballots have left no quorum for this one.
+    /// So many voters have promised higher ballots that the others form no quorum.
     BackedOff {
         /// When to try again.
         until: Millis,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Proposes the same value under another ballot, whoever the voters are now.
+    /// Proposes the same value under another ballot, from phase 1 on and without the answers received so far.
     pub(crate) fn restart(&mut self, ballot: Ballot, now: Millis) {
         *self = Proposer::new(ballot, self.value.clone(), now);
     }
@@ -77,7 +77,7 @@
         self.ballot
     }
 
-    /// What is to be accepted once a quorum has promised, and is decided once a quorum has accepted it.
+    /// The value that phase 2 asks the voters to accept. It is final once a quorum has promised.
     pub(crate) fn value(&self) -> &V {
         &self.value
     }
@@ -87,7 +87,7 @@
         !self.granted_by.contains(&voter)
     }
 
-    /// A voter promised and reported what it had accepted. True: a quorum has promised now, and phase 2 begins.
+    /// A voter promised and reported what it had accepted. Returns true if a quorum has promised now: phase 2 begins.
     pub(crate) fn on_promise(
         &mut self,
         from: NodeId,
@@ -111,7 +111,7 @@
         true
     }
 
-    /// A voter accepted the value. True: a quorum has, and the value is decided.
+    /// A voter accepted the value. Returns true if a quorum has accepted it: the value is decided.
     pub(crate) fn on_acceptance(&mut self, from: NodeId, quorum: usize) -> bool {
         if self.phase != Phase::Accepting {
             return false;
@@ -124,7 +124,7 @@
     pub(crate) fn on_preempted(
         &mut self,
         from: NodeId,
-        voters: usize,
+        voter_count: usize,
         quorum: usize,
         retry_at: Millis,
     ) {
@@ -132,7 +132,7 @@
             return;
         }
         self.preempted_by.insert(from);
-        if voters.saturating_sub(self.preempted_by.len()) < quorum {
+        if voter_count.saturating_sub(self.preempted_by.len()) < quorum {
             self.phase = Phase::BackedOff { until: retry_at };
         }
     }
--- a/crates/aspendrum-consensus/src/quorum_read.rs
+++ b/crates/aspendrum-consensus/src/quorum_operation.rs
@@ -1,9 +1,9 @@
-//! Reads, and writes about evacuations, of the replicated state, after Attiya, Bar-Noy and Dolev, "Sharing Memory
-//! Robustly in Message-Passing Systems" (1995): a majority is read, the answers are merged and the command is applied,
-//! and the result is written back to a majority unless all that answered hold it already.
+//! Operations on the replicated state by majorities: reads, and the commands about evacuations. After Attiya, Bar-Noy
+//! and Dolev, "Sharing Memory Robustly in Message-Passing Systems" (1995): the node reads a majority, merges the
+//! answers, applies the command, and writes the result back to a majority unless all that answered hold it already.
 //!
-//! Invariant: when an operation returns, a majority holds its result. Any later operation reads a majority too, which
-//! shares a voter with that one, and returns nothing older.
+//! Invariant: when an operation ends, a majority holds its result. Any later operation reads a majority, and any two
+//! majorities have a voter in common, so its result is never older (linearizability).
 
 use crate::effect::{CommandId, Outcome};
 use crate::message::{ReadReply, Request};
@@ -13,19 +13,20 @@
 use crate::versions::OpenVersion;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far an operation has come.
+/// The phase of an operation.
 enum Phase {
     /// A majority is read.
     Reading {
-        /// Who has answered, and the digest of what it holds.
+        /// The voters that have answered, and the digests of their states.
         digests: BTreeMap<NodeId, u64>,
     },
     /// The result is written back to a majority.
     Writing {
-        /// Who has stored it.
+        /// The voters that have stored the result.
         stored_by: BTreeSet<NodeId>,
     },
-    /// A version that may have been decided must be, before it can be told which configuration is in force.
+    /// Some voter has accepted a text for a version above the one in force, which may have been decided. The read ends
+    /// once it is known which text was: until then the configuration in force is uncertain.
     AwaitingDecision {
         /// The version.
         version: u32,
@@ -53,10 +54,11 @@
     last_sent_at: Millis,
     phase: Phase,
     command: Command,
+    /// None if no caller waits for the outcome.
     command_id: Option<CommandId>,
-    /// What was read, and then what is written.
+    /// The merged answers so far; after the read phase, the state that is written back.
     result: ReplicatedState,
-    /// The highest version that another node may have had decided.
+    /// The highest version that a voter reported as accepted but not known to be decided.
     open: Option<OpenVersion>,
 }
 
@@ -76,11 +78,11 @@
 
 /// All operations of this node that are under way, the oldest first.
 #[derive(Default)]
-pub(crate) struct QuorumReads {
+pub(crate) struct QuorumOperations {
     operations: Vec<QuorumOperation>,
 }
 
-impl QuorumReads {
+impl QuorumOperations {
     /// Begins an operation: a read, or a command about an evacuation.
     pub(crate) fn begin(
         &mut self,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// A voter told what it holds. Returns a version that must be decided before the operation can end.
+    /// A voter reported its state. Returns a version that must be decided before the operation can end.
     pub(crate) fn on_read_reply(
         &mut self,
         core: &mut ReplicaCore,
@@ -198,7 +200,7 @@
         let Phase::Reading { digests } = &operation.phase else {
             return None;
         };
-        // What all of a majority hold alike need not be written back.
+        // The write phase may be skipped: a majority holds the result already.
         if digests.values().all(|digest| *digest == result_digest) {
             return self.on_majority_holds_result(core, index);
         }
@@ -228,7 +230,8 @@
         self.on_majority_holds_result(core, index)
     }
 
-    /// All that a read may still wait for is a version that may have been decided.
+    /// Ends the operation, unless it is a read that found a version which may have been decided: such a version is
+    /// returned and must be decided first.
     fn on_majority_holds_result(
         &mut self,
         core: &mut ReplicaCore,
--- a/crates/aspendrum-consensus/src/replica.rs
+++ b/crates/aspendrum-consensus/src/replica.rs
@@ -1,7 +1,7 @@
 //! One node's replica. It composes the parts, each of which owns its state and returns what concerns the others:
-//! versions that are to be decided (`version_proposal`), reads and writes by majorities (`quorum_read`), the voters of
-//! the next epoch (`membership_change`), the take-over of an epoch's state (`state_transfer`) and the answers to other
-//! nodes' requests (`voter`).
+//! versions that are to be decided (`version_proposal`), reads and writes by majorities (`quorum_operation`), the
+//! voters of the next epoch (`membership_change`), the take-over of an epoch's state (`state_transfer`) and the answers
+//! to other nodes' requests (`voter`).
 
 use crate::acceptor::Acceptor;
 use crate::effect::{CommandId, Effect};
@@ -9,7 +9,7 @@
 use crate::membership_change::MembershipChange;
 use crate::message::{Message, Reply, Request};
 use crate::node::{Millis, NodeId};
-use crate::quorum_read::QuorumReads;
+use crate::quorum_operation::QuorumOperations;
 use crate::replica_core::ReplicaCore;
 use crate::replicated_state::{Command, ReplicatedState};
 use crate::state::DurableState;
@@ -37,7 +37,7 @@
 pub struct Replica {
     core: ReplicaCore,
     proposals: VersionProposals,
-    reads: QuorumReads,
+    operations: QuorumOperations,
     membership_change: MembershipChange,
     state_transfer: StateTransfer,
 }
@@ -62,7 +62,7 @@
         let replica = Replica {
             core: ReplicaCore::new(node, state, incarnation),
             proposals: VersionProposals::default(),
-            reads: QuorumReads::default(),
+            operations: QuorumOperations::default(),
             membership_change: MembershipChange::default(),
             state_transfer: StateTransfer::default(),
         };
@@ -74,14 +74,15 @@
         (replica, effects)
     }
 
-    /// Takes over what an earlier replica of this node knew of other nodes' disks.
+    /// Takes over what an earlier replica of this node knew to be committed, when a replica is replaced in the running
+    /// process.
     pub fn resume_from(&mut self, earlier: &Replica) {
         self.core.committed = earlier.core.committed.clone();
         self.core.committed_as_of = earlier.core.committed_as_of;
         self.core.now = earlier.core.now;
     }
 
-    /// The state that [`Effect::Persist`] is about.
+    /// The state that has to be written on [`Effect::Persist`].
     pub fn state(&self) -> &DurableState {
         &self.core.durable
     }
@@ -106,7 +107,7 @@
         self.core.is_voter()
     }
 
-    /// Whether it votes and holds everything that was acknowledged before its epoch began.
+    /// Whether this node votes and holds everything that was acknowledged before its epoch began.
     pub fn has_joined(&self) -> bool {
         self.core.has_joined()
     }
@@ -116,8 +117,8 @@
         self.membership_change.is_proposing()
     }
 
-    /// From now on it only asks: its disk cannot be written. What it reports then rests on other nodes' disks alone,
-    /// and [`Effect::Persist`] has no meaning.
+    /// Stops voting, as this node's disk cannot be written. The node still submits commands, whose outcomes then depend
+    /// on the other nodes' disks alone; the caller ignores [`Effect::Persist`].
     pub fn become_non_voting(&mut self) {
         self.core.is_non_voting = true;
     }
@@ -142,7 +143,7 @@
                     .propose(&mut self.core, version, text, command_id);
             }
             Command::SetEvacuation { .. } | Command::Read => {
-                self.reads.begin(&mut self.core, command, command_id);
+                self.operations.begin(&mut self.core, command, command_id);
             }
         }
         self.core.take_effects()
@@ -151,7 +152,7 @@
     /// Handles a message of another node, or of this one to itself.
     pub fn step(&mut self, now: Millis, from: NodeId, message: Message) -> Vec<Effect> {
         self.core.now = now;
-        // A process that was suspended must not go on with what nobody waits for any more.
+        // After a suspension of the process the message may answer an operation whose time-out has passed meanwhile.
         self.expire();
         self.handle(from, message);
         self.core.take_effects()
@@ -161,7 +162,7 @@
     pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
         self.core.now = now;
         self.expire();
-        self.reads.resend(&mut self.core);
+        self.operations.resend(&mut self.core);
         self.proposals.resend(&mut self.core);
         self.membership_change.complete_accepted(&mut self.core);
         self.membership_change.resend(&mut self.core);
@@ -169,15 +170,15 @@
         self.core.take_effects()
     }
 
-    /// Proposes the voters of the next epoch, unless this node does so already. Whoever else proposes, one set is
-    /// decided.
+    /// Proposes the voters of the next epoch, unless this node does so already. Paxos decides a single set, also when
+    /// several nodes propose.
     pub fn propose_voters(&mut self, now: Millis, voters: Voters) -> Vec<Effect> {
         self.core.now = now;
         self.membership_change.propose(&mut self.core, voters);
         self.core.take_effects()
     }
 
-    /// Another node has told which epoch it knows of.
+    /// Another node has reported the newest epoch that it knows of.
     pub fn observe_epoch(&mut self, now: Millis, from: NodeId, epoch: Epoch) -> Vec<Effect> {
         self.core.now = now;
         self.compare_epoch(from, epoch);
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Only answers of this epoch's voters count.
+    /// Ignores replies of another epoch, and of nodes that do not vote in this one.
     fn handle_reply(&mut self, from: NodeId, epoch: u32, reply: Reply) {
         let own_epoch = &self.core.durable.epoch;
         if epoch != own_epoch.number || !own_epoch.voters.contains_node(from) {
@@ -223,11 +224,13 @@
         }
         match reply {
             Reply::Read(reply) => {
-                let open = self.reads.on_read_reply(&mut self.core, from, reply);
+                let open = self.operations.on_read_reply(&mut self.core, from, reply);
                 self.complete_open_version(open);
             }
             Reply::Written { request_id } => {
-                let open = self.reads.on_write_reply(&mut self.core, from, request_id);
+                let open = self
+                    .operations
+                    .on_write_reply(&mut self.core, from, request_id);
                 self.complete_open_version(open);
             }
             Reply::Version {
@@ -254,13 +257,14 @@
     }
 
     fn expire(&mut self) {
-        let reads = &self.reads;
-        self.proposals
-            .expire(&mut self.core, |version| reads.awaits_decision_of(version));
-        self.reads.expire(&mut self.core);
+        let operations = &self.operations;
+        self.proposals.expire(&mut self.core, |version| {
+            operations.awaits_decision_of(version)
+        });
+        self.operations.expire(&mut self.core);
     }
 
-    /// A read found a version that may have been decided: it must be, before the read can end.
+    /// Completes a version that a read has found and that may have been decided: the read waits for the decision.
     fn complete_open_version(&mut self, open: Option<OpenVersion>) {
         if let Some(open) = open {
             self.proposals.complete(&mut self.core, open);
@@ -269,14 +273,14 @@
 
     fn on_version_closed(&mut self, closed: &ClosedVersion) {
         let core = &mut self.core;
-        self.reads
+        self.operations
             .on_version_closed(core, closed.version, closed.is_in_force);
         if closed.must_persist {
             core.push(Effect::Persist);
         }
     }
 
-    /// The newer of two epochs is the one that counts: enters the other node's, or sends it this node's.
+    /// Enters the other node's epoch if it is the newer one; sends this node's epoch if that is the newer one.
     fn compare_epoch(&mut self, from: NodeId, epoch: Epoch) {
         if epoch.supersedes(&self.core.durable.epoch) {
             self.enter_epoch(epoch);
@@ -285,13 +289,13 @@
         }
     }
 
-    /// Also sends an epoch without voters: a receiver that knows more answers with that.
+    /// Sends this node's epoch, even if it has no voters yet: a receiver in a newer epoch answers with that.
     fn send_epoch(&mut self, to: NodeId) {
         let epoch = Box::new(self.core.durable.epoch.clone());
         self.core.send(to, Message::Epoch(epoch));
     }
 
-    /// That epoch was decided: the one before is closed here.
+    /// Enters an epoch that was decided, which closes the one before on this node.
     fn enter_epoch(&mut self, epoch: Epoch) {
         let core = &mut self.core;
         core.durable.epoch = epoch;
@@ -302,10 +306,10 @@
         self.membership_change.abandon();
         self.state_transfer.begin(core);
         self.proposals.restart_all(core);
-        self.reads.restart_all(core);
+        self.operations.restart_all(core);
     }
 
-    /// This node had the next epoch decided: enters it and tells the voters of both epochs.
+    /// Enters an epoch that this node's proposal has decided, and sends it to the voters of both epochs.
     fn announce_epoch(&mut self, epoch: Epoch) {
         let voters = epoch.voters.nodes().chain(epoch.previous_voters.nodes());
         let others: Vec<NodeId> = voters.filter(|v| *v != self.core.local_node).collect();
--- a/crates/aspendrum-consensus/src/replica_core.rs
+++ b/crates/aspendrum-consensus/src/replica_core.rs
@@ -9,7 +9,7 @@
 use crate::state::DurableState;
 use fastrand::Rng;
 
-/// How long a command may take: an operator's call waits for a second.
+/// How long a command may take. Must be less than the second that an operator's call waits for.
 pub(crate) const COMMAND_TIMEOUT: Millis = 850.0;
 /// After how long an unanswered request is sent again: messages get lost when a connection breaks.
 pub(crate) const RESEND_AFTER: Millis = 150.0;
@@ -22,11 +22,11 @@
     pub(crate) durable: DurableState,
     /// What a majority of disks is known to hold.
     pub(crate) committed: ReplicatedState,
-    /// When the last read began that found nothing above `committed` at a majority.
+    /// When the latest of the completed reads began: `committed` contains everything acknowledged before that time.
     pub(crate) committed_as_of: Option<Millis>,
     /// The time of the call that is being handled.
     pub(crate) now: Millis,
-    /// Takes no part in any vote: its disk cannot be written.
+    /// Whether the node takes no part in any vote, as its disk cannot be written.
     pub(crate) is_non_voting: bool,
     pub(crate) ballots: BallotGenerator,
     last_request_id: u64,
@@ -60,7 +60,7 @@
         !self.is_non_voting && self.durable.is_voter_in(voters, self.local_node)
     }
 
-    /// Whether it votes and holds everything that was acknowledged before its epoch began.
+    /// Whether this node votes and holds everything that was acknowledged before its epoch began.
     pub(crate) fn has_joined(&self) -> bool {
         self.durable.has_joined && self.is_voter()
     }
@@ -110,7 +110,7 @@
         let epoch = self.durable.epoch.number;
         let voters = self.durable.epoch.voters.nodes();
         let mut receivers: Vec<NodeId> = voters.filter(|voter| wanted(*voter)).collect();
-        // The local disk last: the others work meanwhile.
+        // To itself last: the other voters sync their disks while this node syncs its own.
         receivers.sort_by_key(|voter| *voter == self.local_node);
         for to in receivers {
             let request = request.clone();
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Reports the outcome of a command, if somebody waits for it.
+    /// Reports the outcome of a command. `command_id`: none if no caller waits for the outcome.
     pub(crate) fn complete(&mut self, command_id: Option<CommandId>, outcome: Outcome) {
         let completed = |command_id| Effect::Completed {
             command_id,
@@ -127,12 +127,12 @@
         self.effects.extend(command_id.map(completed));
     }
 
-    /// The outcome of a command that a majority holds.
+    /// The outcome of a command whose effect a majority of disks holds.
     pub(crate) fn committed_outcome(&self) -> Outcome {
         Outcome::Committed(Box::new(self.committed.clone()))
     }
 
-    /// Takes in what another node holds.
+    /// Merges another node's state into the durable state.
     pub(crate) fn store(&mut self, state: &ReplicatedState) {
         if self.durable.replicated.merge(state) {
             let in_force = self.durable.replicated.config.version;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A majority of disks holds that state. It need not be on this node's disk.
+    /// Records that a majority of disks holds `state`, whether or not this node's disk is among them.
     pub(crate) fn commit(&mut self, state: &ReplicatedState) {
         let before = self.committed.digest();
         self.committed.merge(state);
--- a/crates/aspendrum-consensus/src/replicated_state.rs
+++ b/crates/aspendrum-consensus/src/replicated_state.rs
@@ -15,7 +15,7 @@
         version: u32,
         /// The compressed text.
         packed_text: Vec<u8>,
-        /// Of the text as it was sent, before compression.
+        /// The digest of the text as it was sent, before compression.
         digest: u64,
     },
     /// Begin or end the evacuation of a zone.
@@ -25,21 +25,21 @@
         /// Whether the zone is to be evacuated.
         evacuated: bool,
     },
-    /// Change nothing; find out what a majority holds.
+    /// Change nothing; return the state that a majority holds.
     Read,
 }
 
 /// The configuration with the highest version that was decided.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecidedConfig {
-    /// 0: none was decided yet.
+    /// The version that the operator gave it; 0 if no configuration was decided yet.
     pub version: u32,
     /// The compressed text.
     pub packed_text: Vec<u8>,
 }
 
 /// The last command about a zone's evacuation. Ordered by revision. Of two commands with one revision the end of the
-/// evacuation wins: sending traffic to a zone that could do without harms less than forgetting the zone for ever.
+/// evacuation wins: a zone that gets traffic too early does less harm than one that never gets any again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Evacuation {
     /// Counts the commands that changed this zone.
@@ -57,7 +57,7 @@
     pub zones: Vec<String>,
 }
 
-/// What operators have set.
+/// The state that operators' commands change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     /// The configuration in force.
@@ -67,7 +67,7 @@
 }
 
 impl ReplicatedState {
-    /// Takes in what `other` contains: the least upper bound of both. Returns whether anything changed.
+    /// Replaces this state by the least upper bound of itself and `other`. Returns whether that changed it.
     pub fn merge(&mut self, other: &ReplicatedState) -> bool {
         let before = self.clone();
         if other.config.version > self.config.version {
@@ -80,8 +80,8 @@
         *self != before
     }
 
-    /// Equal where the same commands have taken effect. Sent between replicas, so it must stay the same between
-    /// versions of this program.
+    /// A digest that is equal for equal states. Replicas of two versions of this program compare it, so the way it is
+    /// computed must not change.
     pub fn digest(&self) -> u64 {
         let mut bytes = Vec::new();
         bytes.extend_from_slice(&self.config.version.to_le_bytes());
@@ -103,11 +103,12 @@
         }
     }
 
-    /// Applies a command about a zone to what a majority was seen to hold. Other commands change nothing here.
+    /// Applies a command about a zone's evacuation. `self` must be the merged state of a majority. Other commands
+    /// change nothing.
     pub fn apply(&mut self, command: &Command) {
         if let Command::SetEvacuation { zone, evacuated } = command {
             let evacuation = self.evacuations.entry(zone.clone()).or_default();
-            // A command that is in force already is a retry of the one that brought it into force.
+            // A command that asks for what is so already may be a retry: it gets no revision of its own.
             if evacuation.revision == 0 || evacuation.ended == *evacuated {
                 *evacuation = Evacuation {
                     revision: evacuation.revision + 1,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The same state with a configuration that was decided, if that is newer.
+    /// This state with a decided configuration, if that has a higher version than the one contained.
     pub fn with_config(mut self, version: u32, packed_text: Vec<u8>) -> ReplicatedState {
         if version > self.config.version {
             self.config = DecidedConfig {
--- a/crates/aspendrum-consensus/src/state.rs
+++ b/crates/aspendrum-consensus/src/state.rs
@@ -7,7 +7,8 @@
 use crate::versions::VersionTable;
 use serde::{Deserialize, Serialize};
 
-/// Everything that a node must not forget. It sends nothing that rests on this state before the state is synced.
+/// Everything that a node must remember across restarts. A message that reveals a change of this state is sent only
+/// after the change is synced.
 /// Encoded with postcard on the disk: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DurableState {
@@ -19,7 +20,7 @@
     pub disk: DiskId,
     /// Whether the node has had this disk since the first start of the whole system.
     pub is_founding_disk: bool,
-    /// The newest epoch that is known to be decided. Every earlier one is closed on this node for ever.
+    /// The newest epoch that is known to be decided. The node never again replies in an earlier one.
     pub epoch: Epoch,
     /// Whether this disk votes in `epoch` and holds everything that was acknowledged before the epoch began.
     pub has_joined: bool,
@@ -48,7 +49,7 @@
         state
     }
 
-    /// A node that took part in the first start and knows of no epoch begins with the founding one.
+    /// Enters the founding epoch if the node took part in the first start and knows of no epoch yet.
     pub fn enter_founding_epoch(&mut self, node: NodeId, seeds: &[NodeId]) {
         if self.is_founding_disk && self.epoch.voters.is_empty() {
             self.epoch = Epoch::founding(seeds);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether this disk of `node` is one of these voters.
+    /// Whether `node` with this disk is one of `voters`.
     pub fn is_voter_in(&self, voters: &Voters, node: NodeId) -> bool {
         voters.contains_disk(node, self.disk, self.is_founding_disk)
     }
--- a/crates/aspendrum-consensus/src/state_transfer.rs
+++ b/crates/aspendrum-consensus/src/state_transfer.rs
@@ -1,10 +1,10 @@
-//! How an epoch takes over from the one before. A node that learns of an epoch closes the one before for ever: it
-//! answers nothing in it any more. A voter of the new epoch waits until a majority of the former voters has closed
-//! theirs and takes over what they hold, or everything that one node holds which has done so already. Only then it
-//! joins the epoch and answers.
+//! Transfers the state from one epoch to the next. A node that learns of an epoch closes the epoch before: it never
+//! again answers a request in it. A voter of the new epoch merges the states of a majority of the former voters that
+//! have closed the former epoch, or the state of one node that has joined the new epoch already. Only then does the
+//! voter join the new epoch and answer requests in it.
 //!
-//! Why nothing is lost: what was acknowledged in an epoch was stored by a majority of its voters before they closed it,
-//! and any majority that has closed it shares a voter with that one. This is the state transfer of Vertical Paxos
+//! No acknowledged command is lost: a majority of an epoch's voters stored it before they closed the epoch, and any two
+//! majorities of the same voters have a voter in common. This is the state transfer of Vertical Paxos
 //! (Lamport, Malkhi and Zhou, 2009) with a read quorum of the former configuration.
 
 use crate::effect::Effect;
@@ -13,16 +13,16 @@
 use crate::replica_core::{ReplicaCore, RESEND_AFTER};
 use std::collections::BTreeSet;
 
-/// What a voter of a new epoch has taken over so far.
+/// The progress of this node's state transfer into the current epoch.
 #[derive(Default)]
 pub(crate) struct StateTransfer {
-    /// Voters of the epoch before that have closed it and sent what they hold.
+    /// The former epoch's voters that have closed it and sent their state.
     closed_by: BTreeSet<NodeId>,
     last_sent_at: Millis,
 }
 
 impl StateTransfer {
-    /// A new epoch began: takes over the state of the one before, if this node votes.
+    /// Starts over for a new epoch, if this node votes in it.
     pub(crate) fn begin(&mut self, core: &mut ReplicaCore) {
         *self = StateTransfer::default();
         if core.is_voter() {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Asks all voters of both epochs that are still missing.
+    /// Sends a seal to those voters of both epochs that have not answered one.
     fn send_seals(&mut self, core: &mut ReplicaCore) {
         self.last_sent_at = core.now;
         let epoch = core.durable.epoch.clone();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A node has closed the epoch before and sent what it holds.
+    /// A node has closed the former epoch and sent its state.
     pub(crate) fn on_seal_reply(
         &mut self,
         core: &mut ReplicaCore,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Answers a voter that takes over the state of the epoch before `epoch`. `digest`: of the state that it holds.
+/// Answers a seal of `epoch`. `digest`: the digest of the sender's replicated state.
 pub(crate) fn answer_seal(core: &mut ReplicaCore, from: NodeId, epoch: u32, digest: u64) {
     let durable = &core.durable;
     if durable.epoch.number != epoch || core.is_non_voting {
--- a/crates/aspendrum-consensus/src/version_proposal.rs
+++ b/crates/aspendrum-consensus/src/version_proposal.rs
@@ -1,5 +1,5 @@
-//! Having the text of a configuration version decided: one Paxos proposer for each version, whichever commands of this
-//! node wait for it.
+//! Proposes the texts of configuration versions: this node runs one Paxos proposer for each undecided version, and all
+//! its commands for that version share it.
 
 use crate::acceptor::Accepted;
 use crate::ballot::Ballot;
@@ -14,7 +14,9 @@
 
 /// A command that waits for its version to be decided.
 struct PendingCommand {
+    /// None if no caller waits for the outcome.
     command_id: Option<CommandId>,
+    /// The digest of the text that the command proposed.
     digest: u64,
     started_at: Millis,
 }
@@ -25,13 +27,13 @@
     pending: Vec<PendingCommand>,
 }
 
-/// A version whose proposal has ended. The reads that wait for the version go on.
+/// A version whose proposal has ended. Reads that wait for the version can continue.
 pub(crate) struct ClosedVersion {
     pub(crate) version: u32,
-    /// The decided text is in force on this node, or superseded.
+    /// Whether the decided text is in force on this node, or superseded.
     pub(crate) is_in_force: bool,
-    /// The durable state has changed. It is persisted after the reads have gone on: they rest on a majority's disks and
-    /// need not wait for this one.
+    /// Whether the durable state has changed. It is persisted after the waiting reads have been completed: their result
+    /// is on a majority's disks already, so they need not wait for this disk.
     pub(crate) must_persist: bool,
 }
 
@@ -42,7 +44,8 @@
 }
 
 impl VersionProposals {
-    /// Has a text decided for its version, unless another one was.
+    /// Proposes a text for a version. The command ends at once if the version is known to be decided, and joins the
+    /// pending proposal if there is one.
     pub(crate) fn propose(
         &mut self,
         core: &mut ReplicaCore,
@@ -169,7 +172,8 @@
         ballot: Ballot,
         answer: VersionAnswer,
     ) -> Option<ClosedVersion> {
-        let (voters, quorum) = (core.voter_count(), core.quorum());
+        let voter_count = core.voter_count();
+        let quorum = core.quorum();
         let retry_at = core.draw_retry_time();
         let proposal = self.by_version.get_mut(&version);
         let proposal = proposal.filter(|p| p.proposer.ballot() == ballot)?;
@@ -187,7 +191,7 @@
                 Some(self.announce_decision(core, version, text))
             }
             VersionAnswer::Preempted(by) => {
-                proposer.on_preempted(from, voters, quorum, retry_at);
+                proposer.on_preempted(from, voter_count, quorum, retry_at);
                 core.ballots.observe(by);
                 None
             }
@@ -196,7 +200,7 @@
                 let text = own.packed.filter(|_| own.digest == digest);
                 Some(self.learn(core, version, digest, text))
             }
-            // The version was superseded long ago, by whatever text: the command would change nothing.
+            // The version was superseded long ago: whichever text was decided for it, the command would change nothing.
             VersionAnswer::Compacted => {
                 self.close(core, version, None);
                 Some(ClosedVersion {
@@ -208,7 +212,7 @@
         }
     }
 
-    /// A majority has accepted that text: it is decided for its version.
+    /// Announces to the other voters that a majority has accepted `text`, which decides the version.
     fn announce_decision(
         &mut self,
         core: &mut ReplicaCore,
@@ -222,8 +226,8 @@
         self.learn(core, version, digest, text.packed)
     }
 
-    /// Takes in a decision, whoever found out. `packed_text`: if it is at hand. Waiting commands end at once: their
-    /// outcome rests on a majority's disks, not on this node's.
+    /// Records a decision that this node or another one has found. `packed_text`: the decided text, if this node has
+    /// it. Waiting commands end at once: their outcome is on a majority's disks and need not wait for this node's.
     pub(crate) fn learn(
         &mut self,
         core: &mut ReplicaCore,
@@ -243,8 +247,8 @@
         }
     }
 
-    /// Ends all commands that waited for a version. `decided`: the digest of its text; none if the version was
-    /// superseded long ago.
+    /// Removes a version's proposal and ends the commands that waited for it. `decided`: the digest of the decided
+    /// text; none if the version was superseded so long ago that the decision is not remembered.
     fn close(&mut self, core: &mut ReplicaCore, version: u32, decided: Option<u64>) {
         let Some(proposal) = self.by_version.remove(&version) else {
             return;
@@ -255,7 +259,7 @@
     }
 }
 
-/// Puts a decision into the durable state. Returns whether that has changed.
+/// Records a decision in the durable state. Returns whether that changed it.
 fn record_decision(
     core: &mut ReplicaCore,
     version: u32,
@@ -276,7 +280,8 @@
     has_changed
 }
 
-/// Ends a command whose version is closed.
+/// Ends a command whose version is closed. `digest`: of the text that the command proposed. `decided`: the digest of
+/// the decided text, if it is remembered.
 fn complete_command(
     core: &mut ReplicaCore,
     command_id: Option<CommandId>,
--- a/crates/aspendrum-consensus/src/versions.rs
+++ b/crates/aspendrum-consensus/src/versions.rs
@@ -7,7 +7,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How many versions up to the one in force are remembered: more than two days of 440 changes each.
+/// How many versions up to the one in force are remembered, so that a retried command still gets its answer: more than
+/// two days at 440 configuration changes a day.
 pub const REMEMBERED_VERSIONS: usize = 1024;
 /// How many versions above the one in force may be undecided at once.
 pub const MAX_UNDECIDED: usize = 64;
@@ -15,7 +16,8 @@
 /// The text of a configuration, or only its digest once a higher version is in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigText {
-    /// Of the text as the operator sent it, however it is compressed.
+    /// The digest of the text as the operator sent it, before compression: the same text may be compressed differently
+    /// by two nodes.
     pub digest: u64,
     /// The compressed text.
     pub packed: Option<Vec<u8>>,
@@ -33,11 +35,11 @@
 /// An acceptor's answer to a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum VersionAnswer {
-    /// Phase 1 is granted; what was accepted before.
+    /// Phase 1 is granted. Carries the proposal that the voter had accepted before, if any.
     Promised(Option<Accepted<ConfigText>>),
     /// Phase 2 is granted.
     Accepted,
-    /// That higher ballot was promised before, or too many versions are undecided.
+    /// The acceptor has promised this higher ballot before, or [`MAX_UNDECIDED`] versions are undecided.
     Preempted(Ballot),
     /// The version is decided, on the text with that digest.
     Decided(u64),
@@ -198,7 +200,7 @@
         })
     }
 
-    /// A version came into force: texts up to it are not needed any more, the decisions on them are.
+    /// Drops the texts of all versions up to `in_force`, which are no longer needed, and keeps the decisions on them.
     pub fn discard_superseded_texts(&mut self, in_force: u32) {
         for (_, slot) in self.slots.range_mut(..=in_force) {
             if let Some(accepted) = &mut slot.acceptor.accepted {
@@ -219,7 +221,8 @@
         }
     }
 
-    /// Takes over what another node knows, as if this node had received its requests too.
+    /// Merges the other node's table into this one. This node then answers as if it had received the other's requests
+    /// too.
     pub fn merge(&mut self, other: &VersionTable) {
         self.compacted_up_to = self.compacted_up_to.max(other.compacted_up_to);
         for (version, theirs) in &other.slots {
--- a/crates/aspendrum-consensus/src/voter.rs
+++ b/crates/aspendrum-consensus/src/voter.rs
@@ -1,5 +1,5 @@
 //! How a voter answers the requests of its epoch: as a register that stores what it is sent (Attiya, Bar-Noy and Dolev,
-//! 1995) and as a Paxos acceptor. What an answer rests on is persisted before the answer is sent.
+//! 1995) and as a Paxos acceptor. A change that an answer reveals is persisted before the answer is sent.
 
 use crate::ballot::Ballot;
 use crate::effect::Effect;
@@ -9,7 +9,8 @@
 use crate::replicated_state::ReplicatedState;
 use crate::versions::{ConfigText, VersionAnswer};
 
-/// Answers a request of this node's own epoch. None: the node has not joined the epoch, or the epoch takes no commands.
+/// Answers a request of this node's own epoch. Returns none if the node has not joined the epoch, or if the request is
+/// about a command and the epoch takes none.
 pub(crate) fn answer(core: &mut ReplicaCore, request: Request) -> Option<Reply> {
     if !core.has_joined() {
         return None;
