--- a/crates/aspendrum-core/src/api/event.rs
+++ b/crates/aspendrum-core/src/api/event.rs
@@ -1,4 +1,4 @@
-//! Events: the engine's input.
+//! Events: the input of the engine.
 
 use super::{ListKind, LoadReport, Millis, RequestId, ServerEntry, ServerId, TenantId};
 
--- a/crates/aspendrum-core/src/engine/counter.rs
+++ b/crates/aspendrum-core/src/engine/counter.rs
@@ -176,8 +176,7 @@
         }
     }
 
-    /// These units are to be added to the counter: with the tenant's next call, or after a while by
-    /// themselves.
+    /// Schedules units for the counter: they are added with the tenant's next call, or by a call of their own after a while.
     pub(super) fn settle_later(&mut self, index: usize, units: f64) {
         let tenant = &mut self.tenants[index];
         // What a sparse tenant is refused stays counted until the window ends.
