--- a/crates/aspendrum-core/src/api/server.rs
+++ b/crates/aspendrum-core/src/api/server.rs
@@ -1,4 +1,4 @@
-//! What the engine learns about servers.
+//! Servers as the engine is informed about them.
 
 use super::{Millis, ServerId};
 
