--- a/crates/aspendrum-benchmarks/src/components/consensus.rs
+++ b/crates/aspendrum-benchmarks/src/components/consensus.rs
@@ -35,7 +35,7 @@
     for voters in VOTER_COUNTS {
         let set_evacuation = |n: usize| Command::SetEvacuation {
             zone: zone(n / 2),
-            evacuated: n.is_multiple_of(2),
+            is_evacuated: n.is_multiple_of(2),
         };
         measure_commands("consensus.evacuation", voters, 0, set_evacuation);
         measure_commands("consensus.read", voters, 0, |_| Command::Read);
@@ -73,7 +73,7 @@
     fn command(&self, version: u32) -> Command {
         Command::SetConfig {
             version,
-            packed_text: self.text.clone(),
+            compressed_text: self.text.clone(),
             digest: self.digest,
         }
     }
--- a/crates/aspendrum-benchmarks/src/components/directory.rs
+++ b/crates/aspendrum-benchmarks/src/components/directory.rs
@@ -29,7 +29,7 @@
 fn measure_merge(proxies: &[ProxyEndpoint]) {
     let entry = |proxy: &ProxyEndpoint| ProxyEntry {
         proxy: proxy.clone(),
-        connected: true,
+        is_connected: true,
     };
     let tables: Vec<Vec<ProxyEntry>> = proxies
         .chunks(proxies.len().div_ceil(CONTROL_NODES))
--- a/crates/aspendrum-consensus/src/replica.rs
+++ b/crates/aspendrum-consensus/src/replica.rs
@@ -134,11 +134,11 @@
         match command {
             Command::SetConfig {
                 version,
-                packed_text,
+                compressed_text,
                 digest,
             } => {
-                let packed = Some(packed_text);
-                let text = ConfigText { digest, packed };
+                let compressed = Some(compressed_text);
+                let text = ConfigText { digest, compressed };
                 self.proposals
                     .propose(&mut self.core, version, text, command_id);
             }
--- a/crates/aspendrum-consensus/src/replicated_state.rs
+++ b/crates/aspendrum-consensus/src/replicated_state.rs
@@ -14,7 +14,7 @@
         /// The version that the operator gave it.
         version: u32,
         /// The compressed text.
-        packed_text: Vec<u8>,
+        compressed_text: Vec<u8>,
         /// The digest of the text as it was sent, before compression.
         digest: u64,
     },
@@ -23,7 +23,7 @@
         /// The zone's name.
         zone: String,
         /// Whether the zone is to be evacuated.
-        evacuated: bool,
+        is_evacuated: bool,
     },
     /// Change nothing; return the state that a majority holds.
     Read,
@@ -35,7 +35,7 @@
     /// The version that the operator gave it; 0 if no configuration was decided yet.
     pub version: u32,
     /// The compressed text.
-    pub packed_text: Vec<u8>,
+    pub compressed_text: Vec<u8>,
 }
 
 /// The last command about a zone's evacuation. Ordered by revision. Of two commands with one revision the end of the
@@ -45,7 +45,7 @@
     /// Counts the commands that changed this zone.
     pub revision: u64,
     /// Whether the evacuation has ended.
-    pub ended: bool,
+    pub has_ended: bool,
 }
 
 /// The zones that get no traffic.
@@ -85,18 +85,18 @@
     pub fn digest(&self) -> u64 {
         let mut bytes = Vec::new();
         bytes.extend_from_slice(&self.config.version.to_le_bytes());
-        bytes.extend_from_slice(&digest(&self.config.packed_text).to_le_bytes());
+        bytes.extend_from_slice(&digest(&self.config.compressed_text).to_le_bytes());
         for (zone, evacuation) in &self.evacuations {
             bytes.extend_from_slice(zone.as_bytes());
             bytes.extend_from_slice(&evacuation.revision.to_le_bytes());
-            bytes.push(u8::from(evacuation.ended));
+            bytes.push(u8::from(evacuation.has_ended));
         }
         digest(&bytes)
     }
 
     /// The zones that get no traffic now.
     pub fn evacuated_zones(&self) -> EvacuatedZones {
-        let active = self.evacuations.iter().filter(|(_, e)| !e.ended);
+        let active = self.evacuations.iter().filter(|(_, e)| !e.has_ended);
         EvacuatedZones {
             revision: self.evacuations.values().map(|e| e.revision).sum(),
             zones: active.map(|(zone, _)| zone.clone()).collect(),
@@ -106,24 +106,24 @@
     /// Applies a command about a zone's evacuation. `self` must be the merged state of a majority. Other commands
     /// change nothing.
     pub fn apply(&mut self, command: &Command) {
-        if let Command::SetEvacuation { zone, evacuated } = command {
+        if let Command::SetEvacuation { zone, is_evacuated } = command {
             let evacuation = self.evacuations.entry(zone.clone()).or_default();
             // A command that asks for what is so already may be a retry: it gets no revision of its own.
-            if evacuation.revision == 0 || evacuation.ended == *evacuated {
+            if evacuation.revision == 0 || evacuation.has_ended == *is_evacuated {
                 *evacuation = Evacuation {
                     revision: evacuation.revision + 1,
-                    ended: !evacuated,
+                    has_ended: !is_evacuated,
                 };
             }
         }
     }
 
     /// This state with a decided configuration, if that has a higher version than the one contained.
-    pub fn with_config(mut self, version: u32, packed_text: Vec<u8>) -> ReplicatedState {
+    pub fn with_config(mut self, version: u32, compressed_text: Vec<u8>) -> ReplicatedState {
         if version > self.config.version {
             self.config = DecidedConfig {
                 version,
-                packed_text,
+                compressed_text,
             };
         }
         self
--- a/crates/aspendrum-consensus/src/version_proposal.rs
+++ b/crates/aspendrum-consensus/src/version_proposal.rs
@@ -197,7 +197,7 @@
             }
             VersionAnswer::Decided(digest) => {
                 let own = proposer.value().clone();
-                let text = own.packed.filter(|_| own.digest == digest);
+                let text = own.compressed.filter(|_| own.digest == digest);
                 Some(self.learn(core, version, digest, text))
             }
             // The version was superseded long ago: whichever text was decided for it, the command would change nothing.
@@ -223,21 +223,22 @@
         for to in core.other_voters() {
             core.send(to, Message::Decided { version, digest });
         }
-        self.learn(core, version, digest, text.packed)
+        self.learn(core, version, digest, text.compressed)
     }
 
-    /// Records a decision that this node or another one has found. `packed_text`: the decided text, if this node has
+    /// Records a decision that this node or another one has found. `compressed_text`: the decided text, if this node has
     /// it. Waiting commands end at once: their outcome is on a majority's disks and need not wait for this node's.
     pub(crate) fn learn(
         &mut self,
         core: &mut ReplicaCore,
         version: u32,
         digest: u64,
-        packed_text: Option<Vec<u8>>,
+        compressed_text: Option<Vec<u8>>,
     ) -> ClosedVersion {
-        let must_persist = record_decision(core, version, digest, packed_text);
+        let must_persist = record_decision(core, version, digest, compressed_text);
         let config = core.durable.replicated.config.clone();
-        let decided = ReplicatedState::default().with_config(config.version, config.packed_text);
+        let decided =
+            ReplicatedState::default().with_config(config.version, config.compressed_text);
         core.commit(&decided);
         self.close(core, version, Some(digest));
         ClosedVersion {
@@ -264,14 +265,15 @@
     core: &mut ReplicaCore,
     version: u32,
     digest: u64,
-    packed_text: Option<Vec<u8>>,
+    compressed_text: Option<Vec<u8>>,
 ) -> bool {
     let durable = &mut core.durable;
-    let packed_text = packed_text.or_else(|| durable.versions.accepted_text(version, digest));
+    let compressed_text =
+        compressed_text.or_else(|| durable.versions.accepted_text(version, digest));
     let is_newer = version > durable.replicated.config.version;
     let mut has_changed = false;
-    if let Some(packed_text) = packed_text.filter(|_| is_newer) {
-        let decided = ReplicatedState::default().with_config(version, packed_text);
+    if let Some(compressed_text) = compressed_text.filter(|_| is_newer) {
+        let decided = ReplicatedState::default().with_config(version, compressed_text);
         has_changed |= durable.replicated.merge(&decided);
         durable.versions.discard_superseded_texts(version);
     }
--- a/crates/aspendrum-consensus/src/versions.rs
+++ b/crates/aspendrum-consensus/src/versions.rs
@@ -20,7 +20,7 @@
     /// by two nodes.
     pub digest: u64,
     /// The compressed text.
-    pub packed: Option<Vec<u8>>,
+    pub compressed: Option<Vec<u8>>,
 }
 
 /// What one node knows of a version.
@@ -87,7 +87,7 @@
         let is_superseded = version <= in_force;
         let text = if is_superseded {
             ConfigText {
-                packed: None,
+                compressed: None,
                 ..text
             }
         } else {
@@ -168,7 +168,7 @@
     pub fn accepted_text(&self, version: u32, digest: u64) -> Option<Vec<u8>> {
         let accepted = self.slots.get(&version)?.acceptor.accepted.as_ref()?;
         let text = &accepted.value;
-        text.packed.clone().filter(|_| text.digest == digest)
+        text.compressed.clone().filter(|_| text.digest == digest)
     }
 
     /// Records a decision. Returns whether it was unknown here.
@@ -204,7 +204,7 @@
     pub fn discard_superseded_texts(&mut self, in_force: u32) {
         for (_, slot) in self.slots.range_mut(..=in_force) {
             if let Some(accepted) = &mut slot.acceptor.accepted {
-                accepted.value.packed = None;
+                accepted.value.compressed = None;
             }
         }
         self.compact(in_force);
--- a/crates/aspendrum-consensus/tests/common/mod.rs
+++ b/crates/aspendrum-consensus/tests/common/mod.rs
@@ -65,7 +65,7 @@
 pub(crate) fn config(version: u32, digest: u64) -> Command {
     Command::SetConfig {
         version,
-        packed_text: digest.to_le_bytes().to_vec(),
+        compressed_text: digest.to_le_bytes().to_vec(),
         digest,
     }
 }
@@ -541,7 +541,7 @@
         };
         let is_in_force_as_acknowledged = |replica: &Replica| {
             let config = &replica.committed().config;
-            let is_text = |digest: &u64| digest.to_le_bytes().as_slice() == config.packed_text;
+            let is_text = |digest: &u64| digest.to_le_bytes().as_slice() == config.compressed_text;
             let acknowledged = self.acknowledged.get(&config.version);
             acknowledged.is_none_or(|digests| digests.iter().all(is_text))
         };
--- a/crates/aspendrum-consensus/tests/common/schedule.rs
+++ b/crates/aspendrum-consensus/tests/common/schedule.rs
@@ -88,10 +88,10 @@
             Step::Resubmit(n, m) => self.resubmit(*n, *m),
             Step::Evacuate(n, evacuated) => {
                 let zone = "z".into();
-                let evacuated = *evacuated;
+                let is_evacuated = *evacuated;
                 self.submit(
                     self.chosen_node(*n),
-                    Command::SetEvacuation { zone, evacuated },
+                    Command::SetEvacuation { zone, is_evacuated },
                 );
             }
             Step::Deliver(n) => {
--- a/crates/aspendrum-consensus/tests/versions.rs
+++ b/crates/aspendrum-consensus/tests/versions.rs
@@ -79,7 +79,7 @@
     cluster.submit(node(1), config(8, 1));
     cluster.submit(node(3), config(8, 2));
     cluster.calm();
-    let text = |node| &cluster.up[node].state().replicated.config.packed_text;
+    let text = |node| &cluster.up[node].state().replicated.config.compressed_text;
     let texts: Vec<_> = SEEDS.iter().map(text).collect();
     assert!(texts.windows(2).all(|pair| pair[0] == pair[1]), "{texts:?}");
 }
@@ -87,9 +87,9 @@
 #[test]
 fn the_last_command_about_an_evacuation_counts_whichever_node_takes_it() {
     let mut cluster = Cluster::new(Variant::Sound);
-    for (number, evacuated) in [(1, true), (4, false), (3, true), (2, true)] {
+    for (number, is_evacuated) in [(1, true), (4, false), (3, true), (2, true)] {
         let zone = "z".into();
-        cluster.submit(node(number), Command::SetEvacuation { zone, evacuated });
+        cluster.submit(node(number), Command::SetEvacuation { zone, is_evacuated });
         cluster.calm();
     }
     for node in cluster.nodes() {
--- a/crates/aspendrum-consensus/tests/wire_bytes.rs
+++ b/crates/aspendrum-consensus/tests/wire_bytes.rs
@@ -29,23 +29,23 @@
 fn text() -> ConfigText {
     ConfigText {
         digest: 0xfeed_beef_0000_1234,
-        packed: Some(b"packed".to_vec()),
+        compressed: Some(b"packed".to_vec()),
     }
 }
 
 fn replicated() -> ReplicatedState {
     let begun = Evacuation {
         revision: 3,
-        ended: false,
+        has_ended: false,
     };
     let finished = Evacuation {
         revision: 200,
-        ended: true,
+        has_ended: true,
     };
     ReplicatedState {
         config: DecidedConfig {
             version: 0x0107,
-            packed_text: b"text".to_vec(),
+            compressed_text: b"text".to_vec(),
         },
         evacuations: [("z1".to_string(), begun), ("z2".to_string(), finished)].into(),
     }
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -176,7 +176,7 @@
             host: self.host.clone(),
             proxy: proxy.addr.to_string(),
             zone: proxy.zone.clone(),
-            ready: proxy.is_ready(),
+            is_ready: proxy.is_ready(),
             status: self.status,
             not_current_ms: not_current.max(0.0) as u64,
             applied: self.applied,
@@ -209,11 +209,11 @@
             .filter_map(|session| session.proxy.clone());
         let connected = connected.map(|proxy| ProxyEntry {
             proxy,
-            connected: true,
+            is_connected: true,
         });
         let moved = self.moved.iter().map(|moved| ProxyEntry {
             proxy: moved.proxy.clone(),
-            connected: false,
+            is_connected: false,
         });
         connected.chain(moved).collect()
     }
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -130,20 +130,20 @@
         log::info!("event=command call=set version={version:08x} digest={digest:016x}");
         let command = Command::SetConfig {
             version,
-            packed_text: compress(text),
+            compressed_text: compress(text),
             digest,
         };
         self.submit(command, |_| Reply::plain(200))
     }
 
-    fn set_evacuation(&self, zone: &str, evacuated: bool) -> Reply {
+    fn set_evacuation(&self, zone: &str, is_evacuated: bool) -> Reply {
         if !self.region_by_zone.contains_key(zone) {
             return Reply::plain(404);
         }
-        let call = if evacuated { "Begin" } else { "Finish" };
+        let call = if is_evacuated { "Begin" } else { "Finish" };
         log::info!("event=command call={call} zone={zone}");
         let zone = zone.to_string();
-        let command = Command::SetEvacuation { zone, evacuated };
+        let command = Command::SetEvacuation { zone, is_evacuated };
         self.submit(command, |_| Reply::plain(200))
     }
 
@@ -208,7 +208,7 @@
     if state.config.version == 0 {
         return Reply::plain(503);
     }
-    match decompress(&state.config.packed_text) {
+    match decompress(&state.config.compressed_text) {
         Some(text) => Reply::json(text),
         None => Reply::plain(500),
     }
--- a/crates/aspendrum-control/src/decided.rs
+++ b/crates/aspendrum-control/src/decided.rs
@@ -33,7 +33,7 @@
     pub fn update(&mut self, committed: &ReplicatedState) {
         let evacuated = committed.evacuated_zones();
         // Only valid texts are ever committed. Of any other nothing would be in force anywhere.
-        let text = decompress(&committed.config.packed_text);
+        let text = decompress(&committed.config.compressed_text);
         let config = text.and_then(|text| Config::read(&text).ok());
         self.digest = state_digest(config.as_ref(), evacuated.revision, &evacuated.zones);
         let Some(config) = config else {
--- a/crates/aspendrum-control/src/legacy.rs
+++ b/crates/aspendrum-control/src/legacy.rs
@@ -118,14 +118,14 @@
 ) -> DurableState {
     let DecidedConfig {
         version,
-        packed_text,
+        compressed_text,
     } = std::mem::take(&mut replicated.config);
     let mut versions = VersionTable::default();
-    if let Some(text) = decompress(&packed_text).filter(|_| version > 0) {
-        let rank = digest(&packed_text);
+    if let Some(text) = decompress(&compressed_text).filter(|_| version > 0) {
+        let rank = digest(&compressed_text);
         let accepted = ConfigText {
             digest: digest(&text),
-            packed: Some(packed_text),
+            compressed: Some(compressed_text),
         };
         versions.import_accepted(version, rank, accepted);
     }
--- a/crates/aspendrum-control/src/proxy_table.rs
+++ b/crates/aspendrum-control/src/proxy_table.rs
@@ -15,7 +15,7 @@
     pub proxy: ProxyEndpoint,
     /// Whether its agent is connected to that control node. If not, the agent was until a moment ago and is connecting
     /// to another one.
-    pub connected: bool,
+    pub is_connected: bool,
 }
 
 /// Merges the tables of several control nodes. The node that an agent is connected to knows better than the one that it
@@ -28,9 +28,9 @@
     for entry in tables.flatten() {
         let known = merged.entry(entry.proxy.addr);
         let known = known.or_insert_with(|| entry.clone());
-        if entry.connected && !known.connected {
+        if entry.is_connected && !known.is_connected {
             *known = entry.clone();
-        } else if entry.connected == known.connected {
+        } else if entry.is_connected == known.is_connected {
             known.proxy.readiness = known.proxy.readiness.max(entry.proxy.readiness);
             known.proxy.is_current |= entry.proxy.is_current;
         }
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -15,7 +15,7 @@
     /// The zone that it runs in.
     pub zone: String,
     /// Whether clients may be sent to its proxy.
-    pub ready: bool,
+    pub is_ready: bool,
     /// What it has applied, compared with what is decided.
     pub status: SyncStatus,
     /// Since when it has not been current, milliseconds before now; 0 while it is.
@@ -81,7 +81,7 @@
         "host": node.host,
         "front": node.proxy,
         "zone": node.zone,
-        "ready": node.ready,
+        "ready": node.is_ready,
         "via": host,
         "standing": node.status.as_str(),
         "off-ms": node.not_current_ms,
--- a/crates/aspendrum-control/src/sections.rs
+++ b/crates/aspendrum-control/src/sections.rs
@@ -28,7 +28,7 @@
         if self.majority_age.is_some() {
             let config = &self.committed.config;
             if config.version > 0 {
-                let text = config.packed_text.clone();
+                let text = config.compressed_text.clone();
                 sections.push(StateSection::config(config.version, text));
             }
             let evacuated = self.committed.evacuated_zones();
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -87,7 +87,7 @@
 fn done(version: u32, text: &[u8]) -> Outcome {
     let config = DecidedConfig {
         version,
-        packed_text: text.to_vec(),
+        compressed_text: text.to_vec(),
     };
     Outcome::Committed(Box::new(ReplicatedState {
         config,
@@ -105,7 +105,7 @@
         commands,
         [Command::SetConfig {
             version: 0x0107,
-            packed_text: compress(CONFIG.as_bytes()),
+            compressed_text: compress(CONFIG.as_bytes()),
             digest
         }]
     );
@@ -136,10 +136,10 @@
 
 #[test]
 fn evacuations_are_commanded_by_zone() {
-    let command = |evacuated| {
+    let command = |is_evacuated| {
         vec![Command::SetEvacuation {
             zone: "z1".into(),
-            evacuated,
+            is_evacuated,
         }]
     };
     let call = |path: &str| answer(&done(1, b""), &request("POST", path, ""));
@@ -178,7 +178,7 @@
         host: host.into(),
         proxy: "10.0.0.9:80".into(),
         zone: "z1".into(),
-        ready: not_current_ms == 0,
+        is_ready: not_current_ms == 0,
         status,
         not_current_ms,
         applied,
--- a/crates/aspendrum-control/tests/directory.rs
+++ b/crates/aspendrum-control/tests/directory.rs
@@ -127,9 +127,9 @@
 /// before outlives what is known now.
 #[test]
 fn the_control_node_that_an_agent_is_connected_to_decides_on_its_proxy() {
-    let entry = |readiness, connected| ProxyEntry {
+    let entry = |readiness, is_connected| ProxyEntry {
         proxy: proxy(1, "a1", readiness),
-        connected,
+        is_connected,
     };
     let merged = |tables: &[Vec<ProxyEntry>]| merge_proxy_tables(tables.iter())[0].readiness;
     let moved = vec![entry(Readiness::Ready, false)];
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -116,15 +116,15 @@
     let proxies = vec![
         ProxyEntry {
             proxy: front(Readiness::Closed, true),
-            connected: false,
+            is_connected: false,
         },
         ProxyEntry {
             proxy: front(Readiness::Draining, false),
-            connected: true,
+            is_connected: true,
         },
         ProxyEntry {
             proxy: front(Readiness::Ready, true),
-            connected: true,
+            is_connected: true,
         },
     ];
     peer_message(&mut pinned, "proxies", &PeerMessage::Proxies(proxies));
@@ -186,7 +186,7 @@
         ballot,
         ConfigText {
             digest: 5,
-            packed: Some(compress(b"other")),
+            compressed: Some(compress(b"other")),
         },
         0x0107,
     );
@@ -211,11 +211,18 @@
 fn replicated() -> ReplicatedState {
     let config = DecidedConfig {
         version: 0x0107,
-        packed_text: compress(TEXT),
+        compressed_text: compress(TEXT),
     };
     let evacuations = [("z1", 3, false), ("z2", 4, true)];
-    let evacuations = evacuations
-        .map(|(zone, revision, ended)| (zone.to_string(), Evacuation { revision, ended }));
+    let evacuations = evacuations.map(|(zone, revision, has_ended)| {
+        (
+            zone.to_string(),
+            Evacuation {
+                revision,
+                has_ended,
+            },
+        )
+    });
     ReplicatedState {
         config,
         evacuations: evacuations.into(),
@@ -357,7 +364,7 @@
     let mut versions = VersionTable::default();
     let accepted = ConfigText {
         digest: digest(TEXT),
-        packed: Some(compress(TEXT)),
+        compressed: Some(compress(TEXT)),
     };
     versions.import_accepted(0x0107, digest(&compress(TEXT)), accepted);
     let replicated = ReplicatedState {
