--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -1,5 +1,5 @@
-//! The agents that are connected to this control node: which updates each was sent, what its proxy has applied, and
-//! whether clients may be sent to that.
+//! The agents that are connected to this control node: the updates that each was sent, the state that its proxy has
+//! applied, and whether clients may be sent to that proxy.
 
 use crate::decided::MAX_MAJORITY_AGE;
 use crate::event::ConnectionId;
@@ -15,21 +15,21 @@
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// An agent that was silent for so long is frozen, cut off or without power, and its proxy with it.
+/// After this time without a message an agent counts as suspended, partitioned or without power, and its proxy with it.
 const AGENT_TIMEOUT: Millis = 1000.0;
 /// An agent that changes to another control node is connected there within this time.
 const RECONNECT_TIME: Millis = 1200.0;
 
-/// What heartbeats of agents are answered and judged with.
+/// This node's view of the decided state, with which it answers agents' heartbeats and assesses their proxies.
 #[derive(Clone, Copy)]
 pub struct MajorityView {
-    /// What is decided, as far as this node knows.
+    /// The digest of the decided state, as far as this node knows.
     pub decided: StateDigest,
-    /// How long ago a majority is known to have held nothing newer.
+    /// How long ago, in milliseconds, a majority held nothing newer; none if no read has succeeded yet.
     pub age: Option<Millis>,
-    /// For how long that counts.
+    /// How long such a reading of a majority remains valid.
     pub report_validity: ReportValidity,
-    /// For how long a proxy may lack what is decided before clients are sent elsewhere.
+    /// How long a proxy may lack the decided state before clients are sent elsewhere.
     pub max_lag: Millis,
 }
 
@@ -40,7 +40,7 @@
     Unchanged,
     /// A proxy of this node has changed.
     ProxyChanged,
-    /// An agent has introduced itself, and is to be sent everything.
+    /// An agent has introduced itself, and has to be sent all sections.
     Joined,
 }
 
@@ -51,17 +51,19 @@
     /// None until the agent has introduced itself.
     proxy: Option<ProxyEndpoint>,
     last_received: Millis,
-    /// The numbers of the last update that was sent, and of the last that was acknowledged as applied.
+    /// The number of the last update that was sent.
     sent_update: u64,
+    /// The number of the last update that the agent has acknowledged as applied.
     acknowledged_update: u64,
-    /// What was sent last of each kind of section.
+    /// The section of each kind that was sent last.
     sent_sections: [Option<StateSection>; SECTION_KINDS],
-    /// What the proxy has applied, and how that compares with what is decided.
+    /// The digest of the state that the proxy has applied.
     applied: StateDigest,
+    /// How `applied` compares with the decided state.
     status: SyncStatus,
-    /// Since when it has not been current; none while it is.
+    /// Since when the proxy has not been current; none while it is.
     not_current_since: Option<Millis>,
-    /// It has told that it changes to another control node.
+    /// Whether the agent has announced that it moves to another control node.
     is_disconnecting: bool,
 }
 
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The agent has told who it is.
+    /// The agent has introduced itself.
     fn introduce(&mut self, host: String, proxy_addr: SocketAddrV4, zone: String) {
         log::info!("event=agent_connected host={host} proxy={proxy_addr} zone={zone}");
         self.host = host;
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Answers a heartbeat, and takes in what the proxy has applied.
+    /// Answers a heartbeat, and records the state that the proxy has applied.
     fn on_heartbeat(
         &mut self,
         now: Millis,
@@ -142,16 +144,17 @@
         }
     }
 
-    /// Takes over the state of the proxy. Returns whether that has changed.
+    /// Records the proxy's readiness and whether it is current. Returns whether either has changed.
     fn update_proxy(&mut self, now: Millis, readiness: Readiness, max_lag: Millis) -> bool {
-        // An update that is on its way is no reason to send clients elsewhere.
-        let current = self
+        // A proxy that lacks an update for less than `max_lag` still counts as current.
+        let is_current = self
             .not_current_since
             .is_none_or(|since| now - since < max_lag);
         let Some(proxy) = &mut self.proxy else {
             return false;
         };
-        let (addr, status) = (proxy.addr, self.status.as_str());
+        let addr = proxy.addr;
+        let status = self.status.as_str();
         if proxy.readiness != readiness {
             let event = if readiness == Readiness::Ready {
                 "proxy_ready"
@@ -160,12 +163,12 @@
             };
             log::info!("event={event} proxy={addr} is={readiness:?}");
         }
-        if proxy.is_current != current {
+        if proxy.is_current != is_current {
             log::info!("event=proxy_sync_status proxy={addr} is={status}");
         }
-        let has_changed = proxy.readiness != readiness || proxy.is_current != current;
+        let has_changed = proxy.readiness != readiness || proxy.is_current != is_current;
         proxy.readiness = readiness;
-        proxy.is_current = current;
+        proxy.is_current = is_current;
         has_changed
     }
 
@@ -189,7 +192,7 @@
 /// A proxy whose agent is changing to another control node.
 struct MovedProxy {
     proxy: ProxyEndpoint,
-    /// Until when the agent is believed to be connected there.
+    /// Until when the agent is assumed to have connected there.
     until: Millis,
 }
 
@@ -287,7 +290,7 @@
         }
     }
 
-    /// Takes the proxies of silent agents for closed, and forgets those whose agents left a while ago. Returns whether
+    /// Marks the proxies of silent agents as closed, and forgets moved proxies whose time has passed. Returns whether
     /// that has changed this node's proxies.
     pub fn close_silent(&mut self, now: Millis) -> bool {
         let moved_before = self.moved.len();
@@ -328,7 +331,7 @@
     }
 }
 
-/// Whether an agent that was sent one section need not be sent the other.
+/// Whether an agent that was sent `sent` need not be sent `section`.
 fn is_covered(sent: &StateSection, section: &StateSection) -> bool {
     match (sent, section) {
         (
@@ -349,7 +352,8 @@
     }
 }
 
-/// Whether nothing has changed but that a slow start goes on. One that begins is a change.
+/// Whether the two entries differ at most in that a slow start has progressed: agents count its remaining time down
+/// themselves. A slow start that begins is a difference.
 fn is_same_server(sent: &ServerInstance, server: &ServerInstance) -> bool {
     let without_slow_start = |server: &ServerInstance| ServerInstance {
         slow_start_left_ms: 0,
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -15,13 +15,13 @@
 use std::sync::{Arc, RwLock};
 use std::time::{Duration, Instant};
 
-/// How long a call waits for a majority: no longer than its caller does.
+/// How long a call waits for a majority: less than the second that its caller waits for.
 const CALL_TIMEOUT: Duration = Duration::from_millis(950);
 
-/// The answer to the loser of two texts for one version.
+/// The answer to a command whose text lost against another text for the same version.
 const VERSION_CONFLICT: &str = "another text was decided under this number\n";
 
-/// What is called.
+/// The calls of both APIs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
     /// Set the configuration.
@@ -40,7 +40,7 @@
     LookUp,
 }
 
-/// A tree of paths.
+/// The paths of an API.
 pub type Routes = Vec<PathNode<Call>>;
 
 fn under_api(inner: Routes) -> Routes {
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Only what a majority of disks holds is acknowledged; a command that is not may still take effect.
+    /// Submits a command and waits for its outcome. A command is acknowledged only once a majority of disks holds its
+    /// effect; one that is answered by 503 may still take effect.
     fn submit(&self, command: Command, acknowledge: impl Fn(&ReplicatedState) -> Reply) -> Reply {
         let (reply, outcome) = bounded(1);
         let event = Event::Command {
@@ -188,7 +189,7 @@
         }
         match outcome.recv_timeout(CALL_TIMEOUT) {
             Ok(Outcome::Committed(state)) => acknowledge(&state),
-            // Final, and only sent once the other text is decided: operators do not retry after a 409.
+            // Operators do not retry after a 409, so it is sent only once the other text is decided.
             Ok(Outcome::VersionConflict) => {
                 log::info!(
                     "event=command_refused why=\"{}\"",
--- a/crates/aspendrum-control/src/clock.rs
+++ b/crates/aspendrum-control/src/clock.rs
@@ -1,9 +1,9 @@
-//! The process' own steady clock.
+//! The process' monotonic clock.
 
 use aspendrum_consensus::Millis;
 use std::time::Instant;
 
-/// Milliseconds since the process started. No time of day: no two machines' clocks agree.
+/// Counts milliseconds since the process started. The time of day is not used, as the machines' clocks do not agree.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
@@ -22,7 +22,7 @@
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// That moment on this clock; 0 for one before the clock's start.
+    /// Converts an instant to this clock; 0 for an instant before the clock's start.
     pub fn at(&self, moment: Instant) -> Millis {
         let since_start = moment.saturating_duration_since(self.started_at);
         since_start.as_secs_f64() * 1000.0
--- a/crates/aspendrum-control/src/connections.rs
+++ b/crates/aspendrum-control/src/connections.rs
@@ -1,4 +1,5 @@
-//! The connections of a control node: out to each other control node, in from those and from agents.
+//! The connections of a control node: outgoing ones to each other control node, and incoming ones from other control
+//! nodes and from agents. A control node sends to another one only on its own outgoing connection.
 
 use crate::event::{ConnectionId, Event};
 use crate::peer_message::PeerMessage;
@@ -15,18 +16,18 @@
 use std::time::Duration;
 
 const STACK_BYTES: usize = 96 << 10;
-/// Between two attempts to connect to a node.
+/// The time between two attempts to connect to a node.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long to wait after a failed accept: no descriptor is free, and one may be in a moment.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// How many messages a link keeps for a receiver that does not read.
+/// How many messages a link queues for a receiver that does not read, before it closes the connection.
 const LINK_CAPACITY: usize = 256;
-/// A connection is closed once nothing was received for so many times the given time-out.
+/// A connection is closed after this many times the given time-out without a message.
 const READ_TIMEOUT_FACTOR: u32 = 4;
 const READ_BUFFER_BYTES: usize = 2 << 10;
 
-/// A message as it goes over the connection to another control node.
+/// Wraps a message as it is sent to another control node.
 pub fn envelope(message: &PeerMessage) -> Envelope<&PeerMessage> {
     Envelope::Peer(message)
 }
@@ -66,7 +67,7 @@
     };
     let link = Some(link);
     events.send(Event::PeerLink { node, link }, None);
-    // The other side never sends anything here: the read ends with the connection.
+    // The other node sends nothing on this connection, so the read returns when the connection ends.
     let _ = (&*stream).read(&mut [0]);
     events.send(Event::PeerLink { node, link: None }, None);
 }
@@ -103,14 +104,14 @@
     Ok(())
 }
 
-/// Turns what comes over a connection into events, until the connection ends.
+/// Turns the messages of a connection into events until the connection ends.
 fn read_messages(
     id: ConnectionId,
     stream: &Arc<TcpStream>,
     peer_timeout: Duration,
     events: &MailboxSender<Event>,
 ) {
-    // A sender that is silent for so long has lost its connection, or power.
+    // A sender without any message for this time has lost its connection or its power.
     let _ = stream.set_read_timeout(Some(READ_TIMEOUT_FACTOR * peer_timeout));
     let mut reader = io::BufReader::with_capacity(READ_BUFFER_BYTES, &**stream);
     let (mut peer, mut is_agent) = (None, false);
--- a/crates/aspendrum-control/src/decided.rs
+++ b/crates/aspendrum-control/src/decided.rs
@@ -7,13 +7,13 @@
 use aspendrum_reconcile::state_digest;
 use std::collections::VecDeque;
 
-/// A majority was read so lately that this node can rely on what it knows: it is not the one that is behind, and it hears
-/// of the proxies of all other control nodes.
+/// If a majority was read within this time, in milliseconds, this node relies on its own state: it is not itself
+/// behind, and it is connected to the other control nodes, so that it knows their proxies.
 pub const MAX_MAJORITY_AGE: Millis = 1200.0;
-/// How many versions can be explained.
+/// How many of the last versions are kept for explanations.
 const MAX_VERSIONS: usize = 4;
 
-/// What a majority is known to hold, as it is in force where it was applied.
+/// The committed configuration and evacuations in the form that proxies apply.
 pub struct DecidedState {
     digest: StateDigest,
     /// The last versions that were committed here, the newest first.
@@ -21,7 +21,7 @@
 }
 
 impl DecidedState {
-    /// Before anything is known.
+    /// The state of a node that has not read a majority yet.
     pub fn unknown() -> DecidedState {
         DecidedState {
             digest: state_digest(None, 0, &[]),
@@ -29,10 +29,10 @@
         }
     }
 
-    /// Takes in what is committed now.
+    /// Replaces the digest by that of `committed`, and keeps its configuration for explanations.
     pub fn update(&mut self, committed: &ReplicatedState) {
         let evacuated = committed.evacuated_zones();
-        // Only valid texts are ever committed. Of any other nothing would be in force anywhere.
+        // Control commits valid texts only. Proxies would ignore any other, so the digest has no configuration then.
         let text = decompress(&committed.config.compressed_text);
         let config = text.and_then(|text| Config::read(&text).ok());
         self.digest = state_digest(config.as_ref(), evacuated.revision, &evacuated.zones);
--- a/crates/aspendrum-control/src/directory.rs
+++ b/crates/aspendrum-control/src/directory.rs
@@ -9,10 +9,10 @@
 const MAX_ADDRESSES: usize = 64;
 /// With fewer proxies in its own zone a client has too little choice when one of them fails.
 const MIN_CHOICE: usize = 2;
-/// For how long clients of a region without any proxy are not sent to another region. Planned restarts are over by
-/// then, and until then clients keep the answers that they have.
+/// How long after a region's last proxy closed its clients are not sent to another region, in milliseconds. Planned
+/// restarts take less; until then clients keep the answers that they have.
 pub const REGION_HOLD_TIME: Millis = 3000.0;
-/// The longest time for which an answer counts that leads to another region or to draining proxies, seconds.
+/// The longest time to live, in seconds, of an answer that leads to another region or to draining proxies.
 const MAX_FALLBACK_TTL_S: f64 = 1.0;
 
 /// Where a client is sent.
@@ -20,7 +20,7 @@
 pub struct LookupAnswer {
     /// The proxies' addresses. Empty: there is no proxy that the client may be sent to now.
     pub addresses: Vec<SocketAddrV4>,
-    /// How long the answer counts, seconds.
+    /// How long the client may use the answer, in seconds.
     pub ttl_s: f64,
 }
 
--- a/crates/aspendrum-control/src/event.rs
+++ b/crates/aspendrum-control/src/event.rs
@@ -1,4 +1,4 @@
-//! What the node's thread is notified of by all others.
+//! The events that the other threads send to the node's thread.
 
 use crate::errors::PlatformError;
 use crate::peer_message::PeerMessage;
@@ -15,7 +15,7 @@
 /// Identifies a connection from an agent.
 pub type ConnectionId = u64;
 
-/// What an operator asks about.
+/// A report that an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReportQuery {
     /// The nodes whose agents are connected here.
@@ -49,7 +49,7 @@
     AgentConnected {
         /// Its connection.
         id: ConnectionId,
-        /// What it is sent updates through.
+        /// Carries updates to the agent.
         link: Link,
     },
     /// An agent sent a message.
@@ -75,16 +75,16 @@
     },
     /// An operator asked for a report.
     Report {
-        /// What about.
+        /// Which report.
         query: ReportQuery,
         /// Receives the report.
         reply: Sender<Value>,
     },
-    /// The platform was asked for its list of servers.
+    /// A poll of the platform's list of servers has ended.
     ServerListPolled {
-        /// When it was asked.
+        /// When the poll began.
         asked_at: Instant,
-        /// What it answered.
+        /// The list, or why it could not be read.
         result: Result<Vec<ServerInstance>, PlatformError>,
     },
     /// A write to the disk has ended.
@@ -93,7 +93,7 @@
     SettingsReloaded(Box<Settings>),
     /// The process is to end.
     ShutdownRequested {
-        /// Notified when it may.
+        /// Notified when the process may end.
         ready: Sender<()>,
     },
 }
--- a/crates/aspendrum-control/src/legacy.rs
+++ b/crates/aspendrum-control/src/legacy.rs
@@ -1,5 +1,6 @@
-//! Disks of earlier formats, read as a state of the present one. In those formats the voters were decided once and for
-//! ever; here they become the founding epoch, whose voters hand their state over to those of the first epoch.
+//! Reads the disk formats of earlier versions and converts them to the present one. In those formats the voters never
+//! changed after the first decision; here they become the founding epoch, from which the voters of the first epoch take
+//! over the state.
 
 use aspendrum_consensus::acceptor::Acceptor;
 use aspendrum_consensus::membership::{DiskId, Epoch};
@@ -21,7 +22,7 @@
     ("kept", decode_v1),
 ];
 
-/// A disk's identity. Unlike today it had a generation besides.
+/// A disk's identity, which had a generation in the earlier formats.
 #[derive(Deserialize)]
 struct DiskV1 {
     #[allow(dead_code)]
--- a/crates/aspendrum-control/src/membership.rs
+++ b/crates/aspendrum-control/src/membership.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Decides on proposals of voters, and notices when the other nodes are to hear of this one's disk.
+/// Decides when this node proposes other voters, and detects changes of its disk's health that it has to announce.
 pub struct Membership {
     planner: MembershipPlanner,
     /// The disk's health as the other nodes know it.
@@ -26,8 +26,8 @@
         }
     }
 
-    /// The voters that this node is to propose now, since some are gone or came back with an empty disk. `nodes`: what
-    /// is known of all control nodes.
+    /// The voters that this node should propose now, because some voters are gone or came back with an empty disk.
+    /// `nodes`: the statuses of all known control nodes.
     pub fn due_voters(
         &mut self,
         now: Millis,
@@ -44,7 +44,8 @@
         Some(voters)
     }
 
-    /// Whether the disk's health has changed since this was asked last, so that the other nodes are to be told.
+    /// Records the disk's health as announced. Returns whether it differs from what was announced before, so that the
+    /// other nodes have to be notified.
     pub fn has_health_changed(&mut self, health: DiskHealth) -> bool {
         std::mem::replace(&mut self.announced_health, health) != health
     }
@@ -66,7 +67,7 @@
         },
         zone: settings.zone.clone(),
         time_since_contact: 0.0,
-        // Others take its vote also while its disk does not answer.
+        // A node whose disk does not answer should be replaced as a voter too.
         is_leaving: is_shutting_down || health != DiskHealth::Healthy,
     }
 }
--- a/crates/aspendrum-control/src/node.rs
+++ b/crates/aspendrum-control/src/node.rs
@@ -1,5 +1,5 @@
-//! A control node: the one thread that owns everything that the node knows. Other threads send it events; it compares
-//! what each agent should have with what that was sent, and sends the difference.
+//! A control node: one thread owns the whole state of the node, and other threads send it events. It compares the state
+//! that each agent should have with the state that the agent was sent, and sends the difference.
 //!
 //! It composes the parts, which do not know each other: [`crate::replica_driver`] (the replicated state),
 //! [`crate::peers`] (other control nodes), [`crate::agents`] (agents and their proxies) and [`crate::server_list`] (the
@@ -12,7 +12,7 @@
 use crate::event::{ConnectionId, Event, ReportQuery};
 use crate::membership::{self, Membership};
 use crate::peer_message::{Hello, PeerMessage};
-use crate::peers::PeerTable;
+use crate::peers::{Contact, PeerTable};
 use crate::proxy_table::MergedProxies;
 use crate::replica_driver::{ReplicaDriver, ReplicaOutput};
 use crate::report::{self, MembershipReport};
@@ -34,22 +34,23 @@
 use std::time::{Duration, Instant};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Between two reads of what a majority holds: agents' permission to serve and missed updates rest on them.
+/// The time between two reads of a majority. A read renews the agents' permission to serve, and finds commands that
+/// other nodes committed while their notices were lost.
 const READ_INTERVAL: Millis = 400.0;
-/// The same until the first has succeeded: after a loss of power everything waits for it.
+/// The time between two reads until the first has succeeded: after a loss of power all proxies wait for it.
 const FIRST_READ_INTERVAL: Millis = 100.0;
 const HEARTBEAT_INTERVAL: Millis = 500.0;
-/// For how long after its start the node learns of the others' agents before it tells its own of them: the others
-/// connect within a hundred milliseconds.
+/// How long after its start the node waits for the proxy tables of the other nodes, which connect within a hundred
+/// milliseconds, before it sends a table of all proxies to its agents.
 const GATHERING_TIME: Millis = 150.0;
-/// A command that waited for so long is not begun: its caller has gone to another node, and others may have given
-/// other commands since.
+/// A command that has waited longer in the mailbox is dropped: its caller has retried at another node, and operators
+/// may have submitted later commands since.
 const MAX_COMMAND_AGE: Duration = Duration::from_millis(850);
-/// For how long a proxy may lack what is decided before clients are sent elsewhere, as a share of the time within which
-/// a change must be in force.
+/// The share of the deadline for applying a change after which clients are no longer sent to a proxy that lacks the
+/// change.
 const MAX_LAG_SHARE: f64 = 0.5;
 
-/// What a control node is made of.
+/// The parts from which a control node is built.
 pub struct ControlNodeOptions {
     /// The process' clock.
     pub clock: Clock,
@@ -61,7 +62,7 @@
     pub events: Arc<MailboxSender<Event>>,
     /// To the thread that polls the platform at an address.
     pub poll_requests: Sender<SocketAddrV4>,
-    /// What lookups are answered from.
+    /// Shared with the threads that answer lookups.
     pub directory: Arc<RwLock<Directory>>,
 }
 
@@ -80,7 +81,7 @@
     proxies: MergedProxies,
     last_read: Option<Millis>,
     last_heartbeat: Option<Millis>,
-    /// The agents were told of the proxies after the gathering time.
+    /// Whether the agents have been sent the table of proxies after [`GATHERING_TIME`].
     has_gathered: bool,
     shutdown: Option<Shutdown>,
 }
@@ -189,7 +190,7 @@
             self.last_heartbeat = Some(now);
             self.heartbeat(now);
             self.update_proxies();
-            // Agents that came before a majority could be read.
+            // Some agents may have connected before a majority could be read, and lack the configuration.
             self.update_agents();
         }
         if self.agents.close_silent(now) {
@@ -285,7 +286,7 @@
         self.replica.replica().committed_as_of().is_some()
     }
 
-    /// What was committed before a majority was read for the first time has not been sent to agents.
+    /// Sends agents the committed state once a majority has been read for the first time: before, it may be outdated.
     fn update_agents_after_first_read(&mut self, had_read: bool) {
         if !had_read && self.has_read_majority() {
             self.update_agents();
@@ -299,7 +300,7 @@
         seeds.map(|seed| NodeId::from(*seed.ip())).collect()
     }
 
-    /// Keeps connections to all nodes that are configured, that vote, or that other nodes know of.
+    /// Keeps connections to all seeds, all voters, and all nodes that another node has reported.
     fn connect_peers(&mut self) {
         let voters = self.replica.replica().epoch().voters.nodes();
         let nodes = self
@@ -334,14 +335,15 @@
 
     fn on_peer_message(&mut self, from: NodeId, message: PeerMessage) {
         let now = self.clock.now();
-        let Some(was_unreachable) = self.peers.on_received(now, from) else {
+        let contact = self.peers.on_received(now, from);
+        if contact == Contact::Unknown {
             // A node that is not known yet introduces itself first.
             if let PeerMessage::Hello(hello) = message {
                 self.peers.insert(now, from);
                 self.on_hello(now, from, *hello);
             }
             return;
-        };
+        }
         match message {
             PeerMessage::Hello(hello) => self.on_hello(now, from, *hello),
             PeerMessage::Heartbeat { server_list_age } => {
@@ -359,7 +361,7 @@
                 }
             }
         }
-        if was_unreachable {
+        if contact == Contact::ReachableAgain {
             self.update_proxies();
         }
     }
@@ -375,7 +377,7 @@
 
     fn on_consensus_message(&mut self, now: Millis, from: NodeId, message: Message) {
         if message == Message::CommitNotice {
-            // Read at the next tick.
+            // Makes the next tick read a majority.
             self.last_read = None;
         }
         let had_read = self.has_read_majority();
@@ -416,7 +418,7 @@
         self.peers.broadcast(&self.hello());
     }
 
-    /// What is known of all control nodes, this one and all voters among them.
+    /// The statuses of all known control nodes, this one and all voters included.
     fn node_statuses(&self) -> BTreeMap<NodeId, NodeStatus> {
         let voters = &self.replica.replica().epoch().voters;
         let mut statuses = self.peers.statuses(self.clock.now(), voters);
@@ -450,7 +452,7 @@
         self.update_proxies();
     }
 
-    /// Merges what all reachable control nodes know of proxies.
+    /// Merges the proxy tables of all reachable control nodes.
     fn update_proxies(&mut self) {
         let now = self.clock.now();
         let own = self.agents.proxy_entries();
@@ -558,7 +560,7 @@
     }
 }
 
-/// Whether so much time has passed since the last time, if there was any.
+/// Whether `interval` has passed since `last`, or there was no last time.
 fn is_due(now: Millis, last: Option<Millis>, interval: Millis) -> bool {
     last.is_none_or(|last| now - last >= interval)
 }
--- a/crates/aspendrum-control/src/peer_message.rs
+++ b/crates/aspendrum-control/src/peer_message.rs
@@ -10,9 +10,9 @@
 /// A message from one control node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Who the sender is: the first message of a connection, and again whenever something of it changes.
+    /// Introduces the sender: the first message of a connection, sent again whenever its content changes.
     Hello(Box<Hello>),
-    /// A sign of life, each half second.
+    /// Shows that the sender is alive, each half second.
     Heartbeat {
         /// How long ago the platform's list of servers was read, as far as the sender knows, milliseconds.
         server_list_age: Option<u32>,
@@ -30,7 +30,7 @@
     },
 }
 
-/// Who a control node is.
+/// A control node's description of itself.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
     /// The sender.
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other control nodes: their connections, their heartbeats, and what the choice of voters needs to know of them.
+//! The other control nodes: their connections, their heartbeats, and their statuses for the choice of voters.
 
 use crate::connections;
 use crate::event::Event;
@@ -16,9 +16,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A control node that was silent for so long does not count as reachable.
+/// A control node without contact for this time does not count as reachable.
 pub const PEER_TIMEOUT: Millis = 1600.0;
-/// A control node that is neither configured nor a voter and was silent for so long is forgotten.
+/// A control node that is neither a seed nor a voter is forgotten after this time without contact.
 const FORGET_AFTER: Millis = 60_000.0;
 
 /// Another control node.
@@ -28,12 +28,12 @@
     disk: DiskId,
     is_leaving: bool,
     link: Option<Link>,
-    /// When this node first knew of it.
+    /// When this node first learnt of the other one.
     known_since: Millis,
     last_received: Option<Millis>,
     /// The proxies whose agents are connected to it.
     proxies: Vec<ProxyEntry>,
-    /// Its connection is kept for as long as this is true.
+    /// While true, a thread keeps a connection to the node and reconnects if it is lost.
     keep_connected: Arc<AtomicBool>,
 }
 
@@ -50,21 +50,32 @@
             .is_some_and(|at| now - at <= PEER_TIMEOUT)
     }
 
-    /// For how long nothing was received from it, or nothing known of it.
+    /// The time since the last message from the node, or since this node learnt of it if there was none.
     fn time_since_contact(&self, now: Millis) -> Millis {
         now - self.last_received.unwrap_or(self.known_since)
     }
 }
 
-/// All control nodes that are known of but this one.
+/// How the sender of a message was known before the message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Contact {
+    /// The sender is not in the table.
+    Unknown,
+    /// The sender was reachable.
+    Reachable,
+    /// The sender was not reachable, and is now.
+    ReachableAgain,
+}
+
+/// All known control nodes except this one.
 pub struct PeerTable {
     peers: BTreeMap<NodeId, Peer>,
-    /// To this node's thread, for the threads that keep the connections.
+    /// Cloned for the threads that keep the connections, which send events to this node's thread.
     events: Arc<MailboxSender<Event>>,
 }
 
 impl PeerTable {
-    /// No other node is known. `events`: receives changes of connections.
+    /// An empty table. `events`: receives changes of connections.
     pub fn new(events: Arc<MailboxSender<Event>>) -> PeerTable {
         PeerTable {
             peers: BTreeMap::new(),
@@ -77,7 +88,7 @@
         self.peers.keys().copied()
     }
 
-    /// The nodes that something was received from of late.
+    /// The nodes that are reachable: a message came from each within [`PEER_TIMEOUT`].
     pub fn reachable(&self, now: Millis) -> impl Iterator<Item = NodeId> + '_ {
         let reachable = self
             .peers
@@ -86,7 +97,7 @@
         reachable.map(|(node, _)| *node)
     }
 
-    /// The proxies that reachable nodes know of, a table each.
+    /// The proxy table of each reachable node.
     pub fn proxy_tables(&self, now: Millis) -> impl Iterator<Item = &Vec<ProxyEntry>> {
         let reachable = self
             .peers
@@ -95,7 +106,7 @@
         reachable.map(|peer| &peer.proxies)
     }
 
-    /// Keeps a connection to a node from now on, which is added if it is not known yet.
+    /// Keeps a connection to a node from now on, and adds the node if it is not known yet.
     pub fn connect(&mut self, now: Millis, node: NodeId, address: SocketAddrV4) {
         let peer = self.peers.entry(node).or_insert_with(|| Peer::new(now));
         if peer.keep_connected.swap(true, Ordering::AcqRel) {
@@ -136,12 +147,18 @@
         }
     }
 
-    /// Something was received from a node. Returns whether it was unreachable until now; none if the node is not known.
-    pub fn on_received(&mut self, now: Millis, from: NodeId) -> Option<bool> {
-        let peer = self.peers.get_mut(&from)?;
+    /// Records that a message came from a node, if the node is known.
+    pub fn on_received(&mut self, now: Millis, from: NodeId) -> Contact {
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return Contact::Unknown;
+        };
         let was_reachable = peer.is_reachable(now);
         peer.last_received = Some(now);
-        Some(!was_reachable)
+        if was_reachable {
+            Contact::Reachable
+        } else {
+            Contact::ReachableAgain
+        }
     }
 
     /// A node that was not known until now has introduced itself.
@@ -153,7 +170,7 @@
         self.peers.insert(node, peer);
     }
 
-    /// A node has told who it is, and which others it knows of. `local_node` is not one of the others.
+    /// A node has introduced itself and the nodes that it knows of. `local_node` among those is skipped.
     pub fn on_hello(&mut self, now: Millis, from: NodeId, hello: Hello, local_node: NodeId) {
         let peer = self.peers.entry(from).or_insert_with(|| Peer::new(now));
         peer.zone = hello.zone;
@@ -170,15 +187,15 @@
         }
     }
 
-    /// A node has told which proxies it knows of.
+    /// A node has sent its proxy table.
     pub fn set_proxies(&mut self, node: NodeId, proxies: Vec<ProxyEntry>) {
         if let Some(peer) = self.peers.get_mut(&node) {
             peer.proxies = proxies;
         }
     }
 
-    /// The nodes that other nodes are told of, and their zones. Nodes that are gone for good are not passed on for
-    /// ever.
+    /// The nodes that this node reports to the others, and their zones. Nodes without contact for [`FORGET_AFTER`] are
+    /// left out: otherwise the nodes would keep introducing a removed node to each other.
     pub fn known_nodes(&self, now: Millis) -> Vec<(NodeId, String)> {
         let is_recent = |peer: &Peer| {
             peer.last_received.is_some() && peer.time_since_contact(now) < FORGET_AFTER
@@ -189,7 +206,7 @@
             .collect()
     }
 
-    /// Forgets the nodes that are gone for good, but seeds and voters.
+    /// Forgets the nodes without contact for [`FORGET_AFTER`], except seeds and voters.
     pub fn forget_silent(&mut self, now: Millis, seeds: &[NodeId], voters: &Voters) {
         self.peers.retain(|node, peer| {
             let is_required = seeds.contains(node) || voters.contains_node(*node);
@@ -202,7 +219,8 @@
         });
     }
 
-    /// What is known of all other control nodes, and of voters that are not known.
+    /// The statuses of all other control nodes. A voter that this node does not know counts as without contact since
+    /// this process started.
     pub fn statuses(&self, now: Millis, voters: &Voters) -> BTreeMap<NodeId, NodeStatus> {
         let status = |peer: &Peer| NodeStatus {
             disk: peer.disk,
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -6,12 +6,13 @@
 use aspendrum_net::http_client::HttpClient;
 use std::time::{Duration, Instant};
 
-/// The limits of a page.
+/// The limits on the response that carries one page.
 pub const PAGE_LIMITS: MessageLimits = MessageLimits {
     head_bytes: 8 << 10,
     body_bytes: 4 << 20,
 };
-/// For the whole list: a page is answered within a round trip, and a list that takes longer is read again.
+/// The time-out of reading the whole list. A page takes a round trip; after a time-out the list is read from its
+/// beginning again.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Reads the whole list.
--- a/crates/aspendrum-control/src/proxy_table.rs
+++ b/crates/aspendrum-control/src/proxy_table.rs
@@ -18,9 +18,9 @@
     pub is_connected: bool,
 }
 
-/// Merges the tables of several control nodes. The node that an agent is connected to knows better than the one that it
-/// was connected to last. If two nodes have an agent's connection, which happens while it changes from one to the
-/// other, the better readiness counts.
+/// Merges the tables of several control nodes. The entry of the node that the proxy's agent is connected to replaces
+/// that of a node that the agent has left. While an agent moves, two nodes may be connected to it: the better readiness
+/// counts then.
 pub fn merge_proxy_tables<'a>(
     tables: impl Iterator<Item = &'a Vec<ProxyEntry>>,
 ) -> Vec<ProxyEndpoint> {
@@ -40,14 +40,14 @@
     proxies
 }
 
-/// The proxies that any reachable control node knows of, also as lookups are answered from them.
+/// The merged proxy table of all reachable control nodes. Each change is passed on to the [`Directory`].
 pub struct MergedProxies {
     proxies: Vec<ProxyEndpoint>,
     directory: Arc<RwLock<Directory>>,
 }
 
 impl MergedProxies {
-    /// No proxies. `directory`: read by the threads that answer lookups.
+    /// An empty table. `directory`: read by the threads that answer lookups.
     pub fn new(directory: Arc<RwLock<Directory>>) -> MergedProxies {
         MergedProxies {
             proxies: Vec::new(),
--- a/crates/aspendrum-control/src/replica_driver.rs
+++ b/crates/aspendrum-control/src/replica_driver.rs
@@ -1,5 +1,6 @@
-//! Drives a replica: passes events to it, carries out its effects once the state that they rest on is synced, and
-//! answers whoever gave a command. What concerns other parts of the node comes out of [`ReplicaDriver::next_output`].
+//! Drives a replica: passes events to it, carries out its effects once the state that they reveal is synced, and
+//! answers the callers of commands. Effects that concern other parts of the node come out of
+//! [`ReplicaDriver::next_output`].
 
 use crate::clock::Clock;
 use crate::storage::{DiskHealth, Storage, WriteCompletion, WriteResult};
@@ -10,16 +11,16 @@
 use crossbeam_channel::Sender;
 use std::collections::{HashMap, VecDeque};
 
-/// Request ids count up from an incarnation: so many bits are left to them.
+/// Request ids count up from the incarnation. This many low bits of an incarnation are zero to make room for them.
 const REQUEST_ID_BITS: u32 = 24;
 
-/// What the node is to do.
+/// An effect that the node has to carry out.
 pub enum ReplicaOutput {
     /// Send a message to another node.
     Send {
         /// The receiver.
         to: NodeId,
-        /// What it is sent.
+        /// The message.
         message: Message,
     },
     /// The committed state has grown.
@@ -41,7 +42,7 @@
 }
 
 impl ReplicaDriver {
-    /// Drives that replica. `effects`: what it wants at its start.
+    /// A driver of `replica`. `effects`: those that [`Replica::start`] returned.
     pub fn new(
         local_node: NodeId,
         clock: Clock,
@@ -62,7 +63,7 @@
         driver
     }
 
-    /// The replica, for looking at.
+    /// The replica, read-only.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
@@ -77,8 +78,8 @@
         !self.waiting.is_empty()
     }
 
-    /// How long ago a majority is known to have held nothing newer than what is committed here. None: that was never
-    /// so.
+    /// How long ago, in milliseconds, a majority held nothing newer than [`Replica::committed`]; none if no read has
+    /// succeeded yet.
     pub fn majority_age(&self, now: Millis) -> Option<Millis> {
         let as_of = self.replica.committed_as_of();
         as_of.map(|as_of| (now - as_of).max(0.0))
@@ -95,7 +96,7 @@
         self.push(effects);
     }
 
-    /// Finds out what a majority holds.
+    /// Begins a read of a majority, which updates [`Replica::committed`].
     pub fn read(&mut self, now: Millis) {
         let effects = self.replica.submit(now, Command::Read, None);
         self.push(effects);
@@ -107,7 +108,7 @@
         self.push(effects);
     }
 
-    /// Another node has told which epoch it knows of.
+    /// Another node has reported the newest epoch that it knows of.
     pub fn observe_epoch(&mut self, now: Millis, from: NodeId, epoch: Epoch) {
         let effects = self.replica.observe_epoch(now, from, epoch);
         self.push(effects);
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Starts over with what the disk holds for certain, as after a crash of this node. `is_non_voting`: the disk cannot
-    /// be written, and this node only asks.
+    /// Starts over with the state that was synced last, as after a crash of this node. `is_non_voting`: the disk cannot
+    /// be written, so this node does not vote.
     fn restart(&mut self, seeds: &[NodeId], is_non_voting: bool) {
         let synced = self.storage.synced().cloned();
         let disk = self.replica.state().disk;
@@ -182,8 +183,8 @@
         self.ready.extend(released);
     }
 
-    /// Carries out the effects that may be, up to the next one that concerns another part of the node. To be called
-    /// after each other call until it returns none.
+    /// Carries out the effects that are ready, up to the next one that concerns another part of the node, and returns
+    /// that one. Must be called after each call of another method until it returns none.
     pub fn next_output(&mut self) -> Option<ReplicaOutput> {
         while let Some(effect) = self.ready.pop_front() {
             match effect {
@@ -211,7 +212,8 @@
     }
 }
 
-/// Tells request ids and ballots of this start of a replica from those of earlier ones.
+/// A random incarnation, which distinguishes the request ids and ballots of this start of a replica from those of
+/// earlier starts.
 pub fn new_incarnation() -> u64 {
     u64::from(fastrand::u32(..)) << REQUEST_ID_BITS
 }
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -1,5 +1,5 @@
-//! What a control node reports to operators, as JSON. The names in it must not change. Each control node knows the nodes
-//! whose agents are connected to it, and where the other control nodes are.
+//! The reports of a control node to operators, as JSON. Its keys must not change: operators' tools read them. A control
+//! node reports the nodes whose agents are connected to it, and the addresses of the other control nodes.
 
 use aspendrum_model::config::{Config, Route};
 use aspendrum_model::message::StateDigest;
@@ -53,8 +53,8 @@
     })
 }
 
-/// The report of all nodes. `host`: this control node's name. `majority_age`: how long ago a majority held nothing newer
-/// than `decided`, milliseconds.
+/// The report of all nodes. `host`: this control node's name. `majority_age`: how long ago a majority held nothing
+/// newer than `decided`, milliseconds.
 pub fn nodes(
     host: &str,
     decided: &StateDigest,
--- a/crates/aspendrum-control/src/sections.rs
+++ b/crates/aspendrum-control/src/sections.rs
@@ -1,10 +1,10 @@
-//! What every agent should have, in sections that are sent when they change.
+//! The state that every agent should have, split into sections that are sent when they change.
 
 use crate::decided::MAX_MAJORITY_AGE;
 use aspendrum_consensus::{Millis, ReplicatedState};
 use aspendrum_model::message::{ControlAddress, ProxyEndpoint, StateSection};
 
-/// What the sections are made of.
+/// The sources of the sections.
 pub struct SectionSources<'a> {
     /// What is committed, as far as this node knows.
     pub committed: &'a ReplicatedState,
@@ -24,7 +24,7 @@
     /// The sections, in the order in which they are sent.
     pub fn sections(self) -> Vec<StateSection> {
         let mut sections = Vec::new();
-        // Until a majority was read, what is known here may be older than what an agent was sent elsewhere.
+        // Until a majority was read, this node's state may be older than the state that another node sent an agent.
         if self.majority_age.is_some() {
             let config = &self.committed.config;
             if config.version > 0 {
@@ -38,7 +38,8 @@
             });
         }
         sections.extend(self.servers);
-        // Without a majority this node knows of its own agents only: what agents were sent of the others stands.
+        // Without a recent majority this node may know only its own agents' proxies. Agents keep the table that they
+        // have rather than lose the other proxies.
         let is_recent = self.majority_age.is_some_and(|age| age <= MAX_MAJORITY_AGE);
         if is_recent && self.has_gathered && !self.proxies.is_empty() {
             sections.push(StateSection::Proxies(self.proxies.to_vec()));
--- a/crates/aspendrum-control/src/server_list.rs
+++ b/crates/aspendrum-control/src/server_list.rs
@@ -9,17 +9,18 @@
 use crossbeam_channel::Sender;
 use std::net::SocketAddrV4;
 
-/// Between two polls at most, as a share of the time within which a draining server must be left.
+/// The poll interval as a share of the time within which a draining server must receive no more requests.
 const POLL_INTERVAL_SHARE: f64 = 0.25;
-/// How much longer each further node waits before it polls in place of those before it.
+/// How much longer each next node in the ranking waits before it takes over the polling.
 const TAKEOVER_STEP: Millis = 600.0;
-/// The share of the platform's call rate that is used at most.
+/// The largest share of the platform's call rate that polls may use.
 const CALL_RATE_SHARE: f64 = 0.5;
 /// The key by which the nodes are ranked for polling.
 const RANK_KEY: &[u8] = b"servers";
 
-/// Whether this node polls the platform now. The node that ranks highest polls; the next one does if the list has grown
-/// older by `step`, and so on. Two at once cost a call, no more. `list_age`: none if the list was never read.
+/// Whether this node polls the platform now. The highest-ranked reachable node polls once the list is `interval` old;
+/// each next node waits `step` longer, and so takes over if those above it fail to poll. Two nodes that poll at once
+/// cost one extra call and do no other harm. `list_age`: none if the list was never read.
 pub fn should_poll(
     local_node: NodeId,
     reachable: &[NodeId],
@@ -39,7 +40,7 @@
 /// How often the platform may and must be polled.
 #[derive(Clone, Copy, Debug)]
 pub struct PollSchedule {
-    /// The time within which a draining server must be left.
+    /// The time within which a draining server must receive no more requests.
     pub drain_time: Millis,
     /// How many calls a second the platform takes.
     pub calls_per_second: f64,
@@ -80,7 +81,7 @@
         self.last_polled.map(|at| age_ms(now, at))
     }
 
-    /// Another node has told how long ago the platform was polled, as far as it knows.
+    /// Another node has reported the age of the last poll that it knows of, in milliseconds.
     pub fn observe_age(&mut self, now: Millis, age: Option<u32>) {
         if let Some(age) = age {
             self.observe_poll(now - f64::from(age));
@@ -92,7 +93,8 @@
         self.last_polled = Some(last.max(polled_at));
     }
 
-    /// Takes in a list that the platform was asked for at `polled_at`. Returns whether anything changed.
+    /// Stores a list whose poll began at `polled_at`, if that is newer than the present one. Returns whether anything
+    /// changed.
     pub fn update(&mut self, now: Millis, list: Vec<ServerInstance>, polled_at: Millis) -> bool {
         self.observe_poll(polled_at);
         self.list.replace(now, list, polled_at)
@@ -115,14 +117,14 @@
                 self.failures += 1;
                 let failures = self.failures;
                 log::warn!("event=server_list_not_read failures={failures} why=\"{error}\"");
-                // Not at once again: all nodes share the platform's rate.
+                // Waits a full interval before the next poll: all nodes share the platform's call rate.
                 self.last_polled = Some(now);
                 false
             }
         }
     }
 
-    /// Polls the platform if that is due and this node's turn.
+    /// Polls the platform if a poll is due and it is this node's turn.
     pub fn poll_if_due(
         &mut self,
         now: Millis,
--- a/crates/aspendrum-control/src/shutdown.rs
+++ b/crates/aspendrum-control/src/shutdown.rs
@@ -9,14 +9,14 @@
 /// A shutdown under way.
 pub struct Shutdown {
     requested_at: Millis,
-    /// The node was a voter then.
+    /// Whether the node was a voter when the shutdown was requested.
     was_voter: bool,
     /// Notified when the process may end.
     ready: Sender<()>,
 }
 
 impl Shutdown {
-    /// The process was asked to end. `ready` is notified when it may.
+    /// Begins a shutdown. `ready` is notified when the process may end.
     pub fn new(now: Millis, replica: &Replica, ready: Sender<()>) -> Shutdown {
         let was_voter = replica.is_voter();
         log::info!("event=shutdown_requested votes={was_voter}");
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Lets the process end if another node has its vote, or none can take it. `nodes`: what is known of all control
-    /// nodes.
+    /// Notifies that the process may end if another node has taken over this node's vote, or if none can. `nodes`: the
+    /// statuses of all known control nodes.
     pub fn finish_if_ready(
         &self,
         replica: &Replica,
@@ -46,7 +46,8 @@
     }
 
     fn is_handed_over(&self, replica: &Replica) -> bool {
-        // If the voters without this node have answered, a majority of them holds everything that was acknowledged.
+        // A read that began after the request and ended without this node's vote shows that the new voters hold
+        // everything that was acknowledged.
         let as_of = replica.committed_as_of();
         let has_read_since = as_of.is_some_and(|as_of| as_of > self.requested_at);
         !replica.is_voter() && (has_read_since || !self.was_voter)
--- a/crates/aspendrum-control/src/startup.rs
+++ b/crates/aspendrum-control/src/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the process: reads settings and disk, starts the threads, and ends when it is told to.
+//! Starts the process: reads the settings and the disk, starts the threads, and waits for the signal to shut down.
 
 use crate::api::{LookupApi, OperatorApi};
 use crate::clock::Clock;
@@ -29,13 +29,14 @@
 use std::sync::{Arc, RwLock};
 use std::time::{Duration, Instant};
 
+/// Of the threads that poll the platform and answer lookups.
 const STACK_BYTES: usize = 128 << 10;
 const NODE_STACK_BYTES: usize = 512 << 10;
 /// Compressing a configuration takes a few hundred KB of stack while it begins.
 const OPERATOR_STACK_BYTES: usize = 1 << 20;
 /// How many events may wait for the node's thread.
 const EVENT_CAPACITY: usize = 4096;
-/// How long a shutdown may take to hand over the vote, as a share of the time that the process has.
+/// The share of the grace period of a shutdown for which the process waits until its vote has been handed over.
 const HANDOVER_SHARE: f64 = 0.5;
 /// A configuration of thousands of routes takes a few megabytes.
 const OPERATOR_LIMITS: MessageLimits = MessageLimits {
@@ -72,11 +73,11 @@
     let settings_file = std::env::var(SETTINGS_VARIABLE).unwrap_or_default();
     let ended = signals.wait_for_shutdown(settings_file, reload);
     ended.map_err(StartError::Signals)?;
-    // Everything that was acknowledged is on disks; what is left is a vote that another node may take.
-    let (ready, is_ready) = bounded(1);
+    // Acknowledged commands are on disks already. All that remains to do is to hand over this node's vote.
+    let (ready, shutdown_ready) = bounded(1);
     events.send(Event::ShutdownRequested { ready }, None);
     let timeout = Duration::from_secs_f64(HANDOVER_SHARE * settings.shutdown_grace_s);
-    let _ = is_ready.recv_timeout(timeout);
+    let _ = shutdown_ready.recv_timeout(timeout);
     Ok(())
 }
 
@@ -155,8 +156,8 @@
     );
 }
 
-/// Starts the thread that runs the node as soon as it is sent that: other threads, which the node needs, need the
-/// thread's mailbox first.
+/// Starts the thread that will own the node, before the node exists: the threads that the node depends on need the
+/// sender of its mailbox. The node is sent to the thread once it has been built.
 fn start_node_thread() -> Result<(Sender<ControlNode>, Arc<MailboxSender<Event>>), StartError> {
     let (node_sender, nodes) = bounded::<ControlNode>(1);
     let start = |events: MailboxReceiver<Event>| {
@@ -173,7 +174,7 @@
     Ok((node_sender, Arc::new(events)))
 }
 
-/// Reads the platform's list of servers whenever it is asked to.
+/// The body of the polling thread: reads the platform's list of servers once for each request.
 fn poll_platform(requests: &Receiver<SocketAddrV4>, events: &MailboxSender<Event>) {
     let mut platform: Option<HttpClient> = None;
     while let Ok(address) = requests.recv() {
@@ -187,7 +188,7 @@
     }
 }
 
-/// Opens the ports of operators' calls and clients' lookups, as far as they are configured.
+/// Opens the ports for operators' calls and for clients' lookups, if they are configured.
 fn open_apis(
     settings: &Settings,
     directory: &Arc<RwLock<Directory>>,
@@ -207,8 +208,8 @@
         http_server::listen(address, options, answer).map_err(resource_error("ctl"))?;
     }
     if let Some(address) = settings.directory_addr {
-        // Answers count as long as the requirements allow: a request waits for each lookup, and clients pass over
-        // addresses that fail them.
+        // The longest time to live that the requirements allow: a request has to wait for a lookup, while clients skip
+        // addresses that fail.
         let api = LookupApi::new(directory.clone(), settings.max_ttl_s);
         let answer = move |request| api.answer(clock.now(), &request);
         let options = options(STACK_BYTES, LOOKUP_LIMITS);
@@ -217,8 +218,8 @@
     Ok(())
 }
 
-/// Ends the process if the node's thread panics: without it a control node only refuses calls, and ought to be started
-/// again.
+/// Ends the process if the node's thread panics: the other threads could only refuse calls, so the process should be
+/// restarted.
 struct ExitOnPanic;
 
 impl Drop for ExitOnPanic {
--- a/crates/aspendrum-control/src/storage.rs
+++ b/crates/aspendrum-control/src/storage.rs
@@ -1,5 +1,5 @@
-//! Delays a replica's effects until the state that they rest on is synced. The disk has a thread of its own, so that
-//! nothing else waits for it.
+//! Delays a replica's effects until the state that they reveal is synced. A thread of its own writes to the disk, so
+//! that a slow disk does not block the node's thread.
 
 use crate::errors::StoreError;
 use crate::store::Store;
@@ -12,9 +12,10 @@
 use std::time::{Duration, Instant};
 
 const STACK_BYTES: usize = 256 << 10;
-/// How many effects may wait for a disk that does not answer. Beyond that messages are dropped, as a network may.
+/// How many effects may wait for a disk that does not answer. Beyond that messages are dropped: the protocols tolerate
+/// lost messages.
 const MAX_WAITING: usize = 2000;
-/// A disk that has not answered for so long is reported to the other nodes.
+/// After this time without an answer the disk counts as stalled, and the other nodes replace this voter.
 const STALLED_AFTER: Duration = Duration::from_millis(1500);
 /// Between two attempts to write to a disk that failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -55,13 +56,13 @@
 struct PendingWrite {
     started_at: Instant,
     state: DurableState,
-    /// How many [`Effect::Persist`] at the front of the waiting effects it covers.
+    /// The number of [`Effect::Persist`] among the waiting effects that this write completes, counted from the front.
     covered: usize,
 }
 
 /// The disk's thread, and the effects that wait for it.
 pub struct Storage {
-    /// None: there is no disk, and nothing is to be persisted.
+    /// None if there is no disk: [`Effect::Persist`] is then ignored.
     writer: Option<Sender<DurableState>>,
     pending_write: Option<PendingWrite>,
     /// The state that was synced last.
@@ -73,7 +74,7 @@
 
 impl Storage {
     /// Starts the disk's thread. `synced`: the state on the disk. `on_written` is called with the result of each write,
-    /// and returns false once nobody wants to know.
+    /// and returns false if the node's thread has ended.
     ///
     /// # Errors
     /// The thread cannot be started.
@@ -109,12 +110,12 @@
         }
     }
 
-    /// The state that the disk holds for certain.
+    /// The state that was synced last.
     pub fn synced(&self) -> Option<&DurableState> {
         self.synced.as_ref()
     }
 
-    /// Takes effects in, and returns those that may be carried out now. `state`: as it is after these effects.
+    /// Queues effects, and returns those that may be carried out now. `state`: the durable state after these effects.
     pub fn push(&mut self, effects: Vec<Effect>, state: &DurableState) -> Vec<Effect> {
         let mut effects = effects;
         if self.writer.is_none() || self.failed_at.is_some() {
@@ -159,7 +160,7 @@
         self.waiting.drain(..end).collect()
     }
 
-    /// A write has ended. `state`: as it is now.
+    /// A write has ended. `state`: the durable state now.
     pub fn on_write_finished(
         &mut self,
         result: WriteResult,
@@ -185,7 +186,8 @@
         WriteCompletion::Released(released)
     }
 
-    /// Tries to write to a failed disk again what it held last. `initial`: where it held nothing yet.
+    /// Writes the last synced state to a failed disk again, if a retry is due. `initial`: the state to write if none
+    /// was synced yet.
     pub fn retry(&mut self, initial: &DurableState) {
         let is_due = self
             .failed_at
