--- a/crates/aspendrum-core/src/engine/admission.rs
+++ b/crates/aspendrum-core/src/engine/admission.rs
@@ -8,13 +8,15 @@
 
 /// A tenant that is not remembered has not been used for so long: its rate limit shares have filled for that time.
 pub(super) const IDLE_TIMEOUT: Millis = 90_000.0;
-/// For so long after a start, an instance may have granted its share of a windowed quota just before it.
+/// For so long after a start, an instance may have granted its share of a windowed quota just
+/// before it.
 const RECENT_START: Millis = 5000.0;
 /// A request beyond its quota leaves this part of the rate limit share to those within theirs.
 const CEILING_RESERVE: f64 = 0.5;
 
 impl DecisionEngine {
-    /// A client's request. One with a known id, or of a group or plan that is not configured, is dropped.
+    /// A client's request. One with a known id, or of a group or plan that is not configured, is
+    /// dropped.
     pub(super) fn accept_request(&mut self, new: &NewRequest) {
         let (group, plan) = (usize::from(new.group), new.plan as usize);
         let is_known = self.requests.find(new.id).is_some();
@@ -77,7 +79,8 @@
         self.tenants.insert(id, tenant)
     }
 
-    /// The quota has been decided on: a peer gets its reply, a client's request is queued or given up.
+    /// The quota has been decided on: a peer gets its reply, a client's request is queued or given
+    /// up.
     pub(super) fn conclude_admission(&mut self, slot: usize, within_quota: bool) {
         self.record_decision(slot, within_quota);
         let request = &mut self.requests[slot];
--- a/crates/aspendrum-core/src/engine/health_check.rs
+++ b/crates/aspendrum-core/src/engine/health_check.rs
@@ -12,8 +12,8 @@
 const HANG_RESPONSE_TIMES: f64 = 8.0;
 const PROBE_INTERVAL: Millis = 500.0;
 const PROBE_INTERVAL_EJECTED: Millis = 250.0;
-/// How fast what is known of a server fades to what all have in common, a tick. An idle one fades to half their response
-/// time.
+/// How fast what is known of a server fades to what all have in common, a tick. An idle one fades
+/// to half their response time.
 const FADING: f64 = 0.000_3;
 const IDLE_RESPONSE_TIME: f64 = 0.5;
 
@@ -84,7 +84,7 @@
         } else {
             PROBE_INTERVAL
         };
-        // A report that one of hundreds hears steers too little of the load to pay for the probe.
+        // A load report that reaches one of hundreds of instances influences too little of the load to be worth the probe.
         let reports_pay = self.params.reports_by_probe && self.params.probe_spacing <= 1.0;
         let is_wanted = is_ejected || self.is_slow_starting(server.started_at) && reports_pay;
         let is_possible =
