--- a/crates/aspendrum-consensus/src/replicated_state.rs
+++ b/crates/aspendrum-consensus/src/replicated_state.rs
@@ -14,8 +14,8 @@
         /// The version that the operator gave it.
         version: u32,
         /// The compressed text.
-        packed_text: Vec<u8>,
-        /// Of the text as it was sent, before compression.
+        compressed_text: Vec<u8>,
+        /// The digest of the text as it was sent, before compression.
         digest: u64,
     },
     /// Begin or end the evacuation of a zone.
@@ -23,29 +23,29 @@
         /// The zone's name.
         zone: String,
         /// Whether the zone is to be evacuated.
-        evacuated: bool,
+        is_evacuated: bool,
     },
-    /// Change nothing; find out what a majority holds.
+    /// Change nothing; return the state that a majority holds.
     Read,
 }
 
 /// The configuration with the highest version that was decided.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecidedConfig {
-    /// 0: none was decided yet.
+    /// The version that the operator gave it; 0 if no configuration was decided yet.
     pub version: u32,
     /// The compressed text.
-    pub packed_text: Vec<u8>,
+    pub compressed_text: Vec<u8>,
 }
 
 /// The last command about a zone's evacuation. Ordered by revision. Of two commands with one revision the end of the
-/// evacuation wins: sending traffic to a zone that could do without harms less than forgetting the zone for ever.
+/// evacuation wins: a zone that gets traffic too early does less harm than one that never gets any again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Evacuation {
     /// Counts the commands that changed this zone.
     pub revision: u64,
     /// Whether the evacuation has ended.
-    pub ended: bool,
+    pub has_ended: bool,
 }
 
 /// The zones that get no traffic.
@@ -57,7 +57,7 @@
     pub zones: Vec<String>,
 }
 
-/// What operators have set.
+/// The state that operators' commands change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     /// The configuration in force.
@@ -67,7 +67,7 @@
 }
 
 impl ReplicatedState {
-    /// Takes in what `other` contains: the least upper bound of both. Returns whether anything changed.
+    /// Replaces this state by the least upper bound of itself and `other`. Returns whether that changed it.
     pub fn merge(&mut self, other: &ReplicatedState) -> bool {
         let before = self.clone();
         if other.config.version > self.config.version {
@@ -80,49 +80,50 @@
         *self != before
     }
 
-    /// Equal where the same commands have taken effect. Sent between replicas, so it must stay the same between
-    /// versions of this program.
+    /// A digest that is equal for equal states. Replicas of two versions of this program compare it, so the way it is
+    /// computed must not change.
     pub fn digest(&self) -> u64 {
         let mut bytes = Vec::new();
         bytes.extend_from_slice(&self.config.version.to_le_bytes());
-        bytes.extend_from_slice(&digest(&self.config.packed_text).to_le_bytes());
+        bytes.extend_from_slice(&digest(&self.config.compressed_text).to_le_bytes());
         for (zone, evacuation) in &self.evacuations {
             bytes.extend_from_slice(zone.as_bytes());
             bytes.extend_from_slice(&evacuation.revision.to_le_bytes());
-            bytes.push(u8::from(evacuation.ended));
+            bytes.push(u8::from(evacuation.has_ended));
         }
         digest(&bytes)
     }
 
     /// The zones that get no traffic now.
     pub fn evacuated_zones(&self) -> EvacuatedZones {
-        let active = self.evacuations.iter().filter(|(_, e)| !e.ended);
+        let active = self.evacuations.iter().filter(|(_, e)| !e.has_ended);
         EvacuatedZones {
             revision: self.evacuations.values().map(|e| e.revision).sum(),
             zones: active.map(|(zone, _)| zone.clone()).collect(),
         }
     }
 
-    /// Applies a command about a zone to what a majority was seen to hold. Other commands change nothing here.
+    /// Applies a command about a zone's evacuation. `self` must be the merged state of a majority. Other commands
+    /// change nothing.
     pub fn apply(&mut self, command: &Command) {
-        if let Command::SetEvacuation { zone, evacuated } = command {
+        if let Command::SetEvacuation { zone, is_evacuated } = command {
             let evacuation = self.evacuations.entry(zone.clone()).or_default();
-            // A command that is in force already is a retry of the one that brought it into force.
-            if evacuation.revision == 0 || evacuation.ended == *evacuated {
+            // A command that asks for what is so already may be a retry: it gets no revision of its own.
+            if evacuation.revision == 0 || evacuation.has_ended == *is_evacuated {
                 *evacuation = Evacuation {
                     revision: evacuation.revision + 1,
-                    ended: !evacuated,
+                    has_ended: !is_evacuated,
                 };
             }
         }
     }
 
-    /// The same state with a configuration that was decided, if that is newer.
-    pub fn with_config(mut self, version: u32, packed_text: Vec<u8>) -> ReplicatedState {
+    /// This state with a decided configuration, if that has a higher version than the one contained.
+    pub fn with_config(mut self, version: u32, compressed_text: Vec<u8>) -> ReplicatedState {
         if version > self.config.version {
             self.config = DecidedConfig {
                 version,
-                packed_text,
+                compressed_text,
             };
         }
         self
--- a/crates/aspendrum-control/src/proxy_table.rs
+++ b/crates/aspendrum-control/src/proxy_table.rs
@@ -15,12 +15,12 @@
     pub proxy: ProxyEndpoint,
     /// Whether its agent is connected to that control node. If not, the agent was until a moment ago and is connecting
     /// to another one.
-    pub connected: bool,
+    pub is_connected: bool,
 }
 
-/// Merges the tables of several control nodes. The node that an agent is connected to knows better than the one that it
-/// was connected to last. If two nodes have an agent's connection, which happens while it changes from one to the
-/// other, the better readiness counts.
+/// Merges the tables of several control nodes. The entry of the node that the proxy's agent is connected to replaces
+/// that of a node that the agent has left. While an agent moves, two nodes may be connected to it: the better readiness
+/// counts then.
 pub fn merge_proxy_tables<'a>(
     tables: impl Iterator<Item = &'a Vec<ProxyEntry>>,
 ) -> Vec<ProxyEndpoint> {
@@ -28,9 +28,9 @@
     for entry in tables.flatten() {
         let known = merged.entry(entry.proxy.addr);
         let known = known.or_insert_with(|| entry.clone());
-        if entry.connected && !known.connected {
+        if entry.is_connected && !known.is_connected {
             *known = entry.clone();
-        } else if entry.connected == known.connected {
+        } else if entry.is_connected == known.is_connected {
             known.proxy.readiness = known.proxy.readiness.max(entry.proxy.readiness);
             known.proxy.is_current |= entry.proxy.is_current;
         }
@@ -40,14 +40,14 @@
     proxies
 }
 
-/// The proxies that any reachable control node knows of, also as lookups are answered from them.
+/// The merged proxy table of all reachable control nodes. Each change is passed on to the [`Directory`].
 pub struct MergedProxies {
     proxies: Vec<ProxyEndpoint>,
     directory: Arc<RwLock<Directory>>,
 }
 
 impl MergedProxies {
-    /// No proxies. `directory`: read by the threads that answer lookups.
+    /// An empty table. `directory`: read by the threads that answer lookups.
     pub fn new(directory: Arc<RwLock<Directory>>) -> MergedProxies {
         MergedProxies {
             proxies: Vec::new(),
--- a/crates/aspendrum-core/src/api/action.rs
+++ b/crates/aspendrum-core/src/api/action.rs
@@ -1,4 +1,4 @@
-//! What the engine asks for.
+//! Actions: the engine's output.
 
 use super::{Millis, RequestId, ServerId};
 
--- a/crates/aspendrum-core/src/api/server.rs
+++ b/crates/aspendrum-core/src/api/server.rs
@@ -32,8 +32,8 @@
 pub struct LoadReport {
     /// How many of `values` there are; 0: no report.
     pub count: u8,
-    /// Values in the order of [`Settings::load_values`](super::Settings::load_values). One that could not be read is
-    /// not a number.
+    /// Values in the order of [`Settings::load_values`](super::Settings::load_values). One that
+    /// could not be read is not a number.
     pub values: [f32; 4],
 }
 
--- a/crates/aspendrum-core/src/engine/maintenance.rs
+++ b/crates/aspendrum-core/src/engine/maintenance.rs
@@ -8,7 +8,8 @@
 
 /// How long after its time-out a counter call that did not end is given up.
 const COUNTER_GRACE: Millis = 4.0 * TICK;
-/// A queued request is given up when this many response times, or this part of the latency target, are left of it.
+/// A queued request is given up when this many response times, or this part of the latency target,
+/// are left of it.
 const RESPONSE_TIMES_LEFT: f64 = 3.0;
 const TARGET_LEFT: f64 = 0.9;
 /// The retry advice to clients while servers have no capacity, in multiples of the response time.
--- a/crates/aspendrum-core/src/engine/parameters.rs
+++ b/crates/aspendrum-core/src/engine/parameters.rs
@@ -7,7 +7,8 @@
 use crate::spread;
 use crate::state::request::MAX_ATTEMPTS;
 
-/// With more instances than these, each probes servers less often: hundreds would load what they probe.
+/// With more instances than these, each probes servers less often: hundreds would load what they
+/// probe.
 const PROBING_INSTANCES: f64 = 16.0;
 /// Of a rate limit, what the first quota owner grants from; the instances split the rest.
 pub(crate) const OWNER_CEILING_SHARE: f64 = 0.6;
@@ -88,7 +89,7 @@
     pub(crate) plans: Vec<PlanParameters>,
     /// Where in a load report the share of capacity in use stands.
     pub(crate) load_index: Option<usize>,
-    /// LoadReport reports come with probes alone.
+    /// Load reports come with probes only.
     pub(crate) reports_by_probe: bool,
     /// The list of servers is asked for, not pushed.
     pub(crate) polls_discovery: bool,
--- a/crates/aspendrum-core/src/engine/quota_owner/routing.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/routing.rs
@@ -7,13 +7,15 @@
 use crate::spread;
 use crate::state::peer::Peer;
 
-/// Instances of a tenant's set that may own its quota, one after another as those before don't answer.
+/// Instances of a tenant's set that may own its quota, one after another as those before don't
+/// answer.
 pub(super) const OWNERS: u32 = 3;
 /// An owner answers within its counter's time-out and the way there and back.
 const REPLY_TIMEOUT: Millis = 100.0;
 /// A request is sent once more before it counts as missed: datagrams get lost.
 const REPEAT_AFTER: Millis = 50.0;
-/// So many missed replies in a row are not due to lost datagrams: the owner is not asked for a while.
+/// So many missed replies in a row are not due to lost datagrams: the owner is not asked for a
+/// while.
 const MISSED_REPLIES: u32 = 2;
 
 impl DecisionEngine {
@@ -24,8 +26,8 @@
         self.route_to_owner(slot, 0);
     }
 
-    /// The first reachable one of the tenant's owners decides, from that of number `first` on; this instance if it is
-    /// that one or none is reachable.
+    /// The first reachable one of the tenant's owners decides, from that of number `first` on; this
+    /// instance if it is that one or none is reachable.
     fn route_to_owner(&mut self, slot: usize, first: usize) {
         let tenant = self.requests[slot].tenant;
         let owner = self
@@ -102,9 +104,10 @@
         let needs_tokens = lacks_counter || self.is_counter_silent();
         let message = match (is_answering, needs_tokens) {
             (true, true) => quota_request(self.give_all_tokens(index)),
-            // What is given to an owner that can't be heard is lost, and what it grants too.
+            // Tokens given to an owner whose datagrams are lost are lost too, and so are its
+            // grants.
             (false, true) => PeerMessage::Ping { id },
-            // The counter makes good what an owner that can't be heard grants. An owner that can read the counter needs
+            // The counter makes good the grants of an owner whose datagrams are lost. An owner that can read the counter needs
             // no tokens: each instance keeps its tokens for when the counter becomes unreachable.
             (_, false) => quota_request(0),
         };
@@ -116,8 +119,8 @@
         self.send_to_peer(peer, message);
     }
 
-    /// The owner has not answered yet: it is asked again, then given up for this request, and after misses in a row for a
-    /// while.
+    /// The owner has not answered yet: it is asked again, then given up for this request, and after
+    /// misses in a row for a while.
     pub(in crate::engine) fn check_quota_owner(&mut self, slot: usize, peer: u16) {
         let request = &mut self.requests[slot];
         let waited = self.now - request.waiting_since;
--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -1,5 +1,6 @@
-//! Tokens that instances hold, spend and give to each other while the shared counter says nothing. However messages are
-//! lost, all instances together never hold more than the quota has brought (docs/shared-state.md).
+//! Tokens that instances hold, spend and give to each other while the shared counter says nothing.
+//! However messages are lost, all instances together never hold more than the quota has brought
+//! (docs/shared-state.md).
 
 use super::routing::OWNERS;
 use crate::api::Millis;
@@ -12,7 +13,8 @@
 use crate::state::tenant::SpareGrant;
 use aspendrum_token_bucket::{BucketLimits, TokenTransfer, ONE_TOKEN};
 
-/// While the breaker is open a probe a second asks the counter: two without an answer, and it is silent.
+/// While the breaker is open a probe a second asks the counter: two without an answer, and it is
+/// silent.
 const SILENT_AFTER: Millis = 2.5 * PROBE_INTERVAL;
 /// Token requests sent at once at most.
 const MAX_TOKEN_REQUESTS: f64 = 8.0;
@@ -37,8 +39,8 @@
         self.tenants[index].token_bucket.tokens() as f64 / ONE_TOKEN as f64
     }
 
-    /// Notes the decision on a request. What was granted here, by whatever count, is spent: an instance never holds
-    /// tokens for what the counter gave away.
+    /// Notes the decision on a request. What was granted here, by whatever count, is spent: an
+    /// instance never holds tokens for what the counter gave away.
     pub(in crate::engine) fn record_decision(&mut self, slot: usize, within_quota: bool) {
         let request = &mut self.requests[slot];
         request.within_quota = within_quota;
@@ -103,8 +105,9 @@
         }
     }
 
-    /// As far as this instance can tell, the counter says nothing. One that is too small rejects and fails calls all day,
-    /// and still decides: taken for silent, it made instances refuse what had room.
+    /// As far as this instance can tell, the counter says nothing. One that is too small rejects
+    /// and fails calls all day, and still decides: taken for silent, it made instances refuse what
+    /// had room.
     pub(super) fn is_counter_silent(&self) -> bool {
         let is_silent = self
             .counter_heard_at
@@ -141,7 +144,7 @@
     }
 
     /// Admits a request though no tokens are left and no peer can be asked: a thin quota's even share is less than
-    /// a request, and an instance that reaches no peer would reject everything. An instance that has heard the counter since its start
+    /// a request, and an instance that reaches no peer would reject everything. An instance that has had an answer of the counter since its start
     /// lets one request of a tenant through in each silence of the counter, and no more often than the even share brings
     /// one.
     fn use_spare_grant(&mut self, index: usize, units: f64) -> bool {
@@ -168,8 +171,9 @@
         is_allowed && tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now)
     }
 
-    /// Out of tokens, an owner asks instances of the set that have not given any lately for what they hold, in turn and
-    /// each at most twice in the time that fills the burst: what idle instances hold goes to where the traffic is.
+    /// Out of tokens, an owner asks instances of the set that have not given any lately for what
+    /// they hold, in turn and each at most twice in the time that fills the burst: what idle
+    /// instances hold goes to where the traffic is.
     fn request_tokens(&mut self, index: usize, limits: &BucketLimits) {
         let tenant = &self.tenants[index];
         if self.now - tenant.owned_at > OWNERSHIP_TIME {
@@ -238,7 +242,8 @@
         };
         let tenant = &self.tenants[index];
         let is_idle = self.now - tenant.last_request_at > self.params.plans[tenant.plan].window;
-        // An instance that has requests of its own and gets no answer may be one that can't be heard.
+        // An instance that has requests of its own and gets no answer may be one whose datagrams
+        // are lost.
         if !is_idle && !self.peers[usize::from(peer)].is_answering {
             return;
         }
--- a/crates/aspendrum-core/src/engine/retry_rules.rs
+++ b/crates/aspendrum-core/src/engine/retry_rules.rs
@@ -1,5 +1,5 @@
-//! Rules 1 and 2: whether a request may be sent to another server, and how it may be given up. Nothing else decides
-//! on either.
+//! Rules 1 and 2: whether a request may be sent to another server, and how it may be given up.
+//! Nothing else decides on either.
 
 use super::{DecisionEngine, TICK};
 use crate::api::{Millis, RepeatGroup, Semantics};
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -1,5 +1,6 @@
-//! Reads settings from lines of `path=value`: those of the simulator and of the gateway's configuration alike. Unknown
-//! paths are ignored; one that is needed and missing, or whose value makes no sense, is refused by name.
+//! Reads settings from lines of `path=value`: those of the simulator and of the gateway's
+//! configuration alike. Unknown paths are ignored; one that is needed and missing, or whose value
+//! makes no sense, is refused by name.
 
 use crate::api::{
     GroupSettings, LoadReportChannel, LoadValue, Millis, PlanSettings, RepeatGroup, Semantics,
