--- a/crates/aspendrum-agent/src/coordinator/desired_state.rs
+++ b/crates/aspendrum-agent/src/coordinator/desired_state.rs
@@ -106,11 +106,11 @@
             }) => decompress(compressed_text).and_then(|text| Config::read(&text).ok()),
             _ => None,
         };
-        let (order, zones) = match &self.sections[EVACUATED] {
-            Some(StateSection::Evacuated { order, zones }) => (*order, zones.as_slice()),
+        let (revision, zones) = match &self.sections[EVACUATED] {
+            Some(StateSection::Evacuated { revision, zones }) => (*revision, zones.as_slice()),
             _ => (0, [].as_slice()),
         };
-        self.digest = state_digest(config.as_ref(), order, zones);
+        self.digest = state_digest(config.as_ref(), revision, zones);
     }
 }
 
@@ -130,11 +130,12 @@
             version > held_version || replaces && source == Source::Control
         }
         (
-            StateSection::Evacuated { order, .. },
+            StateSection::Evacuated { revision, .. },
             Some(StateSection::Evacuated {
-                order: held_order, ..
+                revision: held_revision,
+                ..
             }),
-        ) => order > held_order,
+        ) => revision > held_revision,
         _ => true,
     }
 }
--- a/crates/aspendrum-agent/tests/wire_bytes.rs
+++ b/crates/aspendrum-agent/tests/wire_bytes.rs
@@ -94,7 +94,7 @@
             news(
                 300,
                 StateSection::Evacuated {
-                    order: 7,
+                    revision: 7,
                     zones: vec!["poa-a".into(), String::new()],
                 },
             ),
--- a/crates/aspendrum-control/src/sections.rs
+++ b/crates/aspendrum-control/src/sections.rs
@@ -33,7 +33,7 @@
             }
             let evacuated = self.committed.evacuated_zones();
             sections.push(StateSection::Evacuated {
-                order: evacuated.revision,
+                revision: evacuated.revision,
                 zones: evacuated.zones,
             });
         }
--- a/crates/aspendrum-model/src/compression.rs
+++ b/crates/aspendrum-model/src/compression.rs
@@ -1,13 +1,14 @@
 //! Compression of configurations, on the wire and on disk (DEFLATE, RFC 1951).
 //!
-//! A configuration of a thousand routes is some 300 KB of repetitive text, and a machine's link may carry no more than
-//! 2 Mbit/s.
+//! A configuration of a thousand routes is some 300 KB of repetitive text, which would take more than a second on a
+//! machine's link of 2 Mbit/s.
 
 use flate2::read::{DeflateDecoder, DeflateEncoder};
 use flate2::Compression;
 use std::io::Read;
 
-/// The most bytes that are decompressed of one text; what is longer is cut off there.
+/// The largest number of bytes that one text decompresses to; a longer text is truncated. Bounds the memory that a
+/// damaged or hostile text can take.
 const MAX_TEXT_BYTES: u64 = 64 << 20;
 
 /// Compresses a text. The result is part of the protocol: nodes compare digests of compressed texts.
--- a/crates/aspendrum-model/src/config.rs
+++ b/crates/aspendrum-model/src/config.rs
@@ -23,14 +23,14 @@
     pub tenants: Option<Vec<Tenant>>,
     /// The services that routes lead to.
     pub services: Vec<Service>,
-    /// The routes; their indices are theirs in this configuration only.
+    /// The routes. Other parts of this configuration refer to them by index; another configuration has other indices.
     pub routes: Vec<Route>,
     routing_table: RoutingTable,
     /// The index of each credential's tenant.
     tenant_by_key: HashMap<String, usize>,
 }
 
-/// One host and path prefix, and the index of the route there.
+/// A host, a path prefix, and the index of the route for requests that match both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteEntry<'c> {
     /// The host, in lower case.
--- a/crates/aspendrum-model/src/config/document.rs
+++ b/crates/aspendrum-model/src/config/document.rs
@@ -36,7 +36,7 @@
     pub idle_timeout_ms: f64,
 }
 
-/// A tenant: who is charged for requests.
+/// A tenant: a customer to whom requests are charged, with its quota.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Tenant {
     /// Its name.
@@ -58,7 +58,7 @@
     pub home_regions: Vec<String>,
 }
 
-/// A service: servers that run the same requests.
+/// A service: a set of servers of which each can run the same requests.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Service {
     /// Its name.
@@ -109,7 +109,7 @@
     pub(super) prefix: String,
 }
 
-/// What is done with the requests.
+/// The services and the terms for the requests that a rule matches.
 #[derive(Clone, Debug, Deserialize)]
 struct Action {
     #[serde(rename = "svc")]
@@ -132,7 +132,8 @@
     weight: f64,
 }
 
-/// A latency target so far above the time-out is a mistaken unit, by the protocol's definition; less is a matter of taste.
+/// The protocol defines a latency target that exceeds the time-out by this much as invalid: it must be in the wrong
+/// unit. A smaller excess is allowed.
 const MAX_TARGET_ABOVE_TIMEOUT_MS: f64 = 60_000.0;
 
 impl Rule {
--- a/crates/aspendrum-model/src/config/route.rs
+++ b/crates/aspendrum-model/src/config/route.rs
@@ -1,15 +1,15 @@
-//! Routes: where the requests of one host and path prefix go.
+//! Routes: the services and the terms for the requests of one host and path prefix.
 
-/// Where requests of one host and path prefix go, and on what terms.
+/// The services for requests of one host and path prefix, and the limits on these requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for people.
+    /// Its name, for logs and reports.
     pub name: String,
     /// Whether a request may run more than once.
     pub idempotent: bool,
     /// The latency within which an answer has its full value, in milliseconds.
     pub latency_target_ms: f64,
-    /// The longest time that a request may be held, in milliseconds.
+    /// The time-out of a request, in milliseconds, over all its attempts.
     pub timeout_ms: f64,
     /// The rank of its requests when load is shed, behind the tenant's; 0 is the highest.
     pub priority: f64,
@@ -42,7 +42,7 @@
                 return service;
             }
         }
-        // Reached if the chance was rounded up to 1. Services without weight get nothing then either.
+        // Reached if rounding left `remaining` at 0 or more. A service without weight must not be chosen then either.
         let last_weighted = self.services.iter().rev().find(|s| s.weight > 0.0);
         last_weighted.map_or("", |s| &s.service)
     }
--- a/crates/aspendrum-model/src/hash.rs
+++ b/crates/aspendrum-model/src/hash.rs
@@ -9,7 +9,7 @@
 }
 
 /// The weight of a member for a key in rendezvous hashing (Thaler and Ravishankar, 1998): the member with the highest
-/// weight owns the key. When a member goes, only the keys that it owned move.
+/// weight owns the key. When a member is removed, only the keys that it owned get another owner.
 pub fn rank(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
--- a/crates/aspendrum-model/src/message.rs
+++ b/crates/aspendrum-model/src/message.rs
@@ -12,7 +12,7 @@
 /// Whether clients may be sent to a proxy, from worst to best.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Readiness {
-    /// It lacks state that requests need, or accepts no requests any more.
+    /// It lacks state that it needs to serve requests, or no longer accepts requests.
     #[default]
     Closed,
     /// It is shutting down gracefully, and accepts requests for a little longer.
@@ -24,13 +24,13 @@
 /// A proxy that clients can be sent to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProxyEndpoint {
-    /// Where it accepts clients.
+    /// The address at which it accepts clients.
     pub addr: SocketAddrV4,
     /// The zone that it is in.
     pub zone: String,
     /// Whether clients may be sent to it.
     pub readiness: Readiness,
-    /// Whether what it has applied is what was decided, or was so a moment ago.
+    /// Whether it has applied the decided state, or lacks it only since a moment ago.
     pub is_current: bool,
 }
 
@@ -41,17 +41,17 @@
     }
 }
 
-/// The version of the operators' orders that a state contains.
+/// The versions of the operators' commands that a state contains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
     /// The version of the configuration.
     pub config: u32,
-    /// The number of the last evacuation order.
+    /// The number of the last evacuation command.
     pub evacuation: u64,
 }
 
 impl Revision {
-    /// Whether nothing in `other` is newer.
+    /// Whether `self` is at least as new as `other` in both parts.
     pub fn covers(&self, other: &Revision) -> bool {
         self.config >= other.config && self.evacuation >= other.evacuation
     }
@@ -60,24 +60,24 @@
 /// The number of digests in a [`StateDigest`]: routes, services, tenants and evacuations have one each.
 pub const DIGEST_SECTIONS: usize = 4;
 
-/// What a decided or applied state contains: its revision, and a digest of each section's canonical form. Two texts of
-/// one version differ in the digests.
+/// Identifies a decided or applied state: its revision, and a digest of each section's canonical form. The digests
+/// distinguish two texts of one version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDigest {
-    /// The versions of the orders in it.
+    /// The versions of the commands in it.
     pub revision: Revision,
     /// A digest of each section.
     pub digests: [u64; DIGEST_SECTIONS],
 }
 
-/// Where a control node is.
+/// The address of a control node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlAddress {
-    /// Its address; its ports follow from the settings.
+    /// Its IP address; its ports follow from the settings.
     pub ip: Ipv4Addr,
     /// The zone that it is in.
     pub zone: String,
-    /// Whether the sender has heard from it of late, and it is not shutting down.
+    /// Whether the sender has received a message from it lately, and it is not shutting down.
     pub reachable: bool,
 }
 
@@ -90,13 +90,13 @@
         version: u32,
         /// Its text, compressed.
         compressed_text: Vec<u8>,
-        /// The digest of the compressed text that was decided. A text with another digest is never applied.
+        /// The digest of the decided compressed text. A text with another digest is damaged and is never applied.
         checksum: u64,
     },
     /// The zones that are evacuated.
     Evacuated {
-        /// The number of the last evacuation order, for any zone.
-        order: u64,
+        /// The number of the last evacuation command for any zone.
+        revision: u64,
         /// The names of the zones.
         zones: Vec<String>,
     },
@@ -165,28 +165,28 @@
     Heartbeat {
         /// `sent_at_ms` of the heartbeat that is answered.
         sent_at_ms: u64,
-        /// How many milliseconds ago a majority of control's disks held nothing newer than `decided`; `None` if that was
-        /// never confirmed.
+        /// How many milliseconds ago a majority of control's disks held nothing newer than `decided`; `None` if that
+        /// was never confirmed.
         majority_age: Option<u32>,
         /// The state that was decided.
         decided: StateDigest,
-        /// Whether any control node answers; false from an agent that has no answer of any.
+        /// Whether any control node answers. An agent sends false to its proxy while no control node answers it.
         control_reachable: bool,
-        /// Whether half of the agents or more lack a recent confirmation by a majority, too.
+        /// Whether at least half of all agents, too, lack a recent confirmation by a majority.
         most_agents_isolated: bool,
     },
-    /// Forget what was applied: the whole state follows.
+    /// Discard the applied state: all sections follow.
     Resync,
 }
 
 /// A message from a proxy to its agent, or from an agent to control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToControl {
-    /// The first message on a connection: who sends.
+    /// The first message on a connection: introduces the sender.
     Hello {
         /// The host's name.
         host: String,
-        /// Where its proxy accepts clients.
+        /// The address at which its proxy accepts clients.
         proxy_addr: SocketAddrV4,
         /// The zone that it is in.
         zone: String,
@@ -202,14 +202,15 @@
     },
     /// The last message on this connection: the agent moves to another control node.
     Disconnecting,
-    /// All updates up to that sequence number are applied.
+    /// All updates up to this sequence number are applied.
     Applied {
-        /// The sequence number of the last one.
+        /// The sequence number of the last applied update.
         number: u64,
     },
 }
 
-/// A message that arrives at control: of an agent, or of another control node, whose messages `P` only control can read.
+/// A message that arrives at control: of an agent, or of another control node, whose messages `P` only control can
+/// read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Envelope<P = ()> {
     /// From an agent.
--- a/crates/aspendrum-model/src/servers.rs
+++ b/crates/aspendrum-model/src/servers.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers: its JSON form, and the list as a process keeps it.
+//! The platform's list of servers: its pages in JSON, and the list as a process stores it.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -12,15 +12,15 @@
     pub uid: String,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it accepts requests.
+    /// The address at which it accepts requests.
     pub addr: SocketAddrV4,
     /// The zone that it is in.
     pub zone: String,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u16,
-    /// Whether it is shutting down gracefully, or gone, and takes no new requests.
+    /// Whether it takes no new requests, as it is shutting down gracefully or has ended.
     pub draining: bool,
-    /// For how many milliseconds it is still in slow start, from the moment when the list was sent.
+    /// The rest of its slow start in milliseconds, counted from the sending of the list; 0 if it is not in slow start.
     pub slow_start_left_ms: u32,
 }
 
@@ -95,27 +95,28 @@
 /// A server, and when its slow start ends by the list's clock.
 #[derive(Clone, Debug, PartialEq)]
 struct ListedServer {
-    /// Its own time of slow start is 0; `slow_start_end_ms` counts.
+    /// Its `slow_start_left_ms` is always 0: `slow_start_end_ms` replaces it.
     server: ServerInstance,
     /// Milliseconds by the monotonic clock of the process; 0 if the server was never in slow start.
     slow_start_end_ms: f64,
 }
 
-/// The newest list that a process has received. Remaining times of slow start are kept as points in time by the monotonic
-/// clock of this process, in milliseconds.
+/// The newest list that a process has received. Remaining times of slow start are kept as points in time by the
+/// monotonic clock of this process, in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     servers: BTreeMap<String, ListedServer>,
-    /// When the platform was asked for the list, by the clock of this process, in milliseconds; `None` without a list.
+    /// When the poll of the platform began, by the clock of this process, in milliseconds; `None` without a list.
     pub polled_at: Option<f64>,
 }
 
-/// Two reports of one slow start may differ by less than this, in milliseconds, without any change: the list is no finer.
+/// Two reports of the end of one slow start that differ by less than this, in milliseconds, count as equal: delays of
+/// the list shift the end a little in each report.
 const SLOW_START_TOLERANCE_MS: f64 = 400.0;
 
 impl ServerList {
-    /// Replaces the list by one that was received at `now` and that the platform was asked for at `polled_at`, unless that
-    /// was no later than for the present one. Returns whether anything but the passage of time changed.
+    /// Replaces the list by one that was received at `now` and whose poll of the platform began at `polled_at`. Ignores
+    /// a list that is no newer than the present one. Returns whether anything other than the passage of time changed.
     pub fn replace(&mut self, now: f64, servers: Vec<ServerInstance>, polled_at: f64) -> bool {
         if self.polled_at.is_some_and(|last| last >= polled_at) {
             return false;
@@ -130,10 +131,11 @@
         changed
     }
 
-    /// The entry of a server that was reported at `now`. It keeps the known end of its slow start where the report agrees.
+    /// The entry of a server that was reported at `now`. Keeps the known end of its slow start if the report agrees
+    /// with it within [`SLOW_START_TOLERANCE_MS`].
     fn listed(&self, now: f64, mut server: ServerInstance) -> ListedServer {
         let left_ms = f64::from(std::mem::take(&mut server.slow_start_left_ms));
-        // Counted from the moment when the list was sent, not from when the platform was asked.
+        // The remaining time was computed when the list was sent, not when the platform was polled.
         let mut slow_start_end_ms = if left_ms > 0.0 { now + left_ms } else { 0.0 };
         if let Some(known) = self.servers.get(&server.uid) {
             let known_end_ms = known.slow_start_end_ms;
--- a/crates/aspendrum-model/src/settings.rs
+++ b/crates/aspendrum-model/src/settings.rs
@@ -44,10 +44,12 @@
     };
 }
 
+/// Stands for the default of a setting that has none.
 fn required<T>() -> Option<T> {
     None
 }
 
+/// The check of a setting whose every value is allowed.
 fn any<T>(_: &T) -> bool {
     true
 }
@@ -60,7 +62,7 @@
     *value >= 0.0 && value.is_finite()
 }
 
-/// The tolerated losses are fewer than this.
+/// The exclusive upper limit of `tolerated_losses`.
 const MAX_TOLERATED_LOSSES: u64 = 50;
 /// The offsets of ports in the range that the machine keeps free; the last port of the range serves metrics.
 const CONTROL_PORT: u16 = 0;
@@ -70,7 +72,7 @@
 const SNAPSHOT_PORT: u16 = 4;
 
 settings! {
-    /// What the platform tells a process at its start, and by each new version of the file.
+    /// The settings of a process. The platform writes the file before the process starts, and replaces it to change them.
     Settings {
         /// The machine's name.
         host_name: String = "self.host-name", required(), |name| !name.is_empty();
@@ -80,7 +82,7 @@
         zone: String = "self.az", required(), |zone| !zone.is_empty();
         /// The region that the machine is in.
         region: String = "self.geo", required(), any;
-        /// Whether the machine is one of those whose loss counts, see `tolerated_losses`.
+        /// Whether the loss of this machine counts towards `tolerated_losses`.
         counts_as_loss: bool = "self.quorum", Some(false), any;
         /// Whether this is the first start of the whole system, on empty disks.
         is_first_start: bool = "self.init", Some(false), any;
@@ -90,23 +92,24 @@
         memory_limit_mb: u64 = "self.caps.mem-mb", Some(128), |megabytes| *megabytes > 0;
         /// The most descriptors that the process may open.
         max_open_files: u64 = "self.caps.nofile", Some(1024), |files| *files > 0;
-        /// Where the proxy accepts clients.
+        /// The address at which the proxy accepts clients.
         proxy_addr: Option<SocketAddrV4> = "net.binds.front", Some(None), any;
-        /// Where the proxy answers whether it is ready.
+        /// The address at which the proxy answers readiness checks.
         readiness_addr: Option<SocketAddrV4> = "net.binds.readyz", Some(None), any;
-        /// Where control takes operators' orders.
+        /// The address at which control takes operators' commands.
         operator_addr: Option<SocketAddrV4> = "net.binds.ctl", Some(None), any;
-        /// Where control tells clients which proxies to use.
+        /// The address at which control answers clients' lookups of proxies.
         directory_addr: Option<SocketAddrV4> = "net.binds.dir", Some(None), any;
-        /// The first and the last port that machines keep free for the system's own connections; alike on all machines.
-        port_range: (u16, u16) = "net.port-range", required(), |p| p.0 > 0 && p.1 >= p.0 + SNAPSHOT_PORT;
+        /// The ports that machines keep free for the system's own connections; the same on all machines.
+        port_range: PortRange = "net.port-range", required(), |p| p.first > 0 && p.last >= p.first + SNAPSHOT_PORT;
         /// `operator_addr` of a few control nodes.
         seeds: Vec<SocketAddrV4> = "net.seeds", Some(Vec::new()), any;
-        /// Where to connect instead of a peer's or a server's own address: a forwarded port, or a link of the testbed.
+        /// Addresses to connect to in place of a peer's or a server's own address: a forwarded port, or a link of the
+        /// testbed.
         address_overrides: BTreeMap<SocketAddrV4, SocketAddrV4> = "net.ways", Some(BTreeMap::new()), any;
         /// The region of each zone.
         zone_regions: BTreeMap<String, String> = "net.zones", required(), |zones: &BTreeMap<_, _>| !zones.is_empty();
-        /// Where the platform answers with its list of servers.
+        /// The address at which the platform serves its list of servers.
         cloud_api_addr: Option<SocketAddrV4> = "plat.cloud-api.addr", Some(None), any;
         /// The calls a second that the platform takes from all processes together.
         cloud_api_rate: f64 = "plat.cloud-api.rate-s", Some(1.0), positive;
@@ -114,10 +117,10 @@
         cloud_api_lag_ms: f64 = "plat.cloud-api.lag-ms", Some(0.0), not_negative;
         /// How many machines with a disk may be lost at once.
         tolerated_losses: u64 = "terms.tolerate.machs", Some(1), |losses| *losses < MAX_TOLERATED_LOSSES;
-        /// The parts of the rules that are in force.
+        /// The names of the deployment's optional requirements that are in force.
         contracts: BTreeSet<String> = "terms.contracts", Some(BTreeSet::new()), any;
-        /// For how long an order that is no configuration may be repeated, in milliseconds.
-        order_timeout_ms: f64 = "terms.bounds.ack-ms", Some(5000.0), positive;
+        /// How long operators may retry a command other than a configuration, in milliseconds.
+        command_timeout_ms: f64 = "terms.bounds.ack-ms", Some(5000.0), positive;
         /// For how long a machine still counts as lost after its return, in seconds.
         rejoin_s: f64 = "terms.bounds.sync-s", Some(4.0), positive;
         /// Within how many milliseconds a draining server receives no more requests.
@@ -157,6 +160,15 @@
     }
 }
 
+/// A range of ports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PortRange {
+    /// The first port of the range.
+    pub first: u16,
+    /// The last port of the range, inclusive.
+    pub last: u16,
+}
+
 impl Settings {
     /// Reads the file whose path [`SETTINGS_VARIABLE`] holds.
     ///
@@ -172,38 +184,38 @@
 
     /// The port on which control accepts agents and other control nodes.
     pub fn control_port(&self) -> u16 {
-        self.port_range.0 + CONTROL_PORT
+        self.port_range.first + CONTROL_PORT
     }
 
     /// The port on which proxies ask each other for shares of quotas.
     pub fn counter_port(&self) -> u16 {
-        self.port_range.0 + COUNTER_PORT
+        self.port_range.first + COUNTER_PORT
     }
 
-    /// Where an agent accepts the proxy of its machine: on loopback, unless overridden.
+    /// The address at which an agent accepts the proxy of its machine: on loopback, unless overridden.
     pub fn agent_addr(&self) -> SocketAddrV4 {
         self.dial_addr(SocketAddrV4::new(
             Ipv4Addr::LOCALHOST,
-            self.port_range.0 + AGENT_PORT,
+            self.port_range.first + AGENT_PORT,
         ))
     }
 
     /// The port on which agents gossip.
     pub fn gossip_port(&self) -> u16 {
-        self.port_range.0 + GOSSIP_PORT
+        self.port_range.first + GOSSIP_PORT
     }
 
     /// The port on which agents send snapshots of their state to each other.
     pub fn snapshot_port(&self) -> u16 {
-        self.port_range.0 + SNAPSHOT_PORT
+        self.port_range.first + SNAPSHOT_PORT
     }
 
     /// The port on which a proxy serves its metrics.
     pub fn metrics_port(&self) -> u16 {
-        self.port_range.1
+        self.port_range.last
     }
 
-    /// Where to connect in order to reach that address.
+    /// The address to connect to in order to reach `address`: its override, or else itself.
     pub fn dial_addr(&self, address: SocketAddrV4) -> SocketAddrV4 {
         self.address_overrides
             .get(&address)
@@ -211,12 +223,12 @@
             .unwrap_or(address)
     }
 
-    /// Where to connect in order to reach the control node of another machine.
+    /// The address to connect to in order to reach the control node of another machine.
     pub fn control_addr(&self, ip: Ipv4Addr) -> SocketAddrV4 {
         self.dial_addr(SocketAddrV4::new(ip, self.control_port()))
     }
 
-    /// A region's number, the same at every node.
+    /// A region's number: its position among the names of all regions in order, so that all nodes agree on it.
     pub fn region_number(&self, region: &str) -> Option<u8> {
         let regions: BTreeSet<&String> = self.zone_regions.values().collect();
         regions
--- a/crates/aspendrum-model/src/settings/error.rs
+++ b/crates/aspendrum-model/src/settings/error.rs
@@ -15,7 +15,7 @@
     UnreadableFile {
         /// The file's path.
         path: String,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
     /// The file is not JSON.
@@ -29,24 +29,24 @@
 /// A setting that is wrong, by its place in the file.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum InvalidSetting {
-    /// It is required, and not there.
+    /// The setting is required, but the file does not contain it.
     #[display("{place} is missing")]
     Missing {
-        /// Its keys, from the outermost on, joined by dots.
+        /// The keys that lead to the setting, from the outermost on, joined by dots.
         place: &'static str,
     },
-    /// It has another type.
+    /// The value has the wrong type.
     #[display("{place} must be {expected}")]
     WrongType {
-        /// Its keys, from the outermost on, joined by dots.
+        /// The keys that lead to the setting, from the outermost on, joined by dots.
         place: &'static str,
-        /// What it should be, in words.
+        /// The expected type, in words.
         expected: &'static str,
     },
-    /// Its value is not allowed.
+    /// The value is outside the allowed range.
     #[display("{place} is out of range")]
     OutOfRange {
-        /// Its keys, from the outermost on, joined by dots.
+        /// The keys that lead to the setting, from the outermost on, joined by dots.
         place: &'static str,
     },
 }
--- a/crates/aspendrum-model/src/settings/value.rs
+++ b/crates/aspendrum-model/src/settings/value.rs
@@ -1,13 +1,14 @@
 //! The types that a setting can have, and the search for a setting in the file.
 
 use super::error::InvalidSetting;
+use super::PortRange;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// A type that a setting can have.
 pub(super) trait Setting: Sized {
-    /// What operators read where the value is of another type.
+    /// The name of the type in the message to operators about a value of another type.
     const EXPECTED: &'static str;
     /// The value, if the JSON is of this type.
     fn from_json(json: &Value) -> Option<Self>;
@@ -31,7 +32,7 @@
     f64, "a number", |json| json.as_f64();
     Ipv4Addr, "an IP number", |json| json.as_str()?.parse().ok();
     SocketAddrV4, "an address with a port", |json| json.as_str()?.parse().ok();
-    (u16, u16), "two ports", |json| Some((port(json, 0)?, port(json, 1)?));
+    PortRange, "two ports", |json| Some(PortRange { first: port(json, 0)?, last: port(json, 1)? });
     Vec<SocketAddrV4>, "addresses with ports",
         |json| json.as_array()?.iter().map(SocketAddrV4::from_json).collect();
     BTreeMap<SocketAddrV4, SocketAddrV4>, "addresses by addresses",
@@ -58,8 +59,8 @@
     u16::try_from(json.get(index)?.as_u64()?).ok()
 }
 
-/// The setting at that place of the file, or its default. `None` adds to `invalid` why there is none; a setting without
-/// default is required.
+/// The setting at that place of the file, or its default; a setting without default is required. If it returns `None`,
+/// the reason has been added to `invalid`.
 pub(super) fn find_setting<T: Setting>(
     document: &Value,
     place: &'static str,
--- a/crates/aspendrum-model/src/time.rs
+++ b/crates/aspendrum-model/src/time.rs
@@ -1,6 +1,6 @@
-//! Times as the programs of the system count them.
+//! The unit of time that all programs of the system use.
 
-/// Milliseconds on the monotonic clock of the node that counts them, or a duration in milliseconds.
+/// A time in milliseconds on the monotonic clock of one node, or a duration in milliseconds.
 ///
-/// No two nodes' clocks agree: what crosses a connection is an age, never a time.
+/// The nodes' clocks do not agree, so messages carry ages, never points in time.
 pub type Millis = f64;
--- a/crates/aspendrum-model/tests/settings_values.rs
+++ b/crates/aspendrum-model/tests/settings_values.rs
@@ -1,7 +1,7 @@
 //! One full settings file and each value read of it, by the keys that the platform writes; each default; and what is said
 //! of each value that is missing or wrong.
 
-use aspendrum_model::settings::Settings;
+use aspendrum_model::settings::{PortRange, Settings};
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -33,7 +33,11 @@
     assert_eq!(s.readiness_addr, Some(address("10.1.0.31:8207")));
     assert_eq!(s.operator_addr, Some(address("10.1.0.31:8200")));
     assert_eq!(s.directory_addr, Some(address("10.1.0.31:8201")));
-    assert_eq!(s.port_range, (7600, 7615));
+    let range = PortRange {
+        first: 7600,
+        last: 7615,
+    };
+    assert_eq!(s.port_range, range);
     assert_eq!(
         s.seeds,
         [address("10.1.0.34:8200"), address("10.1.0.35:8200")]
@@ -66,7 +70,7 @@
     );
     assert_eq!(
         [
-            s.order_timeout_ms,
+            s.command_timeout_ms,
             s.rejoin_s,
             s.drain_deadline_ms,
             s.shutdown_grace_s
@@ -128,7 +132,7 @@
     );
     assert_eq!(
         [
-            s.order_timeout_ms,
+            s.command_timeout_ms,
             s.rejoin_s,
             s.drain_deadline_ms,
             s.shutdown_grace_s
--- a/crates/aspendrum-model/tests/wire_bytes.rs
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -102,7 +102,7 @@
         (
             "evacuated",
             StateSection::Evacuated {
-                order: 9,
+                revision: 9,
                 zones: vec!["poa-a".into(), "poa-b".into()],
             },
         ),
--- a/crates/aspendrum-proxy/src/dispatcher/mod.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/mod.rs
@@ -272,8 +272,8 @@
                     }
                 }
             }
-            StateSection::Evacuated { order, zones } => {
-                lock(&self.state).apply_evacuation(now, order, &zones)
+            StateSection::Evacuated { revision, zones } => {
+                lock(&self.state).apply_evacuation(now, revision, &zones)
             }
             StateSection::Servers { age_ms, list } => {
                 let locate = |zone: &str| ZoneLocation::of(zone, &self.settings);
