--- a/crates/aspendrum-core/src/api.rs
+++ b/crates/aspendrum-core/src/api.rs
@@ -1,5 +1,5 @@
-//! The interface of the decision engine: its input ([`Event`]), its output ([`Action`]) and what it
-//! is started with ([`Settings`]). It belongs to no protocol.
+//! The interface of the decision engine: its input ([`Event`]), its output ([`Action`]) and what it is
+//! started with ([`Settings`]). It belongs to no protocol.
 
 mod action;
 mod event;
--- a/crates/aspendrum-core/src/engine/quota_owner/routing.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/routing.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The instances that may own the tenant's quota, the first one first. Told by its id and its
-    /// set, so that all of the set conclude the same.
+    /// The instances that may own the tenant's quota, the first one first. Derived from its id and its set, so that all of the
+    /// set conclude the same.
     pub(in crate::engine) fn quota_owners(&self, index: usize) -> impl Iterator<Item = u16> {
         let tenant = &self.tenants[index];
         let (id, first, set, instances) = (
@@ -107,9 +107,8 @@
             // Tokens given to an owner whose datagrams are lost are lost too, and so are its
             // grants.
             (false, true) => PeerMessage::Ping { id },
-            // The counter makes good the grants of an owner whose datagrams are lost. An owner that
-            // can read the counter needs no tokens: what each instance holds it has in hand when
-            // the counter falls silent.
+            // The counter makes good the grants of an owner whose datagrams are lost. An owner that can read the counter needs
+            // no tokens: each instance keeps its tokens for when the counter becomes unreachable.
             (_, false) => quota_request(0),
         };
         let request = &mut self.requests[slot];
@@ -149,9 +148,8 @@
         }
     }
 
-    /// The next owner may reach peers that this instance does not. But with the counter, or with a
-    /// spare grant, the request need not wait for other owners' time-outs too: three of them are
-    /// half of a latency target.
+    /// The next owner may be able to reach what this instance cannot. But with the counter, or with a spare grant, the request need
+    /// not wait for other owners' time-outs too: three of them are half of a latency target.
     fn decide_without_owner(&mut self, slot: usize, owner: u16) {
         let index = self.requests[slot].tenant;
         let units = self.requests[slot].units;
