--- a/crates/aspendrum-model/src/settings/error.rs
+++ b/crates/aspendrum-model/src/settings/error.rs
@@ -15,7 +15,7 @@
     UnreadableFile {
         /// The file's path.
         path: String,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
     /// The file is not JSON.
@@ -29,24 +29,24 @@
 /// A setting that is wrong, by its path in the file.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum InvalidSetting {
-    /// It is required, and not there.
+    /// The setting is required, but the file does not contain it.
     #[display("{key_path} is missing")]
     Missing {
-        /// Its keys, from the outermost on, joined by dots.
+        /// The keys that lead to the setting, from the outermost on, joined by dots.
         key_path: &'static str,
     },
-    /// It has another type.
+    /// The value has the wrong type.
     #[display("{key_path} must be {expected}")]
     WrongType {
-        /// Its keys, from the outermost on, joined by dots.
+        /// The keys that lead to the setting, from the outermost on, joined by dots.
         key_path: &'static str,
-        /// What it should be, in words.
+        /// The expected type, in words.
         expected: &'static str,
     },
-    /// Its value is not allowed.
+    /// The value is outside the allowed range.
     #[display("{key_path} is out of range")]
     OutOfRange {
-        /// Its keys, from the outermost on, joined by dots.
+        /// The keys that lead to the setting, from the outermost on, joined by dots.
         key_path: &'static str,
     },
 }
