--- /dev/null
+++ b/crates/aspendrum-agent/tests/process.rs
@@ -0,0 +1,222 @@
+//! The agent as a process on loopback, between a control node and a proxy that the test plays: what it passes on, what it
+//! acknowledges, and when it leaves its control node.
+
+use aspendrum_model::compression::compress;
+use aspendrum_model::config::Config;
+use aspendrum_model::message::{
+    ControlAddress, Envelope, FromControl, ProxyEndpoint, Readiness, StateDigest, StateSection,
+    ToControl,
+};
+use aspendrum_net::frames::{encode_frame, read_frame};
+use aspendrum_reconcile::state_digest;
+use std::io::Write;
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::thread;
+use std::time::{Duration, Instant};
+
+const AGENT_IP: Ipv4Addr = Ipv4Addr::new(127, 13, 1, 1);
+const CONTROL_IP: Ipv4Addr = Ipv4Addr::new(127, 13, 1, 9);
+const FIRST_PORT: u16 = 23_200;
+const PROXY_PORT: u16 = FIRST_PORT + 2;
+const SNAPSHOT_PORT: u16 = FIRST_PORT + 4;
+/// Whatever the test waits for has come by then.
+const PATIENCE: Duration = Duration::from_secs(30);
+const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":1024,"hdr-ms":3000,"idle-ms":15000},
+"ports":[{"vhost":"a.example","rules":[{"name":"r","type":"idem","goal-ms":500,"match":{"pfx":"/a/"},
+"action":{"svc":"s1","limit-ms":2000,"tries":2}}]}],"pools":[{"name":"s1","check":"/healthz"}]}"#;
+
+struct AgentProcess {
+    child: Child,
+    settings: PathBuf,
+}
+
+impl AgentProcess {
+    fn start(control: SocketAddr) -> AgentProcess {
+        let text = format!(
+            r#"{{"self":{{"host-name":"edge-1","ip":"{AGENT_IP}","az":"poa-a","geo":"poa"}},
+"net":{{"port-range":[{FIRST_PORT},{}],"zones":{{"poa-a":"poa"}},"seeds":["{CONTROL_IP}:80"],
+"ways":{{"{CONTROL_IP}:{FIRST_PORT}":"{control}"}}}}}}"#,
+            FIRST_PORT + 15
+        );
+        let name = format!("aspendrum-agent-process-{}.json", std::process::id());
+        let settings = std::env::temp_dir().join(name);
+        std::fs::write(&settings, text).unwrap();
+        let child = Command::new(env!("CARGO_BIN_EXE_aspendrum-agent"))
+            .arg("serve")
+            .env("ASPENDRUM_SETTINGS", &settings)
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
+        AgentProcess { child, settings }
+    }
+}
+
+impl Drop for AgentProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_file(&self.settings);
+    }
+}
+
+/// Connects to the agent once it listens there.
+fn connect(ip: Ipv4Addr, port: u16) -> TcpStream {
+    let started_at = Instant::now();
+    let stream = loop {
+        match TcpStream::connect((ip, port)) {
+            Ok(stream) => break stream,
+            Err(e) => assert!(started_at.elapsed() < PATIENCE, "{port}: {e}"),
+        }
+        thread::yield_now();
+    };
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream
+}
+
+fn accept(listener: &TcpListener) -> TcpStream {
+    let (stream, _) = listener.accept().unwrap();
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream
+}
+
+fn send(stream: &mut TcpStream, message: &FromControl) {
+    stream.write_all(&encode_frame(message)).unwrap();
+}
+
+fn send_to_agent(stream: &mut TcpStream, message: &ToControl) {
+    stream.write_all(&encode_frame(message)).unwrap();
+}
+
+/// The next message of the agent's to control that is no heartbeat; heartbeats are answered with that digest.
+fn next_to_control(control: &mut TcpStream, decided: StateDigest) -> ToControl {
+    let started_at = Instant::now();
+    loop {
+        assert!(started_at.elapsed() < PATIENCE, "only heartbeats came");
+        let Envelope::Agent(message) = read_frame::<Envelope>(control).unwrap() else {
+            panic!("an agent speaks as an agent")
+        };
+        let ToControl::Heartbeat { sent_at_ms, .. } = message else {
+            return message;
+        };
+        let answer = FromControl::Heartbeat {
+            sent_at_ms,
+            majority_age: Some(10),
+            decided,
+            control_reachable: true,
+            most_agents_isolated: false,
+        };
+        // The agent may just have closed the connection.
+        let _ = control.write_all(&encode_frame(&answer));
+    }
+}
+
+/// The next update that the agent sends to its proxy.
+fn next_update(proxy: &mut TcpStream) -> (u64, StateSection) {
+    loop {
+        if let FromControl::Update { number, section } = read_frame(proxy).unwrap() {
+            return (number, section);
+        }
+    }
+}
+
+fn proxy_address() -> SocketAddrV4 {
+    SocketAddrV4::new(AGENT_IP, 8080)
+}
+
+fn sections() -> Vec<StateSection> {
+    vec![
+        StateSection::config(1, compress(CONFIG.as_bytes())),
+        StateSection::Evacuated {
+            order: 7,
+            zones: vec!["poa-b".into()],
+        },
+        StateSection::Proxies(vec![ProxyEndpoint {
+            addr: proxy_address(),
+            zone: "poa-a".into(),
+            readiness: Readiness::Ready,
+            is_current: true,
+        }]),
+        StateSection::Control(vec![ControlAddress {
+            ip: CONTROL_IP,
+            zone: "poa-a".into(),
+            reachable: true,
+        }]),
+    ]
+}
+
+#[test]
+fn updates_go_to_the_proxy_and_acknowledgements_to_control() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let _agent = AgentProcess::start(listener.local_addr().unwrap());
+    let mut control = accept(&listener);
+    let mut proxy = connect(Ipv4Addr::LOCALHOST, PROXY_PORT);
+    let hello = ToControl::Hello {
+        host: "edge-1".into(),
+        proxy_addr: proxy_address(),
+        zone: "poa-a".into(),
+    };
+    send_to_agent(&mut proxy, &hello);
+    let empty = state_digest(None, 0, &[]);
+    assert_eq!(next_to_control(&mut control, empty), hello);
+
+    // Each update is passed on under a number of the agent's own.
+    for (number, section) in (11..).zip(sections()) {
+        let update = FromControl::Update { number, section };
+        send(&mut control, &update);
+    }
+    for (number, section) in (1..).zip(sections()) {
+        assert_eq!(next_update(&mut proxy), (number, section));
+    }
+    // What the proxy has applied is acknowledged once it has applied all of it.
+    send_to_agent(&mut proxy, &ToControl::Applied { number: 3 });
+    send_to_agent(&mut proxy, &ToControl::Applied { number: 4 });
+    let config = Config::read(CONFIG.as_bytes()).unwrap();
+    let decided = state_digest(Some(&config), 7, &["poa-b".into()]);
+    let acknowledged = next_to_control(&mut control, decided);
+    assert_eq!(acknowledged, ToControl::Applied { number: 14 });
+
+    // A section that is no newer, or does not bear its checksum, is not passed on.
+    let config = sections().remove(0);
+    let corrupt = StateSection::Config {
+        version: 2,
+        compressed_text: compress(CONFIG.as_bytes()),
+        checksum: 1,
+    };
+    let older = StateSection::Evacuated {
+        order: 6,
+        zones: Vec::new(),
+    };
+    let newer = StateSection::Evacuated {
+        order: 8,
+        zones: Vec::new(),
+    };
+    for (number, section) in (15..).zip([config, corrupt, older, newer.clone()]) {
+        send(&mut control, &FromControl::Update { number, section });
+    }
+    assert_eq!(next_update(&mut proxy), (5, newer.clone()));
+
+    // Other agents get all that this one holds.
+    let mut snapshot = connect(AGENT_IP, SNAPSHOT_PORT);
+    let mut held = sections();
+    held[1] = newer;
+    for (number, section) in (1..).zip(held) {
+        let expected = FromControl::Update { number, section };
+        assert_eq!(read_frame::<FromControl>(&mut snapshot).unwrap(), expected);
+    }
+    assert!(
+        read_frame::<FromControl>(&mut snapshot).is_err(),
+        "that is all"
+    );
+
+    // Something was decided that has not come: a new connection begins with all of it.
+    let mut missed = decided;
+    missed.revision.evacuation = 9;
+    assert_eq!(
+        next_to_control(&mut control, missed),
+        ToControl::Disconnecting
+    );
+    let mut control = accept(&listener);
+    assert_eq!(next_to_control(&mut control, decided), hello);
+}
