--- a/crates/aspendrum-testbed/src/system/steps.rs
+++ b/crates/aspendrum-testbed/src/system/steps.rs
@@ -2,7 +2,7 @@
 
 use super::clients::{KEYS, PATHS};
 use super::fleet::{Fleet, Slot, SERVICES};
-use super::operator::{Came, Operator};
+use super::operator::{Operator, OrderOutcome};
 use super::scenario::{Scenario, Step, What, Who};
 use aspendrum_checker::system::Evacuation;
 use aspendrum_checker::system::{ConfigVersion, ProxyFault, RouteRule, TenantRule};
@@ -105,14 +105,18 @@
     }
 
     /// Sends the next configuration, beginning at that machine of control.
-    pub async fn change(&self, first: usize, how: impl FnOnce(&mut ConfigVersion)) -> (u32, Came) {
+    pub async fn change(
+        &self,
+        first: usize,
+        how: impl FnOnce(&mut ConfigVersion),
+    ) -> (u32, OrderOutcome) {
         let next = self.next(None, how);
         (next.number, self.send(first, &next).await)
     }
 
-    async fn send(&self, first: usize, v: &ConfigVersion) -> Came {
-        let came = self.operator.set(first, v.number, &v.text).await;
-        if let Came::Acknowledged(at) = came {
+    async fn send(&self, first: usize, v: &ConfigVersion) -> OrderOutcome {
+        let came = self.operator.send_config(first, v.number, &v.text).await;
+        if let OrderOutcome::Acknowledged(at) = came {
             let mut book = lock(&self.book);
             let same = |k: &&mut ConfigVersion| k.number == v.number && k.text == v.text;
             if let Some(known) = book.versions.iter_mut().find(same) {
@@ -134,7 +138,8 @@
                 };
                 let members = self.fleet.members();
                 let first = members[(first + n) % members.len()];
-                if let (number, Came::Refused(_) | Came::Unclear) = self.change(first, |_| {}).await
+                if let (number, OrderOutcome::Refused(_) | OrderOutcome::Unclear) =
+                    self.change(first, |_| {}).await
                 {
                     self.note(&format!("the change {number:08x} was not acknowledged"));
                 }
@@ -154,7 +159,7 @@
                 v.tenants[1].has_key = !v.tenants[1].has_key;
             });
             let (a, b) = tokio::join!(self.send(one, &a), self.send(other, &b));
-            if [a, b].contains(&Came::Unclear) {
+            if [a, b].contains(&OrderOutcome::Unclear) {
                 self.note(&format!(
                     "the race {round} ended without a clear answer: {a:?}, {b:?}"
                 ));
@@ -246,7 +251,7 @@
             What::Resend => self.resend(first, step.all).await,
             What::Show => {
                 self.operator
-                    .show(first, Duration::from_secs_f64(step.wait_s))
+                    .shown_version(first, Duration::from_secs_f64(step.wait_s))
                     .await;
             }
             What::Evacuate => {
@@ -393,7 +398,7 @@
             let Some(process) = held.process.as_mut().filter(|p| Some(p.id()) == id) else {
                 return;
             };
-            if let Some(how) = process.ended() {
+            if let Some(how) = process.exit_status() {
                 held.process = None;
                 if !how.success() {
                     self.note(&format!("{who:?} did not end in order: {told:?} {how:?}"));
@@ -432,12 +437,12 @@
         };
         let came = self.operator.evacuate(first, &zone, on).await;
         let ended = self.now();
-        if came == Came::Unclear || matches!(came, Came::Refused(_)) {
+        if came == OrderOutcome::Unclear || matches!(came, OrderOutcome::Refused(_)) {
             self.note(&format!("the evacuation of {zone}, begun {on}: {came:?}"));
         }
         let order = &mut lock(&self.book).evacuations[at];
         order.ended_at = ended;
-        if let Came::Acknowledged(acked) = came {
+        if let OrderOutcome::Acknowledged(acked) = came {
             order.acknowledged_at = Some(acked);
         }
     }
@@ -445,15 +450,15 @@
     async fn origins(&self, step: &Step, of: &[Who]) {
         for origin in self.named(of) {
             match step.what {
-                What::Die => origin.die(),
-                What::Drain => origin.ail(|a| a.draining = true),
-                What::Fail => origin.ail(|a| a.failing = step.share),
-                What::Reset => origin.ail(|a| a.resetting = step.share),
-                What::Hang => origin.ail(|a| a.hanging = step.share),
-                What::Deaf => origin.ail(|a| a.deaf = step.share),
-                What::Slow => origin.ail(|a| a.slow = step.times),
-                What::Full => origin.ail(|a| a.full = true),
-                What::Stall => origin.ail(|a| a.stalled = true),
+                What::Die => origin.kill(),
+                What::Drain => origin.change_faults(|a| a.is_draining = true),
+                What::Fail => origin.change_faults(|a| a.error_share = step.share),
+                What::Reset => origin.change_faults(|a| a.late_reset_share = step.share),
+                What::Hang => origin.change_faults(|a| a.no_response_share = step.share),
+                What::Deaf => origin.change_faults(|a| a.early_reset_share = step.share),
+                What::Slow => origin.change_faults(|a| a.slowdown = step.times),
+                What::Full => origin.change_faults(|a| a.is_full = true),
+                What::Stall => origin.change_faults(|a| a.is_stalled = true),
                 _ => {}
             }
         }
@@ -462,26 +467,26 @@
     async fn well(&self, step: &Step, of: &[Who]) {
         for origin in self.named(of) {
             if step.what == What::Die {
-                if let Err(e) = origin.back().await {
+                if let Err(e) = origin.restart().await {
                     self.note(&format!("a server: {e}"));
                 }
             }
             // Others may ail it still.
-            origin.ail(|a| match step.what {
-                What::Drain => a.draining = false,
-                What::Fail => a.failing = 0.0,
-                What::Reset => a.resetting = 0.0,
-                What::Hang => a.hanging = 0.0,
-                What::Deaf => a.deaf = 0.0,
-                What::Slow => a.slow = 1.0,
-                What::Full => a.full = false,
-                What::Stall => a.stalled = false,
+            origin.change_faults(|a| match step.what {
+                What::Drain => a.is_draining = false,
+                What::Fail => a.error_share = 0.0,
+                What::Reset => a.late_reset_share = 0.0,
+                What::Hang => a.no_response_share = 0.0,
+                What::Deaf => a.early_reset_share = 0.0,
+                What::Slow => a.slowdown = 1.0,
+                What::Full => a.is_full = false,
+                What::Stall => a.is_stalled = false,
                 _ => *a = Default::default(),
             });
         }
     }
 
-    fn named(&self, of: &[Who]) -> Vec<Arc<aspendrum_fake_services::origin::Origin>> {
+    fn named(&self, of: &[Who]) -> Vec<Arc<aspendrum_fake_services::origin::OriginServer>> {
         let number = |w: &Who| match w {
             Who::Origin(n) => Some(self.fleet.origins[*n].clone()),
             _ => None,
