--- a/crates/aspendrum-agent/tests/process.rs
+++ b/crates/aspendrum-agent/tests/process.rs
@@ -129,7 +129,7 @@
     vec![
         StateSection::config(1, compress(CONFIG.as_bytes())),
         StateSection::Evacuated {
-            order: 7,
+            revision: 7,
             zones: vec!["poa-b".into()],
         },
         StateSection::Proxies(vec![ProxyEndpoint {
@@ -185,11 +185,11 @@
         checksum: 1,
     };
     let older = StateSection::Evacuated {
-        order: 6,
+        revision: 6,
         zones: Vec::new(),
     };
     let newer = StateSection::Evacuated {
-        order: 8,
+        revision: 8,
         zones: Vec::new(),
     };
     for (number, section) in (15..).zip([config, corrupt, older, newer.clone()]) {
