--- a/crates/aspendrum-net/src/connection.rs
+++ b/crates/aspendrum-net/src/connection.rs
@@ -13,9 +13,9 @@
 /// The buffers and time-outs of a connection.
 #[derive(Clone, Debug)]
 pub struct ConnectionOptions {
-    /// What each of its two buffers allocates at first.
+    /// The initial size of each of its two buffers.
     pub initial_buffer_bytes: usize,
-    /// The most that each of its two buffers holds.
+    /// The largest size of each of its two buffers.
     pub max_buffer_bytes: usize,
     /// No time-out of a socket is shorter: the system does not accept one of 0.
     pub min_timeout: Duration,
@@ -32,7 +32,7 @@
     /// Its socket, which another thread may shut down in order to end an exchange.
     pub stream: Arc<TcpStream>,
     incoming: RingBuffer,
-    /// What [`Connection::send`] writes.
+    /// The bytes that [`Connection::send`] writes.
     pub outgoing: RingBuffer,
     pub(crate) idle_since: Instant,
     idle_time: Duration,
@@ -82,7 +82,7 @@
         })
     }
 
-    /// Connects, outside of any pool and its count.
+    /// Connects; the connection belongs to no pool and is not counted by any.
     ///
     /// # Errors
     /// The error of the connection attempt.
@@ -110,8 +110,8 @@
         self.incoming.is_empty()
     }
 
-    /// Whether an idle connection may be used again: nothing has arrived on it, for it would belong to no request, and it
-    /// has not been closed, for a request written now might or might not run.
+    /// Whether an idle connection may be used again. Bytes that have arrived on it would belong to no request; if it
+    /// has been closed, it would be unknown whether a request written now runs.
     pub(crate) fn is_reusable(&self) -> bool {
         let mut byte = [0];
         let is_silent = self.stream.set_nonblocking(true).is_ok()
@@ -129,7 +129,7 @@
         self.idle_time = self.idle_since.elapsed();
     }
 
-    /// Writes what [`Connection::outgoing`] holds.
+    /// Writes the content of [`Connection::outgoing`].
     ///
     /// # Errors
     /// [`Outcome::ConnectFailed`]: the last byte was not written, so that the request cannot run.
@@ -178,8 +178,8 @@
     }
 }
 
-/// Closes the sending side, and discards what still arrives, up to that time and number of bytes. A close with unread bytes
-/// would reset the connection, and the peer might never read the response just written (RFC 9112, 9.6).
+/// Closes the sending side, and discards what still arrives, up to that time and number of bytes. A close with unread
+/// bytes would reset the connection, and the peer might never read the response just written (RFC 9112, 9.6).
 pub fn lingering_close(mut stream: &TcpStream, timeout: Duration, max_bytes: usize) {
     let deadline = Instant::now() + timeout;
     let mut discarded = [0; 1024];
--- a/crates/aspendrum-net/src/daemon.rs
+++ b/crates/aspendrum-net/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What every program of the system does alike: its command line, its log and its exit status.
+//! The parts that all programs of the system share: command line, log and exit status.
 
 use crate::process_signals::{ProcessSignals, SignalError};
 use bpaf::Bpaf;
@@ -40,7 +40,7 @@
     check: fn() -> Result<String, C>,
     serve: fn(ProcessSignals) -> Result<(), S>,
 ) -> ExitCode {
-    // Before anything else: a signal that is not yet handled ends the process, with all that it holds.
+    // Before anything else: by default these signals end the process at once, without a graceful shutdown.
     let signals = ProcessSignals::register();
     let command = command().descr(description).run();
     match execute(&command, signals, check, serve) {
--- a/crates/aspendrum-net/src/descriptor_permit.rs
+++ b/crates/aspendrum-net/src/descriptor_permit.rs
@@ -9,13 +9,13 @@
 }
 
 impl DescriptorPermit {
-    /// Counts one more.
+    /// Takes a permit and counts it in `open`.
     pub(crate) fn new(open: &Arc<AtomicUsize>) -> DescriptorPermit {
         open.fetch_add(1, Ordering::Relaxed);
         DescriptorPermit { open: open.clone() }
     }
 
-    /// A permit outside of any count.
+    /// A permit that no pool counts.
     pub(crate) fn uncounted() -> DescriptorPermit {
         DescriptorPermit::new(&Arc::default())
     }
--- a/crates/aspendrum-net/src/disconnect_metrics.rs
+++ b/crates/aspendrum-net/src/disconnect_metrics.rs
@@ -1,16 +1,16 @@
-//! What became of requests whose clients had disconnected, as metrics, and the invariant they hold the process to: half a
-//! second after a disconnect was detected, nothing is forwarded for the client, nothing waits to be, and no attempt that
-//! may run more than once is still in progress because nobody aborted it.
+//! Metrics of requests whose clients disconnected. They check an invariant: [`REACTION_DEADLINE`] after a disconnect
+//! was detected, no request of that client is being sent or waits to be sent, and every idempotent attempt has ended or
+//! been aborted.
 
 use crate::forward::{ForwardStage, RequestKind};
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// The invariant holds so long after a disconnect was detected.
+/// The time after the detection of a disconnect from which on the invariant must hold.
 pub const REACTION_DEADLINE: Duration = Duration::from_millis(500);
 
-/// Between two lines in the log.
+/// The time between two lines in the log.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// The kinds of requests, in the order of their declaration, with the values of their metrics' label.
@@ -45,8 +45,8 @@
         self.disconnects[kind as usize][stage as usize].fetch_add(1, Relaxed);
     }
 
-    /// Counts a request that is still at that stage [`REACTION_DEADLINE`] after the disconnect: a violation, unless it was
-    /// aborted and its server goes on.
+    /// Counts a request that is still at that stage [`REACTION_DEADLINE`] after the disconnect: a violation, unless it
+    /// was aborted and its server goes on.
     pub fn record_overdue(&self, kind: RequestKind, stage: ForwardStage, is_aborted: bool) {
         let counters = if is_aborted {
             &self.kept_by_server
--- a/crates/aspendrum-net/src/disconnects.rs
+++ b/crates/aspendrum-net/src/disconnects.rs
@@ -1,9 +1,10 @@
-//! Detects clients that close their connections while a request of theirs is in progress (RFC 9112, 9.5: implementations
-//! ought to monitor open connections for a received closure and respond to it).
+//! Detects clients that close their connections while a request of theirs is in progress (RFC 9112, 9.5:
+//! implementations ought to monitor open connections for a received closure and respond to it).
 //!
-//! A thread that serves a request reads nothing from its client meanwhile. So one thread checks, each [`POLL_INTERVAL`] and
-//! with one `poll`, all connections whose requests have been in progress for [`MIN_REQUEST_AGE`] or longer: a request that
-//! ends sooner costs no system call. The poll also reports a close behind bytes of a next request that were sent ahead.
+//! A thread that serves a request reads nothing from its client meanwhile. So one thread checks, each [`POLL_INTERVAL`]
+//! and with one `poll`, all connections whose requests have been in progress for [`MIN_REQUEST_AGE`] or longer: a
+//! request that ends sooner costs no system call. The poll also reports a close behind bytes of a next request that
+//! were sent ahead.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::net::{recv, RecvFlags};
@@ -12,16 +13,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Requests that have been in progress for less are not checked.
+/// Requests that have been in progress for less than this are not checked.
 pub const MIN_REQUEST_AGE: Duration = Duration::from_millis(100);
-/// Between two checks.
+/// The time between two checks.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// A check that comes so much later than it should shows that this process was suspended: clients may have disconnected
-/// meanwhile, and requests that are read now may be of clients that have.
+/// A check that is late by more than this shows that this process was suspended: clients may have disconnected
+/// meanwhile, among them clients whose requests are only read now.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(150);
-/// For so long after a late check each client is checked before its request is forwarded.
+/// How long after a late check each client is checked before its request is forwarded.
 const CATCH_UP_PERIOD: Duration = Duration::from_millis(2000);
-/// In the atomics: no request is in progress, or the client has not disconnected.
+/// The value of an atomic while there is no request or no time in it. Request numbers and times are never 0.
 const NONE: u64 = 0;
 
 /// One connection of a client, and the request on it that is in progress.
@@ -33,7 +34,7 @@
     read_at: AtomicU64,
     /// When the client's close was detected, by the watcher's clock, or [`NONE`].
     disconnected_at: AtomicU64,
-    /// Our receiving side was shut down here, which the system shows as it shows a client's close.
+    /// Whether this process has shut down the receiving side itself: `poll` reports that like a client's close.
     closed_here: AtomicBool,
     is_overdue: AtomicBool,
 }
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Begins a request, under a number that is not 0. Returns false if its client is known to have disconnected: nothing
-    /// may be forwarded for it.
+    /// Begins a request, under a number that is not 0. Returns false if its client is known to have disconnected:
+    /// nothing may be forwarded for it.
     pub fn begin_request(&self, request: u64, watcher: &DisconnectWatcher) -> bool {
         self.read_at.store(watcher.clock(), Ordering::Relaxed);
         self.request.store(request, Ordering::SeqCst);
@@ -88,8 +89,8 @@
         !self.is_overdue.swap(true, Ordering::Relaxed)
     }
 
-    /// Ends a connection between requests: shuts down the receiving side alone, and only if nothing has arrived, so that a
-    /// request that is on its way is still answered.
+    /// Ends a connection between requests: shuts down the receiving side alone, and only if nothing has arrived, so
+    /// that a request that is on its way is still answered.
     pub fn shut_down_if_idle(&self) {
         if self.closed_here.load(Ordering::Relaxed) || self.has_received_bytes() {
             return;
@@ -169,7 +170,7 @@
         )
     }
 
-    /// Whether this process was suspended before the last check: nobody has had the time to do what was due.
+    /// Whether this process was suspended before the last check, so that no thread could react in time.
     pub fn was_suspended(&self) -> bool {
         self.last_poll_was_late.load(Ordering::Relaxed)
     }
--- a/crates/aspendrum-net/src/forward.rs
+++ b/crates/aspendrum-net/src/forward.rs
@@ -1,11 +1,11 @@
-//! A request that is being forwarded to a server, as other threads see it: how far it has come, and the means to abort it.
+//! A handle through which other threads observe the progress of a request that is being forwarded, and abort it.
 
 use crate::threads::lock;
 use std::net::{Shutdown, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How far a request is on its way to a server.
+/// The stage of a request on its way to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardStage {
     /// It waits for capacity at a server, for the answer of a counter, or to be sent to a further server.
@@ -27,7 +27,7 @@
     OnceOnly,
 }
 
-/// How far a request has come.
+/// The progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
     /// The stage of its present attempt.
@@ -137,8 +137,9 @@
         }
     }
 
-    /// The client has disconnected. Nothing more is sent for it, and what has not been sent completely is aborted: no
-    /// server runs it (RFC 9112, 8). What is at a server may still end by itself. Returns how far the request had come.
+    /// The client has disconnected. No further attempt begins, and an attempt that has not been sent completely is
+    /// aborted: no server runs an incomplete request (RFC 9112, 8). An attempt that is at a server may still end by
+    /// itself. Returns the stage at the disconnect.
     pub fn handle_disconnect(&self) -> ForwardStage {
         let mut state = self.state();
         state.client_disconnected = true;
@@ -152,8 +153,8 @@
         in_flight.stage
     }
 
-    /// Aborts an idempotent attempt, by shutting down our sending side: its server drops it and closes, and its capacity is
-    /// in use until then. An attempt that may run once only is left to end.
+    /// Aborts an idempotent attempt, by shutting down our sending side: its server drops it and closes, and its
+    /// capacity is in use until then. An attempt that may run once only is left to end.
     pub fn abort_idempotent(&self) {
         let mut state = self.state();
         let Some(in_flight) = &mut state.in_flight else {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// How far the request has come.
+    /// The progress of the request.
     pub fn progress(&self) -> Progress {
         let state = self.state();
         let in_flight = state.in_flight.as_ref();
--- a/crates/aspendrum-net/src/frames.rs
+++ b/crates/aspendrum-net/src/frames.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// No frame is longer, so that a faulty sender cannot make a receiver allocate without end.
+/// The length limit of a frame, so that a faulty sender cannot make a receiver allocate without limit.
 pub const MAX_FRAME_BYTES: usize = 32 << 20;
 const LENGTH_BYTES: usize = 4;
 const WRITER_STACK_BYTES: usize = 96 << 10;
@@ -27,9 +27,8 @@
 
 /// Reads one frame.
 ///
-/// # Errors
-/// The error of the read; `UnexpectedEof` if the input ends before the frame does; `InvalidData` if the frame is too long
-/// or is not such a message.
+/// # Errors The error of the read; `UnexpectedEof` if the input ends before the frame does; `InvalidData` if the frame
+/// is too long or is not such a message.
 pub fn read_frame<T: DeserializeOwned>(from: &mut impl Read) -> io::Result<T> {
     let mut length = [0; LENGTH_BYTES];
     from.read_exact(&mut length)?;
@@ -45,19 +44,20 @@
     postcard::from_bytes(&body).map_err(|_| io::ErrorKind::InvalidData.into())
 }
 
-/// The sending half of a framed connection. A sender never waits: a peer that does not read fast enough loses the
-/// connection.
+/// The sending half of a framed connection. Sending never blocks: if the peer reads too slowly and the queue is full,
+/// the connection is closed.
 pub struct Link {
     /// Encoded frames for the writer thread. An empty one, which encoding never gives, ends the connection.
     frames: MailboxSender<Vec<u8>>,
     stream: Arc<TcpStream>,
-    /// The writer thread closes the connection, after all that is still to be written.
+    /// Whether [`Link::finish`] was called: the writer thread closes the connection after the frames in its queue.
     finished: AtomicBool,
 }
 
 impl Link {
-    /// The sending half over a stream, with a writer thread of its own. `ack_timeout`: the connection ends when sent bytes
-    /// stay unacknowledged by the peer's system for so long (TCP_USER_TIMEOUT). `capacity`: how many messages may wait.
+    /// The sending half over a stream, with a writer thread of its own. `ack_timeout`: the connection ends when sent
+    /// bytes stay unacknowledged by the peer's system for so long (TCP_USER_TIMEOUT). `capacity`: how many messages may
+    /// wait.
     ///
     /// # Errors
     /// The stream cannot be set up, or no thread can be spawned.
@@ -89,14 +89,14 @@
         TcpStream::connect_timeout(&peer.into(), timeout).map(Arc::new)
     }
 
-    /// Sends a message, without waiting. If the peer has fallen too far behind, the connection is closed.
+    /// Queues a message without waiting. If the queue is full, the connection is closed.
     pub fn send<T: Serialize>(&self, message: &T) {
         if self.frames.try_send(encode_frame(message)).is_err() {
             self.close();
         }
     }
 
-    /// Closes the connection after all that was sent.
+    /// Closes the connection once all queued messages have been written.
     pub fn finish(&self) {
         if self.frames.try_send(Vec::new()).is_ok() {
             self.finished.store(true, Ordering::Release);
--- a/crates/aspendrum-net/src/http1/encode.rs
+++ b/crates/aspendrum-net/src/http1/encode.rs
@@ -1,4 +1,4 @@
-//! Responses of our own.
+//! Encoding of the responses that this program produces itself, rather than forwards.
 
 /// The reason phrase of a status (RFC 9110, 15).
 pub fn reason_phrase(status: u16) -> &'static str {
--- a/crates/aspendrum-net/src/http1/header.rs
+++ b/crates/aspendrum-net/src/http1/header.rs
@@ -1,6 +1,6 @@
 //! Header fields: look-ups, and what they mean for the connection.
 
-/// The fields of a message in their order: names as they came, and values.
+/// The fields of a message in their order: names in the sender's spelling, and values.
 pub type Headers = Vec<(String, Vec<u8>)>;
 
 /// The fields that always concern one connection only (RFC 9110, 7.6.1), and those that each hop writes itself.
@@ -71,7 +71,7 @@
         || headers.iter().any(names_it)
 }
 
-/// Copies out of the buffer that was parsed.
+/// Copies the fields out of the buffer that they were parsed in.
 pub(super) fn to_owned(headers: &[httparse::Header<'_>]) -> Headers {
     headers
         .iter()
--- a/crates/aspendrum-net/src/http1/parse.rs
+++ b/crates/aspendrum-net/src/http1/parse.rs
@@ -51,7 +51,8 @@
     pub close: bool,
 }
 
-/// Takes one request off the buffer if it is whole. [`Parsed::Invalid`] has the status for its sender.
+/// Removes one request from the front of the buffer if it has arrived completely. [`Parsed::Invalid`] carries the
+/// status for its sender.
 pub fn parse_request(buffer: &mut RingBuffer, limits: &MessageLimits) -> Parsed<Request> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
@@ -90,8 +91,9 @@
     Parsed::Complete(request)
 }
 
-/// Takes one response off the buffer if it is whole, and interim responses (1xx) before it. One that only the connection's
-/// end delimits cannot be told from one that was cut short, so it is invalid.
+/// Removes one response from the front of the buffer if it has arrived completely, and the interim responses (1xx)
+/// before it. A response without a length, which ends with the connection, is invalid: it cannot be distinguished from
+/// one that was cut short.
 pub fn parse_response(buffer: &mut RingBuffer, limits: &MessageLimits) -> Parsed<Response> {
     loop {
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
--- a/crates/aspendrum-net/src/http1/parsed.rs
+++ b/crates/aspendrum-net/src/http1/parsed.rs
@@ -6,6 +6,7 @@
     Incomplete,
     /// A whole message.
     Complete(T),
-    /// No message; the status with which its sender, or its receiver, is answered.
+    /// The bytes are no valid message. Carries the HTTP status to answer with: to the sender for a request, to the
+    /// waiting client for a response.
     Invalid(u16),
 }
--- a/crates/aspendrum-net/src/http_client.rs
+++ b/crates/aspendrum-net/src/http_client.rs
@@ -1,4 +1,5 @@
-//! A client for short calls to the platform and to control: one after another, on a connection that is kept while it lasts.
+//! A client for short calls to the platform and to control: one after another, on a connection that is kept between
+//! calls.
 
 use crate::connection::{Connection, ConnectionOptions};
 use crate::http1::{parse_response, MessageLimits, Response};
@@ -64,8 +65,8 @@
         self.server
     }
 
-    /// Makes one call, within `timeout`. Only for calls that may run twice: where a kept connection fails, which the
-    /// server may have closed while it was idle, the call is repeated on a new one.
+    /// Makes one call, within `timeout`. Only for idempotent calls: if a kept connection fails, which the server may
+    /// have closed while it was idle, the call is retried on a new one.
     ///
     /// # Errors
     /// [`HttpClientError`]: why there is no response.
--- a/crates/aspendrum-net/src/http_server.rs
+++ b/crates/aspendrum-net/src/http_server.rs
@@ -1,5 +1,5 @@
-//! A server for short calls of servers, operators and the platform: one function answers each request, on a thread that
-//! is reused for later connections.
+//! A server for short HTTP calls: one function answers every request. Each connection has a thread, which is reused for
+//! later connections.
 
 use crate::connection::lingering_close;
 use crate::disconnects::has_hung_up;
@@ -65,10 +65,10 @@
     }
 }
 
-/// Between two attempts to accept where no descriptor is free.
+/// The time between two attempts to accept a connection while no descriptor is free.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 const INITIAL_BUFFER_BYTES: usize = 1 << 10;
-/// Chunk sizes and trailers may take up so much beyond a request's head and content.
+/// How many bytes chunk sizes and trailers may take up in addition to a request's head and content.
 const FRAMING_BYTES: usize = 1024;
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 const LINGER_MAX_BYTES: usize = 64 << 10;
@@ -119,8 +119,9 @@
                 _ => return,
             },
             Parsed::Invalid(status) => (Reply::plain(status), true),
-            // An order that lay in the socket while this machine was suspended, and whose client has gone: the client may
-            // have given the opposite order elsewhere since. A GET has no effect, and is answered (RFC 9110, 9.2.1).
+            // The client has disconnected, perhaps while this machine was suspended and the request lay in the socket.
+            // It may have sent the opposite command to another node since, so this one must not run. A GET is safe (RFC
+            // 9110, 9.2.1) and is answered.
             Parsed::Complete(request) if request.method != "GET" && has_hung_up(stream) => return,
             Parsed::Complete(request) => {
                 let close = request.close;
--- a/crates/aspendrum-net/src/mailbox.rs
+++ b/crates/aspendrum-net/src/mailbox.rs
@@ -1,7 +1,8 @@
 //! A bounded channel whose only receiver parks its thread while the channel is empty.
 //!
 //! A blocking receive of `crossbeam_channel` yields the processor about eight times before it sleeps. With four waits a
-//! request these yields were most of a process' system calls (2,900 of 4,300 a second, measured on a day without faults).
+//! request these yields were most of a process' system calls (2,900 of 4,300 a second, measured on a day without
+//! faults).
 
 use crossbeam_channel::{bounded, TryRecvError, TrySendError};
 use std::thread::{self, Thread};
@@ -67,8 +68,8 @@
                 Err(TryRecvError::Disconnected) => return Err(RecvError::Disconnected),
                 Err(TryRecvError::Empty) => {}
             }
-            // A sender unparks this thread after each message. If that happens between the look above and the park below,
-            // the park returns at once, so no message is missed.
+            // A sender unparks this thread after each message. If that happens between `try_recv` above and the park
+            // below, the park returns at once, so no message is missed.
             match deadline.map(|deadline| deadline.saturating_duration_since(Instant::now())) {
                 None => thread::park(),
                 Some(remaining) if remaining.is_zero() => return Err(RecvError::TimedOut),
@@ -79,7 +80,8 @@
 }
 
 impl<T> MailboxSender<T> {
-    /// Sends a message; waits until `deadline` for capacity. Returns false if the message was not taken.
+    /// Sends a message; waits for capacity until `deadline`, or without limit if there is none. Returns false if the
+    /// message was not sent: the deadline passed or the receiver is gone.
     pub fn send(&self, message: T, deadline: Option<Instant>) -> bool {
         let sent = match deadline {
             Some(deadline) => self.messages.send_deadline(message, deadline).is_ok(),
@@ -102,8 +104,9 @@
         sent
     }
 
-    /// Disconnects this sender and wakes the receiver, which may be waiting without a deadline. Dropping a sender does not
-    /// wake it: most senders belong to one request, whose receiver no longer waits, and each wake-up is a system call.
+    /// Disconnects this sender and wakes the receiver, which may be waiting without a deadline. Dropping a sender does
+    /// not wake it: most senders belong to one request, whose receiver no longer waits, and each wake-up is a system
+    /// call.
     pub fn close(&mut self) {
         let (disconnected, _) = bounded(0);
         self.messages = disconnected;
--- a/crates/aspendrum-net/src/path_matcher.rs
+++ b/crates/aspendrum-net/src/path_matcher.rs
@@ -10,7 +10,7 @@
     Endpoint(&'static str, C),
 }
 
-/// What a request is for.
+/// The result of matching a request.
 #[derive(Debug, PartialEq)]
 pub enum PathMatch<'p, C> {
     /// A call.
@@ -28,7 +28,7 @@
     NotFound,
 }
 
-/// Finds what a request is for. `target` is its target as it came.
+/// Finds the call that a request is for. `target`: the request target as received, path and query.
 pub fn match_path<'p, C: Copy>(
     tree: &[PathNode<C>],
     method: &str,
@@ -59,7 +59,7 @@
 struct Search<'m, 'p> {
     method: &'m str,
     arguments: Vec<&'p str>,
-    /// An endpoint of that path was seen, whatever its method.
+    /// Whether the tree has an endpoint for the path, with any method.
     is_path_known: bool,
 }
 
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -1,5 +1,5 @@
 //! Pooled connections to servers: opened when none is idle, kept between requests, the newest used first, closed well
-//! before a server would close them, and bounded in number. Nothing is ever sent twice from here.
+//! before a server would close them, and bounded in number. The pool never retries a request.
 
 use crate::connection::{Connection, ConnectionOptions};
 use crate::descriptor_permit::DescriptorPermit;
@@ -16,8 +16,8 @@
 pub struct PoolLimits {
     /// The most connections, idle or not.
     pub max_connections: usize,
-    /// A connection is used again after it has been idle for so long, and not sooner: whatever follows a response has
-    /// arrived by then, and is not taken for the next request's response.
+    /// The shortest idle time before a connection is used again. Surplus bytes after a response have arrived by then,
+    /// so that they are detected and not taken for the next request's response.
     pub min_idle: Duration,
     /// The buffers and time-outs of each connection.
     pub connection: ConnectionOptions,
--- a/crates/aspendrum-net/src/process_signals.rs
+++ b/crates/aspendrum-net/src/process_signals.rs
@@ -15,17 +15,17 @@
 #[display("signals: {_0}")]
 pub struct SignalError(io::Error);
 
-/// What the platform or an operator wants of the process.
+/// A request of the platform or of an operator to the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ProcessRequest {
     ShutDown,
     ReloadSettings,
 }
 
-/// Between two checks whether the settings file was replaced.
+/// The time between two checks whether the settings file was replaced.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 const STACK_BYTES: usize = 64 << 10;
-/// The requests that may wait while the settings are being read.
+/// The number of requests that may wait while the settings are being read.
 const MAX_PENDING_REQUESTS: usize = 8;
 
 /// The signals that a process handles, from its start on.
@@ -40,7 +40,7 @@
     }
 
     /// Returns when the process is to shut down. Calls `reload` when the settings in that file may have changed; if it
-    /// fails, the process goes on with the old ones.
+    /// fails, the process keeps its present settings.
     ///
     /// # Errors
     /// [`SignalError`] if the threads that wait for signals and for changes of the file could not be spawned.
--- a/crates/aspendrum-net/src/ring_buffer.rs
+++ b/crates/aspendrum-net/src/ring_buffer.rs
@@ -1,5 +1,5 @@
-//! A ring buffer for one direction of a connection. It starts small, grows up to its limit, and frees its memory once it
-//! is empty.
+//! A ring buffer for one direction of a connection. It starts small, grows up to its limit, and frees its memory once
+//! it is empty.
 
 use std::io::{self, Read, Write};
 
@@ -71,7 +71,7 @@
         true
     }
 
-    /// All that it holds, in one slice; moves bytes if they wrap around.
+    /// The whole content in one slice; moves the bytes if they wrap around.
     pub fn contiguous(&mut self) -> &[u8] {
         if self.start + self.len > self.storage.len() {
             self.storage.rotate_left(self.start);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Writes all that it holds.
+    /// Writes the whole content.
     ///
     /// # Errors
     /// The error of the write; the buffer keeps what was not written.
--- a/crates/aspendrum-net/src/threads.rs
+++ b/crates/aspendrum-net/src/threads.rs
@@ -3,7 +3,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// Spawns a thread with a stack of that size: there are as many threads as connections.
+/// Spawns a thread with a stack of `stack_bytes`. Stacks must be small, as each connection has a thread.
 ///
 /// # Errors
 /// The system's error where it allows no further thread.
@@ -18,8 +18,8 @@
         .spawn(body)
 }
 
-/// Locks a mutex, also after a panic of its holder: no lock is held over anything that may fail half-way, so the value is
-/// always consistent.
+/// Locks a mutex, even if a thread panicked while it held the lock. No critical section here can panic between two
+/// dependent changes, so the value is consistent then too.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/aspendrum-net/src/worker_pool.rs
+++ b/crates/aspendrum-net/src/worker_pool.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Waits for the next job. False: none came, and the worker is no longer listed as idle.
+    /// Waits for the next job. Returns false if none came in time; the worker is no longer listed as idle then.
     fn wait_for_job(&self, slot: &JobSlot) -> bool {
         let deadline = Instant::now() + self.idle_timeout;
         while lock(slot).is_none() {
@@ -94,7 +94,7 @@
                 return false;
             }
             drop(idle);
-            // Whoever removed it from the list is about to put a job into its slot, and unparks it then.
+            // The thread that removed this worker from the list is about to put a job into its slot and to unpark it.
             thread::park();
         }
         true
