--- a/crates/aspendrum-net/src/disconnects.rs
+++ b/crates/aspendrum-net/src/disconnects.rs
@@ -35,7 +35,7 @@
     /// When the client's close was detected, by the watcher's clock, or [`NONE`].
     disconnected_at: AtomicU64,
     /// Whether this process has shut down the receiving side itself: `poll` reports that like a client's close.
-    closed_here: AtomicBool,
+    is_closed_here: AtomicBool,
     is_overdue: AtomicBool,
 }
 
@@ -47,7 +47,7 @@
             request: AtomicU64::new(NONE),
             read_at: AtomicU64::new(NONE),
             disconnected_at: AtomicU64::new(NONE),
-            closed_here: AtomicBool::new(false),
+            is_closed_here: AtomicBool::new(false),
             is_overdue: AtomicBool::new(false),
         }
     }
@@ -92,10 +92,10 @@
     /// Ends a connection between requests: shuts down the receiving side alone, and only if nothing has arrived, so
     /// that a request that is on its way is still answered.
     pub fn shut_down_if_idle(&self) {
-        if self.closed_here.load(Ordering::Relaxed) || self.has_received_bytes() {
+        if self.is_closed_here.load(Ordering::Relaxed) || self.has_received_bytes() {
             return;
         }
-        self.closed_here.store(true, Ordering::SeqCst);
+        self.is_closed_here.store(true, Ordering::SeqCst);
         let _ = self.stream.shutdown(Shutdown::Read);
     }
 
@@ -117,7 +117,7 @@
     }
 
     fn has_hung_up(&self) -> bool {
-        !self.closed_here.load(Ordering::SeqCst) && has_hung_up(&self.stream)
+        !self.is_closed_here.load(Ordering::SeqCst) && has_hung_up(&self.stream)
     }
 
     /// Whether its request has been in progress for long enough to be checked.
@@ -125,7 +125,7 @@
         let read_at = self.read_at.load(Ordering::Relaxed);
         self.request().is_some()
             && !self.has_disconnected()
-            && !self.closed_here.load(Ordering::SeqCst)
+            && !self.is_closed_here.load(Ordering::SeqCst)
             && now.saturating_sub(read_at) >= MIN_REQUEST_AGE.as_millis() as u64
     }
 }
--- a/crates/aspendrum-net/src/forward.rs
+++ b/crates/aspendrum-net/src/forward.rs
@@ -50,7 +50,7 @@
     /// Attempts below this number are cancelled.
     cancelled_below: u16,
     /// The client has disconnected: no further attempt begins.
-    client_disconnected: bool,
+    is_client_disconnected: bool,
     /// When an attempt that was in flight at the disconnect ended.
     ended_at: Option<Instant>,
     in_flight: Option<InFlight>,
@@ -66,7 +66,7 @@
 
 impl State {
     fn may_proceed(&self, attempt: u8) -> bool {
-        !self.client_disconnected && !self.is_cancelled(attempt)
+        !self.is_client_disconnected && !self.is_cancelled(attempt)
     }
 
     fn is_cancelled(&self, attempt: u8) -> bool {
@@ -117,14 +117,14 @@
     /// aborted, or never began for that reason.
     pub fn end_attempt(&self, attempt: u8) -> bool {
         let mut state = self.state();
-        if state.client_disconnected {
+        if state.is_client_disconnected {
             state.ended_at = Some(Instant::now());
         }
-        let client_disconnected = state.client_disconnected;
+        let is_client_disconnected = state.is_client_disconnected;
         let is_aborted = state
             .in_flight
             .take()
-            .map_or(client_disconnected, |f| f.is_aborted);
+            .map_or(is_client_disconnected, |f| f.is_aborted);
         is_aborted || state.is_cancelled(attempt)
     }
 
@@ -142,7 +142,7 @@
     /// itself. Returns the stage at the disconnect.
     pub fn handle_disconnect(&self) -> ForwardStage {
         let mut state = self.state();
-        state.client_disconnected = true;
+        state.is_client_disconnected = true;
         let Some(in_flight) = &mut state.in_flight else {
             return ForwardStage::Waiting;
         };
--- a/crates/aspendrum-net/src/frames.rs
+++ b/crates/aspendrum-net/src/frames.rs
@@ -51,7 +51,7 @@
     frames: MailboxSender<Vec<u8>>,
     stream: Arc<TcpStream>,
     /// Whether [`Link::finish`] was called: the writer thread closes the connection after the frames in its queue.
-    finished: AtomicBool,
+    is_finishing: AtomicBool,
 }
 
 impl Link {
@@ -77,7 +77,7 @@
         Ok(Link {
             frames,
             stream,
-            finished: AtomicBool::new(false),
+            is_finishing: AtomicBool::new(false),
         })
     }
 
@@ -99,7 +99,7 @@
     /// Closes the connection once all queued messages have been written.
     pub fn finish(&self) {
         if self.frames.try_send(Vec::new()).is_ok() {
-            self.finished.store(true, Ordering::Release);
+            self.is_finishing.store(true, Ordering::Release);
         } else {
             self.close();
         }
@@ -123,7 +123,7 @@
 
 impl Drop for Link {
     fn drop(&mut self) {
-        if !self.finished.load(Ordering::Acquire) {
+        if !self.is_finishing.load(Ordering::Acquire) {
             self.close();
         }
         self.frames.close();
