--- a/crates/aspendrum-control/src/peer_message.rs
+++ b/crates/aspendrum-control/src/peer_message.rs
@@ -43,6 +43,15 @@
     pub is_leaving: bool,
     /// The newest epoch that it knows of.
     pub epoch: Epoch,
-    /// The other control nodes that it knows of, and their zones.
-    pub known_nodes: Vec<(NodeId, String)>,
+    /// The other control nodes that it knows of.
+    pub known_nodes: Vec<KnownNode>,
+}
+
+/// A control node that the sender of a [`Hello`] knows of.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct KnownNode {
+    /// The node.
+    pub node: NodeId,
+    /// The zone that it runs in; empty if the sender does not know it.
+    pub zone: String,
 }
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::connections;
 use crate::event::Event;
-use crate::peer_message::{Hello, PeerMessage};
+use crate::peer_message::{Hello, KnownNode, PeerMessage};
 use crate::proxy_table::ProxyEntry;
 use aspendrum_consensus::membership::{DiskId, Voters, FOUNDING_DISK};
 use aspendrum_consensus::membership_planner::NodeStatus;
@@ -176,7 +176,7 @@
         peer.zone = hello.zone;
         peer.disk = hello.disk;
         peer.is_leaving = hello.is_leaving;
-        for (node, zone) in hello.known_nodes {
+        for KnownNode { node, zone } in hello.known_nodes {
             if node == local_node {
                 continue;
             }
@@ -196,13 +196,16 @@
 
     /// The nodes that this node reports to the others, and their zones. Nodes without contact for [`FORGET_AFTER`] are
     /// left out: otherwise the nodes would keep introducing a removed node to each other.
-    pub fn known_nodes(&self, now: Millis) -> Vec<(NodeId, String)> {
+    pub fn known_nodes(&self, now: Millis) -> Vec<KnownNode> {
         let is_recent = |peer: &Peer| {
             peer.last_received.is_some() && peer.time_since_contact(now) < FORGET_AFTER
         };
         let recent = self.peers.iter().filter(|(_, peer)| is_recent(peer));
         recent
-            .map(|(node, peer)| (*node, peer.zone.clone()))
+            .map(|(node, peer)| KnownNode {
+                node: *node,
+                zone: peer.zone.clone(),
+            })
             .collect()
     }
 
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -10,7 +10,7 @@
 use aspendrum_consensus::{DurableState, Epoch, Message, NodeId, Voters};
 use aspendrum_control::connections;
 use aspendrum_control::legacy;
-use aspendrum_control::peer_message::{Hello, PeerMessage};
+use aspendrum_control::peer_message::{Hello, KnownNode, PeerMessage};
 use aspendrum_control::proxy_table::ProxyEntry;
 use aspendrum_control::store::Store;
 use aspendrum_model::compression::{compress, decompress};
@@ -83,7 +83,16 @@
         disk: 77,
         is_leaving: true,
         epoch: epoch(),
-        known_nodes: vec![(node(2), "z2".into()), (node(0x0a00_0003), String::new())],
+        known_nodes: vec![
+            KnownNode {
+                node: node(2),
+                zone: "z2".into(),
+            },
+            KnownNode {
+                node: node(0x0a00_0003),
+                zone: String::new(),
+            },
+        ],
     };
     peer_message(&mut pinned, "hello", &PeerMessage::Hello(Box::new(hello)));
     peer_message(
