--- a/crates/aspendrum-model/src/settings/error.rs
+++ b/crates/aspendrum-model/src/settings/error.rs
@@ -26,28 +26,28 @@
     Invalid(#[error(not(source))] Vec<InvalidSetting>),
 }
 
-/// A setting that is wrong, by its place in the file.
+/// A setting that is wrong, by its path in the file.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum InvalidSetting {
     /// The setting is required, but the file does not contain it.
-    #[display("{place} is missing")]
+    #[display("{key_path} is missing")]
     Missing {
         /// The keys that lead to the setting, from the outermost on, joined by dots.
-        place: &'static str,
+        key_path: &'static str,
     },
     /// The value has the wrong type.
-    #[display("{place} must be {expected}")]
+    #[display("{key_path} must be {expected}")]
     WrongType {
         /// The keys that lead to the setting, from the outermost on, joined by dots.
-        place: &'static str,
+        key_path: &'static str,
         /// The expected type, in words.
         expected: &'static str,
     },
     /// The value is outside the allowed range.
-    #[display("{place} is out of range")]
+    #[display("{key_path} is out of range")]
     OutOfRange {
         /// The keys that lead to the setting, from the outermost on, joined by dots.
-        place: &'static str,
+        key_path: &'static str,
     },
 }
 
