--- a/crates/aspendrum-consensus/src/acceptor.rs
+++ b/crates/aspendrum-consensus/src/acceptor.rs
@@ -1,33 +1,33 @@
-//! The acceptor of single-decree Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2). The type of the value, the
-//! set of acceptors and the size of a quorum are the caller's concern.
+//! The acceptor of single-decree Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2). It is generic over the value;
+//! the caller keeps track of the set of acceptors and of the quorum size.
 
 use crate::ballot::Ballot;
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// The acceptor has promised a higher ballot than the one that it was asked about.
+/// The error of a request whose ballot is lower than the one that the acceptor has promised.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("a higher ballot was promised: {by:?}")]
 pub struct Preempted {
-    /// The ballot that was promised.
+    /// The promised ballot.
     pub by: Ballot,
 }
 
 /// A value and the ballot under which it was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Accepted<V> {
-    /// The proposal's number.
+    /// The ballot of the proposal.
     pub ballot: Ballot,
-    /// The proposal's value.
+    /// The value of the proposal.
     pub value: V,
 }
 
-/// What an acceptor keeps on its disk. It replies to a proposer only once this is synced.
+/// The durable state of an acceptor. The reply to a proposer is sent only after this state is synced to disk.
 ///
-/// Invariants: `promised` never falls, and `accepted` never has a higher ballot than `promised`.
+/// Invariants: `promised` never decreases, and `accepted` never has a higher ballot than `promised`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptor<V> {
-    /// No proposal with a lower ballot is accepted any more.
+    /// The highest promised ballot. Proposals with a lower ballot are rejected.
     pub promised: Ballot,
     /// The accepted proposal with the highest ballot.
     pub accepted: Option<Accepted<V>>,
@@ -43,10 +43,10 @@
 }
 
 impl<V: Clone> Acceptor<V> {
-    /// Phase 1: promises to accept no lower ballot, and returns what was accepted so far.
+    /// Handles phase 1: promises to reject lower ballots, and returns the proposal accepted so far, if any.
     ///
     /// # Errors
-    /// [`Preempted`] if a higher ballot was promised before.
+    /// [`Preempted`] if a higher ballot has been promised.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<Option<Accepted<V>>, Preempted> {
         if ballot < self.promised {
             return Err(Preempted { by: self.promised });
@@ -55,10 +55,10 @@
         Ok(self.accepted.clone())
     }
 
-    /// Phase 2: accepts a value.
+    /// Handles phase 2: accepts a value.
     ///
     /// # Errors
-    /// [`Preempted`] if a higher ballot was promised before.
+    /// [`Preempted`] if a higher ballot has been promised.
     pub fn accept(&mut self, ballot: Ballot, value: V) -> Result<(), Preempted> {
         if ballot < self.promised {
             return Err(Preempted { by: self.promised });
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// Takes over the promises and the accepted value of another acceptor. The two then answer as one would that had
+    /// Merges the promise and the accepted proposal of another acceptor into this one, which then answers as if it had
     /// received the requests of both.
     pub fn merge(&mut self, other: &Acceptor<V>) {
         self.promised = self.promised.max(other.promised);
--- a/crates/aspendrum-consensus/src/ballot.rs
+++ b/crates/aspendrum-consensus/src/ballot.rs
@@ -3,24 +3,24 @@
 use crate::node::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// The number of a proposal. Ordered by the counter first; node and incarnation make it unique.
+/// The number of a proposal. Ballots are ordered by the counter first; node and incarnation make them unique.
 ///
-/// Invariant: no two incarnations of any node share a ballot. A restarted node has forgotten what it proposed, and must
-/// not count promises that were made to its earlier incarnation.
+/// Invariant: no two incarnations of a node share a ballot. A restarted node has lost the state of its proposals, and
+/// must not count promises that were made to an earlier incarnation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Grows with each attempt to outbid other proposals.
+    /// Increases with each attempt to preempt other proposals.
     pub counter: u32,
-    /// The node that proposes.
+    /// The proposing node.
     pub node: NodeId,
-    /// Drawn at random at each start of that node.
+    /// A random number that is generated at each start of the node.
     pub incarnation: u64,
 }
 
 impl Ballot {
-    /// The lowest ballot of this one's node and incarnation above `other`.
+    /// Returns the lowest ballot above `other` with the node and the incarnation of `self`.
     pub fn above(self, other: Ballot) -> Ballot {
         Ballot {
             counter: other.counter.saturating_add(1),
@@ -29,16 +29,16 @@
     }
 }
 
-/// Hands out the ballots of one incarnation of a node, each above all that were observed.
+/// Generates the ballots of one incarnation of a node, each above all observed ballots.
 #[derive(Debug)]
 pub(crate) struct BallotGenerator {
-    /// Carries the node and the incarnation of each ballot; its counter is not used.
+    /// The template for new ballots: supplies node and incarnation; its counter is unused.
     own: Ballot,
     highest_observed: Ballot,
 }
 
 impl BallotGenerator {
-    /// `highest_promised`: the highest ballot that the node's durable state knows of.
+    /// Creates a generator. `highest_promised` is the highest ballot in the node's durable state.
     pub(crate) fn new(node: NodeId, incarnation: u64, highest_promised: Ballot) -> BallotGenerator {
         BallotGenerator {
             own: Ballot {
@@ -50,13 +50,13 @@
         }
     }
 
-    /// A new ballot above all that were observed or handed out.
+    /// Returns a new ballot above all that were observed or generated before.
     pub(crate) fn next(&mut self) -> Ballot {
         self.highest_observed = self.own.above(self.highest_observed);
         self.highest_observed
     }
 
-    /// Takes note of another proposer's ballot.
+    /// Records another proposer's ballot.
     pub(crate) fn observe(&mut self, ballot: Ballot) {
         self.highest_observed = self.highest_observed.max(ballot);
     }
--- a/crates/aspendrum-consensus/src/effect.rs
+++ b/crates/aspendrum-consensus/src/effect.rs
@@ -1,29 +1,29 @@
-//! What a replica asks its caller to do.
+//! The actions that a replica requests from its caller.
 
 use crate::message::Message;
 use crate::node::NodeId;
 use crate::replicated_state::ReplicatedState;
 
-/// Identifies a pending command. Chosen by the caller; the command's outcome is reported under this id.
+/// Identifies a pending command. The caller assigns it, and the outcome of the command is reported under it.
 pub type CommandId = u64;
 
-/// How a command ended.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// A majority of disks holds what the command changed. Carries everything that is known to be committed.
+    /// A majority of disks holds the command's effect. Carries the state that is known to be committed.
     Committed(Box<ReplicatedState>),
-    /// Another text was decided for the version, so the command's text will never be in force on any node.
+    /// Another text was decided for the version, so the command's text will never be applied on any node.
     VersionConflict,
-    /// No majority answered in time. The command may still take effect.
+    /// No majority replied in time. The command may still take effect.
     NoQuorum,
 }
 
-/// An action that the caller has to carry out. Effects must be carried out in the order in which they are returned.
+/// An action for the caller to perform. Effects must be performed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write the state to the disk and sync it before any effect that follows, of this call or a later one.
+    /// Write the durable state to disk and sync it before any subsequent effect, of this call or a later one.
     Persist,
-    /// Send a message. The receiver may be the sender itself: its own vote, too, counts only once it is synced.
+    /// Send a message. The receiver may be the sender itself: its own vote also counts only after it is synced.
     Send {
         /// The receiver.
         to: NodeId,
@@ -34,11 +34,11 @@
     Completed {
         /// The id under which the command was submitted.
         command_id: CommandId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
     },
-    /// The committed state has grown.
+    /// The committed state has advanced.
     CommittedAdvanced,
-    /// Another epoch began, or this node joined it.
+    /// This node has entered another epoch, or has joined its current one.
     EpochChanged,
 }
--- a/crates/aspendrum-consensus/src/lib.rs
+++ b/crates/aspendrum-consensus/src/lib.rs
@@ -1,41 +1,41 @@
-//! The replicated state of the control plane: the operators' configuration, the evacuated zones and the membership of
-//! the voters. A command is acknowledged once a majority of the voters' disks holds what it changed.
+//! The replicated state of the control plane: the operators' configuration, the evacuated zones and the set of voters.
+//! A command is acknowledged once its effect is stored on the disks of a majority of the voters.
 //!
-//! There is no log and no leader. Three protocols work side by side, each on its own part of the state:
+//! There is no log and no leader. Three protocols run side by side, each on its own part of the state:
 //!
-//! - Registers that only grow are read and written by majorities ([`ReplicatedState`], after Attiya, Bar-Noy and Dolev,
+//! - Monotonic registers are read from and written to majorities ([`ReplicatedState`], after Attiya, Bar-Noy and Dolev,
 //!   "Sharing Memory Robustly in Message-Passing Systems", 1995).
-//! - The text of each configuration version is decided by an instance of single-decree Paxos of its own (Lamport,
+//! - The text of each configuration version is decided by a separate instance of single-decree Paxos (Lamport,
 //!   "Paxos Made Simple", 2001).
-//! - The voters of the next epoch are decided by Paxos among the voters of this one, and the new voters take over what
-//!   the old ones acknowledged before they answer anything (as in Lamport, Malkhi and Zhou, "Vertical Paxos and
-//!   Primary-Backup Replication", 2009, without the master that decides on configurations there).
+//! - The voters of the next epoch are decided by Paxos among the voters of the current one. The new voters transfer the
+//!   state that the previous voters acknowledged before they answer requests (as in Lamport, Malkhi and Zhou, "Vertical
+//!   Paxos and Primary-Backup Replication", 2009, but without its configuration master).
 //!
-//! # How it works
+//! # Architecture
 //!
-//! The crate does no I/O and reads no clock. Each control node owns one [`Replica`]. The caller passes it every message
-//! that arrives ([`Replica::step`]), every command of an operator ([`Replica::submit`]) and, several times a second,
-//! the time ([`Replica::tick`]). Each call returns [`Effect`]s, which the caller carries out in their order: write
-//! [`DurableState`] to the disk and sync it, send a [`Message`], report the [`Outcome`] of a command.
+//! The crate does no I/O and reads no clock. Each control node owns one [`Replica`]. The caller passes it every
+//! received message ([`Replica::step`]), every operator command ([`Replica::submit`]) and, several times a second, the
+//! current time ([`Replica::tick`]). Each call returns [`Effect`]s, which the caller performs in order: write
+//! [`DurableState`] to disk and sync it, send a [`Message`], report the [`Outcome`] of a command.
 //!
-//! A command goes to one of two proposing parts. [`Command::SetConfig`] starts a Paxos proposer for its version.
-//! [`Command::SetEvacuation`] and [`Command::Read`] start an operation on the registers. Either part sends requests to
-//! the voters, the sender's own node included; each voter changes its durable state and replies once the change is
-//! synced; the part counts the replies and ends the command when a majority has answered.
+//! A command is handled by one of two components. [`Command::SetConfig`] starts a Paxos proposer for its version.
+//! [`Command::SetEvacuation`] and [`Command::Read`] start an operation on the registers. Both components send requests
+//! to the voters, including the local node. Each voter updates its durable state and replies once the change is synced.
+//! The component counts the replies and completes the command when a majority has replied.
 //!
-//! Every request carries the number of the sender's epoch, and a voter answers only requests of its own epoch. So once
-//! a majority of the voters has entered the next epoch, no command can be acknowledged in the former one.
+//! Every request carries the sender's epoch number, and a voter answers only requests of its own epoch. Once a majority
+//! of the voters has entered the next epoch, no command can be acknowledged in the previous one.
 //!
-//! # Order of reading
+//! # Module overview
 //!
 //! 1. `node`, [`membership`] and [`ballot`]: identities, voters and epochs, proposal numbers.
-//! 2. [`replicated_state`], [`versions`] and [`state`]: what is replicated, and what one node keeps on its disk.
+//! 2. [`replicated_state`], [`versions`] and [`state`]: the replicated state, and the durable state of one node.
 //! 3. [`message`] and `effect`: the inputs and outputs.
-//! 4. [`acceptor`], `proposer` and `voter`: Paxos, and how a voter answers requests.
-//! 5. `replica_core`, then `version_proposal`, `quorum_operation`, `membership_change` and `state_transfer`: the parts
-//!    of a replica.
-//! 6. [`replica`]: composes the parts. [`membership_planner`]: decides when to propose other voters; the caller runs
-//!    it.
+//! 4. [`acceptor`], `proposer` and `voter`: Paxos, and the request handling of a voter.
+//! 5. `replica_core`, then `version_proposal`, `quorum_operation`, `membership_change` and `state_transfer`: the
+//!    components of a replica.
+//! 6. [`replica`]: composes the components. [`membership_planner`]: decides when to propose a change of the voters; it
+//!    is run by the caller.
 
 pub mod acceptor;
 pub mod ballot;
--- a/crates/aspendrum-consensus/src/membership.rs
+++ b/crates/aspendrum-consensus/src/membership.rs
@@ -1,18 +1,19 @@
-//! Who votes. A voter is a node together with its disk: a node that lost its disk is another voter. Voters belong to a
-//! numbered epoch, and the voters of an epoch decide who votes in the next one.
+//! Voters and epochs. A voter is identified by a node and its disk: a node with a replaced disk is a different voter.
+//! Each set of voters belongs to a numbered epoch, and the voters of an epoch decide the voters of the next one.
 
 use crate::node::NodeId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The identity of a disk, drawn at random when it is first used.
+/// The identity of a disk: a random number that is generated when the disk is first used.
 pub type DiskId = u64;
 
-/// Among the [`Voters`] of an epoch: the disk that a node had at the first start of the whole system, when the nodes
-/// did not know each other's disk ids yet. In a node's status: the node has no usable disk.
+/// A placeholder for a disk id. In the [`Voters`] of an epoch it denotes the disk that the node had at the first start
+/// of the system, when disk ids had not been exchanged yet. In a node's status it means that the node has no usable
+/// disk.
 pub const FOUNDING_DISK: DiskId = 0;
 
-/// How many voters are needed so that a majority remains after the loss of `losses` disks at once.
+/// Returns the number of voters that retains a majority after the simultaneous loss of `losses` disks.
 pub fn voters_tolerating(losses: usize) -> usize {
     2 * losses + 1
 }
@@ -22,38 +23,38 @@
 pub struct Voters(pub BTreeMap<NodeId, DiskId>);
 
 impl Voters {
-    /// The voters of the founding epoch: `nodes`, whose disk ids are not known yet.
+    /// Returns the voters of the founding epoch: `nodes`, with unknown disk ids.
     pub fn founding(nodes: &[NodeId]) -> Voters {
         Voters(nodes.iter().map(|node| (*node, FOUNDING_DISK)).collect())
     }
 
-    /// The number of voters.
+    /// Returns the number of voters.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are no voters, which means that the epoch is not known.
+    /// Whether there are no voters, in which case the epoch is unknown.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The number of voters that form a majority.
+    /// Returns the number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.0.len() / 2 + 1
     }
 
-    /// The nodes that vote, in order.
+    /// Iterates over the voting nodes in ascending order.
     pub fn nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.0.keys().copied()
     }
 
-    /// Whether `node` is a voter, with whichever disk.
+    /// Whether `node` is a voter, regardless of its disk.
     pub fn contains_node(&self, node: NodeId) -> bool {
         self.0.contains_key(&node)
     }
 
-    /// Whether `node` with `disk` is a voter. `is_founding_disk`: the node has had this disk since the system's first
-    /// start.
+    /// Whether `node` with `disk` is a voter. `is_founding_disk` states whether the node has had this disk since the
+    /// first start of the system.
     pub fn contains_disk(&self, node: NodeId, disk: DiskId, is_founding_disk: bool) -> bool {
         match self.0.get(&node) {
             Some(&FOUNDING_DISK) => is_founding_disk,
@@ -63,22 +64,22 @@
     }
 }
 
-/// A set of voters and its number in the sequence of such sets.
+/// A numbered set of voters.
 ///
-/// Epoch 0 consists of the nodes that the settings of the first start name. Its voters only decide epoch 1; they take
-/// no commands. A node that knows of no epoch yet has epoch 0 without voters.
+/// The voters of epoch 0 are the seed nodes of the first start. They only decide epoch 1 and accept no commands. A node
+/// that does not know any epoch yet has epoch 0 without voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// One more than that of the epoch whose voters decided this one.
+    /// The epoch number: one more than that of the epoch whose voters decided this one.
     pub number: u32,
-    /// Who votes in this epoch.
+    /// The voters of this epoch.
     pub voters: Voters,
-    /// The voters of the epoch before, from whom this one's take over the state.
+    /// The voters of the previous epoch, from which the voters of this one transfer the state.
     pub previous_voters: Voters,
 }
 
 impl Epoch {
-    /// The epoch that begins the sequence.
+    /// Returns the founding epoch, in which the seeds vote.
     pub fn founding(seeds: &[NodeId]) -> Epoch {
         Epoch {
             number: 0,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The epoch after this one.
+    /// Returns the epoch after this one.
     pub fn next(&self, voters: Voters) -> Epoch {
         Epoch {
             number: self.number + 1,
@@ -101,7 +102,7 @@
         self.number > other.number || (other.voters.is_empty() && !self.voters.is_empty())
     }
 
-    /// Whether the epoch's voters take commands. Those of the founding epoch only decide the next epoch.
+    /// Whether the voters of this epoch accept commands. The voters of the founding epoch only decide the next epoch.
     pub fn takes_commands(&self) -> bool {
         self.number > 0
     }
--- a/crates/aspendrum-consensus/src/membership_change.rs
+++ b/crates/aspendrum-consensus/src/membership_change.rs
@@ -1,32 +1,34 @@
-//! Deciding who votes in the next epoch: the voters of an epoch agree on the voters of the epoch after it, by Paxos.
+//! Proposes the voters of the next epoch. The voters of the current epoch decide them by Paxos.
 
 use crate::ballot::Ballot;
 use crate::membership::{Epoch, Voters};
 use crate::message::{Request, SuccessorAnswer};
 use crate::node::{Millis, NodeId};
 use crate::proposer::{Phase, Proposer};
-use crate::replica_core::{ReplicaCore, COMMAND_TIMEOUT, RESEND_AFTER};
+use crate::replica_core::{ReplicaCore, COMMAND_TIMEOUT, RESEND_INTERVAL};
 
-/// How long a set of voters that this node accepted may stay undecided before this node proposes it itself. Otherwise
-/// Paxos would make a much later change adopt this set, when its nodes may be gone.
-const COMPLETE_AFTER: Millis = COMMAND_TIMEOUT;
+/// The time after which this node proposes a set of voters that it has accepted and that is still undecided. Otherwise
+/// Paxos would make a much later change adopt this set, whose nodes may be gone by then.
+const COMPLETION_DELAY: Millis = COMMAND_TIMEOUT;
 
-/// A ballot under which this node accepted voters of the next epoch, and when that was first noticed.
+/// A proposal of the next voters that this node has accepted as a voter.
 #[derive(Clone, Copy)]
-struct AcceptedSince {
+struct AcceptedProposal {
     ballot: Ballot,
-    since: Millis,
+    /// When the proposal was first observed in the durable state.
+    first_seen_at: Millis,
 }
 
-/// This node's attempt to have the next epoch's voters decided.
+/// The state of this node's proposal of the next epoch's voters.
 #[derive(Default)]
 pub(crate) struct MembershipChange {
     proposer: Option<Proposer<Voters>>,
-    accepted: Option<AcceptedSince>,
+    accepted: Option<AcceptedProposal>,
 }
 
 impl MembershipChange {
-    /// Proposes the voters of the next epoch, unless this node does so already.
+    /// Proposes the voters of the next epoch. Does nothing if this node has a pending proposal, or if the voters stay
+    /// the same.
     pub(crate) fn propose(&mut self, core: &mut ReplicaCore, voters: Voters) {
         let is_change = !voters.is_empty() && voters != core.durable.epoch.voters;
         if self.proposer.is_none() && is_change {
@@ -34,12 +36,12 @@
         }
     }
 
-    /// Whether this node is having the next epoch decided.
+    /// Whether this node has a pending proposal.
     pub(crate) fn is_proposing(&self) -> bool {
         self.proposer.is_some()
     }
 
-    /// Gives up: another epoch has begun.
+    /// Drops the pending proposal after a change of the epoch.
     pub(crate) fn abandon(&mut self) {
         self.proposer = None;
     }
@@ -66,7 +68,7 @@
         core.send_to_voters(|voter| proposer.awaits(voter), &request);
     }
 
-    /// Proposes a set of voters that was accepted here a while ago, if it is still undecided.
+    /// Proposes the set of voters that this node has accepted if it stays undecided for [`COMPLETION_DELAY`].
     pub(crate) fn complete_accepted(&mut self, core: &mut ReplicaCore) {
         let accepted = core.durable.successor.accepted.clone();
         let Some(accepted) = accepted.filter(|_| core.has_joined()) else {
@@ -75,33 +77,36 @@
         };
         let ballot = accepted.ballot;
         let known = self.accepted.filter(|known| known.ballot == ballot);
-        let since = known.map_or(core.now, |known| known.since);
-        self.accepted = Some(AcceptedSince { ballot, since });
-        if self.proposer.is_none() && core.now - since >= COMPLETE_AFTER {
+        let first_seen_at = known.map_or(core.now, |known| known.first_seen_at);
+        self.accepted = Some(AcceptedProposal {
+            ballot,
+            first_seen_at,
+        });
+        if self.proposer.is_none() && core.now - first_seen_at >= COMPLETION_DELAY {
             self.accepted = None;
             self.start(core, accepted.value);
         }
     }
 
-    /// Sends an unanswered request again.
+    /// Resends an unanswered request, and drops a preempted proposal once its backoff has passed.
     pub(crate) fn resend(&mut self, core: &mut ReplicaCore) {
         let Some(proposer) = &self.proposer else {
             return;
         };
         match proposer.phase() {
-            // The proposer that preempted this one may have succeeded. If not, any node that sees a reason for a change
-            // proposes again.
+            // The proposer that preempted this one may have succeeded. Otherwise the membership planner of any voter
+            // proposes the change again.
             Phase::BackedOff { until } if core.now >= until => self.proposer = None,
             Phase::BackedOff { .. } => {}
             Phase::Preparing | Phase::Accepting => {
-                if core.now - proposer.last_sent_at >= RESEND_AFTER {
+                if core.now - proposer.last_sent_at >= RESEND_INTERVAL {
                     self.send_request(core);
                 }
             }
         }
     }
 
-    /// A voter answered. Returns the next epoch once it is decided.
+    /// Handles a voter's answer. Returns the next epoch once it is decided.
     pub(crate) fn on_answer(
         &mut self,
         core: &mut ReplicaCore,
@@ -111,7 +116,7 @@
     ) -> Option<Epoch> {
         let voter_count = core.voter_count();
         let quorum = core.quorum();
-        let retry_at = core.draw_retry_time();
+        let retry_at = core.random_retry_time();
         let proposer = self.proposer.as_mut().filter(|p| p.ballot() == ballot)?;
         match answer {
             SuccessorAnswer::Promised(accepted) => {
--- a/crates/aspendrum-consensus/src/membership_planner.rs
+++ b/crates/aspendrum-consensus/src/membership_planner.rs
@@ -1,28 +1,30 @@
-//! Plans changes of the voters. Every voter plans by itself, from what it knows of the other nodes; Paxos makes sure
-//! that a single set is decided. Voters propose in turn, so that they do not preempt each other.
+//! Plans changes of the voters. Every voter plans independently, based on its own view of the other nodes; Paxos
+//! ensures that a single set is decided. Proposals are staggered so that voters do not preempt each other.
 
 use crate::membership::{voters_tolerating, DiskId, Epoch, Voters, FOUNDING_DISK};
 use crate::node::{Millis, NodeId};
 use std::collections::BTreeMap;
 
-/// The first voters are chosen once all seeds and [`MembershipPolicy::voters`] nodes are up, or after this time.
+/// The maximum time to wait for all seeds and for [`MembershipPolicy::voters`] nodes before the first voters are
+/// selected.
 const MAX_FOUNDING_WAIT: Millis = 2500.0;
-/// Voters propose one after another, this far apart.
-const PROPOSAL_TURN: Millis = 300.0;
-/// After which share of the sync time a silent voter is replaced. The rest is left for the change of the voters and the
-/// transfer of the state.
-const REPLACE_SHARE: f64 = 0.4;
-/// No voter counts as lost before this time without contact: three heartbeats, one each half second, may be missed.
-const MIN_REPLACE_AFTER: Millis = 1600.0;
-/// A node without contact for this time is not chosen as a voter.
+/// The delay between the proposals of two voters for the same change.
+const PROPOSAL_STAGGER: Millis = 300.0;
+/// The replacement timeout as a fraction of the sync time. The remainder is reserved for the membership change and the
+/// state transfer.
+const REPLACE_TIMEOUT_FRACTION: f64 = 0.4;
+/// The time without contact after which a node is considered down, and the lower bound of the replacement timeout. It
+/// allows for three missed heartbeats, which are sent every half second.
+const MIN_REPLACE_TIMEOUT: Millis = 1600.0;
+/// A node without contact for this time is not eligible as a new voter.
 const CANDIDATE_TIMEOUT: Millis = 1000.0;
 
-/// What this node knows of a control node.
+/// The status of a control node as observed by the local node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeStatus {
-    /// The disk that the node may vote with; [`FOUNDING_DISK`] if it has none.
+    /// The disk that the node can vote with; [`FOUNDING_DISK`] if it has none.
     pub disk: DiskId,
-    /// The zone that the node runs in.
+    /// The zone of the node.
     pub zone: String,
     /// The time since the last message from the node.
     pub time_since_contact: Millis,
@@ -32,45 +34,47 @@
 
 impl NodeStatus {
     fn is_up(&self) -> bool {
-        self.time_since_contact < MIN_REPLACE_AFTER
+        self.time_since_contact < MIN_REPLACE_TIMEOUT
     }
 
-    fn may_become_voter(&self) -> bool {
+    fn is_candidate(&self) -> bool {
         self.time_since_contact < CANDIDATE_TIMEOUT
             && !self.is_leaving
             && self.disk != FOUNDING_DISK
     }
 }
 
-/// The requirements of a deployment that the choice of voters rests on.
+/// The parameters for the selection of voters.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipPolicy {
-    /// The number of nodes that should vote.
+    /// The target number of voters.
     pub voters: usize,
-    /// A voter without contact for this time is replaced by a standby.
-    pub replace_after: Millis,
+    /// The time without contact after which a voter is replaced by a standby.
+    pub replace_timeout: Millis,
 }
 
 impl MembershipPolicy {
-    /// `losses`: how many disks may be lost at once. `sync_time`: how long after its start a node still counts as lost.
+    /// Creates a policy that tolerates the simultaneous loss of `losses` disks. `sync_time` is the time
+    /// after the start of a node during which it still counts as lost.
     pub fn new(losses: usize, sync_time: Millis) -> MembershipPolicy {
         MembershipPolicy {
             voters: voters_tolerating(losses),
-            replace_after: (REPLACE_SHARE * sync_time).max(MIN_REPLACE_AFTER),
+            replace_timeout: (REPLACE_TIMEOUT_FRACTION * sync_time).max(MIN_REPLACE_TIMEOUT),
         }
     }
 }
 
-/// A change of the voters that this node has found due.
+/// A change of the voters that is due according to this node.
 #[derive(Debug)]
 struct PlannedChange {
-    /// The number of the epoch whose voters would change.
+    /// The number of the epoch whose voters change.
     epoch: u32,
     voters: Voters,
-    since: Millis,
+    /// When this node first planned the change.
+    planned_at: Millis,
 }
 
-/// Decides when this node proposes the voters of the next epoch, and which.
+/// Decides when this node proposes the voters of the next epoch, and selects them.
 #[derive(Debug)]
 pub struct MembershipPlanner {
     local_node: NodeId,
@@ -80,7 +84,7 @@
 }
 
 impl MembershipPlanner {
-    /// A planner for this node that starts now.
+    /// Creates the planner of the local node. `now` is the start of the node.
     pub fn new(local_node: NodeId, policy: MembershipPolicy, now: Millis) -> MembershipPlanner {
         MembershipPlanner {
             local_node,
@@ -90,64 +94,68 @@
         }
     }
 
-    /// The voters that this node should propose now, if any. `nodes`: all control nodes that this node ever heard of,
-    /// itself included.
+    /// Returns the voters that this node should propose now, if any. `nodes` contains all control nodes that this node
+    /// has ever learned of, including itself.
     pub fn due_change(
         &mut self,
         now: Millis,
         epoch: &Epoch,
         nodes: &BTreeMap<NodeId, NodeStatus>,
     ) -> Option<Voters> {
-        let wanted = if epoch.takes_commands() {
+        let next = if epoch.takes_commands() {
             next_voters(&epoch.voters, nodes, &self.policy)
         } else {
             self.first_voters(now, &epoch.voters, nodes)
         };
-        let Some(voters) = wanted else {
+        let Some(voters) = next else {
             self.planned = None;
             return None;
         };
         let planned = self.planned.take();
         let planned = planned.filter(|p| p.epoch == epoch.number && p.voters == voters);
-        let since = planned.map_or(now, |planned| planned.since);
+        let planned_at = planned.map_or(now, |planned| planned.planned_at);
         self.planned = Some(PlannedChange {
             epoch: epoch.number,
             voters: voters.clone(),
-            since,
+            planned_at,
         });
         let position = self.proposal_position(&epoch.voters, nodes)?;
-        (now - since >= PROPOSAL_TURN * position as Millis).then_some(voters)
+        (now - planned_at >= PROPOSAL_STAGGER * position as Millis).then_some(voters)
     }
 
-    /// The number of voters whose turn to propose comes before this node's; none if this node does not vote.
+    /// Returns this node's position among the voters that can propose; `None` if this node is not a voter.
     fn proposal_position(
         &self,
         voters: &Voters,
         nodes: &BTreeMap<NodeId, NodeStatus>,
     ) -> Option<usize> {
-        let is_able = |(node, disk): &(&NodeId, &DiskId)| {
+        let is_eligible = |(node, disk): &(&NodeId, &DiskId)| {
             let has_that_disk =
                 |status: &NodeStatus| **disk == FOUNDING_DISK || status.disk == **disk;
             let can_propose =
                 |status: &NodeStatus| status.is_up() && !status.is_leaving && has_that_disk(status);
             **node == self.local_node || nodes.get(node).is_some_and(can_propose)
         };
-        let mut able = voters.0.iter().filter(is_able);
-        able.position(|(node, _)| *node == self.local_node)
+        let mut eligible = voters.0.iter().filter(is_eligible);
+        eligible.position(|(node, _)| *node == self.local_node)
     }
 
-    /// The seeds that are up, filled up to the wanted number with the nodes whose zones have the fewest voters.
+    /// Selects the voters of the first epoch that accepts commands: all available seeds, plus nodes of the zones with
+    /// the fewest voters up to [`MembershipPolicy::voters`]. Returns `None` while nodes are still awaited.
     fn first_voters(
         &self,
         now: Millis,
         seeds: &Voters,
         nodes: &BTreeMap<NodeId, NodeStatus>,
     ) -> Option<Voters> {
-        let able = |status: &&NodeStatus| status.may_become_voter();
-        let disk_of = |seed: NodeId| nodes.get(&seed).filter(able).map(|status| status.disk);
-        let able_count = nodes.values().filter(able).count();
+        let is_candidate = |status: &&NodeStatus| status.is_candidate();
+        let disk_of = |seed: NodeId| {
+            let status = nodes.get(&seed).filter(is_candidate);
+            status.map(|status| status.disk)
+        };
+        let candidate_count = nodes.values().filter(is_candidate).count();
         let all_seeds_up = seeds.nodes().all(|seed| disk_of(seed).is_some());
-        let is_complete = all_seeds_up && able_count >= self.policy.voters;
+        let is_complete = all_seeds_up && candidate_count >= self.policy.voters;
         if !is_complete && now - self.started_at < MAX_FOUNDING_WAIT {
             return None;
         }
@@ -156,7 +164,7 @@
             .filter_map(|seed| Some((seed, disk_of(seed)?)));
         let mut voters = Voters(present_seeds.collect());
         while voters.len() < self.policy.voters {
-            let Some((node, disk)) = best_standby(&voters, nodes) else {
+            let Some((node, disk)) = select_standby(&voters, nodes) else {
                 break;
             };
             voters.0.insert(node, disk);
@@ -165,54 +173,60 @@
     }
 }
 
-/// Of the nodes that do not vote, the one whose zone has the fewest voters: the loss of a zone then takes as few of
-/// them as possible.
-fn best_standby(voters: &Voters, nodes: &BTreeMap<NodeId, NodeStatus>) -> Option<(NodeId, DiskId)> {
+/// Selects a standby from the zone with the fewest voters, which minimizes the number of voters that are lost with a
+/// zone.
+fn select_standby(
+    voters: &Voters,
+    nodes: &BTreeMap<NodeId, NodeStatus>,
+) -> Option<(NodeId, DiskId)> {
     let zone_of = |node: NodeId| nodes.get(&node).map(|status| status.zone.as_str());
     let voters_in = |zone: &str| voters.nodes().filter(|n| zone_of(*n) == Some(zone)).count();
     let standbys = nodes
         .iter()
-        .filter(|(node, status)| status.may_become_voter() && !voters.contains_node(**node));
+        .filter(|(node, status)| status.is_candidate() && !voters.contains_node(**node));
     let (node, status) = standbys.min_by_key(|(node, s)| (voters_in(&s.zone), **node))?;
     Some((*node, status.disk))
 }
 
-/// The voters after one change, if one is due. In this order: a voter that came back with another disk votes with that
-/// disk; a standby is added where voters are too few; a standby replaces a voter that shuts down or that has been
-/// without contact for [`MembershipPolicy::replace_after`].
+/// Returns the voters after the next change, if one is due. Changes are considered in this order:
+///
+/// 1. A voter that returned with another disk votes with that disk.
+/// 2. A standby is added if there are fewer voters than [`MembershipPolicy::voters`].
+/// 3. A standby replaces a voter that is shutting down or has been without contact for
+///    [`MembershipPolicy::replace_timeout`].
 pub fn next_voters(
     voters: &Voters,
     nodes: &BTreeMap<NodeId, NodeStatus>,
     policy: &MembershipPolicy,
 ) -> Option<Voters> {
     let mut next = voters.clone();
-    if let Some((node, disk)) = find_replaced_disk(voters, nodes) {
+    if let Some((node, disk)) = find_changed_disk(voters, nodes) {
         next.0.insert(node, disk);
         return Some(next);
     }
     if voters.len() < policy.voters {
-        let (node, disk) = best_standby(voters, nodes)?;
+        let (node, disk) = select_standby(voters, nodes)?;
         next.0.insert(node, disk);
         return Some(next);
     }
-    let is_gone = |node: &NodeId| {
+    let needs_replacement = |node: &NodeId| {
         let status = nodes.get(node);
-        status.is_none_or(|s| s.is_leaving || s.time_since_contact >= policy.replace_after)
+        status.is_none_or(|s| s.is_leaving || s.time_since_contact >= policy.replace_timeout)
     };
-    let gone = voters.nodes().find(is_gone)?;
-    next.0.remove(&gone);
-    let (node, disk) = best_standby(&next, nodes).filter(|(node, _)| *node != gone)?;
+    let replaced = voters.nodes().find(needs_replacement)?;
+    next.0.remove(&replaced);
+    let (node, disk) = select_standby(&next, nodes).filter(|(node, _)| *node != replaced)?;
     next.0.insert(node, disk);
     Some(next)
 }
 
-/// A voter whose node came back with another disk, and that disk.
-fn find_replaced_disk(
+/// Returns a voter that has returned with another disk, and that disk.
+fn find_changed_disk(
     voters: &Voters,
     nodes: &BTreeMap<NodeId, NodeStatus>,
 ) -> Option<(NodeId, DiskId)> {
     voters.0.iter().find_map(|(node, disk)| {
-        let status = nodes.get(node).filter(|status| status.may_become_voter())?;
+        let status = nodes.get(node).filter(|status| status.is_candidate())?;
         (status.disk != *disk).then_some((*node, status.disk))
     })
 }
--- a/crates/aspendrum-consensus/src/message.rs
+++ b/crates/aspendrum-consensus/src/message.rs
@@ -1,65 +1,67 @@
-//! The messages between replicas, encoded with postcard. Variants and fields are identified by their order, which must
-//! not change: replicas of two versions run side by side during an update.
+//! The messages between replicas, encoded with postcard. The encoding identifies variants and fields by position, so
+//! their order must not change: replicas of different versions run side by side during an upgrade.
 
 use crate::acceptor::Accepted;
 use crate::ballot::Ballot;
 use crate::membership::{Epoch, Voters};
 use crate::replicated_state::ReplicatedState;
-use crate::versions::{ConfigText, OpenVersion, VersionAnswer, VersionTable};
+use crate::versions::{ConfigText, UndecidedVersion, VersionAnswer, VersionTable};
 use serde::{Deserialize, Serialize};
 
 /// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A request to a voter of `epoch`. A node that is in another epoch sends its own epoch back instead of replying.
+    /// A request to a voter of `epoch`. A receiver in another epoch replies with [`Message::Epoch`] instead.
     Request {
         /// The sender's epoch.
         epoch: u32,
         /// The request.
         request: Request,
     },
-    /// The answer to a request, given while the sender voted in that epoch.
+    /// The reply to a request, sent while the sender was a voter of that epoch.
     Reply {
         /// The epoch of the request.
         epoch: u32,
         /// The reply.
         reply: Reply,
     },
-    /// The newest epoch that the sender knows of, sent to a node whose message named another epoch.
+    /// The newest epoch known to the sender. Sent to the nodes of a new epoch, and to a node whose message carried
+    /// another epoch.
     Epoch(Box<Epoch>),
-    /// `epoch` was decided: the receiver enters it, never again replies in an earlier epoch, and sends its state in
-    /// [`Message::Sealed`].
+    /// Announces that `epoch` was decided. The receiver enters it, stops replying in earlier epochs, and sends its
+    /// state in [`Message::Sealed`].
     Seal {
-        /// The epoch that was decided.
+        /// The decided epoch.
         epoch: Box<Epoch>,
-        /// The digest of the sender's replicated state: a receiver with the same state leaves it out of its answer.
+        /// The digest of the sender's replicated state. A receiver with the same state omits it from its reply.
         digest: u64,
     },
-    /// The answer to a seal.
+    /// The reply to [`Message::Seal`].
     Sealed(Box<SealReply>),
-    /// A configuration version was decided.
+    /// Announces the decision of a configuration version.
     Decided {
         /// The version.
         version: u32,
         /// The digest of the decided text.
         digest: u64,
     },
-    /// Another node committed a command: the receiver should read soon, so that it does not serve an older state.
+    /// Announces that the sender's committed state has advanced. The receiver should read soon to avoid serving an
+    /// older state.
     CommitNotice,
 }
 
-/// The state of a node that has closed every epoch before `epoch`.
+/// The state of a node that has sealed every epoch before `epoch`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SealReply {
-    /// The number of the epoch that was decided.
+    /// The number of the decided epoch.
     pub epoch: u32,
     /// Whether the sender was a voter of the epoch before `epoch`.
     pub was_voter: bool,
-    /// Whether the sender has joined `epoch` already, and so holds everything that was acknowledged before it began.
+    /// Whether the sender has joined `epoch`, and thus holds everything that was acknowledged before it began.
     pub has_joined: bool,
-    /// The sender's replicated state; none if its digest equals that of the seal.
+    /// The sender's replicated state; `None` if its digest equals that of the seal.
     pub state: Option<ReplicatedState>,
-    /// The sender's part in deciding configuration versions.
+    /// The sender's acceptors of configuration versions.
     pub versions: VersionTable,
 }
 
@@ -70,7 +72,7 @@
     Read {
         /// Copied into the reply.
         request_id: u64,
-        /// The digest of the sender's replicated state: the reply carries the voter's state only if it differs.
+        /// The digest of the sender's replicated state. The reply includes the voter's state only if it differs.
         digest: u64,
     },
     /// Merges `state` into the voter's durable state.
@@ -80,30 +82,30 @@
         /// The state to merge.
         state: Box<ReplicatedState>,
     },
-    /// Phase 1 of deciding a configuration version.
+    /// Phase 1 of the decision of a configuration version.
     Prepare {
         /// The version.
         version: u32,
-        /// The proposal's number.
+        /// The ballot of the proposal.
         ballot: Ballot,
     },
-    /// Phase 2 of deciding a configuration version.
+    /// Phase 2 of the decision of a configuration version.
     Accept {
         /// The version.
         version: u32,
-        /// The proposal's number.
+        /// The ballot of the proposal.
         ballot: Ballot,
         /// The proposed text.
         text: Box<ConfigText>,
     },
-    /// Phase 1 of deciding the voters of the next epoch.
+    /// Phase 1 of the decision of the next epoch's voters.
     PrepareSuccessor {
-        /// The proposal's number.
+        /// The ballot of the proposal.
         ballot: Ballot,
     },
-    /// Phase 2 of deciding the voters of the next epoch.
+    /// Phase 2 of the decision of the next epoch's voters.
     AcceptSuccessor {
-        /// The proposal's number.
+        /// The ballot of the proposal.
         ballot: Ballot,
         /// The proposed voters.
         voters: Voters,
@@ -117,11 +119,11 @@
     pub request_id: u64,
     /// The digest of the voter's replicated state.
     pub digest: u64,
-    /// The voter's replicated state; none if its digest equals that of the request.
+    /// The voter's replicated state; `None` if its digest equals that of the request.
     pub state: Option<Box<ReplicatedState>>,
-    /// The highest version above the configuration in force that the voter has accepted and does not know to be
-    /// decided.
-    pub open: Option<Box<OpenVersion>>,
+    /// The highest version above the voter's active configuration for which it has accepted a text without knowing the
+    /// decision.
+    pub undecided: Option<Box<UndecidedVersion>>,
 }
 
 /// A voter's answer to a [`Request`].
@@ -136,7 +138,7 @@
     },
     /// Answers [`Request::Prepare`] and [`Request::Accept`].
     Version {
-        /// The version that the request is about.
+        /// The version of the request.
         version: u32,
         /// The ballot of the request.
         ballot: Ballot,
@@ -152,13 +154,13 @@
     },
 }
 
-/// A voter's answer to a proposer of the next epoch's voters.
+/// A voter's answer to a proposal of the next epoch's voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SuccessorAnswer {
-    /// Phase 1 is granted. Carries the proposal that the voter had accepted before, if any.
+    /// Phase 1 is granted. Carries the proposal that the voter has accepted before, if any.
     Promised(Option<Accepted<Voters>>),
     /// Phase 2 is granted.
     Accepted,
-    /// The voter has promised this higher ballot before.
+    /// The request is rejected: the voter has promised this higher ballot.
     Preempted(Ballot),
 }
--- a/crates/aspendrum-consensus/src/node.rs
+++ b/crates/aspendrum-consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! The identity of a control node.
+//! The identity of control nodes.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -25,17 +25,17 @@
 pub struct NodeId(u32);
 
 impl NodeId {
-    /// The node with that address, given as an integer.
+    /// Creates the id of the node with this IPv4 address, given as an integer.
     pub const fn new(address: u32) -> NodeId {
         NodeId(address)
     }
 
-    /// The node's address.
+    /// Returns the IPv4 address of the node.
     pub fn address(self) -> Ipv4Addr {
         Ipv4Addr::from(self.0)
     }
 
-    /// The address as an integer.
+    /// Returns the IPv4 address as an integer.
     pub fn as_u32(self) -> u32 {
         self.0
     }
--- a/crates/aspendrum-consensus/src/proposer.rs
+++ b/crates/aspendrum-consensus/src/proposer.rs
@@ -1,5 +1,5 @@
-//! The proposer of single-decree Paxos (Lamport, "Paxos Made Simple", 2001): collects promises, then acceptances, and
-//! backs off when other proposers preempt it. Sends nothing itself.
+//! The proposer of single-decree Paxos (Lamport, "Paxos Made Simple", 2001). It collects promises and acceptances, and
+//! backs off when other proposers preempt it. The caller sends the requests.
 
 use crate::acceptor::Accepted;
 use crate::ballot::Ballot;
@@ -9,39 +9,39 @@
 /// The phase of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Phase {
-    /// Phase 1: promises are collected.
+    /// Phase 1: collecting promises.
     Preparing,
-    /// Phase 2: acceptances are collected.
+    /// Phase 2: collecting acceptances.
     Accepting,
-    /// So many voters have promised higher ballots that the others form no quorum.
+    /// Enough voters have promised higher ballots that the remaining ones cannot form a quorum.
     BackedOff {
-        /// When to try again.
+        /// When to retry.
         until: Millis,
     },
 }
 
-/// One node's attempt to have a value decided among the voters of an epoch.
+/// The state of one node's proposal of a value to the voters of an epoch.
 ///
-/// Invariant: a value that may have been decided under a lower ballot displaces the proposer's own. Any quorum of
-/// promises contains an acceptor of each decided value, and `value` is the one with the highest ballot among those that
-/// the promises reported.
+/// Invariant: a value that may have been decided under a lower ballot replaces the proposer's own. Every quorum of
+/// promises includes an acceptor of each decided value, and `value` is the value with the highest ballot among those
+/// reported by the promises.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer<V> {
     ballot: Ballot,
     value: V,
-    /// The ballot under which an acceptor reported `value`; none while it is the proposer's own.
+    /// The ballot under which an acceptor reported `value`; `None` if `value` is the proposer's own.
     value_accepted_under: Option<Ballot>,
     phase: Phase,
-    /// When the requests of this phase were sent last.
+    /// When the requests of this phase were last sent.
     pub(crate) last_sent_at: Millis,
-    /// The voters that granted this phase's request.
+    /// The voters that granted the request of this phase.
     granted_by: BTreeSet<NodeId>,
     /// The voters that have promised a higher ballot.
     preempted_by: BTreeSet<NodeId>,
 }
 
 impl<V: Clone> Proposer<V> {
-    /// Proposes a value of the proposer's own.
+    /// Starts phase 1 of a proposal of the proposer's own value.
     pub(crate) fn new(ballot: Ballot, value: V, now: Millis) -> Proposer<V> {
         Proposer {
             ballot,
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Completes another node's proposal, which some voter has accepted, under that proposal's ballot. Its proposer
-    /// had a quorum of promises, so no second phase 1 is needed.
+    /// Completes another node's proposal, which at least one voter has accepted, under its original ballot. Its
+    /// proposer had a quorum of promises, so phase 1 need not be repeated.
     pub(crate) fn complete(accepted: Accepted<V>, now: Millis) -> Proposer<V> {
         Proposer {
             value_accepted_under: Some(accepted.ballot),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Proposes the same value under another ballot, from phase 1 on and without the answers received so far.
+    /// Restarts at phase 1 with the same value under another ballot, and discards the answers received so far.
     pub(crate) fn restart(&mut self, ballot: Ballot, now: Millis) {
         *self = Proposer::new(ballot, self.value.clone(), now);
     }
@@ -77,17 +77,18 @@
         self.ballot
     }
 
-    /// The value that phase 2 asks the voters to accept. It is final once a quorum has promised.
+    /// Returns the value to send in phase 2. It is final once a quorum has promised.
     pub(crate) fn value(&self) -> &V {
         &self.value
     }
 
-    /// Whether that voter has not yet granted the request of this phase.
+    /// Whether `voter` has not yet granted the request of this phase.
     pub(crate) fn awaits(&self, voter: NodeId) -> bool {
         !self.granted_by.contains(&voter)
     }
 
-    /// A voter promised and reported what it had accepted. Returns true if a quorum has promised now: phase 2 begins.
+    /// Records a promise and the proposal that the voter has accepted. Returns `true` if the promise completes a quorum
+    /// and phase 2 begins.
     pub(crate) fn on_promise(
         &mut self,
         from: NodeId,
@@ -111,7 +112,7 @@
         true
     }
 
-    /// A voter accepted the value. Returns true if a quorum has accepted it: the value is decided.
+    /// Records an acceptance. Returns `true` if a quorum has accepted the value, which is then decided.
     pub(crate) fn on_acceptance(&mut self, from: NodeId, quorum: usize) -> bool {
         if self.phase != Phase::Accepting {
             return false;
@@ -120,7 +121,8 @@
         self.granted_by.len() >= quorum
     }
 
-    /// A voter has promised a higher ballot. Backs off until `retry_at` once the other voters form no quorum any more.
+    /// Records that a voter has promised a higher ballot. Backs off until `retry_at` once the remaining voters cannot
+    /// form a quorum.
     pub(crate) fn on_preempted(
         &mut self,
         from: NodeId,
--- a/crates/aspendrum-consensus/src/quorum_operation.rs
+++ b/crates/aspendrum-consensus/src/quorum_operation.rs
@@ -1,32 +1,33 @@
-//! Operations on the replicated state by majorities: reads, and the commands about evacuations. After Attiya, Bar-Noy
-//! and Dolev, "Sharing Memory Robustly in Message-Passing Systems" (1995): the node reads a majority, merges the
-//! answers, applies the command, and writes the result back to a majority unless all that answered hold it already.
+//! Quorum reads and writes of the replicated state: reads and evacuation commands. Implements the algorithm of Attiya,
+//! Bar-Noy and Dolev, "Sharing Memory Robustly in Message-Passing Systems" (1995): the node reads from a majority,
+//! merges the replies, applies the command, and writes the result back to a majority unless all replies contain it
+//! already.
 //!
-//! Invariant: when an operation ends, a majority holds its result. Any later operation reads a majority, and any two
-//! majorities have a voter in common, so its result is never older (linearizability).
+//! Invariant: when an operation completes, a majority holds its result. Every later operation reads from a majority,
+//! and any two majorities intersect, so its result is never older (linearizability).
 
 use crate::effect::{CommandId, Outcome};
 use crate::message::{ReadReply, Request};
 use crate::node::{Millis, NodeId};
-use crate::replica_core::{ReplicaCore, COMMAND_TIMEOUT, RESEND_AFTER};
+use crate::replica_core::{ReplicaCore, COMMAND_TIMEOUT, RESEND_INTERVAL};
 use crate::replicated_state::{Command, ReplicatedState};
-use crate::versions::OpenVersion;
+use crate::versions::UndecidedVersion;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The phase of an operation.
 enum Phase {
-    /// A majority is read.
+    /// Reading from a majority.
     Reading {
-        /// The voters that have answered, and the digests of their states.
+        /// The digests of the states of the voters that have replied.
         digests: BTreeMap<NodeId, u64>,
     },
-    /// The result is written back to a majority.
+    /// Writing the result back to a majority.
     Writing {
         /// The voters that have stored the result.
         stored_by: BTreeSet<NodeId>,
     },
-    /// Some voter has accepted a text for a version above the one in force, which may have been decided. The read ends
-    /// once it is known which text was: until then the configuration in force is uncertain.
+    /// Waiting for the decision of a version above the active one: at least one voter has accepted a text for it, which
+    /// may have been decided. Until the decision is known, the read cannot determine the active configuration.
     AwaitingDecision {
         /// The version.
         version: u32,
@@ -47,19 +48,19 @@
     }
 }
 
-/// An operation under way.
+/// An operation in progress.
 struct QuorumOperation {
     request_id: u64,
     started_at: Millis,
     last_sent_at: Millis,
     phase: Phase,
     command: Command,
-    /// None if no caller waits for the outcome.
+    /// `None` if no caller waits for the outcome.
     command_id: Option<CommandId>,
-    /// The merged answers so far; after the read phase, the state that is written back.
+    /// The merged replies; after the read phase, the state that is written back.
     result: ReplicatedState,
     /// The highest version that a voter reported as accepted but not known to be decided.
-    open: Option<OpenVersion>,
+    undecided: Option<UndecidedVersion>,
 }
 
 impl QuorumOperation {
@@ -67,23 +68,23 @@
         matches!(&self.phase, Phase::AwaitingDecision { version: v } if *v == version)
     }
 
-    /// Begins again under a new request id, so that late answers to the old one do not count.
+    /// Restarts the operation under a new request id, so that late replies to the old one are ignored.
     fn restart(&mut self, request_id: u64) {
         self.request_id = request_id;
         self.phase = Phase::reading();
         self.result = ReplicatedState::default();
-        self.open = None;
+        self.undecided = None;
     }
 }
 
-/// All operations of this node that are under way, the oldest first.
+/// The operations of this node that are in progress, oldest first.
 #[derive(Default)]
 pub(crate) struct QuorumOperations {
     operations: Vec<QuorumOperation>,
 }
 
 impl QuorumOperations {
-    /// Begins an operation: a read, or a command about an evacuation.
+    /// Starts an operation: a read or an evacuation command.
     pub(crate) fn begin(
         &mut self,
         core: &mut ReplicaCore,
@@ -98,13 +99,13 @@
             command,
             command_id,
             result: ReplicatedState::default(),
-            open: None,
+            undecided: None,
         };
         self.operations.push(operation);
         self.send_request(core, self.operations.len() - 1);
     }
 
-    /// Sends the request of an operation's phase to the voters that have not answered it.
+    /// Sends the request of an operation's phase to the voters that have not replied to it.
     fn send_request(&mut self, core: &mut ReplicaCore, index: usize) {
         if !core.durable.epoch.takes_commands() {
             return;
@@ -127,16 +128,16 @@
         }
     }
 
-    /// Sends unanswered requests again.
+    /// Resends unanswered requests.
     pub(crate) fn resend(&mut self, core: &mut ReplicaCore) {
         for index in 0..self.operations.len() {
-            if core.now - self.operations[index].last_sent_at >= RESEND_AFTER {
+            if core.now - self.operations[index].last_sent_at >= RESEND_INTERVAL {
                 self.send_request(core, index);
             }
         }
     }
 
-    /// Ends the operations that have taken too long.
+    /// Completes the operations that have exceeded [`COMMAND_TIMEOUT`] with [`Outcome::NoQuorum`].
     pub(crate) fn expire(&mut self, core: &mut ReplicaCore) {
         let now = core.now;
         let expired =
@@ -146,40 +147,45 @@
         }
     }
 
-    /// Starts all operations over: the voters have changed, and answers of the former ones do not count.
+    /// Restarts all operations after a change of the voters: replies of the previous voters do not count.
     pub(crate) fn restart_all(&mut self, core: &mut ReplicaCore) {
         self.restart_where(core, |_| true);
     }
 
-    fn restart_where(&mut self, core: &mut ReplicaCore, which: impl Fn(&QuorumOperation) -> bool) {
+    fn restart_where(
+        &mut self,
+        core: &mut ReplicaCore,
+        matches: impl Fn(&QuorumOperation) -> bool,
+    ) {
         for index in 0..self.operations.len() {
-            if which(&self.operations[index]) {
+            if matches(&self.operations[index]) {
                 self.operations[index].restart(core.new_request_id());
                 self.send_request(core, index);
             }
         }
     }
 
-    /// A voter reported its state. Returns a version that must be decided before the operation can end.
+    /// Handles a voter's reply to a read. Returns a version that must be decided before the operation can complete.
     pub(crate) fn on_read_reply(
         &mut self,
         core: &mut ReplicaCore,
         from: NodeId,
         reply: ReadReply,
-    ) -> Option<OpenVersion> {
-        let is_asked = |o: &QuorumOperation| {
+    ) -> Option<UndecidedVersion> {
+        let is_awaiting_reply = |o: &QuorumOperation| {
             o.request_id == reply.request_id && matches!(o.phase, Phase::Reading { .. })
         };
-        let index = self.operations.iter().position(is_asked)?;
+        let index = self.operations.iter().position(is_awaiting_reply)?;
         let operation = &mut self.operations[index];
         if let Some(state) = reply.state {
             operation.result.merge(&state);
         }
-        if let Some(open) = reply.open {
-            core.ballots.observe(open.ballot);
-            let known = operation.open.as_ref().map(|o| (o.version, o.ballot));
-            if known.is_none_or(|known| known < (open.version, open.ballot)) {
-                operation.open = Some(*open);
+        if let Some(undecided) = reply.undecided {
+            core.ballots.observe(undecided.ballot);
+            let known = operation.undecided.as_ref();
+            let known = known.map(|known| (known.version, known.ballot));
+            if known.is_none_or(|known| known < (undecided.version, undecided.ballot)) {
+                operation.undecided = Some(*undecided);
             }
         }
         let Phase::Reading { digests } = &mut operation.phase else {
@@ -192,7 +198,11 @@
         self.on_majority_read(core, index)
     }
 
-    fn on_majority_read(&mut self, core: &mut ReplicaCore, index: usize) -> Option<OpenVersion> {
+    fn on_majority_read(
+        &mut self,
+        core: &mut ReplicaCore,
+        index: usize,
+    ) -> Option<UndecidedVersion> {
         let operation = &mut self.operations[index];
         operation.result.merge(&core.durable.replicated);
         operation.result.apply(&operation.command);
@@ -200,26 +210,26 @@
         let Phase::Reading { digests } = &operation.phase else {
             return None;
         };
-        // The write phase may be skipped: a majority holds the result already.
+        // The write phase can be skipped, because a majority holds the result already.
         if digests.values().all(|digest| *digest == result_digest) {
-            return self.on_majority_holds_result(core, index);
+            return self.on_result_stored(core, index);
         }
         operation.phase = Phase::writing();
         self.send_request(core, index);
         None
     }
 
-    /// A voter stored a result. Returns a version that must be decided before the operation can end.
+    /// Handles a voter's reply to a write. Returns a version that must be decided before the operation can complete.
     pub(crate) fn on_write_reply(
         &mut self,
         core: &mut ReplicaCore,
         from: NodeId,
         request_id: u64,
-    ) -> Option<OpenVersion> {
-        let is_asked = |o: &QuorumOperation| {
+    ) -> Option<UndecidedVersion> {
+        let is_awaiting_reply = |o: &QuorumOperation| {
             o.request_id == request_id && matches!(o.phase, Phase::Writing { .. })
         };
-        let index = self.operations.iter().position(is_asked)?;
+        let index = self.operations.iter().position(is_awaiting_reply)?;
         let Phase::Writing { stored_by } = &mut self.operations[index].phase else {
             return None;
         };
@@ -227,48 +237,48 @@
         if stored_by.len() < core.quorum() {
             return None;
         }
-        self.on_majority_holds_result(core, index)
+        self.on_result_stored(core, index)
     }
 
-    /// Ends the operation, unless it is a read that found a version which may have been decided: such a version is
+    /// Completes the operation, unless it is a read that found a version which may have been decided. Such a version is
     /// returned and must be decided first.
-    fn on_majority_holds_result(
+    fn on_result_stored(
         &mut self,
         core: &mut ReplicaCore,
         index: usize,
-    ) -> Option<OpenVersion> {
+    ) -> Option<UndecidedVersion> {
         let operation = &mut self.operations[index];
-        let in_force = core.durable.replicated.config.version;
-        let in_force = operation.result.config.version.max(in_force);
+        let active_version = core.durable.replicated.config.version;
+        let active_version = operation.result.config.version.max(active_version);
         let is_read = operation.command == Command::Read;
-        let open = operation.open.take();
-        let open = open.filter(|open| is_read && open.version > in_force);
-        match &open {
-            Some(open) => {
+        let undecided = operation.undecided.take();
+        let undecided = undecided.filter(|u| is_read && u.version > active_version);
+        match &undecided {
+            Some(undecided) => {
                 operation.phase = Phase::AwaitingDecision {
-                    version: open.version,
+                    version: undecided.version,
                 }
             }
             None => self.finish(core, index),
         }
-        open
+        undecided
     }
 
-    /// Whether some operation waits for that version to be decided.
+    /// Whether any operation waits for the decision of this version.
     pub(crate) fn awaits_decision_of(&self, version: u32) -> bool {
         let mut operations = self.operations.iter();
         operations.any(|operation| operation.awaits_decision_of(version))
     }
 
-    /// The proposal for a version has ended: the operations that waited for it end too if the decided text is in force
-    /// on this node, or superseded; otherwise they start over.
+    /// Handles the end of the proposal for a version. If this node has applied the decision or a later version, the
+    /// operations that wait for it complete; otherwise they restart.
     pub(crate) fn on_version_closed(
         &mut self,
         core: &mut ReplicaCore,
         version: u32,
-        is_in_force: bool,
+        is_applied: bool,
     ) {
-        if !is_in_force {
+        if !is_applied {
             return self.restart_where(core, |operation| operation.awaits_decision_of(version));
         }
         let waiting = |operations: &[QuorumOperation]| {
--- a/crates/aspendrum-consensus/src/replica.rs
+++ b/crates/aspendrum-consensus/src/replica.rs
@@ -1,7 +1,7 @@
-//! One node's replica. It composes the parts, each of which owns its state and returns what concerns the others:
-//! versions that are to be decided (`version_proposal`), reads and writes by majorities (`quorum_operation`), the
-//! voters of the next epoch (`membership_change`), the take-over of an epoch's state (`state_transfer`) and the answers
-//! to other nodes' requests (`voter`).
+//! The replica of one node. It composes the following components, each of which owns its state and returns the results
+//! that affect the others: configuration version proposals (`version_proposal`), quorum reads and writes
+//! (`quorum_operation`), proposals of the next epoch's voters (`membership_change`), the state transfer into an epoch
+//! (`state_transfer`) and the handling of requests as a voter (`voter`).
 
 use crate::acceptor::Acceptor;
 use crate::effect::{CommandId, Effect};
@@ -15,25 +15,25 @@
 use crate::state::DurableState;
 use crate::state_transfer::{self, StateTransfer};
 use crate::version_proposal::{ClosedVersion, VersionProposals};
-use crate::versions::{ConfigText, OpenVersion};
+use crate::versions::{ConfigText, UndecidedVersion};
 use crate::voter;
 
-/// How a replica starts.
+/// The start options of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaOptions<'a> {
-    /// The node that it runs on.
+    /// The local node.
     pub node: NodeId,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub is_first_start: bool,
-    /// The nodes that take part in the first start.
+    /// The nodes that form the founding epoch at the first start.
     pub seeds: &'a [NodeId],
-    /// The identity that the disk gets if it is empty.
+    /// The identity that is assigned to the disk if it is empty.
     pub new_disk: DiskId,
-    /// Drawn at random at each start. Its low 24 bits are zero: request ids count up from it.
+    /// A random number that is generated at each start. Its low 24 bits are zero, because request ids count up from it.
     pub incarnation: u64,
 }
 
-/// One node's part in the replicated state.
+/// The replica of one node.
 pub struct Replica {
     core: ReplicaCore,
     proposals: VersionProposals,
@@ -43,7 +43,7 @@
 }
 
 impl Replica {
-    /// Starts with what the disk holds; none for an empty disk. Returns the first effects with the replica.
+    /// Starts a replica from the state on disk; `None` for an empty disk. Returns the replica and its first effects.
     pub fn start(
         options: ReplicaOptions<'_>,
         state: Option<DurableState>,
@@ -55,7 +55,7 @@
             new_disk,
             incarnation,
         } = options;
-        let is_empty = state.is_none();
+        let is_disk_empty = state.is_none();
         let empty = || DurableState::empty(node, new_disk, is_first_start, seeds);
         let mut state = state.unwrap_or_else(empty);
         state.enter_founding_epoch(node, seeds);
@@ -66,7 +66,7 @@
             membership_change: MembershipChange::default(),
             state_transfer: StateTransfer::default(),
         };
-        let effects = if is_empty {
+        let effects = if is_disk_empty {
             vec![Effect::Persist]
         } else {
             Vec::new()
@@ -74,7 +74,7 @@
         (replica, effects)
     }
 
-    /// Takes over what an earlier replica of this node knew to be committed, when a replica is replaced in the running
+    /// Copies the committed state of an earlier replica of this node, when a replica is replaced within the running
     /// process.
     pub fn resume_from(&mut self, earlier: &Replica) {
         self.core.committed = earlier.core.committed.clone();
@@ -82,48 +82,48 @@
         self.core.now = earlier.core.now;
     }
 
-    /// The state that has to be written on [`Effect::Persist`].
+    /// Returns the state to write on [`Effect::Persist`].
     pub fn state(&self) -> &DurableState {
         &self.core.durable
     }
 
-    /// What a majority of disks is known to hold.
+    /// Returns the state that a majority of disks is known to hold.
     pub fn committed(&self) -> &ReplicatedState {
         &self.core.committed
     }
 
-    /// The time as of which [`Replica::committed`] is known to contain everything that was acknowledged.
+    /// Returns the time as of which [`Replica::committed`] is known to contain everything that was acknowledged.
     pub fn committed_as_of(&self) -> Option<Millis> {
         self.core.committed_as_of
     }
 
-    /// The newest epoch that this node knows of.
+    /// Returns the newest epoch known to this node.
     pub fn epoch(&self) -> &Epoch {
         &self.core.durable.epoch
     }
 
-    /// Whether this node and its disk are a voter of the newest epoch that it knows of.
+    /// Whether this node with its disk is a voter of the newest epoch known to it.
     pub fn is_voter(&self) -> bool {
         self.core.is_voter()
     }
 
-    /// Whether this node votes and holds everything that was acknowledged before its epoch began.
+    /// Whether this node is a voter and holds everything that was acknowledged before its epoch began.
     pub fn has_joined(&self) -> bool {
         self.core.has_joined()
     }
 
-    /// Whether this node is having the voters of the next epoch decided.
+    /// Whether this node has a pending proposal of the voters of the next epoch.
     pub fn is_proposing_voters(&self) -> bool {
         self.membership_change.is_proposing()
     }
 
-    /// Stops voting, as this node's disk cannot be written. The node still submits commands, whose outcomes then depend
-    /// on the other nodes' disks alone; the caller ignores [`Effect::Persist`].
+    /// Stops voting because the disk of this node is not writable. Commands can still be submitted; their outcomes then
+    /// depend on the disks of the other nodes only, and the caller ignores [`Effect::Persist`].
     pub fn become_non_voting(&mut self) {
         self.core.is_non_voting = true;
     }
 
-    /// Begins a command. Its outcome is reported under `command_id`.
+    /// Starts a command. Its outcome is reported under `command_id`; `None` if no caller waits for it.
     pub fn submit(
         &mut self,
         now: Millis,
@@ -149,16 +149,16 @@
         self.core.take_effects()
     }
 
-    /// Handles a message of another node, or of this one to itself.
+    /// Handles a message from another node or from this node to itself.
     pub fn step(&mut self, now: Millis, from: NodeId, message: Message) -> Vec<Effect> {
         self.core.now = now;
-        // After a suspension of the process the message may answer an operation whose time-out has passed meanwhile.
+        // After a suspension of the process the message may belong to an operation whose timeout has passed meanwhile.
         self.expire();
         self.handle(from, message);
         self.core.take_effects()
     }
 
-    /// Sends unanswered requests again, and ends what took too long. To be called several times a second.
+    /// Resends unanswered requests and expires commands. Must be called several times a second.
     pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
         self.core.now = now;
         self.expire();
@@ -170,15 +170,16 @@
         self.core.take_effects()
     }
 
-    /// Proposes the voters of the next epoch, unless this node does so already. Paxos decides a single set, also when
-    /// several nodes propose.
+    /// Proposes the voters of the next epoch, unless this node has a pending proposal. Paxos decides a single set even
+    /// if several nodes propose.
     pub fn propose_voters(&mut self, now: Millis, voters: Voters) -> Vec<Effect> {
         self.core.now = now;
         self.membership_change.propose(&mut self.core, voters);
         self.core.take_effects()
     }
 
-    /// Another node has reported the newest epoch that it knows of.
+    /// Handles the newest epoch known to another node: enters it if it is newer, and otherwise sends a newer epoch of
+    /// this node back.
     pub fn observe_epoch(&mut self, now: Millis, from: NodeId, epoch: Epoch) -> Vec<Effect> {
         self.core.now = now;
         self.compare_epoch(from, epoch);
@@ -193,7 +194,7 @@
             Message::Seal { epoch, digest } => {
                 let number = epoch.number;
                 self.compare_epoch(from, *epoch);
-                state_transfer::answer_seal(&mut self.core, from, number, digest);
+                state_transfer::handle_seal(&mut self.core, from, number, digest);
             }
             Message::Sealed(reply) => {
                 self.state_transfer
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Ignores replies of another epoch, and of nodes that do not vote in this one.
+    /// Handles a reply. Ignores replies from another epoch and from nodes that are not voters of the current one.
     fn handle_reply(&mut self, from: NodeId, epoch: u32, reply: Reply) {
         let own_epoch = &self.core.durable.epoch;
         if epoch != own_epoch.number || !own_epoch.voters.contains_node(from) {
@@ -224,14 +225,14 @@
         }
         match reply {
             Reply::Read(reply) => {
-                let open = self.operations.on_read_reply(&mut self.core, from, reply);
-                self.complete_open_version(open);
+                let undecided = self.operations.on_read_reply(&mut self.core, from, reply);
+                self.complete_undecided_version(undecided);
             }
             Reply::Written { request_id } => {
-                let open = self
+                let undecided = self
                     .operations
                     .on_write_reply(&mut self.core, from, request_id);
-                self.complete_open_version(open);
+                self.complete_undecided_version(undecided);
             }
             Reply::Version {
                 version,
@@ -264,23 +265,23 @@
         self.operations.expire(&mut self.core);
     }
 
-    /// Completes a version that a read has found and that may have been decided: the read waits for the decision.
-    fn complete_open_version(&mut self, open: Option<OpenVersion>) {
-        if let Some(open) = open {
-            self.proposals.complete(&mut self.core, open);
+    /// Completes the proposal of a version that a read found undecided. The read waits for the decision.
+    fn complete_undecided_version(&mut self, undecided: Option<UndecidedVersion>) {
+        if let Some(undecided) = undecided {
+            self.proposals.complete(&mut self.core, undecided);
         }
     }
 
     fn on_version_closed(&mut self, closed: &ClosedVersion) {
         let core = &mut self.core;
         self.operations
-            .on_version_closed(core, closed.version, closed.is_in_force);
+            .on_version_closed(core, closed.version, closed.is_applied);
         if closed.must_persist {
             core.push(Effect::Persist);
         }
     }
 
-    /// Enters the other node's epoch if it is the newer one; sends this node's epoch if that is the newer one.
+    /// Enters the other node's epoch if it is newer; sends this node's epoch if that one is newer.
     fn compare_epoch(&mut self, from: NodeId, epoch: Epoch) {
         if epoch.supersedes(&self.core.durable.epoch) {
             self.enter_epoch(epoch);
@@ -289,13 +290,13 @@
         }
     }
 
-    /// Sends this node's epoch, even if it has no voters yet: a receiver in a newer epoch answers with that.
+    /// Sends this node's epoch, even if it has no voters yet: a receiver in a newer epoch replies with its own.
     fn send_epoch(&mut self, to: NodeId) {
         let epoch = Box::new(self.core.durable.epoch.clone());
         self.core.send(to, Message::Epoch(epoch));
     }
 
-    /// Enters an epoch that was decided, which closes the one before on this node.
+    /// Enters a decided epoch, which seals the previous epochs on this node.
     fn enter_epoch(&mut self, epoch: Epoch) {
         let core = &mut self.core;
         core.durable.epoch = epoch;
@@ -309,7 +310,7 @@
         self.operations.restart_all(core);
     }
 
-    /// Enters an epoch that this node's proposal has decided, and sends it to the voters of both epochs.
+    /// Enters an epoch that was decided by this node's proposal, and sends it to the voters of both epochs.
     fn announce_epoch(&mut self, epoch: Epoch) {
         let voters = epoch.voters.nodes().chain(epoch.previous_voters.nodes());
         let others: Vec<NodeId> = voters.filter(|v| *v != self.core.local_node).collect();
--- a/crates/aspendrum-consensus/src/replica_core.rs
+++ b/crates/aspendrum-consensus/src/replica_core.rs
@@ -1,5 +1,5 @@
-//! What the parts of a replica share: its durable state, what it knows to be committed, and the effects that it has
-//! asked for. The parts do not know each other; [`crate::replica`] composes them.
+//! The state that the components of a replica share: the durable state, the committed state and the pending effects.
+//! The components do not depend on each other; [`crate::replica`] composes them.
 
 use crate::ballot::{Ballot, BallotGenerator};
 use crate::effect::{CommandId, Effect, Outcome};
@@ -8,25 +8,27 @@
 use crate::replicated_state::ReplicatedState;
 use crate::state::DurableState;
 use fastrand::Rng;
+use std::ops::Range;
 
-/// How long a command may take. Must be less than the second that an operator's call waits for.
+/// The timeout of a command. Must be less than the timeout of an operator's call, which is 1 s.
 pub(crate) const COMMAND_TIMEOUT: Millis = 850.0;
-/// After how long an unanswered request is sent again: messages get lost when a connection breaks.
-pub(crate) const RESEND_AFTER: Millis = 150.0;
-/// A preempted proposer leaves the other one a round trip or two to finish, by a random delay in this range.
-const BACKOFF: std::ops::Range<Millis> = 60.0..260.0;
+/// The interval at which unanswered requests are resent: messages are lost when a connection breaks.
+pub(crate) const RESEND_INTERVAL: Millis = 150.0;
+/// The range of the random backoff of a preempted proposer, which leaves the other proposer time for one or two round
+/// trips.
+const PREEMPTION_BACKOFF: Range<Millis> = 60.0..260.0;
 
-/// The state that the parts of a replica share.
+/// The shared state of the components of a replica.
 pub(crate) struct ReplicaCore {
     pub(crate) local_node: NodeId,
     pub(crate) durable: DurableState,
-    /// What a majority of disks is known to hold.
+    /// The state that a majority of disks is known to hold.
     pub(crate) committed: ReplicatedState,
-    /// When the latest of the completed reads began: `committed` contains everything acknowledged before that time.
+    /// The latest start time of all completed reads. `committed` contains everything that was acknowledged before it.
     pub(crate) committed_as_of: Option<Millis>,
-    /// The time of the call that is being handled.
+    /// The time of the current call.
     pub(crate) now: Millis,
-    /// Whether the node takes no part in any vote, as its disk cannot be written.
+    /// Whether the node does not vote because its disk is not writable.
     pub(crate) is_non_voting: bool,
     pub(crate) ballots: BallotGenerator,
     last_request_id: u64,
@@ -35,8 +37,8 @@
 }
 
 impl ReplicaCore {
-    /// `incarnation`: drawn at each start. Request ids and ballots of one incarnation must not be taken for those of an
-    /// earlier one.
+    /// Creates the shared state. `incarnation` is a random number that is generated at each start, so that request ids
+    /// and ballots differ from those of earlier incarnations.
     pub(crate) fn new(local_node: NodeId, durable: DurableState, incarnation: u64) -> ReplicaCore {
         let promised = durable.versions.highest_promised();
         let highest_promised = promised.max(durable.successor.promised);
@@ -54,13 +56,13 @@
         }
     }
 
-    /// Whether this node and its disk are a voter of the newest known epoch.
+    /// Whether this node with its disk is a voter of the newest known epoch.
     pub(crate) fn is_voter(&self) -> bool {
         let voters = &self.durable.epoch.voters;
         !self.is_non_voting && self.durable.is_voter_in(voters, self.local_node)
     }
 
-    /// Whether this node votes and holds everything that was acknowledged before its epoch began.
+    /// Whether this node is a voter and holds everything that was acknowledged before its epoch began.
     pub(crate) fn has_joined(&self) -> bool {
         self.durable.has_joined && self.is_voter()
     }
@@ -73,7 +75,7 @@
         self.durable.epoch.voters.quorum()
     }
 
-    /// All voters of this epoch but this node.
+    /// Returns all voters of the current epoch except this node.
     pub(crate) fn other_voters(&self) -> Vec<NodeId> {
         let voters = self.durable.epoch.voters.nodes();
         voters.filter(|voter| *voter != self.local_node).collect()
@@ -88,9 +90,10 @@
         self.ballots.next()
     }
 
-    /// When a proposer that is preempted now tries again.
-    pub(crate) fn draw_retry_time(&mut self) -> Millis {
-        self.now + BACKOFF.start + self.rng.f64() * (BACKOFF.end - BACKOFF.start)
+    /// Returns the randomized time at which a proposer that is preempted now retries.
+    pub(crate) fn random_retry_time(&mut self) -> Millis {
+        let Range { start, end } = PREEMPTION_BACKOFF;
+        self.now + start + self.rng.f64() * (end - start)
     }
 
     pub(crate) fn push(&mut self, effect: Effect) {
@@ -105,12 +108,16 @@
         self.effects.push(Effect::Send { to, message });
     }
 
-    /// Sends a request to those voters of this epoch whose answer is wanted.
-    pub(crate) fn send_to_voters(&mut self, wanted: impl Fn(NodeId) -> bool, request: &Request) {
+    /// Sends a request to the voters of the current epoch that match `is_receiver`.
+    pub(crate) fn send_to_voters(
+        &mut self,
+        is_receiver: impl Fn(NodeId) -> bool,
+        request: &Request,
+    ) {
         let epoch = self.durable.epoch.number;
         let voters = self.durable.epoch.voters.nodes();
-        let mut receivers: Vec<NodeId> = voters.filter(|voter| wanted(*voter)).collect();
-        // To itself last: the other voters sync their disks while this node syncs its own.
+        let mut receivers: Vec<NodeId> = voters.filter(|voter| is_receiver(*voter)).collect();
+        // The local node is last, so that the other voters sync their disks while this node syncs its own.
         receivers.sort_by_key(|voter| *voter == self.local_node);
         for to in receivers {
             let request = request.clone();
@@ -118,7 +125,7 @@
         }
     }
 
-    /// Reports the outcome of a command. `command_id`: none if no caller waits for the outcome.
+    /// Reports the outcome of a command. `command_id` is `None` if no caller waits for the outcome.
     pub(crate) fn complete(&mut self, command_id: Option<CommandId>, outcome: Outcome) {
         let completed = |command_id| Effect::Completed {
             command_id,
@@ -127,7 +134,7 @@
         self.effects.extend(command_id.map(completed));
     }
 
-    /// The outcome of a command whose effect a majority of disks holds.
+    /// Returns the outcome of a command whose effect is held by a majority of disks.
     pub(crate) fn committed_outcome(&self) -> Outcome {
         Outcome::Committed(Box::new(self.committed.clone()))
     }
@@ -135,13 +142,14 @@
     /// Merges another node's state into the durable state.
     pub(crate) fn store(&mut self, state: &ReplicatedState) {
         if self.durable.replicated.merge(state) {
-            let in_force = self.durable.replicated.config.version;
-            self.durable.versions.discard_superseded_texts(in_force);
+            let active_version = self.durable.replicated.config.version;
+            let versions = &mut self.durable.versions;
+            versions.discard_superseded_texts(active_version);
             self.push(Effect::Persist);
         }
     }
 
-    /// Records that a majority of disks holds `state`, whether or not this node's disk is among them.
+    /// Records that a majority of disks, which need not include this node's disk, holds `state`.
     pub(crate) fn commit(&mut self, state: &ReplicatedState) {
         let before = self.committed.digest();
         self.committed.merge(state);
--- a/crates/aspendrum-consensus/src/replicated_state.rs
+++ b/crates/aspendrum-consensus/src/replicated_state.rs
@@ -1,73 +1,72 @@
-//! The state that is read and written by majorities. It is a join semilattice: any two states merge into one that
-//! contains both, in whatever order they arrive, so writes to it need no order among themselves (a state-based CRDT,
-//! Shapiro et al. 2011).
+//! The state that is read from and written to majorities. It is a state-based CRDT (Shapiro et al., 2011): its values
+//! form a join semilattice, so merges are commutative and writes need no ordering.
 
 use aspendrum_model::hash::digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A command of an operator.
+/// An operator command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Set the configuration. The caller has found the text valid.
+    /// Set the configuration. The caller has validated the text.
     SetConfig {
-        /// The version that the operator gave it.
+        /// The version assigned by the operator.
         version: u32,
         /// The compressed text.
         compressed_text: Vec<u8>,
-        /// The digest of the text as it was sent, before compression.
+        /// The digest of the uncompressed text as received from the operator.
         digest: u64,
     },
     /// Begin or end the evacuation of a zone.
     SetEvacuation {
         /// The zone's name.
         zone: String,
-        /// Whether the zone is to be evacuated.
+        /// Whether to begin (`true`) or end (`false`) the evacuation.
         is_evacuated: bool,
     },
-    /// Change nothing; return the state that a majority holds.
+    /// Return the state that a majority holds, without changing it.
     Read,
 }
 
-/// The configuration with the highest version that was decided.
+/// The decided configuration with the highest version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecidedConfig {
-    /// The version that the operator gave it; 0 if no configuration was decided yet.
+    /// The version assigned by the operator; 0 if no configuration has been decided yet.
     pub version: u32,
     /// The compressed text.
     pub compressed_text: Vec<u8>,
 }
 
-/// The last command about a zone's evacuation. Ordered by revision. Of two commands with one revision the end of the
-/// evacuation wins: a zone that gets traffic too early does less harm than one that never gets any again.
+/// The last evacuation command for a zone, ordered by revision. If two commands have the same revision, the end of the
+/// evacuation wins: a zone that receives traffic too early does less harm than one that never receives traffic again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// Counts the commands that changed this zone.
+    /// The number of commands that changed this zone.
     pub revision: u64,
     /// Whether the evacuation has ended.
     pub has_ended: bool,
 }
 
-/// The zones that get no traffic.
+/// The zones that receive no traffic.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvacuatedZones {
-    /// Counts the commands that changed any zone; grows with each.
+    /// The total number of commands that changed any zone. Increases with each of them.
     pub revision: u64,
-    /// The zones' names, in order.
+    /// The names of the zones in ascending order.
     pub zones: Vec<String>,
 }
 
-/// The state that operators' commands change.
+/// The state that operator commands change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The configuration in force.
+    /// The active configuration.
     pub config: DecidedConfig,
-    /// Every zone that was ever evacuated.
+    /// The last evacuation command for each zone that was ever evacuated.
     pub evacuations: BTreeMap<String, Evacuation>,
 }
 
 impl ReplicatedState {
-    /// Replaces this state by the least upper bound of itself and `other`. Returns whether that changed it.
+    /// Replaces this state with the least upper bound of itself and `other`. Returns whether the state changed.
     pub fn merge(&mut self, other: &ReplicatedState) -> bool {
         let before = self.clone();
         if other.config.version > self.config.version {
@@ -80,8 +79,8 @@
         *self != before
     }
 
-    /// A digest that is equal for equal states. Replicas of two versions of this program compare it, so the way it is
-    /// computed must not change.
+    /// Returns a digest that is equal for equal states. Replicas of different program versions compare it, so its
+    /// computation must not change.
     pub fn digest(&self) -> u64 {
         let mut bytes = Vec::new();
         bytes.extend_from_slice(&self.config.version.to_le_bytes());
@@ -94,7 +93,7 @@
         digest(&bytes)
     }
 
-    /// The zones that get no traffic now.
+    /// Returns the zones that currently receive no traffic.
     pub fn evacuated_zones(&self) -> EvacuatedZones {
         let active = self.evacuations.iter().filter(|(_, e)| !e.has_ended);
         EvacuatedZones {
@@ -103,12 +102,11 @@
         }
     }
 
-    /// Applies a command about a zone's evacuation. `self` must be the merged state of a majority. Other commands
-    /// change nothing.
+    /// Applies an evacuation command; other commands have no effect. `self` must be the merged state of a majority.
     pub fn apply(&mut self, command: &Command) {
         if let Command::SetEvacuation { zone, is_evacuated } = command {
             let evacuation = self.evacuations.entry(zone.clone()).or_default();
-            // A command that asks for what is so already may be a retry: it gets no revision of its own.
+            // A command that matches the current state may be a retry and does not create a new revision.
             if evacuation.revision == 0 || evacuation.has_ended == *is_evacuated {
                 *evacuation = Evacuation {
                     revision: evacuation.revision + 1,
@@ -118,7 +116,7 @@
         }
     }
 
-    /// This state with a decided configuration, if that has a higher version than the one contained.
+    /// Returns this state with the given decided configuration if its version is higher than the contained one.
     pub fn with_config(mut self, version: u32, compressed_text: Vec<u8>) -> ReplicatedState {
         if version > self.config.version {
             self.config = DecidedConfig {
--- a/crates/aspendrum-consensus/src/version_proposal.rs
+++ b/crates/aspendrum-consensus/src/version_proposal.rs
@@ -1,5 +1,5 @@
-//! Proposes the texts of configuration versions: this node runs one Paxos proposer for each undecided version, and all
-//! its commands for that version share it.
+//! Proposes the texts of configuration versions. This node runs one Paxos proposer per undecided version, which all
+//! commands for that version share.
 
 use crate::acceptor::Accepted;
 use crate::ballot::Ballot;
@@ -7,45 +7,45 @@
 use crate::message::{Message, Request};
 use crate::node::{Millis, NodeId};
 use crate::proposer::{Phase, Proposer};
-use crate::replica_core::{ReplicaCore, COMMAND_TIMEOUT, RESEND_AFTER};
+use crate::replica_core::{ReplicaCore, COMMAND_TIMEOUT, RESEND_INTERVAL};
 use crate::replicated_state::ReplicatedState;
-use crate::versions::{ConfigText, OpenVersion, VersionAnswer};
+use crate::versions::{ConfigText, UndecidedVersion, VersionAnswer};
 use std::collections::BTreeMap;
 
-/// A command that waits for its version to be decided.
+/// A command that waits for the decision of its version.
 struct PendingCommand {
-    /// None if no caller waits for the outcome.
+    /// `None` if no caller waits for the outcome.
     command_id: Option<CommandId>,
     /// The digest of the text that the command proposed.
     digest: u64,
     started_at: Millis,
 }
 
-/// The proposal for a version, and the commands that wait for the decision.
+/// The proposal for a version and the commands that wait for its decision.
 struct VersionProposal {
     proposer: Proposer<ConfigText>,
     pending: Vec<PendingCommand>,
 }
 
-/// A version whose proposal has ended. Reads that wait for the version can continue.
+/// A version whose proposal has ended. Reads that wait for the version can proceed.
 pub(crate) struct ClosedVersion {
     pub(crate) version: u32,
-    /// Whether the decided text is in force on this node, or superseded.
-    pub(crate) is_in_force: bool,
-    /// Whether the durable state has changed. It is persisted after the waiting reads have been completed: their result
-    /// is on a majority's disks already, so they need not wait for this disk.
+    /// Whether this node's configuration is at this version or a later one.
+    pub(crate) is_applied: bool,
+    /// Whether the durable state has changed. It is persisted after the waiting reads have completed: their result is
+    /// already stored by a majority, so they need not wait for this disk.
     pub(crate) must_persist: bool,
 }
 
-/// All proposals of this node for configuration versions.
+/// The pending proposals of this node, by configuration version.
 #[derive(Default)]
 pub(crate) struct VersionProposals {
     by_version: BTreeMap<u32, VersionProposal>,
 }
 
 impl VersionProposals {
-    /// Proposes a text for a version. The command ends at once if the version is known to be decided, and joins the
-    /// pending proposal if there is one.
+    /// Proposes a text for a version. The command completes immediately if the decision is known, and joins the pending
+    /// proposal for the version if there is one.
     pub(crate) fn propose(
         &mut self,
         core: &mut ReplicaCore,
@@ -74,15 +74,15 @@
         self.send_request(core, version);
     }
 
-    /// Completes a proposal that some voter has accepted.
-    pub(crate) fn complete(&mut self, core: &mut ReplicaCore, open: OpenVersion) {
-        let version = open.version;
+    /// Completes a proposal that at least one voter has accepted.
+    pub(crate) fn complete(&mut self, core: &mut ReplicaCore, undecided: UndecidedVersion) {
+        let version = undecided.version;
         if self.by_version.contains_key(&version) {
             return;
         }
         let accepted = Accepted {
-            ballot: open.ballot,
-            value: open.text,
+            ballot: undecided.ballot,
+            value: undecided.text,
         };
         let proposal = VersionProposal {
             proposer: Proposer::complete(accepted, core.now),
@@ -92,7 +92,7 @@
         self.send_request(core, version);
     }
 
-    /// Sends the request of a proposal's phase to the voters that have not granted it.
+    /// Sends the request of a proposal's current phase to the voters that have not granted it.
     fn send_request(&mut self, core: &mut ReplicaCore, version: u32) {
         if !core.durable.epoch.takes_commands() {
             return;
@@ -115,12 +115,12 @@
         core.send_to_voters(|voter| proposer.awaits(voter), &request);
     }
 
-    /// Sends unanswered requests again, and starts proposals over whose backoff has passed.
+    /// Resends unanswered requests, and restarts the proposals whose backoff has passed.
     pub(crate) fn resend(&mut self, core: &mut ReplicaCore) {
         let now = core.now;
         let is_due = |proposer: &Proposer<ConfigText>| match proposer.phase() {
             Phase::BackedOff { until } => now >= until,
-            Phase::Preparing | Phase::Accepting => now - proposer.last_sent_at >= RESEND_AFTER,
+            Phase::Preparing | Phase::Accepting => now - proposer.last_sent_at >= RESEND_INTERVAL,
         };
         let due = self.by_version.iter().filter(|(_, p)| is_due(&p.proposer));
         let due: Vec<(u32, Phase)> = due.map(|(v, p)| (*v, p.proposer.phase())).collect();
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Starts a proposal over, above all ballots that were observed.
+    /// Restarts a proposal with a ballot above all observed ones.
     fn restart(&mut self, core: &mut ReplicaCore, version: u32) {
         let ballot = core.new_ballot();
         if let Some(proposal) = self.by_version.get_mut(&version) {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Starts all proposals over: the voters have changed, and answers of the former ones do not count.
+    /// Restarts all proposals after a change of the voters: answers of the previous voters do not count.
     pub(crate) fn restart_all(&mut self, core: &mut ReplicaCore) {
         let versions: Vec<u32> = self.by_version.keys().copied().collect();
         for version in versions {
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Ends the commands that have waited too long, and drops the proposals that nobody waits for. `awaited_by_read`:
-    /// whether some read waits for that version.
+    /// Completes the commands that have exceeded [`COMMAND_TIMEOUT`] with [`Outcome::NoQuorum`], and drops the
+    /// proposals without waiting commands or reads. `awaited_by_read` returns whether a read waits for a version.
     pub(crate) fn expire(&mut self, core: &mut ReplicaCore, awaited_by_read: impl Fn(u32) -> bool) {
         let now = core.now;
         for proposal in self.by_version.values_mut() {
@@ -163,7 +163,7 @@
             .retain(|version, proposal| !proposal.pending.is_empty() || awaited_by_read(*version));
     }
 
-    /// A voter answered. Returns the version if its proposal has ended.
+    /// Handles a voter's answer. Returns the version if its proposal has ended.
     pub(crate) fn on_answer(
         &mut self,
         core: &mut ReplicaCore,
@@ -174,7 +174,7 @@
     ) -> Option<ClosedVersion> {
         let voter_count = core.voter_count();
         let quorum = core.quorum();
-        let retry_at = core.draw_retry_time();
+        let retry_at = core.random_retry_time();
         let proposal = self.by_version.get_mut(&version);
         let proposal = proposal.filter(|p| p.proposer.ballot() == ballot)?;
         let proposer = &mut proposal.proposer;
@@ -200,19 +200,19 @@
                 let text = own.compressed.filter(|_| own.digest == digest);
                 Some(self.learn(core, version, digest, text))
             }
-            // The version was superseded long ago: whichever text was decided for it, the command would change nothing.
+            // The version was superseded and compacted, so the command has no effect regardless of the decided text.
             VersionAnswer::Compacted => {
                 self.close(core, version, None);
                 Some(ClosedVersion {
                     version,
-                    is_in_force: false,
+                    is_applied: false,
                     must_persist: false,
                 })
             }
         }
     }
 
-    /// Announces to the other voters that a majority has accepted `text`, which decides the version.
+    /// Announces the decision of `text`, which a majority has accepted, to the other voters and records it.
     fn announce_decision(
         &mut self,
         core: &mut ReplicaCore,
@@ -226,8 +226,9 @@
         self.learn(core, version, digest, text.compressed)
     }
 
-    /// Records a decision that this node or another one has found. `compressed_text`: the decided text, if this node has
-    /// it. Waiting commands end at once: their outcome is on a majority's disks and need not wait for this node's.
+    /// Records a decision that was reached by this node or another one. `compressed_text` is the decided text, if
+    /// known. Waiting commands complete immediately: a majority has stored their outcome, so they need not wait for
+    /// this node's disk.
     pub(crate) fn learn(
         &mut self,
         core: &mut ReplicaCore,
@@ -243,13 +244,13 @@
         self.close(core, version, Some(digest));
         ClosedVersion {
             version,
-            is_in_force: core.durable.replicated.config.version >= version,
+            is_applied: core.durable.replicated.config.version >= version,
             must_persist,
         }
     }
 
-    /// Removes a version's proposal and ends the commands that waited for it. `decided`: the digest of the decided
-    /// text; none if the version was superseded so long ago that the decision is not remembered.
+    /// Removes the proposal for a version and completes the commands that wait for it. `decided` is the digest of the
+    /// decided text; `None` if the decision has been compacted.
     fn close(&mut self, core: &mut ReplicaCore, version: u32, decided: Option<u64>) {
         let Some(proposal) = self.by_version.remove(&version) else {
             return;
@@ -260,7 +261,7 @@
     }
 }
 
-/// Records a decision in the durable state. Returns whether that changed it.
+/// Records a decision in the durable state. Returns whether the state changed.
 fn record_decision(
     core: &mut ReplicaCore,
     version: u32,
@@ -277,13 +278,13 @@
         has_changed |= durable.replicated.merge(&decided);
         durable.versions.discard_superseded_texts(version);
     }
-    let in_force = durable.replicated.config.version;
-    has_changed |= durable.versions.decide(version, digest, in_force);
+    let active_version = durable.replicated.config.version;
+    has_changed |= durable.versions.decide(version, digest, active_version);
     has_changed
 }
 
-/// Ends a command whose version is closed. `digest`: of the text that the command proposed. `decided`: the digest of
-/// the decided text, if it is remembered.
+/// Completes a command whose version is closed. `digest` is the digest of the text that the command proposed, `decided`
+/// that of the decided text, or `None` if the decision has been compacted.
 fn complete_command(
     core: &mut ReplicaCore,
     command_id: Option<CommandId>,
--- a/crates/aspendrum-consensus/src/voter.rs
+++ b/crates/aspendrum-consensus/src/voter.rs
@@ -1,5 +1,5 @@
-//! How a voter answers the requests of its epoch: as a register that stores what it is sent (Attiya, Bar-Noy and Dolev,
-//! 1995) and as a Paxos acceptor. A change that an answer reveals is persisted before the answer is sent.
+//! Handles the requests of an epoch as a voter: as a replica of the registers (Attiya, Bar-Noy and Dolev, 1995) and as
+//! a Paxos acceptor. State changes that a reply depends on are persisted before the reply is sent.
 
 use crate::ballot::Ballot;
 use crate::effect::Effect;
@@ -9,17 +9,17 @@
 use crate::replicated_state::ReplicatedState;
 use crate::versions::{ConfigText, VersionAnswer};
 
-/// Answers a request of this node's own epoch. Returns none if the node has not joined the epoch, or if the request is
-/// about a command and the epoch takes none.
+/// Handles a request of this node's epoch. Returns `None` if the node has not joined the epoch, or if the request
+/// belongs to a command and the epoch does not accept commands.
 pub(crate) fn answer(core: &mut ReplicaCore, request: Request) -> Option<Reply> {
     if !core.has_joined() {
         return None;
     }
-    let is_about_successor = matches!(
+    let is_membership_request = matches!(
         request,
         Request::PrepareSuccessor { .. } | Request::AcceptSuccessor { .. }
     );
-    if !is_about_successor && !core.durable.epoch.takes_commands() {
+    if !is_membership_request && !core.durable.epoch.takes_commands() {
         return None;
     }
     let reply = match request {
@@ -41,15 +41,13 @@
     let replicated = &core.durable.replicated;
     let own_digest = replicated.digest();
     let state = (own_digest != digest).then(|| Box::new(replicated.clone()));
-    let open = core
-        .durable
-        .versions
-        .highest_open(replicated.config.version);
+    let active_version = replicated.config.version;
+    let undecided = core.durable.versions.highest_undecided(active_version);
     Reply::Read(ReadReply {
         request_id,
         digest: own_digest,
         state,
-        open: open.map(Box::new),
+        undecided: undecided.map(Box::new),
     })
 }
 
@@ -60,16 +58,19 @@
 
 fn prepare_version(core: &mut ReplicaCore, version: u32, ballot: Ballot) -> Reply {
     core.ballots.observe(ballot);
-    let in_force = core.durable.replicated.config.version;
-    let answer = core.durable.versions.prepare(version, ballot, in_force);
+    let active_version = core.durable.replicated.config.version;
+    let answer = core
+        .durable
+        .versions
+        .prepare(version, ballot, active_version);
     version_reply(core, version, ballot, answer)
 }
 
 fn accept_version(core: &mut ReplicaCore, version: u32, ballot: Ballot, text: ConfigText) -> Reply {
     core.ballots.observe(ballot);
-    let in_force = core.durable.replicated.config.version;
+    let active_version = core.durable.replicated.config.version;
     let versions = &mut core.durable.versions;
-    let answer = versions.accept(version, ballot, text, in_force);
+    let answer = versions.accept(version, ballot, text, active_version);
     version_reply(core, version, ballot, answer)
 }
 
@@ -79,8 +80,8 @@
     ballot: Ballot,
     answer: VersionAnswer,
 ) -> Reply {
-    let binds_this_voter = matches!(answer, VersionAnswer::Promised(_) | VersionAnswer::Accepted);
-    if binds_this_voter {
+    let has_changed = matches!(answer, VersionAnswer::Promised(_) | VersionAnswer::Accepted);
+    if has_changed {
         core.push(Effect::Persist);
     }
     Reply::Version {
--- a/crates/aspendrum-consensus/tests/common/mod.rs
+++ b/crates/aspendrum-consensus/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A cluster of replicas in one process. Nodes fail between any two of their effects, disks are lost, nodes are
-//! replaced for good, messages are dropped, duplicated and reordered.
+//! A simulated cluster of replicas in one process. Nodes crash between any two effects, disks are lost, nodes are
+//! permanently replaced, and messages are dropped, duplicated and reordered.
 
-// Each test program uses another part of this module.
+// Each test binary uses a different part of this module.
 #![allow(dead_code)]
 
 pub(crate) mod schedule;
@@ -15,26 +15,26 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The nodes of the first start that are named as seeds. A fourth starts beside them.
+/// The seed nodes of the first start. A fourth node starts in addition.
 pub(crate) const SEEDS: [NodeId; 3] = [NodeId::new(1), NodeId::new(2), NodeId::new(3)];
-/// A voter that is gone for so long is replaced.
+/// The membership policy of the cluster.
 pub(crate) const POLICY: MembershipPolicy = MembershipPolicy {
     voters: 3,
-    replace_after: 1600.0,
+    replace_timeout: 1600.0,
 };
-/// Milliseconds between two ticks of all nodes.
+/// The interval between two ticks of all nodes, in milliseconds.
 const TICK_MS: f64 = 160.0;
-/// After so many ticks a command has ended.
+/// The number of ticks after which a command has completed.
 const COMMAND_TICKS: usize = 7;
-/// After so many ticks with all nodes up, voters that were gone are replaced.
-const CALM_TICKS: usize = 40;
+/// The number of ticks with all nodes up after which missing voters have been replaced.
+const STABILIZE_TICKS: usize = 40;
 
-/// The node with that number.
+/// Returns the node with this number.
 pub(crate) fn node(number: u32) -> NodeId {
     NodeId::new(number)
 }
 
-/// Options of a replica that starts on a disk which is not empty.
+/// Returns the start options of a replica with a non-empty disk.
 fn restart_options(node: NodeId, incarnation: u64) -> ReplicaOptions<'static> {
     ReplicaOptions {
         node,
@@ -45,23 +45,23 @@
     }
 }
 
-/// The protocol with all its mechanisms, or without one of them: the schedules must tell these apart.
+/// The correct protocol, or a faulty variant that lacks one of its mechanisms. The tests must detect the faulty ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Variant {
-    Sound,
-    /// What is to be persisted reaches the disk only with the next tick: a node speaks before it has synced.
-    LateSync,
-    /// A proposer ignores what was accepted before its own ballot.
-    DeafProposer,
-    /// A voter goes on answering in an epoch that it was asked to close.
+    Correct,
+    /// The state is persisted only at the next tick, so that a node sends messages before it has synced.
+    DelayedSync,
+    /// A proposer ignores the proposals that voters have accepted under lower ballots.
+    IgnoresAccepted,
+    /// A voter continues to answer in an epoch that it has sealed.
     NoSeal,
-    /// A voter of a new epoch answers before it has taken over the state of the one before.
-    EagerJoin,
-    /// A node that comes back with an empty disk takes itself for the voter that it was.
-    SameAfterWipe,
+    /// A voter of a new epoch answers before the state transfer from the previous epoch.
+    JoinsBeforeTransfer,
+    /// A node that restarts with an empty disk keeps its disk id, and so remains the same voter.
+    KeepsDiskId,
 }
 
-/// A command that sets a configuration with that version and digest.
+/// Returns a command that sets a configuration with this version and digest.
 pub(crate) fn config(version: u32, digest: u64) -> Command {
     Command::SetConfig {
         version,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Envelope {
     pub(crate) from: NodeId,
@@ -84,33 +84,33 @@
     /// The replicas of the nodes that are up.
     pub(crate) up: BTreeMap<NodeId, Replica>,
     planners: BTreeMap<NodeId, MembershipPlanner>,
-    /// All nodes that are not gone for good, and what is on their disks.
+    /// The disks of all nodes that have not been permanently removed.
     pub(crate) disks: BTreeMap<NodeId, Option<DurableState>>,
     unsynced: BTreeMap<NodeId, DurableState>,
     pub(crate) messages: Vec<Envelope>,
     leaving: BTreeSet<NodeId>,
-    /// Since when a node is down.
+    /// The time since which a node has been down.
     down_since: BTreeMap<NodeId, f64>,
-    /// After how many more effects a node crashes.
+    /// The number of further effects after which a node crashes.
     crash_after: BTreeMap<NodeId, u8>,
     incarnations: u64,
     next_node: u32,
-    /// The highest version that was submitted.
+    /// The highest submitted version.
     pub(crate) version: u32,
-    /// All commands that were submitted.
+    /// All submitted commands.
     pub(crate) submitted: BTreeMap<CommandId, Command>,
-    /// The highest version that was acknowledged.
+    /// The highest acknowledged version.
     pub(crate) acknowledged_version: u32,
-    /// The texts' digests that were acknowledged for each version.
+    /// The digests of the acknowledged texts of each version.
     pub(crate) acknowledged: BTreeMap<u32, BTreeSet<u64>>,
-    /// The versions and digests that were refused.
-    pub(crate) refused: BTreeSet<(u32, u64)>,
+    /// The versions and digests that were rejected with a conflict.
+    pub(crate) rejected: BTreeSet<(u32, u64)>,
     is_first_start: bool,
     rng: fastrand::Rng,
 }
 
 impl Cluster {
-    /// Three seeds and one node more, all started for the first time; the first voters are decided.
+    /// Creates a cluster of three seeds and one further node, and runs it until the first voters are decided.
     pub(crate) fn new(variant: Variant) -> Cluster {
         let mut cluster = Cluster {
             variant,
@@ -129,7 +129,7 @@
             submitted: BTreeMap::new(),
             acknowledged_version: 0,
             acknowledged: BTreeMap::new(),
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             is_first_start: true,
             rng: fastrand::Rng::with_seed(1),
         };
@@ -138,17 +138,17 @@
             cluster.start(node(number));
         }
         cluster.is_first_start = false;
-        cluster.calm();
+        cluster.stabilize();
         assert_eq!(cluster.epoch().number, 1);
         cluster
     }
 
-    /// All nodes that are not gone for good.
+    /// Returns all nodes that have not been permanently removed.
     pub(crate) fn nodes(&self) -> Vec<NodeId> {
         self.disks.keys().copied().collect()
     }
 
-    /// The newest epoch that any node knows of.
+    /// Returns the newest epoch known to any node.
     pub(crate) fn epoch(&self) -> Epoch {
         let on_disks = self.disks.values().flatten().map(|state| &state.epoch);
         let all = self.up.values().map(Replica::epoch).chain(on_disks);
@@ -157,7 +157,7 @@
             .unwrap_or_default()
     }
 
-    /// The voters of the newest epoch.
+    /// Returns the voters of the newest epoch.
     pub(crate) fn voters(&self) -> Vec<NodeId> {
         self.epoch().voters.nodes().collect()
     }
@@ -172,7 +172,7 @@
             return;
         }
         let incarnation = self.new_incarnation();
-        let new_disk: DiskId = if self.variant == Variant::SameAfterWipe {
+        let new_disk: DiskId = if self.variant == Variant::KeepsDiskId {
             u64::from(node.as_u32())
         } else {
             self.incarnations
@@ -190,10 +190,10 @@
         self.down_since.remove(&node);
         let planner = MembershipPlanner::new(node, POLICY, self.now);
         self.planners.insert(node, planner);
-        self.carry_out(node, effects);
+        self.perform_effects(node, effects);
     }
 
-    /// Replaces the replica of a node that is up by one with that state, on the disk too.
+    /// Replaces the replica and the disk of a running node with the given state.
     fn restart_with(&mut self, node: NodeId, state: DurableState) {
         let incarnation = self.new_incarnation();
         let options = restart_options(node, incarnation);
@@ -202,7 +202,7 @@
         self.disks.insert(node, Some(state));
     }
 
-    pub(crate) fn carry_out(&mut self, node: NodeId, effects: Vec<Effect>) {
+    pub(crate) fn perform_effects(&mut self, node: NodeId, effects: Vec<Effect>) {
         for effect in effects {
             if let Some(left) = self.crash_after.get_mut(&node) {
                 if *left == 0 {
@@ -211,25 +211,25 @@
                 }
                 *left -= 1;
             }
-            self.carry_out_one(node, effect);
+            self.perform_effect(node, effect);
         }
     }
 
-    fn carry_out_one(&mut self, node: NodeId, effect: Effect) {
+    fn perform_effect(&mut self, node: NodeId, effect: Effect) {
         match effect {
             Effect::Persist => {
                 let Some(state) = self.up.get(&node).map(|r| r.state().clone()) else {
                     return;
                 };
-                if self.variant == Variant::LateSync {
+                if self.variant == Variant::DelayedSync {
                     self.unsynced.insert(node, state);
                 } else {
                     self.disks.insert(node, Some(state));
                 }
             }
             Effect::Send { to, mut message } => {
-                if self.variant == Variant::DeafProposer {
-                    hide_accepted(&mut message);
+                if self.variant == Variant::IgnoresAccepted {
+                    remove_accepted(&mut message);
                 }
                 self.messages.push(Envelope {
                     from: node,
@@ -261,15 +261,15 @@
                     .insert(*digest);
             }
             Outcome::VersionConflict => {
-                self.refused.insert((*version, *digest));
+                self.rejected.insert((*version, *digest));
             }
             Outcome::NoQuorum => {}
         }
     }
 
-    /// All voters of the newest epoch have their disks and hold what was acknowledged, and no other voters are being
-    /// decided on: one node may be lost now. The requirements allow `sync-s` until this is so.
-    pub(crate) fn tolerates_a_loss(&self) -> bool {
+    /// Whether one node may be lost now: all voters of the newest epoch have their disks and have joined the epoch, and
+    /// no change of the voters is in progress. The requirements allow `sync-s` until this holds again.
+    pub(crate) fn tolerates_disk_loss(&self) -> bool {
         let epoch = self.epoch();
         let has_accepted = |s: &DurableState| s.epoch == epoch && s.successor.accepted.is_some();
         let is_change = |envelope: &Envelope| {
@@ -287,14 +287,14 @@
         {
             return false;
         }
-        let is_sound = |node: NodeId| {
+        let is_synced = |node: NodeId| {
             let state = self.disks.get(&node).and_then(|disk| disk.as_ref());
             state.is_some_and(|s| {
                 s.epoch == epoch && s.has_joined && s.is_voter_in(&epoch.voters, node)
             })
         };
         let mut voters = epoch.voters.nodes();
-        voters.all(is_sound)
+        voters.all(is_synced)
     }
 
     pub(crate) fn submit(&mut self, node: NodeId, command: Command) {
@@ -302,28 +302,28 @@
         self.submitted.insert(command_id, command.clone());
         if let Some(replica) = self.up.get_mut(&node) {
             let effects = replica.submit(self.now, command, Some(command_id));
-            self.carry_out(node, effects);
+            self.perform_effects(node, effects);
         }
     }
 
     pub(crate) fn deliver(&mut self, envelope: Envelope) {
         let Envelope { from, to, message } = envelope;
         if let (Message::Request { epoch, request }, Variant::NoSeal) = (&message, self.variant) {
-            if self.answer_after_closing(from, to, *epoch, request.clone()) {
+            if self.answer_in_sealed_epoch(from, to, *epoch, request.clone()) {
                 return;
             }
         }
         if let Some(replica) = self.up.get_mut(&to) {
             let effects = replica.step(self.now, from, message);
-            self.carry_out(to, effects);
+            self.perform_effects(to, effects);
         }
-        if self.variant == Variant::EagerJoin {
-            self.join_at_once(to);
+        if self.variant == Variant::JoinsBeforeTransfer {
+            self.join_without_transfer(to);
         }
     }
 
-    /// The variant without sealing: a request of the epoch before is answered as if that were still open.
-    fn answer_after_closing(
+    /// Answers a request of the previous epoch as if that epoch were not sealed ([`Variant::NoSeal`]).
+    fn answer_in_sealed_epoch(
         &mut self,
         from: NodeId,
         to: NodeId,
@@ -356,12 +356,12 @@
         let replies = effects
             .into_iter()
             .filter(|e| matches!(e, Effect::Send { .. }));
-        self.carry_out(to, replies.collect());
+        self.perform_effects(to, replies.collect());
         true
     }
 
-    /// The variant without state transfer: whoever votes in a new epoch answers at once.
-    fn join_at_once(&mut self, node: NodeId) {
+    /// Makes a voter of a new epoch join it without a state transfer ([`Variant::JoinsBeforeTransfer`]).
+    fn join_without_transfer(&mut self, node: NodeId) {
         let Some(replica) = self.up.get(&node) else {
             return;
         };
@@ -387,10 +387,10 @@
         if let Some(voters) = planner.due_change(self.now, replica.epoch(), &nodes) {
             effects.extend(replica.propose_voters(self.now, voters));
         }
-        self.carry_out(node, effects);
+        self.perform_effects(node, effects);
     }
 
-    /// What every node knows of the others: who is up, with which disk.
+    /// Returns the status of all nodes, as observed by every node.
     fn node_statuses(&self) -> BTreeMap<NodeId, NodeStatus> {
         let status = |node: NodeId| {
             let replica = self.up.get(&node);
@@ -410,7 +410,7 @@
         nodes.map(|node| (node, status(node))).collect()
     }
 
-    /// Delivers messages, the oldest first, until none is left that the filter lets through.
+    /// Delivers the messages that match the filter, oldest first, until none is left.
     pub(crate) fn deliver_where(&mut self, passes: impl Fn(&Envelope) -> bool) {
         while let Some(index) = self.messages.iter().position(&passes) {
             let envelope = self.messages.remove(index);
@@ -418,7 +418,7 @@
         }
     }
 
-    /// So many ticks of these nodes, which only hear of each other.
+    /// Runs these nodes for a number of ticks, isolated from all others.
     pub(crate) fn run_partition(&mut self, nodes: &[NodeId], ticks: usize) {
         for _ in 0..ticks {
             self.now += TICK_MS;
@@ -427,12 +427,12 @@
         }
     }
 
-    /// That node is shutting down: others take its vote.
+    /// Marks a node as shutting down, so that its vote is transferred.
     pub(crate) fn leave(&mut self, node: NodeId) {
         self.leaving.insert(node);
     }
 
-    /// The process ends; its disk stays as it is.
+    /// Ends the process of a node. Its disk is unchanged.
     pub(crate) fn kill(&mut self, node: NodeId) {
         if self.up.remove(&node).is_some() {
             self.down_since.insert(node, self.now);
@@ -440,13 +440,13 @@
         self.messages.retain(|e| e.from != node && e.to != node);
     }
 
-    /// The node loses power, and its disk what was not synced.
+    /// Ends the process of a node and discards its unsynced state.
     pub(crate) fn cut_power(&mut self, node: NodeId) {
         self.unsynced.remove(&node);
         self.kill(node);
     }
 
-    /// The node goes for good, and an empty one comes at another address.
+    /// Permanently removes a node and starts an empty one at another address.
     pub(crate) fn replace(&mut self, node: NodeId) {
         self.cut_power(node);
         self.disks.remove(&node);
@@ -454,24 +454,24 @@
         self.next_node += 1;
         self.disks.insert(new, None);
         self.start(new);
-        // The first message of any connection tells the epoch.
+        // The first message on each connection contains the epoch.
         let epochs = self.up.values().map(Replica::epoch);
         let known = epochs.max_by_key(|epoch| epoch.number).cloned();
         if let (Some(known), Some(replica)) = (known, self.up.get_mut(&new)) {
             let effects = replica.observe_epoch(self.now, new, known);
-            self.carry_out(new, effects);
+            self.perform_effects(new, effects);
         }
     }
 
-    /// Every node is up and reachable for long enough that voters which are gone are replaced.
-    pub(crate) fn calm(&mut self) {
+    /// Starts all nodes and runs them without faults until missing voters have been replaced.
+    pub(crate) fn stabilize(&mut self) {
         self.crash_after.clear();
         self.leaving.clear();
         self.nodes().iter().for_each(|node| self.start(*node));
-        self.run(CALM_TICKS);
+        self.run(STABILIZE_TICKS);
     }
 
-    /// So many ticks of all nodes, between which every message arrives.
+    /// Runs all nodes for a number of ticks, and delivers all messages between them.
     pub(crate) fn run(&mut self, ticks: usize) {
         for _ in 0..ticks {
             self.now += TICK_MS;
@@ -479,7 +479,7 @@
             self.exchange_epochs(&nodes);
             nodes.iter().for_each(|node| self.tick(*node));
             while !self.messages.is_empty() {
-                // In any order: any majority may be the first.
+                // Messages are delivered in random order, so that any majority may reply first.
                 let index = self.rng.usize(..self.messages.len());
                 let envelope = self.messages.swap_remove(index);
                 self.deliver(envelope);
@@ -487,24 +487,24 @@
         }
     }
 
-    /// Each node tells its epoch to each other one, as heartbeats do.
+    /// Sends the epoch of each node to every other node, as heartbeats do.
     fn exchange_epochs(&mut self, nodes: &[NodeId]) {
         for from in nodes {
             let epoch = self.up[from].epoch().clone();
             for to in nodes.iter().filter(|to| *to != from) {
                 let receiver = self.up.get_mut(to).unwrap();
                 let effects = receiver.observe_epoch(self.now, *from, epoch.clone());
-                self.carry_out(*to, effects);
+                self.perform_effects(*to, effects);
             }
         }
     }
 
-    /// All power is lost and everything comes back; then each node reads. Returns the versions read; none where a read
-    /// did not succeed.
+    /// Cuts the power of all nodes, restarts them, and reads from each. Returns the read versions; `None` where a read
+    /// failed.
     pub(crate) fn read_after_power_loss(&mut self) -> Vec<Option<u32>> {
         let nodes = self.nodes();
         nodes.iter().for_each(|node| self.cut_power(*node));
-        self.calm();
+        self.stabilize();
         nodes.iter().map(|node| self.read(*node)).collect()
     }
 
@@ -513,14 +513,14 @@
         self.submitted.insert(command_id, Command::Read);
         let replica = self.up.get_mut(&node)?;
         let effects = replica.submit(self.now, Command::Read, Some(command_id));
-        self.carry_out(node, effects);
+        self.perform_effects(node, effects);
         self.run(COMMAND_TICKS);
         let replica = self.up.get(&node)?;
         let version = replica.committed().config.version;
         replica.committed_as_of().is_some().then_some(version)
     }
 
-    /// Submits every configuration that was ever submitted again, each to some node.
+    /// Resubmits all configurations that have been submitted, to alternating nodes.
     pub(crate) fn resubmit_all(&mut self) {
         let is_config = |command: &&Command| matches!(command, Command::SetConfig { .. });
         let commands = self.submitted.values().filter(is_config);
@@ -532,30 +532,30 @@
         }
     }
 
-    /// Each version has one text; what was acknowledged is never refused, and what was refused is never in force.
-    pub(crate) fn each_version_has_one_text(&self) -> bool {
-        let was_refused = |version: &u32, digests: &BTreeSet<u64>| {
+    /// Whether each version has a single text: no acknowledged text was rejected, and no rejected text is active.
+    pub(crate) fn has_one_text_per_version(&self) -> bool {
+        let was_rejected = |version: &u32, digests: &BTreeSet<u64>| {
             digests
                 .iter()
-                .any(|digest| self.refused.contains(&(*version, *digest)))
+                .any(|digest| self.rejected.contains(&(*version, *digest)))
         };
-        let is_in_force_as_acknowledged = |replica: &Replica| {
+        let has_acknowledged_text = |replica: &Replica| {
             let config = &replica.committed().config;
             let is_text = |digest: &u64| digest.to_le_bytes().as_slice() == config.compressed_text;
             let acknowledged = self.acknowledged.get(&config.version);
             acknowledged.is_none_or(|digests| digests.iter().all(is_text))
         };
         self.acknowledged.values().all(|digests| digests.len() == 1)
-            && !self.acknowledged.iter().any(|(version, digests)| was_refused(version, digests))
-            // A command is refused only once the other text is decided, which is acknowledged when it is submitted
-            // again.
-            && self.refused.iter().all(|(version, _)| self.acknowledged.contains_key(version))
-            && self.up.values().all(is_in_force_as_acknowledged)
+            && !self.acknowledged.iter().any(|(version, digests)| was_rejected(version, digests))
+            // A command is rejected only after the other text is decided, which is acknowledged when it is
+            // resubmitted.
+            && self.rejected.iter().all(|(version, _)| self.acknowledged.contains_key(version))
+            && self.up.values().all(has_acknowledged_text)
     }
 }
 
-/// The proposer that ignores what was accepted: promises reach it without.
-fn hide_accepted(message: &mut Message) {
+/// Removes the accepted proposal from a promise ([`Variant::IgnoresAccepted`]).
+fn remove_accepted(message: &mut Message) {
     let Message::Reply {
         reply: Reply::Version { answer, .. },
         ..
--- a/crates/aspendrum-consensus/tests/membership.rs
+++ b/crates/aspendrum-consensus/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Who votes: the first voters, nodes that are replaced or come back with an empty disk, and what a closed epoch may
-//! still do.
+//! Membership changes: selection of the first voters, replacement of nodes, restarts with an empty disk, and requests
+//! in a sealed epoch.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use common::{config, node, Cluster, Envelope, Variant};
 use std::collections::BTreeMap;
 
-/// Nodes that are up, each with its disk and its zone.
+/// Returns the statuses of running nodes with the given disks and zones.
 fn statuses(nodes: &[(u32, u64, &str)]) -> BTreeMap<NodeId, NodeStatus> {
     let status = |(number, disk, zone): &(u32, u64, &str)| {
         let status = NodeStatus {
@@ -34,9 +34,9 @@
     )
 }
 
-/// Danger: the settings name three nodes where two may be lost at once, and a majority of three is gone with them.
+/// Guards against a set of three voters where two losses must be tolerated, which would lose the majority.
 #[test]
-fn as_many_vote_as_the_losses_require_spread_over_zones() {
+fn voters_match_the_tolerated_losses_and_are_spread_over_zones() {
     let policy = MembershipPolicy::new(2, 6000.0);
     let epoch = Epoch::founding(&[1, 2, 3].map(node));
     let mut planner = MembershipPlanner::new(node(1), policy, 0.0);
@@ -44,26 +44,26 @@
     assert_eq!(
         planner.due_change(100.0, &epoch, &nodes),
         None,
-        "fewer nodes are there than must vote"
+        "there are fewer nodes than required voters"
     );
     nodes.extend(statuses(&[(4, 14, "a"), (5, 15, "d"), (6, 16, "a")]));
     let chosen = planner.due_change(200.0, &epoch, &nodes).unwrap();
     let expected = voters(&[(1, 11), (2, 12), (3, 13), (5, 15), (4, 14)]);
     assert_eq!(chosen, expected);
-    // Nodes that do not come are not waited for without end.
+    // The wait for missing nodes is bounded.
     let nodes = statuses(&[(1, 11, "a"), (2, 12, "b")]);
     let chosen = planner.due_change(2600.0, &epoch, &nodes);
     assert_eq!(chosen, Some(voters(&[(1, 11), (2, 12)])));
 }
 
-/// Danger: a node that is gone keeps its vote for ever, and each further one takes a disk off the majority.
+/// Guards against missing nodes that stay voters, so that each further loss reduces the remaining majority.
 #[test]
 fn a_voter_that_is_gone_is_replaced_by_a_standby() {
     let policy = MembershipPolicy::new(1, 4000.0);
     let current = voters(&[(1, 11), (2, 12), (3, 13)]);
     let mut nodes = statuses(&[(1, 11, "a"), (2, 12, "b"), (3, 13, "a")]);
     assert_eq!(next_voters(&current, &nodes, &policy), None);
-    nodes.get_mut(&node(1)).unwrap().time_since_contact = policy.replace_after;
+    nodes.get_mut(&node(1)).unwrap().time_since_contact = policy.replace_timeout;
     assert_eq!(
         next_voters(&current, &nodes, &policy),
         None,
@@ -72,29 +72,29 @@
     nodes.extend(statuses(&[(4, 14, "a"), (5, 15, "c")]));
     let expected = voters(&[(5, 15), (2, 12), (3, 13)]);
     assert_eq!(next_voters(&current, &nodes, &policy), Some(expected));
-    nodes.get_mut(&node(1)).unwrap().time_since_contact = policy.replace_after - 1.0;
+    nodes.get_mut(&node(1)).unwrap().time_since_contact = policy.replace_timeout - 1.0;
     assert_eq!(
         next_voters(&current, &nodes, &policy),
         None,
-        "it may be back in a moment"
+        "the replacement timeout has not passed"
     );
     nodes.get_mut(&node(1)).unwrap().is_leaving = true;
     assert!(
         next_voters(&current, &nodes, &policy).is_some(),
-        "it is shutting down"
+        "a voter that is shutting down is replaced"
     );
     nodes.get_mut(&node(5)).unwrap().is_leaving = true;
     nodes.get_mut(&node(4)).unwrap().time_since_contact = 1200.0;
     assert_eq!(
         next_voters(&current, &nodes, &policy),
         None,
-        "a node that shuts down or is silent is no standby"
+        "a node that is shutting down or silent is not a standby"
     );
 }
 
-/// Danger: an empty disk answers for what it lost.
+/// Guards against an empty disk that counts as the voter whose state it lost.
 #[test]
-fn a_voter_with_another_disk_is_replaced_by_itself() {
+fn a_voter_with_a_new_disk_votes_with_that_disk() {
     let policy = MembershipPolicy::new(1, 4000.0);
     let current = voters(&[(1, 11), (2, 12), (3, 13)]);
     let nodes = statuses(&[(1, 21, "a"), (2, 12, "b"), (3, 13, "a"), (4, 14, "c")]);
@@ -102,7 +102,7 @@
     assert_eq!(next_voters(&current, &nodes, &policy), Some(expected));
 }
 
-/// Voters propose in turns, so that they seldom preempt each other; other nodes never do.
+/// Proposals are staggered so that voters rarely preempt each other; nodes without a vote do not propose.
 #[test]
 fn voters_propose_one_after_another() {
     let policy = MembershipPolicy::new(1, 4000.0);
@@ -131,34 +131,34 @@
     )
 }
 
-/// Whether what was acknowledged survives the loss of a disk, after a write that was begun in an epoch whose voters
-/// have changed meanwhile.
+/// Whether acknowledged writes survive the loss of a disk if the write was started in an epoch whose voters have
+/// changed before it completed.
 fn acknowledged_write_survives_membership_change(variant: Variant) -> bool {
     let mut cluster = Cluster::new(variant);
     let voters = cluster.voters();
     let is_standby = |node: &NodeId| !voters.contains(node);
     let standby = cluster.nodes().into_iter().find(is_standby).unwrap();
     let (proposer, slow, other) = (voters[0], voters[1], voters[2]);
-    // The proposer has its version prepared and accepts the text itself; its requests to the others are on their way.
+    // The proposer has completed phase 1 and accepts the text itself; its requests to the other voters are in flight.
     cluster.submit(proposer, config(8, 1));
     cluster.deliver_where(|e| e.to == proposer || !is_accept(e));
     let is_late = |e: &Envelope| e.to == slow && is_accept(e);
     let late = cluster.messages.iter().position(is_late).unwrap();
     let late = cluster.messages.remove(late);
     cluster.messages.clear();
-    // It shuts down, and its vote is taken over before any of these requests arrives.
+    // The proposer shuts down and is replaced as a voter before any of these requests arrives.
     cluster.leave(proposer);
     cluster.run_partition(&[slow, other, standby], 3);
     cluster.messages.clear();
     let epoch = cluster.epoch();
     assert!(!epoch.voters.contains_node(proposer), "{epoch:?}");
-    assert!(cluster.tolerates_a_loss(), "{epoch:?}");
-    // Only now its request arrives.
+    assert!(cluster.tolerates_disk_loss(), "{epoch:?}");
+    // The request arrives after the membership change.
     cluster.deliver(late);
     cluster.deliver_where(|e| e.from == slow && e.to == proposer);
     cluster.messages.clear();
     let acknowledged = cluster.acknowledged_version;
-    // It ends for good, and one disk is lost, as the requirements allow; what was acknowledged must be there.
+    // The proposer is removed and one disk is lost, which the requirements allow. Acknowledged writes must survive.
     cluster.cut_power(proposer);
     cluster.disks.remove(&proposer);
     cluster.cut_power(slow);
@@ -170,22 +170,22 @@
 }
 
 #[test]
-fn a_closed_epoch_acknowledges_nothing() {
+fn a_sealed_epoch_acknowledges_nothing() {
     assert!(acknowledged_write_survives_membership_change(
-        Variant::Sound
+        Variant::Correct
     ));
-    // Without the mechanism the same write is acknowledged by a voter of two epochs, and lost with its disk.
+    // Without sealing, a voter of both epochs acknowledges the same write, which is lost with its disk.
     assert!(!acknowledged_write_survives_membership_change(
         Variant::NoSeal
     ));
 }
 
-/// Whether a majority of which one lost its disk reports less than was acknowledged.
+/// Whether a majority that includes a voter with a lost disk misses an acknowledged write.
 fn empty_disk_hides_acknowledged_write(variant: Variant) -> bool {
     let mut cluster = Cluster::new(variant);
     let voters = cluster.voters();
     let (lost, other, late) = (voters[0], voters[1], voters[2]);
-    // Acknowledged by two, before the third hears of it.
+    // Two voters acknowledge the write before the third receives it.
     cluster.submit(lost, config(8, 1));
     cluster.deliver_where(|e| e.from != late && e.to != late);
     cluster.messages.clear();
@@ -193,12 +193,12 @@
     cluster.cut_power(lost);
     cluster.disks.insert(lost, None);
     cluster.start(lost);
-    // It comes back empty while the other one is unreachable.
+    // The wiped node restarts while the other voter that holds the write is unreachable.
     let epoch = cluster.up[&late].epoch().clone();
     let now = cluster.now;
     let replica = cluster.up.get_mut(&lost).unwrap();
     let effects = replica.observe_epoch(now, late, epoch);
-    cluster.carry_out(lost, effects);
+    cluster.perform_effects(lost, effects);
     cluster.run_partition(&[lost, late], 4);
     cluster.submit(late, Command::Read);
     cluster.run_partition(&[lost, late], 4);
@@ -207,9 +207,9 @@
     reader.committed_as_of().is_some() && reader.committed().config.version < 8
 }
 
-/// Danger: an empty disk answers for what it lost.
+/// Guards against an empty disk that counts as the voter whose state it lost.
 #[test]
 fn a_lost_disk_does_not_vote() {
-    assert!(!empty_disk_hides_acknowledged_write(Variant::Sound));
-    assert!(empty_disk_hides_acknowledged_write(Variant::SameAfterWipe));
+    assert!(!empty_disk_hides_acknowledged_write(Variant::Correct));
+    assert!(empty_disk_hides_acknowledged_write(Variant::KeepsDiskId));
 }
--- a/crates/aspendrum-consensus/tests/pinned/mod.rs
+++ b/crates/aspendrum-consensus/tests/pinned/mod.rs
@@ -1,8 +1,8 @@
-//! Values whose encoded bytes must stay as they are, compared with a fixture file of lines `name hex`.
+//! Compares encoded values, whose bytes must not change, with a fixture file of lines `name hex`.
 
 use std::fmt::{Debug, Write};
 
-/// The named byte strings of one fixture file.
+/// The named byte strings of a fixture file.
 pub(crate) struct Pinned {
     file: &'static str,
     expected: Vec<(String, Vec<u8>)>,
@@ -10,7 +10,7 @@
 }
 
 impl Pinned {
-    /// `file` names the fixture in failures; `content` is what it holds.
+    /// Parses a fixture. `file` is its name in failure messages, `content` its content.
     pub(crate) fn new(file: &'static str, content: &str) -> Pinned {
         let line = |line: &str| {
             let (name, hex) = line.split_once(' ').expect("each line is `name hex`");
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The next line of the fixture has that name and those bytes.
+    /// Asserts that the next line of the fixture has this name and these bytes.
     pub(crate) fn same_bytes(&mut self, name: &str, encoded: &[u8]) {
         let (expected_name, expected) = self
             .expected
@@ -39,7 +39,7 @@
         );
     }
 
-    /// The next line of the fixture is what this value is encoded as, and is decoded as this value.
+    /// Asserts that the value is encoded as the next line of the fixture, and that the line is decoded as the value.
     pub(crate) fn same<T>(&mut self, name: &str, value: &T)
     where
         T: serde::Serialize + serde::de::DeserializeOwned + Debug,
@@ -55,7 +55,7 @@
         );
     }
 
-    /// Every line of the fixture was compared.
+    /// Asserts that every line of the fixture was compared.
     pub(crate) fn complete(self) {
         assert_eq!(
             self.next,
--- a/crates/aspendrum-consensus/tests/schedules.rs
+++ b/crates/aspendrum-consensus/tests/schedules.rs
@@ -1,6 +1,6 @@
-//! Replicas under schedules drawn by quickcheck. What was acknowledged is never lost, each version has one text, and
-//! what was acknowledged is not refused later, whichever nodes fail, lose their disks, are replaced for good or shut
-//! down, between whichever two steps. The same schedules find each variant that lacks one of the mechanisms.
+//! Runs replicas under random schedules. Acknowledged commands are never lost, each version has a single text, and
+//! acknowledged commands are not rejected later, while nodes crash, lose their disks, are permanently replaced or shut
+//! down between any two steps. The same schedules detect faulty variants of the protocol.
 
 mod common;
 
@@ -9,25 +9,26 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[test]
-fn what_was_acknowledged_is_never_lost() {
-    let holds: fn(Vec<Step>) -> bool = |steps| run(Variant::Sound, &steps);
+fn acknowledged_commands_are_never_lost() {
+    let holds: fn(Vec<Step>) -> bool = |steps| run(Variant::Correct, &steps);
     QuickCheck::new().rng(generator(140)).quickcheck(holds);
 }
 
-/// Whether the schedules find a fault. `seed`: one whose schedules find it soon; most find it within a thousand.
+/// Whether random schedules detect a fault. `seed` is one that detects it early; most seeds need up to a thousand
+/// schedules.
 fn find_fault(variant: Variant, seed: u64) -> bool {
     let mut g = Gen::from_size_and_seed(160, seed);
     (0..2000).any(|_| !run(variant, &Vec::<Step>::arbitrary(&mut g)))
 }
 
-/// If the schedules did not find this, they would prove nothing.
+/// Verifies that the schedules can detect a node that sends messages before it has synced its state.
 #[test]
-fn a_node_that_speaks_before_its_sync_is_found() {
-    assert!(find_fault(Variant::LateSync, 4));
+fn schedules_detect_messages_before_the_sync() {
+    assert!(find_fault(Variant::DelayedSync, 4));
 }
 
-/// Danger: a majority of the new voters holds nothing of what the former ones acknowledged.
+/// Guards against a majority of new voters that lacks the state acknowledged by the previous voters.
 #[test]
-fn a_voter_that_answers_before_the_state_transfer_is_found() {
-    assert!(find_fault(Variant::EagerJoin, 1));
+fn schedules_detect_answers_before_the_state_transfer() {
+    assert!(find_fault(Variant::JoinsBeforeTransfer, 1));
 }
--- a/crates/aspendrum-consensus/tests/versions.rs
+++ b/crates/aspendrum-consensus/tests/versions.rs
@@ -1,4 +1,4 @@
-//! One text for each version: operators that race, commands that are retried, majorities that are unavailable.
+//! Each version has a single text: concurrent commands, retried commands and unavailable majorities.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use common::{config, node, Cluster, Variant, SEEDS};
 use std::collections::BTreeSet;
 
-/// Two texts for one version are submitted at two nodes at once, with 64 orders of their messages. Returns how often
-/// both were acknowledged.
+/// Submits two texts for one version to two nodes concurrently, in 64 random message orders. Returns in how many of
+/// them both were acknowledged.
 fn count_double_acknowledgements(variant: Variant) -> usize {
     (0..64)
         .filter(|seed| both_are_acknowledged(variant, *seed))
@@ -34,26 +34,26 @@
         .values()
         .any(|digests| digests.len() > 1);
     let acknowledged: usize = cluster.acknowledged.values().map(BTreeSet::len).sum();
-    let ended = acknowledged + cluster.refused.len();
+    let ended = acknowledged + cluster.rejected.len();
     assert!(
         both || ended == 2,
-        "seed {seed}: one is acknowledged and the other is refused"
+        "seed {seed}: one is acknowledged and the other is rejected"
     );
-    assert!(both || cluster.each_version_has_one_text(), "seed {seed}");
+    assert!(both || cluster.has_one_text_per_version(), "seed {seed}");
     both
 }
 
-/// Danger: two operators are both told that their text is in force under one version.
+/// Guards against acknowledging two different texts for one version.
 #[test]
-fn of_two_texts_for_one_version_one_is_acknowledged() {
-    assert_eq!(count_double_acknowledgements(Variant::Sound), 0);
-    let faults = count_double_acknowledgements(Variant::DeafProposer);
-    assert!(faults > 0, "these orders of messages would show the fault");
+fn only_one_of_two_texts_for_a_version_is_acknowledged() {
+    assert_eq!(count_double_acknowledgements(Variant::Correct), 0);
+    let faults = count_double_acknowledgements(Variant::IgnoresAccepted);
+    assert!(faults > 0, "the message orders do not reveal the fault");
 }
 
 #[test]
 fn a_node_without_a_majority_acknowledges_nothing() {
-    let mut cluster = Cluster::new(Variant::Sound);
+    let mut cluster = Cluster::new(Variant::Correct);
     cluster.submit(node(1), config(2, 1));
     cluster.messages.clear();
     cluster.now += 2000.0;
@@ -72,30 +72,30 @@
     assert_eq!(cluster.acknowledged_version, 0);
 }
 
-/// Two operators set one version: one text is in force, the same everywhere.
+/// If two operators set the same version, all nodes apply the same text.
 #[test]
-fn of_two_texts_for_one_version_all_nodes_hold_the_same() {
-    let mut cluster = Cluster::new(Variant::Sound);
+fn all_nodes_hold_the_same_text_of_a_version() {
+    let mut cluster = Cluster::new(Variant::Correct);
     cluster.submit(node(1), config(8, 1));
     cluster.submit(node(3), config(8, 2));
-    cluster.calm();
+    cluster.stabilize();
     let text = |node| &cluster.up[node].state().replicated.config.compressed_text;
     let texts: Vec<_> = SEEDS.iter().map(text).collect();
     assert!(texts.windows(2).all(|pair| pair[0] == pair[1]), "{texts:?}");
 }
 
 #[test]
-fn the_last_command_about_an_evacuation_counts_whichever_node_takes_it() {
-    let mut cluster = Cluster::new(Variant::Sound);
+fn the_last_evacuation_command_wins_regardless_of_the_node() {
+    let mut cluster = Cluster::new(Variant::Correct);
     for (number, is_evacuated) in [(1, true), (4, false), (3, true), (2, true)] {
         let zone = "z".into();
         cluster.submit(node(number), Command::SetEvacuation { zone, is_evacuated });
-        cluster.calm();
+        cluster.stabilize();
     }
     for node in cluster.nodes() {
         cluster.submit(node, Command::Read);
     }
-    cluster.calm();
+    cluster.stabilize();
     for node in cluster.nodes() {
         let evacuated = cluster.up[&node].committed().evacuated_zones();
         assert_eq!(evacuated.revision, 3, "{node}");
@@ -103,10 +103,11 @@
     }
 }
 
-/// Danger: a voter that heard of a decision whose text it lacks reports that nothing is open, and with a wiped one
-/// beside it a read misses what was acknowledged. The schedules found it in some thousand tries.
+/// Guards against a voter that knows a decision without its text and reports no undecided version: together with a
+/// wiped voter, a read then misses the acknowledged version. Random schedules reach this state only after several
+/// thousand runs, so the schedule is pinned here.
 #[test]
-fn a_decision_without_its_text_hides_nothing() {
+fn a_decision_without_its_text_is_not_hidden_from_reads() {
     let until_kill = [
         Step::Race(44, 232),
         Step::Race(111, 177),
@@ -129,5 +130,5 @@
     let deliveries = [100, 255, 221, 176, 91, 163, 242].map(Step::Deliver);
     let steps = until_kill.into_iter().chain(until_start).chain(deliveries);
     let steps: Vec<Step> = steps.chain([Step::Wipe(72)]).collect();
-    assert!(run(Variant::Sound, &steps));
+    assert!(run(Variant::Correct, &steps));
 }
--- a/crates/aspendrum-consensus/tests/wire_bytes.rs
+++ b/crates/aspendrum-consensus/tests/wire_bytes.rs
@@ -1,6 +1,6 @@
-//! The encoding of everything that replicas send each other or keep on disk. Nodes of two versions run side by side
-//! during an update, and disks outlive it: these bytes must never change. Postcard writes enum variants by their
-//! position and fields in their order, so renaming is safe; reordering, splitting, merging and changing a type are not.
+//! Pins the encoding of all messages between replicas and of the state on disk. Nodes of different versions run side by
+//! side during an upgrade and read disks of earlier versions, so these bytes must not change. Postcard encodes enum
+//! variants and fields by position: renaming is safe; reordering, splitting, merging and type changes are not.
 
 mod pinned;
 
@@ -10,7 +10,7 @@
     Message, ReadReply, Reply, Request, SealReply, SuccessorAnswer,
 };
 use aspendrum_consensus::replicated_state::{DecidedConfig, Evacuation, ReplicatedState};
-use aspendrum_consensus::versions::{ConfigText, OpenVersion, VersionAnswer, VersionTable};
+use aspendrum_consensus::versions::{ConfigText, UndecidedVersion, VersionAnswer, VersionTable};
 use aspendrum_consensus::{DurableState, Epoch, NodeId, Voters};
 use pinned::Pinned;
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// An undecided version with an accepted text, one with a promise alone, and a decided one.
+/// Returns a table with an undecided version with an accepted text, one with only a promise, and a decided one.
 fn versions() -> VersionTable {
     let mut versions = VersionTable::default();
     versions.accept(9, ballot(), text(), 7);
@@ -157,22 +157,22 @@
             request_id: 3,
             digest: 4,
             state: None,
-            open: None,
+            undecided: None,
         })),
     );
-    let open = OpenVersion {
+    let undecided = UndecidedVersion {
         version: 9,
         ballot: ballot(),
         text: text(),
     };
-    let (state, open) = (Some(Box::new(replicated())), Some(Box::new(open)));
+    let (state, undecided) = (Some(Box::new(replicated())), Some(Box::new(undecided)));
     pinned.same(
         "reply.read.other",
         &reply(Reply::Read(ReadReply {
             request_id: 3,
             digest: 4,
             state,
-            open,
+            undecided,
         })),
     );
     pinned.same("reply.written", &reply(Reply::Written { request_id: 2 }));
@@ -281,15 +281,15 @@
     pinned.complete();
 }
 
-/// The last field of the versions' table: nothing is remembered of versions up to it.
+/// The last field of the version table is the highest version that was dropped.
 #[test]
-fn the_oldest_remembered_version_keeps_its_position() {
+fn the_highest_dropped_version_keeps_its_position() {
     let versions: VersionTable = postcard::from_bytes(&[0, 7]).unwrap();
     assert!(versions.is_empty() && versions.is_compacted(7) && !versions.is_compacted(8));
     assert_eq!(postcard::to_allocvec(&versions).unwrap(), [0, 7]);
 }
 
-/// What a digest is taken of goes over the wire too: replicas of two versions that hold the same must agree on it.
+/// Replicas of different versions exchange digests, so they must compute the same digest for the same state.
 #[test]
 fn digests_of_the_replicated_state_stay_the_same() {
     let mut pinned = Pinned::new("digests.hex", include_str!("fixtures/digests.hex"));
