--- a/crates/aspendrum-reconcile/examples/overnight/main.rs
+++ b/crates/aspendrum-reconcile/examples/overnight/main.rs
@@ -1,4 +1,4 @@
-//! `overnight SEEDS [HOURS] [CHANGES] [NODES]` simulates that many nights and prints what they amounted to.
+//! `overnight SEEDS [HOURS] [CHANGES] [NODES]` simulates one night per seed and prints the combined metrics.
 
 mod simulation;
 
@@ -10,11 +10,11 @@
 const DEFAULT_CHANGES: f64 = 300.0;
 const DEFAULT_NODES: f64 = 70.0;
 
-/// What the nights of one thread, or of all, amounted to.
+/// The combined results of several nights.
 #[derive(Default)]
 struct Totals {
     metrics: Metrics,
-    /// How long it took after the last fault until all nodes agreed, for each night in which they did.
+    /// The time from the last fault until all nodes agreed, for each night in which they converged.
     convergence_times: Vec<f64>,
     never_converged: u32,
 }
@@ -53,7 +53,7 @@
     format!("{median:.0} (median), {percentile_99:.0} (99th percentile), {max:.0} ms (maximum)")
 }
 
-/// What is simulated.
+/// The command line options.
 #[derive(Clone, Copy)]
 struct Options {
     seeds: u64,
@@ -77,11 +77,11 @@
         }
     }
 
-    /// Simulates the nights of one of so many threads.
+    /// Simulates the share of the nights that belongs to `thread` out of `threads`.
     fn simulate(&self, thread: u64, threads: u64) -> Totals {
         let mut totals = Totals::default();
         for seed in (1..=self.seeds).filter(|seed| seed % threads == thread) {
-            let mut simulation = Simulation::new(self.nodes, seed, Variant::Sound);
+            let mut simulation = Simulation::new(self.nodes, seed, Variant::Correct);
             let converged_after = simulation.run(self.hours, self.changes);
             totals.add_night(converged_after, simulation.metrics);
         }
--- a/crates/aspendrum-reconcile/examples/overnight/simulation/faults.rs
+++ b/crates/aspendrum-reconcile/examples/overnight/simulation/faults.rs
@@ -3,12 +3,12 @@
 use aspendrum_reconcile::Millis;
 use fastrand::Rng;
 
-/// How many kinds of faults [`FaultKind::draw`] chooses from.
-const KINDS: usize = 8;
-/// A fault lasts between this and a thousand times as long, evenly on a logarithmic scale.
-const SHORTEST_FAULT: Millis = 1000.0;
-/// Control loses its majority for this long at most.
-const LONGEST_CONTROL_OUTAGE: Millis = 60_000.0;
+/// The number of fault kinds that [`FaultKind::random`] selects from.
+const FAULT_KINDS: usize = 8;
+/// The minimum duration of a fault. Durations are log-uniform between this value and a thousand times as much.
+const MIN_FAULT_DURATION: Millis = 1000.0;
+/// The maximum duration of the loss of the control majority.
+const MAX_CONTROL_OUTAGE: Millis = 60_000.0;
 
 #[derive(Clone, Copy)]
 pub(crate) enum FaultKind {
@@ -16,23 +16,23 @@
     ControlLink,
     /// The agent can reach neither control nor other agents.
     AllLinks,
-    /// All processes of the machine stand still.
+    /// All processes of the machine are suspended.
     Frozen,
     /// The agent's process is down.
     AgentDown,
-    /// Configurations are lost on the way to the agent, heartbeats are not.
+    /// Configuration updates to the agent are lost, but heartbeats are not.
     UpdatesToAgent,
-    /// Configurations are lost on the way to the proxy, heartbeats are not.
+    /// Configuration updates to the proxy are lost, but heartbeats are not.
     UpdatesToProxy,
     /// The proxy's tables change without an update.
     CorruptTables,
-    /// Control has no majority; nothing is decided meanwhile.
+    /// Control has no majority, so nothing is decided.
     ControlMajority,
 }
 
 impl FaultKind {
-    pub(crate) fn draw(rng: &mut Rng) -> FaultKind {
-        match rng.usize(0..KINDS) {
+    pub(crate) fn random(rng: &mut Rng) -> FaultKind {
+        match rng.usize(0..FAULT_KINDS) {
             0 => FaultKind::ControlLink,
             1 => FaultKind::AllLinks,
             2 => FaultKind::Frozen,
@@ -45,20 +45,20 @@
     }
 }
 
-pub(crate) fn draw_duration(rng: &mut Rng) -> Millis {
-    SHORTEST_FAULT * 10f64.powf(3.0 * rng.f64())
+pub(crate) fn random_duration(rng: &mut Rng) -> Millis {
+    MIN_FAULT_DURATION * 10f64.powf(3.0 * rng.f64())
 }
 
-pub(crate) fn draw_control_outage(rng: &mut Rng) -> Millis {
-    LONGEST_CONTROL_OUTAGE * rng.f64()
+pub(crate) fn random_control_outage(rng: &mut Rng) -> Millis {
+    MAX_CONTROL_OUTAGE * rng.f64()
 }
 
-/// How many nodes a fault strikes at once.
-pub(crate) fn draw_affected_nodes(rng: &mut Rng, nodes: usize) -> usize {
+/// Returns the number of nodes that a fault affects.
+pub(crate) fn random_affected_nodes(rng: &mut Rng, nodes: usize) -> usize {
     [1, 1, 1, 2, 5, nodes / 3][rng.usize(0..6)]
 }
 
-/// When each fault of one node ends; it is over before that fault began.
+/// The end time of each fault of a node. A time in the past means that the fault is inactive.
 #[derive(Clone, Default)]
 pub(crate) struct NodeFaults {
     pub(crate) control_link_until: Millis,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether the agent exchanges datagrams with other agents.
+    /// Whether the agent can exchange datagrams with other agents.
     pub(crate) fn agent_reachable(&self, now: Millis) -> bool {
         now >= self.all_links_until && now >= self.frozen_until && now >= self.agent_down_until
     }
--- a/crates/aspendrum-reconcile/examples/overnight/simulation/mod.rs
+++ b/crates/aspendrum-reconcile/examples/overnight/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! Simulated nights of a fleet: agents, proxies and control's decisions on a simulated clock, with a fault every minute and
-//! nobody on call.
+//! Simulated nights of a fleet: agents, proxies and decisions of control on a simulated clock, with one fault per
+//! minute and no operator intervention.
 //!
-//! At no step may a request that is not idempotent take a route that was replaced longer ago than the limits allow. Once
-//! the faults are over, all nodes must apply what was decided within a stated time.
+//! At no step may a non-idempotent request take a route that was replaced longer ago than the limits allow. After the
+//! last fault, all nodes must apply the decided state within [`CONVERGENCE_LIMIT`].
 
 mod faults;
 mod node;
@@ -18,44 +18,45 @@
 /// The platform's `apply-ms` and `stretch-ms`.
 pub(crate) const APPLY_LIMIT: Millis = 3000.0;
 pub(crate) const STRETCH_LIMIT: Millis = 8000.0;
-/// How often a proxy computes the digest of its tables again.
+/// The interval at which a proxy recomputes the digest of its tables.
 pub(crate) const TABLE_DIGEST_INTERVAL: Millis = 2000.0;
-/// All nodes agree so long after the last fault.
+/// The maximum time from the last fault until all nodes agree.
 pub(crate) const CONVERGENCE_LIMIT: Millis = 20_000.0;
 
-/// Time advances in heartbeats; a message between two processes takes one step.
+/// The duration of a simulation step. A message between two processes takes one step.
 const HEARTBEAT: Millis = 300.0;
-/// The age of a majority report when an agent receives it, at most.
+/// The maximum age of a majority report when an agent receives it.
 const MAX_REPORT_AGE: Millis = 900.0;
-/// An agent whose last report is older is isolated.
-const ISOLATED_AFTER: Millis = 1300.0;
+/// The age of its last report from which an agent is isolated.
+const ISOLATION_TIMEOUT: Millis = 1300.0;
 const FAULT_INTERVAL: Millis = 60_000.0;
-/// A node that is out of sync for less counts in no metric: an update is on its way.
-const BRIEFLY_OUT_OF_SYNC: Millis = 1000.0;
+/// The minimum duration of out-of-sync periods in the metrics. Shorter ones are caused by updates in flight.
+const MIN_OUT_OF_SYNC: Millis = 1000.0;
 const FIRST_IP: u32 = 0x0a00_0001;
 
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Variant {
-    /// As the system is built.
-    Sound,
-    /// A broken variant: takes the last update for what was decided as long as nothing contradicts it.
+    /// The system as implemented.
+    Correct,
+    /// A faulty variant, which treats the last update as the decided state and ignores missing reports.
     TrustsUpdates,
 }
 
-/// What the nights of a simulation amounted to.
+/// The results of a simulation.
 #[derive(Default)]
 pub(crate) struct Metrics {
-    /// Non-idempotent requests.
+    /// The number of non-idempotent requests.
     pub(crate) requests: u64,
-    /// Those of them that were rejected because their node might be out of sync.
+    /// The number of requests that were rejected because their node was possibly out of sync.
     pub(crate) rejected: u64,
-    /// Those that took a route that was replaced longer ago than the limits allow, or that was never decided.
+    /// The number of requests that took a route that was replaced longer ago than the limits allow, or that was never
+    /// decided.
     pub(crate) violations: u64,
-    /// The longest time after which a request still took a replaced route.
+    /// The maximum age of the replacement of a route that a request still took.
     pub(crate) max_staleness: Millis,
-    /// For each node out of sync: until it rejected non-idempotent requests.
+    /// For each out-of-sync period, the time until the node rejected non-idempotent requests.
     pub(crate) detection_times: Vec<Millis>,
-    /// For each node out of sync: from the end of its fault until it was current again.
+    /// For each out-of-sync period, the time from the end of its fault until the node was current again.
     pub(crate) recovery_times: Vec<Millis>,
 }
 
@@ -83,7 +84,7 @@
     (u32::from(ip) - FIRST_IP) as usize
 }
 
-/// The digest of a version of the configuration.
+/// Returns the digest of a configuration version.
 fn digest_of(version: u32) -> StateDigest {
     let revision = Revision {
         config: version,
@@ -123,8 +124,9 @@
         }
     }
 
-    /// Simulates a night of `hours` with about `changes` decisions and a fault a minute, then time without faults until
-    /// all nodes agree. Returns how long that took, or nothing if it took longer than [`CONVERGENCE_LIMIT`].
+    /// Simulates a night of `hours` with about `changes` decisions and one fault per minute, and then a period without
+    /// faults until all nodes agree. Returns the duration of that period, or `None` if it exceeds
+    /// [`CONVERGENCE_LIMIT`].
     pub(crate) fn run(&mut self, hours: f64, changes: u32) -> Option<Millis> {
         let end = hours * 3_600_000.0;
         let mean_interval = end / f64::from(changes);
@@ -154,11 +156,11 @@
     }
 
     fn inject_fault(&mut self) {
-        let until = self.now + faults::draw_duration(&mut self.rng);
-        let affected = faults::draw_affected_nodes(&mut self.rng, self.nodes.len());
-        let kind = FaultKind::draw(&mut self.rng);
+        let until = self.now + faults::random_duration(&mut self.rng);
+        let affected = faults::random_affected_nodes(&mut self.rng, self.nodes.len());
+        let kind = FaultKind::random(&mut self.rng);
         if matches!(kind, FaultKind::ControlMajority) {
-            self.control_down_until = self.now + faults::draw_control_outage(&mut self.rng);
+            self.control_down_until = self.now + faults::random_control_outage(&mut self.rng);
             return;
         }
         for _ in 0..affected {
@@ -215,25 +217,25 @@
         }
     }
 
-    /// The agent hears from control, or gossips with its neighbours.
+    /// Runs one step of an agent: it receives updates and reports from control, and gossips with its neighbours.
     fn run_agent(&mut self, index: usize) {
         let now = self.now;
-        self.hear_control(index);
+        self.receive_from_control(index);
         let node = &mut self.nodes[index];
         let is_isolated = node
             .confirmed_as_of
-            .is_none_or(|as_of| now - as_of > ISOLATED_AFTER);
+            .is_none_or(|as_of| now - as_of > ISOLATION_TIMEOUT);
         for action in node.gossip.tick(now, is_isolated) {
             if let GossipAction::Send { to, message } = action {
                 self.exchange(index, node_at(to), message);
             }
         }
         if is_isolated && now >= self.nodes[index].faults.all_links_until {
-            self.learn_agents(index);
+            self.add_random_agents(index);
         }
     }
 
-    fn hear_control(&mut self, index: usize) {
+    fn receive_from_control(&mut self, index: usize) {
         let now = self.now;
         let trusts_updates = self.variant == Variant::TrustsUpdates;
         let node = &mut self.nodes[index];
@@ -247,7 +249,7 @@
         }
         if trusts_updates || node.held.revision == self.decided.revision {
             let as_of = now - MAX_REPORT_AGE * self.rng.f64();
-            // A report covers nothing that was decided after its time.
+            // A report does not cover decisions after its time.
             let is_covered = self
                 .history
                 .last()
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Sends a datagram to another agent, and its reply back.
+    /// Delivers a datagram to another agent, and the reply to the sender.
     fn exchange(&mut self, from: usize, to: usize, message: GossipMessage) {
         let now = self.now;
         if !self.nodes[from].faults.agent_reachable(now)
@@ -269,7 +271,7 @@
         let peer = &mut self.nodes[to];
         let confirmed = peer
             .confirmed_as_of
-            .filter(|as_of| now - as_of <= ISOLATED_AFTER);
+            .filter(|as_of| now - as_of <= ISOLATION_TIMEOUT);
         for action in peer
             .gossip
             .handle(now, ip(from), message, &peer.held, confirmed)
@@ -280,8 +282,8 @@
         }
     }
 
-    /// Control's list names some agents.
-    fn learn_agents(&mut self, index: usize) {
+    /// Adds random agents to the view of a node, as from control's list.
+    fn add_random_agents(&mut self, index: usize) {
         let drawn: Vec<Ipv4Addr> = (0..4)
             .map(|_| ip(self.rng.usize(0..self.nodes.len())))
             .collect();
@@ -309,7 +311,7 @@
                 out_of_sync.rejecting_since = rejecting_since.or((!accepts).then_some(now));
             }
             Some(out_of_sync) if accepts => {
-                if now - out_of_sync.since > BRIEFLY_OUT_OF_SYNC {
+                if now - out_of_sync.since > MIN_OUT_OF_SYNC {
                     let detection = out_of_sync.rejecting_since.map(|at| at - out_of_sync.since);
                     self.metrics.detection_times.extend(detection);
                     let causes = [self.control_down_until, out_of_sync.since];
@@ -329,7 +331,7 @@
         }
     }
 
-    /// A request that is not idempotent arrives at the node.
+    /// Sends a non-idempotent request to a node, and records the result.
     fn send_request(&mut self, index: usize) {
         let (now, node) = (self.now, &self.nodes[index]);
         self.metrics.requests += 1;
@@ -347,10 +349,10 @@
         } else {
             APPLY_LIMIT
         };
-        let detected_within = TABLE_DIGEST_INTERVAL + 2.0 * HEARTBEAT;
+        let detection_limit = TABLE_DIGEST_INTERVAL + 2.0 * HEARTBEAT;
         let is_corrupt = node
             .corrupt_since
-            .is_some_and(|since| now - since > detected_within);
+            .is_some_and(|since| now - since > detection_limit);
         self.metrics.max_staleness = self.metrics.max_staleness.max(staleness);
         self.metrics.violations += u64::from(staleness > limit || is_corrupt);
     }
--- a/crates/aspendrum-reconcile/examples/overnight/simulation/node.rs
+++ b/crates/aspendrum-reconcile/examples/overnight/simulation/node.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: its agent and its proxy.
+//! A simulated machine with an agent and a proxy.
 
 use super::faults::NodeFaults;
 use super::{digest_of, Variant, APPLY_LIMIT, STRETCH_LIMIT, TABLE_DIGEST_INTERVAL};
@@ -9,16 +9,16 @@
 };
 use std::net::Ipv4Addr;
 
-/// The digest that a proxy computed of its tables last.
+/// The last digest that a proxy computed of its tables.
 pub(crate) struct TableDigest {
     pub(crate) computed_at: Millis,
     pub(crate) digest: StateDigest,
 }
 
-/// A time during which a node has not applied what is decided.
+/// A period during which a node has not applied the decided state.
 pub(crate) struct OutOfSync {
     pub(crate) since: Millis,
-    /// When the node first rejected non-idempotent requests for it.
+    /// When the node first rejected non-idempotent requests in this period.
     pub(crate) rejecting_since: Option<Millis>,
 }
 
@@ -27,9 +27,9 @@
     repair: Repair,
     /// The state that the agent holds.
     pub(crate) held: StateDigest,
-    /// When a majority held nothing newer, as far as the agent knows.
+    /// The latest time at which a majority is known to have held no newer state.
     pub(crate) confirmed_as_of: Option<Millis>,
-    /// What the proxy's tables amount to.
+    /// The digest of the proxy's current tables.
     pub(crate) tables: StateDigest,
     table_digest: TableDigest,
     pub(crate) corrupt_since: Option<Millis>,
@@ -63,12 +63,13 @@
         self.confirmed_as_of = Some(self.confirmed_as_of.map_or(as_of, |known| known.max(as_of)));
     }
 
-    /// The agent updates and repairs the proxy, which computes its digest and assesses itself.
+    /// Runs one step of the proxy: the agent updates and repairs it, and the proxy computes its digest and its
+    /// assessment.
     pub(crate) fn update_proxy(&mut self, now: Millis, variant: Variant) {
         if now >= self.faults.agent_down_until {
             self.update_from_agent(now, variant);
         } else if now - self.table_digest.computed_at >= TABLE_DIGEST_INTERVAL {
-            // Without its agent the proxy keeps its last assessment, but compares its tables with what it was sent.
+            // Without its agent, the proxy keeps its last assessment but compares its tables with the received updates.
             self.compute_digest(now);
             if self.table_digest.digest != digest_of(self.tables.revision.config) {
                 self.assessment.status = SyncStatus::Diverged;
@@ -81,7 +82,7 @@
     fn update_from_agent(&mut self, now: Millis, variant: Variant) {
         let validity = ReportValidity::from_limits(APPLY_LIMIT, STRETCH_LIMIT);
         let updates_arrive = now >= self.faults.updates_to_proxy_until;
-        // An update is sent once; later differences are found by their digest and repaired.
+        // An update is sent once. Later differences are detected by their digest and repaired.
         if updates_arrive && self.held.revision != self.tables.revision {
             self.apply_held(now);
         }
@@ -106,7 +107,7 @@
         });
         let applied = &self.table_digest.digest;
         self.assessment = match variant {
-            Variant::Sound => {
+            Variant::Correct => {
                 SyncAssessment::new(applied, report.as_ref(), most_isolated, &validity)
             }
             Variant::TrustsUpdates => SyncAssessment {
--- a/crates/aspendrum-reconcile/src/lib.rs
+++ b/crates/aspendrum-reconcile/src/lib.rs
@@ -1,13 +1,14 @@
-//! Compares the state that a node has applied with the state that was decided, and repairs a node that diverged.
+//! Compares the applied state of a node with the decided state, and repairs diverged nodes.
 //!
-//! - [`mod@state_digest`] hashes what a node has in force, section by section, out of its own tables and not out of what
-//!   was sent to it.
-//! - [`majority_report`] is what control's majority last confirmed, and for how long that counts.
-//! - [`sync_status`] compares both, and tells whether a node may still run requests that are not idempotent.
-//! - [`repair`] chooses the next step for a node whose digests stay different.
-//! - [`update_stream`] paces the updates on one connection by what its receiver has applied.
+//! - [`mod@state_digest`] computes a digest of each section of a node's applied state, from the node's own tables
+//!   rather than from the received updates.
+//! - [`majority_report`] contains the last confirmation of the decided state by a majority of control, and its
+//!   validity.
+//! - [`sync_status`] compares both, and determines whether a node may run non-idempotent requests.
+//! - [`repair`] selects the next repair step for a node whose digests remain different.
+//! - [`update_stream`] implements flow control for the updates on one connection.
 //!
-//! The crate does no I/O and reads no clock: callers pass the time in.
+//! The crate does no I/O and reads no clock: callers pass in the time.
 
 pub mod majority_report;
 pub mod repair;
--- a/crates/aspendrum-reconcile/src/majority_report.rs
+++ b/crates/aspendrum-reconcile/src/majority_report.rs
@@ -1,33 +1,33 @@
-//! What a majority of control confirmed, and for how long a node may rely on it.
+//! Confirmations of the decided state by a majority of control, and their validity.
 
 use aspendrum_model::message::StateDigest;
 use aspendrum_model::time::Millis;
 
-/// A report that a majority of control's disks held nothing newer than `decided` at the time `as_of`.
+/// Reports that a majority of control's disks held no state newer than `decided` at the time `as_of`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MajorityReport {
-    /// The newest state that was decided.
+    /// The newest decided state.
     pub decided: StateDigest,
-    /// When the majority held nothing newer, on the clock of the node that keeps the report.
+    /// The time of the confirmation, on the clock of the node that holds the report.
     pub as_of: Millis,
 }
 
-/// How long a [`MajorityReport`] is valid, counted from its `as_of`.
+/// The validity period of a [`MajorityReport`], starting at its `as_of`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportValidity {
-    /// The platform's `apply-ms` less a margin: a decision is acknowledged after the time of any report that
-    /// does not contain it.
+    /// The platform's `apply-ms` minus a margin. A decision is acknowledged after the `as_of` of every report that does
+    /// not contain it, so a report expires before the time limit for applying that decision.
     pub normal: Millis,
-    /// The same while half of the agents or more have no valid report either. A majority of control is then out of
-    /// reach for most of the fleet, and the platform allows `stretch-ms` more.
+    /// The validity while at least half of the agents have no valid report. A majority of control is then unreachable
+    /// for most of the fleet, and the platform allows an additional `stretch-ms`.
     pub extended: Millis,
 }
 
-/// What clock drift and threads that wake late may take of the allowed time.
+/// The margin for clock drift and delayed thread wake-ups.
 const TIMING_MARGIN: Millis = 250.0;
 
 impl ReportValidity {
-    /// The validity that follows from the platform's `apply-ms` and `stretch-ms`.
+    /// Derives the validity from the platform's `apply-ms` and `stretch-ms`.
     pub fn from_limits(apply_ms: Millis, stretch_ms: Millis) -> ReportValidity {
         let normal = (apply_ms - TIMING_MARGIN).max(0.0);
         ReportValidity {
--- a/crates/aspendrum-reconcile/src/repair.rs
+++ b/crates/aspendrum-reconcile/src/repair.rs
@@ -1,51 +1,53 @@
-//! Automatic repair of a node whose applied state stays different from what was decided.
+//! Automatic repair of a node whose applied state remains different from the decided state.
 //!
-//! The steps grow in strength: the sections that differ are sent again, then everything, then the node discards its
-//! tables and is filled from nothing. The first steps follow each other quickly, later ones with exponential backoff,
-//! and a node that no step repairs raises one alert.
+//! The repair escalates: first the differing sections are resent, then a full snapshot, and then the node discards its
+//! tables before it receives a snapshot. The first steps follow at short intervals, later ones with exponential
+//! backoff. If no step succeeds, one alert is raised.
 
 use crate::state_digest::Section;
 use crate::sync_status::SyncStatus;
 use aspendrum_model::time::Millis;
 
-/// What is to be done about a node now.
+/// A step of the repair of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RepairStep {
-    /// Send these sections again.
+    /// Resend these sections.
     ResendSections(Vec<Section>),
-    /// Send all that is decided.
+    /// Send a snapshot of the decided state.
     SendSnapshot,
-    /// Have the node discard what it applied, then send a snapshot.
+    /// Make the node discard its applied state, then send a snapshot.
     Resync,
-    /// No step helped: alert the operators, once. The steps begin again.
+    /// Alert the operators, once per repair: no step has succeeded. All later steps are [`RepairStep::Resync`].
     Alert,
 }
 
-/// How long the effect of a step is waited for. An update that is on its way makes a node look behind for a moment, and
-/// the effect of a step shows in the node's next heartbeats.
+/// The time to wait before the first step and for the effect of a step. An update in flight makes a node appear behind
+/// briefly, and the effect of a step is visible only in the next heartbeats of the node.
 const STEP_INTERVAL: Millis = 600.0;
-/// Steps that follow each other after one interval; from then on the interval doubles with each step.
+/// The number of previous steps up to which a step is followed by a single [`STEP_INTERVAL`]. With each further step
+/// the interval doubles.
 const STEPS_BEFORE_BACKOFF: u32 = 2;
-/// The longest interval is 2 to this power of [`STEP_INTERVAL`].
+/// The maximum number of times that the interval is doubled.
 const MAX_DOUBLINGS: u32 = 4;
-/// Every so many steps the node's tables are rebuilt.
+/// Each step whose number is a multiple of this value is a [`RepairStep::Resync`], as are all steps after the alert.
 const STEPS_PER_RESYNC: u32 = 3;
 
-/// The progress of one node's repair.
+/// The state of the repair of one node.
 #[derive(Clone, Debug, Default)]
 pub struct Repair {
     out_of_sync_since: Option<Millis>,
     next_step_at: Millis,
     steps_taken: u32,
-    alerted: bool,
-    /// When the last repair was complete.
+    has_alerted: bool,
+    /// When the last repair was completed: the time at which the node was current or isolated after at least one step.
     pub last_completed: Option<Millis>,
-    /// How many repairs were completed.
+    /// The number of completed repairs.
     pub completed: u32,
 }
 
 impl Repair {
-    /// Considers the node's present status and the sections in which it differs; returns the step that is due, if any.
+    /// Updates the repair with the node's current status and the sections in which the node differs. Returns the step
+    /// that is due, if any.
     pub fn next_step(
         &mut self,
         now: Millis,
@@ -65,10 +67,10 @@
         }
         self.next_step_at = now + self.interval();
         self.steps_taken += 1;
-        Some(self.choose(differing))
+        Some(self.select_step(differing))
     }
 
-    /// Since when the node has been out of sync, without a break.
+    /// Returns the time since which the node has been continuously out of sync.
     pub fn out_of_sync_since(&self) -> Option<Millis> {
         self.out_of_sync_since
     }
@@ -80,7 +82,7 @@
             self.completed += 1;
         }
         self.steps_taken = 0;
-        self.alerted = false;
+        self.has_alerted = false;
     }
 
     fn interval(&self) -> Millis {
@@ -91,13 +93,13 @@
         STEP_INTERVAL * 2f64.powi(doublings as i32)
     }
 
-    fn choose(&mut self, differing: &[Section]) -> RepairStep {
+    fn select_step(&mut self, differing: &[Section]) -> RepairStep {
         match self.steps_taken {
             1 if !differing.is_empty() => RepairStep::ResendSections(differing.to_vec()),
             1 | 2 => RepairStep::SendSnapshot,
-            step if step % STEPS_PER_RESYNC == 0 || self.alerted => RepairStep::Resync,
+            step if step % STEPS_PER_RESYNC == 0 || self.has_alerted => RepairStep::Resync,
             _ => {
-                self.alerted = true;
+                self.has_alerted = true;
                 RepairStep::Alert
             }
         }
--- a/crates/aspendrum-reconcile/src/state_digest.rs
+++ b/crates/aspendrum-reconcile/src/state_digest.rs
@@ -1,24 +1,24 @@
 //! The canonical form of a node's applied state, and the digests that are computed from it.
 //!
-//! Two nodes that treat every request alike have equal digests, in whatever order their tables were filled. Each entry
-//! that routing depends on is encoded in a canonical form and hashed; the sorted hashes of a section's entries are
-//! hashed again. Nodes of different versions compare these digests, so the encoding must not change
+//! Two nodes that handle all requests identically have equal digests, regardless of the order of their table entries.
+//! Each entry that affects routing is encoded in a canonical form and hashed; the sorted hashes of a section's entries
+//! are hashed again. Nodes of different program versions compare these digests, so the encoding must not change
 //! (`tests/wire_bytes.rs`).
 
 use aspendrum_model::config::{Config, Route, RouteEntry, Service};
 use aspendrum_model::hash::digest;
 use aspendrum_model::message::{Revision, StateDigest, DIGEST_SECTIONS};
 
-/// A part of the state that has a digest of its own, in the order of [`StateDigest::digests`].
+/// A part of the state with a separate digest. The variants are in the order of [`StateDigest::digests`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Section {
-    /// Hosts, path prefixes and the routes there.
+    /// Hosts, path prefixes and their routes.
     Routes,
     /// Services and their limits.
     Services,
     /// Tenants, their keys and quotas.
     Tenants,
-    /// Zones that operators evacuated.
+    /// Zones that are evacuated by operators.
     Evacuations,
 }
 
@@ -31,7 +31,7 @@
         Section::Evacuations,
     ];
 
-    /// The sections in which two digests differ.
+    /// Returns the sections in which two digests differ.
     pub fn differing(one: &StateDigest, other: &StateDigest) -> Vec<Section> {
         let pairs = one.digests.iter().zip(&other.digests).zip(Section::ALL);
         pairs
@@ -40,7 +40,7 @@
             .collect()
     }
 
-    /// The section's name in reports and logs.
+    /// Returns the name of the section in reports and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Section::Routes => "routes",
@@ -51,7 +51,7 @@
     }
 }
 
-/// An injective encoding of a list of fields: each text is preceded by its length, each number takes eight bytes.
+/// An injective encoding of a list of fields: texts are prefixed with their length, numbers have eight bytes.
 #[derive(Default)]
 struct CanonicalForm(Vec<u8>);
 
@@ -78,10 +78,10 @@
     }
 }
 
-/// The digest of the state that these tables amount to.
+/// Computes the digest of an applied state.
 ///
-/// `evacuated_zones` are the zones that are evacuated as of the order with the number `evacuation`. Without a
-/// configuration the sections that it would fill have the digest 0.
+/// `evacuated_zones` are the evacuated zones as of the evacuation revision `evacuation`. Without a configuration, the
+/// digests of its sections are 0.
 pub fn state_digest(
     config: Option<&Config>,
     evacuation: u64,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Hashes the entries' hashes in sorted order, so that the order of a table does not matter.
+/// Hashes the entries' hashes in sorted order, so that the digest does not depend on the order of the entries.
 fn section_digest(entries: impl Iterator<Item = CanonicalForm>) -> u64 {
     let mut entry_digests: Vec<u64> = entries.map(|form| digest(&form.0)).collect();
     entry_digests.sort_unstable();
@@ -157,8 +157,8 @@
 }
 
 fn tenants_digest(config: &Config) -> u64 {
-    // Whether there are tenants at all decides what happens to requests without a key.
-    let any_tenants = std::iter::once(CanonicalForm::default().flag(config.tenants.is_some()));
+    // The handling of requests without a key depends on whether tenants are configured.
+    let has_tenants = std::iter::once(CanonicalForm::default().flag(config.tenants.is_some()));
     let tenants = config
         .tenants
         .iter()
@@ -175,5 +175,5 @@
                 .texts(tenant.home_regions.iter())
                 .texts(keys.into_iter())
         });
-    section_digest(any_tenants.chain(tenants))
+    section_digest(has_tenants.chain(tenants))
 }
--- a/crates/aspendrum-reconcile/src/sync_status.rs
+++ b/crates/aspendrum-reconcile/src/sync_status.rs
@@ -1,27 +1,28 @@
-//! Whether a node has applied what was decided, and until when it may rely on that.
+//! Determines whether a node has applied the decided state, and until when this assessment is valid.
 //!
-//! An assessment rests on a [`MajorityReport`] and expires by itself on the node's monotonic clock: a node that receives
-//! nothing, sleeps or is partitioned off stops by itself, without a message that tells it to.
+//! An assessment is based on a [`MajorityReport`] and expires on the node's monotonic clock. A node that is
+//! partitioned, suspended or receives no messages therefore stops running non-idempotent requests without being
+//! notified.
 
 use crate::majority_report::{MajorityReport, ReportValidity};
 use aspendrum_model::message::StateDigest;
 use aspendrum_model::time::Millis;
 
-/// How the state that a node applied relates to the state that was decided.
+/// The relation of the applied state of a node to the decided state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SyncStatus {
-    /// The node applied what was decided.
+    /// The node has applied the decided state.
     Current,
-    /// Something newer was decided.
+    /// A newer state was decided.
     Behind,
-    /// The node applied that revision, but with other contents.
+    /// The node has applied the decided revision, but with different contents.
     Diverged,
     /// The node has no valid majority report.
     Isolated,
 }
 
 impl SyncStatus {
-    /// The status in reports and logs.
+    /// Returns the name of the status in reports and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             SyncStatus::Current => "current",
@@ -32,25 +33,25 @@
     }
 }
 
-/// A node's status and its expiry, by which the node acts without asking anybody.
+/// A node's status and its expiry, which let the node decide locally which requests it may run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SyncAssessment {
     /// The status until the expiry.
     pub status: SyncStatus,
-    /// From this time on the node is [`SyncStatus::Isolated`], whatever its status was.
+    /// The time from which the node is [`SyncStatus::Isolated`], regardless of `status`.
     pub valid_until: Millis,
 }
 
 impl SyncAssessment {
-    /// The assessment of a node that has had no majority report.
+    /// The assessment of a node without a majority report.
     pub const UNKNOWN: SyncAssessment = SyncAssessment {
         status: SyncStatus::Isolated,
         valid_until: f64::NEG_INFINITY,
     };
 
-    /// Compares what a node applied with the last majority report.
+    /// Compares the applied state of a node with the last majority report.
     ///
-    /// `most_agents_isolated`: half of the agents or more have no valid report either.
+    /// `most_agents_isolated` states whether at least half of the agents have no valid report.
     pub fn new(
         applied: &StateDigest,
         report: Option<&MajorityReport>,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The status at the time `now`.
+    /// Returns the status at the time `now`.
     pub fn status_at(&self, now: Millis) -> SyncStatus {
         if now < self.valid_until {
             self.status
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Whether a request that is not idempotent may run now. Idempotent requests run whatever the status: one that took
-    /// an outdated route may be retried.
+    /// Whether non-idempotent requests may run at the time `now`. Idempotent requests may always run, because they can
+    /// be retried if they took an outdated route.
     pub fn allows_non_idempotent(&self, now: Millis) -> bool {
         self.status_at(now) == SyncStatus::Current
     }
@@ -94,6 +95,6 @@
     if applied.revision == decided.revision && applied.digests != decided.digests {
         return SyncStatus::Diverged;
     }
-    // A node that applied more than the report contains is current: only decided state is ever sent to nodes.
+    // A node that has applied a newer state than the report is current, because only decided state is sent to nodes.
     SyncStatus::Current
 }
--- a/crates/aspendrum-reconcile/src/update_stream.rs
+++ b/crates/aspendrum-reconcile/src/update_stream.rs
@@ -1,34 +1,34 @@
-//! Flow control of the updates on one connection, from control to an agent or from an agent to its proxy.
+//! Flow control for the updates on one connection, from control to an agent or from an agent to its proxy.
 //!
-//! Each section of state is complete, and supersedes the one before of its kind. So at most one update of each kind is
-//! unacknowledged, and the newest section replaces one that waits (the state-of-the-world variant of Envoy's xDS protocol
-//! has the same rule). A receiver that is slow gets fewer updates, never older ones at the end, and what a connection
-//! queues is bounded by one section of each kind.
+//! Each section contains the complete state of its kind and supersedes the previous one. Therefore at most one update
+//! of each kind is unacknowledged, and a newer section replaces a waiting one (as in the state-of-the-world variant of
+//! Envoy's xDS protocol). A slow receiver gets fewer updates but always ends up with the newest state, and the queue of
+//! a connection is bounded by one section of each kind.
 
 use crate::majority_report::MajorityReport;
 use aspendrum_model::message::{StateSection, SECTION_KINDS};
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::time::Millis;
 
-/// An update that stays unacknowledged for longer does not hold up the next one: its receiver may be of a version that
-/// acknowledges late.
+/// The time after which an unacknowledged update no longer blocks the next one, because the receiver may run a program
+/// version that acknowledges late.
 const ACKNOWLEDGEMENT_TIMEOUT: Millis = 1000.0;
 
-/// The updates of one connection, and what its receiver may be told of what was decided.
+/// The state of the updates on one connection, and the decided state that may be reported to the receiver.
 pub struct UpdateStream {
     last_number: u64,
     acknowledged: u64,
     slots: [Slot; SECTION_KINDS],
-    /// The last decided state of which everything was sent, and when a majority held nothing newer.
+    /// The report of the last decided state whose sections have all been sent.
     sent_state: Option<MajorityReport>,
 }
 
 /// The sections of one kind.
 #[derive(Default)]
 struct Slot {
-    /// The one that was sent last.
+    /// The section that was sent last.
     sent: Option<SentSection>,
-    /// Whether a newer one waits for an acknowledgement.
+    /// Whether a newer section waits for the acknowledgement of the last one.
     is_waiting: bool,
 }
 
@@ -55,13 +55,13 @@
 }
 
 impl UpdateStream {
-    /// Offers the newest section of its kind. Returns the number under which it is to be sent now; `None`: the receiver
-    /// has it, or has not acknowledged the one before. Then it is to be offered again once [`UpdateStream::is_waiting`]
-    /// and something was acknowledged, or time has passed.
+    /// Offers the newest section of its kind. Returns the number under which to send it now, or `None` if the receiver
+    /// already has it or has not acknowledged the previous one. While [`UpdateStream::is_waiting`] returns `true`, the
+    /// caller must offer the newest sections again after acknowledgements and periodically.
     pub fn offer(&mut self, now: Millis, section: &StateSection) -> Option<u64> {
         let acknowledged = self.acknowledged;
         let slot = &mut self.slots[section.kind()];
-        let is_sent = |sent: &SentSection| is_covered(&sent.section, section);
+        let is_sent = |sent: &SentSection| is_up_to_date(&sent.section, section);
         if slot.sent.as_ref().is_some_and(is_sent) {
             slot.is_waiting = false;
             return None;
@@ -76,7 +76,7 @@
         Some(self.record_sent(now, section))
     }
 
-    /// The number under which a section is to be sent now, whatever was sent before: a receiver that differs is repaired.
+    /// Returns the number under which to send a section now, regardless of earlier updates. Used for repairs.
     pub fn resend(&mut self, now: Millis, section: &StateSection) -> u64 {
         self.record_sent(now, section)
     }
@@ -95,18 +95,18 @@
         self.last_number
     }
 
-    /// The receiver has applied all updates up to that number.
+    /// Records that the receiver has applied all updates up to `number`.
     pub fn acknowledge(&mut self, number: u64) {
         self.acknowledged = self.acknowledged.max(number.min(self.last_number));
     }
 
-    /// Whether a section waits until the one before it is acknowledged.
+    /// Whether a section waits for the acknowledgement of the previous one.
     pub fn is_waiting(&self) -> bool {
         self.slots.iter().any(|slot| slot.is_waiting)
     }
 
-    /// Whether a section waits that is part of the decided state.
-    fn is_decided_waiting(&self) -> bool {
+    /// Whether a section of the decided state is waiting.
+    fn is_decided_section_waiting(&self) -> bool {
         let is_decided = |slot: &Slot| {
             let section = slot.sent.as_ref().map(|sent| &sent.section);
             section.is_some_and(StateSection::is_decided)
@@ -116,12 +116,12 @@
             .any(|slot| slot.is_waiting && is_decided(slot))
     }
 
-    /// Whether everything that was offered is applied.
+    /// Whether the receiver has applied all offered sections.
     pub fn is_applied(&self) -> bool {
         !self.is_waiting() && self.acknowledged == self.last_number
     }
 
-    /// Whether an update has been unacknowledged for too long.
+    /// Whether an update has been unacknowledged for at least [`ACKNOWLEDGEMENT_TIMEOUT`].
     pub fn is_stalled(&self, now: Millis) -> bool {
         let mut sent = self.slots.iter().filter_map(|slot| slot.sent.as_ref());
         sent.any(|sent| {
@@ -129,25 +129,26 @@
         })
     }
 
-    /// The number of the last update that was sent.
+    /// Returns the number of the last sent update.
     pub fn last_number(&self) -> u64 {
         self.last_number
     }
 
-    /// The number up to which updates are acknowledged.
+    /// Returns the number up to which updates are acknowledged.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged
     }
 
-    /// The sections of that decided state have been offered. Until all of them are sent, the receiver is told of the state
-    /// before: what it is told never runs ahead of the updates, so that it can take any difference for a lost update.
+    /// Records that all sections of a decided state have been offered. Until all of them are sent, the previous state
+    /// is reported to the receiver. Reports thus never precede the updates, and the receiver can treat every difference
+    /// as a lost update.
     pub fn record_offered(&mut self, report: MajorityReport) {
-        if !self.is_decided_waiting() {
+        if !self.is_decided_section_waiting() {
             self.sent_state = Some(report);
         }
     }
 
-    /// What the receiver is to be told of `newest`, the newest decided state.
+    /// Returns the report to send to the receiver, given the newest one.
     pub fn report(&mut self, newest: MajorityReport) -> MajorityReport {
         match &mut self.sent_state {
             Some(sent) if sent.decided == newest.decided => {
@@ -160,8 +161,8 @@
     }
 }
 
-/// Whether a receiver that was sent `sent` need not be sent `section`.
-fn is_covered(sent: &StateSection, section: &StateSection) -> bool {
+/// Whether `sent` makes sending `section` unnecessary.
+fn is_up_to_date(sent: &StateSection, section: &StateSection) -> bool {
     match (sent, section) {
         (
             StateSection::Config {
@@ -175,15 +176,16 @@
         ) => (sent_version, sent_checksum) == (version, checksum),
         (StateSection::Servers { list: sent, .. }, StateSection::Servers { list, .. }) => {
             let mut pairs = sent.iter().zip(list);
-            sent.len() == list.len() && pairs.all(|(sent, server)| is_same_server(sent, server))
+            sent.len() == list.len()
+                && pairs.all(|(sent, server)| is_unchanged_server(sent, server))
         }
         (sent, section) => sent == section,
     }
 }
 
-/// Whether the two entries differ at most in that a slow start has progressed: receivers count its remaining time down
-/// themselves. A slow start that begins is a difference.
-fn is_same_server(sent: &ServerInstance, server: &ServerInstance) -> bool {
+/// Whether the two entries are equal except for the progress of a slow start, whose remaining time receivers count down
+/// locally. The beginning of a slow start is a difference.
+fn is_unchanged_server(sent: &ServerInstance, server: &ServerInstance) -> bool {
     let without_slow_start = |server: &ServerInstance| ServerInstance {
         slow_start_left_ms: 0,
         ..server.clone()
--- a/crates/aspendrum-reconcile/tests/model.rs
+++ b/crates/aspendrum-reconcile/tests/model.rs
@@ -1,8 +1,8 @@
-//! A model check of reports and assessments: three nodes, two changes, reports and updates that are lost or delayed, nodes
+//! Model checking of reports and assessments: three nodes, two changes, lost and delayed reports and updates, and nodes
 //! that freeze and restart.
 //!
-//! In no reachable state does a node run a non-idempotent request by a version that was replaced longer ago than a report is
-//! valid. The same check finds a variant that trusts the last update.
+//! In no reachable state does a node run a non-idempotent request with a version that was replaced longer ago than the
+//! validity of a report. The same check detects a faulty variant that trusts the last update.
 
 use aspendrum_model::message::{Revision, StateDigest};
 use aspendrum_reconcile::{MajorityReport, ReportValidity, SyncAssessment, SyncStatus};
@@ -10,10 +10,10 @@
 
 const NODES: usize = 3;
 const CHANGES: u8 = 2;
-/// Time is counted in ticks of a second.
+/// The duration of a tick in milliseconds.
 const TICK: f64 = 1000.0;
 const LAST_TICK: u8 = 5;
-/// How many ticks a report is valid.
+/// The validity of a report in ticks.
 const VALID_TICKS: u8 = 2;
 const VALIDITY: ReportValidity = ReportValidity {
     normal: VALID_TICKS as f64 * TICK,
@@ -22,7 +22,7 @@
 const MAX_DEPTH: usize = 9;
 const NO_REPLACED_VERSION: &str = "no non-idempotent request by a version replaced long ago";
 
-/// A majority report: what was decided, as of which tick.
+/// A majority report: the decided version, as of a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Report {
     version: u8,
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Node {
     applied: u8,
-    /// The latest report that it received.
+    /// The latest received report.
     report: Option<Report>,
     update_in_flight: Option<u8>,
     report_in_flight: Option<Report>,
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u8,
-    /// When each version was acknowledged.
+    /// The tick at which each version was acknowledged.
     acknowledged_at: Vec<u8>,
     nodes: Vec<Node>,
 }
@@ -62,7 +62,7 @@
 }
 
 struct System {
-    /// The broken variant: takes an update for what was decided as long as no report contradicts it.
+    /// The faulty variant, which treats an update as the decided state unless a report contradicts it.
     trusts_updates: bool,
 }
 
@@ -138,7 +138,7 @@
             Action::Tick => state.now += 1,
             Action::Decide => state.acknowledged_at.push(state.now),
             Action::SendUpdate(index) => state.nodes[index].update_in_flight = Some(version),
-            // Control's report is of the moment when it reads.
+            // A report is as of the time at which control reads.
             Action::SendReport(index) => {
                 state.nodes[index].report_in_flight = Some(Report {
                     version,
@@ -162,7 +162,7 @@
             Action::LoseUpdate(index) => state.nodes[index].update_in_flight = None,
             Action::LoseReport(index) => state.nodes[index].report_in_flight = None,
             Action::FreezeOrThaw(index) => state.nodes[index].is_frozen ^= true,
-            // What it received is gone with its process; its connections are new.
+            // A restart discards the received state and the messages in flight.
             Action::Restart(index) => state.nodes[index] = Node::default(),
         }
         Some(state)
@@ -192,7 +192,7 @@
         ]
     }
 
-    /// Nodes are interchangeable, so that one order of them is enough.
+    /// Nodes are interchangeable, so only one order of them is explored.
     fn within_boundary(&self, state: &State) -> bool {
         state
             .nodes
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_node_that_trusts_the_last_update_is_found_by_the_model() {
+fn the_model_detects_a_node_that_trusts_the_last_update() {
     let checked = System {
         trusts_updates: true,
     }
--- a/crates/aspendrum-reconcile/tests/sync.rs
+++ b/crates/aspendrum-reconcile/tests/sync.rs
@@ -1,5 +1,5 @@
-//! Digests, assessments and repair: what routing depends on shows in the digests and nothing else does, and a node that
-//! diverged is repaired step by step.
+//! Digests, assessments and repair: the digests cover everything that affects routing and nothing else, and a diverged
+//! node is repaired in escalating steps.
 
 use aspendrum_model::config::Config;
 use aspendrum_model::message::{Revision, StateDigest};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn whatever_routing_depends_on_shows_in_the_digest_of_its_section() {
+fn each_routing_change_affects_the_digest_of_its_section() {
     let changes = [
         ("a.example", "b.example", Section::Routes),
         ("/send/", "/sent/", Section::Routes),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn order_and_spacing_do_not_show_in_the_digests() {
+fn order_and_spacing_do_not_affect_the_digests() {
     let spaced = TEXT
         .replace(r#"["k1","k2"]"#, r#"[ "k2", "k1" ]"#)
         .replace("\n", " \n ");
@@ -74,9 +74,10 @@
     assert_eq!(digest_of(TEXT), digest_of(&reordered));
 }
 
-/// Risk: a proxy's table changes without an update (a bug, a torn message), and goes unnoticed because the text is right.
+/// Guards against undetected changes of a proxy's table without an update, for example by a bug, while the received
+/// configuration text is correct.
 #[test]
-fn a_table_that_changed_without_an_update_shows_in_the_digests() {
+fn a_table_change_without_an_update_affects_the_digests() {
     let mut config = Config::read(TEXT.as_bytes()).unwrap();
     config.routes[1].services[0].service = "t".into();
     let corrupt = state_digest(Some(&config), EVACUATION, &["poa-a".to_string()]);
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn an_assessment_follows_the_report_and_expires_by_itself() {
+fn an_assessment_follows_the_report_and_expires() {
     let assess = |applied: StateDigest, report: Option<MajorityReport>| {
         SyncAssessment::new(&applied, report.as_ref(), false, &VALIDITY)
     };
@@ -122,7 +123,7 @@
     assert_eq!(
         current.status_at(3000.0),
         SyncStatus::Isolated,
-        "without a message that tells it to"
+        "expires without a message"
     );
     assert_eq!(
         status(digest_at(4, 9), report(7, 9, 1000.0)),
@@ -132,7 +133,7 @@
         status(digest_at(4, 8), report(4, 9, 1000.0)),
         SyncStatus::Diverged
     );
-    // A node that applied more than its report contains is current: only decided state is sent to nodes.
+    // A node that has applied a newer state than its report is current, because only decided state is sent to nodes.
     assert_eq!(
         status(digest_at(7, 8), report(4, 9, 1000.0)),
         SyncStatus::Current
@@ -172,9 +173,9 @@
     }
 }
 
-/// While most of the fleet is without control, reports are valid for `stretch-ms` longer, and not beyond.
+/// While most of the fleet has no connection to control, reports are valid for an additional `stretch-ms`.
 #[test]
-fn a_fleet_without_control_goes_on_for_the_extended_time() {
+fn a_fleet_without_control_continues_for_the_extended_time() {
     let validity = ReportValidity::from_limits(3000.0, 8000.0);
     let report = report(4, 9, 0.0);
     let normal = SyncAssessment::new(&digest_at(4, 9), Some(&report), false, &validity);
@@ -184,9 +185,9 @@
     assert!(!extended.allows_non_idempotent(11_000.0));
 }
 
-/// Risk: a diverged node stays as it is until an operator notices, or is sent the same state again for ever.
+/// Guards against a diverged node that is not repaired, or to which the same state is resent indefinitely.
 #[test]
-fn repair_proceeds_step_by_step_and_alerts_once() {
+fn repair_escalates_and_alerts_once() {
     let mut repair = Repair::default();
     let differing = [Section::Routes];
     let mut steps = Vec::new();
--- a/crates/aspendrum-reconcile/tests/update_stream.rs
+++ b/crates/aspendrum-reconcile/tests/update_stream.rs
@@ -1,5 +1,5 @@
-//! Flow control of updates: what a receiver is sent when it acknowledges, is slow, or falls silent, and what it is told
-//! of the decided state meanwhile.
+//! Flow control for updates: the updates that a receiver is sent while it acknowledges, is slow or does not respond,
+//! and the decided state that is reported to it.
 
 use aspendrum_model::message::{Revision, StateDigest, StateSection};
 use aspendrum_reconcile::{MajorityReport, UpdateStream};
@@ -25,9 +25,9 @@
     MajorityReport { decided, as_of }
 }
 
-/// Danger: each change of a storm is pushed whole, and the queue of a receiver that is slow fills up.
+/// Guards against queueing every change of a burst for a slow receiver.
 #[test]
-fn one_update_of_a_kind_is_unacknowledged_and_the_newest_follows_it() {
+fn at_most_one_update_of_a_kind_is_unacknowledged_and_the_newest_follows() {
     let mut updates = UpdateStream::default();
     assert_eq!(updates.offer(0.0, &config(1)), Some(1));
     assert_eq!(updates.offer(0.0, &evacuated(1)), Some(2), "another kind");
@@ -40,14 +40,18 @@
     assert!(!updates.is_waiting() && !updates.is_applied());
     updates.acknowledge(3);
     assert!(updates.is_applied());
-    assert_eq!(updates.offer(3.0, &config(99)), None, "it has that");
+    assert_eq!(
+        updates.offer(3.0, &config(99)),
+        None,
+        "the receiver already has it"
+    );
     assert!(updates.is_applied());
     assert_eq!((updates.last_number(), updates.acknowledged()), (3, 3));
 }
 
-/// Danger: a change that is taken back while it waits comes into force after it was.
+/// Guards against applying a waiting change after it has been reverted.
 #[test]
-fn what_waits_is_forgotten_once_the_receiver_has_the_newest() {
+fn a_waiting_section_is_dropped_if_the_receiver_has_the_newest() {
     let mut updates = UpdateStream::default();
     assert_eq!(updates.offer(0.0, &evacuated(1)), Some(1));
     assert_eq!(updates.offer(1.0, &evacuated(2)), None);
@@ -57,9 +61,9 @@
     assert!(updates.is_applied());
 }
 
-/// Danger: a receiver whose acknowledgement never comes stays with an old configuration for ever.
+/// Guards against a receiver that keeps an old configuration because its acknowledgement was lost.
 #[test]
-fn an_update_that_stays_unacknowledged_does_not_hold_up_the_newest() {
+fn an_unacknowledged_update_does_not_block_the_newest_after_the_timeout() {
     let mut updates = UpdateStream::default();
     assert_eq!(updates.offer(0.0, &config(1)), Some(1));
     assert_eq!(updates.offer(999.0, &config(2)), None);
@@ -68,21 +72,25 @@
     assert_eq!(updates.offer(1500.0, &config(4)), None);
 }
 
-/// Danger: a number that was never sent counts as an acknowledgement of what is sent later.
+/// Guards against acknowledgements of numbers that have not been sent yet.
 #[test]
-fn only_what_was_sent_can_be_acknowledged() {
+fn only_sent_updates_can_be_acknowledged() {
     let mut updates = UpdateStream::default();
     assert_eq!(updates.offer(0.0, &config(1)), Some(1));
     updates.acknowledge(70);
     assert_eq!(updates.offer(1.0, &config(2)), Some(2));
     assert!(!updates.is_applied());
-    assert_eq!(updates.resend(1.0, &config(2)), 3, "whatever was sent");
+    assert_eq!(
+        updates.resend(1.0, &config(2)),
+        3,
+        "resent although it is unacknowledged"
+    );
 }
 
-/// Danger: a receiver is told of a state whose updates still wait, takes them for lost, and connects again; or it is told
-/// that an old state is the newest, and relies on that for longer than it may.
+/// Guards against reporting a state whose updates still wait, which the receiver would treat as lost, and against
+/// reporting an old state as the newest, which the receiver would rely on for too long.
 #[test]
-fn a_receiver_is_told_of_the_state_that_it_was_sent_and_as_of_when_that_was_the_newest() {
+fn the_report_matches_the_sent_state_and_the_time_of_its_confirmation() {
     let mut updates = UpdateStream::default();
     assert_eq!(updates.offer(0.0, &config(1)), Some(1));
     updates.record_offered(report(1, 0.0));
@@ -94,7 +102,7 @@
     assert_eq!(updates.offer(100.0, &config(2)), Some(2));
     updates.record_offered(report(2, 90.0));
     assert_eq!(updates.report(report(2, 120.0)), report(2, 120.0));
-    // Other kinds of sections are not part of the decided state.
+    // Sections of other kinds are not part of the decided state.
     let proxies = |n| StateSection::Proxies(vec![proxy(n)]);
     assert_eq!(updates.offer(130.0, &proxies(1)), Some(3));
     assert_eq!(updates.offer(140.0, &proxies(2)), None);
--- a/crates/aspendrum-reconcile/tests/wire_bytes.rs
+++ b/crates/aspendrum-reconcile/tests/wire_bytes.rs
@@ -1,6 +1,5 @@
-//! The digests of canonical forms. Nodes of different versions compare them during an upgrade, so they must not
-//! change: `fixtures/digests.txt` holds the digests of the four sections of each case, in the order in which they
-//! go over the wire.
+//! Pins the digests of canonical forms. Nodes of different versions compare them during an upgrade, so they must not
+//! change. `fixtures/digests.txt` contains the digests of the four sections of each case, in wire order.
 
 use aspendrum_model::config::Config;
 use aspendrum_model::message::StateDigest;
@@ -54,7 +53,7 @@
 }
 
 #[test]
-fn sections_stand_in_the_order_of_the_digests() {
+fn sections_are_in_the_order_of_the_digests() {
     let changed = |at: usize| {
         let mut digests = [0; 4];
         digests[at] = 1;
@@ -75,16 +74,16 @@
     assert_eq!((0..4).flat_map(changed).collect::<Vec<_>>(), order);
 }
 
-/// Control's report lists the sections in which a node differs by these words.
+/// Control's report lists the sections in which a node differs by these names.
 #[test]
-fn the_words_for_a_section() {
-    let words = ["routes", "services", "tenants", "evacuations"];
-    assert_eq!(Section::ALL.map(Section::as_str), words);
+fn section_names_are_stable() {
+    let names = ["routes", "services", "tenants", "evacuations"];
+    assert_eq!(Section::ALL.map(Section::as_str), names);
 }
 
-/// Control's report and the logs name a node's status by these words.
+/// Control's report and the logs use these names for the status of a node.
 #[test]
-fn the_words_for_a_status() {
+fn status_names_are_stable() {
     let all = [
         SyncStatus::Current,
         SyncStatus::Behind,
