--- a/crates/aspendrum-gossip/src/lib.rs
+++ b/crates/aspendrum-gossip/src/lib.rs
@@ -1,7 +1,7 @@
-//! Gossip between agents: a partial view of the fleet that is exchanged in shuffles ([`view`]), and majority reports that
-//! agents pass on to each other while control is out of reach ([`node`]).
+//! Gossip between agents: partial views of the fleet, which are exchanged in shuffles ([`view`]), and majority reports,
+//! which agents forward to each other while control is unreachable ([`node`]).
 //!
-//! The crate does no I/O and reads no clock: callers pass the time in and carry out the returned [`GossipAction`]s.
+//! The crate does no I/O and reads no clock: callers pass in the time and perform the returned [`GossipAction`]s.
 
 pub mod message;
 pub mod node;
--- a/crates/aspendrum-gossip/src/message.rs
+++ b/crates/aspendrum-gossip/src/message.rs
@@ -1,6 +1,6 @@
-//! The datagrams between agents, and what an agent is to do next.
+//! The datagrams between agents, and the actions of an agent.
 //!
-//! Datagrams are postcard: variants and fields are encoded by their order, so neither may be reordered
+//! Datagrams are encoded with postcard, which identifies variants and fields by position. Their order must not change
 //! (`tests/wire_bytes.rs`).
 
 use crate::view::Neighbour;
@@ -14,47 +14,47 @@
 pub enum GossipMessage {
     /// Starts a shuffle.
     ShuffleRequest {
-        /// Neighbours that the sender gives away, and the sender itself.
+        /// Entries of the sender's view, and the sender itself.
         offer: Vec<Neighbour>,
     },
     /// Completes a shuffle.
     ShuffleReply {
-        /// Neighbours that the sender gives in return.
+        /// Entries of the sender's view, in exchange for those of the request.
         offer: Vec<Neighbour>,
     },
-    /// Asks what a majority of control holds, and how long ago that was so.
+    /// Requests the receiver's majority report.
     ReportRequest {
-        /// When the request was sent, in milliseconds on the requester's clock; comes back in the reply.
+        /// When the request was sent, in milliseconds on the requester's clock. Copied into the reply.
         sent_at: u64,
     },
-    /// Passes a majority report on: `age` milliseconds ago a majority held nothing newer than `decided`.
+    /// Forwards a majority report: `age` milliseconds ago, a majority of control held no state newer than `decided`.
     Report {
         /// Copied from the request.
         sent_at: u64,
-        /// The report's age when this was sent, in milliseconds.
+        /// The age of the report at the time of sending, in milliseconds.
         age: u32,
-        /// The state that the sender holds, which is what the report confirms.
+        /// The sender's state, which the report confirms.
         decided: StateDigest,
     },
-    /// The sender has no valid majority report either.
+    /// Replies that the sender has no valid majority report.
     NoReport {
         /// Copied from the request.
         sent_at: u64,
     },
 }
 
-/// What the owner of a [`GossipNode`](crate::GossipNode) is to do.
+/// An action for the owner of a [`GossipNode`](crate::GossipNode) to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GossipAction {
     /// Send a datagram.
     Send {
         /// The receiving agent.
         to: Ipv4Addr,
-        /// What to send.
+        /// The datagram.
         message: GossipMessage,
     },
-    /// At this time a majority held nothing newer than what is held here.
+    /// Record that at this time a majority of control held no state newer than that of this agent.
     ConfirmedAsOf(Millis),
-    /// This neighbour holds newer state: fetch a snapshot from it.
+    /// Fetch a snapshot from this neighbour, which holds a newer state.
     FetchSnapshot(Ipv4Addr),
 }
--- a/crates/aspendrum-gossip/src/node.rs
+++ b/crates/aspendrum-gossip/src/node.rs
@@ -1,8 +1,8 @@
-//! An agent among its neighbours.
+//! The gossip protocol of one agent.
 //!
-//! While control is reachable an agent only shuffles its partial view. After some time without a majority report it asks
-//! neighbours for theirs. The age of a report counts from when the request was sent, so it only grows with each hop: a
-//! report that was passed on never counts for longer than the one it came from.
+//! While control is reachable, an agent only shuffles its partial view. When its majority report has expired, it
+//! requests reports from its neighbours. The age of a received report is measured from the time of the request, so it
+//! can only increase with each hop: a forwarded report never expires later than the original.
 
 use crate::message::{GossipAction, GossipMessage};
 use crate::view::PartialView;
@@ -11,27 +11,28 @@
 use fastrand::Rng;
 use std::net::Ipv4Addr;
 
-/// Between two shuffles. They take 80 bytes each way: 63 agents send 5 KB a second in all.
+/// The interval between two shuffles. A shuffle takes 80 bytes in each direction: 63 agents send 5 KB per second in
+/// total.
 const SHUFFLE_INTERVAL: Millis = 2000.0;
-/// Between two rounds of report requests while there is no valid report.
+/// The interval between two rounds of report requests of an isolated agent.
 const REQUEST_INTERVAL: Millis = 300.0;
-/// How many neighbours are asked in one round.
+/// The number of neighbours that receive a request in one round.
 const REQUESTS_PER_ROUND: usize = 2;
-/// How far back requests count for the estimate of how much of the fleet is isolated.
+/// The time window of the requests from which the isolated share of the fleet is estimated.
 const SAMPLE_WINDOW: Millis = 2000.0;
-/// How many requests that estimate needs at least.
+/// The minimum number of requests for that estimate.
 const MIN_SAMPLES: usize = 4;
-/// Between two snapshot fetches: another report may come before the last snapshot has been applied.
+/// The minimum interval between two snapshot fetches: another report may arrive before the last snapshot is applied.
 const FETCH_INTERVAL: Millis = 500.0;
 
-/// A report request of late, and whether its answer was that the neighbour is isolated too.
+/// A recent report request, and whether the neighbour replied that it is isolated.
 struct RequestSample {
     sent_at: u64,
     neighbour: Ipv4Addr,
     neighbour_isolated: bool,
 }
 
-/// One agent's part of the gossip protocol.
+/// The gossip protocol state of one agent.
 pub struct GossipNode {
     view: PartialView,
     rng: Rng,
@@ -42,7 +43,7 @@
 }
 
 impl GossipNode {
-    /// A node that knows nobody yet. `seed` determines its random choices.
+    /// Creates a node with an empty view. `seed` initializes its random number generator.
     pub fn new(local_agent: Ipv4Addr, seed: u64) -> GossipNode {
         GossipNode {
             view: PartialView::new(local_agent),
@@ -54,20 +55,20 @@
         }
     }
 
-    /// The neighbours that this node knows at present.
+    /// Returns the current partial view of this node.
     pub fn view(&self) -> &PartialView {
         &self.view
     }
 
-    /// Fills the view with agents that control named.
+    /// Adds agents from control's list to the free entries of the view.
     pub fn add_known_agents(&mut self, agents: &[Ipv4Addr]) {
         self.view.fill(&mut self.rng, agents);
     }
 
-    /// Whether half of the agents or more have no valid majority report, as far as recent requests show.
+    /// Whether at least half of the agents have no valid majority report, estimated from recent requests.
     ///
-    /// A neighbour that does not answer counts as in touch with control: a few agents that are partitioned off
-    /// together must not take themselves for the fleet.
+    /// A neighbour that does not reply counts as connected to control. Otherwise a small group of agents that are
+    /// partitioned from the rest would mistake itself for the majority of the fleet.
     pub fn most_agents_isolated(&self, now: Millis) -> bool {
         let recent = self
             .samples
@@ -82,7 +83,7 @@
         requests >= MIN_SAMPLES && 2 * isolated >= requests
     }
 
-    /// Returns what is due now. `is_isolated`: this agent has no valid majority report.
+    /// Returns the actions that are due. `is_isolated` states whether this agent has no valid majority report.
     pub fn tick(&mut self, now: Millis, is_isolated: bool) -> Vec<GossipAction> {
         let mut actions = Vec::new();
         if now - self.last_shuffle >= SHUFFLE_INTERVAL {
@@ -98,8 +99,8 @@
 
     /// Handles a datagram.
     ///
-    /// `local_state` is the state that this agent holds; `confirmed_as_of` is when a majority held nothing newer, unless this
-    /// agent is isolated.
+    /// `local_state` is the state that this agent holds. `confirmed_as_of` is the time at which a majority of control
+    /// held no newer state; `None` if this agent is isolated.
     pub fn handle(
         &mut self,
         now: Millis,
@@ -185,11 +186,11 @@
         decided: &StateDigest,
         local_state: &StateDigest,
     ) -> Option<GossipAction> {
-        // A time in the future answers no request of this process.
+        // A timestamp in the future belongs to a request of an earlier process.
         if requested_at > now {
             return None;
         }
-        // Two contents under one revision: only control can say which of them was decided.
+        // Different contents under one revision: only control can determine which of them was decided.
         if local_state.revision == decided.revision && local_state.digests != decided.digests {
             return None;
         }
@@ -204,7 +205,7 @@
     }
 }
 
-/// The reply to a report request: the report with its age, rounded up to whole milliseconds.
+/// Creates the reply to a report request. The age of the report is rounded up to whole milliseconds.
 fn answer_request(
     now: Millis,
     sent_at: u64,
--- a/crates/aspendrum-gossip/src/view.rs
+++ b/crates/aspendrum-gossip/src/view.rs
@@ -1,9 +1,9 @@
-//! A partial view of the fleet: a few neighbours, exchanged in shuffles so that all views together stay one connected,
-//! nearly random graph while agents come and go.
+//! A partial view of the fleet: a small set of neighbours. Agents exchange entries of their views in shuffles, so that
+//! the views form a connected and nearly random graph while agents join and leave.
 //!
 //! After Voulgaris, Gavidia and van Steen, "CYCLON: Inexpensive Membership Management for Unstructured P2P Overlays"
-//! (2005). A node shuffles with its oldest neighbour and removes it from the view; the neighbour returns with its reply.
-//! So an agent that has gone is forgotten within as many shuffles as a view has entries.
+//! (2005). A node shuffles with its oldest neighbour and removes it from its view; the neighbour is added again when it
+//! replies. An agent that has left is therefore removed within as many shuffles as a view has entries.
 
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
@@ -14,31 +14,31 @@
 pub struct Neighbour {
     /// The agent's address.
     pub ip: Ipv4Addr,
-    /// Shuffles since the agent itself was last heard of.
+    /// The age of the entry in shuffles. An agent sends its own entry with age 0.
     pub age: u16,
 }
 
-/// The neighbours that one agent knows.
+/// The partial view of one agent.
 pub struct PartialView {
     local_agent: Ipv4Addr,
     neighbours: Vec<Neighbour>,
     pending_shuffle: Option<PendingShuffle>,
 }
 
-/// A shuffle whose reply has not come. The entries that were offered are the first to be replaced by the reply's.
+/// A shuffle that awaits its reply. The entries of the reply replace the offered ones in a full view.
 struct PendingShuffle {
     with: Ipv4Addr,
     offered: Vec<Ipv4Addr>,
 }
 
-/// Entries of a full view. With 8 of a thousand agents, 30% of all agents may fail at once and the rest stays connected
-/// (`docs/system-scale.md`).
+/// The maximum number of entries of a view. With 8 entries and a thousand agents, the fleet stays connected when 30% of
+/// the agents fail at once (`docs/system-scale.md`).
 pub const VIEW_SIZE: usize = 8;
-/// Entries that are exchanged in one shuffle.
+/// The number of entries that are exchanged in one shuffle.
 const SHUFFLE_SIZE: usize = 4;
 
 impl PartialView {
-    /// An empty view.
+    /// Creates an empty view.
     pub fn new(local_agent: Ipv4Addr) -> PartialView {
         PartialView {
             local_agent,
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The present entries.
+    /// Returns the current entries.
     pub fn neighbours(&self) -> &[Neighbour] {
         &self.neighbours
     }
 
-    /// Fills free entries with a random choice of agents that are known otherwise.
+    /// Fills free entries with a random selection of `agents`.
     pub fn fill(&mut self, rng: &mut Rng, agents: &[Ipv4Addr]) {
         let mut unknown: Vec<Ipv4Addr> = agents
             .iter()
@@ -69,7 +69,7 @@
         );
     }
 
-    /// At most `count` neighbours, chosen at random.
+    /// Returns at most `count` random neighbours.
     pub fn sample(&self, rng: &mut Rng, count: usize) -> Vec<Ipv4Addr> {
         let mut addresses: Vec<Ipv4Addr> = self
             .neighbours
@@ -81,7 +81,7 @@
         addresses
     }
 
-    /// Starts a shuffle. Returns with whom and what is offered, or nothing if there is no neighbour.
+    /// Starts a shuffle. Returns the peer and the offered entries, or `None` if the view is empty.
     pub fn start_shuffle(&mut self, rng: &mut Rng) -> Option<(Ipv4Addr, Vec<Neighbour>)> {
         self.neighbours
             .iter_mut()
@@ -98,15 +98,15 @@
         Some((with, offer))
     }
 
-    /// Merges the offer of a shuffle that another agent started, and returns what it gets in return.
+    /// Merges the offer of a shuffle that another agent started, and returns the entries for the reply.
     pub fn handle_request(&mut self, rng: &mut Rng, offer: &[Neighbour]) -> Vec<Neighbour> {
         let reply = self.sample_entries(rng, SHUFFLE_SIZE);
-        let given: Vec<Ipv4Addr> = reply.iter().map(|neighbour| neighbour.ip).collect();
-        self.merge(offer, &given);
+        let sent: Vec<Ipv4Addr> = reply.iter().map(|neighbour| neighbour.ip).collect();
+        self.merge(offer, &sent);
         reply
     }
 
-    /// Merges the reply to a shuffle that this agent started; any other reply is ignored.
+    /// Merges the reply to a pending shuffle. Other replies are ignored.
     pub fn handle_reply(&mut self, from: Ipv4Addr, offer: &[Neighbour]) {
         let Some(shuffle) = self.pending_shuffle.take_if(|shuffle| shuffle.with == from) else {
             return;
@@ -128,15 +128,15 @@
         entries
     }
 
-    /// Adds unknown agents in free entries, then in place of entries that were given away.
-    fn merge(&mut self, offer: &[Neighbour], given: &[Ipv4Addr]) {
-        let mut given = given.iter();
+    /// Adds unknown agents to free entries, then in place of entries that were sent to the peer.
+    fn merge(&mut self, offer: &[Neighbour], sent: &[Ipv4Addr]) {
+        let mut sent = sent.iter();
         for new in offer {
             if !self.is_unknown(new.ip) {
                 continue;
             }
             if self.neighbours.len() >= VIEW_SIZE {
-                let replaced = given.find_map(|ip| {
+                let replaced = sent.find_map(|ip| {
                     self.neighbours
                         .iter()
                         .position(|neighbour| neighbour.ip == *ip)
--- a/crates/aspendrum-gossip/tests/node.rs
+++ b/crates/aspendrum-gossip/tests/node.rs
@@ -1,4 +1,4 @@
-//! Majority reports that agents pass on, under delays, losses, restarts and several hops.
+//! Forwarding of majority reports between agents, with delays, lost datagrams, restarts and multiple hops.
 
 use aspendrum_gossip::{GossipAction, GossipMessage, GossipNode};
 use aspendrum_model::message::{Revision, StateDigest};
@@ -49,27 +49,27 @@
 }
 
 #[test]
-fn no_neighbour_is_asked_while_control_is_reachable() {
+fn no_report_is_requested_while_control_is_reachable() {
     let mut node = node();
     assert_eq!(report_requests(&node.tick(0.0, false)), 0);
-    // The shuffle removed the only neighbour until it replies; control's list names it again.
+    // The shuffle removed the only neighbour until it replies; control's list adds it again.
     node.add_known_agents(&[NEIGHBOUR]);
     assert_eq!(report_requests(&node.tick(300.0, true)), 1);
     assert_eq!(
         report_requests(&node.tick(400.0, true)),
         0,
-        "not again at once"
+        "the request interval has not passed"
     );
 }
 
-/// Risk: a report becomes younger on its way, and a key that was revoked stays valid for ever between two agents that pass
-/// the report to each other.
+/// Guards against a report whose age decreases in transit, with which two agents could keep a revoked key valid
+/// indefinitely by forwarding the report to each other.
 #[test]
-fn a_report_grows_older_with_each_hop_however_long_it_takes() {
-    let (mut lender, mut borrower) = (node(), node());
-    // The lender knows a report as of 1,000 on its clock, and is asked at 1,400.
+fn the_age_of_a_report_includes_the_delay_of_each_hop() {
+    let (mut sender, mut requester) = (node(), node());
+    // The sender holds a report as of 1,000 on its clock, and receives the request at 1,400.
     let request = GossipMessage::ReportRequest { sent_at: 50 };
-    let replies = lender.handle(1400.0, LOCAL, request, &NEW, Some(1000.0));
+    let replies = sender.handle(1400.0, LOCAL, request, &NEW, Some(1000.0));
     assert_eq!(
         replies,
         [GossipAction::Send {
@@ -77,15 +77,15 @@
             message: report(50, 400, NEW)
         }]
     );
-    // The borrower asked at 50 on its own clock. The reply takes 700 ms, and the age still counts from 50.
-    let actions = borrower.handle(750.0, NEIGHBOUR, report(50, 400, NEW), &NEW, None);
+    // The requester sent its request at 50 on its own clock. The reply arrives 700 ms later; the age counts from 50.
+    let actions = requester.handle(750.0, NEIGHBOUR, report(50, 400, NEW), &NEW, None);
     assert_eq!(actions, [GossipAction::ConfirmedAsOf(-350.0)]);
 }
 
-/// The same for two agents that ask each other in turn, for two minutes.
+/// The same as above, for two agents that request reports from each other alternately for two minutes.
 #[test]
 fn a_report_passed_back_and_forth_never_becomes_younger() {
-    let (mut lender, mut borrower) = (node(), node());
+    let (mut sender, mut requester) = (node(), node());
     let mut confirmed_as_of = [0.0, -350.0];
     for round in 0..400_usize {
         let now = 800.0 + round as f64 * 300.0;
@@ -93,12 +93,12 @@
         let request = GossipMessage::ReportRequest {
             sent_at: now as u64,
         };
-        let replies = lender.handle(now, LOCAL, request, &NEW, Some(confirmed_as_of[from]));
+        let replies = sender.handle(now, LOCAL, request, &NEW, Some(confirmed_as_of[from]));
         let [GossipAction::Send { ref message, .. }] = replies[..] else {
             panic!("{replies:?}")
         };
         let known = Some(confirmed_as_of[to]);
-        let actions = borrower.handle(now + 5.0, NEIGHBOUR, message.clone(), &NEW, known);
+        let actions = requester.handle(now + 5.0, NEIGHBOUR, message.clone(), &NEW, known);
         if let [GossipAction::ConfirmedAsOf(as_of)] = actions[..] {
             confirmed_as_of[to] = confirmed_as_of[to].max(as_of);
         }
@@ -109,9 +109,9 @@
     }
 }
 
-/// Risk: an agent that holds older state takes the report for its own state, and accepts what was revoked.
+/// Guards against an agent with an older state that applies a report to that state, and so accepts revoked keys.
 #[test]
-fn an_agent_that_holds_older_state_fetches_a_snapshot_before_it_relies_on_a_report() {
+fn an_agent_with_older_state_fetches_a_snapshot_before_it_uses_a_report() {
     let mut node = node();
     let fetch = [GossipAction::FetchSnapshot(NEIGHBOUR)];
     assert_eq!(
@@ -119,10 +119,10 @@
         fetch
     );
     let repeated = node.handle(1100.0, NEIGHBOUR, report(900, 100, NEW), &OLD, None);
-    assert_eq!(repeated, [], "the snapshot is on its way");
+    assert_eq!(repeated, [], "a snapshot fetch is pending");
     let confirmed = node.handle(1200.0, NEIGHBOUR, report(1150, 100, NEW), &NEW, None);
     assert_eq!(confirmed, [GossipAction::ConfirmedAsOf(1050.0)]);
-    // Evacuations count as configurations do.
+    // An evacuation revision is compared like a configuration version.
     let evacuated = StateDigest {
         revision: Revision {
             evacuation: 2,
@@ -136,7 +136,7 @@
     );
 }
 
-/// Risk: a reply to a request of an earlier process promises a time that has not come yet.
+/// Guards against a reply to a request of an earlier process, which would confirm a time in the future.
 #[test]
 fn a_reply_to_an_earlier_process_is_ignored() {
     assert_eq!(
@@ -145,9 +145,9 @@
     );
 }
 
-/// Risk: two agents hold different contents under one revision, and each confirms the other's.
+/// Guards against two agents with different contents under one revision that confirm each other's state.
 #[test]
-fn a_report_of_other_contents_under_the_same_revision_is_ignored() {
+fn a_report_with_different_contents_under_the_same_revision_is_ignored() {
     let other = StateDigest {
         digests: [8, 0, 0, 0],
         ..NEW
@@ -158,9 +158,9 @@
     );
 }
 
-/// Risk: a few agents that are partitioned off together take themselves for the fleet, and go on.
+/// Guards against a small partitioned group of agents that mistakes itself for the majority of the fleet.
 #[test]
-fn most_agents_count_as_isolated_only_if_half_of_those_asked_say_so() {
+fn most_agents_count_as_isolated_only_if_half_of_the_requests_confirm_it() {
     let others: Vec<Ipv4Addr> = (2..10).map(|host| Ipv4Addr::new(10, 0, 0, host)).collect();
     for (answering, expected) in [(8, true), (4, true), (1, false), (0, false)] {
         let mut node = GossipNode::new(LOCAL, 3);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn an_isolated_agent_answers_that_it_has_no_report() {
+fn an_isolated_agent_replies_that_it_has_no_report() {
     let request = GossipMessage::ReportRequest { sent_at: 1 };
     let reply = GossipAction::Send {
         to: NEIGHBOUR,
--- a/crates/aspendrum-gossip/tests/view.rs
+++ b/crates/aspendrum-gossip/tests/view.rs
@@ -1,4 +1,4 @@
-//! Partial views at the sizes of fleets to come, by simulation: no I/O, no clock, the same run for the same seed.
+//! Simulates partial views in fleets of up to a thousand agents. The simulation is deterministic for a given seed.
 
 use aspendrum_gossip::view::{Neighbour, PartialView, VIEW_SIZE};
 use fastrand::Rng;
@@ -15,7 +15,7 @@
 }
 
 impl Fleet {
-    /// Each agent begins with a few addresses of control's list.
+    /// Creates a fleet in which each view is filled from control's list.
     fn new(size: usize) -> Fleet {
         let mut fleet = Fleet {
             views: HashMap::new(),
@@ -30,7 +30,7 @@
         fleet
     }
 
-    /// Each agent starts a shuffle; `loss` of all datagrams are lost.
+    /// Starts a shuffle at each agent. `loss` is the fraction of lost datagrams.
     fn shuffle_all(&mut self, loss: f64) {
         let mut agents: Vec<Ipv4Addr> = self.views.keys().copied().collect();
         agents.sort();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// How many agents can be reached from the first, over neighbours in either direction.
+    /// Returns the number of agents that are connected to the first one, over neighbours in either direction.
     fn connected_to_first(&self) -> usize {
         let mut edges: HashMap<Ipv4Addr, Vec<Ipv4Addr>> = HashMap::new();
         for (agent, view) in &self.views {
@@ -83,7 +83,7 @@
         seen.len()
     }
 
-    /// The share of all view entries that name an agent that has gone.
+    /// Returns the fraction of view entries that refer to removed agents.
     fn stale_entries(&self) -> f64 {
         let entries: Vec<&Neighbour> = self
             .views
@@ -97,7 +97,7 @@
         stale as f64 / entries.len().max(1) as f64
     }
 
-    /// How many views name the agent that most views name.
+    /// Returns the maximum number of views that contain the same agent.
     fn max_in_degree(&self) -> usize {
         let mut in_degree: HashMap<Ipv4Addr, usize> = HashMap::new();
         for entry in self.views.values().flat_map(|view| view.neighbours()) {
@@ -107,9 +107,9 @@
     }
 }
 
-/// Risk: 30% of all machines are lost at once, and the rest falls into parts that never hear of each other again.
+/// Guards against a permanent partition of the fleet after the simultaneous loss of 30% of all machines.
 #[test]
-fn a_fleet_stays_connected_when_a_third_fails_and_forgets_who_has_gone() {
+fn a_fleet_stays_connected_when_a_third_fails_and_forgets_removed_agents() {
     for size in [70, 300, 1000] {
         let mut fleet = Fleet::new(size);
         (0..40).for_each(|_| fleet.shuffle_all(0.02));
@@ -121,7 +121,7 @@
         let max_in_degree = fleet.max_in_degree();
         assert!(
             max_in_degree <= 4 * VIEW_SIZE,
-            "{size}: one agent is known to {max_in_degree}"
+            "{size}: one agent is in {max_in_degree} views"
         );
         for failed in 0..size * 3 / 10 {
             fleet.views.remove(&ip(failed * 10 / 3));
@@ -140,31 +140,31 @@
         let stale = fleet.stale_entries();
         assert!(
             stale < 0.02,
-            "{size}: {stale} of the entries name agents that have gone"
+            "{size}: a fraction of {stale} of the entries refers to removed agents"
         );
     }
 }
 
-/// Risk: a machine that returns, or a new one that knows a single other, stays unknown.
+/// Guards against a restarted or new machine that knows a single agent and is not discovered by others.
 #[test]
-fn a_new_agent_is_soon_known_to_others() {
+fn a_new_agent_is_discovered_by_others() {
     let mut fleet = Fleet::new(70);
     (0..40).for_each(|_| fleet.shuffle_all(0.0));
     let mut view = PartialView::new(ip(500));
     view.fill(&mut fleet.rng, &[ip(3)]);
     fleet.views.insert(ip(500), view);
     (0..10).for_each(|_| fleet.shuffle_all(0.3));
-    let knows_it = |view: &&PartialView| {
+    let contains_new_agent = |view: &&PartialView| {
         view.neighbours()
             .iter()
             .any(|neighbour| neighbour.ip == ip(500))
     };
-    let known_to = fleet.views.values().filter(knows_it).count();
-    assert!(known_to >= 3, "known to {known_to}");
+    let discovered_by = fleet.views.values().filter(contains_new_agent).count();
+    assert!(discovered_by >= 3, "discovered by {discovered_by}");
     assert!(fleet.views[&ip(500)].neighbours().len() >= 4);
 }
 
-/// Risk: a reply that answers no request fills a view with agents of its sender's choice.
+/// Guards against unsolicited replies that fill a view with agents selected by their sender.
 #[test]
 fn a_reply_without_a_request_changes_nothing() {
     let mut rng = Rng::with_seed(1);
--- a/crates/aspendrum-gossip/tests/wire_bytes.rs
+++ b/crates/aspendrum-gossip/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes of each datagram between agents. Agents of different versions run side by side during an upgrade, so
-//! these bytes must not change: `fixtures/datagrams.txt` holds one datagram a line, written as hexadecimal digits.
+//! Pins the encoding of each datagram between agents. Agents of different versions run side by side during an upgrade,
+//! so the bytes must not change. `fixtures/datagrams.txt` contains one datagram per line in hexadecimal digits.
 
 use aspendrum_gossip::{GossipMessage, Neighbour};
 use aspendrum_model::message::{Revision, StateDigest};
