--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -1,5 +1,5 @@
-//! The agents that are connected to this control node: the updates that each was sent, the state that its proxy has
-//! applied, and whether clients may be sent to that proxy.
+//! The agents that are connected to this control node: the updates sent to each agent, the state that its proxy has
+//! applied, and whether clients may be directed to that proxy.
 
 use crate::decided::DecidedState;
 use crate::event::ConnectionId;
@@ -16,52 +16,52 @@
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// After this time without a message an agent counts as suspended, partitioned or without power, and its proxy with it.
+/// The time without a message after which an agent and its proxy count as suspended, partitioned or powered off.
 const AGENT_TIMEOUT: Millis = 1000.0;
-/// An agent that changes to another control node is connected there within this time.
+/// The time within which an agent that moves to another control node is assumed to be connected there.
 const RECONNECT_TIME: Millis = 1200.0;
 
-/// This node's view of the decided state, with which it answers agents' heartbeats and assesses their proxies.
+/// This node's view of the decided state, used to answer heartbeats of agents and to assess their proxies.
 #[derive(Clone, Copy)]
 pub struct MajorityView<'a> {
-    /// The decided state, as far as this node has published it.
+    /// The decided state as published by this node.
     pub decided: &'a DecidedState,
-    /// Whether a majority was read lately. Without that this node may be the one that is behind.
+    /// Whether the last majority read is recent. Otherwise this node itself may be outdated.
     pub is_recent: bool,
-    /// How long such a reading of a majority remains valid.
+    /// How long a majority report remains valid.
     pub report_validity: ReportValidity,
-    /// How long a proxy may lack the decided state before clients are sent elsewhere.
+    /// The maximum time for which a proxy may be outdated before clients are directed to other proxies.
     pub max_lag: Millis,
 }
 
-/// What a message of an agent has changed.
+/// The effect of an agent's message on the state of this node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AgentChange {
-    /// Nothing that others need to know.
+    /// No change that has to be propagated.
     Unchanged,
-    /// A proxy of this node has changed.
+    /// The entry of the agent's proxy has changed.
     ProxyChanged,
-    /// An agent has introduced itself, and has to be sent all sections.
+    /// The agent has identified itself and needs all sections.
     Joined,
 }
 
-/// An agent and its proxy, by their connection.
+/// The connection of an agent, and the state of its proxy.
 struct AgentSession {
     link: Link,
     host: String,
-    /// None until the agent has introduced itself.
+    /// `None` until the agent has identified itself.
     proxy: Option<ProxyEndpoint>,
     connected_at: Millis,
     last_received: Millis,
-    /// The updates on this connection.
+    /// Numbers the updates on this connection and tracks their acknowledgement.
     updates: UpdateStream,
     /// The digest of the state that the proxy has applied.
     applied: StateDigest,
-    /// How `applied` compares with the decided state.
+    /// The result of the last comparison of `applied` with the decided state.
     status: SyncStatus,
-    /// Since when the proxy has not been current; none while it is.
+    /// Since when the proxy has not been current; `None` while it is current.
     not_current_since: Option<Millis>,
-    /// Whether the agent has announced that it moves to another control node.
+    /// Whether the agent has announced that it is moving to another control node.
     is_disconnecting: bool,
 }
 
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The agent has introduced itself.
-    fn introduce(&mut self, host: String, proxy_addr: SocketAddrV4, zone: String) {
+    /// Records the identity of the agent and its proxy.
+    fn on_hello(&mut self, host: String, proxy_addr: SocketAddrV4, zone: String) {
         log::info!("event=agent_connected host={host} proxy={proxy_addr} zone={zone}");
         self.host = host;
         self.proxy = Some(ProxyEndpoint {
@@ -93,7 +93,8 @@
         });
     }
 
-    /// Sends the sections that the agent does not have yet, as far as it has acknowledged those before.
+    /// Sends the sections that have changed for this agent. A section is held back while the previous one of its kind
+    /// is unacknowledged, see [`UpdateStream::offer`].
     fn send_updates(
         &mut self,
         now: Millis,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Answers a heartbeat, and records the state that the proxy has applied.
+    /// Replies to a heartbeat and records the state that the proxy has applied.
     fn on_heartbeat(
         &mut self,
         now: Millis,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Compares what the proxy has applied with what is decided.
+    /// Compares the state that the proxy has applied with the decided state.
     fn assess(&mut self, now: Millis, view: &MajorityView<'_>) {
         let report = MajorityReport {
             decided: view.decided.digest(),
@@ -144,18 +145,19 @@
         };
         self.status =
             SyncAssessment::new(&self.applied, Some(&report), false, &view.report_validity).status;
-        let lacking_since = view.decided.lacking_since(&self.applied.revision);
-        self.not_current_since = match (self.status, lacking_since) {
+        let outdated_since = view.decided.outdated_since(&self.applied.revision);
+        self.not_current_since = match (self.status, outdated_since) {
             (SyncStatus::Current, _) => None,
-            // In a storm of changes a proxy always lacks the last ones: what counts is for how long it lacks the first.
+            // During a burst of changes every proxy is missing the latest ones, so the time is counted from the oldest
+            // change that it is missing.
             (SyncStatus::Behind, Some(since)) => Some(since.max(self.connected_at)),
             _ => Some(self.not_current_since.unwrap_or(now)),
         };
     }
 
-    /// Records the proxy's readiness and whether it is current. Returns whether either has changed.
+    /// Updates the readiness of the proxy and whether it is current. Returns whether either has changed.
     fn update_proxy(&mut self, now: Millis, readiness: Readiness, max_lag: Millis) -> bool {
-        // A proxy that lacks an update for less than `max_lag` still counts as current.
+        // A proxy that has been outdated for less than `max_lag` still counts as current.
         let is_current = self
             .not_current_since
             .is_none_or(|since| now - since < max_lag);
@@ -198,11 +200,11 @@
     }
 }
 
-/// A proxy whose agent is changing to another control node.
+/// A proxy whose agent is moving to another control node.
 struct MovedProxy {
     proxy: ProxyEndpoint,
-    /// Until when the agent is assumed to have connected there.
-    until: Millis,
+    /// The time at which this entry expires; the agent should be connected to the other node by then.
+    expires_at: Millis,
 }
 
 /// The agents that are connected to this node.
@@ -213,7 +215,8 @@
 }
 
 impl AgentSessions {
-    /// The proxies whose agents are connected here, and those whose agents have just left for another control node.
+    /// Returns the proxies whose agents are connected to this node, and those whose agents have just left it for
+    /// another control node.
     pub fn proxy_entries(&self) -> Vec<ProxyEntry> {
         let connected = self
             .sessions
@@ -230,12 +233,12 @@
         connected.chain(moved).collect()
     }
 
-    /// An agent connected.
+    /// Adds a session for a new connection of an agent.
     pub fn on_connected(&mut self, now: Millis, id: ConnectionId, link: Link) {
         self.sessions.insert(id, AgentSession::new(link, now));
     }
 
-    /// A connection ended. Returns whether that has changed this node's proxies.
+    /// Removes the session of a closed connection. Returns whether this has changed the proxies of this node.
     pub fn on_disconnected(&mut self, now: Millis, id: ConnectionId) -> bool {
         let Some(session) = self.sessions.remove(&id) else {
             return false;
@@ -249,13 +252,13 @@
             proxy.addr
         );
         if is_moving {
-            let until = now + RECONNECT_TIME;
-            self.moved.push(MovedProxy { proxy, until });
+            let expires_at = now + RECONNECT_TIME;
+            self.moved.push(MovedProxy { proxy, expires_at });
         }
         true
     }
 
-    /// An agent sent a message.
+    /// Handles a message from an agent.
     pub fn on_message(
         &mut self,
         now: Millis,
@@ -273,7 +276,7 @@
                 proxy_addr,
                 zone,
             } => {
-                session.introduce(host, proxy_addr, zone);
+                session.on_hello(host, proxy_addr, zone);
                 AgentChange::Joined
             }
             ToControl::Heartbeat {
@@ -299,11 +302,11 @@
         }
     }
 
-    /// Marks the proxies of silent agents as closed, and forgets moved proxies whose time has passed. Returns whether
-    /// that has changed this node's proxies.
-    pub fn close_silent(&mut self, now: Millis) -> bool {
+    /// Marks the proxies of agents without a message for [`AGENT_TIMEOUT`] as closed, and removes expired entries of
+    /// moved proxies. Returns whether this has changed the proxies of this node.
+    pub fn expire_silent(&mut self, now: Millis) -> bool {
         let moved_before = self.moved.len();
-        self.moved.retain(|moved| now < moved.until);
+        self.moved.retain(|moved| now < moved.expires_at);
         let mut has_changed = self.moved.len() != moved_before;
         let silent = self.sessions.values_mut();
         let silent = silent.filter(|session| now - session.last_received > AGENT_TIMEOUT);
@@ -317,31 +320,31 @@
         has_changed
     }
 
-    /// Sends every agent the sections that it does not have yet, as far as it has acknowledged those before. `report`: the
-    /// decided state that the sections hold.
+    /// Sends every agent the sections that have changed for it, at the pace of its acknowledgements. `report` describes
+    /// the decided state that the sections contain.
     pub fn send_updates(
         &mut self,
         now: Millis,
         sections: &[StateSection],
         report: Option<MajorityReport>,
     ) {
-        let introduced = self
+        let identified = self
             .sessions
             .values_mut()
             .filter(|session| session.proxy.is_some());
-        for session in introduced {
+        for session in identified {
             session.send_updates(now, sections, report);
         }
     }
 
-    /// Whether sections wait for an agent's acknowledgement.
-    pub fn has_waiting_updates(&self) -> bool {
+    /// Returns whether any update is held back until an agent acknowledges an earlier one.
+    pub fn has_pending_updates(&self) -> bool {
         self.sessions
             .values()
             .any(|session| session.updates.is_waiting())
     }
 
-    /// The nodes whose agents are connected here, by host name.
+    /// Returns a report of each node whose agent is connected here, sorted by host name.
     pub fn report(&self, now: Millis) -> Vec<NodeReport> {
         let reports = self
             .sessions
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls: operators' commands and reports, and clients' lookups.
+//! The HTTP APIs: commands and reports for operators, and lookups for clients.
 
 use crate::directory::Directory;
 use crate::event::{Event, ReportQuery};
@@ -15,39 +15,39 @@
 use std::sync::{Arc, RwLock};
 use std::time::{Duration, Instant};
 
-/// How long a call waits for a majority: less than the second that its caller waits for.
+/// The maximum time that a call waits for a majority. It is below the timeout of one second that callers use.
 const CALL_TIMEOUT: Duration = Duration::from_millis(950);
 
-/// The answer to a command whose text lost against another text for the same version.
+/// The response body for a configuration whose version was decided with a different text.
 const VERSION_CONFLICT: &str = "another text was decided under this number\n";
 
-/// The calls of both APIs.
+/// The calls of the operator API and the client API.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
     /// Set the configuration.
     SetConfig,
-    /// Show the configuration in force.
+    /// Show the current configuration.
     ShowConfig,
-    /// Begin to evacuate a zone.
+    /// Begin the evacuation of a zone.
     BeginEvacuation,
-    /// End the evacuation of a zone.
+    /// Finish the evacuation of a zone.
     FinishEvacuation,
-    /// Report the nodes whose agents are connected.
+    /// Report the nodes whose agents are connected to this control node.
     ReportNodes,
-    /// Explain what each version does with a request.
+    /// Explain how each configuration version routes a request.
     Explain,
     /// Look up the proxies for a client.
     LookUp,
 }
 
-/// The paths of an API.
+/// The routing table of an API.
 pub type Routes = Vec<PathNode<Call>>;
 
 fn under_api(inner: Routes) -> Routes {
     vec![PathNode::Literal("api", inner)]
 }
 
-/// The paths of operators' calls.
+/// Returns the routes of the operator API.
 pub fn operator_routes() -> Routes {
     let evacuation = |call| vec![PathNode::Parameter(vec![PathNode::Endpoint("POST", call)])];
     under_api(vec![
@@ -63,7 +63,7 @@
     ])
 }
 
-/// The paths of clients' calls.
+/// Returns the routes of the client API.
 pub fn client_routes() -> Routes {
     under_api(vec![PathNode::Literal(
         "lookup",
@@ -71,7 +71,7 @@
     )])
 }
 
-/// Answers operators' calls.
+/// Handles calls to the operator API.
 pub struct OperatorApi {
     routes: Routes,
     events: Arc<MailboxSender<Event>>,
@@ -80,7 +80,8 @@
 }
 
 impl OperatorApi {
-    /// `events`: to the node's thread. `region_by_zone`: all zones that can be evacuated.
+    /// Creates the API. `events` is the mailbox of the node's thread; `region_by_zone` contains all zones that can be
+    /// evacuated.
     pub fn new(
         events: Arc<MailboxSender<Event>>,
         region_by_zone: BTreeMap<String, String>,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Answers a call.
+    /// Handles a call.
     pub fn answer(&self, request: &Request) -> Reply {
         let (call, zone, query) = match match_path(&self.routes, &request.method, &request.path) {
             PathMatch::Call {
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Submits a command and waits for its outcome. A command is acknowledged only once a majority of disks holds its
-    /// effect; one that is answered by 503 may still take effect.
+    /// Submits a command and waits for its outcome. A command is acknowledged only after a majority of disks has stored
+    /// its effect. A command that failed with 503 may still take effect.
     fn submit(&self, command: Command, acknowledge: impl Fn(&ReplicatedState) -> Reply) -> Reply {
         let (reply, outcome) = bounded(1);
         let event = Event::Command {
@@ -189,7 +190,7 @@
         }
         match outcome.recv_timeout(CALL_TIMEOUT) {
             Ok(Outcome::Committed(state)) => acknowledge(&state),
-            // Operators do not retry after a 409, so it is sent only once the other text is decided.
+            // A 409 is final for operators, so it is sent only after the other text has been decided.
             Ok(Outcome::VersionConflict) => {
                 log::info!(
                     "event=command_refused why=\"{}\"",
@@ -215,16 +216,16 @@
     }
 }
 
-/// Answers clients' lookups.
+/// Handles lookups of clients.
 pub struct LookupApi {
     routes: Routes,
     directory: Arc<RwLock<Directory>>,
-    /// How long an answer counts, seconds.
+    /// The maximum time to live of an answer, in seconds.
     ttl_s: f64,
 }
 
 impl LookupApi {
-    /// Answers from that directory.
+    /// Creates an API that answers from `directory`.
     pub fn new(directory: Arc<RwLock<Directory>>, ttl_s: f64) -> LookupApi {
         LookupApi {
             routes: client_routes(),
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Answers a call with `ips` and `ttl-s`.
+    /// Handles a call. The response to a lookup contains `ips` and `ttl-s`.
     pub fn answer(&self, now: Millis, request: &Request) -> Reply {
         let query = match match_path(&self.routes, &request.method, &request.path) {
             PathMatch::Call {
--- a/crates/aspendrum-control/src/connections.rs
+++ b/crates/aspendrum-control/src/connections.rs
@@ -1,5 +1,6 @@
-//! The connections of a control node: outgoing ones to each other control node, and incoming ones from other control
-//! nodes and from agents. A control node sends to another one only on its own outgoing connection.
+//! The TCP connections of a control node: outgoing connections to the other control nodes, and incoming connections
+//! from other control nodes and from agents. A control node sends messages to another one only on its outgoing
+//! connection.
 
 use crate::event::{ConnectionId, Event};
 use crate::peer_message::PeerMessage;
@@ -16,27 +17,28 @@
 use std::time::Duration;
 
 const STACK_BYTES: usize = 96 << 10;
-/// The time between two attempts to connect to a node.
+/// The delay before the next attempt to connect to a node.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long to wait after a failed accept: no descriptor is free, and one may be in a moment.
+/// The delay after a failed accept. The usual cause is a shortage of file descriptors, which may be brief.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// How many messages a link queues for a receiver that does not read, before it closes the connection.
+/// The number of messages that a link queues for a slow receiver before it closes the connection.
 const LINK_CAPACITY: usize = 256;
-/// A connection is closed after this many times the given time-out without a message.
+/// The read timeout of an incoming connection, as a multiple of the peer timeout.
 const READ_TIMEOUT_FACTOR: u32 = 4;
 const READ_BUFFER_BYTES: usize = 2 << 10;
 
-/// Wraps a message as it is sent to another control node.
+/// Wraps a message for another control node in the envelope in which it is sent.
 pub fn envelope(message: &PeerMessage) -> Envelope<&PeerMessage> {
     Envelope::Peer(message)
 }
 
-/// Keeps a connection to that node for as long as `keep_connected`. Each change of the connection becomes an event.
+/// Starts a thread that maintains a connection to `node` while `keep_connected` is true. It sends an
+/// [`Event::PeerLink`] whenever the connection is established or lost.
 ///
 /// # Errors
-/// The thread cannot be started.
-pub fn keep_connected(
+/// Returns an error if the thread cannot be started.
+pub fn maintain_connection(
     node: NodeId,
     address: SocketAddrV4,
     peer_timeout: Duration,
@@ -47,7 +49,7 @@
     spawn("peer", STACK_BYTES, move || {
         while keep_connected.load(Ordering::Acquire) {
             if let Ok(stream) = Link::connect(address, CONNECT_TIMEOUT) {
-                hold_connection(node, stream, peer_timeout, &events);
+                run_connection(node, stream, peer_timeout, &events);
             }
             sleep(RECONNECT_INTERVAL);
         }
@@ -55,8 +57,8 @@
     Ok(())
 }
 
-/// Returns when the connection has ended.
-fn hold_connection(
+/// Announces an established connection, waits until it is lost, and announces that.
+fn run_connection(
     node: NodeId,
     stream: Arc<TcpStream>,
     peer_timeout: Duration,
@@ -67,15 +69,15 @@
     };
     let link = Some(link);
     events.send(Event::PeerLink { node, link }, None);
-    // The other node sends nothing on this connection, so the read returns when the connection ends.
+    // The other node never sends on this connection, so the read returns when the connection is closed.
     let _ = (&*stream).read(&mut [0]);
     events.send(Event::PeerLink { node, link: None }, None);
 }
 
-/// Accepts the connections of control nodes and of agents.
+/// Starts a thread that accepts connections from control nodes and agents, and a reader thread for each connection.
 ///
 /// # Errors
-/// The port cannot be opened, or the thread cannot be started.
+/// Returns an error if the address cannot be bound or the thread cannot be started.
 pub fn listen(
     address: SocketAddrV4,
     peer_timeout: Duration,
@@ -104,14 +106,15 @@
     Ok(())
 }
 
-/// Turns the messages of a connection into events until the connection ends.
+/// Reads messages from a connection and sends them as events until the connection is closed. A control node must
+/// identify itself with a Hello before any other message.
 fn read_messages(
     id: ConnectionId,
     stream: &Arc<TcpStream>,
     peer_timeout: Duration,
     events: &MailboxSender<Event>,
 ) {
-    // A sender without any message for this time has lost its connection or its power.
+    // All senders send heartbeats, so silence for this time means that the connection or the sender is lost.
     let _ = stream.set_read_timeout(Some(READ_TIMEOUT_FACTOR * peer_timeout));
     let mut reader = io::BufReader::with_capacity(READ_BUFFER_BYTES, &**stream);
     let (mut peer, mut is_agent) = (None, false);
--- a/crates/aspendrum-control/src/decided.rs
+++ b/crates/aspendrum-control/src/decided.rs
@@ -1,8 +1,9 @@
-//! What is decided, as it is published to agents: the digest that proxies' tables are compared with, and the last versions
-//! for explanations.
+//! The decided state as it is published to agents, its digest for comparison with the tables of proxies, and the most
+//! recent configuration versions for the explain report.
 //!
-//! A committed state is published at once, unless another one was published a moment ago: a storm of changes costs agents
-//! and proxies, which parse each configuration, one configuration an interval. An evacuation is always published at once.
+//! Publication of configurations is rate-limited: agents and proxies parse every configuration, so during a burst of
+//! changes only one configuration is published per interval. The first change after a pause is published immediately,
+//! and so is every change of evacuations.
 
 use aspendrum_consensus::{Millis, ReplicatedState};
 use aspendrum_model::compression::decompress;
@@ -11,51 +12,53 @@
 use aspendrum_reconcile::{state_digest, MajorityReport};
 use std::collections::VecDeque;
 
-/// If a majority was read within this time, in milliseconds, this node relies on its own state: it is not itself
-/// behind, and it is connected to the other control nodes, so that it knows their proxies.
+/// The maximum age in milliseconds of the last majority read for this node to rely on its own state. A recent read
+/// shows that the node is not behind, and that it is connected to the other control nodes and thus has their proxy
+/// tables.
 pub const MAX_MAJORITY_AGE: Millis = 1200.0;
-/// How many of the last versions are kept for explanations.
+/// The number of recent configuration versions that are retained for the explain report.
 const MAX_VERSIONS: usize = 4;
-/// How many of the last published states are kept to tell since when a proxy lacks one.
-const MAX_PUBLISHED: usize = 16;
-/// The share of the deadline for applying a change that may pass between two published configurations.
+/// The number of recent publications that are retained to determine since when a proxy has been outdated.
+const MAX_PUBLICATIONS: usize = 16;
+/// The minimum interval between two published configurations, as a fraction of the apply deadline.
 const PUBLISH_INTERVAL_SHARE: f64 = 0.1;
 
-/// A state that was published.
-struct Published {
+/// The revision of a published state, and when it was published.
+struct Publication {
     revision: Revision,
     at: Millis,
 }
 
-/// The committed configuration and evacuations in the form that proxies apply.
+/// The committed configuration and evacuations, as published to agents.
 pub struct DecidedState {
     state: ReplicatedState,
     digest: StateDigest,
-    /// When a majority held nothing newer than what is published; none if no majority was read yet.
+    /// The last time at which the published state was known to be the newest one on a majority; `None` before the first
+    /// majority read.
     as_of: Option<Millis>,
-    /// The last states that were published, the newest first.
-    published: VecDeque<Published>,
+    /// The most recent publications, newest first.
+    publications: VecDeque<Publication>,
     publish_interval: Millis,
-    /// The last versions that were published, the newest first.
+    /// The most recently published configuration versions, newest first.
     versions: VecDeque<Config>,
 }
 
 impl DecidedState {
-    /// The state of a node that has not read a majority yet. `apply_deadline`: how long a change may take from its
-    /// acknowledgement until it is in force.
-    pub fn unknown(apply_deadline: Millis) -> DecidedState {
+    /// Creates the state of a node that has not read from a majority yet. `apply_deadline` is the maximum time from the
+    /// acknowledgement of a change until it is in force.
+    pub fn new(apply_deadline: Millis) -> DecidedState {
         DecidedState {
             state: ReplicatedState::default(),
             digest: state_digest(None, 0, &[]),
             as_of: None,
-            published: VecDeque::new(),
+            publications: VecDeque::new(),
             publish_interval: PUBLISH_INTERVAL_SHARE * apply_deadline,
             versions: VecDeque::new(),
         }
     }
 
-    /// Publishes the committed state if that is due. Returns whether it was published. `as_of`: when a majority held
-    /// nothing newer than `committed`.
+    /// Publishes the committed state if a publication is due. Returns whether it was published. `as_of` is the last
+    /// time at which `committed` was known to be the newest state on a majority.
     pub fn publish_if_due(
         &mut self,
         now: Millis,
@@ -66,9 +69,9 @@
             self.as_of = as_of;
             return false;
         }
-        let last = self.published.front().map(|published| published.at);
-        let is_first = last.is_none_or(|at| now - at >= self.publish_interval);
-        if !is_first && committed.evacuations == self.state.evacuations {
+        let last = self.publications.front().map(|publication| publication.at);
+        let is_due = last.is_none_or(|at| now - at >= self.publish_interval);
+        if !is_due && committed.evacuations == self.state.evacuations {
             return false;
         }
         self.publish(now, committed);
@@ -78,16 +81,17 @@
 
     fn publish(&mut self, now: Millis, committed: &ReplicatedState) {
         let evacuated = committed.evacuated_zones();
-        // Control commits valid texts only. Proxies would ignore any other, so the digest has no configuration then.
+        // Control nodes commit valid configurations only. Proxies would ignore an invalid one, so it is not part of the
+        // digest.
         let text = decompress(&committed.config.compressed_text);
         let config = text.and_then(|text| Config::read(&text).ok());
         self.digest = state_digest(config.as_ref(), evacuated.revision, &evacuated.zones);
         self.state = committed.clone();
-        self.published.push_front(Published {
+        self.publications.push_front(Publication {
             revision: self.digest.revision,
             at: now,
         });
-        self.published.truncate(MAX_PUBLISHED);
+        self.publications.truncate(MAX_PUBLICATIONS);
         let Some(config) = config else {
             return;
         };
@@ -97,17 +101,18 @@
         self.versions.truncate(MAX_VERSIONS);
     }
 
-    /// The state that is published.
+    /// Returns the published state.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// The digest of everything that is published.
+    /// Returns the digest of the published state.
     pub fn digest(&self) -> StateDigest {
         self.digest
     }
 
-    /// What a majority was last known to hold nothing newer than, and when; none if no majority was read yet.
+    /// Returns the digest of the published state and the last time at which a majority held nothing newer; `None`
+    /// before the first majority read.
     pub fn report(&self) -> Option<MajorityReport> {
         let report = |as_of| MajorityReport {
             decided: self.digest,
@@ -116,16 +121,17 @@
         self.as_of.map(report)
     }
 
-    /// Since when something is published that a node with that revision lacks; none if it lacks nothing.
-    pub fn lacking_since(&self, revision: &Revision) -> Option<Millis> {
-        let lacking = self
-            .published
+    /// Returns since when a node with that revision has been outdated: the time of the oldest retained publication that
+    /// the revision does not cover; `None` if it covers the latest one.
+    pub fn outdated_since(&self, revision: &Revision) -> Option<Millis> {
+        let missing = self
+            .publications
             .iter()
-            .take_while(|published| !revision.covers(&published.revision));
-        lacking.last().map(|published| published.at)
+            .take_while(|publication| !revision.covers(&publication.revision));
+        missing.last().map(|publication| publication.at)
     }
 
-    /// The last versions, the newest first.
+    /// Returns the most recently published configuration versions, newest first.
     pub fn versions(&self) -> impl Iterator<Item = &Config> {
         self.versions.iter()
     }
--- a/crates/aspendrum-control/src/directory.rs
+++ b/crates/aspendrum-control/src/directory.rs
@@ -1,42 +1,43 @@
-//! Which proxies clients are sent to: a decision without I/O.
+//! The lookup directory: selects the proxies that clients are directed to. It performs no I/O.
 
 use aspendrum_consensus::Millis;
 use aspendrum_model::message::{ProxyEndpoint, Readiness};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The most addresses in one answer, as the protocol requires.
+/// The maximum number of addresses in one answer, as required by the protocol.
 const MAX_ADDRESSES: usize = 64;
-/// With fewer proxies in its own zone a client has too little choice when one of them fails.
-const MIN_CHOICE: usize = 2;
-/// How long after a region's last proxy closed its clients are not sent to another region, in milliseconds. Planned
-/// restarts take less; until then clients keep the answers that they have.
+/// The minimum number of addresses for a client to have an alternative when one of the proxies fails.
+const MIN_ADDRESSES: usize = 2;
+/// The time in milliseconds after a region's last proxy has closed during which its clients are not directed to another
+/// region. Planned restarts take less time, and clients continue to use their previous answers meanwhile.
 pub const REGION_HOLD_TIME: Millis = 3000.0;
-/// The longest time to live, in seconds, of an answer that leads to another region or to draining proxies.
+/// The maximum time to live, in seconds, of an answer with proxies of another region or draining proxies.
 const MAX_FALLBACK_TTL_S: f64 = 1.0;
 
-/// Where a client is sent.
+/// The answer to a lookup.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LookupAnswer {
-    /// The proxies' addresses. Empty: there is no proxy that the client may be sent to now.
+    /// The addresses of proxies; empty if the client cannot be directed to any proxy now.
     pub addresses: Vec<SocketAddrV4>,
-    /// How long the client may use the answer, in seconds.
+    /// The time to live of the answer, in seconds.
     pub ttl_s: f64,
 }
 
-/// The proxies as lookups need them.
+/// The known proxies and their regions.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     proxies: Vec<ProxyEndpoint>,
     /// The region of each zone.
     region_by_zone: BTreeMap<String, String>,
-    /// Until when the clients of a region without any proxy are not sent to another one.
+    /// For each region, the time until which its clients are not directed to other regions even if it has no proxy.
     hold_until: BTreeMap<String, Millis>,
 }
 
 impl Directory {
-    /// A directory without proxies. Until [`REGION_HOLD_TIME`] has passed, not knowing a region's proxies does not mean
-    /// that it has none. `region_by_zone`: the regions of all zones.
+    /// Creates a directory without proxies. For the first [`REGION_HOLD_TIME`], clients are not directed to other
+    /// regions, because the proxies of their own region may not be known yet. `region_by_zone` maps each zone to its
+    /// region.
     pub fn new(now: Millis, region_by_zone: &BTreeMap<String, String>) -> Directory {
         let regions = region_by_zone.values();
         let hold_until = regions.map(|region| (region.clone(), now + REGION_HOLD_TIME));
@@ -51,36 +52,40 @@
         self.region_by_zone.get(&proxy.zone)
     }
 
-    /// Replaces the known proxies.
+    /// Replaces the known proxies. The hold time of every region that had an open proxy until now starts again.
     pub fn update(&mut self, now: Millis, proxies: &[ProxyEndpoint]) {
-        let takes_requests = |proxy: &&ProxyEndpoint| proxy.readiness != Readiness::Closed;
-        let serving = self.proxies.iter().filter(takes_requests);
-        let regions: Vec<String> = serving.filter_map(|p| self.region_of(p).cloned()).collect();
+        let is_open = |proxy: &&ProxyEndpoint| proxy.readiness != Readiness::Closed;
+        let open = self.proxies.iter().filter(is_open);
+        let regions: Vec<String> = open.filter_map(|p| self.region_of(p).cloned()).collect();
         for region in regions {
             self.hold_until.insert(region, now + REGION_HOLD_TIME);
         }
         self.proxies = proxies.to_vec();
     }
 
-    /// The addresses of matching proxies. Those that have not applied the latest decision are left out if enough others
-    /// remain.
+    /// Returns the addresses of matching proxies. Proxies that are not current are excluded if enough current ones
+    /// match.
     fn addresses(&self, matches: impl Fn(&ProxyEndpoint) -> bool) -> Vec<SocketAddrV4> {
         let matching: Vec<&ProxyEndpoint> = self.proxies.iter().filter(|p| matches(p)).collect();
         let current_count = matching.iter().filter(|p| p.is_current).count();
-        let has_enough_current = current_count >= MIN_CHOICE;
-        let chosen = matching
+        let has_enough_current = current_count >= MIN_ADDRESSES;
+        let selected = matching
             .iter()
             .filter(|p| p.is_current || !has_enough_current);
-        chosen.map(|p| p.addr).take(MAX_ADDRESSES).collect()
+        selected.map(|p| p.addr).take(MAX_ADDRESSES).collect()
     }
 
-    /// The addresses for a client: ready proxies of its zone if they leave a choice, else of its region, else draining
-    /// ones of its region, which still take requests. Proxies of other regions only if its own has had none for a
-    /// while: requests whose home is in a region must not be carried through others.
+    /// Returns the answer for a client in `region` and `zone`, with the first of these sets that is sufficient:
+    ///
+    /// 1. the ready proxies of its zone, if there are at least [`MIN_ADDRESSES`];
+    /// 2. the ready proxies of its region;
+    /// 3. the draining proxies of its region, which still accept requests;
+    /// 4. the ready proxies of all regions, but only after its own region has had no open proxy for
+    ///    [`REGION_HOLD_TIME`]: requests with a home region must not pass through other regions.
     pub fn look_up(&self, now: Millis, region: &str, zone: &str, ttl_s: f64) -> LookupAnswer {
         let in_region = |p: &ProxyEndpoint| self.region_of(p).is_some_and(|r| r == region);
         let of_zone = self.addresses(|p| p.is_ready() && p.zone == zone);
-        if of_zone.len() >= MIN_CHOICE {
+        if of_zone.len() >= MIN_ADDRESSES {
             return LookupAnswer {
                 addresses: of_zone,
                 ttl_s,
@@ -94,11 +99,11 @@
             };
         }
         let draining = self.addresses(|p| p.readiness == Readiness::Draining && in_region(p));
-        let is_held = self
+        let is_in_hold_time = self
             .hold_until
             .get(region)
             .is_some_and(|until| now < *until);
-        let addresses = if !draining.is_empty() || is_held {
+        let addresses = if !draining.is_empty() || is_in_hold_time {
             draining
         } else {
             self.addresses(ProxyEndpoint::is_ready)
--- a/crates/aspendrum-control/src/errors.rs
+++ b/crates/aspendrum-control/src/errors.rs
@@ -1,4 +1,4 @@
-//! The errors of a control node.
+//! Error types of a control node.
 
 use aspendrum_model::servers::InvalidServerPage;
 use aspendrum_model::settings::SettingsError;
@@ -8,21 +8,21 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why the state cannot be read from the disk or written to it.
+/// An error while reading the state from the disk or writing it.
 #[derive(Debug, Display, Error)]
 pub enum StoreError {
-    /// The database's folder cannot be created.
-    #[display("{}: {source}", folder.display())]
-    CreateFolder {
-        /// The folder.
-        folder: PathBuf,
+    /// The data directory cannot be created.
+    #[display("{}: {source}", data_dir.display())]
+    CreateDataDir {
+        /// The data directory.
+        data_dir: PathBuf,
         /// The cause.
         source: io::Error,
     },
     /// The database cannot be opened.
     #[display("{}: {source}", file.display())]
     Open {
-        /// Its file.
+        /// The database file.
         file: PathBuf,
         /// The cause.
         source: redb::DatabaseError,
@@ -30,10 +30,10 @@
     /// The database cannot be read or written.
     #[display("{_0}")]
     Database(Box<redb::Error>),
-    /// The value under a key is no state of that key's format.
+    /// A stored value cannot be decoded in the format of its key.
     #[display("{key}: {source}")]
     Decode {
-        /// The key, which names the format.
+        /// The key, which identifies the format.
         key: &'static str,
         /// The cause.
         source: postcard::Error,
@@ -44,47 +44,47 @@
 }
 
 impl StoreError {
-    /// An error of the database.
+    /// Wraps an error of the database.
     pub(crate) fn database(error: impl Into<redb::Error>) -> StoreError {
         StoreError::Database(Box::new(error.into()))
     }
 }
 
-/// Why the platform's list of servers cannot be read.
+/// An error while reading the platform's list of servers.
 #[derive(Debug, Display, Error)]
 pub enum PlatformError {
-    /// No answer came in time.
+    /// No valid response was received in time.
     #[display("{_0}")]
-    Unanswered(HttpClientError),
-    /// The answer has another status than 200.
-    #[display("status {_0}")]
+    NoResponse(HttpClientError),
+    /// The platform responded with a status other than 200.
+    #[display("platform responded with status {_0}")]
     Status(#[error(not(source))] u16),
-    /// A page cannot be read.
+    /// A page of the list cannot be parsed.
     #[display("{_0}")]
     InvalidPage(InvalidServerPage),
 }
 
-/// Why a control node cannot start.
+/// An error that prevents a control node from starting, or from waiting for its shutdown.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
     /// The settings cannot be read.
     #[display("{_0}")]
     Settings(SettingsError),
-    /// The disk cannot be read.
+    /// The database cannot be opened or read.
     #[display("{_0}")]
     Store(StoreError),
     /// A thread cannot be started or a port cannot be opened.
     #[display("{resource}: {source}")]
     Resource {
-        /// The thread or the port.
+        /// The name of the thread or the port.
         resource: &'static str,
         /// The cause.
         source: io::Error,
     },
-    /// The thread that owns the node's state has ended already.
-    #[display("sending on a disconnected channel")]
+    /// The node's thread ended before it received the node.
+    #[display("the node's thread ended during startup")]
     NodeThreadEnded,
-    /// The process' signals cannot be received.
+    /// Signals to the process cannot be received.
     #[display("{_0}")]
     Signals(SignalError),
 }
--- a/crates/aspendrum-control/src/event.rs
+++ b/crates/aspendrum-control/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that the other threads send to the node's thread.
+//! The events that other threads send to the node's thread.
 
 use crate::errors::PlatformError;
 use crate::peer_message::PeerMessage;
@@ -15,12 +15,12 @@
 /// Identifies a connection from an agent.
 pub type ConnectionId = u64;
 
-/// A report that an operator asks for.
+/// A report requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReportQuery {
-    /// The nodes whose agents are connected here.
+    /// The nodes whose agents are connected to this control node.
     Nodes,
-    /// What each version of the configuration does with a request.
+    /// How each configuration version routes a request.
     Explain {
         /// The request's host.
         host: String,
@@ -31,69 +31,69 @@
 
 /// An event for the node's thread.
 pub enum Event {
-    /// Another control node sent a message.
+    /// A message from another control node was received.
     PeerMessage {
         /// The sender.
         from: NodeId,
-        /// What it sent.
+        /// The message.
         message: PeerMessage,
     },
-    /// The connection to another control node came up, or was lost.
+    /// The connection to another control node was established or lost.
     PeerLink {
         /// The other node.
         node: NodeId,
-        /// The connection; none if it was lost.
+        /// The connection; `None` if it was lost.
         link: Option<Link>,
     },
     /// An agent connected.
     AgentConnected {
         /// Its connection.
         id: ConnectionId,
-        /// Carries updates to the agent.
+        /// Sends messages to the agent.
         link: Link,
     },
-    /// An agent sent a message.
+    /// A message from an agent was received.
     AgentMessage {
         /// Its connection.
         id: ConnectionId,
-        /// What it sent.
+        /// The message.
         message: ToControl,
     },
-    /// A connection ended, whether an agent's or not.
+    /// An incoming connection was closed. It may have been that of an agent or of a control node.
     Disconnected {
         /// The connection.
         id: ConnectionId,
     },
-    /// An operator gave a command.
+    /// An operator submitted a command.
     Command {
         /// The command.
         command: Command,
-        /// When the call came.
+        /// When the call was received.
         received_at: Instant,
         /// Receives the outcome.
         reply: Sender<Outcome>,
     },
-    /// An operator asked for a report.
+    /// An operator requested a report.
     Report {
-        /// Which report.
+        /// The requested report.
         query: ReportQuery,
         /// Receives the report.
         reply: Sender<Value>,
     },
-    /// A poll of the platform's list of servers has ended.
+    /// A poll of the platform's list of servers has finished.
     ServerListPolled {
-        /// When the poll began.
-        asked_at: Instant,
-        /// The list, or why it could not be read.
+        /// When the poll started.
+        started_at: Instant,
+        /// The list, or the error that prevented reading it.
         result: Result<Vec<ServerInstance>, PlatformError>,
     },
-    /// A write to the disk has ended.
+    /// A write to the disk has finished.
     WriteFinished(WriteResult),
-    /// The settings were read again.
+    /// The settings were reloaded.
     SettingsReloaded(Box<Settings>),
-    /// The process is to end.
+    /// A shutdown of the process was requested.
     ShutdownRequested {
-        /// Notified when the process may end.
+        /// Notified when the process may exit.
         ready: Sender<()>,
     },
 }
--- a/crates/aspendrum-control/src/legacy.rs
+++ b/crates/aspendrum-control/src/legacy.rs
@@ -1,6 +1,6 @@
-//! Reads the disk formats of earlier versions and converts them to the present one. In those formats the voters never
-//! changed after the first decision; here they become the founding epoch, from which the voters of the first epoch take
-//! over the state.
+//! Decodes the storage formats of earlier versions and converts them to the current format. In the earlier formats the
+//! voters never changed after the first decision. They are converted to the founding epoch, from which the voters of
+//! the first epoch take over the state.
 
 use aspendrum_consensus::acceptor::Acceptor;
 use aspendrum_consensus::membership::{DiskId, Epoch};
@@ -12,17 +12,17 @@
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Decodes a state of some format.
+/// A decoder of one storage format.
 pub type Decode = fn(&[u8]) -> Result<DurableState, postcard::Error>;
 
-/// The keys under which earlier formats were stored, and their decoders, the newest first.
+/// The keys of the earlier formats and their decoders, newest first.
 pub const FORMATS: [(&str, Decode); 3] = [
     ("kept-3", decode_v3),
     ("kept-2", decode_v2),
     ("kept", decode_v1),
 ];
 
-/// A disk's identity, which had a generation in the earlier formats.
+/// The identity of a disk, which included a generation in the earlier formats.
 #[derive(Deserialize)]
 struct DiskV1 {
     #[allow(dead_code)]
@@ -30,7 +30,7 @@
     id: DiskId,
 }
 
-/// The replicated state, which contained the voters.
+/// The replicated state, which included the voters in the earlier formats.
 #[derive(Deserialize)]
 struct ReplicatedStateV1 {
     config: DecidedConfig,
@@ -40,7 +40,8 @@
     disks: BTreeMap<NodeId, DiskV1>,
 }
 
-/// The node's acceptor in deciding the voters. That decision is over.
+/// The acceptor state of the consensus instance that decided the voters. It is decoded but not used: that decision is
+/// complete.
 #[derive(Deserialize)]
 #[allow(dead_code)]
 struct VoterAcceptorV1 {
@@ -48,7 +49,7 @@
     accepted: Option<(u64, BTreeSet<NodeId>)>,
 }
 
-/// The format in which versions were decided by ballots already.
+/// The third format, in which both the voters and configuration versions were decided by ballots.
 #[derive(Deserialize)]
 struct StateV3 {
     replicated: ReplicatedStateV1,
@@ -60,7 +61,7 @@
     voter_acceptor: VoterAcceptorV1,
 }
 
-/// The format in which the voters were decided by ballots, but versions were not.
+/// The second format, in which the voters were decided by ballots, but configuration versions were not.
 #[derive(Deserialize)]
 struct StateV2 {
     replicated: ReplicatedStateV1,
@@ -109,9 +110,9 @@
     ))
 }
 
-/// Before versions were decided by ballots, configurations were merged by their texts' digests, and a disk could hold
-/// one that was not acknowledged. Its text therefore counts as accepted, not as decided, under a ballot that ranks two
-/// texts as they were ranked then.
+/// Upgrades a state from before configuration versions were decided by ballots. Then, configurations were merged by the
+/// digests of their texts, and a disk could hold a configuration that had not been acknowledged. The configuration is
+/// therefore imported as accepted rather than decided, under a ballot that preserves the earlier ranking of two texts.
 fn upgrade_without_ballots(
     mut replicated: ReplicatedStateV1,
     disk: &DiskV1,
@@ -133,7 +134,8 @@
     upgrade(replicated, versions, disk, is_complete)
 }
 
-/// `is_complete`: the disk holds everything that its node has acknowledged as a voter.
+/// Converts a state to the current format. `is_complete` is whether the disk holds everything that its node has
+/// acknowledged as a voter.
 fn upgrade(
     replicated: ReplicatedStateV1,
     versions: VersionTable,
--- a/crates/aspendrum-control/src/main.rs
+++ b/crates/aspendrum-control/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of a control node.
+//! The binary of a control node.
 
 use std::process::ExitCode;
 
--- a/crates/aspendrum-control/src/membership.rs
+++ b/crates/aspendrum-control/src/membership.rs
@@ -1,5 +1,5 @@
-//! This node's part in the membership of the control plane: how it describes itself to the other nodes, and when it
-//! proposes other voters.
+//! Membership of this node in the control plane: the status that it announces to the other nodes, and when it proposes
+//! a new set of voters.
 
 use crate::replica_driver::ReplicaDriver;
 use crate::storage::DiskHealth;
@@ -10,15 +10,15 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Decides when this node proposes other voters, and detects changes of its disk's health that it has to announce.
+/// Decides when this node proposes new voters, and tracks which disk health it has announced.
 pub struct Membership {
     planner: MembershipPlanner,
-    /// The disk's health as the other nodes know it.
+    /// The disk health that was last announced to the other nodes.
     announced_health: DiskHealth,
 }
 
 impl Membership {
-    /// For a node that starts now.
+    /// Creates the membership of a node that starts at `now`.
     pub fn new(local_node: NodeId, settings: &Settings, now: Millis) -> Membership {
         Membership {
             planner: MembershipPlanner::new(local_node, policy(settings), now),
@@ -26,8 +26,8 @@
         }
     }
 
-    /// The voters that this node should propose now, because some voters are gone or came back with an empty disk.
-    /// `nodes`: the statuses of all known control nodes.
+    /// Returns the voters that this node should propose now because current voters are lost or were restarted with an
+    /// empty disk; `None` if no change is due. `nodes` are the statuses of all known control nodes.
     pub fn due_voters(
         &mut self,
         now: Millis,
@@ -44,14 +44,14 @@
         Some(voters)
     }
 
-    /// Records the disk's health as announced. Returns whether it differs from what was announced before, so that the
-    /// other nodes have to be notified.
-    pub fn has_health_changed(&mut self, health: DiskHealth) -> bool {
+    /// Records `health` as announced. Returns whether it differs from the last announced health; the caller must then
+    /// notify the other nodes.
+    pub fn update_announced_health(&mut self, health: DiskHealth) -> bool {
         std::mem::replace(&mut self.announced_health, health) != health
     }
 }
 
-/// How this node describes itself to the others.
+/// Returns the status of this node as it is announced to the other nodes.
 pub fn local_status(
     settings: &Settings,
     replica: &ReplicaDriver,
@@ -67,12 +67,12 @@
         },
         zone: settings.zone.clone(),
         time_since_contact: 0.0,
-        // A node whose disk does not answer should be replaced as a voter too.
+        // A node whose disk is stalled or has failed should be replaced as a voter, like one that shuts down.
         is_leaving: is_shutting_down || health != DiskHealth::Healthy,
     }
 }
 
-/// The requirements of the deployment that the choice of voters rests on.
+/// Returns the deployment's requirements on the choice of voters.
 pub fn policy(settings: &Settings) -> MembershipPolicy {
     let losses = settings.tolerated_losses as usize;
     MembershipPolicy::new(losses, settings.rejoin_s * 1000.0)
--- a/crates/aspendrum-control/src/node.rs
+++ b/crates/aspendrum-control/src/node.rs
@@ -1,7 +1,7 @@
-//! A control node: one thread owns the whole state of the node, and other threads send it events. It compares the state
-//! that each agent should have with the state that the agent was sent, and sends the difference.
+//! The event loop of a control node. A single thread owns all state of the node; other threads send it events. The node
+//! compares the desired state of each agent with the state that was already sent to it, and sends the difference.
 //!
-//! It composes the parts, which do not know each other: [`crate::replica_driver`] (the replicated state),
+//! The loop composes modules that are independent of each other: [`crate::replica_driver`] (the replicated state),
 //! [`crate::peers`] (other control nodes), [`crate::agents`] (agents and their proxies) and [`crate::server_list`] (the
 //! platform's list of servers).
 
@@ -34,39 +34,40 @@
 use std::time::{Duration, Instant};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// The time between two reads of a majority. A read renews the agents' permission to serve, and finds commands that
-/// other nodes committed while their notices were lost.
+/// The interval between majority reads. A read renews the agents' permission to serve, and finds commands that other
+/// nodes committed but whose commit notices were lost.
 const READ_INTERVAL: Millis = 400.0;
-/// The time between two reads until the first has succeeded: after a loss of power all proxies wait for it.
+/// The interval between majority reads until the first one succeeds. It is shorter than [`READ_INTERVAL`] because after
+/// a power failure all proxies wait for that read.
 const FIRST_READ_INTERVAL: Millis = 100.0;
 const HEARTBEAT_INTERVAL: Millis = 500.0;
-/// How long after its start the node waits for the proxy tables of the other nodes, which connect within a hundred
-/// milliseconds, before it sends a table of all proxies to its agents.
-const GATHERING_TIME: Millis = 150.0;
-/// A command that has waited longer in the mailbox is dropped: its caller has retried at another node, and operators
-/// may have submitted later commands since.
+/// The delay after startup before the node sends its agents a table of all proxies. The other nodes connect within
+/// about 100 ms and send their proxy tables first.
+const PROXY_COLLECTION_TIME: Millis = 150.0;
+/// The maximum time that a command may spend in the mailbox; an older command is dropped. By then its caller has
+/// retried at another node, and operators may have submitted newer commands.
 const MAX_COMMAND_AGE: Duration = Duration::from_millis(850);
-/// The share of the deadline for applying a change after which clients are no longer sent to a proxy that lacks the
+/// The fraction of the apply deadline after which clients are no longer directed to a proxy that has not applied a
 /// change.
 const MAX_LAG_SHARE: f64 = 0.5;
 
-/// The parts from which a control node is built.
+/// The dependencies of a [`ControlNode`].
 pub struct ControlNodeOptions {
-    /// The process' clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// The settings that it starts with.
+    /// The initial settings.
     pub settings: Settings,
     /// The replicated state.
     pub replica: ReplicaDriver,
-    /// To the node itself, for the threads that it starts.
+    /// The sender of the node's own mailbox, for the threads that the node starts.
     pub events: Arc<MailboxSender<Event>>,
-    /// To the thread that polls the platform at an address.
+    /// Sends the platform's address to the polling thread, which then polls the platform once.
     pub poll_requests: Sender<SocketAddrV4>,
-    /// Shared with the threads that answer lookups.
+    /// The lookup directory, shared with the threads that answer lookups.
     pub directory: Arc<RwLock<Directory>>,
 }
 
-/// Everything that a control node knows.
+/// The state of a control node and the loop that handles its events.
 pub struct ControlNode {
     settings: Settings,
     local_node: NodeId,
@@ -81,13 +82,13 @@
     proxies: MergedProxies,
     last_read: Option<Millis>,
     last_heartbeat: Option<Millis>,
-    /// Whether the agents have been sent the table of proxies after [`GATHERING_TIME`].
-    has_gathered: bool,
+    /// Whether [`PROXY_COLLECTION_TIME`] has passed and the agents have been updated since.
+    has_collected_proxies: bool,
     shutdown: Option<Shutdown>,
 }
 
 impl ControlNode {
-    /// A node that knows of no other yet.
+    /// Creates a node without connections to other control nodes.
     pub fn new(options: ControlNodeOptions) -> ControlNode {
         let ControlNodeOptions {
             clock,
@@ -103,7 +104,7 @@
             clock,
             replica,
             membership: Membership::new(local_node, &settings, 0.0),
-            decided: DecidedState::unknown(settings.apply_deadline_ms),
+            decided: DecidedState::new(settings.apply_deadline_ms),
             report_validity: ReportValidity::from_limits(
                 settings.apply_deadline_ms,
                 settings.unsettled_extension_ms,
@@ -115,12 +116,12 @@
             proxies: MergedProxies::new(directory),
             last_read: None,
             last_heartbeat: None,
-            has_gathered: false,
+            has_collected_proxies: false,
             shutdown: None,
         }
     }
 
-    /// Handles events for as long as the process runs.
+    /// Handles events until the process ends.
     pub fn run(mut self, events: &MailboxReceiver<Event>) {
         self.process_outputs();
         self.connect_peers();
@@ -146,7 +147,7 @@
             Event::AgentMessage { id, message } => self.on_agent_message(id, message),
             Event::Disconnected { id } => {
                 if self.agents.on_disconnected(self.clock.now(), id) {
-                    self.on_own_proxies_changed();
+                    self.on_local_proxies_changed();
                 }
             }
             Event::Command {
@@ -157,9 +158,9 @@
             Event::Report { query, reply } => {
                 let _ = reply.try_send(self.report(&query));
             }
-            Event::ServerListPolled { asked_at, result } => {
-                let (now, asked_at) = (self.clock.now(), self.clock.at(asked_at));
-                if self.server_list.on_polled(now, asked_at, result) {
+            Event::ServerListPolled { started_at, result } => {
+                let (now, started_at) = (self.clock.now(), self.clock.to_millis(started_at));
+                if self.server_list.on_polled(now, started_at, result) {
                     self.broadcast_server_list(now);
                     self.update_agents();
                 }
@@ -191,17 +192,17 @@
             self.last_heartbeat = Some(now);
             self.heartbeat(now);
             self.update_proxies();
-            // Some agents may have connected before a majority could be read, and lack the configuration.
+            // Agents that connected before the first successful majority read do not have the configuration yet.
             self.update_agents();
         }
-        if self.agents.close_silent(now) {
-            self.on_own_proxies_changed();
+        if self.agents.expire_silent(now) {
+            self.on_local_proxies_changed();
         }
-        if !self.has_gathered && now >= GATHERING_TIME {
-            self.has_gathered = true;
+        if !self.has_collected_proxies && now >= PROXY_COLLECTION_TIME {
+            self.has_collected_proxies = true;
             self.update_agents();
         }
-        if self.agents.has_waiting_updates() {
+        if self.agents.has_pending_updates() {
             self.update_agents();
         }
         self.poll_server_list_if_due(now);
@@ -209,14 +210,14 @@
         self.finish_shutdown_if_ready();
     }
 
-    // The replicated state.
+    // Replicated state.
 
     fn on_command(&mut self, command: Command, received_at: Instant, reply: Sender<Outcome>) {
         if received_at.elapsed() > MAX_COMMAND_AGE {
             log::warn!("event=command_late");
             return;
         }
-        // A node that shuts down finishes the commands that it has, and takes no others.
+        // During shutdown, pending commands are completed and new ones are refused.
         if self.shutdown.is_some() {
             let _ = reply.try_send(Outcome::NoQuorum);
             return;
@@ -247,7 +248,7 @@
         self.publish_if_due();
     }
 
-    /// Publishes what is committed to the agents, unless something was published a moment ago.
+    /// Publishes the committed state to the agents, unless the last publication is too recent.
     fn publish_if_due(&mut self) {
         let replica = self.replica.replica();
         let (committed, as_of) = (replica.committed(), replica.committed_as_of());
@@ -282,8 +283,8 @@
     }
 
     fn read_if_due(&mut self, now: Millis) {
-        let has_read = self.has_read_majority();
-        let interval = if has_read {
+        let had_read = self.has_read_majority();
+        let interval = if had_read {
             READ_INTERVAL
         } else {
             FIRST_READ_INTERVAL
@@ -294,14 +295,15 @@
         self.last_read = Some(now);
         self.replica.read(now);
         self.process_outputs();
-        self.update_agents_after_first_read(has_read);
+        self.update_agents_after_first_read(had_read);
     }
 
     fn has_read_majority(&self) -> bool {
         self.replica.replica().committed_as_of().is_some()
     }
 
-    /// Sends agents the committed state once a majority has been read for the first time: before, it may be outdated.
+    /// Publishes the committed state after the first successful majority read. Until then the local state may be
+    /// outdated. `had_read` is whether a read had already succeeded before the current operation.
     fn update_agents_after_first_read(&mut self, had_read: bool) {
         if !had_read && self.has_read_majority() {
             self.publish_if_due();
@@ -316,7 +318,7 @@
         seeds.map(|seed| NodeId::from(*seed.ip())).collect()
     }
 
-    /// Keeps connections to all seeds, all voters, and all nodes that another node has reported.
+    /// Ensures that connections to all seeds, all voters and all other known nodes are maintained.
     fn connect_peers(&mut self) {
         let voters = self.replica.replica().epoch().voters.nodes();
         let nodes = self
@@ -353,7 +355,7 @@
         let now = self.clock.now();
         let contact = self.peers.on_received(now, from);
         if contact == Contact::Unknown {
-            // A node that is not known yet introduces itself first.
+            // From an unknown node, only a Hello is accepted; it adds the node to the table.
             if let PeerMessage::Hello(hello) = message {
                 self.peers.insert(now, from);
                 self.on_hello(now, from, *hello);
@@ -377,7 +379,7 @@
                 }
             }
         }
-        if contact == Contact::ReachableAgain {
+        if contact == Contact::BecameReachable {
             self.update_proxies();
         }
     }
@@ -393,7 +395,7 @@
 
     fn on_consensus_message(&mut self, now: Millis, from: NodeId, message: Message) {
         if message == Message::CommitNotice {
-            // Makes the next tick read a majority.
+            // Forces a majority read at the next tick.
             self.last_read = None;
         }
         let had_read = self.has_read_majority();
@@ -407,7 +409,7 @@
         self.peers
             .broadcast(&PeerMessage::Heartbeat { server_list_age });
         let health = self.replica.disk_health();
-        if self.membership.has_health_changed(health) {
+        if self.membership.update_announced_health(health) {
             self.broadcast_hello();
         }
         let voters = &self.replica.replica().epoch().voters;
@@ -434,7 +436,7 @@
         self.peers.broadcast(&self.hello());
     }
 
-    /// The statuses of all known control nodes, this one and all voters included.
+    /// Returns the status of all known control nodes, including this one and all voters.
     fn node_statuses(&self) -> BTreeMap<NodeId, NodeStatus> {
         let voters = &self.replica.replica().epoch().voters;
         let mut statuses = self.peers.statuses(self.clock.now(), voters);
@@ -442,7 +444,7 @@
         statuses
     }
 
-    // Agents and their proxies.
+    // Agents and proxies.
 
     fn on_agent_message(&mut self, id: ConnectionId, message: ToControl) {
         let now = self.clock.now();
@@ -455,21 +457,22 @@
         };
         match self.agents.on_message(now, id, message, &view) {
             AgentChange::Unchanged => {}
-            AgentChange::ProxyChanged => self.on_own_proxies_changed(),
+            AgentChange::ProxyChanged => self.on_local_proxies_changed(),
             AgentChange::Joined => {
-                self.on_own_proxies_changed();
+                self.on_local_proxies_changed();
                 self.update_agents();
             }
         }
     }
 
-    fn on_own_proxies_changed(&mut self) {
+    /// Sends the proxies of the locally connected agents to the other control nodes, and merges the tables again.
+    fn on_local_proxies_changed(&mut self) {
         let proxies = PeerMessage::Proxies(self.agents.proxy_entries());
         self.peers.broadcast(&proxies);
         self.update_proxies();
     }
 
-    /// Merges the proxy tables of all reachable control nodes.
+    /// Merges the proxy tables of this node and of all reachable control nodes.
     fn update_proxies(&mut self) {
         let now = self.clock.now();
         let own = self.agents.proxy_entries();
@@ -485,7 +488,7 @@
             committed: self.decided.state(),
             majority_age: self.replica.majority_age(now),
             servers: self.server_list.section(now),
-            has_gathered: now >= GATHERING_TIME,
+            has_collected_proxies: now >= PROXY_COLLECTION_TIME,
             proxies: self.proxies.proxies(),
             control: self.control_addresses(now),
         };
@@ -494,7 +497,7 @@
             .send_updates(now, &sections, self.decided.report());
     }
 
-    /// Where the control nodes are, this one first.
+    /// Returns the addresses of all known control nodes, this one first.
     fn control_addresses(&self, now: Millis) -> Vec<ControlAddress> {
         let own = ControlAddress {
             ip: self.settings.ip,
@@ -506,7 +509,7 @@
             .collect()
     }
 
-    // The platform's list of servers.
+    // Server list of the platform.
 
     fn poll_server_list_if_due(&mut self, now: Millis) {
         let schedule = PollSchedule {
@@ -571,7 +574,7 @@
         let Some(shutdown) = &self.shutdown else {
             return;
         };
-        if !self.replica.has_waiting_commands() {
+        if !self.replica.has_pending_commands() {
             let nodes = self.node_statuses();
             let policy = membership::policy(&self.settings);
             shutdown.finish_if_ready(self.replica.replica(), &nodes, &policy);
@@ -579,7 +582,7 @@
     }
 }
 
-/// Whether `interval` has passed since `last`, or there was no last time.
+/// Returns whether `interval` has passed since `last`; always true without a `last`.
 fn is_due(now: Millis, last: Option<Millis>, interval: Millis) -> bool {
     last.is_none_or(|last| now - last >= interval)
 }
--- a/crates/aspendrum-control/src/peer_message.rs
+++ b/crates/aspendrum-control/src/peer_message.rs
@@ -1,5 +1,5 @@
-//! The messages between control nodes, encoded with postcard. Variants and fields are identified by their order, which
-//! must not change: nodes of two versions run side by side during an update.
+//! The messages between control nodes, encoded with postcard. Postcard identifies variants and fields by their order,
+//! so the order must not change: nodes of two versions run side by side during a rolling update.
 
 use crate::proxy_table::ProxyEntry;
 use aspendrum_consensus::membership::DiskId;
@@ -10,44 +10,46 @@
 /// A message from one control node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Introduces the sender: the first message of a connection, sent again whenever its content changes.
+    /// Describes the sender. It is the first message of a connection, and is sent again whenever the sender's status or
+    /// epoch changes.
     Hello(Box<Hello>),
-    /// Shows that the sender is alive, each half second.
+    /// Signals every half second that the sender is alive.
     Heartbeat {
-        /// How long ago the platform's list of servers was read, as far as the sender knows, milliseconds.
+        /// The time in milliseconds since the last poll of the platform's list of servers that the sender has observed;
+        /// `None` if it has observed none.
         server_list_age: Option<u32>,
     },
-    /// A message between replicas.
+    /// A message of the consensus protocol.
     Consensus(Message),
-    /// The proxies whose agents are connected to the sender, or were until a moment ago.
+    /// The proxies whose agents are connected to the sender, or have just left it for another control node.
     Proxies(Vec<ProxyEntry>),
     /// The platform's list of servers.
     Servers {
-        /// How long ago it was read, milliseconds.
+        /// The time since the list was read, in milliseconds.
         age: u32,
         /// All servers.
         list: Vec<ServerInstance>,
     },
 }
 
-/// A control node's description of itself.
+/// The identity and status of a control node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
     /// The sender.
     pub node: NodeId,
     /// The zone that it runs in.
     pub zone: String,
-    /// The disk that it may vote with; [`aspendrum_consensus::membership::FOUNDING_DISK`] if it has none.
+    /// The disk with which the sender may vote; [`aspendrum_consensus::membership::FOUNDING_DISK`] if there is none.
     pub disk: DiskId,
-    /// Whether it is shutting down or cannot write to its disk.
+    /// Whether the sender is shutting down, or its disk is stalled or has failed.
     pub is_leaving: bool,
-    /// The newest epoch that it knows of.
+    /// The newest epoch known to the sender.
     pub epoch: Epoch,
-    /// The other control nodes that it knows of.
+    /// The other control nodes known to the sender.
     pub known_nodes: Vec<KnownNode>,
 }
 
-/// A control node that the sender of a [`Hello`] knows of.
+/// A control node known to the sender of a [`Hello`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownNode {
     /// The node.
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -1,4 +1,5 @@
-//! The other control nodes: their connections, their heartbeats, and their statuses for the choice of voters.
+//! The table of other control nodes: their connections, liveness and proxy tables, and their statuses for the choice of
+//! voters.
 
 use crate::connections;
 use crate::event::Event;
@@ -16,31 +17,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A control node without contact for this time does not count as reachable.
+/// The time without a message after which a control node counts as unreachable.
 pub const PEER_TIMEOUT: Millis = 1600.0;
-/// A control node that is neither a seed nor a voter is forgotten after this time without contact.
-const FORGET_AFTER: Millis = 60_000.0;
+/// The time without contact after which a control node is removed from the table, unless it is a seed or a voter.
+const FORGET_TIMEOUT: Millis = 60_000.0;
 
-/// Another control node.
+/// The state of another control node.
 #[derive(Default)]
 struct Peer {
     zone: String,
     disk: DiskId,
     is_leaving: bool,
     link: Option<Link>,
-    /// When this node first learnt of the other one.
-    known_since: Millis,
+    /// When the node was added to the table.
+    added_at: Millis,
     last_received: Option<Millis>,
-    /// The proxies whose agents are connected to it.
+    /// The proxy table that the node has sent.
     proxies: Vec<ProxyEntry>,
-    /// While true, a thread keeps a connection to the node and reconnects if it is lost.
+    /// While true, a thread maintains a connection to the node.
     keep_connected: Arc<AtomicBool>,
 }
 
 impl Peer {
     fn new(now: Millis) -> Peer {
         Peer {
-            known_since: now,
+            added_at: now,
             ..Peer::default()
         }
     }
@@ -50,32 +51,32 @@
             .is_some_and(|at| now - at <= PEER_TIMEOUT)
     }
 
-    /// The time since the last message from the node, or since this node learnt of it if there was none.
+    /// Returns the time since the last message from the node, or since it was added to the table if there was none.
     fn time_since_contact(&self, now: Millis) -> Millis {
-        now - self.last_received.unwrap_or(self.known_since)
+        now - self.last_received.unwrap_or(self.added_at)
     }
 }
 
-/// How the sender of a message was known before the message.
+/// The status of a sender before its message was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
     /// The sender is not in the table.
     Unknown,
     /// The sender was reachable.
     Reachable,
-    /// The sender was not reachable, and is now.
-    ReachableAgain,
+    /// The sender was unreachable, and has become reachable.
+    BecameReachable,
 }
 
 /// All known control nodes except this one.
 pub struct PeerTable {
     peers: BTreeMap<NodeId, Peer>,
-    /// Cloned for the threads that keep the connections, which send events to this node's thread.
+    /// The mailbox of this node's thread, for the threads that maintain the connections.
     events: Arc<MailboxSender<Event>>,
 }
 
 impl PeerTable {
-    /// An empty table. `events`: receives changes of connections.
+    /// Creates an empty table. `events` receives the changes of connections.
     pub fn new(events: Arc<MailboxSender<Event>>) -> PeerTable {
         PeerTable {
             peers: BTreeMap::new(),
@@ -83,12 +84,12 @@
         }
     }
 
-    /// All known nodes, in order.
+    /// Returns all known nodes in ascending order.
     pub fn nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.peers.keys().copied()
     }
 
-    /// The nodes that are reachable: a message came from each within [`PEER_TIMEOUT`].
+    /// Returns the reachable nodes: those from which a message was received within [`PEER_TIMEOUT`].
     pub fn reachable(&self, now: Millis) -> impl Iterator<Item = NodeId> + '_ {
         let reachable = self
             .peers
@@ -97,7 +98,7 @@
         reachable.map(|(node, _)| *node)
     }
 
-    /// The proxy table of each reachable node.
+    /// Returns the proxy table of each reachable node.
     pub fn proxy_tables(&self, now: Millis) -> impl Iterator<Item = &Vec<ProxyEntry>> {
         let reachable = self
             .peers
@@ -106,21 +107,28 @@
         reachable.map(|peer| &peer.proxies)
     }
 
-    /// Keeps a connection to a node from now on, and adds the node if it is not known yet.
+    /// Adds the node if it is unknown, and starts to maintain a connection to it unless that was already started.
     pub fn connect(&mut self, now: Millis, node: NodeId, address: SocketAddrV4) {
         let peer = self.peers.entry(node).or_insert_with(|| Peer::new(now));
         if peer.keep_connected.swap(true, Ordering::AcqRel) {
             return;
         }
-        let keep = peer.keep_connected.clone();
+        let keep_connected = peer.keep_connected.clone();
         let peer_timeout = Duration::from_millis(PEER_TIMEOUT as u64);
-        let started = connections::keep_connected(node, address, peer_timeout, keep, &self.events);
+        let started = connections::maintain_connection(
+            node,
+            address,
+            peer_timeout,
+            keep_connected,
+            &self.events,
+        );
         if let Err(error) = started {
             log::error!("event=link_not_started why=\"{error}\"");
         }
     }
 
-    /// The connection to a node came up, or was lost. Returns whether the node is known and connected now.
+    /// Records that the connection to a node was established or lost. Returns whether the node is known and now
+    /// connected.
     pub fn on_link(&mut self, node: NodeId, link: Option<Link>) -> bool {
         let is_connected = link.is_some();
         match self.peers.get_mut(&node) {
@@ -132,7 +140,7 @@
         }
     }
 
-    /// Sends a message to a node, if it is connected.
+    /// Sends a message to a node if it is connected.
     pub fn send(&self, to: NodeId, message: &PeerMessage) {
         let peer = self.peers.get(&to);
         if let Some(link) = peer.and_then(|peer| peer.link.as_ref()) {
@@ -147,7 +155,7 @@
         }
     }
 
-    /// Records that a message came from a node, if the node is known.
+    /// Records the receipt of a message from a node if the node is known.
     pub fn on_received(&mut self, now: Millis, from: NodeId) -> Contact {
         let Some(peer) = self.peers.get_mut(&from) else {
             return Contact::Unknown;
@@ -157,11 +165,11 @@
         if was_reachable {
             Contact::Reachable
         } else {
-            Contact::ReachableAgain
+            Contact::BecameReachable
         }
     }
 
-    /// A node that was not known until now has introduced itself.
+    /// Adds an unknown node that has sent its first message.
     pub fn insert(&mut self, now: Millis, node: NodeId) {
         let peer = Peer {
             last_received: Some(now),
@@ -170,7 +178,7 @@
         self.peers.insert(node, peer);
     }
 
-    /// A node has introduced itself and the nodes that it knows of. `local_node` among those is skipped.
+    /// Records the status of a node, and adds the nodes that are known to it except `local_node`.
     pub fn on_hello(&mut self, now: Millis, from: NodeId, hello: Hello, local_node: NodeId) {
         let peer = self.peers.entry(from).or_insert_with(|| Peer::new(now));
         peer.zone = hello.zone;
@@ -187,18 +195,19 @@
         }
     }
 
-    /// A node has sent its proxy table.
+    /// Replaces the proxy table of a node if the node is known.
     pub fn set_proxies(&mut self, node: NodeId, proxies: Vec<ProxyEntry>) {
         if let Some(peer) = self.peers.get_mut(&node) {
             peer.proxies = proxies;
         }
     }
 
-    /// The nodes that this node reports to the others, and their zones. Nodes without contact for [`FORGET_AFTER`] are
-    /// left out: otherwise the nodes would keep introducing a removed node to each other.
+    /// Returns the nodes to announce to other control nodes, with their zones. Nodes that never sent a message, or none
+    /// for [`FORGET_TIMEOUT`], are omitted: otherwise control nodes would keep re-adding a removed node to each other's
+    /// tables.
     pub fn known_nodes(&self, now: Millis) -> Vec<KnownNode> {
         let is_recent = |peer: &Peer| {
-            peer.last_received.is_some() && peer.time_since_contact(now) < FORGET_AFTER
+            peer.last_received.is_some() && peer.time_since_contact(now) < FORGET_TIMEOUT
         };
         let recent = self.peers.iter().filter(|(_, peer)| is_recent(peer));
         recent
@@ -209,11 +218,12 @@
             .collect()
     }
 
-    /// Forgets the nodes without contact for [`FORGET_AFTER`], except seeds and voters.
+    /// Removes the nodes without contact for [`FORGET_TIMEOUT`], except seeds and voters, and stops maintaining
+    /// their connections.
     pub fn forget_silent(&mut self, now: Millis, seeds: &[NodeId], voters: &Voters) {
         self.peers.retain(|node, peer| {
             let is_required = seeds.contains(node) || voters.contains_node(*node);
-            let keep = is_required || peer.time_since_contact(now) < FORGET_AFTER;
+            let keep = is_required || peer.time_since_contact(now) < FORGET_TIMEOUT;
             if !keep {
                 log::info!("event=peer_forgotten node={node}");
                 peer.keep_connected.store(false, Ordering::Release);
@@ -222,8 +232,8 @@
         });
     }
 
-    /// The statuses of all other control nodes. A voter that this node does not know counts as without contact since
-    /// this process started.
+    /// Returns the statuses of all other known control nodes and of all voters. A voter that is not in the table counts
+    /// as without contact since the start of this process.
     pub fn statuses(&self, now: Millis, voters: &Voters) -> BTreeMap<NodeId, NodeStatus> {
         let status = |peer: &Peer| NodeStatus {
             disk: peer.disk,
@@ -244,7 +254,7 @@
         statuses
     }
 
-    /// Where the other control nodes are, for agents.
+    /// Returns the addresses of the other control nodes, for agents.
     pub fn addresses(&self, now: Millis) -> impl Iterator<Item = ControlAddress> + '_ {
         self.peers.iter().map(move |(node, peer)| ControlAddress {
             ip: node.address(),
--- a/crates/aspendrum-control/src/platform.rs
+++ b/crates/aspendrum-control/src/platform.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of servers, page after page.
+//! Reads the platform's paginated list of servers.
 
 use crate::errors::PlatformError;
 use aspendrum_model::servers::{self, ServerInstance};
@@ -6,19 +6,20 @@
 use aspendrum_net::http_client::HttpClient;
 use std::time::{Duration, Instant};
 
-/// The limits on the response that carries one page.
+/// The size limits of the response with one page.
 pub const PAGE_LIMITS: MessageLimits = MessageLimits {
     head_bytes: 8 << 10,
     body_bytes: 4 << 20,
 };
-/// The time-out of reading the whole list. A page takes a round trip; after a time-out the list is read from its
-/// beginning again.
+/// The timeout for reading the whole list. Each page takes one round trip; after a timeout the next poll starts again
+/// with the first page.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Reads the whole list.
+/// Reads all pages of the list.
 ///
 /// # Errors
-/// The platform does not answer in time, or some page cannot be read.
+/// Returns an error if the platform does not respond in time, responds with a status other than 200, or sends a page
+/// that cannot be parsed.
 pub fn read_server_list(platform: &mut HttpClient) -> Result<Vec<ServerInstance>, PlatformError> {
     let deadline = Instant::now() + LIST_TIMEOUT;
     let mut list = Vec::new();
@@ -26,7 +27,7 @@
     loop {
         let remaining = deadline.saturating_duration_since(Instant::now());
         let response = platform.call("GET", &path, b"", remaining);
-        let response = response.map_err(PlatformError::Unanswered)?;
+        let response = response.map_err(PlatformError::NoResponse)?;
         if response.status != 200 {
             return Err(PlatformError::Status(response.status));
         }
--- a/crates/aspendrum-control/src/proxy_table.rs
+++ b/crates/aspendrum-control/src/proxy_table.rs
@@ -1,4 +1,4 @@
-//! The proxies that control nodes know of.
+//! The proxy tables of control nodes, and their merge.
 
 use crate::directory::Directory;
 use aspendrum_consensus::Millis;
@@ -8,19 +8,20 @@
 use std::net::SocketAddrV4;
 use std::sync::{Arc, RwLock};
 
-/// A proxy as one control node knows it. Sent between control nodes: the order of the fields must not change.
+/// The entry of a proxy in the table of one control node. It is sent between control nodes with postcard, so the order
+/// of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProxyEntry {
     /// The proxy.
     pub proxy: ProxyEndpoint,
-    /// Whether its agent is connected to that control node. If not, the agent was until a moment ago and is connecting
-    /// to another one.
+    /// Whether the proxy's agent is connected to that control node. If not, the agent has just left it and is
+    /// connecting to another one.
     pub is_connected: bool,
 }
 
-/// Merges the tables of several control nodes. The entry of the node that the proxy's agent is connected to replaces
-/// that of a node that the agent has left. While an agent moves, two nodes may be connected to it: the better readiness
-/// counts then.
+/// Merges the tables of several control nodes. The entry of the node to which the proxy's agent is connected takes
+/// precedence over that of a node that the agent has left. While an agent moves, two nodes may have equivalent entries
+/// for it; the better readiness then applies, and the proxy is current if either entry is.
 pub fn merge_proxy_tables<'a>(
     tables: impl Iterator<Item = &'a Vec<ProxyEntry>>,
 ) -> Vec<ProxyEndpoint> {
@@ -40,14 +41,14 @@
     proxies
 }
 
-/// The merged proxy table of all reachable control nodes. Each change is passed on to the [`Directory`].
+/// The merged proxy table of all reachable control nodes. Every change also updates the [`Directory`].
 pub struct MergedProxies {
     proxies: Vec<ProxyEndpoint>,
     directory: Arc<RwLock<Directory>>,
 }
 
 impl MergedProxies {
-    /// An empty table. `directory`: read by the threads that answer lookups.
+    /// Creates an empty table. `directory` is shared with the threads that answer lookups.
     pub fn new(directory: Arc<RwLock<Directory>>) -> MergedProxies {
         MergedProxies {
             proxies: Vec::new(),
@@ -55,12 +56,12 @@
         }
     }
 
-    /// All known proxies, in order.
+    /// Returns all proxies in ascending order.
     pub fn proxies(&self) -> &[ProxyEndpoint] {
         &self.proxies
     }
 
-    /// Merges the tables of all reachable control nodes. Returns whether anything changed.
+    /// Merges `tables` and replaces the merged table. Returns whether it has changed.
     pub fn update<'a>(
         &mut self,
         now: Millis,
--- a/crates/aspendrum-control/src/replica_driver.rs
+++ b/crates/aspendrum-control/src/replica_driver.rs
@@ -1,5 +1,5 @@
-//! Drives a replica: passes events to it, carries out its effects once the state that they reveal is synced, and
-//! answers the callers of commands. Effects that concern other parts of the node come out of
+//! Drives a [`Replica`]: feeds it events, executes its effects once the state that they depend on is durable, and
+//! replies to the callers of commands. Effects that concern the rest of the node are returned by
 //! [`ReplicaDriver::next_output`].
 
 use crate::clock::Clock;
@@ -11,38 +11,39 @@
 use crossbeam_channel::Sender;
 use std::collections::{HashMap, VecDeque};
 
-/// Request ids count up from the incarnation. This many low bits of an incarnation are zero to make room for them.
+/// The number of low bits of an incarnation that are zero. Request ids count up from the incarnation and use these
+/// bits.
 const REQUEST_ID_BITS: u32 = 24;
 
-/// An effect that the node has to carry out.
+/// An effect that the node has to execute.
 pub enum ReplicaOutput {
-    /// Send a message to another node.
+    /// Send a message to another control node.
     Send {
         /// The receiver.
         to: NodeId,
         /// The message.
         message: Message,
     },
-    /// The committed state has grown.
+    /// The committed state has advanced.
     CommittedAdvanced,
-    /// Another epoch began, or this node joined it.
+    /// A new epoch began, or this node joined the current one.
     EpochChanged,
 }
 
-/// A replica, its disk, and the commands that wait for their outcomes.
+/// A replica with its storage and the reply channels of pending commands.
 pub struct ReplicaDriver {
     local_node: NodeId,
     clock: Clock,
     replica: Replica,
     storage: Storage,
-    /// The effects that may be carried out now.
-    ready: VecDeque<Effect>,
-    waiting: HashMap<CommandId, Sender<Outcome>>,
+    /// The effects that may be executed now.
+    ready_effects: VecDeque<Effect>,
+    pending_replies: HashMap<CommandId, Sender<Outcome>>,
     next_command_id: CommandId,
 }
 
 impl ReplicaDriver {
-    /// A driver of `replica`. `effects`: those that [`Replica::start`] returned.
+    /// Creates a driver for `replica`. `effects` are the effects that [`Replica::start`] returned.
     pub fn new(
         local_node: NodeId,
         clock: Clock,
@@ -55,60 +56,60 @@
             clock,
             replica,
             storage,
-            ready: VecDeque::new(),
-            waiting: HashMap::new(),
+            ready_effects: VecDeque::new(),
+            pending_replies: HashMap::new(),
             next_command_id: 1,
         };
         driver.push(effects);
         driver
     }
 
-    /// The replica, read-only.
+    /// Returns the replica.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The condition of the disk.
+    /// Returns the health of the disk.
     pub fn disk_health(&self) -> DiskHealth {
         self.storage.health()
     }
 
-    /// Whether some command waits for its outcome.
-    pub fn has_waiting_commands(&self) -> bool {
-        !self.waiting.is_empty()
+    /// Returns whether any command is still without an outcome.
+    pub fn has_pending_commands(&self) -> bool {
+        !self.pending_replies.is_empty()
     }
 
-    /// How long ago, in milliseconds, a majority held nothing newer than [`Replica::committed`]; none if no read has
-    /// succeeded yet.
+    /// Returns the time in milliseconds since [`Replica::committed`] was last confirmed by a majority as the newest
+    /// state; `None` if no read has succeeded yet.
     pub fn majority_age(&self, now: Millis) -> Option<Millis> {
         let as_of = self.replica.committed_as_of();
         as_of.map(|as_of| (now - as_of).max(0.0))
     }
 
-    /// Begins an operator's command.
+    /// Submits an operator's command. Its outcome is sent to `reply`.
     pub fn submit(&mut self, command: Command, reply: Sender<Outcome>) {
         let command_id = self.next_command_id;
         self.next_command_id += 1;
-        self.waiting.insert(command_id, reply);
+        self.pending_replies.insert(command_id, reply);
         let effects = self
             .replica
             .submit(self.clock.now(), command, Some(command_id));
         self.push(effects);
     }
 
-    /// Begins a read of a majority, which updates [`Replica::committed`].
+    /// Starts a majority read, which updates [`Replica::committed`].
     pub fn read(&mut self, now: Millis) {
         let effects = self.replica.submit(now, Command::Read, None);
         self.push(effects);
     }
 
-    /// Handles another node's message.
+    /// Handles a message from another node.
     pub fn step(&mut self, now: Millis, from: NodeId, message: Message) {
         let effects = self.replica.step(now, from, message);
         self.push(effects);
     }
 
-    /// Another node has reported the newest epoch that it knows of.
+    /// Handles the newest epoch that another node has reported.
     pub fn observe_epoch(&mut self, now: Millis, from: NodeId, epoch: Epoch) {
         let effects = self.replica.observe_epoch(now, from, epoch);
         self.push(effects);
@@ -120,23 +121,23 @@
         self.push(effects);
     }
 
-    /// Sends unanswered requests again, and ends what took too long.
+    /// Resends unanswered requests and expires operations that have timed out.
     pub fn tick(&mut self, now: Millis) {
         let effects = self.replica.tick(now);
         self.push(effects);
     }
 
-    /// Tries a failed disk again, if that is due.
+    /// Retries a failed disk if a retry is due.
     pub fn retry_disk(&mut self) {
         self.storage.retry(self.replica.state());
     }
 
-    /// A write to the disk has ended. Returns whether the replica was started again, since the disk has failed or
-    /// recovered. `seeds`: the nodes of the system's first start.
+    /// Handles the result of a write to the disk. Returns whether the replica was restarted because the disk failed or
+    /// recovered. `seeds` are the nodes that take part in the first start of the system.
     pub fn on_write_finished(&mut self, result: WriteResult, seeds: &[NodeId]) -> bool {
         match self.storage.on_write_finished(result, self.replica.state()) {
             WriteCompletion::Released(effects) => {
-                self.ready.extend(effects);
+                self.ready_effects.extend(effects);
                 false
             }
             WriteCompletion::Failed(error) => {
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Starts over with the state that was synced last, as after a crash of this node. `is_non_voting`: the disk cannot
-    /// be written, so this node does not vote.
+    /// Restarts the replica from the last durable state, as after a crash of this node. All pending commands end with
+    /// [`Outcome::NoQuorum`]. `is_non_voting` is set if the disk cannot be written: the node must not vote then.
     fn restart(&mut self, seeds: &[NodeId], is_non_voting: bool) {
         let synced = self.storage.synced().cloned();
         let disk = self.replica.state().disk;
@@ -172,7 +173,7 @@
         }
         replica.resume_from(&self.replica);
         self.replica = replica;
-        for reply in std::mem::take(&mut self.waiting).into_values() {
+        for reply in std::mem::take(&mut self.pending_replies).into_values() {
             let _ = reply.try_send(Outcome::NoQuorum);
         }
         self.push(effects);
@@ -180,13 +181,13 @@
 
     fn push(&mut self, effects: Vec<Effect>) {
         let released = self.storage.push(effects, self.replica.state());
-        self.ready.extend(released);
+        self.ready_effects.extend(released);
     }
 
-    /// Carries out the effects that are ready, up to the next one that concerns another part of the node, and returns
-    /// that one. Must be called after each call of another method until it returns none.
+    /// Executes ready effects up to the first one that concerns the rest of the node, and returns that one. After any
+    /// call that may produce effects, this must be called until it returns `None`.
     pub fn next_output(&mut self) -> Option<ReplicaOutput> {
-        while let Some(effect) = self.ready.pop_front() {
+        while let Some(effect) = self.ready_effects.pop_front() {
             match effect {
                 Effect::Persist => {}
                 Effect::Send { to, message } if to == self.local_node => {
@@ -200,7 +201,7 @@
                     command_id,
                     outcome,
                 } => {
-                    if let Some(reply) = self.waiting.remove(&command_id) {
+                    if let Some(reply) = self.pending_replies.remove(&command_id) {
                         let _ = reply.try_send(outcome);
                     }
                 }
@@ -212,7 +213,7 @@
     }
 }
 
-/// A random incarnation, which distinguishes the request ids and ballots of this start of a replica from those of
+/// Returns a random incarnation. It distinguishes the request ids and ballots of this start of a replica from those of
 /// earlier starts.
 pub fn new_incarnation() -> u64 {
     u64::from(fastrand::u32(..)) << REQUEST_ID_BITS
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -1,42 +1,42 @@
-//! The reports of a control node to operators, as JSON. Its keys must not change: operators' tools read them. A control
-//! node reports the nodes whose agents are connected to it, and the addresses of the other control nodes.
+//! The JSON reports of a control node for operators. The keys must not change because operators' tools read them. A
+//! control node reports the nodes whose agents are connected to it, and the addresses of the other control nodes.
 
 use aspendrum_model::config::{Config, Route};
 use aspendrum_model::message::StateDigest;
 use aspendrum_reconcile::{Section, SyncStatus};
 use serde_json::{json, Value};
 
-/// A node as this control node knows it.
+/// The status of a node whose agent is connected to this control node.
 pub struct NodeReport {
     /// The node's host name.
     pub host: String,
-    /// Its proxy's address.
+    /// The address of its proxy.
     pub proxy: String,
     /// The zone that it runs in.
     pub zone: String,
-    /// Whether clients may be sent to its proxy.
+    /// Whether its proxy is ready for clients.
     pub is_ready: bool,
-    /// What it has applied, compared with what is decided.
+    /// The comparison of the applied state with the decided state.
     pub status: SyncStatus,
-    /// Since when it has not been current, milliseconds before now; 0 while it is.
+    /// The time in milliseconds for which the proxy has not been current; 0 if it is current.
     pub not_current_ms: u64,
-    /// What it has applied.
+    /// The digest of the state that the proxy has applied.
     pub applied: StateDigest,
-    /// The number of the last update that it was sent.
+    /// The number of the last update that was sent to the agent.
     pub sent_update: u64,
-    /// The number of the last update that it has acknowledged as applied.
+    /// The number of the last update that the agent has acknowledged as applied.
     pub acknowledged_update: u64,
 }
 
-/// A control node's part in the control plane.
+/// A control node's view of the control plane's membership.
 pub struct MembershipReport {
-    /// The newest epoch that it knows of.
+    /// The number of the newest known epoch.
     pub epoch: u32,
     /// The addresses of the voters.
     pub voters: Vec<String>,
-    /// The addresses of all other control nodes that are known of.
+    /// The addresses of all other known control nodes.
     pub control_nodes: Vec<String>,
-    /// Whether this node votes and holds everything that was acknowledged.
+    /// Whether this node is a voter and holds everything that was acknowledged before its epoch began.
     pub has_joined: bool,
 }
 
@@ -53,8 +53,8 @@
     })
 }
 
-/// The report of all nodes. `host`: this control node's name. `majority_age`: how long ago a majority held nothing
-/// newer than `decided`, milliseconds.
+/// Returns the report of all nodes. `host` is the host name of this control node. `majority_age` is the time in
+/// milliseconds since a majority was last known to hold nothing newer than `decided`.
 pub fn nodes(
     host: &str,
     decided: &StateDigest,
@@ -111,7 +111,7 @@
     })
 }
 
-/// What each version of the configuration does with a request, the newest first.
+/// Returns how each configuration version routes a request, newest version first.
 pub fn explain<'c>(versions: impl Iterator<Item = &'c Config>, host: &str, path: &str) -> Value {
     let explained = versions.map(|config| {
         let matched = config.route(host, path).map(|n| route(&config.routes[n]));
--- a/crates/aspendrum-control/src/sections.rs
+++ b/crates/aspendrum-control/src/sections.rs
@@ -1,30 +1,30 @@
-//! The state that every agent should have, split into sections that are sent when they change.
+//! The desired state of agents, split into sections. A section is sent to an agent when it changes.
 
 use crate::decided::MAX_MAJORITY_AGE;
 use aspendrum_consensus::{Millis, ReplicatedState};
 use aspendrum_model::message::{ControlAddress, ProxyEndpoint, StateSection};
 
-/// The sources of the sections.
+/// The state from which the sections are built.
 pub struct SectionSources<'a> {
-    /// What is committed, as far as this node has published it.
+    /// The committed state that this node has published.
     pub committed: &'a ReplicatedState,
-    /// How long ago a majority was known to hold nothing newer; none if it was never read.
+    /// The time since a majority was last known to hold nothing newer; `None` before the first majority read.
     pub majority_age: Option<Millis>,
-    /// The platform's list of servers, if it is known.
+    /// The server list of the platform; `None` until it has been polled.
     pub servers: Option<StateSection>,
-    /// Whether this node has been up long enough to hear of the proxies of all reachable control nodes.
-    pub has_gathered: bool,
-    /// All known proxies.
+    /// Whether this node has been up long enough to have received the proxy tables of all reachable control nodes.
+    pub has_collected_proxies: bool,
+    /// The proxies of all reachable control nodes.
     pub proxies: &'a [ProxyEndpoint],
-    /// Where the control nodes are.
+    /// The addresses of the control nodes.
     pub control: Vec<ControlAddress>,
 }
 
 impl SectionSources<'_> {
-    /// The sections, in the order in which they are sent.
+    /// Returns the sections in the order in which they are sent.
     pub fn sections(self) -> Vec<StateSection> {
         let mut sections = Vec::new();
-        // Until a majority was read, this node's state may be older than the state that another node sent an agent.
+        // Before the first majority read, the local state may be older than what another node has sent to an agent.
         if self.majority_age.is_some() {
             let config = &self.committed.config;
             if config.version > 0 {
@@ -38,10 +38,10 @@
             });
         }
         sections.extend(self.servers);
-        // Without a recent majority this node may know only its own agents' proxies. Agents keep the table that they
-        // have rather than lose the other proxies.
+        // Without a recent majority read this node may be partitioned and know only the proxies of its own agents. The
+        // section is then omitted, so that agents keep their table instead of losing the other proxies.
         let is_recent = self.majority_age.is_some_and(|age| age <= MAX_MAJORITY_AGE);
-        if is_recent && self.has_gathered && !self.proxies.is_empty() {
+        if is_recent && self.has_collected_proxies && !self.proxies.is_empty() {
             sections.push(StateSection::Proxies(self.proxies.to_vec()));
         }
         sections.push(StateSection::Control(self.control));
--- a/crates/aspendrum-control/src/server_list.rs
+++ b/crates/aspendrum-control/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers. One control node at a time polls the platform and passes the list on to the others.
+//! The platform's list of servers. One control node at a time polls the platform and sends the list to the others.
 
 use crate::errors::PlatformError;
 use crate::peer_message::PeerMessage;
@@ -9,24 +9,25 @@
 use crossbeam_channel::Sender;
 use std::net::SocketAddrV4;
 
-/// The poll interval as a share of the time within which a draining server must receive no more requests.
+/// The poll interval, as a fraction of the time after which a draining server must not receive requests.
 const POLL_INTERVAL_SHARE: f64 = 0.25;
-/// How much longer each next node in the ranking waits before it takes over the polling.
-const TAKEOVER_STEP: Millis = 600.0;
-/// The largest share of the platform's call rate that polls may use.
+/// The additional age of the list, per rank, before a lower-ranked node takes over polling.
+const TAKEOVER_DELAY: Millis = 600.0;
+/// The maximum fraction of the platform's call rate that polls may use.
 const CALL_RATE_SHARE: f64 = 0.5;
-/// The key by which the nodes are ranked for polling.
+/// The key for the rendezvous hash that ranks the nodes for polling.
 const RANK_KEY: &[u8] = b"servers";
 
-/// Whether this node polls the platform now. The highest-ranked reachable node polls once the list is `interval` old;
-/// each next node waits `step` longer, and so takes over if those above it fail to poll. Two nodes that poll at once
-/// cost one extra call and do no other harm. `list_age`: none if the list was never read.
+/// Returns whether this node should poll the platform now. The highest-ranked reachable node polls once the list is
+/// `interval` old. Each lower rank waits `takeover_delay` longer, and so takes over if the nodes above it fail to poll.
+/// Concurrent polls by two nodes are harmless except for the extra call. `list_age` is `None` if the list was never
+/// read.
 pub fn should_poll(
     local_node: NodeId,
     reachable: &[NodeId],
     list_age: Option<Millis>,
     interval: Millis,
-    step: Millis,
+    takeover_delay: Millis,
 ) -> bool {
     let key = digest(RANK_KEY);
     let rank_of = |node: NodeId| rank(key, u64::from(node.as_u32()));
@@ -34,38 +35,39 @@
         .iter()
         .filter(|node| rank_of(**node) > rank_of(local_node));
     let higher_count = higher.count() as f64;
-    list_age.is_none_or(|age| age >= interval + higher_count * step)
+    list_age.is_none_or(|age| age >= interval + higher_count * takeover_delay)
 }
 
-/// How often the platform may and must be polled.
+/// The requirements from which the poll interval is derived.
 #[derive(Clone, Copy, Debug)]
 pub struct PollSchedule {
-    /// The time within which a draining server must receive no more requests.
+    /// The time after which a draining server must not receive requests.
     pub drain_time: Millis,
-    /// How many calls a second the platform takes.
+    /// The call rate that the platform allows, in calls per second.
     pub calls_per_second: f64,
 }
 
 impl PollSchedule {
     fn interval(&self) -> Millis {
-        let shortest = 1000.0 / (CALL_RATE_SHARE * self.calls_per_second);
-        (POLL_INTERVAL_SHARE * self.drain_time).max(shortest)
+        let min_interval = 1000.0 / (CALL_RATE_SHARE * self.calls_per_second);
+        (POLL_INTERVAL_SHARE * self.drain_time).max(min_interval)
     }
 }
 
-/// The list as this node knows it, and its polls.
+/// The latest list known to this node, and the state of its polls.
 pub struct ServerListPoller {
     list: ServerList,
-    /// When the platform was last polled by any node, by this node's clock.
+    /// When any node last polled the platform, on this node's clock.
     last_polled: Option<Millis>,
     is_polling: bool,
-    /// Asks the polling thread for the list.
+    /// Requests a poll from the polling thread.
     requests: Sender<SocketAddrV4>,
     failures: u32,
 }
 
 impl ServerListPoller {
-    /// `requests`: read by the thread that polls the platform at that address.
+    /// Creates a poller without a list. `requests` is read by the polling thread, which polls the platform once at each
+    /// address that it receives.
     pub fn new(requests: Sender<SocketAddrV4>) -> ServerListPoller {
         ServerListPoller {
             list: ServerList::default(),
@@ -76,12 +78,12 @@
         }
     }
 
-    /// How long ago the platform was polled, milliseconds.
+    /// Returns the time in milliseconds since the platform was last polled; `None` if it never was.
     pub fn age(&self, now: Millis) -> Option<u32> {
         self.last_polled.map(|at| age_ms(now, at))
     }
 
-    /// Another node has reported the age of the last poll that it knows of, in milliseconds.
+    /// Handles the age in milliseconds of the last poll that another node has observed.
     pub fn observe_age(&mut self, now: Millis, age: Option<u32>) {
         if let Some(age) = age {
             self.observe_poll(now - f64::from(age));
@@ -93,38 +95,39 @@
         self.last_polled = Some(last.max(polled_at));
     }
 
-    /// Stores a list whose poll began at `polled_at`, if that is newer than the present one. Returns whether anything
-    /// changed.
+    /// Stores a list whose poll started at `polled_at` if it is newer than the current one. Returns whether the list
+    /// has changed.
     pub fn update(&mut self, now: Millis, list: Vec<ServerInstance>, polled_at: Millis) -> bool {
         self.observe_poll(polled_at);
         self.list.replace(now, list, polled_at)
     }
 
-    /// This node's poll has ended. Returns whether the list has changed.
+    /// Handles the result of this node's poll, which started at `started_at`. Returns whether the list has changed.
     pub fn on_polled(
         &mut self,
         now: Millis,
-        asked_at: Millis,
+        started_at: Millis,
         result: Result<Vec<ServerInstance>, PlatformError>,
     ) -> bool {
         self.is_polling = false;
         match result {
             Ok(list) => {
                 self.failures = 0;
-                self.update(now, list, asked_at)
+                self.update(now, list, started_at)
             }
             Err(error) => {
                 self.failures += 1;
                 let failures = self.failures;
                 log::warn!("event=server_list_not_read failures={failures} why=\"{error}\"");
-                // Waits a full interval before the next poll: all nodes share the platform's call rate.
+                // A failed poll also counts as a poll, so that the next one is a full interval later: all nodes share
+                // the platform's call rate.
                 self.last_polled = Some(now);
                 false
             }
         }
     }
 
-    /// Polls the platform if a poll is due and it is this node's turn.
+    /// Requests a poll if one is due and it is this node's turn.
     pub fn poll_if_due(
         &mut self,
         now: Millis,
@@ -138,12 +141,12 @@
         };
         let age = self.last_polled.map(|at| now - at);
         let interval = schedule.interval();
-        if should_poll(local_node, reachable, age, interval, TAKEOVER_STEP) {
+        if should_poll(local_node, reachable, age, interval, TAKEOVER_DELAY) {
             self.is_polling = self.requests.try_send(platform).is_ok();
         }
     }
 
-    /// The list for other control nodes, if there is one.
+    /// Returns the message that sends the list to other control nodes; `None` without a list.
     pub fn peer_message(&self, now: Millis) -> Option<PeerMessage> {
         let polled_at = self.list.polled_at?;
         Some(PeerMessage::Servers {
@@ -152,7 +155,7 @@
         })
     }
 
-    /// The list for agents, if there is one.
+    /// Returns the section that sends the list to agents; `None` without a list.
     pub fn section(&self, now: Millis) -> Option<StateSection> {
         let polled_at = self.list.polled_at?;
         Some(StateSection::Servers {
--- a/crates/aspendrum-control/src/shutdown.rs
+++ b/crates/aspendrum-control/src/shutdown.rs
@@ -1,22 +1,22 @@
-//! The shutdown of a control node: it hands its vote over to another node first, so that no disk is missing from the
-//! majority meanwhile.
+//! The graceful shutdown of a control node. The node first hands over its vote to another node, so that the number of
+//! voting disks does not decrease.
 
 use aspendrum_consensus::membership_planner::{next_voters, MembershipPolicy, NodeStatus};
 use aspendrum_consensus::{Millis, NodeId, Replica};
 use crossbeam_channel::Sender;
 use std::collections::BTreeMap;
 
-/// A shutdown under way.
+/// A shutdown in progress.
 pub struct Shutdown {
     requested_at: Millis,
     /// Whether the node was a voter when the shutdown was requested.
     was_voter: bool,
-    /// Notified when the process may end.
+    /// Notified when the process may exit.
     ready: Sender<()>,
 }
 
 impl Shutdown {
-    /// Begins a shutdown. `ready` is notified when the process may end.
+    /// Starts a shutdown. `ready` is notified when the process may exit.
     pub fn new(now: Millis, replica: &Replica, ready: Sender<()>) -> Shutdown {
         let was_voter = replica.is_voter();
         log::info!("event=shutdown_requested votes={was_voter}");
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Notifies that the process may end if another node has taken over this node's vote, or if none can. `nodes`: the
-    /// statuses of all known control nodes.
+    /// Notifies `ready` if this node's vote has been handed over, if no other node can take it over, or if the voters
+    /// of the current epoch do not accept commands. `nodes` are the statuses of all known control nodes.
     pub fn finish_if_ready(
         &self,
         replica: &Replica,
@@ -46,8 +46,8 @@
     }
 
     fn is_handed_over(&self, replica: &Replica) -> bool {
-        // A read that began after the request and ended without this node's vote shows that the new voters hold
-        // everything that was acknowledged.
+        // A majority read that started after the request and completed without this node's vote shows that the new
+        // voters hold everything that was acknowledged.
         let as_of = replica.committed_as_of();
         let has_read_since = as_of.is_some_and(|as_of| as_of > self.requested_at);
         !replica.is_voter() && (has_read_since || !self.was_voter)
--- a/crates/aspendrum-control/src/startup.rs
+++ b/crates/aspendrum-control/src/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the process: reads the settings and the disk, starts the threads, and waits for the signal to shut down.
+//! Process startup: loads the settings and the durable state, starts the threads, and waits for the shutdown signal.
 
 use crate::api::{LookupApi, OperatorApi};
 use crate::clock::Clock;
@@ -30,16 +30,16 @@
 use std::sync::{Arc, RwLock};
 use std::time::{Duration, Instant};
 
-/// Of the threads that poll the platform and answer lookups.
+/// The stack size of the polling thread and of the threads that answer lookups.
 const STACK_BYTES: usize = 128 << 10;
 const NODE_STACK_BYTES: usize = 512 << 10;
-/// Compressing a configuration takes a few hundred KB of stack while it begins.
+/// The stack size of the operator API's threads. Compression of a configuration needs a few hundred KB of stack.
 const OPERATOR_STACK_BYTES: usize = 1 << 20;
-/// How many events may wait for the node's thread.
+/// The capacity of the mailbox of the node's thread, in events.
 const EVENT_CAPACITY: usize = 4096;
-/// The share of the grace period of a shutdown for which the process waits until its vote has been handed over.
+/// The maximum time for handing over the vote at shutdown, as a fraction of the shutdown's grace period.
 const HANDOVER_SHARE: f64 = 0.5;
-/// A configuration of thousands of routes takes a few megabytes.
+/// The size limits of operator calls. A configuration with thousands of routes is a few megabytes in size.
 const OPERATOR_LIMITS: MessageLimits = MessageLimits {
     head_bytes: 16 << 10,
     body_bytes: 16 << 20,
@@ -49,9 +49,10 @@
     body_bytes: 1 << 10,
 };
 
-/// Carries out the command line.
+/// Parses the command line and runs the program.
 pub fn main() -> ExitCode {
-    let about = "Control of the system: takes orders, keeps them on disk, knows servers and proxies, answers look-ups";
+    let about =
+        "Control node: replicates operator commands, tracks servers and proxies, answers client lookups";
     let check = || Settings::load().map(|settings| settings.host_name);
     daemon::run("aspendrum-control", about, check, serve)
 }
@@ -72,9 +73,9 @@
         Ok(())
     };
     let settings_file = std::env::var(SETTINGS_VARIABLE).unwrap_or_default();
-    let ended = signals.wait_for_shutdown(settings_file, reload);
-    ended.map_err(StartError::Signals)?;
-    // Acknowledged commands are on disks already. All that remains to do is to hand over this node's vote.
+    let waited = signals.wait_for_shutdown(settings_file, reload);
+    waited.map_err(StartError::Signals)?;
+    // Acknowledged commands are already durable, so the only remaining task is to hand over this node's vote.
     let (ready, shutdown_ready) = bounded(1);
     events.send(Event::ShutdownRequested { ready }, None);
     let timeout = duration_from_millis(HANDOVER_SHARE * settings.shutdown_grace_s * 1000.0);
@@ -82,7 +83,8 @@
     Ok(())
 }
 
-/// Reads the disk, and starts the node's thread and those that serve it.
+/// Reads the durable state, and starts the node's thread and the threads that it depends on. Returns the mailbox of the
+/// node's thread.
 fn start_node(
     settings: &Settings,
     directory: &Arc<RwLock<Directory>>,
@@ -93,9 +95,9 @@
         Some(disk) => disk.store.read().map_err(StartError::Store)?,
         None => None,
     };
-    let is_empty = state.is_none();
+    let is_disk_empty = state.is_none();
     let (replica, effects) = start_replica(settings, state.clone());
-    log_start(settings, is_empty, &replica);
+    log_start(settings, is_disk_empty, &replica);
     let (node_sender, events) = start_node_thread()?;
     let own_events = events.clone();
     let on_written = move |result| own_events.send(Event::WriteFinished(result), None);
@@ -123,12 +125,12 @@
 }
 
 fn open_disk(settings: &Settings) -> Result<Option<Disk>, StartError> {
-    let Some(folder) = &settings.data_dir else {
+    let Some(data_dir) = &settings.data_dir else {
         return Ok(None);
     };
-    let folder = Path::new(folder).to_path_buf();
-    let store = Store::open(&folder).map_err(StartError::Store)?;
-    Ok(Some(Disk { folder, store }))
+    let data_dir = Path::new(data_dir).to_path_buf();
+    let store = Store::open(&data_dir).map_err(StartError::Store)?;
+    Ok(Some(Disk { data_dir, store }))
 }
 
 fn start_replica(
@@ -147,9 +149,9 @@
     Replica::start(options, state)
 }
 
-fn log_start(settings: &Settings, is_empty: bool, replica: &Replica) {
+fn log_start(settings: &Settings, is_disk_empty: bool, replica: &Replica) {
     log::info!(
-        "event=started host={} init={} empty_disk={is_empty} epoch={} votes={}",
+        "event=started host={} init={} empty_disk={is_disk_empty} epoch={} votes={}",
         settings.host_name,
         settings.is_first_start,
         replica.epoch().number,
@@ -157,8 +159,8 @@
     );
 }
 
-/// Starts the thread that will own the node, before the node exists: the threads that the node depends on need the
-/// sender of its mailbox. The node is sent to the thread once it has been built.
+/// Starts the node's thread before the node is created, because the threads that the node depends on need the sender of
+/// its mailbox. The node is sent to the thread through the returned channel.
 fn start_node_thread() -> Result<(Sender<ControlNode>, Arc<MailboxSender<Event>>), StartError> {
     let (node_sender, nodes) = bounded::<ControlNode>(1);
     let start = |events: MailboxReceiver<Event>| {
@@ -175,21 +177,22 @@
     Ok((node_sender, Arc::new(events)))
 }
 
-/// The body of the polling thread: reads the platform's list of servers once for each request.
+/// Runs the polling thread: reads the platform's list of servers once per request. The HTTP client is reused until a
+/// poll fails or the address changes.
 fn poll_platform(requests: &Receiver<SocketAddrV4>, events: &MailboxSender<Event>) {
     let mut platform: Option<HttpClient> = None;
     while let Ok(address) = requests.recv() {
-        let asked_at = Instant::now();
-        let known = platform.take().filter(|client| client.server() == address);
+        let started_at = Instant::now();
+        let reusable = platform.take().filter(|client| client.server() == address);
         let connect = || HttpClient::new(address, platform::PAGE_LIMITS);
-        let mut client = known.unwrap_or_else(connect);
+        let mut client = reusable.unwrap_or_else(connect);
         let result = platform::read_server_list(&mut client);
         platform = result.is_ok().then_some(client);
-        events.send(Event::ServerListPolled { asked_at, result }, None);
+        events.send(Event::ServerListPolled { started_at, result }, None);
     }
 }
 
-/// Opens the ports for operators' calls and for clients' lookups, if they are configured.
+/// Starts the HTTP servers of the operator API and the lookup API, if their addresses are configured.
 fn open_apis(
     settings: &Settings,
     directory: &Arc<RwLock<Directory>>,
@@ -209,7 +212,7 @@
         http_server::listen(address, options, answer).map_err(resource_error("ctl"))?;
     }
     if let Some(address) = settings.directory_addr {
-        // The longest time to live that the requirements allow: a request has to wait for a lookup, while clients skip
+        // The maximum time to live that the requirements allow: a lookup delays a request, whereas clients skip
         // addresses that fail.
         let api = LookupApi::new(directory.clone(), settings.max_ttl_s);
         let answer = move |request| api.answer(clock.now(), &request);
@@ -219,8 +222,8 @@
     Ok(())
 }
 
-/// Ends the process if the node's thread panics: the other threads could only refuse calls, so the process should be
-/// restarted.
+/// Exits the process if the node's thread panics. The remaining threads could only refuse calls, so the process should
+/// be restarted.
 struct ExitOnPanic;
 
 impl Drop for ExitOnPanic {
--- a/crates/aspendrum-control/src/storage.rs
+++ b/crates/aspendrum-control/src/storage.rs
@@ -1,5 +1,5 @@
-//! Delays a replica's effects until the state that they reveal is synced. A thread of its own writes to the disk, so
-//! that a slow disk does not block the node's thread.
+//! Holds back a replica's effects until the state that they depend on is durable. A separate thread writes to the disk,
+//! so that a slow disk does not block the node's thread.
 
 use crate::errors::StoreError;
 use crate::store::Store;
@@ -12,33 +12,33 @@
 use std::time::{Duration, Instant};
 
 const STACK_BYTES: usize = 256 << 10;
-/// How many effects may wait for a disk that does not answer. Beyond that messages are dropped: the protocols tolerate
-/// lost messages.
-const MAX_WAITING: usize = 2000;
-/// After this time without an answer the disk counts as stalled, and the other nodes replace this voter.
-const STALLED_AFTER: Duration = Duration::from_millis(1500);
-/// Between two attempts to write to a disk that failed.
+/// The queue length at which new messages are dropped instead of queued. It is reached only if the disk does not
+/// respond; the protocols tolerate lost messages.
+const MAX_QUEUED_EFFECTS: usize = 2000;
+/// The duration of a write after which the disk counts as stalled. The other nodes then replace this voter.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The interval between attempts to write to a failed disk.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How a write ended.
+/// The result of a write.
 pub type WriteResult = Result<(), StoreError>;
 
-/// What the end of a write leads to.
+/// The consequence of a finished write.
 pub enum WriteCompletion {
-    /// These effects may be carried out now.
+    /// The write succeeded, and these effects may be executed now.
     Released(Vec<Effect>),
-    /// The disk cannot be written. All effects that waited for it are dropped; what was synced before is still there.
+    /// The write failed. All queued effects are dropped; the state that was durable before is still on the disk.
     Failed(StoreError),
-    /// A disk that had failed can be written again.
+    /// A write to a failed disk has succeeded again.
     Recovered,
 }
 
-/// The condition of the disk.
+/// The health of the disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiskHealth {
-    /// It can be written, as far as is known.
+    /// No failure or stall has been detected.
     Healthy,
-    /// A write has not ended for a while.
+    /// A write has been pending for [`STALL_TIMEOUT`] or longer.
     Stalled,
     /// The last write failed.
     Failed,
@@ -46,47 +46,48 @@
 
 /// An opened disk.
 pub struct Disk {
-    /// The folder of the database, for opening it again after a failure.
-    pub folder: PathBuf,
-    /// The database.
+    /// The data directory, from which the database is reopened after a failure.
+    pub data_dir: PathBuf,
+    /// The open database.
     pub store: Store,
 }
 
-/// A write that has not ended yet.
+/// A write in progress.
 struct PendingWrite {
     started_at: Instant,
     state: DurableState,
-    /// The number of [`Effect::Persist`] among the waiting effects that this write completes, counted from the front.
-    covered: usize,
+    /// The number of [`Effect::Persist`] at the front of the queue that this write completes.
+    persist_count: usize,
 }
 
-/// The disk's thread, and the effects that wait for it.
+/// The connection to the disk's thread, and the effects that are queued until a write completes.
 pub struct Storage {
-    /// None if there is no disk: [`Effect::Persist`] is then ignored.
+    /// `None` if the node has no disk; [`Effect::Persist`] is then ignored.
     writer: Option<Sender<DurableState>>,
     pending_write: Option<PendingWrite>,
-    /// The state that was synced last.
+    /// The state that was last written and synced.
     synced: Option<DurableState>,
-    /// The effects that are not carried out yet, in order. A [`Effect::Persist`] among them is not synced.
-    waiting: VecDeque<Effect>,
+    /// The effects that are held back, in order. Every [`Effect::Persist`] in the queue is still to be completed by a
+    /// write.
+    queue: VecDeque<Effect>,
     failed_at: Option<Instant>,
 }
 
 impl Storage {
-    /// Starts the disk's thread. `synced`: the state on the disk. `on_written` is called with the result of each write,
-    /// and returns false if the node's thread has ended.
+    /// Starts the disk's thread. `synced` is the state on the disk. `on_written` is called with the result of each
+    /// write; it returns false if the node's thread has ended.
     ///
     /// # Errors
-    /// The thread cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start(
         disk: Option<Disk>,
         synced: Option<DurableState>,
         on_written: impl Fn(WriteResult) -> bool + Send + 'static,
     ) -> io::Result<Storage> {
         let mut writer = None;
-        if let Some(Disk { folder, store }) = disk {
+        if let Some(Disk { data_dir, store }) = disk {
             let (sender, states) = bounded(1);
-            let write = move || write_states(&folder, store, &states, on_written);
+            let write = move || write_states(&data_dir, store, &states, on_written);
             spawn("disk", STACK_BYTES, write)?;
             writer = Some(sender);
         }
@@ -94,52 +95,53 @@
             writer,
             pending_write: None,
             synced,
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
             failed_at: None,
         })
     }
 
-    /// The condition of the disk now.
+    /// Returns the current health of the disk.
     pub fn health(&self) -> DiskHealth {
         if self.failed_at.is_some() {
             return DiskHealth::Failed;
         }
         match &self.pending_write {
-            Some(write) if write.started_at.elapsed() >= STALLED_AFTER => DiskHealth::Stalled,
+            Some(write) if write.started_at.elapsed() >= STALL_TIMEOUT => DiskHealth::Stalled,
             _ => DiskHealth::Healthy,
         }
     }
 
-    /// The state that was synced last.
+    /// Returns the state that was last written and synced.
     pub fn synced(&self) -> Option<&DurableState> {
         self.synced.as_ref()
     }
 
-    /// Queues effects, and returns those that may be carried out now. `state`: the durable state after these effects.
+    /// Queues effects, and returns those that may be executed now. `state` is the durable state after these effects.
+    /// Without a disk, or while it has failed, no effect is held back and [`Effect::Persist`] is removed.
     pub fn push(&mut self, effects: Vec<Effect>, state: &DurableState) -> Vec<Effect> {
         let mut effects = effects;
         if self.writer.is_none() || self.failed_at.is_some() {
             effects.retain(|effect| *effect != Effect::Persist);
             return effects;
         }
-        if self.waiting.len() >= MAX_WAITING {
+        if self.queue.len() >= MAX_QUEUED_EFFECTS {
             effects.retain(|effect| !matches!(effect, Effect::Send { .. }));
         }
-        self.waiting.extend(effects);
+        self.queue.extend(effects);
         self.start_write(state);
         self.take_released()
     }
 
-    /// Begins to write the state if some effect waits for that, unless a write is under way.
+    /// Starts to write `state` if the queue contains a persist effect and no write is in progress.
     fn start_write(&mut self, state: &DurableState) {
         let is_persist = |effect: &&Effect| **effect == Effect::Persist;
-        let covered = self.waiting.iter().filter(is_persist).count();
-        if self.pending_write.is_none() && covered > 0 {
-            self.send_write(state.clone(), covered);
+        let persist_count = self.queue.iter().filter(is_persist).count();
+        if self.pending_write.is_none() && persist_count > 0 {
+            self.send_write(state.clone(), persist_count);
         }
     }
 
-    fn send_write(&mut self, state: DurableState, covered: usize) {
+    fn send_write(&mut self, state: DurableState, persist_count: usize) {
         let Some(writer) = &self.writer else {
             return;
         };
@@ -147,20 +149,21 @@
             self.pending_write = Some(PendingWrite {
                 started_at: Instant::now(),
                 state,
-                covered,
+                persist_count,
             });
         }
     }
 
-    /// The effects before the first persist that is not synced.
+    /// Removes and returns the effects before the first [`Effect::Persist`] in the queue.
     fn take_released(&mut self) -> Vec<Effect> {
-        let mut waiting = self.waiting.iter();
-        let unsynced = waiting.position(|effect| *effect == Effect::Persist);
-        let end = unsynced.unwrap_or(self.waiting.len());
-        self.waiting.drain(..end).collect()
+        let mut effects = self.queue.iter();
+        let first_persist = effects.position(|effect| *effect == Effect::Persist);
+        let end = first_persist.unwrap_or(self.queue.len());
+        self.queue.drain(..end).collect()
     }
 
-    /// A write has ended. `state`: the durable state now.
+    /// Handles the result of a write. `state` is the current durable state; it is written next if effects are still
+    /// held back.
     pub fn on_write_finished(
         &mut self,
         result: WriteResult,
@@ -169,25 +172,25 @@
         let write = self.pending_write.take();
         if let Err(error) = result {
             self.failed_at = Some(Instant::now());
-            self.waiting.clear();
+            self.queue.clear();
             return WriteCompletion::Failed(error);
         }
-        let covered = write.as_ref().map_or(0, |write| write.covered);
+        let persist_count = write.as_ref().map_or(0, |write| write.persist_count);
         self.synced = write.map(|write| write.state);
         if self.failed_at.take().is_some() {
             return WriteCompletion::Recovered;
         }
         let mut released = self.take_released();
-        for _ in 0..covered {
-            self.waiting.pop_front();
+        for _ in 0..persist_count {
+            self.queue.pop_front();
             released.extend(self.take_released());
         }
         self.start_write(state);
         WriteCompletion::Released(released)
     }
 
-    /// Writes the last synced state to a failed disk again, if a retry is due. `initial`: the state to write if none
-    /// was synced yet.
+    /// Writes the last synced state to a failed disk if a retry is due. `initial` is written if no state has been
+    /// synced yet.
     pub fn retry(&mut self, initial: &DurableState) {
         let is_due = self
             .failed_at
@@ -199,17 +202,17 @@
     }
 }
 
-/// The disk's thread: writes one state after another. After a failure the database is opened again; what was synced
-/// before is still there.
+/// Runs the disk's thread: writes each state that it receives. After a failed write the database is reopened for the
+/// next one; the state that was durable before is still on the disk.
 fn write_states(
-    folder: &Path,
+    data_dir: &Path,
     store: Store,
     states: &Receiver<DurableState>,
     on_written: impl Fn(WriteResult) -> bool,
 ) {
     let mut opened = Some(store);
     while let Ok(state) = states.recv() {
-        let store = opened.take().map_or_else(|| Store::open(folder), Ok);
+        let store = opened.take().map_or_else(|| Store::open(data_dir), Ok);
         let result = store.and_then(|store| {
             store.write(&state)?;
             opened = Some(store);
--- a/crates/aspendrum-control/src/store.rs
+++ b/crates/aspendrum-control/src/store.rs
@@ -1,5 +1,5 @@
-//! The node's state on its disk: one value in a database file, replaced as a whole. It survives a loss of power at any
-//! time once [`Store::write`] has returned.
+//! Persistent storage of the node's durable state: a single value in a redb database, always replaced as a whole. Once
+//! [`Store::write`] has returned, the state survives a power failure at any time.
 
 use crate::errors::StoreError;
 use crate::legacy;
@@ -7,37 +7,37 @@
 use redb::{Builder, Database, TableDefinition, TableError};
 use std::path::Path;
 
-/// The names of the file and the table are those of the first versions, whose disks are still read.
-const FILE: &str = "vault.redb";
+/// The file and the table keep the names of the first versions, because their databases must remain readable.
+const FILE_NAME: &str = "vault.redb";
 const TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("kept");
-/// Names the present format.
+/// The key of the state in the current format.
 const KEY: &str = "state-4";
-/// The state is read once and written seldom.
+/// The page cache is small because the state is read once and rarely written.
 const CACHE_BYTES: usize = 1 << 20;
 
 /// The database file.
 pub struct Store(Database);
 
 impl Store {
-    /// Opens the database in that folder, or creates it.
+    /// Opens the database in the data directory. Creates the directory and the database if they do not exist.
     ///
     /// # Errors
-    /// The folder cannot be created, or the file is no database or in use.
-    pub fn open(folder: &Path) -> Result<Store, StoreError> {
-        std::fs::create_dir_all(folder).map_err(|source| StoreError::CreateFolder {
-            folder: folder.to_path_buf(),
+    /// Returns an error if the directory cannot be created, or if the file is not a valid database or is in use.
+    pub fn open(data_dir: &Path) -> Result<Store, StoreError> {
+        std::fs::create_dir_all(data_dir).map_err(|source| StoreError::CreateDataDir {
+            data_dir: data_dir.to_path_buf(),
             source,
         })?;
-        let file = folder.join(FILE);
+        let file = data_dir.join(FILE_NAME);
         let opened = Builder::new().set_cache_size(CACHE_BYTES).create(&file);
         let database = opened.map_err(|source| StoreError::Open { file, source })?;
         Ok(Store(database))
     }
 
-    /// The state that was written last; none on an empty disk. Disks of earlier formats are read too.
+    /// Reads the state that was last written, in the current or an earlier format; `None` if the database is empty.
     ///
     /// # Errors
-    /// The database cannot be read, or the state cannot be decoded.
+    /// Returns an error if the database cannot be read or the state cannot be decoded.
     pub fn read(&self) -> Result<Option<DurableState>, StoreError> {
         let transaction = self.0.begin_read().map_err(StoreError::database)?;
         let table = match transaction.open_table(TABLE) {
@@ -45,8 +45,8 @@
             Err(TableError::TableDoesNotExist(_)) => return Ok(None),
             Err(error) => return Err(StoreError::database(error)),
         };
-        let present = (KEY, decode as legacy::Decode);
-        for (key, decode) in [present].into_iter().chain(legacy::FORMATS) {
+        let current = (KEY, decode as legacy::Decode);
+        for (key, decode) in [current].into_iter().chain(legacy::FORMATS) {
             if let Some(bytes) = table.get(key).map_err(StoreError::database)? {
                 let state = decode(bytes.value());
                 let state = state.map_err(|source| StoreError::Decode { key, source })?;
@@ -56,10 +56,10 @@
         Ok(None)
     }
 
-    /// Replaces the state. Returns once it is synced.
+    /// Replaces the state, and returns once the new state is synced to the disk.
     ///
     /// # Errors
-    /// The state cannot be encoded or written. What was written before is still there.
+    /// Returns an error if the state cannot be encoded or written. The previous state is still on the disk then.
     pub fn write(&self, state: &DurableState) -> Result<(), StoreError> {
         let bytes = postcard::to_allocvec(state).map_err(StoreError::Encode)?;
         let transaction = self.0.begin_write().map_err(StoreError::database)?;
@@ -69,7 +69,7 @@
                 .map_err(StoreError::database)?;
             let inserted = table.insert(KEY, bytes.as_slice());
             inserted.map_err(StoreError::database)?;
-            // The state of an earlier format is outdated now.
+            // A state in an earlier format is superseded by the one just written.
             for (key, _) in legacy::FORMATS {
                 table.remove(key).map_err(StoreError::database)?;
             }
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -1,4 +1,5 @@
-//! What operators and clients are answered: statuses, bodies and the names in them, which their tools rest on.
+//! The responses of the operator API and the lookup API: statuses, bodies and JSON keys, on which external tools
+//! depend.
 
 use aspendrum_consensus::replicated_state::{DecidedConfig, ReplicatedState};
 use aspendrum_consensus::{Command, Outcome};
@@ -33,16 +34,16 @@
     }
 }
 
-/// What a report is asked about, as JSON.
-fn asked_about(query: &ReportQuery) -> serde_json::Value {
+/// Returns the parameters of a report query as JSON.
+fn query_parameters(query: &ReportQuery) -> serde_json::Value {
     match query {
         ReportQuery::Nodes => serde_json::Value::Null,
         ReportQuery::Explain { host, path } => serde_json::json!([host, path]),
     }
 }
 
-/// Status, headers and body as one text.
-fn shown(reply: &Reply) -> String {
+/// Formats status, headers and body of a reply.
+fn format_reply(reply: &Reply) -> String {
     let headers: String = reply
         .headers
         .iter()
@@ -55,24 +56,24 @@
     )
 }
 
-/// What an operator is answered by a node on which every command ends in that way.
+/// Returns the formatted response to an operator's call, and the submitted commands. Every command ends with `outcome`.
 fn answer(outcome: &Outcome, request: &Request) -> (String, Vec<Command>) {
-    let (given, taken) = crossbeam_channel::unbounded();
+    let (command_sender, commands) = crossbeam_channel::unbounded();
     let outcome = outcome.clone();
     let start = |inbox: mailbox::MailboxReceiver<Event>| {
         thread::Builder::new().spawn(move || {
             while let Ok(event) = inbox.recv_deadline(None) {
                 match event {
                     Event::Command { command, reply, .. } => {
-                        given.send(command).unwrap();
+                        command_sender.send(command).unwrap();
                         reply.send(outcome.clone()).unwrap();
                     }
                     Event::Report { query, reply } => {
                         reply
-                            .send(serde_json::json!({ "of": asked_about(&query) }))
+                            .send(serde_json::json!({ "of": query_parameters(&query) }))
                             .unwrap();
                     }
-                    _ => panic!("a call is a command or asks for a report"),
+                    _ => panic!("unexpected event for a call"),
                 }
             }
         })
@@ -81,10 +82,10 @@
     let zones = [("z1".to_string(), "g".to_string())].into();
     let reply = OperatorApi::new(events.clone(), zones).answer(request);
     Arc::into_inner(events).unwrap().close();
-    (shown(&reply), taken.iter().collect())
+    (format_reply(&reply), commands.iter().collect())
 }
 
-fn done(version: u32, text: &[u8]) -> Outcome {
+fn committed(version: u32, text: &[u8]) -> Outcome {
     let config = DecidedConfig {
         version,
         compressed_text: text.to_vec(),
@@ -96,9 +97,9 @@
 }
 
 #[test]
-fn a_configuration_is_acknowledged_refused_or_neither() {
+fn setting_a_configuration_is_acknowledged_refused_or_unavailable() {
     let set = request("POST", "/api/Cfg.Set", CONFIG);
-    let (acknowledged, commands) = answer(&done(1, b""), &set);
+    let (acknowledged, commands) = answer(&committed(1, b""), &set);
     assert_eq!(acknowledged, "200 ");
     let digest = aspendrum_model::hash::digest(CONFIG.as_bytes());
     assert_eq!(
@@ -116,33 +117,33 @@
     assert_eq!(answer(&Outcome::NoQuorum, &set).0, "503 ");
     let invalid = request("POST", "/api/Cfg.Set", &CONFIG.replace("/a/", "a/"));
     let refused = "400 the prefix a/ does not begin with a slash\n".to_string();
-    assert_eq!(answer(&done(1, b""), &invalid), (refused, vec![]));
+    assert_eq!(answer(&committed(1, b""), &invalid), (refused, vec![]));
     assert_eq!(
-        answer(&done(1, b""), &request("GET", "/api/Cfg.Set", CONFIG)).0,
+        answer(&committed(1, b""), &request("GET", "/api/Cfg.Set", CONFIG)).0,
         "405 "
     );
 }
 
 #[test]
-fn the_configuration_in_force_is_shown_as_it_was_sent() {
+fn the_current_configuration_is_shown_as_it_was_uploaded() {
     let show = request("GET", "/api/Cfg.Show", "");
-    let in_force = done(0x0107, &compress(CONFIG.as_bytes()));
+    let current = committed(0x0107, &compress(CONFIG.as_bytes()));
     let expected = format!("200 Content-Type: application/json; {CONFIG}");
-    assert_eq!(answer(&in_force, &show), (expected, vec![Command::Read]));
-    assert_eq!(answer(&done(0, b""), &show).0, "503 ");
-    assert_eq!(answer(&done(1, b"no packed text"), &show).0, "500 ");
+    assert_eq!(answer(&current, &show), (expected, vec![Command::Read]));
+    assert_eq!(answer(&committed(0, b""), &show).0, "503 ");
+    assert_eq!(answer(&committed(1, b"no packed text"), &show).0, "500 ");
     assert_eq!(answer(&Outcome::NoQuorum, &show).0, "503 ");
 }
 
 #[test]
-fn evacuations_are_commanded_by_zone() {
+fn evacuation_calls_submit_a_command_for_their_zone() {
     let command = |is_evacuated| {
         vec![Command::SetEvacuation {
             zone: "z1".into(),
             is_evacuated,
         }]
     };
-    let call = |path: &str| answer(&done(1, b""), &request("POST", path, ""));
+    let call = |path: &str| answer(&committed(1, b""), &request("POST", path, ""));
     assert_eq!(call("/api/Evac.Begin/z1"), ("200 ".into(), command(true)));
     assert_eq!(call("/api/Evac.Finish/z1"), ("200 ".into(), command(false)));
     assert_eq!(call("/api/Evac.Begin/z2"), ("404 ".into(), vec![]));
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn reports_are_asked_for_by_name() {
+fn report_calls_are_selected_by_path() {
     let call = |path: &str| answer(&Outcome::NoQuorum, &request("GET", path, "")).0;
     assert_eq!(
         call("/api/Nodes"),
@@ -164,7 +165,7 @@
     assert_eq!(call("/"), "404 ");
 }
 
-fn edition(config: u32, evacuation: u64, digests: [u64; 4]) -> StateDigest {
+fn state_digest(config: u32, evacuation: u64, digests: [u64; 4]) -> StateDigest {
     StateDigest {
         revision: Revision { config, evacuation },
         digests,
@@ -172,8 +173,8 @@
 }
 
 #[test]
-fn the_report_of_nodes_keeps_its_names() {
-    let decided = edition(0x0107, 3, [1, 2, 3, 4]);
+fn the_node_report_keeps_its_json_keys() {
+    let decided = state_digest(0x0107, 3, [1, 2, 3, 4]);
     let node = |host: &str, status, not_current_ms, applied| NodeReport {
         host: host.into(),
         proxy: "10.0.0.9:80".into(),
@@ -191,13 +192,13 @@
             "e2",
             SyncStatus::Behind,
             40,
-            edition(0x0106, 2, [1, 9, 3, 9]),
+            state_digest(0x0106, 2, [1, 9, 3, 9]),
         ),
         node(
             "e3",
             SyncStatus::Diverged,
             41,
-            edition(0x0107, 3, [9, 2, 9, 4]),
+            state_digest(0x0107, 3, [9, 2, 9, 4]),
         ),
         node("e4", SyncStatus::Isolated, 42, StateDigest::default()),
     ];
@@ -220,10 +221,10 @@
 }
 
 #[test]
-fn the_report_of_versions_keeps_its_names() {
+fn the_explain_report_keeps_its_json_keys() {
     let newest = Config::read(CONFIG.as_bytes()).unwrap();
-    let before = CONFIG.replace("00000107", "00000106").replace("/m/", "/n/");
-    let versions = [newest, Config::read(before.as_bytes()).unwrap()];
+    let previous = CONFIG.replace("00000107", "00000106").replace("/m/", "/n/");
+    let versions = [newest, Config::read(previous.as_bytes()).unwrap()];
     let explained = |path| report::explain(versions.iter(), "a.example", path).to_string() + "\n";
     assert_eq!(
         explained("/a/x"),
@@ -236,27 +237,27 @@
 }
 
 #[test]
-fn a_look_up_is_answered_with_addresses_and_their_time() {
+fn a_lookup_is_answered_with_addresses_and_their_time_to_live() {
     let mut directory = Directory::new(0.0, &[("z1".to_string(), "g".to_string())].into());
-    let front = |n: u8| ProxyEndpoint {
+    let proxy = |n: u8| ProxyEndpoint {
         addr: format!("10.0.0.{n}:80").parse().unwrap(),
         zone: "z1".into(),
         readiness: Readiness::Ready,
         is_current: true,
     };
-    directory.update(0.0, &[front(1), front(2)]);
-    let known = LookupApi::new(Arc::new(RwLock::new(directory)), 5.0);
-    let asked = |api: &LookupApi, method, path| {
-        shown(&api.answer(REGION_HOLD_TIME, &request(method, path, "")))
+    directory.update(0.0, &[proxy(1), proxy(2)]);
+    let api = LookupApi::new(Arc::new(RwLock::new(directory)), 5.0);
+    let look_up = |api: &LookupApi, method, path| {
+        format_reply(&api.answer(REGION_HOLD_TIME, &request(method, path, "")))
     };
     let addresses =
         r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":5.0}"#;
-    assert_eq!(asked(&known, "GET", "/api/lookup?geo=g&az=z1"), addresses);
-    let away =
+    assert_eq!(look_up(&api, "GET", "/api/lookup?geo=g&az=z1"), addresses);
+    let fallback =
         r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":1.0}"#;
-    assert_eq!(asked(&known, "GET", "/api/lookup?geo=h&az=z9"), away);
-    let nobody = LookupApi::new(Arc::default(), 5.0);
-    assert_eq!(asked(&nobody, "GET", "/api/lookup?geo=g&az=z1"), "503 ");
-    assert_eq!(asked(&known, "POST", "/api/lookup"), "405 ");
-    assert_eq!(asked(&known, "GET", "/api/Nodes"), "404 ");
+    assert_eq!(look_up(&api, "GET", "/api/lookup?geo=h&az=z9"), fallback);
+    let empty = LookupApi::new(Arc::default(), 5.0);
+    assert_eq!(look_up(&empty, "GET", "/api/lookup?geo=g&az=z1"), "503 ");
+    assert_eq!(look_up(&api, "POST", "/api/lookup"), "405 ");
+    assert_eq!(look_up(&api, "GET", "/api/Nodes"), "404 ");
 }
--- a/crates/aspendrum-control/tests/decided.rs
+++ b/crates/aspendrum-control/tests/decided.rs
@@ -1,4 +1,4 @@
-//! When what is committed is published to agents, and since when a proxy lacks something.
+//! The rate limit on publishing committed states, and the time since which a proxy is outdated.
 
 use aspendrum_consensus::ReplicatedState;
 use aspendrum_control::decided::DecidedState;
@@ -6,7 +6,7 @@
 use aspendrum_model::message::Revision;
 
 const APPLY_DEADLINE: f64 = 3000.0;
-/// A tenth of it.
+/// The publish interval: a tenth of the apply deadline.
 const INTERVAL: f64 = 300.0;
 
 fn committed(version: u32) -> ReplicatedState {
@@ -28,10 +28,10 @@
     }
 }
 
-/// Danger: 300 changes in 15 s are 300 configurations to parse for each agent and each proxy.
+/// Without the rate limit, 300 changes in 15 s would be 300 configurations to parse for each agent and each proxy.
 #[test]
-fn the_first_change_is_published_at_once_and_a_storm_once_an_interval() {
-    let mut decided = DecidedState::unknown(APPLY_DEADLINE);
+fn the_first_change_is_published_immediately_and_a_burst_once_per_interval() {
+    let mut decided = DecidedState::new(APPLY_DEADLINE);
     let mut published = Vec::new();
     for (number, version) in (1..=20).enumerate() {
         let now = 1000.0 + 100.0 * number as f64;
@@ -41,15 +41,16 @@
     }
     let expected = (0..7).map(|n| (1000.0 + INTERVAL * f64::from(n), 1 + 3 * n as u32));
     assert_eq!(published, expected.collect::<Vec<_>>());
-    // The last one follows without a further change.
+    // The last change is published without a further one.
     assert!(decided.publish_if_due(3100.0, &committed(20), None));
     assert_eq!(decided.digest().revision, revision(20));
 }
 
-/// Danger: "a majority held nothing newer" is told of a state that has been superseded meanwhile.
+/// The report must not claim that a majority held nothing newer than the published state while a newer state is already
+/// committed and not yet published.
 #[test]
-fn a_state_that_waits_is_not_covered_by_the_report() {
-    let mut decided = DecidedState::unknown(APPLY_DEADLINE);
+fn an_unpublished_state_is_not_covered_by_the_report() {
+    let mut decided = DecidedState::new(APPLY_DEADLINE);
     assert!(decided.report().is_none(), "no majority was read");
     assert!(decided.publish_if_due(0.0, &committed(1), Some(0.0)));
     assert!(!decided.publish_if_due(50.0, &committed(1), Some(45.0)));
@@ -64,10 +65,10 @@
     );
 }
 
-/// Danger: the end of an evacuation waits for its turn among changes of the configuration.
+/// A change of an evacuation must not wait for the publish interval of configuration changes.
 #[test]
-fn an_evacuation_is_published_at_once() {
-    let mut decided = DecidedState::unknown(APPLY_DEADLINE);
+fn an_evacuation_is_published_immediately() {
+    let mut decided = DecidedState::new(APPLY_DEADLINE);
     assert!(decided.publish_if_due(0.0, &committed(1), Some(0.0)));
     let mut evacuated = committed(1);
     evacuated
@@ -79,15 +80,16 @@
     assert_eq!(decided.state().evacuated_zones().zones, ["zone-1"]);
 }
 
-/// Danger: in a storm each proxy lacks the last change at each of its heartbeats, and all of them count as outdated.
+/// During a burst every proxy is missing the latest change at each heartbeat. Only the age of the oldest missing change
+/// may count, or all proxies would count as outdated.
 #[test]
-fn a_proxy_lacks_a_change_from_when_the_first_was_published_that_it_lacks() {
-    let mut decided = DecidedState::unknown(APPLY_DEADLINE);
+fn a_proxy_is_outdated_since_the_oldest_publication_that_it_is_missing() {
+    let mut decided = DecidedState::new(APPLY_DEADLINE);
     for version in 1..=8 {
         let now = INTERVAL * f64::from(version);
         assert!(decided.publish_if_due(now, &committed(version), Some(now)));
     }
-    assert_eq!(decided.lacking_since(&revision(8)), None);
-    assert_eq!(decided.lacking_since(&revision(7)), Some(8.0 * INTERVAL));
-    assert_eq!(decided.lacking_since(&revision(4)), Some(5.0 * INTERVAL));
+    assert_eq!(decided.outdated_since(&revision(8)), None);
+    assert_eq!(decided.outdated_since(&revision(7)), Some(8.0 * INTERVAL));
+    assert_eq!(decided.outdated_since(&revision(4)), Some(5.0 * INTERVAL));
 }
--- a/crates/aspendrum-control/tests/directory.rs
+++ b/crates/aspendrum-control/tests/directory.rs
@@ -1,4 +1,5 @@
-//! Which proxies clients are sent to, and which control node polls the platform's list of servers.
+//! The selection of proxies for clients, the merge of proxy tables, and the choice of the control node that polls the
+//! platform.
 
 use aspendrum_consensus::{Millis, NodeId};
 use aspendrum_control::directory::{Directory, LookupAnswer, REGION_HOLD_TIME};
@@ -32,8 +33,8 @@
     Directory::new(now, &regions.into())
 }
 
-/// The last numbers of the addresses in an answer.
-fn numbers(answer: &LookupAnswer) -> Vec<u8> {
+/// Returns the last octet of each address in an answer.
+fn last_octets(answer: &LookupAnswer) -> Vec<u8> {
     answer
         .addresses
         .iter()
@@ -41,17 +42,17 @@
         .collect()
 }
 
-/// What a client is answered long after the start.
+/// Looks up proxies after the hold time that follows startup.
 fn look_up(proxies: &[ProxyEndpoint], region: &str, zone: &str) -> Vec<u8> {
     let mut directory = directory(0.0);
     directory.update(REGION_HOLD_TIME, proxies);
-    numbers(&directory.look_up(2.0 * REGION_HOLD_TIME, region, zone, 5.0))
+    last_octets(&directory.look_up(2.0 * REGION_HOLD_TIME, region, zone, 5.0))
 }
 
-/// Danger: a client that is sent to the only proxy of its zone, or to the proxies of its failed zone alone, has nowhere
-/// to go when that fails.
+/// A client that is directed to a single proxy, or only to the proxies of a failed zone, has no alternative when these
+/// fail.
 #[test]
-fn clients_are_sent_to_their_zone_if_that_leaves_a_choice() {
+fn clients_are_directed_to_their_zone_if_it_has_enough_proxies() {
     let mut proxies = vec![
         ready(1, "a1"),
         ready(2, "a1"),
@@ -59,7 +60,7 @@
         ready(4, "b1"),
     ];
     assert_eq!(look_up(&proxies, "a", "a1"), [1, 2]);
-    // A proxy that has not applied the latest decision is left out only if a choice is left without it.
+    // A proxy that is not current is excluded only if enough current proxies remain.
     proxies.push(ready(5, "a1"));
     proxies[4].is_current = false;
     assert_eq!(look_up(&proxies, "a", "a1"), [1, 2]);
@@ -73,10 +74,10 @@
     assert!(look_up(&proxies, "a", "a1").is_empty());
 }
 
-/// Danger: requests whose home is in a region are carried through another one, since the directory named proxies there
-/// while planned restarts left the region one ready proxy, or none for a moment.
+/// Requests with a home region must not pass through another one. The directory must therefore not return proxies of
+/// other regions while planned restarts briefly leave a region with a single ready proxy, or none.
 #[test]
-fn clients_stay_in_their_region_while_that_has_any_proxy() {
+fn clients_stay_in_their_region_while_it_has_any_proxy() {
     let mut proxies = vec![
         ready(1, "a1"),
         ready(2, "a2"),
@@ -87,46 +88,55 @@
     let mut directory = directory(0.0);
     let start = 10.0 * REGION_HOLD_TIME;
     directory.update(start, &proxies);
-    // A single proxy is enough as long as all others are in another region.
+    // A single ready proxy of the region takes precedence over those of other regions.
     proxies[1].readiness = Readiness::Draining;
     proxies[2].readiness = Readiness::Closed;
     directory.update(start, &proxies);
-    assert_eq!(numbers(&directory.look_up(start, "a", "a1", 5.0)), [1]);
-    // None is ready: draining ones still take requests.
+    assert_eq!(last_octets(&directory.look_up(start, "a", "a1", 5.0)), [1]);
+    // No proxy is ready: draining proxies still accept requests.
     proxies[0].readiness = Readiness::Draining;
     directory.update(start, &proxies);
     let draining = directory.look_up(start, "a", "a1", 5.0);
-    assert_eq!(numbers(&draining), [1, 2]);
+    assert_eq!(last_octets(&draining), [1, 2]);
     assert_eq!(draining.ttl_s, 1.0);
-    // None takes any: clients keep the answers that they have, until it is clear that no proxy comes back.
+    // All proxies are closed: clients keep their previous answers during the hold time.
     close(&mut proxies[..3]);
     directory.update(start, &proxies);
     let held = directory.look_up(start + REGION_HOLD_TIME - 1.0, "a", "a1", 5.0);
     assert!(held.addresses.is_empty());
-    let elsewhere = directory.look_up(start + REGION_HOLD_TIME, "a", "a1", 5.0);
-    assert_eq!(numbers(&elsewhere), [4, 5]);
-    assert_eq!(elsewhere.ttl_s, 1.0);
-    assert_eq!(numbers(&directory.look_up(start, "b", "b1", 5.0)), [4, 5]);
+    let fallback = directory.look_up(start + REGION_HOLD_TIME, "a", "a1", 5.0);
+    assert_eq!(last_octets(&fallback), [4, 5]);
+    assert_eq!(fallback.ttl_s, 1.0);
+    assert_eq!(
+        last_octets(&directory.look_up(start, "b", "b1", 5.0)),
+        [4, 5]
+    );
 }
 
-/// Danger: a control node that has just started hears of another region's proxies first.
+/// A control node that has just started may receive the proxies of another region first.
 #[test]
-fn clients_are_not_sent_to_another_region_right_after_a_start() {
+fn clients_are_not_directed_to_another_region_right_after_startup() {
     let mut directory = directory(100.0);
     directory.update(110.0, &[ready(4, "b1"), ready(5, "b1")]);
     assert!(directory
         .look_up(120.0, "a", "a1", 5.0)
         .addresses
         .is_empty());
-    assert_eq!(numbers(&directory.look_up(120.0, "b", "b1", 5.0)), [4, 5]);
+    assert_eq!(
+        last_octets(&directory.look_up(120.0, "b", "b1", 5.0)),
+        [4, 5]
+    );
     let later = 100.0 + REGION_HOLD_TIME;
-    assert_eq!(numbers(&directory.look_up(later, "a", "a1", 5.0)), [4, 5]);
+    assert_eq!(
+        last_octets(&directory.look_up(later, "a", "a1", 5.0)),
+        [4, 5]
+    );
 }
 
-/// Danger: an agent changes to another control node, and for a moment its proxy is nowhere; or what was known of it
-/// before outlives what is known now.
+/// While an agent moves to another control node, its proxy must not disappear from the merged table, and the entry of
+/// the previous node must not override that of the new one.
 #[test]
-fn the_control_node_that_an_agent_is_connected_to_decides_on_its_proxy() {
+fn the_entry_of_the_connected_control_node_takes_precedence() {
     let entry = |readiness, is_connected| ProxyEntry {
         proxy: proxy(1, "a1", readiness),
         is_connected,
@@ -142,7 +152,7 @@
     assert_eq!(merged(&[closed, ready]), Readiness::Ready);
 }
 
-/// Danger: all control nodes poll the platform, whose calls are counted and paid for; or none does.
+/// Calls to the platform are limited and charged, so not all control nodes may poll it; but one of them always has to.
 #[test]
 fn one_node_polls_the_platform_and_the_next_takes_over() {
     let nodes: Vec<NodeId> = (1..=5).map(NodeId::new).collect();
@@ -163,5 +173,9 @@
     let first = polling(&nodes, 700.0)[0];
     let remaining = nodes.iter().copied().filter(|node| *node != first);
     let remaining: Vec<NodeId> = remaining.collect();
-    assert_eq!(polling(&remaining, 700.0).len(), 1, "the first one is gone");
+    assert_eq!(
+        polling(&remaining, 700.0).len(),
+        1,
+        "the first node was removed"
+    );
 }
--- a/crates/aspendrum-control/tests/pinned/mod.rs
+++ b/crates/aspendrum-control/tests/pinned/mod.rs
@@ -1,8 +1,8 @@
-//! Values whose encoded bytes must stay as they are, compared with a fixture file of lines `name hex`.
+//! Compares encoded values with a fixture file that contains a line `name hex` per value.
 
 use std::fmt::Write;
 
-/// The named byte strings of one fixture file.
+/// The named byte strings of a fixture file.
 pub(crate) struct Pinned {
     file: &'static str,
     expected: Vec<(String, Vec<u8>)>,
@@ -10,7 +10,7 @@
 }
 
 impl Pinned {
-    /// `file` names the fixture in failures; `content` is what it holds.
+    /// Parses a fixture. `file` is its name for failure messages, `content` its text.
     pub(crate) fn new(file: &'static str, content: &str) -> Pinned {
         let line = |line: &str| {
             let (name, hex) = line.split_once(' ').expect("each line is `name hex`");
@@ -23,8 +23,8 @@
         }
     }
 
-    /// The next line of the fixture has that name and those bytes.
-    pub(crate) fn same_bytes(&mut self, name: &str, encoded: &[u8]) {
+    /// Asserts that the next line of the fixture has the given name and bytes.
+    pub(crate) fn assert_bytes(&mut self, name: &str, encoded: &[u8]) {
         let (expected_name, expected) = self
             .expected
             .get(self.next)
@@ -34,17 +34,17 @@
         assert_eq!(
             hex(encoded),
             hex(expected),
-            "{}: {name} is encoded otherwise",
+            "{}: the encoding of {name} has changed",
             self.file
         );
     }
 
-    /// Every line of the fixture was compared.
-    pub(crate) fn complete(self) {
+    /// Asserts that every line of the fixture was compared.
+    pub(crate) fn assert_complete(self) {
         assert_eq!(
             self.next,
             self.expected.len(),
-            "{}: lines that no value was compared with",
+            "{}: some lines were not compared with any value",
             self.file
         );
     }
@@ -53,7 +53,7 @@
 fn bytes(hex: &str) -> Vec<u8> {
     assert!(
         hex.len().is_multiple_of(2) && hex.is_ascii(),
-        "hex digits come in pairs: {hex}"
+        "odd number of hex digits or non-ASCII text: {hex}"
     );
     (0..hex.len())
         .step_by(2)
@@ -63,7 +63,7 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("a string takes all");
+        write!(text, "{byte:02x}").expect("writing to a string cannot fail");
         text
     })
 }
--- a/crates/aspendrum-control/tests/processes.rs
+++ b/crates/aspendrum-control/tests/processes.rs
@@ -1,4 +1,5 @@
-//! Control nodes as processes on loopback, killed and bereft of disks: what was acknowledged is shown again.
+//! Integration tests with control nodes as processes on loopback addresses, whose processes are killed and whose disks
+//! are deleted. Acknowledged state must survive.
 
 use aspendrum_model::compression::decompress;
 use aspendrum_model::message::{
@@ -12,9 +13,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long something that must happen may take.
+/// The timeout of every expected event.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// The first of the ports between processes, and the port of operators' calls.
+/// The first port for connections between processes, and the port of the operator API.
 const FIRST_PORT: u16 = 21_000;
 const OPERATOR_PORT: u16 = 21_050;
 
@@ -29,7 +30,7 @@
 /// Three control nodes, each at its own loopback address.
 struct Cluster {
     folder: PathBuf,
-    /// The third number of the nodes' addresses, another one for each test.
+    /// The third octet of the nodes' addresses, different for each test.
     subnet: u8,
     processes: [Option<Child>; 3],
     is_first_start: bool,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Makes one call. Returns the status and the body; none if there was no answer.
+    /// Makes one call. Returns the status and the body; `None` if there was no response.
     fn call(&self, n: usize, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let address = SocketAddr::from((self.ip(n), OPERATOR_PORT));
         let mut stream = TcpStream::connect_timeout(&address, Duration::from_millis(500)).ok()?;
@@ -112,8 +113,8 @@
         self.call(n, method, path, body).unwrap().0
     }
 
-    /// Calls until the answer is 200. Returns its body.
-    fn succeed(&self, n: usize, method: &str, path: &str, body: &str) -> String {
+    /// Repeats a call until the status is 200. Returns the body.
+    fn call_until_ok(&self, n: usize, method: &str, path: &str, body: &str) -> String {
         let started = Instant::now();
         loop {
             match self.call(n, method, path, body) {
@@ -125,15 +126,15 @@
     }
 
     fn set_config(&self, n: usize, text: &str) {
-        self.succeed(n, "POST", "/api/Cfg.Set", text);
+        self.call_until_ok(n, "POST", "/api/Cfg.Set", text);
     }
 
-    /// Waits until that node has joined the newest epoch and holds everything that was acknowledged: another one may be
-    /// lost now.
+    /// Waits until a node has joined the newest epoch and holds everything that was acknowledged. Another node may fail
+    /// from then on.
     fn wait_until_joined(&self, n: usize) {
         let started = Instant::now();
         let is_joined = || {
-            self.succeed(n, "GET", "/api/Nodes", "")
+            self.call_until_ok(n, "GET", "/api/Nodes", "")
                 .contains(r#""joined":true"#)
         };
         while !is_joined() {
@@ -142,10 +143,10 @@
         }
     }
 
-    /// Waits until that node shows that configuration.
+    /// Waits until a node shows the given configuration.
     fn wait_until_shown(&self, n: usize, text: &str) {
         let started = Instant::now();
-        while self.succeed(n, "GET", "/api/Cfg.Show", "") != text {
+        while self.call_until_ok(n, "GET", "/api/Cfg.Show", "") != text {
             assert!(started.elapsed() < TIMEOUT);
         }
     }
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_a_kill_of_all_and_a_lost_disk() {
+fn acknowledged_state_survives_a_crash_of_all_nodes_and_a_lost_disk() {
     let mut cluster = Cluster::start(1);
     cluster.set_config(0, &config(7));
     (0..3).for_each(|n| cluster.wait_until_shown(n, &config(7)));
@@ -171,14 +172,14 @@
     (0..3).for_each(|n| cluster.kill(n));
     (0..3).for_each(|n| cluster.start_node(n));
     (0..3).for_each(|n| cluster.wait_until_shown(n, &config(7)));
-    // One loses its disk and comes back while the others are there; then another goes for good: what is left holds
-    // the configuration only if the first has taken it over.
+    // Node 0 loses its disk and restarts while the others are up. Then node 2 is lost permanently. The configuration
+    // remains on a majority only if node 0 has taken it over.
     cluster.kill(0);
     std::fs::remove_dir_all(cluster.disk(0)).unwrap();
     cluster.start_node(0);
     cluster.wait_until_shown(0, &config(7));
     cluster.wait_until_joined(0);
-    cluster.succeed(0, "POST", "/api/Evac.Begin/a", "");
+    cluster.call_until_ok(0, "POST", "/api/Evac.Begin/a", "");
     cluster.kill(1);
     cluster.kill(2);
     std::fs::remove_dir_all(cluster.disk(2)).unwrap();
@@ -197,16 +198,16 @@
     assert_eq!(cluster.status(0, "GET", "/api/Cfg.Show", ""), 503);
     assert_eq!(cluster.status(0, "POST", "/api/Evac.Begin/a", ""), 503);
     assert_eq!(cluster.status(0, "POST", "/api/Evac.Begin/b", ""), 404);
-    // A command without a clear answer may take effect once a majority is back, and is acknowledged when retried.
+    // A command that failed with 503 may take effect once a majority is back, and is acknowledged when retried.
     cluster.start_node(1);
     cluster.set_config(1, &config(5));
     cluster.wait_until_shown(0, &config(5));
 }
 
-/// Danger: two operators are both told that their text is in force under one version; or the one whose text was
-/// decided is refused when it retries since the answer was lost.
+/// Two operators must not both receive an acknowledgement for different texts of one version. The operator whose text
+/// was decided must not be refused when it retries after a lost response.
 #[test]
-fn of_two_texts_for_one_version_the_same_one_is_acknowledged_for_ever() {
+fn only_one_of_two_texts_for_a_version_is_ever_acknowledged() {
     let mut cluster = Cluster::start(4);
     cluster.set_config(0, &config(1));
     let texts = [config(2), config(2).replace("500", "700")];
@@ -232,7 +233,7 @@
         }
     };
     retry(&cluster);
-    // Also after higher versions, and after all were killed.
+    // The same holds after a higher version, and after a crash of all nodes.
     cluster.set_config(1, &config(9));
     retry(&cluster);
     (0..3).for_each(|n| cluster.kill(n));
@@ -241,7 +242,7 @@
     retry(&cluster);
 }
 
-/// An agent's connection to a control node, and everything that it has received.
+/// An agent's connection to a control node, and all messages received on it.
 struct Agent {
     stream: TcpStream,
     received: Vec<FromControl>,
@@ -262,7 +263,7 @@
         self.stream.write_all(&frame).unwrap();
     }
 
-    /// Receives until a message is the expected one.
+    /// Receives messages until `is_expected` returns true for one, and returns that one.
     fn receive_until(&mut self, is_expected: impl Fn(&FromControl) -> bool) -> &FromControl {
         loop {
             let message: FromControl = frames::read_frame(&mut self.stream).unwrap();
@@ -274,12 +275,12 @@
         }
     }
 
-    /// The versions of all configurations that were received.
+    /// Returns the versions of all received configurations.
     fn received_versions(&self) -> Vec<u32> {
         self.received.iter().filter_map(config_version).collect()
     }
 
-    /// The numbers of all updates that were received.
+    /// Returns the numbers of all received updates.
     fn received_numbers(&self) -> Vec<u64> {
         let number = |message: &FromControl| match message {
             FromControl::Update { number, .. } => Some(*number),
@@ -299,7 +300,7 @@
     }
 }
 
-fn names_ready_proxy(message: &FromControl) -> bool {
+fn contains_ready_proxy(message: &FromControl) -> bool {
     match message {
         FromControl::Update {
             section: StateSection::Proxies(proxies),
@@ -309,7 +310,7 @@
     }
 }
 
-/// Danger: a version is sent twice, out of order, before a majority holds it, or after a newer one.
+/// A version must not be sent twice, out of order, before a majority holds it, or after a newer one.
 #[test]
 fn an_agent_is_sent_each_committed_version_once_and_in_order() {
     let cluster = Cluster::start(3);
@@ -332,7 +333,8 @@
         panic!("{message:?}")
     };
     assert_eq!(decompress(text).unwrap(), config(4).into_bytes());
-    // An older version is acknowledged and not sent; the answer to a heartbeat tells how old a majority's word is.
+    // An older version is acknowledged but not sent. The reply to a heartbeat contains the age of the last majority
+    // read.
     cluster.set_config(2, &config(3));
     cluster.set_config(0, &config(6));
     agent.receive_until(|m| config_version(m) == Some(6));
@@ -351,17 +353,17 @@
         _ => false,
     });
     assert_eq!(agent.received_versions(), [4, 6]);
-    // It is ready now, and finds itself among the proxies.
-    agent.receive_until(names_ready_proxy);
+    // The proxy is ready now, and is contained in the proxy table that the agent receives.
+    agent.receive_until(contains_ready_proxy);
     let numbers = agent.received_numbers();
     let count = numbers.len() as u64;
     assert_eq!(numbers, (1..=count).collect::<Vec<_>>());
-    // It has applied nothing, and operators see that.
-    let nodes = cluster.succeed(1, "GET", "/api/Nodes", "");
+    // The proxy has applied nothing, which the node report shows.
+    let nodes = cluster.call_until_ok(1, "GET", "/api/Nodes", "");
     assert!(nodes.contains(r#""host":"e1""#), "{nodes}");
     assert!(nodes.contains(r#""standing":"behind""#), "{nodes}");
     let path = "/api/Explain?host=a.example&path=/a/x";
-    let explained = cluster.succeed(1, "GET", path, "");
+    let explained = cluster.call_until_ok(1, "GET", path, "");
     assert!(
         explained.contains(r#""gen":"00000006","route":{"homes":[]"#),
         "{explained}"
@@ -370,17 +372,17 @@
     let (newer, older) = (explained.find("00000006"), explained.find("00000004"));
     assert!(
         newer.unwrap() < older.unwrap(),
-        "the newest first: {explained}"
+        "versions are not newest first: {explained}"
     );
     assert_eq!(cluster.status(1, "GET", "/api/Explain", ""), 400);
 }
 
-/// Danger: a storm of changes is pushed to each agent as one whole configuration a change. The connection of an agent
-/// that is slow fills up and is closed, it connects again and gets everything anew, and all of it costs its proxy the
-/// processor time in which the newest change would be in force.
+/// During a burst of changes, an agent must not be sent a complete configuration per change. Otherwise the connection
+/// of a slow agent fills up and is closed, the agent reconnects and receives everything again, and its proxy spends on
+/// superseded configurations the processor time that it needs to apply the latest one.
 ///
-/// On the storm day of issue 60 (323 changes, 69 agents) agents took in 9,300 configurations, connected 485 times, and the
-/// last proxy had a change 3.05 s after its acknowledgement, where 3 s are allowed.
+/// Issue 60: with 323 changes and 69 agents, agents received 9,300 configurations and connected 485 times, and the last
+/// proxy applied a change 3.05 s after its acknowledgement instead of within 3 s.
 #[test]
 fn an_agent_that_acknowledges_nothing_is_sent_few_of_many_changes() {
     const CHANGES: u32 = 20;
@@ -395,16 +397,16 @@
     });
     agent.receive_until(|m| config_version(m).is_some());
     (2..=CHANGES).for_each(|version| cluster.set_config(1, &config(version)));
-    // Answered behind everything that was sent before.
+    // The reply to this heartbeat arrives after everything that was sent before it.
     agent.send(ToControl::Heartbeat {
         sent_at_ms: 42,
         readiness: Readiness::Ready,
         applied: StateDigest::default(),
     });
     agent.receive_until(|m| matches!(m, FromControl::Heartbeat { sent_at_ms: 42, .. }));
-    // One that stays unacknowledged for a second is followed by the newest all the same.
+    // After a second without an acknowledgement the newest configuration is sent nevertheless.
     let sent = agent.received_versions();
     let allowed = 2 + started.elapsed().as_secs() as usize;
-    assert!(sent.len() <= allowed, "{sent:?}, and {allowed} are allowed");
+    assert!(sent.len() <= allowed, "{sent:?} exceeds {allowed}");
     agent.receive_until(|m| config_version(m) == Some(CHANGES));
 }
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The encoding of what control nodes send each other and keep on disk. Nodes of two versions run side by side
-//! during an update, and disks outlive it: these bytes must never change.
+//! Pins the encoding of the messages between control nodes and of the stored state. It must never change: nodes of two
+//! versions run side by side during a rolling update, and stored state is read by later versions.
 
 mod pinned;
 
@@ -23,12 +23,12 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// Of the whole file `vault.redb` in the fixture.
+/// The digest of the decompressed fixture `vault.redb`.
 const VAULT_DIGEST: u64 = 13_955_477_754_930_877_098;
 
 const TEXT: &[u8] = br#"{"gen":"00000107"}"#;
 
-fn front(readiness: Readiness, is_current: bool) -> ProxyEndpoint {
+fn proxy(readiness: Readiness, is_current: bool) -> ProxyEndpoint {
     ProxyEndpoint {
         addr: "10.0.0.9:8080".parse().unwrap(),
         zone: "z1".into(),
@@ -60,10 +60,10 @@
     }
 }
 
-/// A frame as one control node writes it to another, read by that one.
-fn peer_message(pinned: &mut Pinned, name: &str, message: &PeerMessage) {
+/// Checks the frame of a message between control nodes, and that the frame decodes to the same message.
+fn assert_peer_message(pinned: &mut Pinned, name: &str, message: &PeerMessage) {
     let frame = frames::encode_frame(&connections::envelope(message));
-    pinned.same_bytes(name, &frame);
+    pinned.assert_bytes(name, &frame);
     let read: Envelope<PeerMessage> = frames::read_frame(&mut frame.as_slice()).unwrap();
     let Envelope::Peer(read) = read else {
         panic!("{name}: {read:?}")
@@ -94,22 +94,22 @@
             },
         ],
     };
-    peer_message(&mut pinned, "hello", &PeerMessage::Hello(Box::new(hello)));
-    peer_message(
+    assert_peer_message(&mut pinned, "hello", &PeerMessage::Hello(Box::new(hello)));
+    assert_peer_message(
         &mut pinned,
         "heartbeat.never_polled",
         &PeerMessage::Heartbeat {
             server_list_age: None,
         },
     );
-    peer_message(
+    assert_peer_message(
         &mut pinned,
         "heartbeat",
         &PeerMessage::Heartbeat {
             server_list_age: Some(700),
         },
     );
-    peer_message(
+    assert_peer_message(
         &mut pinned,
         "consensus",
         &PeerMessage::Consensus(Message::Decided {
@@ -117,26 +117,26 @@
             digest: 9,
         }),
     );
-    peer_message(
+    assert_peer_message(
         &mut pinned,
         "consensus.nudge",
         &PeerMessage::Consensus(Message::CommitNotice),
     );
     let proxies = vec![
         ProxyEntry {
-            proxy: front(Readiness::Closed, true),
+            proxy: proxy(Readiness::Closed, true),
             is_connected: false,
         },
         ProxyEntry {
-            proxy: front(Readiness::Draining, false),
+            proxy: proxy(Readiness::Draining, false),
             is_connected: true,
         },
         ProxyEntry {
-            proxy: front(Readiness::Ready, true),
+            proxy: proxy(Readiness::Ready, true),
             is_connected: true,
         },
     ];
-    peer_message(&mut pinned, "proxies", &PeerMessage::Proxies(proxies));
+    assert_peer_message(&mut pinned, "proxies", &PeerMessage::Proxies(proxies));
     let server = |draining: bool, slow_start_left_ms: u32| ServerInstance {
         uid: "u1".into(),
         service: "s".into(),
@@ -147,42 +147,42 @@
         slow_start_left_ms,
     };
     let list = vec![server(false, 0), server(true, 2500)];
-    peer_message(
+    assert_peer_message(
         &mut pinned,
         "servers",
         &PeerMessage::Servers { age: 1200, list },
     );
-    // What an agent says comes over the same port, told apart by the first byte.
+    // Messages of agents are received on the same port; the first byte distinguishes them.
     let agent = frames::encode_frame(&Envelope::<PeerMessage>::Agent(ToControl::Disconnecting));
-    pinned.same_bytes("agent", &agent);
+    pinned.assert_bytes("agent", &agent);
     let read: Envelope<PeerMessage> = frames::read_frame(&mut agent.as_slice()).unwrap();
     assert!(
         matches!(read, Envelope::Agent(ToControl::Disconnecting)),
         "{read:?}"
     );
-    pinned.complete();
+    pinned.assert_complete();
 }
 
-/// A folder of this test alone, gone with the value.
-struct Folder(PathBuf);
+/// A temporary directory that is removed on drop.
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let folder =
+impl TempDir {
+    fn new(name: &str) -> TempDir {
+        let path =
             std::env::temp_dir().join(format!("aspendrum-disk-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).unwrap();
-        Folder(folder)
+        let _ = std::fs::remove_dir_all(&path);
+        std::fs::create_dir_all(&path).unwrap();
+        TempDir(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A voter that has accepted an undecided configuration and a successor.
+/// The state of a voter that has accepted an undecided configuration and the voters of the next epoch.
 fn state() -> DurableState {
     let ballot = Ballot {
         counter: 3,
@@ -238,24 +238,24 @@
     }
 }
 
-/// Danger: an update cannot read the disks that it finds.
+/// An update must be able to read the database that an earlier build has written.
 #[test]
-fn a_disk_as_it_was_written_before_is_read() {
-    let folder = Folder::new("written-before");
-    // The file is 3.6 MB of almost nothing but zeros, so the fixture is its raw DEFLATE stream.
+fn a_database_of_an_earlier_build_is_readable() {
+    let temp_dir = TempDir::new("written-before");
+    // The file is 3.6 MB and mostly zeros, so the fixture contains its raw DEFLATE stream.
     let file = decompress(include_bytes!("fixtures/vault.redb.deflate")).unwrap();
     assert_eq!((file.len(), digest(&file)), (3_686_400, VAULT_DIGEST));
-    std::fs::write(folder.0.join("vault.redb"), file).unwrap();
-    let store = Store::open(&folder.0).unwrap();
+    std::fs::write(temp_dir.0.join("vault.redb"), file).unwrap();
+    let store = Store::open(&temp_dir.0).unwrap();
     assert_eq!(store.read().unwrap(), Some(state()));
 }
 
 const TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("kept");
 
-/// What is on the disk under each key.
-fn keys(folder: &Folder) -> Vec<(String, Vec<u8>)> {
+/// Returns the keys and values in the database.
+fn entries(temp_dir: &TempDir) -> Vec<(String, Vec<u8>)> {
     use redb::ReadableTable;
-    let database = Builder::new().open(folder.0.join("vault.redb")).unwrap();
+    let database = Builder::new().open(temp_dir.0.join("vault.redb")).unwrap();
     let table = database.begin_read().unwrap().open_table(TABLE).unwrap();
     let entries = table.iter().unwrap().map(|entry| entry.unwrap());
     entries
@@ -264,30 +264,30 @@
 }
 
 #[test]
-fn the_disk_keeps_its_file_its_table_and_its_key() {
-    let folder = Folder::new("layout");
-    let store = Store::open(&folder.0).unwrap();
+fn the_database_keeps_its_file_name_table_and_key() {
+    let temp_dir = TempDir::new("layout");
+    let store = Store::open(&temp_dir.0).unwrap();
     assert_eq!(store.read().unwrap(), None);
     store.write(&state()).unwrap();
     drop(store);
     let mut pinned = Pinned::new("disk.hex", include_str!("fixtures/disk.hex"));
-    let keys = keys(&folder);
-    assert_eq!(keys.len(), 1);
-    pinned.same_bytes(&keys[0].0, &keys[0].1);
-    pinned.complete();
+    let entries = entries(&temp_dir);
+    assert_eq!(entries.len(), 1);
+    pinned.assert_bytes(&entries[0].0, &entries[0].1);
+    pinned.assert_complete();
 }
 
-/// The identity that a disk had in earlier formats: its generation and its id.
+/// The identity of a disk in the earlier formats: its generation and its id.
 type EarlierDisk = (u32, u64);
-/// The earlier replicated state: configuration, evacuations, voters and their disks.
+/// The replicated state in the earlier formats: configuration, evacuations, voters and their disks.
 type EarlierReplicated = (
     DecidedConfig,
     Vec<(String, Evacuation)>,
     Vec<u32>,
     Vec<(u32, EarlierDisk)>,
 );
-/// The acceptor in deciding the voters for ever.
-type EarlierFounding = (u64, Option<(u64, Vec<u32>)>);
+/// The acceptor state of the consensus instance that decided the voters in the earlier formats.
+type EarlierVoterAcceptor = (u64, Option<(u64, Vec<u32>)>);
 
 fn earlier_replicated() -> EarlierReplicated {
     let ReplicatedState {
@@ -302,27 +302,29 @@
     )
 }
 
-fn earlier_founding() -> EarlierFounding {
+fn earlier_voter_acceptor() -> EarlierVoterAcceptor {
     (9, Some((8, vec![1, 2, 3])))
 }
 
-/// The bytes of an earlier format are those of the fixture and become that state; a disk of that format is read and is
-/// one of the present format once it is written.
-fn earlier_format<T: Serialize>(
+/// Checks that a state in an earlier format has the bytes of the fixture and decodes to `expected`, and that a database
+/// in that format is readable and has the current format after a write.
+fn assert_earlier_format<T: Serialize>(
     pinned: &mut Pinned,
     key: &str,
     earlier: &T,
     expected: &DurableState,
 ) {
     let bytes = postcard::to_allocvec(earlier).unwrap();
-    pinned.same_bytes(key, &bytes);
+    pinned.assert_bytes(key, &bytes);
     let (_, decode) = legacy::FORMATS
         .iter()
         .find(|format| format.0 == key)
         .unwrap();
     assert_eq!(&decode(&bytes).unwrap(), expected, "{key}");
-    let folder = Folder::new(key);
-    let database = Builder::new().create(folder.0.join("vault.redb")).unwrap();
+    let temp_dir = TempDir::new(key);
+    let database = Builder::new()
+        .create(temp_dir.0.join("vault.redb"))
+        .unwrap();
     let write = database.begin_write().unwrap();
     write
         .open_table(TABLE)
@@ -331,11 +333,14 @@
         .unwrap();
     write.commit().unwrap();
     drop(database);
-    let store = Store::open(&folder.0).unwrap();
+    let store = Store::open(&temp_dir.0).unwrap();
     assert_eq!(store.read().unwrap().as_ref(), Some(expected), "{key}");
     store.write(expected).unwrap();
     drop(store);
-    let names: Vec<String> = keys(&folder).into_iter().map(|entry| entry.0).collect();
+    let names: Vec<String> = entries(&temp_dir)
+        .into_iter()
+        .map(|entry| entry.0)
+        .collect();
     assert_eq!(names, ["state-4"], "{key}");
 }
 
@@ -366,10 +371,10 @@
         disk,
         true,
         false,
-        earlier_founding(),
+        earlier_voter_acceptor(),
     );
-    earlier_format(&mut pinned, "kept-3", &earlier, &third);
-    // Without ballots what was held counts as accepted, below every ballot, and not as decided.
+    assert_earlier_format(&mut pinned, "kept-3", &earlier, &third);
+    // In a format without ballots, the stored configuration is imported as accepted below every ballot, not as decided.
     let mut versions = VersionTable::default();
     let accepted = ConfigText {
         digest: digest(TEXT),
@@ -385,18 +390,24 @@
         versions,
         ..third
     };
-    let earlier = (earlier_replicated(), disk, false, true, earlier_founding());
-    earlier_format(&mut pinned, "kept-2", &earlier, &second);
+    let earlier = (
+        earlier_replicated(),
+        disk,
+        false,
+        true,
+        earlier_voter_acceptor(),
+    );
+    assert_earlier_format(&mut pinned, "kept-2", &earlier, &second);
     let first = DurableState {
         is_founding_disk: false,
         has_joined: false,
         ..second
     };
-    earlier_format(
+    assert_earlier_format(
         &mut pinned,
         "kept",
         &(earlier_replicated(), disk, false),
         &first,
     );
-    pinned.complete();
+    pinned.assert_complete();
 }
