--- a/crates/aspendrum-client/src/arguments.rs
+++ b/crates/aspendrum-client/src/arguments.rs
@@ -1,46 +1,46 @@
-//! The command line.
+//! Command-line arguments.
 
 use bpaf::Bpaf;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 
-/// The operators' client of the system
+/// Command-line client for operators
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub(crate) struct Arguments {
-    /// A machine of control, its ctl address; the next one named is asked where one does not answer
+    /// The operator address (ctl) of a control node; may be given several times, the nodes are tried in order
     #[bpaf(
         long("at"),
         argument("IP:PORT"),
-        some("name a machine of control with --at IP:PORT")
+        some("at least one control node is required: --at IP:PORT")
     )]
     pub(crate) control_nodes: Vec<SocketAddrV4>,
-    /// Prints what control said as it is
+    /// Prints the response of the control nodes as JSON
     #[bpaf(long("json"))]
     pub(crate) json: bool,
     #[bpaf(external)]
     pub(crate) command: Command,
 }
 
-/// What to do.
+/// Command to run
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum Command {
-    /// Sends a configuration until a majority of disks holds it, or it is refused
+    /// Uploads a configuration; retries until a majority of control nodes has stored it, or it is refused
     #[bpaf(command)]
     Put {
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// The newest configuration, as it was sent
+    /// Prints the current configuration as it was uploaded
     #[bpaf(command)]
     Show,
-    /// Checks a configuration as control does, without asking anybody
+    /// Validates a configuration locally, with the same checks as a control node
     #[bpaf(command)]
     Check {
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// What a configuration would change of the newest one; ends with 1 if it would
+    /// Compares a configuration with the current one; exits with status 1 if they differ
     #[bpaf(command)]
     Diff {
         #[bpaf(positional("FILE"))]
@@ -52,10 +52,10 @@
         #[bpaf(external(evacuation_step))]
         step: EvacuationStep,
     },
-    /// Each node: what was decided, what it applied, since when it differs; ends with 1 if any does
+    /// Shows the decided state, and what each node has applied; exits with status 1 if any node differs
     #[bpaf(command)]
     Nodes,
-    /// What each version would do with a request, and how many nodes apply which
+    /// Shows how each configuration version routes a request, and how many nodes have applied it
     #[bpaf(command)]
     Explain {
         #[bpaf(positional("HOST"))]
@@ -65,16 +65,16 @@
     },
 }
 
-/// Which end of an evacuation.
+/// Step of the evacuation
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum EvacuationStep {
-    /// Nothing more is sent to the zone's servers
+    /// Stops sending requests to the zone's servers
     #[bpaf(command)]
     Begin {
         #[bpaf(positional("ZONE"))]
         zone: String,
     },
-    /// The zone is taken back
+    /// Resumes sending requests to the zone's servers
     #[bpaf(command)]
     Finish {
         #[bpaf(positional("ZONE"))]
--- a/crates/aspendrum-client/src/control.rs
+++ b/crates/aspendrum-client/src/control.rs
@@ -1,4 +1,4 @@
-//! Calls to control: to one of its nodes after another until one answers.
+//! Calls to the control plane. The control nodes are tried in turn until one responds.
 
 use crate::error::{CallError, ClientError};
 use aspendrum_net::http1::{MessageLimits, Response};
@@ -13,74 +13,76 @@
     head_bytes: 16 << 10,
     body_bytes: 64 << 20,
 };
-/// A control node without a majority says so within a second; a large configuration takes longer on its way.
+/// The timeout of one call. A control node without a majority responds within a second; the rest is for the transfer of
+/// a large configuration.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// An order that no node acknowledges is given up then; it may be committed all the same.
-const ORDER_TIMEOUT: Duration = Duration::from_secs(15);
-/// Control nodes that have just lost their leader need a moment to elect another.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// The time after which a command that no node has acknowledged is abandoned. It may still be committed.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(15);
+/// The delay before a command is retried after all nodes have failed to acknowledge it. A majority may need a moment to
+/// become available.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 const STATUS_OK: u16 = 200;
 const STATUS_REQUEST_TIMEOUT: u16 = 408;
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 
-/// The answer to an order: an acknowledgement, or a refusal that is final.
-pub(crate) struct OrderReply {
-    /// The status code.
+/// The response to a command: an acknowledgement or a final refusal.
+pub(crate) struct CommandReply {
+    /// The HTTP status code.
     pub(crate) status: u16,
-    /// The body.
+    /// The response body.
     pub(crate) text: String,
 }
 
-/// The control nodes that the operator named.
-pub(crate) struct Control {
+/// A client of the control plane that calls the control nodes given on the command line.
+pub(crate) struct ControlClient {
     nodes: Vec<SocketAddrV4>,
 }
 
-impl Control {
-    /// Control, by the operators' addresses of some of its nodes.
-    pub(crate) fn new(nodes: &[SocketAddrV4]) -> Control {
-        Control {
+impl ControlClient {
+    /// Creates a client for the control plane from the operator addresses of some of its nodes.
+    pub(crate) fn new(nodes: &[SocketAddrV4]) -> ControlClient {
+        ControlClient {
             nodes: nodes.to_vec(),
         }
     }
 
-    /// Sends an order until a node acknowledges or refuses it.
+    /// Sends a command, with retries, until a node acknowledges or refuses it.
     ///
     /// # Errors
-    /// [`ClientError::NotAcknowledged`] if none did in time: the order may be committed all the same.
-    pub(crate) fn send_order(
+    /// Returns [`ClientError::NotAcknowledged`] if no node did in time. The command may still be committed.
+    pub(crate) fn send_command(
         &self,
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> Result<OrderReply, ClientError> {
+    ) -> Result<CommandReply, ClientError> {
         let started_at = Instant::now();
         let mut last_failure = CallError::NoNode;
-        while started_at.elapsed() < ORDER_TIMEOUT {
+        while started_at.elapsed() < COMMAND_TIMEOUT {
             for node in &self.nodes {
-                match send_order_to(*node, method, path, body) {
+                match send_command_to(*node, method, path, body) {
                     Ok(reply) => return Ok(reply),
                     Err(failure) => last_failure = failure,
                 }
             }
-            sleep(RETRY_PAUSE);
+            sleep(RETRY_DELAY);
         }
         Err(ClientError::NotAcknowledged {
-            timeout: ORDER_TIMEOUT,
+            timeout: COMMAND_TIMEOUT,
             last_failure,
         })
     }
 
-    /// The newest configuration, as an operator sent it.
-    pub(crate) fn newest_config(&self) -> Result<Vec<u8>, ClientError> {
-        let reply = self.send_order("GET", "/api/Cfg.Show", b"")?;
+    /// Returns the current configuration as an operator uploaded it.
+    pub(crate) fn current_config(&self) -> Result<Vec<u8>, ClientError> {
+        let reply = self.send_command("GET", "/api/Cfg.Show", b"")?;
         match reply.status {
             STATUS_OK => Ok(reply.text.into_bytes()),
             status => Err(ClientError::Refused { status }),
         }
     }
 
-    /// What each version of the configuration that some node applies would do with a request, as JSON.
+    /// Returns as JSON how each recent configuration version routes a request.
     pub(crate) fn explain(&self, host: &str, path: &str) -> Result<Value, ClientError> {
         let path = format!("/api/Explain?host={host}&path={path}");
         let mut last_failure = CallError::NoNode;
@@ -93,8 +95,8 @@
         Err(ClientError::NoAnswer(last_failure))
     }
 
-    /// What each control node that answers knows of the system's nodes, as JSON: of those that the operator named, and of
-    /// those that they know of in turn. The ports of all control nodes are alike.
+    /// Returns the JSON node report of every control node that responds. The search starts with the nodes given on the
+    /// command line and follows the control nodes in each report. All control nodes use the same port.
     pub(crate) fn node_reports(&self) -> Result<Vec<Value>, ClientError> {
         let mut pending: Vec<SocketAddrV4> = self.nodes.clone();
         let (mut visited, mut reports) = (BTreeSet::new(), Vec::new());
@@ -118,7 +120,7 @@
     }
 }
 
-/// The control nodes that a report names.
+/// Returns the addresses of the control nodes in a report.
 fn control_nodes(report: &Value, port: u16) -> Vec<SocketAddrV4> {
     let names = report["control"].as_array().into_iter().flatten();
     let ips = names.filter_map(|ip| ip.as_str()?.parse::<Ipv4Addr>().ok());
@@ -130,25 +132,25 @@
     response.map_err(|source| CallError::NoResponse { node, source })
 }
 
-/// Sends an order to one node. An error may pass, at this node or at another one.
-fn send_order_to(
+/// Sends a command to one node. After an error, the command may be retried at this or another node.
+fn send_command_to(
     node: SocketAddrV4,
     method: &str,
     path: &str,
     body: &[u8],
-) -> Result<OrderReply, CallError> {
+) -> Result<CommandReply, CallError> {
     let response = call(node, method, path, body)?;
     let status = response.status;
     if status >= 500 || status == STATUS_TOO_MANY_REQUESTS || status == STATUS_REQUEST_TIMEOUT {
         return Err(CallError::Status { node, status });
     }
-    Ok(OrderReply {
+    Ok(CommandReply {
         status,
         text: String::from_utf8_lossy(&response.body).into_owned(),
     })
 }
 
-/// Asks one node.
+/// Sends a query to one node and parses the response as JSON.
 fn query(node: SocketAddrV4, path: &str) -> Result<Value, CallError> {
     let response = call(node, "GET", path, b"")?;
     match response.status {
--- a/crates/aspendrum-client/src/error.rs
+++ b/crates/aspendrum-client/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the client cannot do what it was told to.
+//! Error types of the client.
 
 use aspendrum_model::config::ConfigError;
 use aspendrum_net::http_client::HttpClientError;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why a command came to no result. Operators see its text.
+/// An error that prevents a command from completing. Its text is shown to operators.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ClientError {
     /// A file cannot be read.
@@ -17,46 +17,47 @@
         file: PathBuf,
         source: std::io::Error,
     },
-    /// No control node acknowledged or refused an order in time.
+    /// No control node acknowledged or refused a command in time.
     #[display(
-        "no machine of control acknowledged it within {timeout:?}; it may be held all the same; {last_failure}"
+        "no control node acknowledged the command within {timeout:?}; it may still be committed; \
+         last failure: {last_failure}"
     )]
     #[from(skip)]
     NotAcknowledged {
         timeout: Duration,
         last_failure: CallError,
     },
-    /// A question was answered with another status than success.
-    #[display("status {status}")]
+    /// The request for the current configuration was refused.
+    #[display("the control node refused the request with status {status}")]
     #[from(skip)]
     Refused {
         #[error(not(source))]
         status: u16,
     },
-    /// No control node answered a question; the last failure.
+    /// No control node answered a query. Contains the last failure.
     #[display("{_0}")]
     NoAnswer(CallError),
-    /// The configuration that control holds is invalid.
+    /// The current configuration is invalid.
     #[display("{_0}")]
     InvalidConfig(ConfigError),
 }
 
-/// Why a call to one control node failed.
+/// The failure of a call to one control node.
 #[derive(Debug, Display, Error)]
 pub(crate) enum CallError {
-    /// The operator named no node.
-    #[display("no machine of control is named")]
+    /// No control node was given.
+    #[display("no control node was given")]
     NoNode,
-    /// There was no response.
+    /// No valid response was received.
     #[display("{node}: {source}")]
     NoResponse {
         node: SocketAddrV4,
         source: HttpClientError,
     },
-    /// It answered with a status that is no success.
+    /// The node responded with an error status.
     #[display("{node} answered {status}")]
     Status { node: SocketAddrV4, status: u16 },
-    /// What it answered is not JSON.
+    /// The response is not valid JSON.
     #[display("{node}: {source}")]
     InvalidJson {
         node: SocketAddrV4,
--- a/crates/aspendrum-client/src/main.rs
+++ b/crates/aspendrum-client/src/main.rs
@@ -1,5 +1,5 @@
-//! The operators' client. Its exit status is 0 when all is well, 1 when control refused something or nodes differ, and 2
-//! when nobody answered or a file cannot be read.
+//! The operators' client. Its exit status is 0 on success; 1 if a configuration is invalid or differs, a command was
+//! refused, or nodes differ; and 2 if no control node gave a usable answer or a file cannot be read.
 
 mod arguments;
 mod control;
@@ -9,30 +9,30 @@
 
 use arguments::{arguments, Arguments, Command, EvacuationStep};
 use aspendrum_model::config::Config;
-use control::{Control, OrderReply};
+use control::{CommandReply, ControlClient};
 use error::ClientError;
 use serde_json::Value;
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Control did not answer, or a file cannot be read.
-const EXIT_NO_ANSWER: u8 = 2;
+/// The exit status if no control node gave a usable answer or a file cannot be read.
+const EXIT_ERROR: u8 = 2;
 const STATUS_OK: u16 = 200;
 
 fn main() -> ExitCode {
     match run(&arguments().run()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("aspendrum-client: {why}");
-            ExitCode::from(EXIT_NO_ANSWER)
+        Err(error) => {
+            eprintln!("aspendrum-client: {error}");
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
 
-/// Runs one command. Returns whether all is well: nothing was refused, and nothing differs.
+/// Runs one command. Returns whether it succeeded, that is, nothing was refused and no difference was found.
 fn run(arguments: &Arguments) -> Result<bool, ClientError> {
-    let control = Control::new(&arguments.control_nodes);
+    let control = ControlClient::new(&arguments.control_nodes);
     match &arguments.command {
         Command::Check { file } => check(file),
         Command::Put { file } => put(&control, file),
@@ -52,43 +52,43 @@
     Ok(true)
 }
 
-fn put(control: &Control, file: &Path) -> Result<bool, ClientError> {
+fn put(control: &ControlClient, file: &Path) -> Result<bool, ClientError> {
     let Some(config) = read_valid_config(file)? else {
         return Ok(false);
     };
-    let reply = control.send_order("POST", "/api/Cfg.Set", &read_file(file)?)?;
-    Ok(print_order_result(
+    let reply = control.send_command("POST", "/api/Cfg.Set", &read_file(file)?)?;
+    Ok(print_command_result(
         &reply,
         &format!("version {:08x} is held", config.version),
     ))
 }
 
-fn show(control: &Control) -> Result<bool, ClientError> {
-    println!("{}", String::from_utf8_lossy(&control.newest_config()?));
+fn show(control: &ControlClient) -> Result<bool, ClientError> {
+    println!("{}", String::from_utf8_lossy(&control.current_config()?));
     Ok(true)
 }
 
-fn diff(control: &Control, file: &Path) -> Result<bool, ClientError> {
+fn diff(control: &ControlClient, file: &Path) -> Result<bool, ClientError> {
     let Some(new) = read_valid_config(file)? else {
         return Ok(false);
     };
-    let old = Config::read(&control.newest_config()?)?;
+    let old = Config::read(&control.current_config()?)?;
     let changes = output::changes(&old, &new);
     changes.iter().for_each(|change| println!("{change}"));
     Ok(changes.is_empty())
 }
 
-fn evacuate(control: &Control, step: &EvacuationStep) -> Result<bool, ClientError> {
+fn evacuate(control: &ControlClient, step: &EvacuationStep) -> Result<bool, ClientError> {
     let (verb, zone) = match step {
         EvacuationStep::Begin { zone } => ("Begin", zone),
         EvacuationStep::Finish { zone } => ("Finish", zone),
     };
-    let reply = control.send_order("POST", &format!("/api/Evac.{verb}/{zone}"), b"")?;
-    let done = format!("the evacuation's {} in {zone} is held", verb.to_lowercase());
-    Ok(print_order_result(&reply, &done))
+    let reply = control.send_command("POST", &format!("/api/Evac.{verb}/{zone}"), b"")?;
+    let effect = format!("the evacuation's {} in {zone} is held", verb.to_lowercase());
+    Ok(print_command_result(&reply, &effect))
 }
 
-fn nodes(control: &Control, json: bool) -> Result<bool, ClientError> {
+fn nodes(control: &ControlClient, json: bool) -> Result<bool, ClientError> {
     let reports = control.node_reports()?;
     print!(
         "{}",
@@ -101,7 +101,12 @@
     Ok(node_table::all_agree(&reports))
 }
 
-fn explain(control: &Control, host: &str, path: &str, json: bool) -> Result<bool, ClientError> {
+fn explain(
+    control: &ControlClient,
+    host: &str,
+    path: &str,
+    json: bool,
+) -> Result<bool, ClientError> {
     let explanation: Value = control.explain(host, path)?;
     let reports = control.node_reports()?;
     let text = if json {
@@ -120,22 +125,23 @@
     })
 }
 
-/// The configuration in a file. `None` if it is invalid; why was printed.
+/// Reads a configuration from a file. If it is invalid, prints the reason and returns `None`.
 fn read_valid_config(file: &Path) -> Result<Option<Config>, ClientError> {
     match Config::read(&read_file(file)?) {
         Ok(config) => Ok(Some(config)),
-        Err(why) => {
-            eprintln!("{}: {why}", file.display());
+        Err(error) => {
+            eprintln!("{}: {error}", file.display());
             Ok(None)
         }
     }
 }
 
-/// Prints what control answered to an order, and returns whether it was acknowledged.
-fn print_order_result(reply: &OrderReply, done: &str) -> bool {
+/// Prints the result of a command, and returns whether it was acknowledged. `effect` describes the acknowledged
+/// command.
+fn print_command_result(reply: &CommandReply, effect: &str) -> bool {
     let is_acknowledged = reply.status == STATUS_OK;
     if is_acknowledged {
-        println!("{done} by a majority of control's disks");
+        println!("{effect} by a majority of control's disks");
     } else {
         eprintln!("refused with {}: {}", reply.status, reply.text.trim());
     }
--- a/crates/aspendrum-client/src/node_table.rs
+++ b/crates/aspendrum-client/src/node_table.rs
@@ -1,16 +1,16 @@
-//! The table of nodes: what each control node decided, and what each proxy applied.
+//! The printed table of nodes: the decided state of each control node, and the state that each proxy has applied.
 
 use serde_json::Value;
 use std::fmt::Write;
 
-/// The rows of all proxies in the reports of control nodes.
+/// Returns the node entries of all reports.
 pub(crate) fn node_rows(reports: &[Value]) -> impl Iterator<Item = &Value> {
     reports
         .iter()
         .flat_map(|report| report["nodes"].as_array().into_iter().flatten())
 }
 
-/// Whether every known proxy applies what was decided, and all control nodes decided the same.
+/// Returns whether every known proxy has applied the decided state, and all control nodes have the same decided state.
 pub(crate) fn all_agree(reports: &[Value]) -> bool {
     let all_current = node_rows(reports).all(|node| node["standing"] == "current");
     all_current
@@ -19,27 +19,27 @@
             .all(|pair| pair[0]["decided"] == pair[1]["decided"])
 }
 
-/// The table, with a line for each control node above it.
+/// Returns the table, preceded by a line for each control node.
 pub(crate) fn node_table(reports: &[Value]) -> String {
     let mut table = String::new();
     for report in reports {
         write_control_node(&mut table, report);
     }
-    // Writing to memory does not fail, here and below.
+    // Writing to a string cannot fail, here and below.
     let _ = writeln!(
         table,
         "{:<24} {:<14} {:<8} {:<9} {:>9} {:<24} news",
         "node", "zone", "applied", "standing", "off ms", "differs"
     );
     let mut nodes: Vec<&Value> = node_rows(reports).collect();
-    nodes.sort_by_key(|node| text(&node["host"]));
+    nodes.sort_by_key(|node| str_or_empty(&node["host"]));
     for node in nodes {
         write_node(&mut table, node);
     }
     table
 }
 
-fn text(value: &Value) -> &str {
+fn str_or_empty(value: &Value) -> &str {
     value.as_str().unwrap_or("")
 }
 
@@ -49,13 +49,13 @@
     let _ = writeln!(
         table,
         "decided {}, evacuation orders {}, majority read {majority_age}{}",
-        text(&report["decided"]["gen"]),
+        str_or_empty(&report["decided"]["gen"]),
         report["decided"]["evacuations"],
         membership(report)
     );
 }
 
-/// Who votes, as that control node knows it.
+/// Returns the membership part of a control node's line: whether it votes, the epoch and its voters.
 fn membership(report: &Value) -> String {
     let Some(voters) = report["voters"].as_array() else {
         return String::new();
@@ -78,15 +78,15 @@
         .as_array()
         .into_iter()
         .flatten()
-        .map(text)
+        .map(str_or_empty)
         .collect();
     let _ = writeln!(
         table,
         "{:<24} {:<14} {:<8} {:<9} {:>9} {:<24} {}/{}{}",
-        text(&node["host"]),
-        text(&node["zone"]),
-        text(&node["applied"]["gen"]),
-        text(&node["standing"]),
+        str_or_empty(&node["host"]),
+        str_or_empty(&node["zone"]),
+        str_or_empty(&node["applied"]["gen"]),
+        str_or_empty(&node["standing"]),
         node["off-ms"].as_u64().unwrap_or(0),
         differing.join(","),
         node["acknowledged"],
--- a/crates/aspendrum-client/src/output.rs
+++ b/crates/aspendrum-client/src/output.rs
@@ -1,4 +1,4 @@
-//! What the client prints of configurations and explanations.
+//! Formats configurations, differences and explanations for printing.
 
 use crate::node_table::node_rows;
 use aspendrum_model::config::{Config, Route, WeightedService};
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// JSON, indented, as control sent it.
+/// Formats a JSON value with indentation.
 pub(crate) fn json(value: &impl serde::Serialize) -> String {
     serde_json::to_string_pretty(value).unwrap_or_default() + "\n"
 }
 
-/// What a configuration contains, on one line.
+/// Summarizes a configuration in one line.
 pub(crate) fn summary(config: &Config) -> String {
     let (routes, services) = (config.routes.len(), config.services.len());
     let tenants = config
@@ -24,9 +24,9 @@
     )
 }
 
-/// What the new configuration would change of the old one, one change a line.
+/// Returns the differences between two configurations, one line each.
 pub(crate) fn changes(old: &Config, new: &Config) -> Vec<String> {
-    let mut changes = route_changes(&routes_by_place(old), &routes_by_place(new));
+    let mut changes = route_changes(&routes_by_prefix(old), &routes_by_prefix(new));
     changes.extend(key_changes(old, new));
     if old.version != new.version {
         changes.push(format!(
@@ -37,8 +37,8 @@
     changes
 }
 
-/// Each host with its prefix, and the route there.
-fn routes_by_place(config: &Config) -> BTreeMap<String, &Route> {
+/// Returns the route of each prefix, keyed by host and prefix.
+fn routes_by_prefix(config: &Config) -> BTreeMap<String, &Route> {
     let entries = config.route_entries();
     entries
         .map(|e| (format!("{}{}", e.host, e.prefix), &config.routes[e.route]))
@@ -47,43 +47,46 @@
 
 fn route_changes(old: &BTreeMap<String, &Route>, new: &BTreeMap<String, &Route>) -> Vec<String> {
     let mut changes = Vec::new();
-    for (place, route) in new {
-        match old.get(place) {
-            None => changes.push(format!("+ {place} -> {}", services_text(&route.services))),
+    for (prefix, route) in new {
+        match old.get(prefix) {
+            None => changes.push(format!(
+                "+ {prefix} -> {}",
+                format_services(&route.services)
+            )),
             Some(previous) if previous != route => {
-                changes.push(changed_route(place, previous, route))
+                changes.push(format_route_change(prefix, previous, route))
             }
             Some(_) => {}
         }
     }
     changes.extend(
         old.keys()
-            .filter(|place| !new.contains_key(*place))
-            .map(|place| format!("- {place}")),
+            .filter(|prefix| !new.contains_key(*prefix))
+            .map(|prefix| format!("- {prefix}")),
     );
     changes
 }
 
-fn changed_route(place: &str, old: &Route, new: &Route) -> String {
-    let moved = if old.services == new.services {
+fn format_route_change(prefix: &str, old: &Route, new: &Route) -> String {
+    let services_change = if old.services == new.services {
         ""
     } else {
         ", goes elsewhere"
     };
-    let repeats = if old.idempotent == new.idempotent {
+    let retry_change = if old.idempotent == new.idempotent {
         ""
     } else {
         ", repeats otherwise"
     };
     format!(
-        "~ {place}{moved}{repeats}: {} -> {}",
-        route_text(old),
-        route_text(new)
+        "~ {prefix}{services_change}{retry_change}: {} -> {}",
+        format_route(old),
+        format_route(new)
     )
 }
 
-/// All of a route, in the form that operators' scripts know.
-fn route_text(route: &Route) -> String {
+/// Formats all attributes of a route. Operators' scripts parse this format.
+fn format_route(route: &Route) -> String {
     let (target, timeout, priority) = (route.latency_target_ms, route.timeout_ms, route.priority);
     format!(
         "Route {{ name: {:?}, repeatable: {}, goal_ms: {target:?}, limit_ms: {timeout:?}, prio: {priority:?}, \
@@ -93,11 +96,11 @@
         route.is_public,
         route.max_attempts,
         route.home_regions,
-        services_text(&route.services)
+        format_services(&route.services)
     )
 }
 
-fn services_text(services: &[WeightedService]) -> String {
+fn format_services(services: &[WeightedService]) -> String {
     let pairs: Vec<(&str, f64)> = services
         .iter()
         .map(|s| (s.service.as_str(), s.weight))
@@ -105,13 +108,13 @@
     format!("{pairs:?}")
 }
 
-/// How many credentials the new configuration adds and removes; they are secrets, so no more than that.
+/// Describes how many credentials were added and removed. Only the counts are shown because credentials are secret.
 fn key_changes(old: &Config, new: &Config) -> Option<String> {
     let (old, new) = (tenants_by_key(old), tenants_by_key(new));
-    let missing_in = |these: &BTreeMap<_, _>, those: &BTreeMap<_, _>| {
-        these.keys().filter(|key| !those.contains_key(*key)).count()
+    let count_missing = |from: &BTreeMap<_, _>, to: &BTreeMap<_, _>| {
+        from.keys().filter(|key| !to.contains_key(*key)).count()
     };
-    let (removed, added) = (missing_in(&old, &new), missing_in(&new, &old));
+    let (removed, added) = (count_missing(&old, &new), count_missing(&new, &old));
     (removed + added > 0).then(|| format!("~ keys: {added} given, {removed} taken away"))
 }
 
@@ -126,7 +129,7 @@
         .collect()
 }
 
-/// What each version would do with a request, and how many nodes apply it.
+/// Describes how each configuration version routes a request, and how many nodes have applied the version.
 pub(crate) fn explanation(explanation: &Value, reports: &[Value]) -> String {
     let mut text = String::new();
     for version in explanation["versions"].as_array().into_iter().flatten() {
@@ -134,7 +137,7 @@
             .filter(|node| node["applied"]["gen"] == version["gen"])
             .count();
         let number = version["gen"].as_str().unwrap_or("");
-        // Writing to memory does not fail.
+        // Writing to a string cannot fail.
         let _ = match &version["route"] {
             Value::Null => writeln!(text, "{number} ({nodes} nodes): no route, 404"),
             route => writeln!(
--- a/crates/aspendrum-client/tests/transcripts.rs
+++ b/crates/aspendrum-client/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! What an operator types and what comes back, against a fake of control with two nodes.
+//! Runs the client against two fake control nodes and compares its output and exit status.
 
 use aspendrum_net::http1::{MessageLimits, Request};
 use aspendrum_net::http_server::{listen, Reply, ServerOptions};
@@ -22,31 +22,31 @@
 "nodes":[{"host":"edge-a","front":"10.0.0.1:80","zone":"z2","ready":false,"via":"core-2","standing":"current","off-ms":0,
 "applied":{"gen":"00000007","evacuations":1,"digests":["a","b","c","d"]},"differs":[],"told":8,"acknowledged":8}]}"#,
 ];
-const EXPLAINED: &str = r#"{"host":"a.example","path":"/send/1","versions":[
+const EXPLANATION: &str = r#"{"host":"a.example","path":"/send/1","versions":[
 {"gen":"00000007","route":{"name":"r","services":[{"svc":"s","wt":1.0}],"retries":"lands once","tries":2,"limit-ms":2000}},
 {"gen":"00000004","route":null}]}"#;
 
-fn answer(machine: usize, request: &Request) -> Reply {
+fn answer(node: usize, request: &Request) -> Reply {
     let json = |text: &str| Reply::json(text.as_bytes().to_vec());
     match (request.method.as_str(), request.path.as_str()) {
-        ("GET", "/api/Nodes") => json(NODES[machine]),
-        ("GET", "/api/Explain?host=a.example&path=/send/1") => json(EXPLAINED),
+        ("GET", "/api/Nodes") => json(NODES[node]),
+        ("GET", "/api/Explain?host=a.example&path=/send/1") => json(EXPLANATION),
         ("GET", "/api/Cfg.Show") => json(CONFIG),
-        // Only the second has a majority.
+        // Only the second node has a majority.
         ("POST", "/api/Cfg.Set") if request.body.starts_with(b"{\"gen\":\"00000008\"") => Reply {
             status: 409,
             headers: Vec::new(),
             body: b"older than 00000009\n".to_vec(),
         },
-        ("POST", "/api/Cfg.Set" | "/api/Evac.Begin/z1") if machine == 1 => Reply::plain(200),
+        ("POST", "/api/Cfg.Set" | "/api/Evac.Begin/z1") if node == 1 => Reply::plain(200),
         ("POST", "/api/Cfg.Set" | "/api/Evac.Begin/z1") => Reply::plain(503),
         _ => Reply::plain(404),
     }
 }
 
-/// Both machines, at ports that are alike.
-fn control() -> u16 {
-    let terms = ServerOptions {
+/// Starts both fake control nodes and returns the port that they share.
+fn start_control() -> u16 {
+    let options = ServerOptions {
         stack_bytes: 128 << 10,
         limits: MessageLimits {
             head_bytes: 8 << 10,
@@ -56,43 +56,47 @@
         worker_idle_timeout: Duration::from_secs(1),
     };
     let port = (20_000..30_000).find(|port| {
-        let at = |n: u8| SocketAddrV4::new(Ipv4Addr::new(127, 0, 7, n), *port);
-        listen(at(1), terms.clone(), |r| answer(0, &r)).is_ok()
-            && listen(at(2), terms.clone(), |r| answer(1, &r)).is_ok()
+        let address = |n: u8| SocketAddrV4::new(Ipv4Addr::new(127, 0, 7, n), *port);
+        listen(address(1), options.clone(), |r| answer(0, &r)).is_ok()
+            && listen(address(2), options.clone(), |r| answer(1, &r)).is_ok()
     });
-    port.expect("a port is free")
+    port.expect("no free port")
 }
 
 fn client(port: u16, arguments: &[&str]) -> (i32, String, String) {
     let at = format!("127.0.7.1:{port}");
-    let mut line = Command::new(env!("CARGO_BIN_EXE_aspendrum-client"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_aspendrum-client"));
     let Output {
         status,
         stdout,
         stderr,
-    } = line.args(["--at", &at]).args(arguments).output().unwrap();
+    } = command
+        .args(["--at", &at])
+        .args(arguments)
+        .output()
+        .unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (status.code().unwrap(), text(stdout), text(stderr))
 }
 
 #[test]
-fn an_operator_sees_which_node_applies_what() {
-    let port = control();
+fn nodes_and_explain_show_which_version_each_node_has_applied() {
+    let port = start_control();
     let (code, out, _) = client(port, &["nodes"]);
-    let approved = "\
+    let expected = "\
 decided 00000007, evacuation orders 1, majority read 120 ms ago, votes; epoch 3: 127.0.7.1 127.0.7.2
 decided 00000007, evacuation orders 1, majority read never, does not vote; epoch 3: 127.0.7.1 127.0.7.2
 node                     zone           applied  standing     off ms differs                  news
 edge-a                   z2             00000007 current           0                          8/8 not ready
 edge-b                   z1             00000004 behind         4200 routes                   7/9
 ";
-    assert_eq!((code, out.as_str()), (1, approved), "one node differs");
+    assert_eq!((code, out.as_str()), (1, expected), "one node differs");
     let (code, out, _) = client(port, &["explain", "a.example", "/send/1"]);
-    let approved = "\
+    let expected = "\
 00000007 (1 nodes): \"r\" -> [{\"svc\":\"s\",\"wt\":1.0}]; \"lands once\"; 2 tries, 2000 ms
 00000004 (1 nodes): no route, 404
 ";
-    assert_eq!((code, out.as_str()), (0, approved));
+    assert_eq!((code, out.as_str()), (0, expected));
     let (code, out, _) = client(port, &["--json", "nodes"]);
     assert!(
         code == 1
@@ -102,8 +106,8 @@
 }
 
 #[test]
-fn an_operator_puts_checks_and_evacuates() {
-    let port = control();
+fn check_put_evacuate_and_diff_print_their_results() {
+    let port = start_control();
     let folder = std::env::temp_dir().join(format!("client-{}-{port}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = |name: &str, text: &str| {
@@ -117,7 +121,7 @@
         client(port, &["check", &good]).1,
         "version 00000007: 1 routes, 2 services, 1 tenants\n"
     );
-    // The first machine has no majority; the next one named is asked.
+    // The first node has no majority, so the client tries the second one.
     let (code, out, _) = client(port, &["--at", &both, "put", &good]);
     assert_eq!(
         (code, out.as_str()),
@@ -143,17 +147,17 @@
         "bad.json",
         &CONFIG.replace("\"svc\":\"s\"", "\"svc\":\"u\""),
     );
-    let (code, _, told) = client(port, &["put", &bad]);
+    let (code, _, stderr) = client(port, &["put", &bad]);
     assert!(
-        code == 1 && told.ends_with("route r names the service u, which is not there\n"),
-        "{told}"
+        code == 1 && stderr.ends_with("route r names the service u, which is not there\n"),
+        "{stderr}"
     );
     assert_eq!(client(port, &["diff", &good]).0, 0);
-    let moved = CONFIG
+    let changed = CONFIG
         .replace("\"svc\":\"s\"", "\"svc\":\"t\"")
         .replace("00000007", "00000009");
-    let moved = moved.replace("\"k1\",", "");
-    let (code, out, _) = client(port, &["diff", &file("moved.json", &moved)]);
+    let changed = changed.replace("\"k1\",", "");
+    let (code, out, _) = client(port, &["diff", &file("moved.json", &changed)]);
     assert!(
         code == 1 && out.starts_with("~ a.example/send/, goes elsewhere: "),
         "{out}"
@@ -179,34 +183,34 @@
 }
 
 #[test]
-fn an_operator_sees_each_difference_of_two_configurations() {
-    let port = control();
+fn diff_shows_each_difference_between_two_configurations() {
+    let port = start_control();
     let folder = folder("diff");
     let new = CONFIG.replace("00000007", "0000000a").replace(
         "\"ports\":[{\"vhost\":\"a.example\",\"rules\":[{\"name\":\"r\",\"type\":\"mutating\"",
         "\"ports\":[{\"vhost\":\"b.example\",\"rules\":[{\"name\":\"q\",\"type\":\"mutating\",\"goal-ms\":10,\"match\":{\"pfx\":\"/\"},\"action\":{\"split\":[{\"svc\":\"s\",\"wt\":1.5},{\"svc\":\"t\",\"wt\":2}],\"limit-ms\":20,\"tries\":1}}]},{\"vhost\":\"a.example\",\"rules\":[{\"name\":\"r\",\"type\":\"idem\"",
     );
     let new = new.replace("\"k1\",", "\"k5\",\"k6\",");
-    let (code, out, told) = client(port, &["diff", &file(&folder, "new.json", &new)]);
-    let approved = "\
+    let (code, out, stderr) = client(port, &["diff", &file(&folder, "new.json", &new)]);
+    let expected = "\
 ~ a.example/send/, repeats otherwise: Route { name: \"r\", repeatable: false, goal_ms: 500.0, limit_ms: 2000.0, prio: 0.0, public: false, tries: 2, homes: [], services: [(\"s\", 1.0)] } -> Route { name: \"r\", repeatable: true, goal_ms: 500.0, limit_ms: 2000.0, prio: 0.0, public: false, tries: 2, homes: [], services: [(\"s\", 1.0)] }
 + b.example/ -> [(\"s\", 1.5), (\"t\", 2.0)]
 ~ keys: 2 given, 1 taken away
 ~ version: 00000007 -> 0000000a
 ";
-    assert_eq!((code, out.as_str(), told.as_str()), (1, approved, ""));
+    assert_eq!((code, out.as_str(), stderr.as_str()), (1, expected, ""));
     let other = CONFIG
         .replace("/send/", "/other/")
         .replace("a.example", "c.example");
     let (code, out, _) = client(port, &["diff", &file(&folder, "other.json", &other)]);
-    let approved = "+ c.example/other/ -> [(\"s\", 1.0)]\n- a.example/send/\n";
-    assert_eq!((code, out.as_str()), (1, approved));
+    let expected = "+ c.example/other/ -> [(\"s\", 1.0)]\n- a.example/send/\n";
+    assert_eq!((code, out.as_str()), (1, expected));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn an_operator_sees_what_control_holds_and_refuses() {
-    let port = control();
+fn the_current_configuration_and_refusals_are_shown() {
+    let port = start_control();
     let folder = folder("refused");
     assert_eq!(
         client(port, &["show"]),
@@ -239,12 +243,12 @@
         checked
     );
     let json = client(port, &["--json", "explain", "a.example", "/send/1"]);
-    let approved: serde_json::Value = serde_json::from_str(EXPLAINED).unwrap();
+    let expected: serde_json::Value = serde_json::from_str(EXPLANATION).unwrap();
     assert_eq!(
         json,
         (
             0,
-            serde_json::to_string_pretty(&approved).unwrap() + "\n",
+            serde_json::to_string_pretty(&expected).unwrap() + "\n",
             String::new()
         )
     );
@@ -252,23 +256,23 @@
 }
 
 #[test]
-fn an_operator_is_told_of_files_and_machines_that_do_not_answer() {
-    let (code, out, told) = client(1, &["check", "/no/such/file"]);
-    let approved = "aspendrum-client: /no/such/file: No such file or directory (os error 2)\n";
-    assert_eq!((code, out.as_str(), told.as_str()), (2, "", approved));
-    // Nobody may listen on the first port.
+fn unreadable_files_and_unreachable_nodes_are_reported() {
+    let (code, out, stderr) = client(1, &["check", "/no/such/file"]);
+    let expected = "aspendrum-client: /no/such/file: No such file or directory (os error 2)\n";
+    assert_eq!((code, out.as_str(), stderr.as_str()), (2, "", expected));
+    // Port 1 is privileged and not in use.
     for arguments in [&["nodes"][..], &["explain", "a.example", "/"]] {
-        let (code, out, told) = client(1, arguments);
-        let approved = "aspendrum-client: 127.0.7.1:1: Connection refused (os error 111)\n";
+        let (code, out, stderr) = client(1, arguments);
+        let expected = "aspendrum-client: 127.0.7.1:1: Connection refused (os error 111)\n";
         assert_eq!(
-            (code, out.as_str(), told.as_str()),
-            (2, "", approved),
+            (code, out.as_str(), stderr.as_str()),
+            (2, "", expected),
             "{arguments:?}"
         );
     }
-    let (code, out, told) = client(control(), &["explain", "b.example", "/"]);
+    let (code, out, stderr) = client(start_control(), &["explain", "b.example", "/"]);
     assert!(
-        code == 2 && out.is_empty() && told.ends_with(" answered 404\n"),
-        "{told}"
+        code == 2 && out.is_empty() && stderr.ends_with(" answered 404\n"),
+        "{stderr}"
     );
 }
