--- a/crates/aspendrum-agent/src/control_connection.rs
+++ b/crates/aspendrum-agent/src/control_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to control: to a node nearby, and to the next one when that falls silent.
+//! Maintains a connection to a control node, preferring the nearest one, and reconnects when it ends.
 
 use crate::control_endpoints::ControlEndpoints;
 use crate::event::Event;
@@ -15,16 +15,21 @@
 
 const STACK_BYTES: usize = 96 << 10;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-const RECONNECT_EVERY: Duration = Duration::from_millis(60);
-/// TCP user time-out: control counts as unreachable if it acknowledges no bytes within this time.
-const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Messages that may wait to be written.
-const QUEUE_LENGTH: usize = 64;
+const RECONNECT_DELAY: Duration = Duration::from_millis(60);
+/// TCP user timeout: the connection fails if the control node does not acknowledge sent bytes within this time.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1200);
+/// The maximum number of messages queued for writing.
+const SEND_QUEUE_CAPACITY: usize = 64;
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// If a connection lasted at least this long, the nearest node is tried first again after it.
-const LASTING: Duration = Duration::from_secs(4);
+/// After a connection that lasted longer than this, reconnection starts with the nearest node again.
+const STABLE_CONNECTION_AGE: Duration = Duration::from_secs(4);
 
-/// Keeps one connection for as long as the process runs; the coordinator ends one that is of no use.
+/// Spawns the thread that keeps one connection open while the process runs. The coordinator closes connections that are
+/// unresponsive or stale.
+///
+/// # Errors
+///
+/// Returns an error if the thread cannot be spawned.
 pub fn start(
     endpoints: &ControlEndpoints,
     settings: &Settings,
@@ -40,7 +45,7 @@
 fn run(endpoints: &ControlEndpoints, settings: &Settings, events: &MailboxSender<Event>) {
     let (mut attempt, mut last_id) = (0, 0);
     loop {
-        if let Some(ip) = endpoints.nth(attempt) {
+        if let Some(ip) = endpoints.address_for_attempt(attempt) {
             attempt += 1;
             if let Ok((link, stream)) = connect(settings, ip) {
                 last_id += 1;
@@ -54,23 +59,23 @@
                     None,
                 );
                 receive(last_id, &stream, events);
-                let is_lasting = connected_at.elapsed() > LASTING;
-                if is_lasting || last_id == 1 {
+                let is_stable = connected_at.elapsed() > STABLE_CONNECTION_AGE;
+                if is_stable || last_id == 1 {
                     attempt = 0;
                 }
             }
         }
-        sleep(RECONNECT_EVERY);
+        sleep(RECONNECT_DELAY);
     }
 }
 
 fn connect(settings: &Settings, ip: Ipv4Addr) -> io::Result<(Link, Arc<TcpStream>)> {
     let stream = Link::connect(settings.control_addr(ip), CONNECT_TIMEOUT)?;
-    let link = Link::from_stream(stream.clone(), ACKNOWLEDGE_TIMEOUT, QUEUE_LENGTH)?;
+    let link = Link::from_stream(stream.clone(), ACK_TIMEOUT, SEND_QUEUE_CAPACITY)?;
     Ok((link, stream))
 }
 
-/// Passes messages on until the connection ends.
+/// Forwards messages to the coordinator until the connection ends.
 fn receive(id: u64, stream: &TcpStream, events: &MailboxSender<Event>) {
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
     while let Ok(message) = frames::read_frame::<FromControl>(&mut reader) {
--- a/crates/aspendrum-agent/src/coordinator/control_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/control_session.rs
@@ -1,21 +1,21 @@
-//! The present connection to control, as the coordinator sees it.
+//! The coordinator's state of the current connection to a control node.
 
-use super::majority::{latest, STALE_AFTER};
+use super::majority::{latest, MAJORITY_REPORT_TIMEOUT};
 use super::proxy_session::ProxySession;
 use aspendrum_model::message::{Envelope, ToControl};
 use aspendrum_net::frames::Link;
 use aspendrum_reconcile::Millis;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Time-out of a control node: without a message within this time the agent connects to another one.
-const SILENT_AFTER: Millis = 1100.0;
+/// The agent abandons a control node from which it has received no message for this long.
+const RECEIVE_TIMEOUT: Millis = 1100.0;
 
-/// Why a connection is of no use.
+/// The reason for abandoning a connection to a control node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ControlFault {
-    /// The node sends nothing.
-    Silent,
-    /// The node answers, and has had no majority's report for too long.
+    /// No message was received within [`RECEIVE_TIMEOUT`].
+    Unresponsive,
+    /// The node has not reported a majority confirmation within [`MAJORITY_REPORT_TIMEOUT`].
     Stale,
 }
 
@@ -26,18 +26,19 @@
     pub(super) last_received_at: Millis,
     link: Link,
     connected_at: Millis,
-    /// When a majority held nothing newer, by this node's own reports.
+    /// The most recent time, according to this node's reports, at which a majority held nothing newer.
     as_of: Option<Millis>,
-    /// The proxy's address, as last sent to this node.
-    announced: Option<SocketAddrV4>,
-    /// The numbers of the last update that came, and of the last one that was acknowledged.
+    /// The proxy address last sent to this node.
+    announced_proxy_addr: Option<SocketAddrV4>,
+    /// The number of the last received update.
     last_update: u64,
+    /// The number of the last acknowledged update.
     acknowledged_update: u64,
 }
 
 impl ControlSession {
     pub(super) fn new(id: u64, ip: Ipv4Addr, link: Link, now: Millis) -> ControlSession {
-        let (as_of, announced) = (None, None);
+        let (as_of, announced_proxy_addr) = (None, None);
         ControlSession {
             id,
             ip,
@@ -45,50 +46,54 @@
             link,
             connected_at: now,
             as_of,
-            announced,
+            announced_proxy_addr,
             last_update: 0,
             acknowledged_update: 0,
         }
     }
 
-    /// The node reported that a majority held nothing newer then.
-    pub(super) fn record_report(&mut self, as_of: Option<Millis>) {
+    /// Records a report that a majority held nothing newer at `as_of`.
+    pub(super) fn record_majority_report(&mut self, as_of: Option<Millis>) {
         self.as_of = latest(self.as_of, as_of);
     }
 
-    /// Why the connection is of no use, if it is.
+    /// Returns the reason for abandoning the connection, if there is one.
     pub(super) fn fault(&self, now: Millis) -> Option<ControlFault> {
-        let is_stale = now - self.connected_at > STALE_AFTER
-            && self.as_of.is_none_or(|as_of| now - as_of > STALE_AFTER);
+        let is_stale = now - self.connected_at > MAJORITY_REPORT_TIMEOUT
+            && self
+                .as_of
+                .is_none_or(|as_of| now - as_of > MAJORITY_REPORT_TIMEOUT);
         if is_stale {
             Some(ControlFault::Stale)
-        } else if now - self.last_received_at > SILENT_AFTER {
-            Some(ControlFault::Silent)
+        } else if now - self.last_received_at > RECEIVE_TIMEOUT {
+            Some(ControlFault::Unresponsive)
         } else {
             None
         }
     }
 
-    /// Ends a connection that is of no use. A node that sends nothing will not read a last message either.
-    pub(super) fn end(&self, fault: ControlFault) {
+    /// Ends a faulty connection. An unresponsive node is not sent a disconnect message, since it is unlikely to read
+    /// it.
+    pub(super) fn terminate(&self, fault: ControlFault) {
         match fault {
             ControlFault::Stale => self.disconnect(),
-            ControlFault::Silent => self.link.close(),
+            ControlFault::Unresponsive => self.link.close(),
         }
     }
 
-    /// Ends the connection for another one: until the agent is heard of there, its proxy stays where it is known.
+    /// Announces that the agent moves to another control node, and closes the connection. This node keeps the proxy
+    /// listed until another node receives messages from the agent.
     pub(super) fn disconnect(&self) {
         self.send(ToControl::Disconnecting);
         self.link.finish();
     }
 
-    /// An update has come.
+    /// Records the number of a received update.
     pub(super) fn record_update(&mut self, number: u64) {
         self.last_update = number;
     }
 
-    /// All updates that have come are in force at the proxy. The node sends the next ones after that.
+    /// Acknowledges all received updates, so that the node sends the next ones.
     pub(super) fn acknowledge(&mut self) {
         if self.acknowledged_update < self.last_update {
             self.acknowledged_update = self.last_update;
@@ -98,21 +103,22 @@
         }
     }
 
-    /// Sends a heartbeat for the proxy, behind its address if the node does not know that.
-    pub(super) fn report_proxy(&mut self, now: Millis, proxy: &ProxySession, zone: &str) {
+    /// Sends a heartbeat with the state of the proxy, preceded by a `Hello` if the node has not been sent the current
+    /// proxy address.
+    pub(super) fn send_heartbeat(&mut self, now: Millis, proxy: &ProxySession, zone: &str) {
         let Some(identity) = &proxy.identity else {
             return;
         };
         let (host, address) = (&identity.host, identity.address);
-        if self.announced != Some(address) {
-            self.announced = Some(address);
+        if self.announced_proxy_addr != Some(address) {
+            self.announced_proxy_addr = Some(address);
             self.send(ToControl::Hello {
                 host: host.clone(),
                 proxy_addr: address,
                 zone: zone.to_string(),
             });
         }
-        let (readiness, applied) = (proxy.readiness_at(now), proxy.applied);
+        let (readiness, applied) = (proxy.effective_readiness(now), proxy.applied);
         self.send(ToControl::Heartbeat {
             sent_at_ms: now as u64,
             readiness,
@@ -121,7 +127,7 @@
     }
 
     fn send(&self, message: ToControl) {
-        // Control tells agents' messages from those of its own nodes by the envelope.
+        // The envelope distinguishes messages of agents from those of other control nodes.
         let envelope: Envelope = Envelope::Agent(message);
         self.link.send(&envelope);
     }
--- a/crates/aspendrum-agent/src/coordinator/desired_state.rs
+++ b/crates/aspendrum-agent/src/coordinator/desired_state.rs
@@ -1,4 +1,4 @@
-//! What was decided, as far as this agent knows: the newest section of each kind.
+//! The desired state: the newest known section of each kind.
 
 use aspendrum_model::compression::decompress;
 use aspendrum_model::config::Config;
@@ -6,35 +6,36 @@
 use aspendrum_model::servers::ServerList;
 use aspendrum_reconcile::{state_digest, Millis};
 
-/// Kinds of sections that the digest is of.
+/// The section kinds that are covered by the digest.
 pub(super) const CONFIG: usize = 0;
 pub(super) const EVACUATED: usize = 1;
+/// The kind of the list of control nodes.
 const CONTROL: usize = 4;
 
-/// Who sent a section.
+/// The sender of a section.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// Control, which decides which of two texts under one version counts.
+    /// Control, which is authoritative if two configurations have the same version.
     Control,
     /// Another agent.
     Peer,
 }
 
-/// What became of a section.
-pub(super) enum Update {
-    /// It is held now.
+/// The result of [`DesiredState::accept`].
+pub(super) enum AcceptResult {
+    /// The section was stored.
     Accepted {
-        /// Its kind.
+        /// The kind of the section.
         kind: usize,
     },
-    /// What is held is as new.
+    /// The stored section is at least as new.
     Ignored,
 }
 
-/// The newest section of each kind that has come.
+/// The newest received section of each kind.
 pub(super) struct DesiredState {
     sections: [Option<StateSection>; SECTION_KINDS],
-    /// The list of servers, which ages while it is held.
+    /// The server list, whose age and slow-start times are updated when it is sent.
     servers: ServerList,
     digest: StateDigest,
 }
@@ -51,27 +52,32 @@
 }
 
 impl DesiredState {
-    /// All kinds of sections.
+    /// Returns the range of all section kinds.
     pub(super) fn kinds() -> std::ops::Range<usize> {
         0..SECTION_KINDS
     }
 
-    /// The digest of what is held, as it would be in force.
+    /// Returns the digest of the stored state.
     pub(super) fn digest(&self) -> StateDigest {
         self.digest
     }
 
-    /// A list of control nodes has come.
-    pub(super) fn knows_control(&self) -> bool {
+    /// Whether a list of control nodes has been received.
+    pub(super) fn has_control_nodes(&self) -> bool {
         self.sections[CONTROL].is_some()
     }
 
-    /// Takes a section that is newer than what is held. Versions of a configuration and numbers of evacuations order them;
-    /// of the other kinds the last one counts.
-    pub(super) fn accept(&mut self, now: Millis, section: StateSection, source: Source) -> Update {
+    /// Stores a section if it is newer than the stored one. Configurations are ordered by version and evacuations by
+    /// revision. The other kinds are always accepted, but a server list only replaces one that was polled earlier.
+    pub(super) fn accept(
+        &mut self,
+        now: Millis,
+        section: StateSection,
+        source: Source,
+    ) -> AcceptResult {
         let kind = section.kind();
         if !is_newer(&section, self.sections[kind].as_ref(), source) {
-            return Update::Ignored;
+            return AcceptResult::Ignored;
         }
         if let StateSection::Servers { age_ms, list } = &section {
             self.servers
@@ -84,16 +90,16 @@
         if kind == CONFIG || kind == EVACUATED {
             self.update_digest();
         }
-        Update::Accepted { kind }
+        AcceptResult::Accepted { kind }
     }
 
-    /// The section of one kind, as it is to be sent now.
+    /// Returns the section of the given kind, with ages as of `now`.
     pub(super) fn section(&self, kind: usize, now: Millis) -> Option<StateSection> {
         let mut section = self.sections[kind].clone()?;
-        if let (StateSection::Servers { age_ms, list }, Some(polled)) =
+        if let (StateSection::Servers { age_ms, list }, Some(polled_at)) =
             (&mut section, self.servers.polled_at)
         {
-            *age_ms = (now - polled).max(0.0) as u32;
+            *age_ms = (now - polled_at).max(0.0) as u32;
             *list = self.servers.snapshot(now);
         }
         Some(section)
@@ -126,8 +132,8 @@
                 ..
             }),
         ) => {
-            let replaces = version == held_version && checksum != held_checksum;
-            version > held_version || replaces && source == Source::Control
+            let conflicts = version == held_version && checksum != held_checksum;
+            version > held_version || conflicts && source == Source::Control
         }
         (
             StateSection::Evacuated { revision, .. },
--- a/crates/aspendrum-agent/src/coordinator/majority.rs
+++ b/crates/aspendrum-agent/src/coordinator/majority.rs
@@ -1,67 +1,69 @@
-//! Since when a majority of control's disks is known to hold nothing newer than what is held here.
+//! Tracks when a majority of the control nodes' disks was last known to hold nothing newer than the local state.
 
 use aspendrum_reconcile::Millis;
 
-/// Time-out of majority reports: without one within this time the agent considers itself partitioned from the majority,
-/// and connects to another control node.
-pub(super) const STALE_AFTER: Millis = 1300.0;
-/// Between two connections that are ended because an update was missed.
-const RESYNC_EVERY: Millis = 1000.0;
+/// The agent considers itself partitioned from the majority if it has received no majority report for this long. A
+/// control node that delivers none for this long is abandoned.
+pub(super) const MAJORITY_REPORT_TIMEOUT: Millis = 1300.0;
+/// The minimum time between two reconnections that are caused by missed updates.
+const MIN_RESYNC_INTERVAL: Millis = 1000.0;
 
-/// What is known of control's majority, whether control or a neighbour reported it.
+/// The majority status reported by control or by another agent.
 #[derive(Default)]
 pub(super) struct MajorityStatus {
     as_of: Option<Millis>,
-    /// Something else was decided than what is held here, by control's last report; since when a connection was last
-    /// ended for that.
+    /// When a reconnection was last requested because of a gap; `None` if control's last report matched the local
+    /// state.
     gap_handled_at: Option<Millis>,
 }
 
 impl MajorityStatus {
-    /// A majority held nothing above what is held here then.
+    /// Returns the most recent time at which a majority is known to have held nothing newer than the local state.
     pub(super) fn as_of(&self) -> Option<Millis> {
         self.as_of
     }
 
-    /// No report has come for too long.
+    /// Whether the last confirmation is older than [`MAJORITY_REPORT_TIMEOUT`] or there was none.
     pub(super) fn is_stale(&self, now: Millis) -> bool {
-        self.as_of.is_none_or(|as_of| now - as_of > STALE_AFTER)
+        self.as_of
+            .is_none_or(|as_of| now - as_of > MAJORITY_REPORT_TIMEOUT)
     }
 
-    /// [`MajorityStatus::as_of`], unless it is stale.
+    /// Returns [`MajorityStatus::as_of`] unless it is stale.
     pub(super) fn fresh_as_of(&self, now: Millis) -> Option<Millis> {
         self.as_of.filter(|_| !self.is_stale(now))
     }
 
-    /// Control reports that what is held here is what was decided.
+    /// Records a report by control that the local state matches the decided state.
     pub(super) fn record_current(&mut self, as_of: Option<Millis>) {
         self.gap_handled_at = None;
         self.as_of = latest(self.as_of, as_of);
     }
 
-    /// Another agent reports the same.
+    /// Records such a report by another agent.
     pub(super) fn record_from_peer(&mut self, as_of: Millis) {
         self.as_of = latest(self.as_of, Some(as_of));
     }
 
-    /// Control reports that something else was decided. Returns whether a connection is to be ended for that.
+    /// Records a report by control that the local state differs from the decided state. Returns whether the connection
+    /// should be closed in order to resynchronize, at most once per [`MIN_RESYNC_INTERVAL`].
     pub(super) fn record_gap(&mut self, now: Millis) -> bool {
         let is_due = self
             .gap_handled_at
-            .is_none_or(|handled_at| now - handled_at >= RESYNC_EVERY);
+            .is_none_or(|handled_at| now - handled_at >= MIN_RESYNC_INTERVAL);
         if is_due {
             self.gap_handled_at = Some(now);
         }
         is_due
     }
 
-    /// By control's last report something is missing here.
+    /// Whether the local state differs from the decided state, according to control's last report.
     pub(super) fn has_gap(&self) -> bool {
         self.gap_handled_at.is_some()
     }
 }
 
-/// The later of two moments, where they are known.
-pub(super) fn latest(one: Option<Millis>, other: Option<Millis>) -> Option<Millis> {
-    one.into_iter().chain(other).reduce(f64::max)
+/// Returns the later of two optional times.
+pub(super) fn latest(a: Option<Millis>, b: Option<Millis>) -> Option<Millis> {
+    a.into_iter().chain(b).reduce(f64::max)
 }
--- a/crates/aspendrum-agent/src/coordinator/mod.rs
+++ b/crates/aspendrum-agent/src/coordinator/mod.rs
@@ -1,5 +1,5 @@
-//! The one thread that owns what the agent knows. It takes updates from control, never back to older ones, and sees to it
-//! that the proxy has them.
+//! The coordinator thread, which owns the state of the agent. It accepts updates from control, never reverts to older
+//! ones, and ensures that the proxy applies them.
 
 mod control_session;
 mod desired_state;
@@ -20,29 +20,31 @@
 use aspendrum_reconcile::{MajorityReport, Millis, ReportValidity, SyncAssessment, SyncStatus};
 use control_session::{ControlFault, ControlSession};
 use crossbeam_channel::Sender;
-use desired_state::{DesiredState, Source, Update};
+use desired_state::{AcceptResult, DesiredState, Source};
 use majority::{latest, MajorityStatus};
 use proxy_session::{ProxyIdentity, ProxySession};
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
-/// Heartbeat interval to control, which considers an agent without heartbeats as failed.
-const HEARTBEAT_EVERY: Millis = 300.0;
-/// The same before control's first report of what a majority holds: a proxy waits for it.
-const FIRST_HEARTBEATS_EVERY: Millis = 60.0;
-/// After this time without proof that control hears this machine, control may soon remove it from its list: it does so 1,000 ms
-/// after the last heartbeat. The proof is the answer to a heartbeat, as of when that was sent.
-const HEARD_COUNTS_FOR: Millis = 650.0;
-/// A proxy that gets its termination signal together with the agent reports the shutdown within this time.
-const PROXY_NOTICE: Millis = 1000.0;
+/// The interval of heartbeats to control, which considers an agent failed if its heartbeats stop.
+const HEARTBEAT_INTERVAL: Millis = 300.0;
+/// The heartbeat interval until the first majority report arrives. It is shorter because the proxy is waiting for that
+/// report.
+const STARTUP_HEARTBEAT_INTERVAL: Millis = 60.0;
+/// Control counts as reachable for this long after the last answered heartbeat was sent. Control removes a machine from
+/// its list 1,000 ms after the machine's last heartbeat, so this must be shorter.
+const CONTROL_REACHABLE_TIMEOUT: Millis = 650.0;
+/// The time within which a proxy that receives its termination signal together with the agent reports that it is
+/// shutting down.
+const PROXY_SHUTDOWN_NOTICE: Millis = 1000.0;
 
-/// The process is to end.
+/// A pending shutdown of the process.
 struct ShutdownRequest {
     done: Sender<()>,
     requested_at: Millis,
 }
 
-/// What the agent knows, and its connections.
+/// The state of the agent and its connections.
 pub struct Coordinator {
     settings: Settings,
     started_at: Instant,
@@ -55,14 +57,14 @@
     desired: DesiredState,
     majority: MajorityStatus,
     report_validity: ReportValidity,
-    /// When the last heartbeat was sent that control has answered.
-    heard_at: Option<Millis>,
-    heartbeat_at: Option<Millis>,
+    /// When the most recent heartbeat that control has answered was sent.
+    last_answered_heartbeat_at: Option<Millis>,
+    last_heartbeat_at: Option<Millis>,
     shutdown: Option<ShutdownRequest>,
 }
 
 impl Coordinator {
-    /// Nothing is known yet.
+    /// Creates a coordinator without connections and with an empty desired state.
     pub fn new(
         settings: Settings,
         endpoints: ControlEndpoints,
@@ -84,8 +86,8 @@
             proxy: None,
             desired: DesiredState::default(),
             majority: MajorityStatus::default(),
-            heard_at: None,
-            heartbeat_at: None,
+            last_answered_heartbeat_at: None,
+            last_heartbeat_at: None,
             shutdown: None,
         }
     }
@@ -94,16 +96,16 @@
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Handles events, and sends heartbeats, for as long as the process lives.
+    /// Handles events and sends heartbeats while the process runs.
     pub fn run(mut self, events: &MailboxReceiver<Event>) {
         loop {
-            let is_first = self.majority.as_of().is_none();
-            let every = if is_first {
-                FIRST_HEARTBEATS_EVERY
+            let awaits_first_report = self.majority.as_of().is_none();
+            let interval = if awaits_first_report {
+                STARTUP_HEARTBEAT_INTERVAL
             } else {
-                HEARTBEAT_EVERY
+                HEARTBEAT_INTERVAL
             };
-            let due_ms = self.heartbeat_at.unwrap_or(0.0) + every;
+            let due_ms = self.last_heartbeat_at.unwrap_or(0.0) + interval;
             let due = self.started_at + Duration::from_secs_f64(due_ms / 1000.0);
             match events.recv_until_due(due) {
                 Ok(event) => self.handle(event),
@@ -114,24 +116,24 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::ControlConnected { id, ip, link } => self.control_connected(id, ip, link),
-            Event::ControlMessage { id, message } if self.is_connected_to_control(id) => {
-                self.control_message(message);
+            Event::ControlConnected { id, ip, link } => self.on_control_connected(id, ip, link),
+            Event::ControlMessage { id, message } if self.is_current_control(id) => {
+                self.on_control_message(message);
             }
-            Event::ControlDisconnected { id } if self.is_connected_to_control(id) => {
+            Event::ControlDisconnected { id } if self.is_current_control(id) => {
                 log::info!("event=control_lost");
                 self.drop_control();
             }
-            // Of a connection that was replaced.
+            // Events of a connection that has been replaced are ignored.
             Event::ControlMessage { .. } | Event::ControlDisconnected { .. } => {}
             Event::ProxyConnected { id, link } => {
                 self.proxy = Some(ProxySession::new(id, link, self.now()))
             }
-            Event::ProxyMessage { id, message } => self.proxy_message(id, message),
-            Event::ProxyDisconnected { id } => self.proxy_disconnected(id),
-            Event::Gossip { from, message } => self.gossip_message(from, message),
+            Event::ProxyMessage { id, message } => self.on_proxy_message(id, message),
+            Event::ProxyDisconnected { id } => self.on_proxy_disconnected(id),
+            Event::Gossip { from, message } => self.on_gossip_message(from, message),
             Event::SnapshotRequest { reply } => self.send_snapshot(&reply),
-            Event::SnapshotChunk(section) => self.snapshot_chunk(section),
+            Event::SnapshotSection(section) => self.on_snapshot_section(section),
             Event::SettingsChanged(settings) => {
                 self.settings = *settings;
                 self.endpoints.update(&self.settings, &[]);
@@ -146,20 +148,20 @@
         }
     }
 
-    fn is_connected_to_control(&self, id: u64) -> bool {
+    fn is_current_control(&self, id: u64) -> bool {
         self.control
             .as_ref()
             .is_some_and(|control| control.id == id)
     }
 
-    fn control_connected(&mut self, id: u64, ip: Ipv4Addr, link: Link) {
+    fn on_control_connected(&mut self, id: u64, ip: Ipv4Addr, link: Link) {
         log::info!("event=control_reached ip={ip}");
         self.control = Some(ControlSession::new(id, ip, link, self.now()));
         self.heartbeat();
     }
 
-    fn control_message(&mut self, message: FromControl) {
-        // Any message is a sign of life: answers to heartbeats wait behind long updates.
+    fn on_control_message(&mut self, message: FromControl) {
+        // Any message counts as a sign of life, because replies to heartbeats queue behind large updates.
         let now = self.now();
         if let Some(control) = &mut self.control {
             control.last_received_at = now;
@@ -167,29 +169,31 @@
         match message {
             FromControl::Heartbeat {
                 sent_at_ms,
-                majority_age: age,
-                decided: of,
+                majority_age,
+                decided,
                 ..
             } => {
-                self.heard_at = latest(self.heard_at, Some(sent_at_ms as Millis));
-                // Counted from when this was asked: the answer cannot be older than that, however late it comes.
-                let as_of = age.map(|age| sent_at_ms as Millis - f64::from(age));
-                self.control_report(now, of, as_of);
+                self.last_answered_heartbeat_at =
+                    latest(self.last_answered_heartbeat_at, Some(sent_at_ms as Millis));
+                // The age is subtracted from the time of the request, which bounds it regardless of how late the reply
+                // arrives.
+                let as_of = majority_age.map(|age| sent_at_ms as Millis - f64::from(age));
+                self.on_majority_report(now, decided, as_of);
             }
             FromControl::Update { number, section } => {
                 if let Some(control) = &mut self.control {
                     control.record_update(number);
                 }
-                self.update(section, Source::Control);
+                self.apply_section(section, Source::Control);
                 self.acknowledge_applied();
             }
-            // Only proxies are asked to resynchronize.
+            // Control does not send this message to agents; agents send it to proxies.
             FromControl::Resync => {}
         }
     }
 
-    /// Control reports what was decided; `as_of`: when a majority of its disks held nothing newer.
-    fn control_report(&mut self, now: Millis, decided: StateDigest, as_of: Option<Millis>) {
+    /// Handles a report by control of the decided state. `as_of` is when a majority of its disks held nothing newer.
+    fn on_majority_report(&mut self, now: Millis, decided: StateDigest, as_of: Option<Millis>) {
         let Some(control) = &mut self.control else {
             return;
         };
@@ -200,11 +204,12 @@
         };
         let status = SyncAssessment::new(&held, Some(&report), false, &self.report_validity).status;
         if status == SyncStatus::Current {
-            control.record_report(as_of);
+            control.record_majority_report(as_of);
             self.majority.record_current(as_of);
         } else if as_of.is_some() && self.majority.record_gap(now) {
-            // Updates come before the reports that rest on them: one was missed, and a new connection begins with a
-            // snapshot. Not again at once: a snapshot takes a moment, and other agents are asked meanwhile.
+            // Updates are sent before the reports that refer to them, so an update was missed. A new connection starts
+            // with a snapshot. Reconnections are rate-limited, because a snapshot takes time to arrive and other agents
+            // are queried in the meantime.
             let (new, old) = (decided.revision.config, held.revision.config);
             log::warn!(
                 "event=update_gap status={} decided={new:08x} held={old:08x}",
@@ -214,10 +219,10 @@
         }
     }
 
-    /// Takes in what is newer than what is held.
-    fn update(&mut self, section: StateSection, source: Source) {
+    /// Stores a section if it is newer than the stored one, and sends it to the proxy.
+    fn apply_section(&mut self, section: StateSection, source: Source) {
         if !section.has_valid_checksum() {
-            // The next report of what was decided shows that something is missing here.
+            // The next report of the decided state will reveal the gap.
             log::warn!("event=corrupt_update");
             return;
         }
@@ -229,12 +234,12 @@
             | StateSection::Servers { .. } => {}
         }
         let now = self.now();
-        if let Update::Accepted { kind } = self.desired.accept(now, section, source) {
+        if let AcceptResult::Accepted { kind } = self.desired.accept(now, section, source) {
             self.send_to_proxy(kind);
         }
     }
 
-    /// Beside each proxy there is an agent.
+    /// Adds the agents of the listed proxies to the gossip. Each proxy has an agent on the same machine.
     fn update_peers(&mut self, proxies: &[ProxyEndpoint]) {
         let addresses = proxies.iter().map(|proxy| *proxy.addr.ip());
         let peers: Vec<Ipv4Addr> = addresses.filter(|ip| *ip != self.settings.ip).collect();
@@ -242,17 +247,17 @@
     }
 
     fn update_endpoints(&mut self, nodes: &[ControlAddress]) {
-        let is_first_list = !self.desired.knows_control();
+        let is_first_list = !self.desired.has_control_nodes();
         self.endpoints.update(&self.settings, nodes);
         let Some(control) = &self.control else { return };
-        // Seeds do not tell their zones: before anything depends on the connection it moves to the nearest node. And a
-        // node that says of itself that it ends is left for another at once.
-        let is_ending = nodes
+        // The zones of seeds are unknown. Once the first list arrives, the agent moves to the nearest node, before
+        // anything depends on the connection. It also leaves a node that reports itself as shutting down.
+        let is_shutting_down = nodes
             .iter()
             .any(|node| node.ip == control.ip && !node.reachable);
-        let has_others = nodes.iter().any(|node| node.reachable);
+        let has_alternative = nodes.iter().any(|node| node.reachable);
         let is_far = is_first_list && !self.endpoints.is_nearest(control.ip);
-        if is_far || is_ending && has_others {
+        if is_far || is_shutting_down && has_alternative {
             control.disconnect();
         }
     }
@@ -284,11 +289,12 @@
         }
     }
 
-    /// Lets control send its next updates once those before are in force, or no proxy can be waited for.
+    /// Acknowledges the received updates to control once the proxy has applied them, or if there is no proxy to wait
+    /// for.
     fn acknowledge_applied(&mut self) {
         let now = self.now();
-        let is_waited_for = |proxy: &ProxySession| !proxy.needs_no_update(now);
-        if self.proxy.as_ref().is_some_and(is_waited_for) {
+        let blocks_acknowledgement = |proxy: &ProxySession| !proxy.allows_acknowledgement(now);
+        if self.proxy.as_ref().is_some_and(blocks_acknowledgement) {
             return;
         }
         if let Some(control) = &mut self.control {
@@ -296,7 +302,7 @@
         }
     }
 
-    fn proxy_message(&mut self, id: u64, message: ToControl) {
+    fn on_proxy_message(&mut self, id: u64, message: ToControl) {
         let now = self.now();
         let Some(proxy) = self.proxy.as_mut().filter(|proxy| proxy.id == id) else {
             return;
@@ -334,7 +340,7 @@
                 }
                 self.acknowledge_applied();
             }
-            // Proxies have one agent.
+            // A proxy has only one agent, so it never moves to another one.
             ToControl::Disconnecting => {}
         }
     }
@@ -350,18 +356,18 @@
             majority_age: report.map(|report| (now - report.as_of).max(0.0).ceil() as u32),
             decided: report.map_or(decided, |report| report.decided),
             control_reachable: self
-                .heard_at
-                .is_some_and(|heard_at| now - heard_at <= HEARD_COUNTS_FOR),
+                .last_answered_heartbeat_at
+                .is_some_and(|sent_at| now - sent_at <= CONTROL_REACHABLE_TIMEOUT),
             most_agents_isolated: self.gossip.most_agents_isolated(now),
         });
     }
 
-    /// Sees to it that the proxy has in force what is held here.
+    /// Sends the next repair step to the proxy if its applied state differs from the desired state.
     fn repair_proxy(&mut self, now: Millis) {
         let held = self.desired.digest();
         let Some(proxy) = &mut self.proxy else { return };
         let repair = proxy.next_repair(now, &held, &self.report_validity);
-        if repair.resyncs {
+        if repair.discards_state {
             proxy.link.send(&FromControl::Resync);
         }
         for kind in repair.kinds {
@@ -371,24 +377,24 @@
         }
     }
 
-    fn proxy_disconnected(&mut self, id: u64) {
+    fn on_proxy_disconnected(&mut self, id: u64) {
         if let Some(proxy) = self.proxy.as_mut().filter(|proxy| proxy.id == id) {
             log::info!("event=proxy_lost");
-            proxy.disconnected();
+            proxy.mark_disconnected();
             self.heartbeat();
         }
     }
 
-    fn gossip_message(&mut self, from: Ipv4Addr, message: GossipMessage) {
+    fn on_gossip_message(&mut self, from: Ipv4Addr, message: GossipMessage) {
         let now = self.now();
         let as_of = self.majority.fresh_as_of(now);
         let actions = self
             .gossip
             .handle(now, from, message, &self.desired.digest(), as_of);
-        self.carry_out(actions);
+        self.execute_gossip_actions(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<GossipAction>) {
+    fn execute_gossip_actions(&mut self, actions: Vec<GossipAction>) {
         for action in actions {
             match action {
                 GossipAction::Send { to, message } => self.gossip_socket.send(to, &message),
@@ -414,15 +420,16 @@
         );
     }
 
-    fn snapshot_chunk(&mut self, section: StateSection) {
-        // Orders are numbered; what else another agent knows counts only where nothing better is heard.
-        let is_order = matches!(
+    fn on_snapshot_section(&mut self, section: StateSection) {
+        // Decided sections are versioned and can be accepted from any agent. Others are accepted only while this agent
+        // is partitioned from the majority, except for the list of control nodes.
+        let is_decided = matches!(
             section,
             StateSection::Config { .. } | StateSection::Evacuated { .. }
         );
-        let is_cut_off = self.majority.is_stale(self.now());
-        if is_order || is_cut_off && !matches!(section, StateSection::Control(_)) {
-            self.update(section, Source::Peer);
+        let is_partitioned = self.majority.is_stale(self.now());
+        if is_decided || is_partitioned && !matches!(section, StateSection::Control(_)) {
+            self.apply_section(section, Source::Peer);
         }
     }
 
@@ -430,39 +437,41 @@
         self.control = None;
     }
 
-    /// Lets the process end once its proxy has ended, or shows by its readiness that it is not shutting down.
+    /// Completes a pending shutdown if the proxy has disconnected, never connected, or is still ready after
+    /// [`PROXY_SHUTDOWN_NOTICE`], which means that it is not shutting down.
     fn finish_shutdown(&self) {
         let Some(shutdown) = &self.shutdown else {
             return;
         };
-        let had_notice = self.now() - shutdown.requested_at >= PROXY_NOTICE;
+        let notice_elapsed = self.now() - shutdown.requested_at >= PROXY_SHUTDOWN_NOTICE;
         let needs_no_agent =
-            |proxy: &ProxySession| proxy.is_disconnected || proxy.is_ready() && had_notice;
+            |proxy: &ProxySession| proxy.is_disconnected || proxy.is_ready() && notice_elapsed;
         if self.proxy.as_ref().is_none_or(needs_no_agent) {
             let _ = shutdown.done.try_send(());
         }
     }
 
-    /// Sends a heartbeat to control, or ends a connection that is of no use.
+    /// Performs the periodic work: gossip, acknowledgements, and a heartbeat to control. Ends a faulty connection to
+    /// control instead of sending a heartbeat on it.
     fn heartbeat(&mut self) {
         let now = self.now();
-        self.heartbeat_at = Some(now);
+        self.last_heartbeat_at = Some(now);
         self.finish_shutdown();
         self.acknowledge_applied();
-        let asks_peers = self.majority.has_gap() || self.majority.is_stale(now);
-        let actions = self.gossip.tick(now, asks_peers);
-        self.carry_out(actions);
+        let queries_peers = self.majority.has_gap() || self.majority.is_stale(now);
+        let actions = self.gossip.tick(now, queries_peers);
+        self.execute_gossip_actions(actions);
         let Some(control) = &mut self.control else {
             return;
         };
         if let Some(fault) = control.fault(now) {
             log::info!("event=control_left stale={}", fault == ControlFault::Stale);
-            control.end(fault);
+            control.terminate(fault);
             self.endpoints.avoid(control.ip);
             return self.drop_control();
         }
         if let Some(proxy) = &self.proxy {
-            control.report_proxy(now, proxy, &self.settings.zone);
+            control.send_heartbeat(now, proxy, &self.settings.zone);
         }
     }
 }
--- a/crates/aspendrum-agent/src/coordinator/proxy_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/proxy_session.rs
@@ -1,4 +1,4 @@
-//! The connection of the proxy, as the coordinator sees it.
+//! The coordinator's state of the connection to the proxy.
 
 use super::desired_state::{DesiredState, CONFIG, EVACUATED};
 use aspendrum_model::message::{FromControl, Readiness, StateDigest, StateSection};
@@ -9,39 +9,39 @@
 };
 use std::net::SocketAddrV4;
 
-/// Time-out of the proxy: without a heartbeat within this time it counts as not ready.
-const SILENT_AFTER: Millis = 900.0;
+/// A proxy from which no message was received for this long is reported as not ready.
+const RECEIVE_TIMEOUT: Millis = 900.0;
 
-/// Who the proxy says that it is.
+/// The identity that the proxy announced in its `Hello`.
 pub(super) struct ProxyIdentity {
-    /// The name of its host.
+    /// The host name of the proxy.
     pub(super) host: String,
-    /// Where clients reach it.
+    /// The address at which the proxy accepts clients.
     pub(super) address: SocketAddrV4,
 }
 
-/// The connection of the proxy; the last one stays known after its end.
+/// The connection to the proxy. It is retained after a disconnect, until the proxy reconnects.
 pub(super) struct ProxySession {
     pub(super) id: u64,
     pub(super) link: Link,
-    /// Known once the proxy has said it; nothing is sent to it before.
+    /// `None` until the proxy has sent its `Hello`. No state is sent to the proxy before that.
     pub(super) identity: Option<ProxyIdentity>,
     pub(super) last_received_at: Millis,
-    /// What is in force there, computed from its tables.
+    /// The digest of the state that the proxy has applied, computed from its tables.
     pub(super) applied: StateDigest,
-    /// The updates on this connection.
+    /// The updates sent on this connection.
     updates: UpdateStream,
     pub(super) is_disconnected: bool,
     readiness: Readiness,
     repair: Repair,
 }
 
-/// What is to be sent again to a proxy that differs.
+/// The messages that repair a proxy whose applied state differs from the desired state.
 #[derive(Default)]
 pub(super) struct RepairActions {
-    /// The proxy is to build its tables anew.
-    pub(super) resyncs: bool,
-    /// The kinds of sections that are sent again.
+    /// Whether the proxy is instructed to discard its applied state first.
+    pub(super) discards_state: bool,
+    /// The kinds of the sections to resend.
     pub(super) kinds: Vec<usize>,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends a section that is held, unless the proxy has it, or has not applied the one before of its kind.
+    /// Sends a section, unless it was already sent or an earlier section of its kind is still unacknowledged.
     pub(super) fn offer(&mut self, now: Millis, section: StateSection) {
         if self.identity.is_some() {
             if let Some(number) = self.updates.offer(now, &section) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sends a section whatever was sent before.
+    /// Sends a section regardless of what was sent before.
     pub(super) fn resend(&mut self, now: Millis, section: StateSection) {
         if self.identity.is_some() {
             let number = self.updates.resend(now, &section);
@@ -77,38 +77,39 @@
         }
     }
 
-    /// All sections of what is held have been offered, of which that is known.
+    /// Records that all sections of the state that `report` confirms have been offered.
     pub(super) fn record_offered(&mut self, report: MajorityReport) {
         if self.identity.is_some() {
             self.updates.record_offered(report);
         }
     }
 
-    /// What the proxy is to be told of `newest`: nothing that runs ahead of the updates.
+    /// Returns the report to send to the proxy, which never refers to a state newer than the updates already sent.
     pub(super) fn report(&mut self, newest: MajorityReport) -> MajorityReport {
         self.updates.report(newest)
     }
 
-    /// The proxy has applied all updates up to that number.
+    /// Records that the proxy has applied all updates up to `number`.
     pub(super) fn acknowledge(&mut self, number: u64) {
         self.updates.acknowledge(number);
     }
 
-    /// Whether sections wait until the proxy has applied others.
+    /// Whether sections are waiting for the proxy to apply earlier ones.
     pub(super) fn has_waiting_updates(&self) -> bool {
         self.updates.is_waiting()
     }
 
-    /// Whether the proxy has applied everything that is held, or cannot be waited for: it has ended, or has fallen silent.
-    pub(super) fn needs_no_update(&self, now: Millis) -> bool {
-        self.is_disconnected || self.is_silent(now) || self.updates.is_applied()
+    /// Whether updates may be acknowledged to control: the proxy has applied all of them, or is disconnected or
+    /// unresponsive, so that it is not waited for.
+    pub(super) fn allows_acknowledgement(&self, now: Millis) -> bool {
+        self.is_disconnected || self.is_unresponsive(now) || self.updates.is_applied()
     }
 
-    fn is_silent(&self, now: Millis) -> bool {
-        now - self.last_received_at > SILENT_AFTER
+    fn is_unresponsive(&self, now: Millis) -> bool {
+        now - self.last_received_at > RECEIVE_TIMEOUT
     }
 
-    /// Returns whether the proxy's readiness has changed.
+    /// Records the contents of a heartbeat. Returns whether the readiness of the proxy has changed.
     pub(super) fn record_heartbeat(&mut self, readiness: Readiness, applied: StateDigest) -> bool {
         self.applied = applied;
         std::mem::replace(&mut self.readiness, readiness) != readiness
@@ -118,28 +119,28 @@
         self.readiness == Readiness::Ready
     }
 
-    /// The proxy's readiness as control is to know it.
-    pub(super) fn readiness_at(&self, now: Millis) -> Readiness {
-        if self.is_silent(now) {
+    /// Returns the readiness to report to control, which is `Closed` while the proxy is unresponsive.
+    pub(super) fn effective_readiness(&self, now: Millis) -> Readiness {
+        if self.is_unresponsive(now) {
             Readiness::Closed
         } else {
             self.readiness
         }
     }
 
-    pub(super) fn disconnected(&mut self) {
+    pub(super) fn mark_disconnected(&mut self) {
         self.readiness = Readiness::Closed;
         self.is_disconnected = true;
     }
 
-    /// What is to be sent again so that the proxy has in force what is held here.
+    /// Returns the next step to make the applied state of the proxy match the desired state.
     pub(super) fn next_repair(
         &mut self,
         now: Millis,
         held: &StateDigest,
         validity: &ReportValidity,
     ) -> RepairActions {
-        // Updates on their way are no difference, unless they stay there.
+        // Updates in flight are expected to differ, unless they are stalled.
         let is_updating = !self.updates.is_applied() && !self.updates.is_stalled(now);
         if self.identity.is_none() || is_updating {
             return RepairActions::default();
@@ -158,24 +159,24 @@
             "event=proxy_differs status={} applied={applied:08x} held={held:08x} sections={differing:?} step={step:?}",
             status.as_str()
         );
-        RepairActions::of(&step)
+        RepairActions::for_step(&step)
     }
 }
 
 impl RepairActions {
-    fn of(step: &RepairStep) -> RepairActions {
+    fn for_step(step: &RepairStep) -> RepairActions {
         let all = || DesiredState::kinds().collect();
         match step {
             RepairStep::ResendSections(sections) => RepairActions {
-                resyncs: false,
-                kinds: kinds_of(sections),
+                discards_state: false,
+                kinds: section_kinds(sections),
             },
             RepairStep::SendSnapshot => RepairActions {
-                resyncs: false,
+                discards_state: false,
                 kinds: all(),
             },
             RepairStep::Resync => RepairActions {
-                resyncs: true,
+                discards_state: true,
                 kinds: all(),
             },
             RepairStep::Alert => RepairActions::default(),
@@ -183,8 +184,9 @@
     }
 }
 
-/// Evacuations are a section of their own; all other sections are in the configuration.
-fn kinds_of(sections: &[Section]) -> Vec<usize> {
+/// Maps digest sections to section kinds. Evacuations have a kind of their own; all others are part of the
+/// configuration.
+fn section_kinds(sections: &[Section]) -> Vec<usize> {
     let has_evacuations = sections.contains(&Section::Evacuations);
     let has_others = sections
         .iter()
--- a/crates/aspendrum-agent/src/error.rs
+++ b/crates/aspendrum-agent/src/error.rs
@@ -1,35 +1,35 @@
-//! Why an agent does not start, or ends early.
+//! Errors that keep an agent from starting or terminate it.
 
 use aspendrum_model::settings::SettingsError;
 use aspendrum_net::process_signals::SignalError;
 use derive_more::{Display, Error};
 use std::io;
 
-/// Why an agent does not start, or ends early.
+/// An error that keeps an agent from starting or terminates it.
 #[derive(Debug, Display, Error)]
 pub enum AgentError {
-    /// The settings cannot be read.
+    /// The settings could not be read or are invalid.
     #[display("{_0}")]
     Settings(SettingsError),
-    /// A socket or a thread that the agent needs.
+    /// A socket could not be opened or a thread could not be spawned.
     #[display("{component}: {source}")]
     Start {
-        /// What it is for.
+        /// The component that needs the socket or thread.
         component: &'static str,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The coordinator's thread has ended.
-    #[display("coordinator: its thread has ended")]
+    /// The coordinator thread has terminated.
+    #[display("coordinator thread has terminated")]
     CoordinatorEnded,
-    /// Signals cannot be received.
+    /// Signal handling could not be set up.
     #[display("{_0}")]
     Signals(SignalError),
 }
 
 impl AgentError {
-    /// What the system says of a component that does not start.
-    pub(crate) fn of_component(component: &'static str) -> impl FnOnce(io::Error) -> AgentError {
+    /// Returns a function that converts the I/O error of a component into an [`AgentError`].
+    pub(crate) fn start(component: &'static str) -> impl FnOnce(io::Error) -> AgentError {
         move |source| AgentError::Start { component, source }
     }
 }
--- a/crates/aspendrum-agent/src/event.rs
+++ b/crates/aspendrum-agent/src/event.rs
@@ -1,4 +1,4 @@
-//! Events that the other threads send to the coordinator.
+//! Events sent to the coordinator by the other threads of the agent.
 
 use aspendrum_gossip::GossipMessage;
 use aspendrum_model::message::{FromControl, StateSection, ToControl};
@@ -7,67 +7,68 @@
 use crossbeam_channel::Sender;
 use std::net::Ipv4Addr;
 
-/// An event for the coordinator. Connections are numbered: an event of one that was replaced is recognised by its `id`.
+/// An event for the coordinator. Connections have increasing ids, which identify events of a connection that has been
+/// replaced.
 pub enum Event {
-    /// A connection to control is open.
+    /// A connection to a control node was established.
     ControlConnected {
-        /// The connection's number.
+        /// The id of the connection.
         id: u64,
-        /// The control node.
+        /// The address of the control node.
         ip: Ipv4Addr,
-        /// Its sending side.
+        /// The sending half of the connection.
         link: Link,
     },
-    /// Control sent a message.
+    /// A message was received from control.
     ControlMessage {
-        /// The connection's number.
+        /// The id of the connection.
         id: u64,
         /// The message.
         message: FromControl,
     },
     /// The connection to control has ended.
     ControlDisconnected {
-        /// The connection's number.
+        /// The id of the connection.
         id: u64,
     },
     /// The proxy has connected.
     ProxyConnected {
-        /// The connection's number.
+        /// The id of the connection.
         id: u64,
-        /// Its sending side.
+        /// The sending half of the connection.
         link: Link,
     },
-    /// The proxy sent a message.
+    /// A message was received from the proxy.
     ProxyMessage {
-        /// The connection's number.
+        /// The id of the connection.
         id: u64,
         /// The message.
         message: ToControl,
     },
-    /// The connection of the proxy has ended.
+    /// The connection to the proxy has ended.
     ProxyDisconnected {
-        /// The connection's number.
+        /// The id of the connection.
         id: u64,
     },
-    /// A datagram of another agent.
+    /// A gossip datagram was received from another agent.
     Gossip {
-        /// The agent.
+        /// The address of the sending agent.
         from: Ipv4Addr,
-        /// Its message.
+        /// The message.
         message: GossipMessage,
     },
-    /// Another agent asks for a snapshot.
+    /// Another agent has requested a snapshot.
     SnapshotRequest {
-        /// Takes the snapshot: one frame after another.
+        /// Receives the snapshot as concatenated frames.
         reply: Sender<Vec<u8>>,
     },
-    /// Part of another agent's snapshot.
-    SnapshotChunk(StateSection),
-    /// The settings file has changed.
+    /// One section of a snapshot fetched from another agent.
+    SnapshotSection(StateSection),
+    /// The settings were reloaded.
     SettingsChanged(Box<Settings>),
-    /// The process is to end.
+    /// The process is shutting down.
     Shutdown {
-        /// Notified when the proxy no longer needs this agent.
+        /// Notified once the proxy no longer needs this agent.
         done: Sender<()>,
     },
 }
--- a/crates/aspendrum-agent/src/lib.rs
+++ b/crates/aspendrum-agent/src/lib.rs
@@ -1,8 +1,9 @@
-//! The agent beside a proxy: keeps a connection to control, holds what control has decided, and feeds the proxy over
-//! loopback ahead of time. Cut off from control, it asks other agents for what a majority of control holds.
+//! The agent that runs next to each proxy. It maintains a connection to a control node, stores the state that control
+//! has decided, and pushes that state to the proxy over loopback. While it is partitioned from control, it queries
+//! other agents for the state that a majority of control holds.
 //!
-//! An update's way: [`control_connection`] receives it, the [`coordinator`] takes it if it is newer than what it holds,
-//! and sends it to the proxy over the connection that [`proxy_listener`] accepted.
+//! An update is received by [`control_connection`]. The [`coordinator`] accepts it if it is newer than the stored state
+//! and sends it to the proxy over the connection accepted by [`proxy_listener`].
 
 pub mod control_connection;
 pub mod control_endpoints;
--- a/crates/aspendrum-agent/src/process.rs
+++ b/crates/aspendrum-agent/src/process.rs
@@ -1,4 +1,4 @@
-//! An agent process from its start to its end.
+//! Startup and graceful shutdown of the agent process.
 
 use crate::control_endpoints::ControlEndpoints;
 use crate::coordinator::Coordinator;
@@ -16,28 +16,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Events that may wait for the coordinator.
-const EVENTS: usize = 1024;
+/// The maximum number of events queued for the coordinator.
+const EVENT_QUEUE_CAPACITY: usize = 1024;
 const COORDINATOR_STACK_BYTES: usize = 256 << 10;
-/// Of the grace period, how long the agent waits for its proxy's end.
-const WAIT_FOR_PROXY_SHARE: f64 = 0.95;
+/// The fraction of the shutdown grace period that the agent waits for its proxy to terminate.
+const PROXY_WAIT_FRACTION: f64 = 0.95;
 
-/// Runs an agent until a termination signal.
+/// Runs an agent until it receives a termination signal.
 ///
 /// # Errors
 ///
-/// The settings cannot be read, an address cannot be bound, or a thread cannot be started.
+/// Returns an error if the settings cannot be read, an address cannot be bound, or a thread cannot be spawned.
 pub fn serve(signals: ProcessSignals) -> Result<(), AgentError> {
     let settings = Settings::load().map_err(AgentError::Settings)?;
     let (events, coordinator) = start_coordinator()?;
     let endpoints = ControlEndpoints::new(&settings);
     control_connection::start(&endpoints, &settings, &events)
-        .map_err(AgentError::of_component("control"))?;
+        .map_err(AgentError::start("control connection"))?;
     proxy_listener::start(settings.agent_addr(), &events)
-        .map_err(AgentError::of_component("agent port"))?;
+        .map_err(AgentError::start("proxy listener"))?;
     let gossip =
-        GossipSocket::open(&settings, &events).map_err(AgentError::of_component("peer ports"))?;
-    snapshot::start_server(&settings, &events).map_err(AgentError::of_component("peer ports"))?;
+        GossipSocket::open(&settings, &events).map_err(AgentError::start("gossip socket"))?;
+    snapshot::start_server(&settings, &events).map_err(AgentError::start("snapshot server"))?;
     let snapshots = SnapshotClient::new(&settings, &events);
     let started = coordinator.send(Coordinator::new(
         settings.clone(),
@@ -58,12 +58,13 @@
         .map_err(AgentError::Signals)?;
     wait_for_proxy(
         &events,
-        duration_from_millis(WAIT_FOR_PROXY_SHARE * settings.shutdown_grace_s * 1000.0),
+        duration_from_millis(PROXY_WAIT_FRACTION * settings.shutdown_grace_s * 1000.0),
     );
     Ok(())
 }
 
-/// Starts the coordinator's thread, which waits for the coordinator itself: that needs the sender of its events first.
+/// Spawns the coordinator thread. The coordinator is sent to it afterwards, because building the coordinator's
+/// components requires the sender of its events.
 fn start_coordinator() -> Result<(Arc<MailboxSender<Event>>, Sender<Coordinator>), AgentError> {
     let (sender, receiver) = bounded::<Coordinator>(1);
     let start = |inbox| {
@@ -73,14 +74,14 @@
             }
         })
     };
-    let events =
-        mailbox::spawn_receiver(EVENTS, start).map_err(AgentError::of_component("coordinator"))?;
+    let events = mailbox::spawn_receiver(EVENT_QUEUE_CAPACITY, start)
+        .map_err(AgentError::start("coordinator"))?;
     Ok((Arc::new(events), sender))
 }
 
-/// A draining proxy finishes its requests, and needs updates meanwhile.
+/// Keeps the agent running while the proxy drains, since a draining proxy still needs updates.
 fn wait_for_proxy(events: &MailboxSender<Event>, timeout: Duration) {
-    let (done, proxy_has_ended) = bounded(1);
+    let (done, proxy_done) = bounded(1);
     events.send(Event::Shutdown { done }, None);
-    let _ = proxy_has_ended.recv_timeout(timeout);
+    let _ = proxy_done.recv_timeout(timeout);
 }
--- a/crates/aspendrum-agent/src/proxy_listener.rs
+++ b/crates/aspendrum-agent/src/proxy_listener.rs
@@ -1,4 +1,4 @@
-//! The loopback connection to the proxy on this machine. The proxy dials; the last connection counts.
+//! Accepts the loopback connection of the proxy on this machine. A new connection replaces the previous one.
 
 use crate::event::Event;
 use aspendrum_model::message::ToControl;
@@ -12,19 +12,19 @@
 use std::time::Duration;
 
 const STACK_BYTES: usize = 96 << 10;
-/// TCP user time-out: the connection ends if the proxy acknowledges no bytes within this time.
-const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Messages that may wait to be written.
-const QUEUE_LENGTH: usize = 64;
+/// TCP user timeout: the connection fails if the proxy does not acknowledge sent bytes within this time.
+const ACK_TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum number of messages queued for writing.
+const SEND_QUEUE_CAPACITY: usize = 64;
 const READ_BUFFER_BYTES: usize = 1 << 10;
-/// After a connection could not be accepted: no descriptor is free, and one may be in a moment.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// The delay after a failed `accept`, for example because no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Listens for as long as the process runs.
+/// Binds the address and spawns a thread that accepts connections while the process runs.
 ///
 /// # Errors
 ///
-/// The address cannot be bound, or no thread can be started.
+/// Returns an error if the address cannot be bound or the thread cannot be spawned.
 pub fn start(address: SocketAddrV4, events: &Arc<MailboxSender<Event>>) -> io::Result<()> {
     let listener = TcpListener::bind(address)?;
     let events = events.clone();
@@ -36,7 +36,7 @@
     let mut last_id = 0;
     loop {
         let Ok((stream, _)) = listener.accept() else {
-            sleep(ACCEPT_PAUSE);
+            sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
         last_id += 1;
@@ -48,8 +48,8 @@
 
 fn start_reader(id: u64, stream: TcpStream, events: &Arc<MailboxSender<Event>>) -> io::Result<()> {
     let stream = Arc::new(stream);
-    // A connection that ended at once is no fault of ours.
-    let Ok(link) = Link::from_stream(stream.clone(), ACKNOWLEDGE_TIMEOUT, QUEUE_LENGTH) else {
+    // The peer may already have closed the connection, which is not an error of the agent.
+    let Ok(link) = Link::from_stream(stream.clone(), ACK_TIMEOUT, SEND_QUEUE_CAPACITY) else {
         return Ok(());
     };
     events.send(Event::ProxyConnected { id, link }, None);
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// Passes messages on until the connection ends.
+/// Forwards messages to the coordinator until the connection ends.
 fn receive(id: u64, stream: &TcpStream, events: &MailboxSender<Event>) {
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
     while let Ok(message) = frames::read_frame::<ToControl>(&mut reader) {
--- a/crates/aspendrum-agent/src/snapshot.rs
+++ b/crates/aspendrum-agent/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshots between agents: all that one holds, as frames on a short connection.
+//! Transfer of snapshots between agents. A snapshot contains all sections that an agent stores, sent as frames on a
+//! short-lived connection.
 
 use crate::event::Event;
 use aspendrum_model::message::FromControl;
@@ -15,26 +16,26 @@
 
 const STACK_BYTES: usize = 96 << 10;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Read time-out while a snapshot is received.
+/// The timeout for producing a snapshot, for each write of it and for each read of it.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1500);
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// After a connection could not be accepted: no descriptor is free, and one may be in a moment.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// The delay after a failed `accept`, for example because no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Sends snapshots to other agents, for as long as the process runs.
+/// Spawns a thread that serves snapshots to other agents while the process runs.
 ///
 /// # Errors
 ///
-/// The port cannot be bound, or no thread can be started.
+/// Returns an error if the port cannot be bound or the thread cannot be spawned.
 pub fn start_server(settings: &Settings, events: &Arc<MailboxSender<Event>>) -> io::Result<()> {
     let port = settings.snapshot_port();
     let listener = TcpListener::bind(SocketAddrV4::new(settings.ip, port))?;
     let events = events.clone();
     spawn("snapshots", STACK_BYTES, move || loop {
         match listener.accept() {
-            // One at a time: an agent that cannot wait asks another.
+            // Snapshots are served one at a time. An agent that times out fetches from another agent.
             Ok((stream, _)) => serve(stream, &events),
-            Err(_) => sleep(ACCEPT_PAUSE),
+            Err(_) => sleep(ACCEPT_RETRY_DELAY),
         }
     })?;
     Ok(())
@@ -49,14 +50,14 @@
     }
 }
 
-/// Fetches snapshots of other agents.
+/// Fetches snapshots from other agents.
 pub struct SnapshotClient {
     settings: Settings,
     events: Arc<MailboxSender<Event>>,
 }
 
 impl SnapshotClient {
-    /// Each chunk of a snapshot goes to `events`.
+    /// Creates a client that sends each section of a fetched snapshot to `events`.
     pub fn new(settings: &Settings, events: &Arc<MailboxSender<Event>>) -> SnapshotClient {
         SnapshotClient {
             settings: settings.clone(),
@@ -64,13 +65,13 @@
         }
     }
 
-    /// Begins to fetch all that another agent holds.
+    /// Starts fetching the snapshot of another agent in the background.
     pub fn fetch(&self, from: Ipv4Addr) {
         let port = self.settings.snapshot_port();
         let address = self.settings.dial_addr(SocketAddrV4::new(from, port));
         let events = self.events.clone();
         let started = spawn("fetch", STACK_BYTES, move || {
-            // An agent that cannot be reached, or stops half-way, is asked again or passed over by the gossip.
+            // Errors are ignored: the gossip protocol retries the fetch or selects another agent.
             let _ = receive(address, &events);
         });
         if let Err(e) = started {
@@ -85,7 +86,7 @@
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, &*stream);
     while let FromControl::Update { section, .. } = frames::read_frame::<FromControl>(&mut reader)?
     {
-        events.send(Event::SnapshotChunk(section), None);
+        events.send(Event::SnapshotSection(section), None);
     }
     Ok(())
 }
--- a/crates/aspendrum-agent/tests/control_endpoints.rs
+++ b/crates/aspendrum-agent/tests/control_endpoints.rs
@@ -24,26 +24,26 @@
     Settings::read(text.as_bytes()).unwrap()
 }
 
-/// The nodes that the first attempts dial.
-fn first(attempts: usize, endpoints: &ControlEndpoints) -> Vec<Ipv4Addr> {
+/// Returns the nodes that are dialed by the first `attempts` attempts.
+fn first_dialed(attempts: usize, endpoints: &ControlEndpoints) -> Vec<Ipv4Addr> {
     (0..attempts)
-        .filter_map(|attempt| endpoints.nth(attempt))
+        .filter_map(|attempt| endpoints.address_for_attempt(attempt))
         .collect()
 }
 
-/// Danger: the settings name other nodes, and an agent forgets those that control told it of.
+/// Guards against an agent losing the advertised nodes when the settings change to other seeds.
 #[test]
-fn advertised_nodes_stay_known_and_a_node_that_ends_comes_last() {
-    let seeded = settings(SETTINGS);
-    let endpoints = ControlEndpoints::new(&seeded);
-    let ending = ControlAddress {
+fn advertised_nodes_survive_new_seeds_and_unreachable_nodes_are_dialed_last() {
+    let initial_settings = settings(SETTINGS);
+    let endpoints = ControlEndpoints::new(&initial_settings);
+    let shutting_down = ControlAddress {
         reachable: false,
         ..node(ip(1), "a1")
     };
-    endpoints.update(&seeded, &[ending, node(ip(3), "b1")]);
-    assert_eq!(first(4, &endpoints), [ip(3), ip(1), ip(2), ip(3)]);
+    endpoints.update(&initial_settings, &[shutting_down, node(ip(3), "b1")]);
+    assert_eq!(first_dialed(4, &endpoints), [ip(3), ip(1), ip(2), ip(3)]);
     endpoints.update(&settings(&SETTINGS.replace("10.0.0.2", "10.0.0.7")), &[]);
-    assert_eq!(first(4, &endpoints), [ip(3), ip(1), ip(7), ip(3)]);
+    assert_eq!(first_dialed(4, &endpoints), [ip(3), ip(1), ip(7), ip(3)]);
 }
 
 #[test]
@@ -52,25 +52,32 @@
     let endpoints = ControlEndpoints::new(&settings);
     let known = [(ip(3), "b1"), (ip(2), "a2"), (ip(1), "a1"), (ip(4), "")];
     endpoints.update(&settings, &known.map(|(ip, zone)| node(ip, zone)));
-    assert_eq!(first(5, &endpoints), [ip(1), ip(2), ip(4), ip(3), ip(1)]);
+    assert_eq!(
+        first_dialed(5, &endpoints),
+        [ip(1), ip(2), ip(4), ip(3), ip(1)]
+    );
     assert!(endpoints.is_nearest(ip(1)) && !endpoints.is_nearest(ip(2)));
     endpoints.update(&settings, &[]);
-    assert_eq!(endpoints.nth(0), Some(ip(1)), "an empty list says nothing");
+    assert_eq!(
+        endpoints.address_for_attempt(0),
+        Some(ip(1)),
+        "an empty list is ignored"
+    );
 }
 
-/// Danger: the nearest node is cut off from the rest of control; its agents left it as stale and dialled it again, and
-/// applied a configuration 3.3 s late.
+/// Guards against reconnecting to a stale node. When the nearest node was partitioned from the rest of control, its
+/// agents abandoned it and dialed it again, and applied a configuration 3.3 s late.
 #[test]
-fn a_node_that_was_left_is_not_dialled_again_at_once() {
-    let seeded = settings(SETTINGS);
-    let endpoints = ControlEndpoints::new(&seeded);
-    endpoints.update(&seeded, &[node(ip(1), "a1"), node(ip(2), "a2")]);
+fn an_avoided_node_is_not_dialed_while_another_is_known() {
+    let initial_settings = settings(SETTINGS);
+    let endpoints = ControlEndpoints::new(&initial_settings);
+    endpoints.update(&initial_settings, &[node(ip(1), "a1"), node(ip(2), "a2")]);
     endpoints.avoid(ip(1));
-    assert_eq!(first(2, &endpoints), [ip(2), ip(2)]);
-    // Where control names no other, a seed is dialled; where there is none at all it is better than nothing.
-    endpoints.update(&seeded, &[node(ip(1), "a1")]);
-    assert_eq!(endpoints.nth(0), Some(ip(2)));
+    assert_eq!(first_dialed(2, &endpoints), [ip(2), ip(2)]);
+    // If no other node is advertised, a seed is dialed. If no other node is known at all, the avoided node is dialed.
+    endpoints.update(&initial_settings, &[node(ip(1), "a1")]);
+    assert_eq!(endpoints.address_for_attempt(0), Some(ip(2)));
     let single = settings(&SETTINGS.replace(r#","10.0.0.2:80""#, ""));
     endpoints.update(&single, &[node(ip(1), "a1")]);
-    assert_eq!(endpoints.nth(0), Some(ip(1)));
+    assert_eq!(endpoints.address_for_attempt(0), Some(ip(1)));
 }
--- a/crates/aspendrum-agent/tests/process.rs
+++ b/crates/aspendrum-agent/tests/process.rs
@@ -1,5 +1,5 @@
-//! The agent as a process on loopback, between a control node and a proxy that the test plays: what it passes on, what it
-//! acknowledges, and when it leaves its control node.
+//! Runs an agent process on loopback, with a control node and a proxy simulated by the test. Verifies which updates the
+//! agent forwards and acknowledges, and when it disconnects from its control node.
 
 use aspendrum_model::compression::compress;
 use aspendrum_model::config::Config;
@@ -21,8 +21,8 @@
 const FIRST_PORT: u16 = 23_200;
 const PROXY_PORT: u16 = FIRST_PORT + 2;
 const SNAPSHOT_PORT: u16 = FIRST_PORT + 4;
-/// Whatever the test waits for has come by then.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The timeout of all waits in this test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":1024,"hdr-ms":3000,"idle-ms":15000},
 "ports":[{"vhost":"a.example","rules":[{"name":"r","type":"idem","goal-ms":500,"match":{"pfx":"/a/"},
 "action":{"svc":"s1","limit-ms":2000,"tries":2}}]}],"pools":[{"name":"s1","check":"/healthz"}]}"#;
@@ -61,23 +61,23 @@
     }
 }
 
-/// Connects to the agent once it listens there.
+/// Connects to a port of the agent, retrying until the agent listens on it.
 fn connect(ip: Ipv4Addr, port: u16) -> TcpStream {
     let started_at = Instant::now();
     let stream = loop {
         match TcpStream::connect((ip, port)) {
             Ok(stream) => break stream,
-            Err(e) => assert!(started_at.elapsed() < PATIENCE, "{port}: {e}"),
+            Err(e) => assert!(started_at.elapsed() < TEST_TIMEOUT, "{port}: {e}"),
         }
         thread::yield_now();
     };
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
 fn accept(listener: &TcpListener) -> TcpStream {
     let (stream, _) = listener.accept().unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
@@ -89,30 +89,33 @@
     stream.write_all(&encode_frame(message)).unwrap();
 }
 
-/// The next message of the agent's to control that is no heartbeat; heartbeats are answered with that digest.
+/// Returns the next message from the agent to control other than a heartbeat. Replies to heartbeats with `decided`.
 fn next_to_control(control: &mut TcpStream, decided: StateDigest) -> ToControl {
     let started_at = Instant::now();
     loop {
-        assert!(started_at.elapsed() < PATIENCE, "only heartbeats came");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "only heartbeats were received"
+        );
         let Envelope::Agent(message) = read_frame::<Envelope>(control).unwrap() else {
-            panic!("an agent speaks as an agent")
+            panic!("expected a message from an agent")
         };
         let ToControl::Heartbeat { sent_at_ms, .. } = message else {
             return message;
         };
-        let answer = FromControl::Heartbeat {
+        let reply = FromControl::Heartbeat {
             sent_at_ms,
             majority_age: Some(10),
             decided,
             control_reachable: true,
             most_agents_isolated: false,
         };
-        // The agent may just have closed the connection.
-        let _ = control.write_all(&encode_frame(&answer));
+        // The agent may have closed the connection in the meantime.
+        let _ = control.write_all(&encode_frame(&reply));
     }
 }
 
-/// The next update that the agent sends to its proxy.
+/// Returns the next update that the agent sends to its proxy.
 fn next_update(proxy: &mut TcpStream) -> (u64, StateSection) {
     loop {
         if let FromControl::Update { number, section } = read_frame(proxy).unwrap() {
@@ -147,7 +150,7 @@
 }
 
 #[test]
-fn updates_go_to_the_proxy_and_acknowledgements_to_control() {
+fn updates_are_forwarded_to_the_proxy_and_acknowledged_to_control() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let _agent = AgentProcess::start(listener.local_addr().unwrap());
     let mut control = accept(&listener);
@@ -161,7 +164,7 @@
     let empty = state_digest(None, 0, &[]);
     assert_eq!(next_to_control(&mut control, empty), hello);
 
-    // Each update is passed on under a number of the agent's own.
+    // Each update is forwarded with a sequence number assigned by the agent.
     for (number, section) in (11..).zip(sections()) {
         let update = FromControl::Update { number, section };
         send(&mut control, &update);
@@ -169,15 +172,15 @@
     for (number, section) in (1..).zip(sections()) {
         assert_eq!(next_update(&mut proxy), (number, section));
     }
-    // What the proxy has applied is acknowledged once it has applied all of it.
+    // Updates are acknowledged to control once the proxy has applied all of them.
     send_to_agent(&mut proxy, &ToControl::Applied { number: 3 });
     send_to_agent(&mut proxy, &ToControl::Applied { number: 4 });
     let config = Config::read(CONFIG.as_bytes()).unwrap();
     let decided = state_digest(Some(&config), 7, &["poa-b".into()]);
-    let acknowledged = next_to_control(&mut control, decided);
-    assert_eq!(acknowledged, ToControl::Applied { number: 14 });
+    let acknowledgement = next_to_control(&mut control, decided);
+    assert_eq!(acknowledgement, ToControl::Applied { number: 14 });
 
-    // A section that is no newer, or does not bear its checksum, is not passed on.
+    // A section that is not newer or has an invalid checksum is not forwarded.
     let config = sections().remove(0);
     let corrupt = StateSection::Config {
         version: 2,
@@ -195,31 +198,32 @@
     for (number, section) in (15..).zip([config, corrupt, older, newer.clone()]) {
         send(&mut control, &FromControl::Update { number, section });
     }
-    // What is not passed on is acknowledged at once: control may send the next.
+    // Sections that are not forwarded are acknowledged immediately, so that control can send the next ones.
     for number in 15..=17 {
-        let acknowledged = next_to_control(&mut control, decided);
-        assert_eq!(acknowledged, ToControl::Applied { number });
+        let acknowledgement = next_to_control(&mut control, decided);
+        assert_eq!(acknowledgement, ToControl::Applied { number });
     }
     assert_eq!(next_update(&mut proxy), (5, newer.clone()));
 
-    // Other agents get all that this one holds.
+    // A snapshot contains all sections that the agent stores.
     let mut snapshot = connect(AGENT_IP, SNAPSHOT_PORT);
-    let mut held = sections();
-    held[1] = newer;
-    for (number, section) in (1..).zip(held) {
+    let mut expected_sections = sections();
+    expected_sections[1] = newer;
+    for (number, section) in (1..).zip(expected_sections) {
         let expected = FromControl::Update { number, section };
         assert_eq!(read_frame::<FromControl>(&mut snapshot).unwrap(), expected);
     }
     assert!(
         read_frame::<FromControl>(&mut snapshot).is_err(),
-        "that is all"
+        "the snapshot ends after the last section"
     );
 
-    // Something was decided that has not come: a new connection begins with all of it.
-    let mut missed = decided;
-    missed.revision.evacuation = 9;
+    // If the decided state is ahead of the received one, the agent reconnects, since a new connection starts with a
+    // snapshot.
+    let mut ahead = decided;
+    ahead.revision.evacuation = 9;
     assert_eq!(
-        next_to_control(&mut control, missed),
+        next_to_control(&mut control, ahead),
         ToControl::Disconnecting
     );
     let mut control = accept(&listener);
--- a/crates/aspendrum-agent/tests/wire_bytes.rs
+++ b/crates/aspendrum-agent/tests/wire_bytes.rs
@@ -1,6 +1,6 @@
-//! What an agent exchanges with control, with its proxy and with other agents, byte by byte. A fleet is upgraded
-//! process by process, so each version must read what the others write: the fixture file stays as it is, whatever the
-//! types are called.
+//! The encoding of the messages between an agent and control, its proxy and other agents. Processes are upgraded one by
+//! one, so each version must be able to read the messages of the others. The fixture must not change when types are
+//! renamed.
 
 use aspendrum_gossip::view::Neighbour;
 use aspendrum_gossip::GossipMessage;
@@ -12,7 +12,7 @@
 use aspendrum_net::frames;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// One line per message: its channel, a name, and its bytes in hexadecimal.
+/// One line per message: the channel, a name, and the bytes in hexadecimal.
 const MESSAGES: &str = include_str!("fixtures/messages.txt");
 
 fn hex(bytes: &[u8]) -> String {
@@ -29,7 +29,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 9), 8080)
 }
 
-fn edition() -> StateDigest {
+fn state_digest() -> StateDigest {
     StateDigest {
         revision: Revision {
             config: 300,
@@ -39,8 +39,8 @@
     }
 }
 
-/// What flows from control to an agent, from an agent to its proxy, and in a snapshot from agent to agent.
-fn downward() -> Vec<(&'static str, FromControl)> {
+/// The messages from control to an agent, from an agent to its proxy, and in snapshots between agents.
+fn messages_from_control() -> Vec<(&'static str, FromControl)> {
     let server = ServerInstance {
         uid: "i-1".into(),
         service: "s1".into(),
@@ -50,37 +50,35 @@
         draining: true,
         slow_start_left_ms: 3000,
     };
-    let front = |readiness, current| ProxyEndpoint {
+    let proxy = |readiness, is_current| ProxyEndpoint {
         addr: address(),
         zone: "poa-a".into(),
         readiness,
-        is_current: current,
+        is_current,
     };
-    let fronts = vec![
-        front(Readiness::Closed, false),
-        front(Readiness::Draining, true),
-        front(Readiness::Ready, true),
+    let proxies = vec![
+        proxy(Readiness::Closed, false),
+        proxy(Readiness::Draining, true),
+        proxy(Readiness::Ready, true),
     ];
     let control = ControlAddress {
         ip: *address().ip(),
         zone: "poa-a".into(),
         reachable: true,
     };
-    let news = |number, part| FromControl::Update {
-        number,
-        section: part,
-    };
-    let beat = |age, heard, deserted| FromControl::Heartbeat {
-        sent_at_ms: 300,
-        majority_age: age,
-        decided: edition(),
-        control_reachable: heard,
-        most_agents_isolated: deserted,
-    };
+    let update = |number, section| FromControl::Update { number, section };
+    let heartbeat =
+        |majority_age, control_reachable, most_agents_isolated| FromControl::Heartbeat {
+            sent_at_ms: 300,
+            majority_age,
+            decided: state_digest(),
+            control_reachable,
+            most_agents_isolated,
+        };
     vec![
         (
             "configuration",
-            news(
+            update(
                 1,
                 StateSection::Config {
                     version: 0xabcd,
@@ -91,7 +89,7 @@
         ),
         (
             "evacuated_zones",
-            news(
+            update(
                 300,
                 StateSection::Evacuated {
                     revision: 7,
@@ -101,7 +99,7 @@
         ),
         (
             "servers",
-            news(
+            update(
                 3,
                 StateSection::Servers {
                     age_ms: 1500,
@@ -109,23 +107,23 @@
                 },
             ),
         ),
-        ("proxies", news(4, StateSection::Proxies(fronts))),
+        ("proxies", update(4, StateSection::Proxies(proxies))),
         (
             "control_nodes",
-            news(u64::MAX, StateSection::Control(vec![control])),
+            update(u64::MAX, StateSection::Control(vec![control])),
         ),
-        ("heartbeat_answer", beat(Some(250), true, false)),
-        ("heartbeat_answer_without_age", beat(None, false, true)),
+        ("heartbeat_answer", heartbeat(Some(250), true, false)),
+        ("heartbeat_answer_without_age", heartbeat(None, false, true)),
         ("resync", FromControl::Resync),
     ]
 }
 
-/// What flows from a proxy to its agent and from an agent to control.
-fn upward() -> Vec<(&'static str, ToControl)> {
-    let beat = |readiness| ToControl::Heartbeat {
+/// The messages from a proxy to its agent and from an agent to control.
+fn messages_to_control() -> Vec<(&'static str, ToControl)> {
+    let heartbeat = |readiness| ToControl::Heartbeat {
         sent_at_ms: 300,
         readiness,
-        applied: edition(),
+        applied: state_digest(),
     };
     vec![
         (
@@ -136,15 +134,15 @@
                 zone: "poa-a".into(),
             },
         ),
-        ("heartbeat_closed", beat(Readiness::Closed)),
-        ("heartbeat_draining", beat(Readiness::Draining)),
-        ("heartbeat_ready", beat(Readiness::Ready)),
+        ("heartbeat_closed", heartbeat(Readiness::Closed)),
+        ("heartbeat_draining", heartbeat(Readiness::Draining)),
+        ("heartbeat_ready", heartbeat(Readiness::Ready)),
         ("disconnecting", ToControl::Disconnecting),
         ("applied", ToControl::Applied { number: 300 }),
     ]
 }
 
-/// Datagrams between agents.
+/// The gossip datagrams between agents.
 fn datagrams() -> Vec<(&'static str, GossipMessage)> {
     let neighbour = |last, age| Neighbour {
         ip: Ipv4Addr::new(10, 1, 0, last),
@@ -167,7 +165,7 @@
             GossipMessage::Report {
                 sent_at: 300,
                 age: 250,
-                decided: edition(),
+                decided: state_digest(),
             },
         ),
         (
@@ -180,15 +178,15 @@
 #[test]
 fn messages_keep_their_bytes() {
     let mut written = String::new();
-    for (name, message) in downward() {
+    for (name, message) in messages_from_control() {
         written += &format!("down {name} {}\n", hex(&frames::encode_frame(&message)));
     }
-    for (name, message) in upward() {
+    for (name, message) in messages_to_control() {
         written += &format!("to_agent {name} {}\n", hex(&frames::encode_frame(&message)));
-        let enveloped: Envelope = Envelope::Agent(message);
+        let envelope: Envelope = Envelope::Agent(message);
         written += &format!(
             "to_control {name} {}\n",
-            hex(&frames::encode_frame(&enveloped))
+            hex(&frames::encode_frame(&envelope))
         );
     }
     for (name, message) in datagrams() {
@@ -216,7 +214,7 @@
             frames::read_frame::<FromControl>(&mut &bytes[..]).unwrap(),
         )
     });
-    assert!(read.eq(downward()
+    assert!(read.eq(messages_from_control()
         .into_iter()
         .map(|(name, message)| (name.to_string(), message))));
     let read = lines("to_agent").into_iter().map(|(name, bytes)| {
@@ -225,7 +223,7 @@
             frames::read_frame::<ToControl>(&mut &bytes[..]).unwrap(),
         )
     });
-    assert!(read.eq(upward()
+    assert!(read.eq(messages_to_control()
         .into_iter()
         .map(|(name, message)| (name.to_string(), message))));
     let read = lines("to_control").into_iter().map(|(name, bytes)| {
@@ -234,7 +232,7 @@
             frames::read_frame::<Envelope>(&mut &bytes[..]).unwrap(),
         )
     });
-    assert!(read.eq(upward()
+    assert!(read.eq(messages_to_control()
         .into_iter()
         .map(|(name, message)| (name.to_string(), Envelope::Agent(message)))));
     let read = lines("datagram")
@@ -245,10 +243,10 @@
         .map(|(name, message)| (name.to_string(), message))));
 }
 
-/// A snapshot between agents is one frame after another, numbered from 1, until the connection ends.
+/// A snapshot is a sequence of frames that ends with the connection.
 #[test]
 fn a_snapshot_is_read_frame_by_frame() {
-    let updates: Vec<FromControl> = downward()
+    let updates: Vec<FromControl> = messages_from_control()
         .into_iter()
         .take(5)
         .map(|(_, message)| message)
