--- a/crates/aspendrum-net/src/connection.rs
+++ b/crates/aspendrum-net/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server, for one exchange at a time.
+//! A connection to a server, which carries one request-response exchange at a time.
 
 use crate::descriptor_permit::DescriptorPermit;
 use crate::http1::Parsed;
@@ -10,44 +10,44 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The buffers and time-outs of a connection.
+/// The buffer sizes and timeouts of a connection.
 #[derive(Clone, Debug)]
 pub struct ConnectionOptions {
-    /// The initial size of each of its two buffers.
+    /// The initial size of each of the two buffers.
     pub initial_buffer_bytes: usize,
-    /// The largest size of each of its two buffers.
+    /// The maximum size of each of the two buffers.
     pub max_buffer_bytes: usize,
-    /// No time-out of a socket is shorter: the system does not accept one of 0.
+    /// The lower bound of socket timeouts. The operating system does not accept a timeout of 0.
     pub min_timeout: Duration,
-    /// How long one write may take.
+    /// The timeout of a single write.
     pub write_timeout: Duration,
-    /// How long one read waits before the deadline is checked again.
+    /// The maximum time that a single read blocks before the deadline is checked again.
     pub read_timeout: Duration,
-    /// A connection that is idle for so long is closed, unless its server named another time.
+    /// A connection that has been idle for this long is closed, unless its server announced a different timeout.
     pub idle_timeout: Duration,
 }
 
 /// A connection to a server.
 pub struct Connection {
-    /// Its socket, which another thread may shut down in order to end an exchange.
+    /// The socket, which another thread may shut down in order to end an exchange.
     pub stream: Arc<TcpStream>,
     incoming: RingBuffer,
     /// The bytes that [`Connection::send`] writes.
     pub outgoing: RingBuffer,
     pub(crate) idle_since: Instant,
     idle_time: Duration,
-    /// How long it may stay idle.
+    /// The maximum time that the connection may stay idle.
     pub idle_timeout: Duration,
-    /// The server's address.
+    /// The address of the server.
     pub address: SocketAddr,
-    /// The time-out of reads as last set: setting it again for each exchange would cost a system call.
+    /// The read timeout currently set on the socket, cached to avoid a system call for each exchange.
     read_timeout: Duration,
     _permit: DescriptorPermit,
 }
 
 impl Connection {
-    /// Connects. `before_connect` receives the socket first, so that another thread can end the attempt by shutting it
-    /// down, and decides whether to go on.
+    /// Opens a connection. `before_connect` receives the socket before the connection attempt, so that another thread
+    /// can abort the attempt by shutting the socket down. If it returns false, no attempt is made.
     pub(crate) fn open(
         address: SocketAddr,
         timeout: Duration,
@@ -82,10 +82,10 @@
         })
     }
 
-    /// Connects; the connection belongs to no pool and is not counted by any.
+    /// Opens a connection that belongs to no pool and is not counted by any.
     ///
     /// # Errors
-    /// The error of the connection attempt.
+    /// Returns the error of the connection attempt.
     pub fn open_unpooled(
         address: SocketAddr,
         timeout: Duration,
@@ -100,50 +100,51 @@
         )
     }
 
-    /// How long it had been idle when it was taken from the pool; 0 for a new one.
+    /// Returns how long the connection had been idle when it was taken from the pool; 0 for a new connection.
     pub fn idle_time(&self) -> Duration {
         self.idle_time
     }
 
-    /// Whether no byte of a response has arrived.
+    /// Whether the receive buffer is empty.
     pub fn nothing_received(&self) -> bool {
         self.incoming.is_empty()
     }
 
-    /// Whether an idle connection may be used again. Bytes that have arrived on it would belong to no request; if it
-    /// has been closed, it would be unknown whether a request written now runs.
+    /// Whether an idle connection may be reused. It must not be reused if bytes have arrived, since they belong to no
+    /// request, or if the server has closed it, since it would be unknown whether a request written to it is executed.
     pub(crate) fn is_reusable(&self) -> bool {
         let mut byte = [0];
-        let is_silent = self.stream.set_nonblocking(true).is_ok()
+        let has_no_input = self.stream.set_nonblocking(true).is_ok()
             && matches!(self.stream.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock);
-        is_silent && self.stream.set_nonblocking(false).is_ok() && self.incoming.is_empty()
+        has_no_input && self.stream.set_nonblocking(false).is_ok() && self.incoming.is_empty()
     }
 
-    /// Whether it has not been idle for too long.
+    /// Whether the connection has been idle for less than its idle timeout.
     pub(crate) fn is_fresh(&self) -> bool {
         self.idle_since.elapsed() < self.idle_timeout
     }
 
-    /// Records how long it has been idle, when it is taken from the pool.
-    pub(crate) fn end_idle(&mut self) {
+    /// Records the idle time when the connection is taken from the pool.
+    pub(crate) fn record_idle_time(&mut self) {
         self.idle_time = self.idle_since.elapsed();
     }
 
-    /// Writes the content of [`Connection::outgoing`].
+    /// Writes the contents of [`Connection::outgoing`].
     ///
     /// # Errors
-    /// [`Outcome::ConnectFailed`]: the last byte was not written, so that the request cannot run.
+    /// Returns [`Outcome::ConnectFailed`] if the request was not written completely, so that the server cannot execute
+    /// it.
     pub fn send(&mut self) -> Result<(), Outcome> {
         self.outgoing
             .drain(&mut &*self.stream)
             .map_err(|_| Outcome::ConnectFailed)
     }
 
-    /// Reads one whole response, as `parse` finds it in the buffer.
+    /// Reads from the connection until `parse` finds a complete response in the buffer.
     ///
     /// # Errors
-    /// The outcome of the exchange: `TimedOut` at the deadline, `Reset` where the connection ended, `Error` where what
-    /// arrived is no response.
+    /// Returns `TimedOut` if the deadline passed, `Reset` if the connection ended, and `Error` if the received bytes
+    /// are not a valid response.
     pub fn receive<T>(
         &mut self,
         deadline: Instant,
@@ -162,13 +163,13 @@
                 return Err(Outcome::TimedOut);
             }
             let timeout = remaining.clamp(options.min_timeout, options.read_timeout);
-            let limited = if timeout == self.read_timeout {
+            let timeout_set = if timeout == self.read_timeout {
                 Ok(())
             } else {
                 stream.set_read_timeout(Some(timeout))
             };
             self.read_timeout = timeout;
-            match limited.and_then(|()| self.incoming.fill(&mut stream)) {
+            match timeout_set.and_then(|()| self.incoming.fill(&mut stream)) {
                 Ok(0) => return Err(Outcome::Reset),
                 Ok(_) => {}
                 Err(e) if is_timeout(&e) || e.kind() == ErrorKind::Interrupted => {}
@@ -178,8 +179,9 @@
     }
 }
 
-/// Closes the sending side, and discards what still arrives, up to that time and number of bytes. A close with unread
-/// bytes would reset the connection, and the peer might never read the response just written (RFC 9112, 9.6).
+/// Shuts down the sending side, then discards received bytes until `timeout` has passed or `max_bytes` were received.
+/// Closing a socket with unread bytes resets the connection, and the peer might not read the response just written (RFC
+/// 9112, 9.6).
 pub fn lingering_close(mut stream: &TcpStream, timeout: Duration, max_bytes: usize) {
     let deadline = Instant::now() + timeout;
     let mut discarded = [0; 1024];
--- a/crates/aspendrum-net/src/daemon.rs
+++ b/crates/aspendrum-net/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The parts that all programs of the system share: command line, log and exit status.
+//! Startup code shared by all programs: command line, logging and exit status.
 
 use crate::process_signals::{ProcessSignals, SignalError};
 use bpaf::Bpaf;
@@ -11,15 +11,15 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
-    /// Runs in the foreground until SIGTERM; SIGHUP reads the settings again
+    /// Runs in the foreground until SIGTERM; SIGHUP reloads the settings
     #[bpaf(command)]
     Serve,
-    /// Reads and checks the settings, and says what is wrong with them
+    /// Checks the settings file and reports any errors
     #[bpaf(command("check-settings"))]
     CheckSettings,
 }
 
-/// Why a program failed. `C` and `S` are the errors of its own checks and of its service.
+/// The reason for a failure exit status. `C` and `S` are the error types of the settings check and of the service.
 #[derive(Debug, Display, Error)]
 enum DaemonError<C, S> {
     #[display("{_0}")]
@@ -32,15 +32,16 @@
     Service(#[error(not(source))] S),
 }
 
-/// Runs a program as its command line says, and returns its exit status. `check` reads the settings and returns the
-/// host's name; `serve` runs until the process is to shut down.
+/// Runs the command given on the command line and returns the exit status. `check` validates the settings and returns
+/// the host name; `serve` runs until the process is shut down.
 pub fn run<C: std::fmt::Display, S: std::fmt::Display>(
     program: &str,
     description: &'static str,
     check: fn() -> Result<String, C>,
     serve: fn(ProcessSignals) -> Result<(), S>,
 ) -> ExitCode {
-    // Before anything else: by default these signals end the process at once, without a graceful shutdown.
+    // Registered before anything else, because by default these signals terminate the process without a graceful
+    // shutdown.
     let signals = ProcessSignals::register();
     let command = command().descr(description).run();
     match execute(&command, signals, check, serve) {
@@ -71,7 +72,7 @@
     }
 }
 
-/// Writes one line of key=value pairs for each event to standard error.
+/// Initializes logging to standard error, with one line of key=value pairs for each event.
 fn start_log() -> Result<(), SetLoggerError> {
     let mut config = ConfigBuilder::new();
     config
--- a/crates/aspendrum-net/src/disconnect_metrics.rs
+++ b/crates/aspendrum-net/src/disconnect_metrics.rs
@@ -1,24 +1,24 @@
-//! Metrics of requests whose clients disconnected. They check an invariant: [`REACTION_DEADLINE`] after a disconnect
-//! was detected, no request of that client is being sent or waits to be sent, and every idempotent attempt has ended or
-//! been aborted.
+//! Metrics of requests whose clients disconnected. They verify an invariant: [`REACTION_DEADLINE`] after a disconnect
+//! was detected, no request of that client is being sent or is waiting to be sent, and every idempotent attempt has
+//! ended or been aborted.
 
 use crate::forward::{ForwardStage, RequestKind};
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// The time after the detection of a disconnect from which on the invariant must hold.
+/// The time after the detection of a disconnect within which the invariant must be restored.
 pub const REACTION_DEADLINE: Duration = Duration::from_millis(500);
 
-/// The time between two lines in the log.
+/// The minimum interval between log lines.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// The kinds of requests, in the order of their declaration, with the values of their metrics' label.
+/// The request kinds in declaration order, with their metric label values.
 const KINDS: [(RequestKind, &str); 2] = [
     (RequestKind::Idempotent, "repeatable"),
     (RequestKind::OnceOnly, "once_only"),
 ];
-/// The stages, in the order of their declaration, with the values of their metrics' label.
+/// The stages in declaration order, with their metric label values.
 const STAGES: [(ForwardStage, &str); 4] = [
     (ForwardStage::Waiting, "waiting"),
     (ForwardStage::Connecting, "dialling"),
@@ -26,27 +26,27 @@
     (ForwardStage::AtServer, "at_server"),
 ];
 
-/// Counters by kind, then by stage.
+/// Counters, indexed by kind and stage.
 type Counters = [[AtomicU64; STAGES.len()]; KINDS.len()];
 
-/// The metrics of one process.
+/// The disconnect metrics of a process.
 #[derive(Default)]
 pub struct DisconnectMetrics {
     disconnects: Counters,
     overdue: Counters,
-    /// Aborted in time, but not dropped by their servers within [`REACTION_DEADLINE`].
+    /// Requests that were aborted in time but not dropped by their servers within [`REACTION_DEADLINE`].
     kept_by_server: Counters,
     sent_late: [AtomicU64; KINDS.len()],
 }
 
 impl DisconnectMetrics {
-    /// Counts a client that disconnected while its request was at that stage.
+    /// Counts a client that disconnected while its request was at the given stage.
     pub fn record_disconnect(&self, kind: RequestKind, stage: ForwardStage) {
         self.disconnects[kind as usize][stage as usize].fetch_add(1, Relaxed);
     }
 
-    /// Counts a request that is still at that stage [`REACTION_DEADLINE`] after the disconnect: a violation, unless it
-    /// was aborted and its server goes on.
+    /// Counts a request that is still at the given stage [`REACTION_DEADLINE`] after the disconnect. This is a
+    /// violation unless the request was aborted and its server continues to execute it.
     pub fn record_overdue(&self, kind: RequestKind, stage: ForwardStage, is_aborted: bool) {
         let counters = if is_aborted {
             &self.kept_by_server
@@ -56,15 +56,15 @@
         counters[kind as usize][stage as usize].fetch_add(1, Relaxed);
     }
 
-    /// Notes that a request is written to a server so long after its client disconnected, and counts it as a violation
-    /// after [`REACTION_DEADLINE`].
+    /// Counts a violation if a request is sent to a server more than [`REACTION_DEADLINE`] after its client
+    /// disconnected.
     pub fn record_send(&self, kind: RequestKind, time_since_disconnect: Duration) {
         if time_since_disconnect > REACTION_DEADLINE {
             self.sent_late[kind as usize].fetch_add(1, Relaxed);
         }
     }
 
-    /// The disconnects so far.
+    /// Returns the total number of disconnects.
     pub fn disconnects(&self) -> u64 {
         self.disconnects
             .iter()
@@ -73,13 +73,13 @@
             .sum()
     }
 
-    /// The violations of the invariant so far.
+    /// Returns the total number of violations of the invariant.
     pub fn violations(&self) -> u64 {
         let violations = self.overdue.iter().flatten().chain(&self.sent_late);
         violations.map(|counter| counter.load(Relaxed)).sum()
     }
 
-    /// All metrics that are not 0, as `name{kind="...",stage="..."} number` a line.
+    /// Formats all nonzero metrics, one per line, as `name{kind="...",stage="..."} value`.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let all = [
@@ -121,7 +121,7 @@
     }
 }
 
-/// Writes one line in the log for all disconnects of a while.
+/// Produces rate-limited log lines about disconnects.
 #[derive(Default)]
 pub struct DisconnectReporter {
     reported_at: Option<Instant>,
@@ -130,7 +130,7 @@
 }
 
 impl DisconnectReporter {
-    /// The next line, if a metric has changed and the previous line is long enough ago.
+    /// Returns the next log line if a metric has changed and [`REPORT_INTERVAL`] has passed since the previous line.
     pub fn next_line(&mut self, metrics: &DisconnectMetrics) -> Option<String> {
         let (disconnects, violations) = (metrics.disconnects(), metrics.violations());
         let has_changed = disconnects > self.disconnects || violations > self.violations;
--- a/crates/aspendrum-net/src/disconnects.rs
+++ b/crates/aspendrum-net/src/disconnects.rs
@@ -1,10 +1,10 @@
 //! Detects clients that close their connections while a request of theirs is in progress (RFC 9112, 9.5:
 //! implementations ought to monitor open connections for a received closure and respond to it).
 //!
-//! A thread that serves a request reads nothing from its client meanwhile. So one thread checks, each [`POLL_INTERVAL`]
-//! and with one `poll`, all connections whose requests have been in progress for [`MIN_REQUEST_AGE`] or longer: a
-//! request that ends sooner costs no system call. The poll also reports a close behind bytes of a next request that
-//! were sent ahead.
+//! A thread that serves a request does not read from its client. A single thread therefore checks every
+//! [`POLL_INTERVAL`], with one `poll` call, all connections whose requests have been in progress for at least
+//! [`MIN_REQUEST_AGE`]. Shorter requests cost no system call. The poll also detects a close behind pipelined bytes of a
+//! next request.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::net::{recv, RecvFlags};
@@ -13,34 +13,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Requests that have been in progress for less than this are not checked.
+/// The minimum age of a request before its client is checked.
 pub const MIN_REQUEST_AGE: Duration = Duration::from_millis(100);
-/// The time between two checks.
+/// The interval between checks.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// A check that is late by more than this shows that this process was suspended: clients may have disconnected
-/// meanwhile, among them clients whose requests are only read now.
+/// A check that is late by more than this indicates that the process was suspended. Clients may have disconnected in
+/// the meantime, including clients whose requests have not been read yet.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(150);
-/// How long after a late check each client is checked before its request is forwarded.
+/// The period after a late check during which each client is checked before its request is forwarded.
 const CATCH_UP_PERIOD: Duration = Duration::from_millis(2000);
-/// The value of an atomic while there is no request or no time in it. Request numbers and times are never 0.
+/// The value of an atomic that holds no request number or no time. Request numbers and times are never 0.
 const NONE: u64 = 0;
 
-/// One connection of a client, and the request on it that is in progress.
+/// A client connection and the request that is in progress on it.
 pub struct ClientConnection {
     stream: Arc<TcpStream>,
     /// The number of the request in progress, or [`NONE`].
     request: AtomicU64,
-    /// When it was read, by the watcher's clock.
+    /// When the request was read, by the clock of the watcher.
     read_at: AtomicU64,
-    /// When the client's close was detected, by the watcher's clock, or [`NONE`].
+    /// When the disconnect was detected, by the clock of the watcher, or [`NONE`].
     disconnected_at: AtomicU64,
-    /// Whether this process has shut down the receiving side itself: `poll` reports that like a client's close.
+    /// Whether this process has shut down the receiving side, which `poll` reports in the same way as a close by the
+    /// client.
     is_closed_here: AtomicBool,
     is_overdue: AtomicBool,
 }
 
 impl ClientConnection {
-    /// A connection without a request.
+    /// Creates a connection without a request in progress.
     pub fn new(stream: Arc<TcpStream>) -> ClientConnection {
         ClientConnection {
             stream,
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Begins a request, under a number that is not 0. Returns false if its client is known to have disconnected:
-    /// nothing may be forwarded for it.
+    /// Begins a request with the given number, which must not be 0. Returns false if the client is known to have
+    /// disconnected, in which case the request must not be forwarded.
     pub fn begin_request(&self, request: u64, watcher: &DisconnectWatcher) -> bool {
         self.read_at.store(watcher.clock(), Ordering::Relaxed);
         self.request.store(request, Ordering::SeqCst);
@@ -63,34 +64,34 @@
         !self.has_disconnected()
     }
 
-    /// Ends the request in progress: it has its response, or needs none.
+    /// Ends the request in progress, which has been answered or needs no response.
     pub fn end_request(&self) {
         self.request.store(NONE, Ordering::SeqCst);
     }
 
-    /// The number of the request in progress.
+    /// Returns the number of the request in progress.
     pub fn request(&self) -> Option<u64> {
         Some(self.request.load(Ordering::SeqCst)).filter(|request| *request != NONE)
     }
 
-    /// Whether the client has closed its connection, or its sending side.
+    /// Whether a disconnect of the client was detected.
     pub fn has_disconnected(&self) -> bool {
         self.disconnected_at.load(Ordering::SeqCst) != NONE
     }
 
-    /// How long ago the client's close was detected.
+    /// Returns the time since the disconnect was detected, if there was one.
     pub fn time_since_disconnect(&self, watcher: &DisconnectWatcher) -> Option<Duration> {
         let at = self.disconnected_at.load(Ordering::SeqCst);
         (at != NONE).then(|| Duration::from_millis(watcher.clock().saturating_sub(at)))
     }
 
-    /// Marks the request as still in progress long after its client disconnected. Returns true the first time.
+    /// Marks the connection as having a request that is overdue after the disconnect. Returns true only the first time.
     pub fn mark_overdue(&self) -> bool {
         !self.is_overdue.swap(true, Ordering::Relaxed)
     }
 
-    /// Ends a connection between requests: shuts down the receiving side alone, and only if nothing has arrived, so
-    /// that a request that is on its way is still answered.
+    /// Shuts down the receiving side of a connection between requests, unless bytes have already arrived. The sending
+    /// side stays open, so that a request in flight is still answered.
     pub fn shut_down_if_idle(&self) {
         if self.is_closed_here.load(Ordering::Relaxed) || self.has_received_bytes() {
             return;
@@ -99,7 +100,7 @@
         let _ = self.stream.shutdown(Shutdown::Read);
     }
 
-    /// Returns true the first time.
+    /// Records the time of the disconnect. Returns true only the first time.
     fn mark_disconnected(&self, watcher: &DisconnectWatcher) -> bool {
         let now = watcher.clock();
         self.disconnected_at
@@ -120,7 +121,7 @@
         !self.is_closed_here.load(Ordering::SeqCst) && has_hung_up(&self.stream)
     }
 
-    /// Whether its request has been in progress for long enough to be checked.
+    /// Whether the request in progress is old enough to be checked, and the connection is still open.
     fn needs_check(&self, now: u64) -> bool {
         let read_at = self.read_at.load(Ordering::Relaxed);
         self.request().is_some()
@@ -130,10 +131,10 @@
     }
 }
 
-/// The clock and the checks of one process.
+/// Periodically polls client connections for disconnects, and detects suspensions of the process.
 pub struct DisconnectWatcher {
     started_at: Instant,
-    /// The last check, by this clock.
+    /// The time of the last check.
     polled_at: AtomicU64,
     catching_up_until: AtomicU64,
     last_poll_was_late: AtomicBool,
@@ -153,12 +154,12 @@
 }
 
 impl DisconnectWatcher {
-    /// Milliseconds since the start; never [`NONE`].
+    /// Returns the milliseconds since the start of the watcher, which is never [`NONE`].
     fn clock(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64 + 1
     }
 
-    /// Whether it is time for the next check.
+    /// Whether the next check is due.
     pub fn is_due(&self) -> bool {
         self.time_since_poll() >= POLL_INTERVAL
     }
@@ -170,7 +171,7 @@
         )
     }
 
-    /// Whether this process was suspended before the last check, so that no thread could react in time.
+    /// Whether the process was suspended before the last check, so that no thread could react in time.
     pub fn was_suspended(&self) -> bool {
         self.last_poll_was_late.load(Ordering::Relaxed)
     }
@@ -179,27 +180,27 @@
         self.time_since_poll() > POLL_INTERVAL + SUSPENSION_THRESHOLD
     }
 
-    /// Whether this process was suspended a short while ago.
+    /// Whether the process was suspended within the last [`CATCH_UP_PERIOD`].
     fn is_catching_up(&self) -> bool {
-        self.note_suspension();
+        self.detect_suspension();
         self.clock() < self.catching_up_until.load(Ordering::Relaxed)
     }
 
-    fn note_suspension(&self) {
+    fn detect_suspension(&self) {
         if self.is_poll_late() {
             let until = self.clock() + CATCH_UP_PERIOD.as_millis() as u64;
             self.catching_up_until.store(until, Ordering::Relaxed);
         }
     }
 
-    /// Checks the connections. Returns those whose clients are now found to have disconnected, each once.
+    /// Checks the connections. Returns those whose disconnect was detected by this call.
     pub fn poll_disconnects<C: AsRef<ClientConnection>>(
         &self,
         connections: &[Arc<C>],
     ) -> Vec<Arc<C>> {
         self.last_poll_was_late
             .store(self.is_poll_late(), Ordering::Relaxed);
-        self.note_suspension();
+        self.detect_suspension();
         let now = self.clock();
         self.polled_at.store(now, Ordering::Relaxed);
         let checked: Vec<&Arc<C>> = connections
@@ -216,12 +217,12 @@
     }
 }
 
-/// Whether the peer has closed the connection, or its sending side, or has reset it.
+/// Whether the peer has closed the connection or its sending side, or has reset the connection.
 pub fn has_hung_up(stream: &TcpStream) -> bool {
     poll_hung_up(&[stream]) == [true]
 }
 
-/// Whether the peer of each has closed it, or its sending side, or has reset it.
+/// Returns for each stream whether its peer has closed it or its sending side, or has reset it.
 fn poll_hung_up(streams: &[&TcpStream]) -> Vec<bool> {
     if streams.is_empty() {
         return Vec::new();
@@ -234,7 +235,7 @@
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // If the poll fails, nobody counts as disconnected; the next poll is soon.
+    // If the poll fails, no client is reported as disconnected; the next poll follows soon.
     let _ = poll(&mut polled, Some(&no_wait));
     let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     polled
--- a/crates/aspendrum-net/src/forward.rs
+++ b/crates/aspendrum-net/src/forward.rs
@@ -1,62 +1,63 @@
-//! A handle through which other threads observe the progress of a request that is being forwarded, and abort it.
+//! A handle with which other threads observe a request that is being forwarded, and abort it.
 
 use crate::threads::lock;
 use std::net::{Shutdown, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The stage of a request on its way to a server.
+/// The stage of forwarding a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardStage {
-    /// It waits for capacity at a server, for the answer of a counter, or to be sent to a further server.
+    /// No attempt is in flight: the request is waiting for server capacity, for a quota counter, or for a retry.
     Waiting,
     /// A connection to a server is being taken from the pool or opened.
     Connecting,
-    /// It is being written, and may not have been sent completely.
+    /// The request is being written and may not have been sent completely.
     Sending,
-    /// It has been sent completely.
+    /// The request has been sent completely.
     AtServer,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may run any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// It may run once only.
+    /// The request must not be executed more than once.
     OnceOnly,
 }
 
 /// The progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// The stage of its present attempt.
+    /// The stage of the current attempt.
     pub stage: ForwardStage,
-    /// Whether that attempt was aborted at that stage.
+    /// Whether the current attempt was aborted at this stage.
     pub is_aborted: bool,
-    /// How long ago its last attempt ended, if that was after its client disconnected: the request is about to end.
+    /// The time since the last attempt ended, if it ended after the client disconnected. The request is about to end
+    /// then.
     pub ended_ago: Option<Duration>,
 }
 
-/// A request's attempts to be forwarded, one after another, numbered from 0.
+/// The attempts to forward a request. They are sequential and numbered from 0.
 pub struct ForwardHandle {
-    /// Whether the request may run more than once.
+    /// Whether the request may be executed more than once.
     pub kind: RequestKind,
     state: Mutex<State>,
 }
 
 #[derive(Default)]
 struct State {
-    /// Attempts below this number are cancelled.
+    /// Attempts with numbers below this are cancelled.
     cancelled_below: u16,
-    /// The client has disconnected: no further attempt begins.
+    /// Whether the client has disconnected. No further attempt may begin then.
     is_client_disconnected: bool,
-    /// When an attempt that was in flight at the disconnect ended.
+    /// When the last attempt ended after the disconnect.
     ended_at: Option<Instant>,
     in_flight: Option<InFlight>,
 }
 
-/// The attempt in flight.
+/// An attempt in flight.
 struct InFlight {
     attempt: u8,
     stream: Arc<TcpStream>,
@@ -75,7 +76,7 @@
 }
 
 impl ForwardHandle {
-    /// The handle of a request without an attempt.
+    /// Creates a handle without an attempt in flight.
     pub fn new(kind: RequestKind) -> ForwardHandle {
         ForwardHandle {
             kind,
@@ -87,7 +88,8 @@
         lock(&self.state)
     }
 
-    /// Begins an attempt, which has a socket, connected or not. Returns false if it was cancelled before.
+    /// Begins an attempt on the given socket, which need not be connected yet. Returns false, without beginning the
+    /// attempt, if it was cancelled or the client has disconnected.
     pub fn begin_attempt(&self, attempt: u8, stream: &Arc<TcpStream>) -> bool {
         let mut state = self.state();
         let may_proceed = state.may_proceed(attempt);
@@ -103,8 +105,8 @@
         may_proceed
     }
 
-    /// Moves an attempt on to that stage: its request is about to be written, or has been written completely. Returns
-    /// false if it was cancelled before.
+    /// Advances an attempt to the given stage. Returns false if the attempt was cancelled or the client has
+    /// disconnected.
     pub fn advance(&self, attempt: u8, stage: ForwardStage) -> bool {
         let mut state = self.state();
         if let Some(in_flight) = state.in_flight.as_mut().filter(|f| f.attempt == attempt) {
@@ -113,8 +115,8 @@
         state.may_proceed(attempt)
     }
 
-    /// Ends an attempt: from now on no late cancellation shuts down its connection. Returns true if it was cancelled or
-    /// aborted, or never began for that reason.
+    /// Ends an attempt, so that a late cancellation no longer shuts down its connection. Returns true if the attempt
+    /// was cancelled or aborted, or did not begin because the client had disconnected.
     pub fn end_attempt(&self, attempt: u8) -> bool {
         let mut state = self.state();
         if state.is_client_disconnected {
@@ -128,7 +130,8 @@
         is_aborted || state.is_cancelled(attempt)
     }
 
-    /// Cancels the attempts up to this one, and shuts down the connection of the one in flight.
+    /// Cancels all attempts up to and including the given one, and shuts down the connection if one of them is in
+    /// flight.
     pub fn cancel_up_to(&self, attempt: u8) {
         let mut state = self.state();
         state.cancelled_below = state.cancelled_below.max(u16::from(attempt) + 1);
@@ -137,9 +140,9 @@
         }
     }
 
-    /// The client has disconnected. No further attempt begins, and an attempt that has not been sent completely is
-    /// aborted: no server runs an incomplete request (RFC 9112, 8). An attempt that is at a server may still end by
-    /// itself. Returns the stage at the disconnect.
+    /// Records that the client has disconnected. No further attempt begins. An attempt that has not been sent
+    /// completely is aborted, since servers do not execute incomplete requests (RFC 9112, 8). An attempt that has been
+    /// sent completely is not affected. Returns the stage at the disconnect.
     pub fn handle_disconnect(&self) -> ForwardStage {
         let mut state = self.state();
         state.is_client_disconnected = true;
@@ -153,8 +156,9 @@
         in_flight.stage
     }
 
-    /// Aborts an idempotent attempt, by shutting down our sending side: its server drops it and closes, and its
-    /// capacity is in use until then. An attempt that may run once only is left to end.
+    /// Aborts the attempt in flight if the request is idempotent, by shutting down the sending side. The server then
+    /// drops the request and closes the connection; its capacity is in use until then. Other requests are left to
+    /// complete.
     pub fn abort_idempotent(&self) {
         let mut state = self.state();
         let Some(in_flight) = &mut state.in_flight else {
@@ -166,7 +170,7 @@
         }
     }
 
-    /// The progress of the request.
+    /// Returns the progress of the request.
     pub fn progress(&self) -> Progress {
         let state = self.state();
         let in_flight = state.in_flight.as_ref();
--- a/crates/aspendrum-net/src/frames.rs
+++ b/crates/aspendrum-net/src/frames.rs
@@ -1,5 +1,5 @@
-//! Framed connections between the system's own processes: each message is encoded with postcard, behind its length in
-//! four bytes, little-endian.
+//! Framed connections between the processes of the system. A frame is the length of the message as a 4-byte
+//! little-endian integer, followed by the message encoded with postcard.
 
 use crate::mailbox::{self, MailboxReceiver, MailboxSender};
 use crate::threads::spawn;
@@ -12,12 +12,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The length limit of a frame, so that a faulty sender cannot make a receiver allocate without limit.
+/// The maximum length of a message in a frame, which bounds the memory that a faulty sender can make a receiver
+/// allocate.
 pub const MAX_FRAME_BYTES: usize = 32 << 20;
 const LENGTH_BYTES: usize = 4;
 const WRITER_STACK_BYTES: usize = 96 << 10;
 
-/// The bytes of a frame. A message that cannot be encoded gives an empty frame, which no receiver can decode.
+/// Encodes a message as a frame. A message that cannot be encoded results in an empty frame, which receivers reject.
 pub fn encode_frame<T: Serialize>(message: &T) -> Vec<u8> {
     let body = postcard::to_allocvec(message).unwrap_or_default();
     let mut frame = (body.len() as u32).to_le_bytes().to_vec();
@@ -27,8 +28,9 @@
 
 /// Reads one frame.
 ///
-/// # Errors The error of the read; `UnexpectedEof` if the input ends before the frame does; `InvalidData` if the frame
-/// is too long or is not such a message.
+/// # Errors
+/// Returns the error of the read, `UnexpectedEof` if the input ends within the frame, or `InvalidData` if the frame is
+/// too long or cannot be decoded.
 pub fn read_frame<T: DeserializeOwned>(from: &mut impl Read) -> io::Result<T> {
     let mut length = [0; LENGTH_BYTES];
     from.read_exact(&mut length)?;
@@ -47,20 +49,19 @@
 /// The sending half of a framed connection. Sending never blocks: if the peer reads too slowly and the queue is full,
 /// the connection is closed.
 pub struct Link {
-    /// Encoded frames for the writer thread. An empty one, which encoding never gives, ends the connection.
+    /// Encoded frames for the writer thread. An empty vector, which encoding never produces, ends the connection.
     frames: MailboxSender<Vec<u8>>,
     stream: Arc<TcpStream>,
-    /// Whether [`Link::finish`] was called: the writer thread closes the connection after the frames in its queue.
+    /// Whether [`Link::finish`] was called, so that the writer thread closes the connection after the queued frames.
     is_finishing: AtomicBool,
 }
 
 impl Link {
-    /// The sending half over a stream, with a writer thread of its own. `ack_timeout`: the connection ends when sent
-    /// bytes stay unacknowledged by the peer's system for so long (TCP_USER_TIMEOUT). `capacity`: how many messages may
-    /// wait.
+    /// Creates the sending half of a connection and spawns its writer thread. The connection fails if sent bytes remain
+    /// unacknowledged for longer than `ack_timeout` (`TCP_USER_TIMEOUT`). At most `capacity` messages can be queued.
     ///
     /// # Errors
-    /// The stream cannot be set up, or no thread can be spawned.
+    /// Returns an error if a socket option cannot be set or the thread cannot be spawned.
     pub fn from_stream(
         stream: Arc<TcpStream>,
         ack_timeout: Duration,
@@ -84,19 +85,19 @@
     /// Connects to a peer.
     ///
     /// # Errors
-    /// The error of the connection attempt.
+    /// Returns the error of the connection attempt.
     pub fn connect(peer: SocketAddrV4, timeout: Duration) -> io::Result<Arc<TcpStream>> {
         TcpStream::connect_timeout(&peer.into(), timeout).map(Arc::new)
     }
 
-    /// Queues a message without waiting. If the queue is full, the connection is closed.
+    /// Queues a message without blocking. If the queue is full, the connection is closed.
     pub fn send<T: Serialize>(&self, message: &T) {
         if self.frames.try_send(encode_frame(message)).is_err() {
             self.close();
         }
     }
 
-    /// Closes the connection once all queued messages have been written.
+    /// Closes the connection after all queued messages have been written, or immediately if the queue is full.
     pub fn finish(&self) {
         if self.frames.try_send(Vec::new()).is_ok() {
             self.is_finishing.store(true, Ordering::Release);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Closes the connection now.
+    /// Closes the connection immediately.
     pub fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
--- a/crates/aspendrum-net/src/http1.rs
+++ b/crates/aspendrum-net/src/http1.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 messages (RFC 9112): parsing of requests and responses out of a buffer, headers, and encoding.
+//! HTTP/1.1 messages (RFC 9112): parsing requests and responses from a buffer, header fields, and encoding.
 //!
-//! A message whose framing is in doubt is refused: with two lengths, or a length beside chunks, two parties could see
-//! different messages in the same bytes, which is how requests are smuggled (RFC 9112, 11.2).
+//! A message with ambiguous framing is rejected. If it has several lengths, or a length and a transfer coding, two
+//! recipients could parse different messages from the same bytes, which enables request smuggling (RFC 9112, 11.2).
 
 mod body;
 mod encode;
--- a/crates/aspendrum-net/src/http1/body.rs
+++ b/crates/aspendrum-net/src/http1/body.rs
@@ -6,35 +6,36 @@
 
 /// How the end of a body is found.
 pub enum BodyLength {
-    /// By its number of bytes.
+    /// By its length in bytes.
     Known(usize),
     /// By the chunked transfer coding.
     Chunked,
-    /// The headers do not say.
+    /// The header fields do not specify it.
     Unknown,
 }
 
-/// The headers say nothing clear about the body's length.
+/// The header fields do not determine the length of the body unambiguously.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq)]
-#[display("the length of the message's body is ambiguous")]
+#[display("ambiguous message body length")]
 pub struct FramingError;
 
-/// A whole body.
+/// A complete message body.
 #[derive(Debug, PartialEq)]
 pub struct ParsedBody {
-    /// Where it ends in the buffer.
+    /// The offset in the buffer at which the body ends.
     pub end: usize,
-    /// Its content, without any framing.
+    /// The content without framing.
     pub content: Vec<u8>,
 }
 
-/// A chunk's size line is shorter than this, extensions included.
+/// The maximum length of a chunk size line, including extensions, in bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 64;
 
-/// How the end of the body is found, by the headers.
+/// Determines from the header fields how the end of the body is found.
 ///
 /// # Errors
-/// [`FramingError`] if there are two different lengths, a length beside a transfer coding, or either cannot be read.
+/// Returns [`FramingError`] if the fields contain different lengths, a length and a transfer coding, or an invalid
+/// value.
 pub fn body_length(headers: &[httparse::Header<'_>]) -> Result<BodyLength, FramingError> {
     let mut found = BodyLength::Unknown;
     for header in headers {
@@ -50,7 +51,7 @@
     Ok(found)
 }
 
-/// What one field says of the body's length; `None` if it is not about that, whatever its value.
+/// Returns the body length that a header field specifies, or `None` if the field does not concern the body length.
 fn length_of_header(header: &httparse::Header<'_>) -> Result<Option<BodyLength>, FramingError> {
     let is_length = header.name.eq_ignore_ascii_case("content-length");
     if !is_length && !header.name.eq_ignore_ascii_case("transfer-encoding") {
@@ -72,7 +73,7 @@
     Ok(Some(BodyLength::Known(value.parse().unwrap_or(usize::MAX))))
 }
 
-/// Parses a chunked body at the start of `bytes`, of at most `max_bytes` of content.
+/// Parses a chunked body at the start of `bytes` with at most `max_bytes` of content.
 pub fn parse_chunked(bytes: &[u8], max_bytes: usize) -> Parsed<ParsedBody> {
     let (mut position, mut content) = (0, Vec::new());
     loop {
@@ -107,7 +108,7 @@
     }
 }
 
-/// How many bytes the trailers take up, with the empty line that ends them. Their content does not matter.
+/// Returns the length of the trailer section, including the empty line that ends it. The trailers are discarded.
 fn end_of_trailers(bytes: &[u8]) -> Option<usize> {
     if bytes.starts_with(b"\r\n") {
         return Some(2);
@@ -116,7 +117,7 @@
     Some(end + 4)
 }
 
-/// The body that begins at `start` of the message.
+/// Parses the body that begins at offset `start` of the message.
 pub(super) fn parse_body(
     bytes: &[u8],
     start: usize,
--- a/crates/aspendrum-net/src/http1/encode.rs
+++ b/crates/aspendrum-net/src/http1/encode.rs
@@ -1,6 +1,6 @@
-//! Encoding of the responses that this program produces itself, rather than forwards.
+//! Encoding of responses that are generated locally rather than forwarded.
 
-/// The reason phrase of a status (RFC 9110, 15).
+/// Returns the reason phrase of a status code (RFC 9110, 15).
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -23,7 +23,7 @@
     }
 }
 
-/// The bytes of a whole response. `close`: the connection is closed after it.
+/// Encodes a complete response. `close` adds a header field that announces the end of the connection.
 pub fn encode_response(status: u16, headers: &[(&str, &str)], close: bool, body: &[u8]) -> Vec<u8> {
     let reason = reason_phrase(status);
     let mut head = format!(
--- a/crates/aspendrum-net/src/http1/header.rs
+++ b/crates/aspendrum-net/src/http1/header.rs
@@ -1,9 +1,9 @@
-//! Header fields: look-ups, and what they mean for the connection.
+//! Lookup of header fields, and header fields that concern the connection.
 
-/// The fields of a message in their order: names in the sender's spelling, and values.
+/// The header fields of a message in their original order and spelling, as names and values.
 pub type Headers = Vec<(String, Vec<u8>)>;
 
-/// The fields that always concern one connection only (RFC 9110, 7.6.1), and those that each hop writes itself.
+/// Header fields that always concern a single connection (RFC 9110, 7.6.1), and those that each hop generates itself.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -16,7 +16,7 @@
     "expect",
 ];
 
-/// The value of the first field of that name.
+/// Returns the value of the first field with the given name.
 pub fn raw_header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a [u8]> {
     headers
         .iter()
@@ -24,15 +24,15 @@
         .map(|h| h.value)
 }
 
-/// The value of the first field of that name, trimmed; `None` also if it is not UTF-8.
+/// Returns the trimmed value of the first field with the given name, or `None` if it is missing or not UTF-8.
 pub fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
     std::str::from_utf8(raw_header(headers, name)?)
         .ok()
         .map(str::trim)
 }
 
-/// Whether the sender closes the connection after the message, by its `Connection` field and by its minor version
-/// (RFC 9112, 9.3).
+/// Whether the sender closes the connection after the message, according to its `Connection` field and HTTP minor
+/// version (RFC 9112, 9.3).
 pub fn wants_close(headers: &[httparse::Header<'_>], minor_version: Option<u8>) -> bool {
     let options = header(headers, "Connection").unwrap_or("");
     let has_option = |name: &str| {
@@ -43,22 +43,23 @@
     has_option("close") || minor_version == Some(0) && !has_option("keep-alive")
 }
 
-/// The value of the only field of that name, trimmed; `None` if there is none, more than one, or it is not UTF-8.
+/// Returns the trimmed value of the only field with the given name, or `None` if there is not exactly one or it is not
+/// UTF-8.
 pub fn single_header<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     let mut found = headers.iter().filter(|h| h.0.eq_ignore_ascii_case(name));
     let value = found.next().filter(|_| found.next().is_none())?;
     std::str::from_utf8(&value.1).ok().map(str::trim)
 }
 
-/// Whether there is a field of that name.
+/// Whether there is a field with the given name.
 pub fn has_header(headers: &Headers, name: &str) -> bool {
     headers.iter().any(|h| h.0.eq_ignore_ascii_case(name))
 }
 
-/// Whether a field concerns one connection only and must not be forwarded: always, or because `Connection` names it
-/// (RFC 9110, 7.6.1).
+/// Whether a field concerns a single connection and must not be forwarded, either always or because the `Connection`
+/// field lists it (RFC 9110, 7.6.1).
 pub fn is_hop_by_hop(headers: &Headers, name: &str) -> bool {
-    let names_it = |(field, value): &(String, Vec<u8>)| {
+    let is_listed = |(field, value): &(String, Vec<u8>)| {
         field.eq_ignore_ascii_case("connection")
             && std::str::from_utf8(value).is_ok_and(|v| {
                 v.split(',')
@@ -68,10 +69,10 @@
     HOP_BY_HOP
         .iter()
         .any(|field| field.eq_ignore_ascii_case(name))
-        || headers.iter().any(names_it)
+        || headers.iter().any(is_listed)
 }
 
-/// Copies the fields out of the buffer that they were parsed in.
+/// Copies the fields from the buffer in which they were parsed.
 pub(super) fn to_owned(headers: &[httparse::Header<'_>]) -> Headers {
     headers
         .iter()
--- a/crates/aspendrum-net/src/http1/parse.rs
+++ b/crates/aspendrum-net/src/http1/parse.rs
@@ -1,4 +1,4 @@
-//! Whole requests and responses out of a connection's buffer.
+//! Parsing of complete requests and responses from the buffer of a connection.
 
 use super::body::{body_length, parse_body, BodyLength};
 use super::header::{to_owned, wants_close, Headers};
@@ -9,50 +9,50 @@
 };
 use crate::ring_buffer::RingBuffer;
 
-/// The most header fields of one message.
+/// The maximum number of header fields in a message.
 const MAX_HEADERS: usize = 64;
 
-/// The most bytes of a message's parts.
+/// The maximum sizes of the parts of a message.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageLimits {
-    /// The start line and the headers.
+    /// The maximum size of the start line and header section, in bytes.
     pub head_bytes: usize,
-    /// The body's content.
+    /// The maximum size of the content, in bytes.
     pub body_bytes: usize,
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Its target as it came: a path, and a query.
+    /// The request target as received: a path and an optional query.
     pub path: String,
-    /// Its header fields.
+    /// The header fields.
     pub headers: Headers,
-    /// Its body, without any framing.
+    /// The content, without framing.
     pub body: Vec<u8>,
     /// Whether the client wants the connection closed after the response.
     pub close: bool,
 }
 
-/// A whole response.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Its status code.
+    /// The status code.
     pub status: u16,
-    /// Its reason phrase.
+    /// The reason phrase.
     pub reason: String,
-    /// Its header fields.
+    /// The header fields.
     pub headers: Headers,
-    /// Its body, without any framing.
+    /// The content, without framing.
     pub body: Vec<u8>,
-    /// Whether the server closes the connection after it.
+    /// Whether the server closes the connection after the response.
     pub close: bool,
 }
 
-/// Removes one request from the front of the buffer if it has arrived completely. [`Parsed::Invalid`] carries the
-/// status for its sender.
+/// Removes a request from the front of the buffer if it has been received completely. [`Parsed::Invalid`] carries the
+/// status code for the sender.
 pub fn parse_request(buffer: &mut RingBuffer, limits: &MessageLimits) -> Parsed<Request> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
@@ -91,9 +91,9 @@
     Parsed::Complete(request)
 }
 
-/// Removes one response from the front of the buffer if it has arrived completely, and the interim responses (1xx)
-/// before it. A response without a length, which ends with the connection, is invalid: it cannot be distinguished from
-/// one that was cut short.
+/// Removes a response from the front of the buffer if it has been received completely, and the interim responses (1xx)
+/// before it. A response without a length, which ends with the connection, is invalid because it cannot be
+/// distinguished from a truncated one.
 pub fn parse_response(buffer: &mut RingBuffer, limits: &MessageLimits) -> Parsed<Response> {
     loop {
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
--- a/crates/aspendrum-net/src/http1/parsed.rs
+++ b/crates/aspendrum-net/src/http1/parsed.rs
@@ -1,12 +1,12 @@
-//! The outcome of parsing what has arrived so far.
+//! The result of parsing a partially received message.
 
-/// What a buffer holds so far.
+/// The result of parsing the contents of a buffer.
 pub enum Parsed<T> {
-    /// The beginning of a message: more bytes are needed.
+    /// More bytes are needed.
     Incomplete,
-    /// A whole message.
+    /// A complete message.
     Complete(T),
-    /// The bytes are no valid message. Carries the HTTP status to answer with: to the sender for a request, to the
-    /// waiting client for a response.
+    /// The bytes are not a valid message. Carries the HTTP status code to respond with, to the sender of an invalid
+    /// request or to the client waiting for a response.
     Invalid(u16),
 }
--- a/crates/aspendrum-net/src/http_client.rs
+++ b/crates/aspendrum-net/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A client for short calls to the platform and to control: one after another, on a connection that is kept between
+//! A client for short, sequential HTTP calls to the platform and to control. It keeps its connection open between
 //! calls.
 
 use crate::connection::{Connection, ConnectionOptions};
@@ -9,21 +9,21 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-/// Why a call has no response. Operators see its text behind the address.
+/// The reason why a call failed. The text is shown to operators after the address of the server.
 #[derive(Debug, Display, Error)]
 pub enum HttpClientError {
-    /// There is no connection.
+    /// The connection could not be established.
     #[display("{_0}")]
     Connect(io::Error),
-    /// The request is larger than the limits.
+    /// The request exceeds the size limits.
     #[display("{_0}")]
     RequestTooLarge(io::Error),
-    /// The connection failed, no response came in time, or what came is no response.
+    /// The connection failed, no response was received in time, or the response is invalid.
     #[display("{}", outcome_name(*_0))]
     Exchange(#[error(not(source))] Outcome),
 }
 
-/// The name of an exchange's failure, as operators know it.
+/// Returns the name of an outcome as shown to operators.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::ConnectFailed => "ConnectFailed",
@@ -33,7 +33,7 @@
     }
 }
 
-/// A client of one server.
+/// A client of a single server.
 pub struct HttpClient {
     server: SocketAddrV4,
     limits: MessageLimits,
@@ -42,7 +42,7 @@
 }
 
 impl HttpClient {
-    /// A client of that server, with limits on its requests and responses. It does not connect yet.
+    /// Creates a client with limits on the size of requests and responses. It connects on the first call.
     pub fn new(server: SocketAddrV4, limits: MessageLimits) -> HttpClient {
         let options = ConnectionOptions {
             initial_buffer_bytes: 4 << 10,
@@ -60,16 +60,16 @@
         }
     }
 
-    /// The server's address.
+    /// Returns the address of the server.
     pub fn server(&self) -> SocketAddrV4 {
         self.server
     }
 
-    /// Makes one call, within `timeout`. Only for idempotent calls: if a kept connection fails, which the server may
-    /// have closed while it was idle, the call is retried on a new one.
+    /// Makes a call that is limited to `timeout`. The call must be idempotent: if it fails on a reused connection,
+    /// which the server may have closed while it was idle, it is retried on a new one.
     ///
     /// # Errors
-    /// [`HttpClientError`]: why there is no response.
+    /// Returns [`HttpClientError`] if there is no valid response.
     pub fn call(
         &mut self,
         method: &str,
@@ -106,7 +106,7 @@
         Ok(response)
     }
 
-    /// The kept connection, or a new one.
+    /// Returns the idle connection, or opens a new one.
     fn take_connection(&mut self, deadline: Instant) -> Result<Connection, HttpClientError> {
         if let Some(connection) = self.connection.take() {
             return Ok(connection);
--- a/crates/aspendrum-net/src/http_server.rs
+++ b/crates/aspendrum-net/src/http_server.rs
@@ -1,5 +1,5 @@
-//! A server for short HTTP calls: one function answers every request. Each connection has a thread, which is reused for
-//! later connections.
+//! A server for short HTTP calls with a single handler function. Each connection is served by a thread of a worker
+//! pool.
 
 use crate::connection::lingering_close;
 use crate::disconnects::has_hung_up;
@@ -13,31 +13,31 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// The memory, limits and times of a server.
+/// The resource limits and timeouts of a server.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// The size of each thread's stack.
+    /// The stack size of each thread, in bytes.
     pub stack_bytes: usize,
     /// The limits on each request.
     pub limits: MessageLimits,
-    /// A connection on which nothing arrives for so long is closed.
+    /// The timeout of each read from and write to a connection, after which it is closed.
     pub idle_timeout: Duration,
-    /// A thread without work for so long ends.
+    /// The time after which an idle thread terminates.
     pub worker_idle_timeout: Duration,
 }
 
-/// The answer to one request.
+/// The response to a request.
 pub struct Reply {
     /// The status code.
     pub status: u16,
-    /// The header fields, but for those of the body's length and of the connection.
+    /// The header fields, except `Content-Length` and `Connection`.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// A status alone.
+    /// Creates a response without content.
     pub fn plain(status: u16) -> Reply {
         Reply {
             status,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Success, with a text.
+    /// Creates a successful response with plain text.
     pub fn text(body: String) -> Reply {
         Reply {
             status: 200,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Success, with JSON.
+    /// Creates a successful response with JSON.
     pub fn json(body: Vec<u8>) -> Reply {
         Reply {
             status: 200,
@@ -65,18 +65,18 @@
     }
 }
 
-/// The time between two attempts to accept a connection while no descriptor is free.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// The delay after a failed `accept`, for example because no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const INITIAL_BUFFER_BYTES: usize = 1 << 10;
-/// How many bytes chunk sizes and trailers may take up in addition to a request's head and content.
-const FRAMING_BYTES: usize = 1024;
+/// The buffer space for chunk sizes and trailers, in addition to the limits of the head and the content.
+const MAX_FRAMING_BYTES: usize = 1024;
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-const LINGER_MAX_BYTES: usize = 64 << 10;
+const MAX_LINGER_BYTES: usize = 64 << 10;
 
-/// Listens at that address, and answers requests by `serve` until the process ends.
+/// Binds the address and spawns a thread that accepts connections while the process runs. `serve` handles each request.
 ///
 /// # Errors
-/// The address cannot be bound, or no thread can be spawned.
+/// Returns an error if the address cannot be bound or the thread cannot be spawned.
 pub fn listen(
     address: SocketAddrV4,
     options: ServerOptions,
@@ -87,11 +87,11 @@
     let workers = WorkerPool::new(options.stack_bytes, options.worker_idle_timeout);
     spawn("http-server", options.stack_bytes, move || loop {
         let Ok((stream, _)) = listener.accept() else {
-            sleep(ACCEPT_RETRY);
+            sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
         let (serve, options) = (serve.clone(), options.clone());
-        // Without a thread the connection is closed, and its client tries another node.
+        // If no thread can be spawned, the connection is closed and the client tries another node.
         let _ = workers.run(Box::new(move || {
             serve_connection(&stream, &options, &*serve)
         }));
@@ -107,7 +107,7 @@
 
 fn serve_connection(stream: &TcpStream, options: &ServerOptions, serve: &dyn Fn(Request) -> Reply) {
     let limits = &options.limits;
-    let max_bytes = limits.head_bytes + limits.body_bytes + FRAMING_BYTES;
+    let max_bytes = limits.head_bytes + limits.body_bytes + MAX_FRAMING_BYTES;
     let mut buffer = RingBuffer::new(INITIAL_BUFFER_BYTES, max_bytes);
     if set_options(stream, options).is_err() {
         return;
@@ -119,9 +119,9 @@
                 _ => return,
             },
             Parsed::Invalid(status) => (Reply::plain(status), true),
-            // The client has disconnected, perhaps while this machine was suspended and the request lay in the socket.
-            // It may have sent the opposite command to another node since, so this one must not run. A GET is safe (RFC
-            // 9110, 9.2.1) and is answered.
+            // The client has disconnected, possibly while this machine was suspended and the request was in the socket
+            // buffer. The client may have sent the opposite command to another node in the meantime, so this one must
+            // not be executed. GET requests are safe (RFC 9110, 9.2.1) and are served.
             Parsed::Complete(request) if request.method != "GET" && has_hung_up(stream) => return,
             Parsed::Complete(request) => {
                 let close = request.close;
@@ -132,7 +132,7 @@
             return;
         }
         if close {
-            lingering_close(stream, LINGER_TIMEOUT, LINGER_MAX_BYTES);
+            lingering_close(stream, LINGER_TIMEOUT, MAX_LINGER_BYTES);
             return;
         }
     }
--- a/crates/aspendrum-net/src/lib.rs
+++ b/crates/aspendrum-net/src/lib.rs
@@ -1,28 +1,28 @@
-//! The networking that the programs share: HTTP/1.1 messages, a client and a server for short calls, pooled connections
-//! to servers, framed connections between the system's own processes, mailboxes and threads. Nothing here decides where
-//! a request goes.
+//! Networking shared by the programs: HTTP/1.1 messages, a client and a server for short calls, pooled connections to
+//! servers, framed connections between the processes of the system, mailboxes and threads. Routing and load balancing
+//! decisions are made elsewhere.
 //!
 //! # How it works
 //!
-//! All I/O is blocking: each connection has a thread of its own, with a small stack ([`threads`]). Threads hand each
-//! other messages through a [`mailbox`]. Time-outs are those of the sockets; a thread ends the exchange of another
-//! thread by shutting down its socket, which [`forward`] makes safe.
+//! All I/O is blocking. Each connection has its own thread with a small stack ([`threads`]). Threads communicate
+//! through a [`mailbox`]. Timeouts are socket timeouts. A thread aborts the exchange of another thread by shutting down
+//! its socket, which is synchronized by [`forward`].
 //!
-//! Bytes from a connection collect in a [`ring_buffer`]. [`http1`] parses complete messages out of it, and refuses
-//! every message whose length is ambiguous. A [`connection::Connection`] runs one exchange at a time; [`pool`] keeps
-//! idle ones.
+//! Received bytes are collected in a [`ring_buffer`]. [`http1`] parses complete messages from it and rejects messages
+//! with ambiguous framing. A [`connection::Connection`] carries one exchange at a time; [`pool`] stores idle
+//! connections.
 //!
-//! A thread that waits for a server does not read from its client. [`disconnects`] therefore polls the clients'
-//! connections from one thread, and [`disconnect_metrics`] counts whether the process reacted in time.
+//! A thread that waits for a server does not read from its client. [`disconnects`] therefore polls the client
+//! connections from a single thread, and [`disconnect_metrics`] counts late reactions to disconnects.
 //!
-//! # Order of reading
+//! # Reading order
 //!
 //! 1. [`threads`], [`mailbox`], [`worker_pool`] and [`ring_buffer`]: the foundations.
 //! 2. [`http1`], then [`connection`] and [`pool`]: messages, and connections to servers.
 //! 3. [`forward`], [`disconnects`] and [`disconnect_metrics`]: aborting requests whose clients have disconnected.
 //! 4. [`http_client`], [`http_server`] and [`path_matcher`]: short calls.
-//! 5. [`frames`]: connections between the system's own processes.
-//! 6. [`daemon`] and [`process_signals`]: the start and the end of a program.
+//! 5. [`frames`]: connections between the processes of the system.
+//! 6. [`daemon`] and [`process_signals`]: startup and shutdown of a program.
 
 pub mod connection;
 pub mod daemon;
--- a/crates/aspendrum-net/src/mailbox.rs
+++ b/crates/aspendrum-net/src/mailbox.rs
@@ -1,8 +1,7 @@
-//! A bounded channel whose only receiver parks its thread while the channel is empty.
+//! A bounded channel whose single receiver parks its thread while the channel is empty.
 //!
-//! A blocking receive of `crossbeam_channel` yields the processor about eight times before it sleeps. With four waits a
-//! request these yields were most of a process' system calls (2,900 of 4,300 a second, measured on a day without
-//! faults).
+//! A blocking receive of `crossbeam_channel` yields the processor about eight times before it sleeps. With four waits
+//! per request, these yields accounted for most system calls of a process (2,900 of 4,300 per second without faults).
 
 use crossbeam_channel::{bounded, TryRecvError, TrySendError};
 use std::thread::{self, Thread};
@@ -19,16 +18,16 @@
     receiver_thread: Thread,
 }
 
-/// Why nothing was received.
+/// The reason why no message was received.
 #[derive(Debug, PartialEq)]
 pub enum RecvError {
-    /// The deadline passed; a message may still come.
+    /// The deadline has passed; later messages are possible.
     TimedOut,
-    /// All senders are gone; no message will come.
+    /// All senders have disconnected, so no further message will arrive.
     Disconnected,
 }
 
-/// Creates a mailbox of `capacity` messages whose receiver is the calling thread.
+/// Creates a mailbox with the given capacity whose receiver is the calling thread.
 pub fn for_current_thread<T>(capacity: usize) -> (MailboxSender<T>, MailboxReceiver<T>) {
     let (sender, messages) = bounded(capacity);
     (
@@ -40,10 +39,10 @@
     )
 }
 
-/// Creates a mailbox of `capacity` messages for the thread that `start` spawns with the receiver.
+/// Creates a mailbox with the given capacity for the thread that `start` spawns with the receiver.
 ///
 /// # Errors
-/// The error of `start`, where no thread could be spawned.
+/// Returns the error of `start` if the thread could not be spawned.
 pub fn spawn_receiver<T>(
     capacity: usize,
     start: impl FnOnce(MailboxReceiver<T>) -> std::io::Result<thread::JoinHandle<()>>,
@@ -57,10 +56,11 @@
 }
 
 impl<T> MailboxReceiver<T> {
-    /// Waits for the next message until `deadline`, or without end if there is none.
+    /// Waits for the next message until `deadline`, or indefinitely if it is `None`. Returns a queued message even if
+    /// the deadline has passed.
     ///
     /// # Errors
-    /// [`RecvError`]: the deadline passed, or all senders are gone.
+    /// Returns [`RecvError`] if the deadline has passed or all senders have disconnected.
     pub fn recv_deadline(&self, deadline: Option<Instant>) -> Result<T, RecvError> {
         loop {
             match self.messages.try_recv() {
@@ -68,8 +68,8 @@
                 Err(TryRecvError::Disconnected) => return Err(RecvError::Disconnected),
                 Err(TryRecvError::Empty) => {}
             }
-            // A sender unparks this thread after each message. If that happens between `try_recv` above and the park
-            // below, the park returns at once, so no message is missed.
+            // Senders unpark this thread after each message. If that happens between `try_recv` above and the park
+            // below, the park returns immediately, so no message is missed.
             match deadline.map(|deadline| deadline.saturating_duration_since(Instant::now())) {
                 None => thread::park(),
                 Some(remaining) if remaining.is_zero() => return Err(RecvError::TimedOut),
@@ -78,11 +78,11 @@
         }
     }
 
-    /// Waits for the next message until a timer is due, for a thread that also has something to do at that time. Messages
-    /// do not hold up the timer: once it is due, none is received, even if some wait.
+    /// Waits for the next message until a timer of the receiving thread is due. Messages do not delay the timer: once
+    /// it is due, no message is received, even if some are queued.
     ///
     /// # Errors
-    /// [`RecvError`]: the timer is due, or all senders are gone.
+    /// Returns [`RecvError`] if the timer is due or all senders have disconnected.
     pub fn recv_until_due(&self, due: Instant) -> Result<T, RecvError> {
         if Instant::now() >= due {
             return Err(RecvError::TimedOut);
@@ -92,8 +92,8 @@
 }
 
 impl<T> MailboxSender<T> {
-    /// Sends a message; waits for capacity until `deadline`, or without limit if there is none. Returns false if the
-    /// message was not sent: the deadline passed or the receiver is gone.
+    /// Sends a message, waiting for capacity until `deadline`, or indefinitely if it is `None`. Returns false if the
+    /// deadline has passed or the receiver has disconnected, in which case the message is dropped.
     pub fn send(&self, message: T, deadline: Option<Instant>) -> bool {
         let sent = match deadline {
             Some(deadline) => self.messages.send_deadline(message, deadline).is_ok(),
@@ -103,10 +103,10 @@
         sent
     }
 
-    /// Sends a message without waiting.
+    /// Sends a message without blocking.
     ///
     /// # Errors
-    /// The message itself, if there is no capacity or no receiver.
+    /// Returns the message if the mailbox is full or the receiver has disconnected.
     pub fn try_send(&self, message: T) -> Result<(), T> {
         let sent = self
             .messages
@@ -117,8 +117,8 @@
     }
 
     /// Disconnects this sender and wakes the receiver, which may be waiting without a deadline. Dropping a sender does
-    /// not wake it: most senders belong to one request, whose receiver no longer waits, and each wake-up is a system
-    /// call.
+    /// not wake the receiver, to avoid a system call: most senders belong to a single request whose receiver no longer
+    /// waits.
     pub fn close(&mut self) {
         let (disconnected, _) = bounded(0);
         self.messages = disconnected;
--- a/crates/aspendrum-net/src/path_matcher.rs
+++ b/crates/aspendrum-net/src/path_matcher.rs
@@ -1,34 +1,34 @@
-//! Finds which call a request is for, by a tree of path segments whose leaves name a method and a call.
+//! Matches requests to API calls, using a tree of path segments whose leaves are a method and a call.
 
 /// A node of the tree. `C` identifies the calls.
 pub enum PathNode<C> {
-    /// A segment of exactly this text, and what may follow.
+    /// A segment with exactly this text, and the nodes that may follow.
     Literal(&'static str, Vec<PathNode<C>>),
-    /// Any one segment, which becomes an argument of the call, and what may follow.
+    /// Any nonempty segment, which becomes an argument of the call, and the nodes that may follow.
     Parameter(Vec<PathNode<C>>),
-    /// The path ends here: the method, and its call.
+    /// The end of a path, with a method and its call.
     Endpoint(&'static str, C),
 }
 
 /// The result of matching a request.
 #[derive(Debug, PartialEq)]
 pub enum PathMatch<'p, C> {
-    /// A call.
+    /// The request matches a call.
     Call {
-        /// Which one.
+        /// The call.
         call: C,
-        /// Its arguments out of the path.
+        /// The arguments from the path.
         arguments: Vec<&'p str>,
-        /// The query of the target.
+        /// The query component of the target; empty if there is none.
         query: &'p str,
     },
-    /// The path is known, but not with this method.
+    /// The path exists, but not with this method.
     MethodNotAllowed,
-    /// The path is unknown.
+    /// The path does not exist.
     NotFound,
 }
 
-/// Finds the call that a request is for. `target`: the request target as received, path and query.
+/// Finds the call for a request. `target` is the request target as received, with path and query.
 pub fn match_path<'p, C: Copy>(
     tree: &[PathNode<C>],
     method: &str,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A depth-first search through the tree.
+/// The state of a depth-first search through the tree.
 struct Search<'m, 'p> {
     method: &'m str,
     arguments: Vec<&'p str>,
@@ -92,7 +92,7 @@
     }
 }
 
-/// The value of a parameter in a query.
+/// Returns the value of the first parameter with the given name in a query.
 pub fn query_parameter<'q>(query: &'q str, name: &str) -> Option<&'q str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -1,5 +1,6 @@
-//! Pooled connections to servers: opened when none is idle, kept between requests, the newest used first, closed well
-//! before a server would close them, and bounded in number. The pool never retries a request.
+//! A pool of connections to servers. A connection is opened if none is idle and kept between requests. The most
+//! recently used connection is reused first. Idle connections are closed before their servers would close them, and the
+//! total number of connections is bounded. The pool never retries a request.
 
 use crate::connection::{Connection, ConnectionOptions};
 use crate::descriptor_permit::DescriptorPermit;
@@ -14,16 +15,16 @@
 /// The limits of a pool and of its connections.
 #[derive(Clone, Debug)]
 pub struct PoolLimits {
-    /// The most connections, idle or not.
+    /// The maximum number of open connections, idle or in use.
     pub max_connections: usize,
-    /// The shortest idle time before a connection is used again. Surplus bytes after a response have arrived by then,
-    /// so that they are detected and not taken for the next request's response.
+    /// The minimum idle time before a connection is reused. It leaves time for surplus bytes after a response to
+    /// arrive, so that they are detected and not parsed as the response to the next request.
     pub min_idle: Duration,
-    /// The buffers and time-outs of each connection.
+    /// The buffer sizes and timeouts of each connection.
     pub connection: ConnectionOptions,
 }
 
-/// One server's address and idle connections, the newest last.
+/// The address and the idle connections of one server, the most recently used last.
 #[derive(Default)]
 struct IdleConnections {
     address: Option<SocketAddr>,
@@ -31,7 +32,7 @@
 }
 
 impl IdleConnections {
-    /// Removes the newest connection that has been idle from `min_idle` to `max_idle`.
+    /// Removes and returns the most recently used connection whose idle time is between `min_idle` and `max_idle`.
     fn take(&mut self, min_idle: Duration, max_idle: Duration) -> Option<Connection> {
         let fits = |connection: &Connection| {
             let idle_time = connection.idle_since.elapsed();
@@ -42,7 +43,7 @@
     }
 }
 
-/// The connections to all servers.
+/// A pool of connections to all servers.
 pub struct Pool {
     idle: Mutex<HashMap<ServerId, IdleConnections>>,
     open_count: Arc<AtomicUsize>,
@@ -50,7 +51,7 @@
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(limits: PoolLimits) -> Pool {
         Pool {
             idle: Mutex::default(),
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The buffers and time-outs of its connections.
+    /// Returns the buffer sizes and timeouts of the connections.
     pub fn connection_options(&self) -> &ConnectionOptions {
         &self.limits.connection
     }
@@ -68,7 +69,7 @@
         lock(&self.idle)
     }
 
-    /// Sets a server's address. If it changed, idle connections to the old one are closed.
+    /// Sets the address of a server. If it has changed, idle connections to the old address are closed.
     pub fn set_address(&self, server: ServerId, address: SocketAddr) {
         let mut idle = self.idle();
         let of_server = idle.entry(server).or_default();
@@ -87,22 +88,24 @@
         }
     }
 
-    /// Forgets a server that is gone.
+    /// Removes a server and closes its idle connections.
     pub fn forget(&self, server: ServerId) {
         self.idle().remove(&server);
     }
 
-    /// Forgets all servers but these.
+    /// Removes all servers except the given ones.
     pub fn retain(&self, servers: &HashSet<ServerId>) {
         self.idle().retain(|server, _| servers.contains(server));
     }
 
-    /// A connection to the server: one that has been idle for `max_idle` or less, or else a new one. `before_use`
-    /// receives its socket first, so that another thread can shut it down, and decides whether to go on.
+    /// Returns a connection to the server: one that has been idle for at most `max_idle`, or else a new one.
+    /// `before_use` receives the socket first, so that another thread can shut it down. If it returns false, no
+    /// connection is returned.
     ///
     /// # Errors
-    /// Nothing was sent. [`Outcome::ConnectFailed`]: the server cannot be reached. [`Outcome::NotSent`]: the server has
-    /// nothing to do with it, as no descriptor was free or `before_use` refused.
+    /// Nothing was sent in any of these cases. Returns [`Outcome::ConnectFailed`] if the server is unknown or no new
+    /// connection was opened, which includes `before_use` refusing one. Returns [`Outcome::NotSent`] if `before_use`
+    /// refused an idle connection or the maximum number of connections is in use.
     pub fn acquire(
         &self,
         server: ServerId,
@@ -114,7 +117,7 @@
             let (address, idle) = self.take_idle(server, max_idle)?;
             match idle {
                 Some(mut connection) if connection.is_fresh() && connection.is_reusable() => {
-                    connection.end_idle();
+                    connection.record_idle_time();
                     return if before_use(&connection.stream) {
                         Ok(connection)
                     } else {
@@ -133,7 +136,7 @@
         }
     }
 
-    /// The server's address, and an idle connection to it if there is one.
+    /// Returns the address of the server, and an idle connection to it if there is one.
     fn take_idle(
         &self,
         server: ServerId,
@@ -146,7 +149,8 @@
         Ok((address, connection))
     }
 
-    /// Keeps a connection for the next request, unless more than the response has arrived on it.
+    /// Returns a connection to the pool. It is closed instead if it holds surplus bytes, if the server was removed, or
+    /// if the address of the server has changed.
     pub fn release(&self, server: ServerId, mut connection: Connection) {
         if !connection.nothing_received() {
             return;
@@ -159,7 +163,8 @@
         }
     }
 
-    /// A permit for one more descriptor. If all are in use, the connection that has been idle longest is closed for it.
+    /// Returns a permit for one more connection. At the limit, the connection that has been idle longest is closed
+    /// first; `None` if there is no idle connection.
     fn acquire_permit(&self) -> Option<DescriptorPermit> {
         if self.open_count.load(Ordering::Relaxed) >= self.limits.max_connections {
             let mut idle = self.idle();
@@ -170,7 +175,7 @@
         Some(DescriptorPermit::new(&self.open_count))
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes the connections whose idle timeout has expired.
     pub fn close_expired(&self) {
         for of_server in self.idle().values_mut() {
             of_server.connections.retain(Connection::is_fresh);
--- a/crates/aspendrum-net/src/process_signals.rs
+++ b/crates/aspendrum-net/src/process_signals.rs
@@ -1,4 +1,4 @@
-//! The signals of a process, and a settings file that may be replaced without any signal.
+//! Handling of process signals, and detection of changes to the settings file.
 
 use crate::threads::spawn;
 use crossbeam_channel::bounded;
@@ -10,47 +10,47 @@
 use std::thread::sleep;
 use std::time::{Duration, SystemTime};
 
-/// The signals, or the threads that wait for them, could not be set up.
+/// The signal handlers or the watching threads could not be set up.
 #[derive(Debug, Display, Error)]
 #[display("signals: {_0}")]
 pub struct SignalError(io::Error);
 
-/// A request of the platform or of an operator to the process.
+/// A request to the process by the platform or an operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ProcessRequest {
     ShutDown,
     ReloadSettings,
 }
 
-/// The time between two checks whether the settings file was replaced.
+/// The interval between checks of the modification time of the settings file.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 const STACK_BYTES: usize = 64 << 10;
-/// The number of requests that may wait while the settings are being read.
+/// The maximum number of requests queued while the settings are being reloaded.
 const MAX_PENDING_REQUESTS: usize = 8;
 
-/// The signals that a process handles, from its start on.
+/// The signals that the process handles, registered at startup.
 pub struct ProcessSignals(Signals);
 
 impl ProcessSignals {
-    /// Handles SIGTERM, SIGINT and SIGHUP from now on: by default each would end the process at once.
+    /// Registers handlers for SIGTERM, SIGINT and SIGHUP, which by default terminate the process immediately.
     pub(crate) fn register() -> Result<ProcessSignals, SignalError> {
         Signals::new([SIGTERM, SIGINT, SIGHUP])
             .map(ProcessSignals)
             .map_err(SignalError)
     }
 
-    /// Returns when the process is to shut down. Calls `reload` when the settings in that file may have changed; if it
-    /// fails, the process keeps its present settings.
+    /// Waits until the process is asked to shut down. Calls `reload` on SIGHUP and when the settings file has been
+    /// modified. If `reload` fails, the error is logged and the process keeps its current settings.
     ///
     /// # Errors
-    /// [`SignalError`] if the threads that wait for signals and for changes of the file could not be spawned.
+    /// Returns [`SignalError`] if the threads that watch signals and the file could not be spawned.
     pub fn wait_for_shutdown<E: std::fmt::Display>(
         self,
         settings_file: String,
         mut reload: impl FnMut() -> Result<(), E>,
     ) -> Result<(), SignalError> {
         let (sender, requests) = bounded(MAX_PENDING_REQUESTS);
-        // Waits for capacity: a request to shut down must not be lost behind others.
+        // Blocks while the channel is full, so that a shutdown request is not lost.
         let notify = move |request| {
             let _ = sender.send(request);
         };
--- a/crates/aspendrum-net/src/ring_buffer.rs
+++ b/crates/aspendrum-net/src/ring_buffer.rs
@@ -1,5 +1,5 @@
-//! A ring buffer for one direction of a connection. It starts small, grows up to its limit, and frees its memory once
-//! it is empty.
+//! A ring buffer for one direction of a connection. It starts small, grows up to a limit, and releases grown storage
+//! when it becomes empty.
 
 use std::io::{self, Read, Write};
 
@@ -12,11 +12,11 @@
     max_bytes: usize,
 }
 
-/// An empty buffer keeps its storage up to this many times its initial size.
-const KEPT_GROWTH: usize = 4;
+/// When the buffer becomes empty, storage larger than this multiple of the initial size is released.
+const MAX_RETAINED_GROWTH: usize = 4;
 
 impl RingBuffer {
-    /// An empty buffer. It allocates at least `initial_bytes` when it is first used, and never more than `max_bytes`.
+    /// Creates an empty buffer. It allocates at least `initial_bytes` on first use, and never more than `max_bytes`.
     pub fn new(initial_bytes: usize, max_bytes: usize) -> RingBuffer {
         let initial_bytes = initial_bytes.min(max_bytes);
         RingBuffer {
@@ -28,25 +28,25 @@
         }
     }
 
-    /// Changes its limit. What it holds already stays, and its initial size.
+    /// Changes the size limit. The limit is never set below the current length or the initial size.
     pub fn set_max_bytes(&mut self, max_bytes: usize) {
         self.max_bytes = max_bytes.max(self.len).max(self.initial_bytes);
     }
 
-    /// Whether it holds nothing.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Reads once into free space; `Ok(0)` is the end of the input.
+    /// Reads once into the free space. `Ok(0)` indicates the end of the input.
     ///
     /// # Errors
-    /// The error of the read, or `OutOfMemory` if the buffer is full: no sender can make it grow beyond its limit.
+    /// Returns the error of the read, or `OutOfMemory` if the buffer has reached its size limit.
     pub fn fill(&mut self, from: &mut impl Read) -> io::Result<usize> {
         if self.len == self.max_bytes {
             return Err(io::Error::new(
                 io::ErrorKind::OutOfMemory,
-                "more than the ring may hold",
+                "ring buffer size limit reached",
             ));
         }
         self.reserve(1);
@@ -61,7 +61,7 @@
         Ok(read)
     }
 
-    /// Appends all of the data. Returns false, with nothing appended, if that would exceed the limit.
+    /// Appends all of `data`. Returns false and appends nothing if that would exceed the limit.
     pub fn append(&mut self, data: &[u8]) -> bool {
         if self.len + data.len() > self.max_bytes {
             return false;
@@ -76,7 +76,7 @@
         true
     }
 
-    /// The whole content in one slice; moves the bytes if they wrap around.
+    /// Returns the contents as one slice. Rotates the storage if the contents wrap around.
     pub fn contiguous(&mut self) -> &[u8] {
         if self.start + self.len > self.storage.len() {
             self.storage.rotate_left(self.start);
@@ -85,7 +85,7 @@
         &self.storage[self.start..self.start + self.len]
     }
 
-    /// Removes that many bytes from the front.
+    /// Removes up to `bytes` bytes from the front.
     pub fn consume(&mut self, bytes: usize) {
         let bytes = bytes.min(self.len);
         self.len -= bytes;
@@ -94,15 +94,15 @@
         } else {
             (self.start + bytes) % self.storage.len()
         };
-        if self.len == 0 && self.storage.len() > KEPT_GROWTH * self.initial_bytes {
+        if self.len == 0 && self.storage.len() > MAX_RETAINED_GROWTH * self.initial_bytes {
             self.storage = Vec::new();
         }
     }
 
-    /// Writes the whole content.
+    /// Writes the entire contents to `to`.
     ///
     /// # Errors
-    /// The error of the write; the buffer keeps what was not written.
+    /// Returns the error of the write. The buffer retains the bytes that were not written.
     pub fn drain(&mut self, to: &mut impl Write) -> io::Result<()> {
         while self.len > 0 {
             match to.write(self.contiguous()) {
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// Makes free space for that many bytes more.
+    /// Ensures that there is free space for `additional` bytes.
     fn reserve(&mut self, additional: usize) {
         let needed = self.len + additional;
         if needed <= self.storage.len() {
@@ -131,7 +131,7 @@
     }
 }
 
-/// Whether a read ended by its time-out, and not with the connection.
+/// Whether a read failed because its timeout expired.
 pub fn is_timeout(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -139,7 +139,7 @@
     )
 }
 
-/// Writes go to the end of the buffer, as a whole or not at all.
+/// A write is appended to the buffer completely or not at all.
 impl Write for RingBuffer {
     fn write(&mut self, data: &[u8]) -> io::Result<usize> {
         if self.append(data) {
--- a/crates/aspendrum-net/src/threads.rs
+++ b/crates/aspendrum-net/src/threads.rs
@@ -1,12 +1,12 @@
-//! Threads with small stacks, and locks that outlive a thread that panicked.
+//! Threads with small stacks, and mutexes that ignore poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// Spawns a thread with a stack of `stack_bytes`. Stacks must be small, as each connection has a thread.
+/// Spawns a thread with a stack of `stack_bytes` bytes. Stacks should be small, because each connection has a thread.
 ///
 /// # Errors
-/// The system's error where it allows no further thread.
+/// Returns the error of the operating system if it cannot create the thread.
 pub fn spawn(
     name: &str,
     stack_bytes: usize,
@@ -18,8 +18,8 @@
         .spawn(body)
 }
 
-/// Locks a mutex, even if a thread panicked while it held the lock. No critical section here can panic between two
-/// dependent changes, so the value is consistent then too.
+/// Locks a mutex and ignores poisoning. No critical section in these programs panics between dependent changes, so the
+/// value is consistent even if a thread panicked while holding the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/aspendrum-net/src/worker_pool.rs
+++ b/crates/aspendrum-net/src/worker_pool.rs
@@ -1,4 +1,4 @@
-//! A pool of threads with small stacks, which run one job at a time and wait a while for the next.
+//! A pool of threads with small stacks. Each thread runs one job at a time and terminates after an idle timeout.
 
 use crate::threads::{lock, spawn};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -6,29 +6,30 @@
 use std::thread::{self, Thread};
 use std::time::{Duration, Instant};
 
-/// Work for a thread of the pool.
+/// A unit of work for the pool.
 pub type Job = Box<dyn FnOnce() + Send>;
 
-/// Where a worker's next job is put.
+/// The slot for the next job of a worker.
 type JobSlot = Arc<Mutex<Option<Job>>>;
 
-/// A thread that waits for its next job.
+/// A thread that is waiting for its next job.
 struct IdleWorker {
     thread: Thread,
     slot: JobSlot,
 }
 
-/// Threads that are spawned on demand and end when they are idle for long. Clones share the threads.
+/// A pool of threads that are spawned on demand. Clones share the threads.
 #[derive(Clone)]
 pub struct WorkerPool {
-    /// The one that became idle last is used first: its stack and caches are warm, and the others may end.
+    /// The idle workers. The most recently used one is reused first, because its stack and caches are warm and the
+    /// others can reach their idle timeout.
     idle: Arc<Mutex<Vec<IdleWorker>>>,
     stack_bytes: usize,
     idle_timeout: Duration,
 }
 
 impl WorkerPool {
-    /// A pool without threads. Each thread ends after it has been idle for `idle_timeout`.
+    /// Creates a pool without threads. Each thread terminates after it has been idle for `idle_timeout`.
     pub fn new(stack_bytes: usize, idle_timeout: Duration) -> WorkerPool {
         WorkerPool {
             idle: Arc::default(),
@@ -40,7 +41,7 @@
     /// Runs the job on an idle thread, or else on a new one.
     ///
     /// # Errors
-    /// The job itself, if no thread is idle and none can be spawned.
+    /// Returns the job if no thread is idle and none can be spawned.
     pub fn run(&self, job: Job) -> Result<(), Job> {
         let idle = lock(&self.idle).pop();
         if let Some(worker) = idle {
@@ -49,22 +50,20 @@
             return Ok(());
         }
         let slot = Arc::new(Mutex::new(Some(job)));
-        let (pool, slot_of_worker) = (self.clone(), slot.clone());
-        match spawn("worker", self.stack_bytes, move || {
-            pool.work(&slot_of_worker)
-        }) {
+        let (pool, worker_slot) = (self.clone(), slot.clone());
+        match spawn("worker", self.stack_bytes, move || pool.work(&worker_slot)) {
             Ok(_) => Ok(()),
             Err(_) => lock(&slot).take().map_or(Ok(()), Err),
         }
     }
 
-    /// The body of a worker: runs jobs until none has come for the idle time-out.
+    /// The body of a worker thread. Runs jobs until the idle timeout expires.
     fn work(&self, slot: &JobSlot) {
         loop {
             let Some(job) = lock(slot).take() else { return };
-            // A job that panics must not end the thread: another job may already have been given to it.
+            // A panic in a job must not terminate the thread, because the next job may already be in its slot.
             if catch_unwind(AssertUnwindSafe(job)).is_err() {
-                tracing::error!("a job failed");
+                tracing::error!("worker job panicked");
             }
             lock(&self.idle).push(IdleWorker {
                 thread: thread::current(),
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Waits for the next job. Returns false if none came in time; the worker is no longer listed as idle then.
+    /// Waits for the next job. Returns false if the idle timeout expired and the worker was removed from the idle list.
     fn wait_for_job(&self, slot: &JobSlot) -> bool {
         let deadline = Instant::now() + self.idle_timeout;
         while lock(slot).is_none() {
@@ -94,7 +93,8 @@
                 return false;
             }
             drop(idle);
-            // The thread that removed this worker from the list is about to put a job into its slot and to unpark it.
+            // Another thread has removed this worker from the list and is about to put a job into its slot and unpark
+            // it.
             thread::park();
         }
         true
--- a/crates/aspendrum-net/tests/disconnects.rs
+++ b/crates/aspendrum-net/tests/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect: how one poll over all connections detects them, and what becomes of a request in progress.
+//! Detection of client disconnects by polling, and handling of requests whose clients have disconnected.
 
 use aspendrum_net::disconnect_metrics::{DisconnectMetrics, DisconnectReporter, REACTION_DEADLINE};
 use aspendrum_net::disconnects::{ClientConnection, DisconnectWatcher, MIN_REQUEST_AGE};
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Connection(ClientConnection);
 
@@ -22,29 +22,29 @@
     }
 }
 
-/// Both ends of a connection: the client's, and ours, which is watched.
-fn pair() -> (TcpStream, Arc<TcpStream>) {
+/// Returns both ends of a connection: the client's, and the local one.
+fn connected_pair() -> (TcpStream, Arc<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let own = listener.accept().unwrap().0;
-    // A test that fails ends.
-    [&client, &own]
+    let local = listener.accept().unwrap().0;
+    // Keeps a failing test from blocking indefinitely.
+    [&client, &local]
         .iter()
-        .for_each(|stream| stream.set_read_timeout(Some(PATIENCE)).unwrap());
-    (client, Arc::new(own))
+        .for_each(|stream| stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap());
+    (client, Arc::new(local))
 }
 
-fn watched() -> (TcpStream, Arc<Connection>) {
-    let (client, own) = pair();
-    (client, Arc::new(Connection(ClientConnection::new(own))))
+fn watched_connection() -> (TcpStream, Arc<Connection>) {
+    let (client, local) = connected_pair();
+    (client, Arc::new(Connection(ClientConnection::new(local))))
 }
 
-/// Polls until a client is found to have disconnected.
+/// Polls until a disconnect is detected.
 fn wait_for_disconnect(
     watcher: &DisconnectWatcher,
     connections: &[Arc<Connection>],
 ) -> Vec<Arc<Connection>> {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let found = watcher.poll_disconnects(connections);
         if !found.is_empty() || Instant::now() > until {
@@ -57,17 +57,17 @@
 #[test]
 fn only_clients_that_have_disconnected_are_found_and_each_once() {
     let watcher = DisconnectWatcher::default();
-    let (leaving_client, one) = watched();
-    let (mut staying_client, other) = watched();
+    let (disconnecting_client, one) = watched_connection();
+    let (mut connected_client, other) = watched_connection();
     assert!(one.0.begin_request(7, &watcher) && other.0.begin_request(8, &watcher));
-    staying_client.write_all(b"more").unwrap();
+    connected_client.write_all(b"more").unwrap();
     let started_at = Instant::now();
-    drop(leaving_client);
+    drop(disconnecting_client);
     let connections = [one.clone(), other.clone()];
     let found = wait_for_disconnect(&watcher, &connections);
     assert!(
         started_at.elapsed() >= MIN_REQUEST_AGE - Duration::from_millis(2),
-        "a request that ends soon costs no system call"
+        "a short request costs no system call"
     );
     assert!(found.len() == 1 && found[0].0.request() == Some(7));
     assert!(one.0.has_disconnected() && !other.0.has_disconnected());
@@ -76,7 +76,7 @@
         one.0.time_since_disconnect(&watcher).is_some()
             && other.0.time_since_disconnect(&watcher).is_none()
     );
-    // Nobody would read the response to a further request on that connection.
+    // The response to a further request on this connection would not be read.
     assert!(!one.0.begin_request(9, &watcher));
     assert!(one.0.mark_overdue() && !one.0.mark_overdue());
 }
@@ -84,42 +84,44 @@
 #[test]
 fn connections_without_a_request_are_not_checked() {
     let watcher = DisconnectWatcher::default();
-    let ((idle, one), (leaving_client, other)) = (watched(), watched());
+    let ((idle, one), (disconnecting_client, other)) = (watched_connection(), watched_connection());
     assert!(one.0.begin_request(1, &watcher) && other.0.begin_request(2, &watcher));
     one.0.end_request();
-    drop((idle, leaving_client));
+    drop((idle, disconnecting_client));
     let found = wait_for_disconnect(&watcher, &[one.clone(), other]);
     assert!(found.len() == 1 && found[0].0.request() == Some(2) && !one.0.has_disconnected());
 }
 
-/// Danger: a shutdown of our own receiving side looks like a client's close, and its request would be aborted.
+/// Guards against treating a local shutdown of the receiving side as a client disconnect, which would abort the
+/// request.
 #[test]
 fn a_connection_that_is_shut_down_here_does_not_count_as_disconnected() {
     let watcher = DisconnectWatcher::default();
-    let ((mut client, one), (leaving_client, other)) = (watched(), watched());
+    let ((mut client, one), (disconnecting_client, other)) =
+        (watched_connection(), watched_connection());
     one.0.shut_down_if_idle();
     client.write_all(b"a request that crosses it").unwrap();
     assert!(one.0.begin_request(1, &watcher) && other.0.begin_request(2, &watcher));
-    drop(leaving_client);
+    drop(disconnecting_client);
     let found = wait_for_disconnect(&watcher, &[one.clone(), other]);
     assert!(found.len() == 1 && !one.0.has_disconnected());
 }
 
-/// Danger: a request that has arrived is lost with its connection.
+/// Guards against losing a request that has already been received when its connection is shut down.
 #[test]
 fn a_connection_that_holds_a_request_is_not_shut_down() {
-    let (mut client, own) = pair();
-    let presence = ClientConnection::new(own.clone());
+    let (mut client, local) = connected_pair();
+    let connection = ClientConnection::new(local.clone());
     client.write_all(b"request").unwrap();
     let mut first = [0];
-    own.peek(&mut first).unwrap();
-    presence.shut_down_if_idle();
-    let mut came = [0; 7];
-    (&*own).read_exact(&mut came).unwrap();
+    local.peek(&mut first).unwrap();
+    connection.shut_down_if_idle();
+    let mut received = [0; 7];
+    (&*local).read_exact(&mut received).unwrap();
     client.write_all(b"more").unwrap();
-    (&*own).read_exact(&mut came[..4]).unwrap();
-    presence.shut_down_if_idle();
-    assert_eq!((&*own).read(&mut came).unwrap(), 0);
+    (&*local).read_exact(&mut received[..4]).unwrap();
+    connection.shut_down_if_idle();
+    assert_eq!((&*local).read(&mut received).unwrap(), 0);
 }
 
 fn stage(forward: &ForwardHandle) -> (ForwardStage, bool) {
@@ -130,15 +132,15 @@
 #[test]
 fn a_request_is_never_sent_after_its_client_has_disconnected() {
     for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
-        let (mut server, own) = pair();
+        let (mut server, local) = connected_pair();
         let forward = ForwardHandle::new(kind);
-        assert!(forward.begin_attempt(0, &own));
+        assert!(forward.begin_attempt(0, &local));
         assert_eq!(forward.handle_disconnect(), ForwardStage::Connecting);
-        // The server sees the end of the connection, and would have seen half a request.
+        // The server sees the end of the connection, at most after an incomplete request.
         assert_eq!(server.read(&mut [0]).unwrap(), 0);
         assert!(!forward.advance(0, ForwardStage::Sending) && forward.end_attempt(0));
         assert!(
-            !forward.begin_attempt(1, &own) && forward.end_attempt(1),
+            !forward.begin_attempt(1, &local) && forward.end_attempt(1),
             "a retry"
         );
         assert_eq!(stage(&forward), (ForwardStage::Waiting, false));
@@ -146,13 +148,13 @@
 }
 
 #[test]
-fn an_attempt_is_aborted_if_it_is_idempotent_and_is_left_to_end_otherwise() {
+fn idempotent_attempts_are_aborted_and_others_are_left_to_complete() {
     for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
-        let (mut server, own) = pair();
+        let (mut server, local) = connected_pair();
         let started_at = Instant::now();
         let forward = ForwardHandle::new(kind);
         assert!(
-            forward.begin_attempt(0, &own)
+            forward.begin_attempt(0, &local)
                 && forward.advance(0, ForwardStage::Sending)
                 && forward.advance(0, ForwardStage::AtServer)
         );
@@ -160,7 +162,7 @@
         assert_eq!(
             stage(&forward),
             (ForwardStage::AtServer, false),
-            "it may end by itself"
+            "it may complete on its own"
         );
         assert_eq!(forward.progress().ended_ago, None);
         forward.abort_idempotent();
@@ -169,50 +171,50 @@
         if is_aborted {
             assert_eq!(server.read(&mut [0]).unwrap(), 0);
         }
-        // What still arrives is read either way.
+        // Received bytes can still be read in both cases.
         server.write_all(b"x").unwrap();
-        assert_eq!((&*own).read(&mut [0]).unwrap(), 1);
+        assert_eq!((&*local).read(&mut [0]).unwrap(), 1);
         assert_eq!(forward.end_attempt(0), is_aborted);
-        // Danger: an attempt that was left to end counts as waiting in the moment between its end and the request's.
+        // Guards against counting the request as waiting between the end of the attempt and the end of the request.
         assert!(forward
             .progress()
             .ended_ago
             .is_some_and(|ended_ago| ended_ago <= started_at.elapsed()));
-        // A late abort does not affect the connection's next request.
+        // A late abort does not affect the next request on the connection.
         forward.abort_idempotent();
-        assert_eq!((&*own).write(b"x").is_ok(), !is_aborted);
+        assert_eq!((&*local).write(b"x").is_ok(), !is_aborted);
     }
 }
 
-/// Danger: a thread waits for a server that does not answer, for a client that is gone.
+/// Guards against a thread that waits for an unresponsive server after its client has disconnected.
 #[test]
 fn a_connection_attempt_is_aborted() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    // Nobody accepts connections, and the backlog is full.
+    let address = listener.local_addr().unwrap();
+    // No connections are accepted, and the backlog is full.
     socket2::SockRef::from(&listener).listen(0).unwrap();
-    let short = Duration::from_millis(200);
-    let waiting: Vec<TcpStream> =
-        std::iter::from_fn(|| TcpStream::connect_timeout(&at, short).ok()).collect();
+    let connect_timeout = Duration::from_millis(200);
+    let backlog: Vec<TcpStream> =
+        std::iter::from_fn(|| TcpStream::connect_timeout(&address, connect_timeout).ok()).collect();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let stream = Arc::new(TcpStream::from(socket));
     let forward = Arc::new(ForwardHandle::new(RequestKind::OnceOnly));
     assert!(forward.begin_attempt(0, &stream));
     let started_at = Instant::now();
-    let own = stream.clone();
+    let local = stream.clone();
     let connecting = thread::spawn(move || {
-        socket2::SockRef::from(&*own)
-            .connect_timeout(&at.into(), PATIENCE)
+        socket2::SockRef::from(&*local)
+            .connect_timeout(&address.into(), TEST_TIMEOUT)
             .is_err()
     });
-    // A disconnect before the connection attempt begins finds nothing to abort, so it is repeated.
+    // A disconnect before the connection attempt begins has nothing to abort, so it is repeated.
     while !connecting.is_finished() {
         forward.handle_disconnect();
         thread::yield_now();
-        assert!(started_at.elapsed() < PATIENCE);
+        assert!(started_at.elapsed() < TEST_TIMEOUT);
     }
-    assert!(connecting.join().unwrap() && started_at.elapsed() < PATIENCE);
-    drop(waiting);
+    assert!(connecting.join().unwrap() && started_at.elapsed() < TEST_TIMEOUT);
+    drop(backlog);
 }
 
 #[test]
@@ -245,37 +247,40 @@
     assert_eq!(reporter.next_line(&metrics), None);
 }
 
-/// Danger: an order that lay in the socket of a suspended machine is carried out when its caller has long given the
-/// opposite one elsewhere.
+/// Guards against executing a command that was in the socket buffer of a suspended machine, after its client has sent
+/// the opposite command to another node.
 #[test]
-fn an_order_whose_caller_has_disconnected_is_not_carried_out() {
-    let at = {
+fn a_command_whose_client_has_disconnected_is_not_executed() {
+    let address = {
         let free = TcpListener::bind("127.0.0.1:0").unwrap();
         free.local_addr().unwrap().to_string().parse().unwrap()
     };
-    let (tell, served) = channel();
-    let (go_on, gate) = channel::<()>();
-    let (tell, gate) = (Mutex::new(tell), Mutex::new(gate));
+    let (served_sender, served) = channel();
+    let (release_first, first_released) = channel::<()>();
+    let (served_sender, first_released) = (Mutex::new(served_sender), Mutex::new(first_released));
     let serve = move |request: Request| {
-        tell.lock().unwrap().send(request.path.clone()).unwrap();
-        // The first call holds up what follows, as a suspended machine does.
+        served_sender
+            .lock()
+            .unwrap()
+            .send(request.path.clone())
+            .unwrap();
+        // The first call delays the following ones, like a suspended machine.
         if request.path == "/first" {
-            gate.lock().unwrap().recv().unwrap();
+            first_released.lock().unwrap().recv().unwrap();
         }
         Reply::plain(200)
     };
-    let bounds = MessageLimits {
+    let limits = MessageLimits {
         head_bytes: 1 << 10,
         body_bytes: 1 << 10,
     };
-    let (idle, workers) = (PATIENCE, PATIENCE);
     http_server::listen(
-        at,
+        address,
         ServerOptions {
             stack_bytes: 128 << 10,
-            limits: bounds,
-            idle_timeout: idle,
-            worker_idle_timeout: workers,
+            limits,
+            idle_timeout: TEST_TIMEOUT,
+            worker_idle_timeout: TEST_TIMEOUT,
         },
         serve,
     )
@@ -284,18 +289,18 @@
         format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").into_bytes()
     };
     for (method, is_served) in [("POST", false), ("GET", true)] {
-        let mut caller = TcpStream::connect(at).unwrap();
-        caller.write_all(&call("POST", "/first")).unwrap();
-        assert_eq!(served.recv_timeout(PATIENCE).unwrap(), "/first");
-        caller.write_all(&call(method, "/second")).unwrap();
-        drop(caller);
-        go_on.send(()).unwrap();
+        let mut client = TcpStream::connect(address).unwrap();
+        client.write_all(&call("POST", "/first")).unwrap();
+        assert_eq!(served.recv_timeout(TEST_TIMEOUT).unwrap(), "/first");
+        client.write_all(&call(method, "/second")).unwrap();
+        drop(client);
+        release_first.send(()).unwrap();
         if is_served {
-            assert_eq!(served.recv_timeout(PATIENCE).unwrap(), "/second");
+            assert_eq!(served.recv_timeout(TEST_TIMEOUT).unwrap(), "/second");
         }
     }
-    // A caller that stays is served; the order was not carried out before.
-    let mut staying_caller = TcpStream::connect(at).unwrap();
-    staying_caller.write_all(&call("POST", "/third")).unwrap();
-    assert_eq!(served.recv_timeout(PATIENCE).unwrap(), "/third");
+    // A connected client is served. No earlier command was executed, or its path would have been received first.
+    let mut connected_client = TcpStream::connect(address).unwrap();
+    connected_client.write_all(&call("POST", "/third")).unwrap();
+    assert_eq!(served.recv_timeout(TEST_TIMEOUT).unwrap(), "/third");
 }
--- a/crates/aspendrum-net/tests/forward.rs
+++ b/crates/aspendrum-net/tests/forward.rs
@@ -1,13 +1,13 @@
-//! A request that is being forwarded, and the cancellation of its attempts.
+//! Cancellation of attempts to forward a request.
 
 use aspendrum_net::forward::{ForwardHandle, RequestKind};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 
-/// Risk: a cancellation that comes late hits the connection's next request.
+/// Guards against a late cancellation that aborts the next request on the same connection.
 #[test]
-fn a_cancellation_ends_only_the_attempt_that_it_names() {
+fn a_cancellation_affects_only_the_attempts_up_to_its_number() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = Arc::new(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
     let forward = ForwardHandle::new(RequestKind::Idempotent);
--- a/crates/aspendrum-net/tests/mailbox.rs
+++ b/crates/aspendrum-net/tests/mailbox.rs
@@ -1,30 +1,28 @@
-//! The mailbox of a thread that handles messages and timers.
+//! Mailboxes of threads that handle messages and timers.
 
 use aspendrum_net::mailbox::{self, RecvError};
 use std::time::{Duration, Instant};
 
-const LATER: Duration = Duration::from_secs(600);
+const FAR_FUTURE: Duration = Duration::from_secs(600);
 
-/// Danger: while messages come faster than they are handled, a thread does nothing else: a control node reads no
-/// majority, an agent sends no heartbeat, and all others take it for dead.
-///
-/// Found by reading, while the storm day of issue 60 was searched: the loops of control nodes and agents received the next
-/// message as long as there was one, whatever was due.
+/// Guards against starvation of timers. The loops of control nodes and agents received the next message as long as
+/// there was one, even if a timer was due. While messages arrived faster than they were handled, a control node read no
+/// majority and an agent sent no heartbeats, so that others considered it failed.
 #[test]
-fn a_timer_that_is_due_comes_before_messages_that_wait() {
+fn a_due_timer_takes_precedence_over_queued_messages() {
     let (sender, receiver) = mailbox::for_current_thread(4);
     for number in 1..=3 {
         assert!(sender.send(number, None));
     }
     let now = Instant::now();
     assert_eq!(receiver.recv_until_due(now), Err(RecvError::TimedOut));
-    assert_eq!(receiver.recv_until_due(now + LATER), Ok(1));
+    assert_eq!(receiver.recv_until_due(now + FAR_FUTURE), Ok(1));
     assert_eq!(receiver.recv_until_due(now), Err(RecvError::TimedOut));
-    assert_eq!(receiver.recv_until_due(now + LATER), Ok(2));
+    assert_eq!(receiver.recv_until_due(now + FAR_FUTURE), Ok(2));
 }
 
 #[test]
-fn a_deadline_that_has_passed_still_gives_a_message_that_came() {
+fn a_queued_message_is_received_after_the_deadline() {
     let (sender, receiver) = mailbox::for_current_thread(4);
     assert!(sender.send(1, None));
     let now = Instant::now();
--- a/crates/aspendrum-net/tests/ring_buffer.rs
+++ b/crates/aspendrum-net/tests/ring_buffer.rs
@@ -1,10 +1,10 @@
-//! The buffer of one direction of a connection.
+//! The ring buffer for one direction of a connection.
 
 use aspendrum_net::ring_buffer::RingBuffer;
 use std::io::{Error, ErrorKind, Result, Write};
 
 #[test]
-fn a_buffer_wraps_around_grows_to_its_limit_and_is_drained_whole() {
+fn a_buffer_wraps_around_grows_to_its_limit_and_is_drained_completely() {
     let mut buffer = RingBuffer::new(4, 16);
     for round in 0..20u8 {
         assert!(buffer.append(&[round, 1, 2]));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_limit_that_changes_holds_from_then_on_and_takes_nothing_away() {
+fn a_changed_limit_applies_to_later_appends_and_keeps_the_contents() {
     let mut buffer = RingBuffer::new(4, 8);
     assert!(buffer.append(&[1; 8]) && !buffer.append(&[2]));
     buffer.set_max_bytes(10);
@@ -38,10 +38,10 @@
     assert!(buffer.append(&[4; 4]) && buffer.contiguous() == [4; 4]);
 }
 
-/// Accepts so many bytes, then fails.
-struct BreaksAfter(usize);
+/// A writer that accepts the given number of bytes, then fails.
+struct FailAfter(usize);
 
-impl Write for BreaksAfter {
+impl Write for FailAfter {
     fn write(&mut self, data: &[u8]) -> Result<usize> {
         let accepted = self.0.min(data.len());
         self.0 -= accepted;
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn a_buffer_that_could_not_be_written_keeps_the_rest() {
+fn a_failed_drain_keeps_the_unwritten_bytes() {
     let mut buffer = RingBuffer::new(4, 16);
     buffer.append(b"hello you");
-    assert!(buffer.drain(&mut BreaksAfter(5)).is_err());
+    assert!(buffer.drain(&mut FailAfter(5)).is_err());
     assert_eq!(buffer.contiguous(), b" you");
 }
--- a/crates/aspendrum-net/tests/wire_bytes.rs
+++ b/crates/aspendrum-net/tests/wire_bytes.rs
@@ -1,4 +1,4 @@
-//! What is written to connections, byte by byte, and what is read from them: it stays, whatever a type is called.
+//! The exact bytes that are written to connections and parsed from them. They must not change when types are renamed.
 
 use aspendrum_net::disconnect_metrics::{DisconnectMetrics, REACTION_DEADLINE};
 use aspendrum_net::forward::{ForwardStage, RequestKind};
@@ -15,8 +15,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const BOUNDS: MessageLimits = MessageLimits {
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const LIMITS: MessageLimits = MessageLimits {
     head_bytes: 256,
     body_bytes: 64,
 };
@@ -51,63 +51,63 @@
 }
 
 #[test]
-fn what_is_no_frame_is_refused() {
-    let refusal = |mut bytes: &[u8]| read_frame::<Sample>(&mut bytes).unwrap_err().kind();
+fn invalid_frames_are_rejected() {
+    let error_kind = |mut bytes: &[u8]| read_frame::<Sample>(&mut bytes).unwrap_err().kind();
     assert_eq!(
-        refusal(&SAMPLE_FRAME[..5]),
+        error_kind(&SAMPLE_FRAME[..5]),
         ErrorKind::UnexpectedEof,
-        "cut short"
+        "truncated"
     );
     assert_eq!(
-        refusal(b"\x01\x00\x00\x00\x02"),
+        error_kind(b"\x01\x00\x00\x00\x02"),
         ErrorKind::InvalidData,
         "an unknown variant"
     );
     assert_eq!(
-        refusal(b"\x01\x00\x00\x02"),
+        error_kind(b"\x01\x00\x00\x02"),
         ErrorKind::InvalidData,
         "longer than 32 MiB"
     );
     assert_eq!(
-        refusal(b"\x00\x00\x00\x02"),
+        error_kind(b"\x00\x00\x00\x02"),
         ErrorKind::UnexpectedEof,
         "32 MiB"
     );
 }
 
-/// Both ends of a connection.
-fn pair() -> (TcpStream, TcpStream) {
+/// Returns both ends of a connection.
+fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let server = listener.accept().unwrap().0;
     [&client, &server]
         .iter()
-        .for_each(|stream| stream.set_read_timeout(Some(PATIENCE)).unwrap());
+        .for_each(|stream| stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap());
     (client, server)
 }
 
-fn until_end(mut stream: &TcpStream) -> Vec<u8> {
+fn read_to_end(mut stream: &TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).unwrap();
     bytes
 }
 
 #[test]
-fn a_link_writes_frames_in_their_order_and_ends_behind_the_last() {
-    let (peer, own) = pair();
-    let link = Link::from_stream(Arc::new(own), PATIENCE, 8).unwrap();
+fn a_link_writes_frames_in_order_and_closes_after_the_last() {
+    let (peer, local) = connected_pair();
+    let link = Link::from_stream(Arc::new(local), TEST_TIMEOUT, 8).unwrap();
     link.send(&sample());
     link.send(&Sample::Empty);
     link.finish();
     drop(link);
     assert_eq!(
-        until_end(&peer),
+        read_to_end(&peer),
         [SAMPLE_FRAME, b"\x01\x00\x00\x00\x00"].concat()
     );
 }
 
 #[test]
-fn answers_are_written_alike() {
+fn encoded_responses_have_the_expected_bytes() {
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     assert_eq!(
         text(http1::encode_response(200, &[], false, b"")),
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn each_status_has_its_reason() {
+fn each_status_has_its_reason_phrase() {
     let reasons = [
         (200, "OK"),
         (307, "Temporary Redirect"),
@@ -145,20 +145,20 @@
     }
 }
 
-fn ring(bytes: &[u8]) -> RingBuffer {
-    let mut ring = RingBuffer::new(64, 1024);
-    assert!(ring.append(bytes));
-    ring
+fn ring_buffer(bytes: &[u8]) -> RingBuffer {
+    let mut buffer = RingBuffer::new(64, 1024);
+    assert!(buffer.append(bytes));
+    buffer
 }
 
 #[test]
-fn requests_are_read_whole_and_one_after_another() {
-    let mut ring = ring(
+fn requests_are_parsed_completely_and_in_order() {
+    let mut buffer = ring_buffer(
         b"POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody\
           GET / HTTP/1.1\r\nConnection: close\r\n\r\n",
     );
-    let Parsed::Complete(first) = http1::parse_request(&mut ring, &BOUNDS) else {
-        panic!("the first")
+    let Parsed::Complete(first) = http1::parse_request(&mut buffer, &LIMITS) else {
+        panic!("the first request was not parsed")
     };
     let headers = vec![
         ("Host".to_string(), b"h".to_vec()),
@@ -175,18 +175,18 @@
             close: false
         }
     );
-    let Parsed::Complete(second) = http1::parse_request(&mut ring, &BOUNDS) else {
-        panic!("the second")
+    let Parsed::Complete(second) = http1::parse_request(&mut buffer, &LIMITS) else {
+        panic!("the second request was not parsed")
     };
     assert!(second.method == "GET" && second.close && second.body.is_empty());
     assert!(matches!(
-        http1::parse_request(&mut ring, &BOUNDS),
+        http1::parse_request(&mut buffer, &LIMITS),
         Parsed::Incomplete
     ));
 }
 
 #[test]
-fn a_request_that_cannot_be_read_has_its_status() {
+fn invalid_requests_are_rejected_with_the_expected_status() {
     let chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n";
     let head_of_300 = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(300));
     let cases = [
@@ -212,7 +212,8 @@
         (head_of_300, 431),
     ];
     for (text, status) in cases {
-        let Parsed::Invalid(found) = http1::parse_request(&mut ring(text.as_bytes()), &BOUNDS)
+        let Parsed::Invalid(found) =
+            http1::parse_request(&mut ring_buffer(text.as_bytes()), &LIMITS)
         else {
             panic!("{text}")
         };
@@ -221,14 +222,14 @@
 }
 
 #[test]
-fn responses_are_read_whole() {
-    let mut ring = ring(
+fn responses_are_parsed_completely() {
+    let mut buffer = ring_buffer(
         b"HTTP/1.1 100 Continue\r\n\r\n\
           HTTP/1.1 200 Fine\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nTrailer: t\r\n\r\n\
           HTTP/1.0 204 None\r\n\r\n",
     );
-    let Parsed::Complete(first) = http1::parse_response(&mut ring, &BOUNDS) else {
-        panic!("the first")
+    let Parsed::Complete(first) = http1::parse_response(&mut buffer, &LIMITS) else {
+        panic!("the first response was not parsed")
     };
     let headers = vec![("Transfer-Encoding".to_string(), b"chunked".to_vec())];
     let (reason, body) = ("Fine".to_string(), b"abcd".to_vec());
@@ -242,15 +243,15 @@
             close: false
         }
     );
-    let Parsed::Complete(second) = http1::parse_response(&mut ring, &BOUNDS) else {
-        panic!("the second")
+    let Parsed::Complete(second) = http1::parse_response(&mut buffer, &LIMITS) else {
+        panic!("the second response was not parsed")
     };
     assert!(second.status == 204 && second.close, "HTTP/1.0 closes");
-    assert!(ring.is_empty());
+    assert!(buffer.is_empty());
 }
 
 #[test]
-fn a_response_without_a_length_is_refused() {
+fn responses_without_a_valid_length_are_rejected() {
     for text in [
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 101 Upgrade\r\n\r\n",
@@ -258,7 +259,7 @@
     ] {
         assert!(
             matches!(
-                http1::parse_response(&mut ring(text.as_bytes()), &BOUNDS),
+                http1::parse_response(&mut ring_buffer(text.as_bytes()), &LIMITS),
                 Parsed::Invalid(502)
             ),
             "{text}"
@@ -267,7 +268,7 @@
 }
 
 #[test]
-fn headers_of_one_hop_are_known() {
+fn hop_by_hop_headers_are_recognized() {
     let headers = vec![("Connection".to_string(), b"close, X-Own".to_vec())];
     let always = "connection keep-alive te trailer transfer-encoding upgrade proxy-connection content-length expect x-own";
     for name in always.split(' ') {
@@ -280,24 +281,24 @@
     assert!(!http1::is_hop_by_hop(&headers, "Host") && !http1::is_hop_by_hop(&Vec::new(), "X-Own"));
 }
 
-/// A server's address, and everything that it is sent on its connections, one after another; it answers each with the
-/// bytes given.
-fn server(answers: Vec<&'static [u8]>) -> (SocketAddrV4, JoinHandle<Vec<String>>) {
+/// Starts a server that replies to each request with the next of the given responses. Returns its address and a handle
+/// that yields the received requests.
+fn server(responses: Vec<&'static [u8]>) -> (SocketAddrV4, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string().parse().unwrap();
     let serve = move || {
         let mut requests = Vec::new();
         let mut stream: Option<TcpStream> = None;
-        for answer in answers {
+        for response in responses {
             let mut connection = stream
                 .take()
                 .unwrap_or_else(|| listener.accept().unwrap().0);
-            connection.set_read_timeout(Some(PATIENCE)).unwrap();
+            connection.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
             let mut bytes = vec![0; 1024];
             let size = connection.read(&mut bytes).unwrap();
             requests.push(String::from_utf8_lossy(&bytes[..size]).into_owned());
-            connection.write_all(answer).unwrap();
-            stream = Some(connection).filter(|_| !answer.is_empty());
+            connection.write_all(response).unwrap();
+            stream = Some(connection).filter(|_| !response.is_empty());
         }
         requests
     };
@@ -305,17 +306,23 @@
 }
 
 #[test]
-fn calls_are_written_alike_and_keep_their_connection() {
-    let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    let (to, requests) = server(vec![answer, answer, answer]);
-    let mut caller = HttpClient::new(to, BOUNDS);
-    assert_eq!(caller.call("GET", "/a", b"", PATIENCE).unwrap().body, b"ok");
+fn client_calls_have_the_expected_bytes_and_reuse_the_connection() {
+    let response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    let (to, requests) = server(vec![response, response, response]);
+    let mut client = HttpClient::new(to, LIMITS);
     assert_eq!(
-        caller.call("POST", "/b", b"body", PATIENCE).unwrap().status,
+        client.call("GET", "/a", b"", TEST_TIMEOUT).unwrap().body,
+        b"ok"
+    );
+    assert_eq!(
+        client
+            .call("POST", "/b", b"body", TEST_TIMEOUT)
+            .unwrap()
+            .status,
         200
     );
     assert_eq!(
-        caller.call("POST", "/c", b"", PATIENCE).unwrap().reason,
+        client.call("POST", "/c", b"", TEST_TIMEOUT).unwrap().reason,
         "OK"
     );
     let json = "Content-Type: application/json\r\nContent-Length:";
@@ -329,12 +336,12 @@
     );
 }
 
-/// Operators read these texts behind the address.
+/// Operators see these texts after the address of the server.
 #[test]
-fn a_call_without_an_answer_says_why() {
+fn failed_calls_report_the_reason() {
     let call = |to| {
-        HttpClient::new(to, BOUNDS)
-            .call("GET", "/", b"", PATIENCE)
+        HttpClient::new(to, LIMITS)
+            .call("GET", "/", b"", TEST_TIMEOUT)
             .map_err(|why| why.to_string())
     };
     let (to, requests) = server(vec![b""]);
@@ -343,20 +350,30 @@
     let (to, requests) = server(vec![b"no answer\r\n\r\n"]);
     assert_eq!(call(to).unwrap_err(), "Error");
     requests.join().unwrap();
-    // Bound, so that nobody else takes the port, and not listening.
-    let deaf = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    deaf.bind(&SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0).into())
+    // The socket is bound, so that the port stays reserved, but it does not listen.
+    let closed_port =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    closed_port
+        .bind(&SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0).into())
         .unwrap();
-    let to = deaf.local_addr().unwrap().as_socket_ipv4().unwrap();
+    let to = closed_port.local_addr().unwrap().as_socket_ipv4().unwrap();
     assert_eq!(call(to).unwrap_err(), "Connection refused (os error 111)");
-    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let to = silent.local_addr().unwrap().to_string().parse().unwrap();
-    let late = HttpClient::new(to, BOUNDS).call("GET", "/", b"", Duration::from_millis(5));
-    assert_eq!(late.map_err(|why| why.to_string()).unwrap_err(), "TimedOut");
+    let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
+    let to = unresponsive
+        .local_addr()
+        .unwrap()
+        .to_string()
+        .parse()
+        .unwrap();
+    let result = HttpClient::new(to, LIMITS).call("GET", "/", b"", Duration::from_millis(5));
+    assert_eq!(
+        result.map_err(|why| why.to_string()).unwrap_err(),
+        "TimedOut"
+    );
 }
 
 #[test]
-fn a_listener_answers_alike() {
+fn server_responses_have_the_expected_bytes() {
     let serve = |request: Request| match request.path.as_str() {
         "/text" => Reply::text("text".into()),
         "/json" => Reply::json(b"{}".to_vec()),
@@ -367,16 +384,16 @@
         },
         _ => Reply::plain(404),
     };
-    let terms = ServerOptions {
+    let options = ServerOptions {
         stack_bytes: 128 << 10,
-        limits: BOUNDS,
-        idle_timeout: PATIENCE,
-        worker_idle_timeout: PATIENCE,
+        limits: LIMITS,
+        idle_timeout: TEST_TIMEOUT,
+        worker_idle_timeout: TEST_TIMEOUT,
     };
-    let at = |port| SocketAddrV4::new(Ipv4Addr::new(127, 0, 8, 1), port);
-    let port =
-        (20_000..30_000).find(|port| http_server::listen(at(*port), terms.clone(), serve).is_ok());
-    let address = at(port.expect("a port is free"));
+    let address_with_port = |port| SocketAddrV4::new(Ipv4Addr::new(127, 0, 8, 1), port);
+    let port = (20_000..30_000)
+        .find(|port| http_server::listen(address_with_port(*port), options.clone(), serve).is_ok());
+    let address = address_with_port(port.expect("a port is free"));
     let calls = [
         (
             "GET /text HTTP/1.1\r\n\r\nGET /json HTTP/1.1\r\nConnection: close\r\n\r\n",
@@ -397,16 +414,16 @@
             "HTTP/1.1 413 Content Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
         ),
     ];
-    for (request, answer) in calls {
+    for (request, response) in calls {
         let mut client = TcpStream::connect(address).unwrap();
-        client.set_read_timeout(Some(PATIENCE)).unwrap();
+        client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         client.write_all(request.as_bytes()).unwrap();
-        assert_eq!(String::from_utf8(until_end(&client)).unwrap(), answer);
+        assert_eq!(String::from_utf8(read_to_end(&client)).unwrap(), response);
     }
 }
 
 #[test]
-fn figures_keep_their_names_and_labels() {
+fn metrics_keep_their_names_and_labels() {
     let metrics = DisconnectMetrics::default();
     let kinds = [RequestKind::Idempotent, RequestKind::OnceOnly];
     for kind in kinds {
@@ -429,7 +446,7 @@
 }
 
 #[test]
-fn calls_are_found_by_their_path_and_method() {
+fn calls_are_matched_by_path_and_method() {
     let tree = [
         PathNode::Literal(
             "api",
