--- a/crates/aspendrum-model/src/config.rs
+++ b/crates/aspendrum-model/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: parsed and validated completely, then looked up by host, path and credential.
+//! The operators' configuration: parsing, validation, and lookup by host, path and credential.
 
 mod document;
 mod error;
@@ -12,50 +12,50 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
-/// A configuration that was parsed and found valid.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its version; the higher one supersedes the lower one.
+    /// The version. A configuration supersedes those with lower versions.
     pub version: u32,
-    /// The limits on each client's request.
+    /// The limits on each client request.
     pub limits: RequestLimits,
     /// The tenants; `None` if requests carry no credentials.
     pub tenants: Option<Vec<Tenant>>,
-    /// The services that routes lead to.
+    /// The services to which routes forward requests.
     pub services: Vec<Service>,
-    /// The routes. Other parts of this configuration refer to them by index; another configuration has other indices.
+    /// The routes. The routing table refers to them by index. Indices are only valid within one configuration.
     pub routes: Vec<Route>,
     routing_table: RoutingTable,
-    /// The index of each credential's tenant.
+    /// The tenant index of each credential.
     tenant_by_key: HashMap<String, usize>,
 }
 
-/// A host, a path prefix, and the index of the route for requests that match both.
+/// A host, a path prefix, and the index of the route for matching requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteEntry<'c> {
     /// The host, in lower case.
     pub host: &'c str,
-    /// The prefix of the path.
+    /// The path prefix.
     pub prefix: &'c str,
     /// The index in [`Config::routes`].
     pub route: usize,
 }
 
-/// A path prefix of one host, and the index of its route.
+/// A path prefix of a host, and the index of its route.
 #[derive(Clone, Debug)]
 struct PrefixRoute {
     prefix: String,
     route: usize,
 }
 
-/// The prefixes of each host, the longest first.
+/// The path prefixes of each host, the longest first.
 type RoutingTable = HashMap<String, Vec<PrefixRoute>>;
 
 impl Config {
     /// Parses and validates a configuration in JSON.
     ///
     /// # Errors
-    /// [`ConfigError`] names the first fault that is found. Nothing of an invalid configuration is ever used.
+    /// Returns [`ConfigError`] with the first error found. An invalid configuration is rejected as a whole.
     pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
         let document: Document =
             serde_json::from_slice(text).map_err(|e| ConfigError::Unreadable(e.to_string()))?;
@@ -79,7 +79,8 @@
         })
     }
 
-    /// The index of the route with the longest prefix of the path. `host` may carry a port, `path` a query.
+    /// Returns the index of the route with the longest matching path prefix. `host` may include a port, and `path` a
+    /// query.
     pub fn route(&self, host: &str, path: &str) -> Option<usize> {
         let host = host
             .rsplit_once(':')
@@ -93,7 +94,7 @@
             .map(|entry| entry.route)
     }
 
-    /// Each host and prefix with its route, in no particular order.
+    /// Returns all hosts and prefixes with their routes, in no particular order.
     pub fn route_entries(&self) -> impl Iterator<Item = RouteEntry<'_>> {
         self.routing_table.iter().flat_map(|(host, prefixes)| {
             prefixes.iter().map(move |p| RouteEntry {
@@ -104,7 +105,7 @@
         })
     }
 
-    /// The credentials of the tenant with that index, in no particular order.
+    /// Returns the credentials of the tenant with the given index, in no particular order.
     pub fn keys_of(&self, tenant: usize) -> impl Iterator<Item = &String> {
         self.tenant_by_key
             .iter()
@@ -112,18 +113,18 @@
             .map(|(key, _)| key)
     }
 
-    /// The index of the tenant that a credential belongs to.
+    /// Returns the index of the tenant to which a credential belongs.
     pub fn tenant(&self, key: &str) -> Option<usize> {
         self.tenant_by_key.get(key).copied()
     }
 
-    /// The service of that name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 }
 
-/// The number of hexadecimal digits of a version.
+/// The number of hexadecimal digits in a version.
 const VERSION_DIGITS: usize = 8;
 
 fn parse_version(text: &str) -> Result<u32, ConfigError> {
@@ -172,7 +173,7 @@
     Ok(())
 }
 
-/// The index of each credential's tenant. A tenant may name one of its credentials twice.
+/// Maps each credential to the index of its tenant. A tenant may list the same credential more than once.
 fn index_keys(tenants: &[Tenant]) -> Result<HashMap<String, usize>, ConfigError> {
     let mut tenant_by_key = HashMap::new();
     for (index, tenant) in tenants.iter().enumerate() {
--- a/crates/aspendrum-model/src/config/document.rs
+++ b/crates/aspendrum-model/src/config/document.rs
@@ -1,11 +1,11 @@
-//! The configuration as operators write it, in JSON, and the validation of each of its rules.
+//! The JSON representation of the configuration, and the validation of its rules.
 
 use super::error::ConfigError;
 use super::route::{Route, WeightedService};
 use serde::Deserialize;
 use std::collections::HashSet;
 
-/// A whole configuration.
+/// A configuration document.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct Document {
     #[serde(rename = "gen")]
@@ -19,65 +19,65 @@
     pub(super) services: Vec<Service>,
 }
 
-/// The limits on each request of a client.
+/// The limits on each client request.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct RequestLimits {
-    /// The most bytes of a request's head.
+    /// The maximum size of the request head, in bytes.
     #[serde(rename = "hdr-bytes")]
     pub header_bytes: u64,
-    /// The most bytes of a request's body.
+    /// The maximum size of the request body, in bytes.
     #[serde(rename = "body-bytes")]
     pub body_bytes: u64,
-    /// How long a client may take to send a request, in milliseconds.
+    /// The maximum time that a client may take to send a request, in milliseconds.
     #[serde(rename = "hdr-ms")]
     pub header_timeout_ms: f64,
-    /// How long a connection may be idle between requests, in milliseconds.
+    /// The maximum time that a connection may be idle between requests, in milliseconds.
     #[serde(rename = "idle-ms")]
     pub idle_timeout_ms: f64,
 }
 
-/// A tenant: a customer to whom requests are charged, with its quota.
+/// A tenant: a customer to which requests are charged, with a quota.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// The credentials that clients present on its behalf. They are secrets.
+    /// The credentials of its clients. They are secrets.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// The rank of its requests when load is shed; 0 is the highest.
+    /// The priority of its requests for load shedding; 0 is the highest.
     #[serde(rename = "prio", default)]
     pub priority: f64,
-    /// Its quota over all proxies together, in requests a second; 0: none.
+    /// The quota across all proxies, in requests per second; 0 means no quota.
     #[serde(rename = "rate-s", default)]
     pub rate_per_second: f64,
-    /// How many requests it may send on top of the rate.
+    /// The number of requests that it may send in excess of the rate.
     #[serde(default)]
     pub burst: f64,
-    /// The only regions in which its requests may be served; empty: all.
+    /// The regions in which its requests may be served; empty means all regions.
     #[serde(rename = "homes", default)]
     pub home_regions: Vec<String>,
 }
 
-/// A service: a set of servers of which each can run the same requests.
+/// A service: a set of interchangeable servers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
-    /// The path of its health check.
+    /// The path of the health check.
     #[serde(rename = "check")]
     pub health_check_path: String,
-    /// The most connections that one of its servers accepts from all callers together.
+    /// The maximum number of connections that each server accepts from all callers.
     #[serde(rename = "max-conns", default)]
     pub max_connections: u32,
-    /// How long a server is in slow start after its start, in seconds.
+    /// The duration of slow start after a server has started, in seconds.
     #[serde(rename = "warmup-s", default)]
     pub slow_start_s: f64,
-    /// How many requests a second a server takes during slow start.
+    /// The maximum rate of requests to a server during slow start, in requests per second.
     #[serde(rename = "warm-rate-s", default)]
     pub slow_start_rate: f64,
 }
 
-/// The rules of one host.
+/// The rules of a host.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct Listener {
     #[serde(rename = "vhost")]
@@ -85,7 +85,7 @@
     pub(super) rules: Vec<Rule>,
 }
 
-/// A route as operators write it.
+/// A route in the configuration document.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct Rule {
     name: String,
@@ -102,14 +102,14 @@
     action: Action,
 }
 
-/// Which requests of the host a rule is for.
+/// The condition that selects the requests to which a rule applies.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct MatchCondition {
     #[serde(rename = "pfx")]
     pub(super) prefix: String,
 }
 
-/// The services and the terms for the requests that a rule matches.
+/// The services and limits for the requests that match a rule.
 #[derive(Clone, Debug, Deserialize)]
 struct Action {
     #[serde(rename = "svc")]
@@ -123,7 +123,7 @@
     home_regions: Vec<String>,
 }
 
-/// One service's share of the requests.
+/// The share of the requests that a service receives.
 #[derive(Clone, Debug, Deserialize)]
 struct Split {
     #[serde(rename = "svc")]
@@ -132,12 +132,13 @@
     weight: f64,
 }
 
-/// The protocol defines a latency target that exceeds the time-out by this much as invalid: it must be in the wrong
-/// unit. A smaller excess is allowed.
+/// A latency target that exceeds the timeout by at least this much is rejected, because it is likely in the wrong unit.
+/// The protocol allows a smaller excess.
 const MAX_TARGET_ABOVE_TIMEOUT_MS: f64 = 60_000.0;
 
 impl Rule {
-    /// The route of this rule. `known_services` are the names of the services that the configuration defines.
+    /// Validates the rule and returns its route. `known_services` contains the names of the services in the
+    /// configuration.
     pub(super) fn validate(&self, known_services: &HashSet<&str>) -> Result<Route, ConfigError> {
         let action = &self.action;
         let services = self.services()?;
@@ -192,7 +193,7 @@
         }
         let has_invalid_weight = services.iter().any(|s| s.weight.is_nan() || s.weight < 0.0);
         if has_invalid_weight || services.iter().map(|s| s.weight).sum::<f64>() <= 0.0 {
-            return Err(ConfigError::NoWeight(self.name.clone()));
+            return Err(ConfigError::InvalidWeights(self.name.clone()));
         }
         Ok(())
     }
--- a/crates/aspendrum-model/src/config/error.rs
+++ b/crates/aspendrum-model/src/config/error.rs
@@ -1,33 +1,33 @@
-//! Why a configuration is refused.
+//! Errors in a configuration.
 
 use derive_more::{Display, Error};
 
-/// The first fault that was found in a configuration. Operators see its text.
+/// The first error found in a configuration. The text is shown to operators.
 #[derive(Debug, Display, Error, PartialEq)]
 pub enum ConfigError {
-    /// The text is not JSON of the expected form; says where.
+    /// The text is not JSON of the expected structure, or a value is invalid. Contains a description.
     #[display("it cannot be read whole: {_0}")]
     Unreadable(#[error(not(source))] String),
-    /// A route leads to a service that the configuration does not define.
+    /// A route refers to a service that the configuration does not define.
     #[display("route {route} names the service {service}, which is not there")]
     UnknownService {
-        /// The route's name.
+        /// The name of the route.
         route: String,
-        /// The service's name.
+        /// The name of the service.
         service: String,
     },
-    /// Two routes match the same requests.
+    /// Two routes have the same host and path prefix.
     #[display("two routes have the host {host} and the prefix {prefix}")]
     DuplicateRoute {
-        /// The host of both, in lower case.
+        /// The host, in lower case.
         host: String,
-        /// The path prefix of both.
+        /// The path prefix.
         prefix: String,
     },
-    /// The weights of a route's services are negative, not numbers, or sum to 0.
+    /// A weight of a route is negative or not a number, or the weights sum to 0.
     #[display("the weights of route {_0} come to nothing")]
-    NoWeight(#[error(not(source))] String),
-    /// The latency target of a route is a minute or more above its time-out.
+    InvalidWeights(#[error(not(source))] String),
+    /// The latency target of a route exceeds its timeout by a minute or more.
     #[display("the aim of route {_0} is a minute or more above its limit")]
     LatencyTargetAboveTimeout(#[error(not(source))] String),
     /// A route allows no attempts.
@@ -36,7 +36,7 @@
     /// A path prefix does not begin with a slash.
     #[display("the prefix {_0} does not begin with a slash")]
     RelativePrefix(#[error(not(source))] String),
-    /// Two tenants have one credential.
+    /// Two tenants have the same credential.
     #[display("two tenants have one key")]
     SharedKey,
 }
--- a/crates/aspendrum-model/src/config/route.rs
+++ b/crates/aspendrum-model/src/config/route.rs
@@ -1,39 +1,39 @@
-//! Routes: the services and the terms for the requests of one host and path prefix.
+//! Routes: the services and limits for the requests of one host and path prefix.
 
-/// The services for requests of one host and path prefix, and the limits on these requests.
+/// The services and limits for the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs and reports.
+    /// The name of the route, for logs and reports.
     pub name: String,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub idempotent: bool,
-    /// The latency within which an answer has its full value, in milliseconds.
+    /// The target latency of a response, in milliseconds.
     pub latency_target_ms: f64,
-    /// The time-out of a request, in milliseconds, over all its attempts.
+    /// The timeout of a request including all attempts, in milliseconds.
     pub timeout_ms: f64,
-    /// The rank of its requests when load is shed, behind the tenant's; 0 is the highest.
+    /// The priority of its requests for load shedding, compared after the priority of the tenant; 0 is the highest.
     pub priority: f64,
-    /// Whether requests need no credential.
+    /// Whether requests are accepted without a credential.
     pub is_public: bool,
-    /// The most servers that one request may be sent to, the first included.
+    /// The maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// The only regions in which requests may be served; empty: all.
+    /// The regions in which requests may be served; empty means all regions.
     pub home_regions: Vec<String>,
-    /// The services that share the requests. Their weights are not negative and sum to more than 0.
+    /// The services that share the requests. No weight is negative, and the sum of the weights is positive.
     pub services: Vec<WeightedService>,
 }
 
-/// A service and its share of a route's requests.
+/// A service and its share of the requests of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// The service's name.
+    /// The name of the service.
     pub service: String,
-    /// Its share, relative to the other weights of the route.
+    /// The weight of the service, relative to the other services of the route.
     pub weight: f64,
 }
 
 impl Route {
-    /// The service that a request goes to. `chance` is drawn evenly from 0 to 1.
+    /// Selects the service for a request. `chance` is a uniform random number from 0 to 1.
     pub fn service(&self, chance: f64) -> &str {
         let mut remaining = chance * self.services.iter().map(|s| s.weight).sum::<f64>();
         for WeightedService { service, weight } in &self.services {
@@ -42,7 +42,8 @@
                 return service;
             }
         }
-        // Reached if rounding left `remaining` at 0 or more. A service without weight must not be chosen then either.
+        // Reached if `remaining` is still not negative, through rounding or because `chance` is 1. A service with
+        // weight 0 must not be selected in this case either.
         let last_weighted = self.services.iter().rev().find(|s| s.weight > 0.0);
         last_weighted.map_or("", |s| &s.service)
     }
--- a/crates/aspendrum-model/src/lib.rs
+++ b/crates/aspendrum-model/src/lib.rs
@@ -1,26 +1,26 @@
-//! The data model that the programs of the system share: the settings file of a process, the operator's
-//! configuration, the platform's list of servers, and the messages between control, agents and proxies.
+//! The data model shared by all programs: the settings file of a process, the operators' configuration, the platform's
+//! server list, and the messages between control, agents and proxies.
 //!
-//! This crate does no I/O, but for [`settings::Settings::load`].
+//! This crate performs no I/O except in [`settings::Settings::load`].
 //!
 //! # How it works
 //!
-//! Each kind of data is parsed and validated once, when it enters the system, and is used as a typed value from then
-//! on:
+//! Data is parsed and validated once, when it enters the system, and then used as typed values:
 //!
-//! - [`settings`]: what the platform gives one process, as JSON. All invalid settings are reported together.
-//! - [`config`]: what the operators give the whole system, as JSON: tenants, services, and routes by host and path.
-//!   The text itself is what is replicated and sent, compressed by [`compression`]; every node parses it by itself.
-//! - [`servers`]: what the platform reports of its servers, as pages of JSON.
-//! - [`message`]: what control, agents and proxies send each other, encoded with postcard. Variants and fields are
-//!   identified by their order there: they may be renamed but not reordered, since nodes of two versions run side by
+//! - [`settings`]: the settings that the platform provides for a process, as JSON. All invalid settings are reported
+//!   together.
+//! - [`config`]: the operators' configuration of the whole system, as JSON: tenants, services, and routes by host and
+//!   path. The text itself is replicated and sent, compressed by [`compression`], and every node parses it.
+//! - [`servers`]: the platform's server list, as pages of JSON.
+//! - [`message`]: the messages between control, agents and proxies, encoded with postcard. The encoding identifies
+//!   variants and fields by their order. They may be renamed but not reordered, since nodes of two versions run side by
 //!   side during an update.
 //!
-//! Control sends state to an agent, and an agent to its proxy, in sections ([`message::StateSection`]), each of which
-//! replaces the previous one of its kind. A [`message::StateDigest`] identifies a whole state, so that control can
-//! compare what a proxy has applied with what was decided without sending either.
+//! Control sends state to an agent, and an agent to its proxy, in sections ([`message::StateSection`]). Each section
+//! replaces the previous one of its kind. A [`message::StateDigest`] identifies a complete state, so that the state
+//! applied by a proxy can be compared with the decided state without transferring either.
 //!
-//! # Order of reading
+//! # Reading order
 //!
 //! [`time`] and [`hash`], then [`config`], [`servers`], [`message`] and [`settings`].
 
--- a/crates/aspendrum-model/src/message.rs
+++ b/crates/aspendrum-model/src/message.rs
@@ -1,57 +1,58 @@
 //! The messages on the connections between control, agents and proxies.
 //!
-//! They are encoded with postcard, which writes a variant's position and a struct's fields in their order: renaming is
-//! safe; reordering, splitting or changing a type breaks nodes of other versions. All times are ages in milliseconds,
-//! never times of day, since no two clocks here agree.
+//! Messages are encoded with postcard, which writes the index of a variant and the fields of a struct in declaration
+//! order. Renaming is safe; reordering, splitting or changing a type breaks compatibility with nodes of other versions.
+//! Times are transmitted as ages in milliseconds, never as times of day, since the clocks of the nodes are not
+//! synchronized. The exception is `sent_at_ms`, which is only interpreted by its sender.
 
 use crate::hash::digest;
 use crate::servers::ServerInstance;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Whether clients may be sent to a proxy, from worst to best.
+/// Whether clients may be directed to a proxy, ordered from worst to best.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Readiness {
-    /// It lacks state that it needs to serve requests, or no longer accepts requests.
+    /// The proxy lacks state that it needs to serve requests, or no longer accepts requests.
     #[default]
     Closed,
-    /// It is shutting down gracefully, and accepts requests for a little longer.
+    /// The proxy is shutting down gracefully and still accepts requests for a short time.
     Draining,
-    /// It accepts requests.
+    /// The proxy accepts requests.
     Ready,
 }
 
-/// A proxy that clients can be sent to.
+/// A proxy to which clients can be directed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProxyEndpoint {
-    /// The address at which it accepts clients.
+    /// The address at which the proxy accepts clients.
     pub addr: SocketAddrV4,
-    /// The zone that it is in.
+    /// The zone in which it is located.
     pub zone: String,
-    /// Whether clients may be sent to it.
+    /// Whether clients may be directed to the proxy.
     pub readiness: Readiness,
-    /// Whether it has applied the decided state, or lacks it only since a moment ago.
+    /// Whether the proxy has applied the decided state, or has been behind for only a short time.
     pub is_current: bool,
 }
 
 impl ProxyEndpoint {
-    /// Whether new clients may be sent to it.
+    /// Whether new clients may be directed to the proxy.
     pub fn is_ready(&self) -> bool {
         self.readiness == Readiness::Ready
     }
 }
 
-/// The versions of the operators' commands that a state contains.
+/// The versions of the operator commands that are included in a state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
     /// The version of the configuration.
     pub config: u32,
-    /// The number of the last evacuation command.
+    /// The sequence number of the last evacuation command.
     pub evacuation: u64,
 }
 
 impl Revision {
-    /// Whether `self` is at least as new as `other` in both parts.
+    /// Whether `self` is at least as new as `other` in both components.
     pub fn covers(&self, other: &Revision) -> bool {
         self.config >= other.config && self.evacuation >= other.evacuation
     }
@@ -60,11 +61,11 @@
 /// The number of digests in a [`StateDigest`]: routes, services, tenants and evacuations have one each.
 pub const DIGEST_SECTIONS: usize = 4;
 
-/// Identifies a decided or applied state: its revision, and a digest of each section's canonical form. The digests
-/// distinguish two texts of one version.
+/// Identifies a decided or applied state by its revision and a digest of the canonical form of each section. The
+/// digests distinguish different texts with the same version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDigest {
-    /// The versions of the commands in it.
+    /// The versions of the commands included in the state.
     pub revision: Revision,
     /// A digest of each section.
     pub digests: [u64; DIGEST_SECTIONS],
@@ -73,51 +74,51 @@
 /// The address of a control node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlAddress {
-    /// Its IP address; its ports follow from the settings.
+    /// The IP address. The ports are derived from the settings.
     pub ip: Ipv4Addr,
-    /// The zone that it is in.
+    /// The zone in which it is located.
     pub zone: String,
-    /// Whether the sender has received a message from it lately, and it is not shutting down.
+    /// Whether the node is not shutting down and the sender has recently received a message from it.
     pub reachable: bool,
 }
 
-/// One section of the state that proxies apply. Each is complete, and supersedes the previous one of its kind.
+/// A section of the state that proxies apply. Each section is complete and supersedes the previous one of its kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StateSection {
     /// The operators' configuration.
     Config {
-        /// Its version.
+        /// The version.
         version: u32,
-        /// Its text, compressed.
+        /// The compressed text.
         compressed_text: Vec<u8>,
-        /// The digest of the decided compressed text. A text with another digest is damaged and is never applied.
+        /// The digest of the decided compressed text. A text with a different digest is corrupt and never applied.
         checksum: u64,
     },
-    /// The zones that are evacuated.
+    /// The evacuated zones.
     Evacuated {
-        /// The number of the last evacuation command for any zone.
+        /// The sequence number of the last evacuation command for any zone.
         revision: u64,
         /// The names of the zones.
         zones: Vec<String>,
     },
-    /// The platform's list of servers.
+    /// The platform's server list.
     Servers {
         /// The age of the list when it was sent, in milliseconds.
         age_ms: u32,
         /// The servers.
         list: Vec<ServerInstance>,
     },
-    /// The proxies that clients can be sent to.
+    /// The proxies to which clients can be directed.
     Proxies(Vec<ProxyEndpoint>),
     /// The control nodes.
     Control(Vec<ControlAddress>),
 }
 
-/// The number of kinds of sections.
+/// The number of section kinds.
 pub const SECTION_KINDS: usize = 5;
 
 impl StateSection {
-    /// The section of a configuration, with the checksum of its compressed text.
+    /// Creates the section of a configuration, with the checksum of its compressed text.
     pub fn config(version: u32, compressed_text: Vec<u8>) -> StateSection {
         let checksum = digest(&compressed_text);
         StateSection::Config {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Whether a configuration's text has the checksum that was decided with it; true for all other sections.
+    /// Whether the compressed text of a configuration matches its checksum. Always true for other sections.
     pub fn has_valid_checksum(&self) -> bool {
         match self {
             StateSection::Config {
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Whether the section is decided by operators' commands, and part of the [`StateDigest`].
+    /// Whether the section is determined by operator commands and thus part of the [`StateDigest`].
     pub fn is_decided(&self) -> bool {
         matches!(
             self,
@@ -147,7 +148,7 @@
         )
     }
 
-    /// The position of the section's kind, below [`SECTION_KINDS`].
+    /// Returns the index of the section kind, which is less than [`SECTION_KINDS`].
     pub fn kind(&self) -> usize {
         match self {
             StateSection::Config { .. } => 0,
@@ -162,64 +163,64 @@
 /// A message from control to an agent, or from an agent to its proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromControl {
-    /// A section of the state changed.
+    /// A section of the state has changed.
     Update {
-        /// The sequence number of the update on this connection.
+        /// The sequence number of the update on the connection.
         number: u64,
         /// The new section.
         section: StateSection,
     },
-    /// The answer to a heartbeat.
+    /// The reply to a heartbeat.
     Heartbeat {
-        /// `sent_at_ms` of the heartbeat that is answered.
+        /// The `sent_at_ms` of the heartbeat to which this is the reply.
         sent_at_ms: u64,
-        /// How many milliseconds ago a majority of control's disks held nothing newer than `decided`; `None` if that
-        /// was never confirmed.
+        /// The time in milliseconds since a majority of control's disks held nothing newer than `decided`; `None` if
+        /// this was never confirmed.
         majority_age: Option<u32>,
-        /// The state that was decided.
+        /// The decided state.
         decided: StateDigest,
-        /// Whether control has certainly heard the receiver lately. An agent sends false to its proxy once no heartbeat of
-        /// the last 650 ms is answered.
+        /// Whether control has recently received a message from the receiver. An agent sends false to its proxy if none
+        /// of its heartbeats of the last 650 ms has been answered.
         control_reachable: bool,
-        /// Whether at least half of all agents, too, lack a recent confirmation by a majority.
+        /// Whether at least half of all agents lack a recent majority report.
         most_agents_isolated: bool,
     },
-    /// Discard the applied state: all sections follow.
+    /// Instructs the receiver to discard the applied state. All sections follow.
     Resync,
 }
 
 /// A message from a proxy to its agent, or from an agent to control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToControl {
-    /// The first message on a connection: introduces the sender.
+    /// Identifies the sender and its proxy. It precedes all heartbeats on a connection.
     Hello {
-        /// The host's name.
+        /// The host name.
         host: String,
-        /// The address at which its proxy accepts clients.
+        /// The address at which the proxy accepts clients.
         proxy_addr: SocketAddrV4,
-        /// The zone that it is in.
+        /// The zone in which it is located.
         zone: String,
     },
-    /// The proxy is alive.
+    /// Reports the state of the proxy periodically.
     Heartbeat {
-        /// When it was sent, by the sender's monotonic clock; the answer repeats it.
+        /// The time of sending by the sender's monotonic clock. The reply repeats it.
         sent_at_ms: u64,
-        /// Whether clients may be sent to the proxy.
+        /// Whether clients may be directed to the proxy.
         readiness: Readiness,
         /// The state that the proxy has applied, computed from its tables.
         applied: StateDigest,
     },
-    /// The last message on this connection: the agent moves to another control node.
+    /// The last message on a connection: the agent moves to another control node.
     Disconnecting,
-    /// All updates up to this sequence number are applied.
+    /// All updates up to a sequence number have been applied.
     Applied {
         /// The sequence number of the last applied update.
         number: u64,
     },
 }
 
-/// A message that arrives at control: of an agent, or of another control node, whose messages `P` only control can
-/// read.
+/// A message received by control, either from an agent or from another control node. The type `P` of messages between
+/// control nodes is only defined in control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Envelope<P = ()> {
     /// From an agent.
--- a/crates/aspendrum-model/src/servers.rs
+++ b/crates/aspendrum-model/src/servers.rs
@@ -1,39 +1,39 @@
-//! The platform's list of servers: its pages in JSON, and the list as a process stores it.
+//! The platform's server list: its JSON pages, and the list as stored by a process.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// One incarnation of a server. Encoded with postcard: fields may be renamed, not reordered.
+/// An instance of a server. It is encoded with postcard, so fields may be renamed but not reordered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerInstance {
-    /// Identifies the incarnation; a server that restarts gets a new one.
+    /// The unique id of the instance. A server that restarts gets a new id.
     pub uid: String,
-    /// The service that it belongs to.
+    /// The service to which the server belongs.
     pub service: String,
-    /// The address at which it accepts requests.
+    /// The address at which the server accepts requests.
     pub addr: SocketAddrV4,
-    /// The zone that it is in.
+    /// The zone in which the server is located.
     pub zone: String,
-    /// The number of requests that it runs at once.
+    /// The number of requests that the server executes concurrently.
     pub slots: u16,
-    /// Whether it takes no new requests, as it is shutting down gracefully or has ended.
+    /// Whether the server accepts no new requests, because it is shutting down gracefully or has terminated.
     pub draining: bool,
-    /// The rest of its slow start in milliseconds, counted from the sending of the list; 0 if it is not in slow start.
+    /// The remaining time of slow start when the list was sent, in milliseconds; 0 if the server is not in slow start.
     pub slow_start_left_ms: u32,
 }
 
-/// One page of the platform's list.
+/// A page of the platform's server list.
 #[derive(Debug, PartialEq)]
 pub struct ServerPage {
     /// The servers on this page.
     pub servers: Vec<ServerInstance>,
-    /// The token with which to ask for the next page; `None` on the last one.
+    /// The token for requesting the next page; `None` on the last page.
     pub next_page: Option<String>,
 }
 
-/// A page of the platform's list that is not the expected JSON.
+/// A page of the platform's server list could not be parsed.
 #[derive(Debug, Display, Error)]
 #[display("{_0}")]
 pub struct InvalidServerPage(serde_json::Error);
@@ -60,9 +60,9 @@
     slow_start_left_ms: f64,
 }
 
-/// The phase of a server that takes requests; in any other it is draining.
+/// The phase of a server that accepts requests. A server in any other phase is treated as draining.
 const PHASE_UP: &str = "up";
-/// A slow start that the platform reports as longer than a day counts as a day.
+/// The upper bound of the remaining slow start time reported by the platform: one day.
 const MAX_SLOW_START_MS: f64 = 86_400_000.0;
 
 impl From<ServerEntry> for ServerInstance {
@@ -79,10 +79,10 @@
     }
 }
 
-/// Reads one page of the platform's list.
+/// Parses a page of the platform's server list.
 ///
 /// # Errors
-/// [`InvalidServerPage`] if any part of the page cannot be read; nothing of such a page is used.
+/// Returns [`InvalidServerPage`] if any part of the page is invalid. Such a page is rejected as a whole.
 pub fn parse_page(text: &[u8]) -> Result<ServerPage, InvalidServerPage> {
     let page: PageDocument = serde_json::from_slice(text).map_err(InvalidServerPage)?;
     let servers = page.servers.into_iter().map(ServerInstance::from).collect();
@@ -92,31 +92,34 @@
     })
 }
 
-/// A server, and when its slow start ends by the list's clock.
+/// A server and the end of its slow start.
 #[derive(Clone, Debug, PartialEq)]
 struct ListedServer {
-    /// Its `slow_start_left_ms` is always 0: `slow_start_end_ms` replaces it.
+    /// The server. Its `slow_start_left_ms` is always 0; `slow_start_end_ms` is used instead.
     server: ServerInstance,
-    /// Milliseconds by the monotonic clock of the process; 0 if the server was never in slow start.
+    /// The end of slow start by the monotonic clock of the process, in milliseconds; 0 if the server was never in slow
+    /// start.
     slow_start_end_ms: f64,
 }
 
-/// The newest list that a process has received. Remaining times of slow start are kept as points in time by the
-/// monotonic clock of this process, in milliseconds.
+/// The most recent server list that a process has received. Remaining slow start times are converted to points in time
+/// by the monotonic clock of the process.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     servers: BTreeMap<String, ListedServer>,
-    /// When the poll of the platform began, by the clock of this process, in milliseconds; `None` without a list.
+    /// When the poll of the platform began, by the monotonic clock of this process, in milliseconds; `None` if no list
+    /// was received.
     pub polled_at: Option<f64>,
 }
 
-/// Two reports of the end of one slow start that differ by less than this, in milliseconds, count as equal: delays of
-/// the list shift the end a little in each report.
+/// Reported ends of slow start that differ by less than this are considered equal, since transmission delays shift the
+/// end slightly in each report.
 const SLOW_START_TOLERANCE_MS: f64 = 400.0;
 
 impl ServerList {
-    /// Replaces the list by one that was received at `now` and whose poll of the platform began at `polled_at`. Ignores
-    /// a list that is no newer than the present one. Returns whether anything other than the passage of time changed.
+    /// Replaces the list with one that was received at `now` and whose poll of the platform began at `polled_at`. A
+    /// list that is not newer than the current one is ignored. Returns whether the list changed, apart from the
+    /// progress of slow start.
     pub fn replace(&mut self, now: f64, servers: Vec<ServerInstance>, polled_at: f64) -> bool {
         if self.polled_at.is_some_and(|last| last >= polled_at) {
             return false;
@@ -131,8 +134,8 @@
         changed
     }
 
-    /// The entry of a server that was reported at `now`. Keeps the known end of its slow start if the report agrees
-    /// with it within [`SLOW_START_TOLERANCE_MS`].
+    /// Returns the entry of a server that was reported at `now`. Keeps the known end of slow start if it is within
+    /// [`SLOW_START_TOLERANCE_MS`] of the reported one, or if slow start has ended.
     fn listed(&self, now: f64, mut server: ServerInstance) -> ListedServer {
         let left_ms = f64::from(std::mem::take(&mut server.slow_start_left_ms));
         // The remaining time was computed when the list was sent, not when the platform was polled.
@@ -150,7 +153,7 @@
         }
     }
 
-    /// The list as it is sent at `now`.
+    /// Returns the list with the remaining slow start times at `now`.
     pub fn snapshot(&self, now: f64) -> Vec<ServerInstance> {
         let snapshot = |listed: &ListedServer| {
             let slow_start_left_ms = (listed.slow_start_end_ms - now).max(0.0) as u32;
@@ -162,7 +165,7 @@
         self.servers.values().map(snapshot).collect()
     }
 
-    /// Whether no server is listed.
+    /// Whether the list contains no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
--- a/crates/aspendrum-model/src/settings.rs
+++ b/crates/aspendrum-model/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings file of a process, as the platform writes it (JSON).
+//! The settings file of a process, written by the platform in JSON.
 //!
-//! [`Settings`] declares each setting with its path in the file, type, default and range. Fields of the file that are
-//! not declared are ignored.
+//! [`Settings`] declares each setting with its path in the file, type, default and valid range. Undeclared fields in
+//! the file are ignored.
 
 mod error;
 mod value;
@@ -13,10 +13,10 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use value::find_setting;
 
-/// The environment variable that holds the file's path.
+/// The environment variable that contains the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "ASPENDRUM_SETTINGS";
 
-/// Declares the settings, one a line: `field: type = "key.path", default or required, check of the range`.
+/// Declares the settings, one per line: `field: type = "key.path", default or required(), range check`.
 macro_rules! settings {
     ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $type:ty = $key_path:literal, $default:expr,
         $check:expr;)* }) => {
@@ -27,10 +27,11 @@
         }
 
         impl $name {
-            /// Reads the text of a settings file.
+            /// Parses the text of a settings file.
             ///
             /// # Errors
-            /// [`SettingsError::Syntax`] if it is not JSON, or [`SettingsError::Invalid`] with all settings that are wrong.
+            /// Returns [`SettingsError::Syntax`] if the text is not JSON, or [`SettingsError::Invalid`] with all
+            /// invalid settings.
             pub fn read(text: &[u8]) -> Result<$name, SettingsError> {
                 let document: Value = serde_json::from_slice(text).map_err(SettingsError::Syntax)?;
                 let mut invalid = Vec::new();
@@ -44,12 +45,12 @@
     };
 }
 
-/// Stands for the default of a setting that has none.
+/// The default of a setting without a default value.
 fn required<T>() -> Option<T> {
     None
 }
 
-/// The check of a setting whose every value is allowed.
+/// The range check of a setting that accepts all values.
 fn any<T>(_: &T) -> bool {
     true
 }
@@ -62,9 +63,9 @@
     *value >= 0.0 && value.is_finite()
 }
 
-/// The exclusive upper limit of `tolerated_losses`.
+/// The exclusive upper bound of `tolerated_losses`.
 const MAX_TOLERATED_LOSSES: u64 = 50;
-/// The offsets of ports in the range that the machine keeps free; the last port of the range serves metrics.
+// Offsets of ports in the reserved port range. The last port of the range serves metrics.
 const CONTROL_PORT: u16 = 0;
 const COUNTER_PORT: u16 = 1;
 const AGENT_PORT: u16 = 2;
@@ -72,90 +73,94 @@
 const SNAPSHOT_PORT: u16 = 4;
 
 settings! {
-    /// The settings of a process. The platform writes the file before the process starts, and replaces it to change them.
+    /// The settings of a process. The platform writes the file before the process starts, and replaces it to change the
+    /// settings.
     Settings {
-        /// The machine's name.
+        /// The host name of the machine.
         host_name: String = "self.host-name", required(), |name| !name.is_empty();
-        /// The machine's address.
+        /// The IP address of the machine.
         ip: Ipv4Addr = "self.ip", required(), any;
-        /// The zone that the machine is in.
+        /// The zone in which the machine is located.
         zone: String = "self.az", required(), |zone| !zone.is_empty();
-        /// The region that the machine is in.
+        /// The region in which the machine is located.
         region: String = "self.geo", required(), any;
         /// Whether the loss of this machine counts towards `tolerated_losses`.
         counts_as_loss: bool = "self.quorum", Some(false), any;
-        /// Whether this is the first start of the whole system, on empty disks.
+        /// Whether this is the first start of the whole system, with empty disks.
         is_first_start: bool = "self.init", Some(false), any;
-        /// The directory on the machine's disk; `None`: it has no disk.
+        /// The data directory on the machine's disk; `None` if the machine has no disk.
         data_dir: Option<String> = "self.datadir", Some(None), any;
-        /// The most memory that the process may use, in MB.
+        /// The maximum memory usage of the process, in MB.
         memory_limit_mb: u64 = "self.caps.mem-mb", Some(128), |megabytes| *megabytes > 0;
-        /// The most descriptors that the process may open.
+        /// The maximum number of open file descriptors.
         max_open_files: u64 = "self.caps.nofile", Some(1024), |files| *files > 0;
         /// The address at which the proxy accepts clients.
         proxy_addr: Option<SocketAddrV4> = "net.binds.front", Some(None), any;
         /// The address at which the proxy answers readiness checks.
         readiness_addr: Option<SocketAddrV4> = "net.binds.readyz", Some(None), any;
-        /// The address at which control takes operators' commands.
+        /// The address at which control accepts operator commands.
         operator_addr: Option<SocketAddrV4> = "net.binds.ctl", Some(None), any;
-        /// The address at which control answers clients' lookups of proxies.
+        /// The address at which control serves client lookups of proxies.
         directory_addr: Option<SocketAddrV4> = "net.binds.dir", Some(None), any;
-        /// The ports that machines keep free for the system's own connections; the same on all machines.
+        /// The ports reserved for connections within the system; the same on all machines.
         port_range: PortRange = "net.port-range", required(), |p| p.first > 0 && p.last >= p.first + SNAPSHOT_PORT;
-        /// `operator_addr` of a few control nodes.
+        /// The `operator_addr` of some control nodes.
         seeds: Vec<SocketAddrV4> = "net.seeds", Some(Vec::new()), any;
-        /// Addresses to connect to in place of a peer's or a server's own address: a forwarded port, or a link of the
+        /// Replacements for the addresses of peers and servers, such as a forwarded port or a simulated link of the
         /// testbed.
         address_overrides: BTreeMap<SocketAddrV4, SocketAddrV4> = "net.ways", Some(BTreeMap::new()), any;
         /// The region of each zone.
         zone_regions: BTreeMap<String, String> = "net.zones", required(), |zones: &BTreeMap<_, _>| !zones.is_empty();
-        /// The address at which the platform serves its list of servers.
+        /// The address at which the platform serves its server list.
         cloud_api_addr: Option<SocketAddrV4> = "plat.cloud-api.addr", Some(None), any;
-        /// The calls a second that the platform takes from all processes together.
+        /// The maximum rate of calls that the platform accepts from all processes together, per second.
         cloud_api_rate: f64 = "plat.cloud-api.rate-s", Some(1.0), positive;
-        /// How far the platform's list lags behind, in milliseconds.
+        /// The lag of the platform's server list, in milliseconds.
         cloud_api_lag_ms: f64 = "plat.cloud-api.lag-ms", Some(0.0), not_negative;
-        /// How many machines with a disk may be lost at once.
+        /// The number of machines with a disk that may be lost at the same time.
         tolerated_losses: u64 = "terms.tolerate.machs", Some(1), |losses| *losses < MAX_TOLERATED_LOSSES;
-        /// The names of the deployment's optional requirements that are in force.
+        /// The names of the optional requirements that apply to the deployment.
         contracts: BTreeSet<String> = "terms.contracts", Some(BTreeSet::new()), any;
-        /// How long operators may retry a command other than a configuration, in milliseconds.
+        /// The time within which operators may retry a command other than a configuration, in milliseconds.
         command_timeout_ms: f64 = "terms.bounds.ack-ms", Some(5000.0), positive;
-        /// For how long a machine still counts as lost after its return, in seconds.
+        /// The time for which a machine still counts as lost after its return, in seconds.
         rejoin_s: f64 = "terms.bounds.sync-s", Some(4.0), positive;
-        /// Within how many milliseconds a draining server receives no more requests.
+        /// The time after which a draining server receives no more requests, in milliseconds.
         drain_deadline_ms: f64 = "terms.bounds.drain-ms", Some(3000.0), positive;
-        /// How long a process has for its graceful shutdown, in seconds.
+        /// The maximum duration of a graceful shutdown, in seconds.
         shutdown_grace_s: f64 = "terms.bounds.grace-s", Some(5.0), positive;
-        /// Within how many milliseconds a configuration is applied.
+        /// The time within which a configuration is applied, in milliseconds.
         apply_deadline_ms: f64 = "terms.bounds.apply-ms", Some(3000.0), positive;
-        /// By how many milliseconds that deadline is extended while control is unsettled.
+        /// The extension of `apply_deadline_ms` while control is unsettled, in milliseconds.
         unsettled_extension_ms: f64 = "terms.bounds.stretch-ms", Some(0.0), not_negative;
-        /// Whether removed credentials stop working within `revocation_deadline_ms` at every proxy, connected or not.
+        /// Whether removed credentials stop working within `revocation_deadline_ms` at every proxy, even if it is
+        /// partitioned from control.
         enforces_revocation: bool = "terms.bounds.revoked", Some(false), any;
-        /// Within how many milliseconds a removed credential stops working.
+        /// The time within which a removed credential stops working, in milliseconds.
         revocation_deadline_ms: f64 = "terms.bounds.revoke-ms", Some(5000.0), positive;
-        /// The retry budget of a service: retries as a share of its requests, in each window, plus a constant.
+        /// The retry budget of a service: the ratio of retries to requests allowed in each window, in addition to
+        /// `retry_budget_slack`.
         retry_budget_ratio: f64 = "terms.bounds.retry-ratio", Some(0.2), not_negative;
         /// The window of the retry budget, in seconds.
         retry_budget_window_s: f64 = "terms.bounds.retry-win-s", Some(10.0), positive;
-        /// The constant of the retry budget, in requests a window.
+        /// The number of retries allowed in each window in addition to `retry_budget_ratio`.
         retry_budget_slack: f64 = "terms.bounds.retry-slack", Some(0.0), not_negative;
-        /// The window in which a tenant's quota is checked, in seconds.
+        /// The window in which tenant quotas are checked, in seconds.
         quota_window_s: f64 = "terms.bounds.quota-win-s", Some(5.0), positive;
-        /// By what share of itself a quota may be exceeded in a window.
+        /// The fraction by which a quota may be exceeded in a window.
         quota_excess: f64 = "terms.bounds.quota-excess", Some(0.0), not_negative;
-        /// By how many requests more a quota may be exceeded in a window.
+        /// The number of requests by which a quota may be exceeded in a window, in addition to `quota_excess`.
         quota_slack: f64 = "terms.bounds.quota-slack", Some(0.0), not_negative;
-        /// The factor by which a server's rate of requests during slow start may be exceeded in a second.
+        /// The factor by which the slow start rate of a server may be exceeded in any second.
         slow_start_excess: f64 = "terms.bounds.warm-excess", Some(1.0), positive;
-        /// By how many requests more that rate may be exceeded in a second.
+        /// The number of requests by which the slow start rate may be exceeded in any second, in addition to
+        /// `slow_start_excess`.
         slow_start_slack: f64 = "terms.bounds.warm-slack", Some(0.0), not_negative;
-        /// Within how many milliseconds an evacuated zone receives no more requests.
+        /// The time after which an evacuated zone receives no more requests, in milliseconds.
         evacuation_deadline_ms: f64 = "terms.bounds.evac-ms", Some(5000.0), positive;
-        /// Within how many seconds the system serves again after machines have returned.
+        /// The time within which the system serves requests again after machines have returned, in seconds.
         recovery_deadline_s: f64 = "terms.bounds.heal-s", Some(15.0), positive;
-        /// The longest that a client may use an answer of the directory, in seconds.
+        /// The maximum time that a client may cache a directory response, in seconds.
         max_ttl_s: f64 = "terms.bounds.ttl_max_s", Some(5.0), positive;
     }
 }
@@ -170,10 +175,10 @@
 }
 
 impl Settings {
-    /// Reads the file whose path [`SETTINGS_VARIABLE`] holds.
+    /// Reads the settings file whose path is in [`SETTINGS_VARIABLE`].
     ///
     /// # Errors
-    /// [`SettingsError`] says what is wrong with the variable, the file or its settings.
+    /// Returns [`SettingsError`] if the variable is not set, the file cannot be read, or the settings are invalid.
     pub fn load() -> Result<Settings, SettingsError> {
         let path = std::env::var(SETTINGS_VARIABLE).map_err(|_| SettingsError::VariableNotSet)?;
         match std::fs::read(&path) {
@@ -182,17 +187,17 @@
         }
     }
 
-    /// The port on which control accepts agents and other control nodes.
+    /// Returns the port on which control accepts agents and other control nodes.
     pub fn control_port(&self) -> u16 {
         self.port_range.first + CONTROL_PORT
     }
 
-    /// The port on which proxies ask each other for shares of quotas.
+    /// Returns the port on which proxies request quota shares from each other.
     pub fn counter_port(&self) -> u16 {
         self.port_range.first + COUNTER_PORT
     }
 
-    /// The address at which an agent accepts the proxy of its machine: on loopback, unless overridden.
+    /// Returns the address at which an agent accepts the proxy of its machine, on loopback unless overridden.
     pub fn agent_addr(&self) -> SocketAddrV4 {
         self.dial_addr(SocketAddrV4::new(
             Ipv4Addr::LOCALHOST,
@@ -200,22 +205,22 @@
         ))
     }
 
-    /// The port on which agents gossip.
+    /// Returns the port on which agents gossip.
     pub fn gossip_port(&self) -> u16 {
         self.port_range.first + GOSSIP_PORT
     }
 
-    /// The port on which agents send snapshots of their state to each other.
+    /// Returns the port on which agents serve snapshots of their state to each other.
     pub fn snapshot_port(&self) -> u16 {
         self.port_range.first + SNAPSHOT_PORT
     }
 
-    /// The port on which a proxy serves its metrics.
+    /// Returns the port on which a proxy serves its metrics.
     pub fn metrics_port(&self) -> u16 {
         self.port_range.last
     }
 
-    /// The address to connect to in order to reach `address`: its override, or else itself.
+    /// Returns the address to connect to in order to reach `address`, which is its override or else `address` itself.
     pub fn dial_addr(&self, address: SocketAddrV4) -> SocketAddrV4 {
         self.address_overrides
             .get(&address)
@@ -223,12 +228,12 @@
             .unwrap_or(address)
     }
 
-    /// The address to connect to in order to reach the control node of another machine.
+    /// Returns the address to connect to in order to reach the control node on another machine.
     pub fn control_addr(&self, ip: Ipv4Addr) -> SocketAddrV4 {
         self.dial_addr(SocketAddrV4::new(ip, self.control_port()))
     }
 
-    /// A region's number: its position among the names of all regions in order, so that all nodes agree on it.
+    /// Returns the index of a region in the sorted list of all region names, which is the same on all nodes.
     pub fn region_number(&self, region: &str) -> Option<u8> {
         let regions: BTreeSet<&String> = self.zone_regions.values().collect();
         regions
@@ -237,7 +242,7 @@
             .map(|number| number as u8)
     }
 
-    /// The number of a zone's region.
+    /// Returns the region number of a zone.
     pub fn region_of(&self, zone: &str) -> Option<u8> {
         self.region_number(self.zone_regions.get(zone)?)
     }
--- a/crates/aspendrum-model/src/settings/value.rs
+++ b/crates/aspendrum-model/src/settings/value.rs
@@ -1,4 +1,4 @@
-//! The types that a setting can have, and the search for a setting in the file.
+//! The types of settings, and the lookup of settings in the file.
 
 use super::error::InvalidSetting;
 use super::PortRange;
@@ -8,9 +8,9 @@
 
 /// A type that a setting can have.
 pub(super) trait Setting: Sized {
-    /// The name of the type in the message to operators about a value of another type.
+    /// The name of the type in error messages.
     const EXPECTED: &'static str;
-    /// The value, if the JSON is of this type.
+    /// Converts a JSON value. Returns `None` if it has a different type.
     fn from_json(json: &Value) -> Option<Self>;
 }
 
@@ -43,7 +43,7 @@
         |json| json.as_object()?.iter().map(|(name, text)| Some((name.clone(), String::from_json(text)?))).collect();
 }
 
-/// A setting that may be null, or left out where that is its default.
+/// A setting that may be null.
 impl<T: Setting> Setting for Option<T> {
     const EXPECTED: &'static str = T::EXPECTED;
     fn from_json(json: &Value) -> Option<Self> {
@@ -59,8 +59,8 @@
     u16::try_from(json.get(index)?.as_u64()?).ok()
 }
 
-/// The setting at that path of the file, or its default; a setting without default is required. If it returns `None`,
-/// the reason has been added to `invalid`.
+/// Returns the setting at the given path of the document, or its default. A setting without a default is required. If
+/// the setting is missing or invalid, adds the error to `invalid` and returns `None`.
 pub(super) fn find_setting<T: Setting>(
     document: &Value,
     key_path: &'static str,
--- a/crates/aspendrum-model/src/time.rs
+++ b/crates/aspendrum-model/src/time.rs
@@ -1,16 +1,16 @@
-//! The unit of time that all programs of the system use.
+//! The representation of time shared by all programs.
 
 use std::time::Duration;
 
-/// A time in milliseconds on the monotonic clock of one node, or a duration in milliseconds.
+/// A point in time in milliseconds by the monotonic clock of a node, or a duration in milliseconds.
 ///
-/// The nodes' clocks do not agree, so messages carry ages, never points in time.
+/// The clocks of the nodes are not synchronized, so messages contain ages instead of points in time.
 pub type Millis = f64;
 
-/// Numbers that others name may be absurd: a duration is never longer, so that it can be added to any time of day or clock.
+/// The upper limit of durations from external input, so that adding them to a point in time cannot overflow.
 const MAX_DURATION: Duration = Duration::from_secs(365 * 24 * 3600);
 
-/// The duration of so many milliseconds: none for a negative number or one that is not a number, and a year at most.
+/// Converts milliseconds to a duration of at most a year. Negative numbers and NaN are converted to 0.
 pub fn duration_from_millis(millis: Millis) -> Duration {
     if millis.is_nan() || millis <= 0.0 {
         return Duration::ZERO;
--- a/crates/aspendrum-model/tests/config.rs
+++ b/crates/aspendrum-model/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations and settings: what is read, and what is refused.
+//! Parsing and validation of configurations, settings and server lists.
 
 use aspendrum_model::config::{Config, ConfigError};
 use aspendrum_model::servers::{parse_page, ServerInstance, ServerList, ServerPage};
@@ -48,7 +48,7 @@
 
 #[test_case("\"svc\":\"s2\"", "\"svc\":\"s3\"" => matches ConfigError::UnknownService { .. } ; "unknown service")]
 #[test_case("\"pfx\":\"/a/b/\"", "\"pfx\":\"/a/\"" => matches ConfigError::DuplicateRoute { .. } ; "duplicate route")]
-#[test_case("\"wt\":90},{\"svc\":\"s2\",\"wt\":10", "\"wt\":0},{\"svc\":\"s2\",\"wt\":0" => matches ConfigError::NoWeight(_) ; "no weight")]
+#[test_case("\"wt\":90},{\"svc\":\"s2\",\"wt\":10", "\"wt\":0},{\"svc\":\"s2\",\"wt\":0" => matches ConfigError::InvalidWeights(_) ; "no weight")]
 #[test_case("\"goal-ms\":500,\"prio\":1", "\"goal-ms\":62000,\"prio\":1" => matches ConfigError::LatencyTargetAboveTimeout(_) ; "latency target a minute above the time-out")]
 #[test_case("\"tries\":2,\"homes\":[]", "\"tries\":0,\"homes\":[]" => matches ConfigError::NoAttempts(_) ; "no attempts")]
 #[test_case("\"/a/b/\"", "\"a/b/\"" => matches ConfigError::RelativePrefix(_) ; "relative prefix")]
@@ -56,14 +56,14 @@
 #[test_case("}]}]", "}" => matches ConfigError::Unreadable(_) ; "cut short")]
 #[test_case("\"0000000c\"", "\"c\"" => matches ConfigError::Unreadable(_) ; "a version of another form")]
 #[test_case("\"idem\"", "\"once\"" => matches ConfigError::Unreadable(_) ; "a type that is not known")]
-fn refused(from: &str, to: &str) -> ConfigError {
+fn invalid_configurations_are_rejected(from: &str, to: &str) -> ConfigError {
     assert!(CONFIG.contains(from));
     Config::read(CONFIG.replacen(from, to, 1).as_bytes()).unwrap_err()
 }
 
-/// A latency target a little less than a minute above the time-out is odd, and allowed.
+/// A latency target that exceeds the timeout by less than a minute is unusual but allowed.
 #[test]
-fn a_latency_target_above_the_timeout_alone_is_valid() {
+fn a_latency_target_slightly_above_the_timeout_is_valid() {
     let text = CONFIG.replacen(
         "\"goal-ms\":500,\"prio\":1",
         "\"goal-ms\":61999,\"prio\":1",
@@ -101,12 +101,12 @@
     "\"revoke-ms\":-1",
     "terms.bounds.revoke-ms is out of range"
 )]
-fn an_invalid_setting_is_named(from: &str, to: &str, told: &str) {
+fn an_invalid_setting_is_named(from: &str, to: &str, expected: &str) {
     assert_eq!(
         Settings::read(SETTINGS.replacen(from, to, 1).as_bytes())
             .unwrap_err()
             .to_string(),
-        told
+        expected
     );
 }
 
@@ -115,9 +115,9 @@
     let text = SETTINGS
         .replace("\"az\":\"poa-a\",", "")
         .replace("\"rate-s\":47.0", "\"rate-s\":0");
-    let told = Settings::read(text.as_bytes()).unwrap_err().to_string();
+    let error = Settings::read(text.as_bytes()).unwrap_err().to_string();
     assert_eq!(
-        told,
+        error,
         "self.az is missing; plat.cloud-api.rate-s is out of range"
     );
 }
@@ -155,9 +155,10 @@
     }
 }
 
-/// Danger: a list that two nodes read and pass on in turn goes back, or is sent again each time that a slow start ends.
+/// Guards against a list that is forwarded by two nodes in turn being replaced by an older one, or being sent again
+/// whenever a slow start ends.
 #[test]
-fn a_server_list_is_replaced_by_newer_ones_only_and_the_passage_of_slow_start_is_no_change() {
+fn a_server_list_is_replaced_by_newer_ones_only_and_slow_start_progress_is_no_change() {
     let mut servers = ServerList::default();
     assert!(servers.replace(110.0, vec![server("a", 3000)], 100.0));
     assert!(!servers.replace(1110.0, vec![server("a", 2000)], 1100.0));
@@ -168,7 +169,7 @@
     );
     assert!(
         !servers.replace(4010.0, vec![server("a", 0)], 4000.0),
-        "its slow start ended as it was reported"
+        "slow start ended at the reported time"
     );
     assert!(
         servers.replace(5010.0, vec![server("a", 3000)], 5000.0),
@@ -176,13 +177,13 @@
     );
 }
 
-/// Danger: a list passed on through control and agent, each time with its age taken off the slow start, ended slow starts
-/// a second too soon.
+/// Guards against slow start ending early on agents. When a list was forwarded by control and an agent and each
+/// subtracted the age of the list from the remaining time, slow start ended a second too early.
 #[test]
-fn slow_start_ends_at_the_same_time_wherever_the_list_is_passed_on() {
+fn slow_start_ends_at_the_same_time_on_all_nodes() {
     let (mut control, mut agent) = (ServerList::default(), ServerList::default());
     control.replace(1000.0, vec![server("a", 3000)], 990.0);
-    // 700 ms later an agent connects; its clock began at another time.
+    // An agent connects 700 ms later. Its clock has a different origin.
     let (age, list) = (1700.0 - 990.0, control.snapshot(1700.0));
     agent.replace(50.0, list, 50.0 - age);
     assert_eq!(agent.snapshot(50.0)[0].slow_start_left_ms, 2300);
--- a/crates/aspendrum-model/tests/config_values.rs
+++ b/crates/aspendrum-model/tests/config_values.rs
@@ -1,4 +1,4 @@
-//! One full configuration and each value read of it, by the keys that operators write; and each refusal's text.
+//! Parsing of every value in a complete configuration, and the text of every error.
 
 use aspendrum_model::config::{Config, RequestLimits, RouteEntry};
 use test_case::test_case;
@@ -10,16 +10,16 @@
 }
 
 #[test]
-fn version_and_limits_of_requests_are_read() {
+fn version_and_request_limits_are_read() {
     let config = config();
     assert_eq!(config.version, 300);
-    let caps = RequestLimits {
+    let limits = RequestLimits {
         header_bytes: 16_384,
         body_bytes: 1_048_576,
         header_timeout_ms: 3000.0,
         idle_timeout_ms: 15_000.5,
     };
-    assert_eq!(config.limits, caps);
+    assert_eq!(config.limits, limits);
 }
 
 #[test]
@@ -161,8 +161,8 @@
 #[test_case("\"gen\":\"0000012c\",", "", "it cannot be read whole: missing field `gen` at line 14 column 27" ; "no version")]
 #[test_case("\"pfx\":\"/a/\"", "", "it cannot be read whole: missing field `pfx` at line 7 column 74" ; "no prefix")]
 #[test_case("\"hdr-ms\":3000", "\"hdr-ms\":\"3\"", "it cannot be read whole: invalid type: string \"3\", expected f64 at line 1 column 77" ; "a time that is no number")]
-fn a_refusal_says_what_is_wrong(from: &str, to: &str, text: &str) {
+fn invalid_configurations_are_rejected_with_the_expected_text(from: &str, to: &str, text: &str) {
     assert!(CONFIG.contains(from));
-    let refusal = Config::read(CONFIG.replacen(from, to, 1).as_bytes()).unwrap_err();
-    assert_eq!(refusal.to_string(), text);
+    let error = Config::read(CONFIG.replacen(from, to, 1).as_bytes()).unwrap_err();
+    assert_eq!(error.to_string(), text);
 }
--- a/crates/aspendrum-model/tests/settings_values.rs
+++ b/crates/aspendrum-model/tests/settings_values.rs
@@ -1,23 +1,23 @@
-//! One full settings file and each value read of it, by the keys that the platform writes; each default; and what is said
-//! of each value that is missing or wrong.
+//! Parsing of every value in a complete settings file, every default, and the error text for every missing or invalid
+//! value.
 
 use aspendrum_model::settings::{PortRange, Settings};
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const SETTINGS: &str = include_str!("fixtures/settings.json");
-const REFUSALS: &str = include_str!("fixtures/settings_refusals.txt");
+const ERRORS: &str = include_str!("fixtures/settings_refusals.txt");
 
 fn address(text: &str) -> SocketAddrV4 {
     text.parse().unwrap()
 }
 
 fn read(document: &Value) -> Result<Settings, String> {
-    Settings::read(document.to_string().as_bytes()).map_err(|refusal| refusal.to_string())
+    Settings::read(document.to_string().as_bytes()).map_err(|error| error.to_string())
 }
 
 #[test]
-fn each_value_of_a_full_file_is_read() {
+fn each_value_of_a_complete_file_is_read() {
     let s = Settings::read(SETTINGS.as_bytes()).unwrap();
     assert_eq!(
         (s.host_name.as_str(), s.ip),
@@ -42,13 +42,13 @@
         s.seeds,
         [address("10.1.0.34:8200"), address("10.1.0.35:8200")]
     );
-    let ways: Vec<_> = s
+    let overrides: Vec<_> = s
         .address_overrides
         .iter()
         .map(|(from, to)| (*from, *to))
         .collect();
     assert_eq!(
-        ways,
+        overrides,
         [(address("10.1.0.34:7600"), address("127.0.0.1:9000"))]
     );
     let zones: Vec<_> = s
@@ -104,12 +104,12 @@
     );
 }
 
-const SMALLEST: &str = r#"{"self":{"host-name":"edge-1","ip":"10.1.0.31","az":"poa-a","geo":"poa"},
+const MINIMAL_SETTINGS: &str = r#"{"self":{"host-name":"edge-1","ip":"10.1.0.31","az":"poa-a","geo":"poa"},
 "net":{"port-range":[7600,7615],"zones":{"poa-a":"poa"}}}"#;
 
 #[test]
-fn each_value_that_a_file_leaves_out_has_its_default() {
-    let s = Settings::read(SMALLEST.as_bytes()).unwrap();
+fn omitted_settings_have_their_defaults() {
+    let s = Settings::read(MINIMAL_SETTINGS.as_bytes()).unwrap();
     assert!(!s.counts_as_loss && !s.is_first_start && !s.enforces_revocation);
     assert_eq!(
         (s.data_dir, s.memory_limit_mb, s.max_open_files),
@@ -200,26 +200,26 @@
     );
 }
 
-/// The places of all values in the document, in the order of their names.
-fn places(value: &Value, place: &str, all: &mut Vec<String>) {
+/// Collects the paths of all values in the document, in alphabetical order.
+fn collect_key_paths(value: &Value, key_path: &str, all: &mut Vec<String>) {
     match value {
-        Value::Object(map) if !["net.ways", "net.zones"].contains(&place) => {
+        Value::Object(map) if !["net.ways", "net.zones"].contains(&key_path) => {
             for (key, inner) in map {
-                let place = if place.is_empty() {
+                let key_path = if key_path.is_empty() {
                     key.clone()
                 } else {
-                    format!("{place}.{key}")
+                    format!("{key_path}.{key}")
                 };
-                places(inner, &place, all);
+                collect_key_paths(inner, &key_path, all);
             }
         }
-        _ => all.push(place.to_string()),
+        _ => all.push(key_path.to_string()),
     }
 }
 
-fn with(document: &Value, place: &str, value: Option<Value>) -> Value {
+fn with_value(document: &Value, key_path: &str, value: Option<Value>) -> Value {
     let mut document = document.clone();
-    let (parent, key) = place.rsplit_once('.').unwrap();
+    let (parent, key) = key_path.rsplit_once('.').unwrap();
     let parent = document
         .pointer_mut(&format!("/{}", parent.replace('.', "/")))
         .unwrap();
@@ -232,15 +232,15 @@
     document
 }
 
-/// What is said of each value where it is missing, of another type, or at the edge of its range.
+/// Compares the result for each setting when it is missing, of a different type, or at the edge of its range.
 #[test]
-fn each_refusal_names_the_place_and_what_belongs_there() {
+fn each_invalid_setting_is_reported_with_its_path_and_expected_type() {
     let mut document: Value = serde_json::from_str(SETTINGS).unwrap();
     document.as_object_mut().unwrap().remove("unknown");
     let mut all = Vec::new();
-    places(&document, "", &mut all);
+    collect_key_paths(&document, "", &mut all);
     let mut text = String::new();
-    for place in all {
+    for key_path in all {
         let values = [
             ("missing", None),
             ("null", Some(Value::Null)),
@@ -253,29 +253,29 @@
             ("ports", Some(json!([7600, 7603]))),
         ];
         for (name, value) in values {
-            let refusal = read(&with(&document, &place, value)).err();
+            let error = read(&with_value(&document, &key_path, value)).err();
             text += &format!(
-                "{place} {name}: {}\n",
-                refusal.as_deref().unwrap_or("accepted")
+                "{key_path} {name}: {}\n",
+                error.as_deref().unwrap_or("accepted")
             );
         }
     }
-    assert_eq!(text, REFUSALS);
+    assert_eq!(text, ERRORS);
 }
 
 #[test]
-fn a_text_that_is_no_document_is_refused() {
-    let refusal = Settings::read(b"{").unwrap_err().to_string();
+fn text_that_is_not_json_is_rejected() {
+    let error = Settings::read(b"{").unwrap_err().to_string();
     assert_eq!(
-        refusal,
+        error,
         "settings: EOF while parsing an object at line 1 column 1"
     );
 }
 
-/// One test, for the variable is the process' own.
+/// This is a single test because the environment variable is global to the process.
 #[test]
-fn the_file_that_the_variable_names_is_read() {
-    let load = || Settings::load().map_err(|refusal| refusal.to_string());
+fn settings_are_loaded_from_the_file_named_by_the_variable() {
+    let load = || Settings::load().map_err(|error| error.to_string());
     std::env::remove_var("ASPENDRUM_SETTINGS");
     assert_eq!(load(), Err("ASPENDRUM_SETTINGS is not set".to_string()));
     std::env::set_var("ASPENDRUM_SETTINGS", "/no/such/file");
--- a/crates/aspendrum-model/tests/wire_bytes.rs
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes that processes of different versions exchange. Postcard writes a variant's position and a struct's fields
-//! in their order: the fixture of bytes stays as it is, whatever a type or a field is called.
+//! The encoding of the messages between processes of different versions. Postcard writes the index of a variant and the
+//! fields of a struct in declaration order. The fixture must not change when types or fields are renamed.
 
 use aspendrum_model::compression::{compress, decompress};
 use aspendrum_model::hash::{digest, highest_ranked, rank};
@@ -14,40 +14,40 @@
 use std::fmt::Write;
 
 const MESSAGES: &str = include_str!("fixtures/messages.txt");
-const PACKED: &str = include_str!("fixtures/packed.txt");
+const COMPRESSED: &str = include_str!("fixtures/packed.txt");
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         write!(text, "{byte:02x}").unwrap();
         text
     })
 }
 
-fn bytes(hexadecimal: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&hexadecimal[at..at + 2], 16).unwrap();
-    (0..hexadecimal.len()).step_by(2).map(digits).collect()
+fn from_hex(hex: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+    (0..hex.len()).step_by(2).map(digits).collect()
 }
 
-/// The bytes under that name in the fixture.
-fn pinned(name: &str) -> Vec<u8> {
+/// Returns the bytes of the fixture line with the given name.
+fn fixture_bytes(name: &str) -> Vec<u8> {
     let mut lines = MESSAGES.lines().filter_map(|line| line.split_once(' '));
     let line = lines.find(|line| line.0 == name);
-    bytes(
+    from_hex(
         line.unwrap_or_else(|| panic!("the fixture has no line {name}"))
             .1,
     )
 }
 
-/// The value is written as the fixture has it, and read back from there.
-fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: T) {
+/// Checks that the value is encoded to the bytes of the fixture and decoded from them.
+fn check_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: T) {
     let written = postcard::to_allocvec(&value).unwrap();
     assert_eq!(
-        hexadecimal(&written),
-        hexadecimal(&pinned(name)),
+        to_hex(&written),
+        to_hex(&fixture_bytes(name)),
         "{name}: {value:?}"
     );
     assert_eq!(
-        postcard::from_bytes::<T>(&pinned(name)).unwrap(),
+        postcard::from_bytes::<T>(&fixture_bytes(name)).unwrap(),
         value,
         "{name}"
     );
@@ -122,26 +122,26 @@
 }
 
 #[test]
-fn parts_of_messages_keep_their_bytes() {
-    check("readiness.closed", Readiness::Closed);
-    check("readiness.draining", Readiness::Draining);
-    check("readiness.ready", Readiness::Ready);
-    check("proxy.closed", proxy(Readiness::Closed, false));
-    check("proxy.draining", proxy(Readiness::Draining, true));
-    check("proxy.ready", proxy(Readiness::Ready, true));
-    check("revision", revision());
-    check("state_digest", state_digest());
-    check("control_address", control_address());
-    check("server", server());
+fn message_components_keep_their_bytes() {
+    check_encoding("readiness.closed", Readiness::Closed);
+    check_encoding("readiness.draining", Readiness::Draining);
+    check_encoding("readiness.ready", Readiness::Ready);
+    check_encoding("proxy.closed", proxy(Readiness::Closed, false));
+    check_encoding("proxy.draining", proxy(Readiness::Draining, true));
+    check_encoding("proxy.ready", proxy(Readiness::Ready, true));
+    check_encoding("revision", revision());
+    check_encoding("state_digest", state_digest());
+    check_encoding("control_address", control_address());
+    check_encoding("server", server());
     for (name, section) in sections() {
-        check(&format!("section.{name}"), section);
+        check_encoding(&format!("section.{name}"), section);
     }
 }
 
 #[test]
 fn messages_to_an_agent_or_a_proxy_keep_their_bytes() {
     for (name, section) in sections() {
-        check(
+        check_encoding(
             &format!("down.update.{name}"),
             FromControl::Update {
                 number: 1000,
@@ -157,12 +157,12 @@
             control_reachable,
             most_agents_isolated,
         };
-    check(
+    check_encoding(
         "down.heartbeat.confirmed",
         heartbeat(Some(1500), true, false),
     );
-    check("down.heartbeat.unconfirmed", heartbeat(None, false, true));
-    check("down.resync", FromControl::Resync);
+    check_encoding("down.heartbeat.unconfirmed", heartbeat(None, false, true));
+    check_encoding("down.resync", FromControl::Resync);
 }
 
 fn messages_from_an_agent_or_a_proxy() -> [(&'static str, ToControl); 4] {
@@ -196,30 +196,30 @@
 #[test]
 fn messages_from_an_agent_or_a_proxy_keep_their_bytes() {
     for (name, message) in messages_from_an_agent_or_a_proxy() {
-        check(&format!("up.{name}"), message);
+        check_encoding(&format!("up.{name}"), message);
     }
 }
 
 #[test]
-fn what_arrives_at_control_keeps_its_bytes() {
+fn envelopes_keep_their_bytes() {
     for (name, message) in messages_from_an_agent_or_a_proxy() {
-        check(
+        check_encoding(
             &format!("envelope.up.{name}"),
             Envelope::<()>::Agent(message),
         );
     }
-    check("envelope.between.nothing", Envelope::Peer(()));
-    check("envelope.between.bytes", Envelope::Peer(vec![1_u8, 2, 3]));
+    check_encoding("envelope.between.nothing", Envelope::Peer(()));
+    check_encoding("envelope.between.bytes", Envelope::Peer(vec![1_u8, 2, 3]));
 }
 
-/// A line that no test reads pins nothing.
+/// Guards against fixture lines that no test reads.
 #[test]
 fn each_line_of_the_fixture_has_its_message() {
     assert_eq!(MESSAGES.lines().count(), 33);
 }
 
 #[test]
-fn sections_keep_their_numbers_and_a_damaged_configuration_is_found() {
+fn section_kinds_are_stable_and_a_corrupt_configuration_is_detected() {
     let kinds: Vec<usize> = sections()
         .iter()
         .map(|(_, section)| section.kind())
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_revision_covers_what_is_not_newer_in_either_number() {
+fn a_revision_covers_those_that_are_newer_in_neither_component() {
     let older = [
         Revision {
             config: 300,
@@ -278,9 +278,9 @@
     10, 30, 10, 20, 10, 10, 20, 30, 30, 30, 30, 10, 30, 10, 20, 10,
 ];
 
-/// All nodes must compute the same digests and the same owner of a key, also those of another version.
+/// Nodes of all versions must compute the same digests and the same owner of a key.
 #[test]
-fn digests_and_owners_of_keys_stay() {
+fn digests_and_key_owners_are_stable() {
     assert_eq!(digest(b""), 0x2d06_8005_38d3_94c2);
     assert_eq!(digest(b"aspendrum"), DIGEST);
     assert_eq!([rank(1, 2), rank(2, 1)], RANKS);
@@ -292,15 +292,18 @@
     assert_eq!(highest_ranked::<u64>(1, std::iter::empty()), None);
 }
 
-/// Compressed configurations are digested as they are and lie on disks: a text is compressed as before, and what was
-/// compressed before can be read.
+/// Compressed configurations are digested and stored on disk, so the compressed form of a text must not change, and
+/// texts compressed by older versions must remain readable.
 #[test]
-fn compressed_texts_stay() {
+fn compressed_texts_are_stable() {
     let text = include_str!("fixtures/config.json");
-    assert_eq!(hexadecimal(&compress(text.as_bytes())), PACKED.trim());
-    assert_eq!(decompress(&bytes(PACKED.trim())).unwrap(), text.as_bytes());
+    assert_eq!(to_hex(&compress(text.as_bytes())), COMPRESSED.trim());
     assert_eq!(
-        (hexadecimal(&compress(b"")), decompress(&[0x03, 0x00])),
+        decompress(&from_hex(COMPRESSED.trim())).unwrap(),
+        text.as_bytes()
+    );
+    assert_eq!(
+        (to_hex(&compress(b"")), decompress(&[0x03, 0x00])),
         ("0300".to_string(), Some(Vec::new()))
     );
     assert_eq!(decompress(b"no packed text"), None);
