--- a/crates/aspendrum-core/src/api.rs
+++ b/crates/aspendrum-core/src/api.rs
@@ -1,5 +1,5 @@
-//! The interface of the decision engine: its input ([`Event`]), its output ([`Action`]) and what it is
-//! started with ([`Settings`]). It belongs to no protocol.
+//! The interface of the decision engine: its input ([`Event`]), its output ([`Action`]) and its
+//! settings ([`Settings`]). It is independent of any protocol.
 
 mod action;
 mod event;
@@ -15,11 +15,10 @@
 
 pub use aspendrum_model::time::Millis;
 
-/// Identifies a request. The highest bit must not be set: ids of requests that come from other
-/// instances have it.
+/// Identifies a request. The highest bit must not be set; it marks requests of other instances.
 pub type RequestId = u64;
 /// Identifies a server.
 pub type ServerId = u32;
-/// Identifies a tenant. At most 40 bits, since counter names hold it beside a window's number;
-/// wider ids are mapped where requests come in.
+/// Identifies a tenant. Ids have at most 40 bits, since counter names combine them with a window's
+/// number. The caller maps wider ids.
 pub type TenantId = u64;
--- a/crates/aspendrum-core/src/api/action.rs
+++ b/crates/aspendrum-core/src/api/action.rs
@@ -1,8 +1,8 @@
-//! Actions: the engine's output.
+//! Actions, the output of the engine.
 
 use super::{Millis, RequestId, ServerId};
 
-/// Something is to be done.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a server.
@@ -11,19 +11,19 @@
         id: RequestId,
         /// The server.
         server: ServerId,
-        /// How long to wait for a response; 0: until the client gives up.
+        /// How long to wait for a response; 0: until the client's deadline.
         timeout: Millis,
     },
-    /// Answer a request: it may be sent again. A final answer.
+    /// Reject a request so that its client may safely retry. This is a final answer.
     Shed {
         /// The request.
         id: RequestId,
-        /// After how long the client may retry; 0 if no advice is sent.
+        /// The delay after which the client may retry; 0 if none is sent.
         retry_after: Millis,
-        /// It was beyond its tenant's quota.
+        /// The request was beyond its tenant's quota.
         beyond_quota: bool,
     },
-    /// Answer a request with an error. A final answer.
+    /// Answer a request with an error. This is a final answer.
     Drop {
         /// The request.
         id: RequestId,
@@ -35,13 +35,13 @@
         /// The attempt's number among those of the request, from 0 on.
         forward: u8,
     },
-    /// Add to a name in the shared counter, and read its total.
+    /// Add units to a name in the shared counter, and read its total.
     AddToCounter {
         /// The name.
         name: u64,
-        /// How much; may be negative or 0.
+        /// The units to add; may be negative or 0.
         units: f32,
-        /// How long the counter is to keep the name.
+        /// How long the counter must keep the name.
         ttl: Millis,
     },
     /// Probe a server.
@@ -54,29 +54,29 @@
         /// The server.
         server: ServerId,
     },
-    /// Send [`Event::Timer`](super::Event::Timer) later.
+    /// Send [`Event::Timer`](super::Event::Timer) after a delay.
     Timer {
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u32,
-        /// How much later.
+        /// The delay.
         wait: Millis,
     },
-    /// Ask discovery for the list of servers once.
+    /// Fetch the server list from discovery once.
     FetchServers,
-    /// Subscribe to discovery's list of servers, or end that.
+    /// Subscribe to discovery's server list, or unsubscribe.
     WatchServers {
-        /// Subscribe.
+        /// Whether to subscribe.
         on: bool,
     },
     /// Send a datagram to another instance.
     SendDatagram {
-        /// The instance's number; `None`: all others.
+        /// The instance's number; `None`: all other instances.
         to: Option<u32>,
-        /// The bytes.
+        /// The content.
         data: Vec<u8>,
     },
-    /// Log a line.
+    /// Log a message.
     Log(String),
-    /// Report that the engine is at fault.
+    /// Report an internal error of the engine.
     Fault(String),
 }
--- a/crates/aspendrum-core/src/api/event.rs
+++ b/crates/aspendrum-core/src/api/event.rs
@@ -1,74 +1,75 @@
-//! Events: the input of the engine.
+//! Events, the input of the engine.
 
 use super::{ListKind, LoadReport, Millis, RequestId, ServerEntry, ServerId, TenantId};
 
-/// How an attempt, a probe or a counter call ended.
+/// The outcome of an attempt, a probe or a counter call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It succeeded.
     Ok,
-    /// It was answered with an error.
+    /// The answer was an error.
     Error,
-    /// It was rejected for want of capacity, and not executed.
+    /// It was rejected due to a lack of capacity, and not executed.
     Rejected,
-    /// No answer came in time; it may have been executed.
+    /// It timed out; it may have been executed.
     TimedOut,
     /// No connection could be opened; it was not executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection was lost; it may have been executed.
     Reset,
     /// It was cancelled; it may have been executed.
     Cancelled,
-    /// It was never sent, for no fault of the server.
+    /// It was never sent, for a reason unrelated to the server.
     NotSent,
 }
 
 /// A client's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its id, not in use by another request.
+    /// The request's id, which no open request may have.
     pub id: RequestId,
     /// The index of its endpoint group.
     pub group: u16,
-    /// When its client gives up.
+    /// When its client stops waiting for an answer.
     pub deadline: Millis,
-    /// Whose request it is.
+    /// The tenant that the request belongs to.
     pub tenant: TenantId,
     /// The index of the tenant's plan.
     pub plan: u32,
-    /// How many instances the tenant's requests come through.
+    /// The number of instances that receive the tenant's requests.
     pub instances: f32,
-    /// What it costs of the tenant's quota.
+    /// Its cost in units of the tenant's quota.
     pub units: f32,
-    /// The number of the first of the tenant's instances; the others follow it.
+    /// The number of the first of the tenant's instances; the others follow consecutively.
     pub first_instance: f32,
-    /// Its client marks it as one that it sent before.
+    /// The client marked it as a retry.
     pub is_client_retry: bool,
-    /// It changes something.
+    /// It modifies data.
     pub is_write: bool,
     /// The pool whose servers may execute it.
     pub pool: u16,
-    /// Zones whose servers may execute it, a bit each; all where it does not matter.
+    /// A bit set of the zones whose servers may execute it; all bits are set if there is no
+    /// restriction.
     pub allowed_zones: u64,
-    /// Servers to which it may be sent, one after another.
+    /// The maximum number of attempts.
     pub max_attempts: u8,
 }
 
-/// Something happened.
+/// An event for the engine to handle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// Discovery's list of servers.
+    /// A server list from discovery.
     ServerList {
-        /// What the list holds.
+        /// The kind of the list.
         list: ListKind,
         /// Its version.
         version: u32,
-        /// Its servers.
+        /// The listed servers.
         entries: &'a [ServerEntry],
     },
-    /// A client's request came in. It is to have one final answer.
+    /// A client's request was received. It gets one final answer.
     Request(NewRequest),
-    /// An attempt that [`Action::Forward`](super::Action::Forward) asked for ended.
+    /// An attempt started by [`Action::Forward`](super::Action::Forward) ended.
     AttemptEnded {
         /// The request.
         id: RequestId,
@@ -76,20 +77,20 @@
         forward: u8,
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time since the attempt was sent.
         rtt: Millis,
-        /// The request is over, by this outcome or earlier.
+        /// The request is complete, due to this outcome or since before.
         is_final: bool,
-        /// 1 and the tenant's use as a percentage of its rate, where servers meter it; else 0.
+        /// The tenant's usage in percent of its rate, plus 1, if servers meter it; otherwise 0.
         metered: u16,
-        /// What the request really cost, where that is known after execution.
+        /// The request's actual cost, if it is known after execution.
         actual_units: u16,
         /// The server's load report.
         load: LoadReport,
     },
-    /// A server began to stream its response.
+    /// A server started to stream its response.
     StreamStarted {
         /// The request.
         id: RequestId,
@@ -100,18 +101,18 @@
         /// The time since the attempt was sent.
         rtt: Millis,
     },
-    /// A client left. No answer is owed any more.
+    /// A client disconnected. Its request needs no answer any more.
     ClientDisconnected {
-        /// Its request.
+        /// The request.
         id: RequestId,
     },
     /// A call of the shared counter ended.
     CounterReplied {
-        /// The name that was added to.
+        /// The name to which units were added.
         name: u64,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// The name's total with what was added, if it succeeded.
+        /// The name's total including the added units, if the call succeeded.
         total: f32,
         /// The time since the call was made.
         rtt: Millis,
@@ -120,23 +121,23 @@
     ProbeEnded {
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time since the probe was sent.
         rtt: Millis,
         /// The server's load report.
         load: LoadReport,
     },
-    /// A datagram came from another instance.
+    /// A datagram was received from another instance.
     DatagramReceived {
         /// The number of that instance.
         from: u16,
-        /// Its bytes, see [`crate::peer_message`].
+        /// The content, see [`crate::peer_message`].
         data: &'a [u8],
     },
-    /// A timer that [`Action::Timer`](super::Action::Timer) asked for is due.
+    /// A timer requested by [`Action::Timer`](super::Action::Timer) has expired.
     Timer {
-        /// Which.
+        /// The token of the timer.
         token: u32,
     },
 }
--- a/crates/aspendrum-core/src/api/server.rs
+++ b/crates/aspendrum-core/src/api/server.rs
@@ -1,39 +1,39 @@
-//! Servers as the engine is informed about them.
+//! The descriptions of servers that the engine receives.
 
 use super::{Millis, ServerId};
 
-/// Whether a server may be sent requests, as discovery has it.
+/// The health of a server, according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// It may.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It may not, and ends what it has.
+    /// It finishes its requests and accepts no new ones.
     Draining,
-    /// It is not there any more.
+    /// It no longer exists.
     Removed,
 }
 
-/// What a list of servers holds.
+/// The kind of a server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Servers that have changed.
+    /// The servers that have changed.
     Delta,
     /// All servers.
     Full,
-    /// All servers, as they were last known; maybe out of date.
+    /// All servers, from a cache that may be out of date.
     Cached,
-    /// Nothing: discovery failed.
+    /// No servers, because discovery failed.
     Failed,
 }
 
 /// A server's load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// How many of `values` there are; 0: no report.
+    /// The number of valid entries in `values`; 0: no report.
     pub count: u8,
-    /// Values in the order of [`Settings::load_values`](super::Settings::load_values). One that
-    /// could not be read is not a number.
+    /// Values in the order of [`Settings::load_values`](super::Settings::load_values). An
+    /// unreadable value is NaN.
     pub values: [f32; 4],
 }
 
@@ -42,20 +42,20 @@
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
-    /// Requests of a pool go to its servers only. 0 where there is one pool.
+    /// The pool whose requests the server gets; 0 if there is only one pool.
     pub pool: u16,
-    /// Whether it may be sent requests.
+    /// The server's health.
     pub health: Health,
     /// The cell within its zone.
     pub cell: u16,
     /// The zone.
     pub zone: u8,
-    /// How many times dearer a request to it is than to a server nearby; 0: derived from its zone.
+    /// The cost of a request to it, relative to a nearby server; 0: derived from its zone.
     pub distance_cost: f32,
-    /// Its capacity in relation to other servers.
+    /// Its capacity relative to other servers.
     pub capacity: f32,
-    /// The kind of its machine.
+    /// The machine type.
     pub kind: u8,
-    /// When it started; 0: long ago.
+    /// When it started; 0 if it started long ago.
     pub started_at: Millis,
 }
--- a/crates/aspendrum-core/src/api/settings.rs
+++ b/crates/aspendrum-core/src/api/settings.rs
@@ -1,139 +1,140 @@
-//! What an engine is started with.
+//! The settings of an engine.
 
 use super::Millis;
 
-/// What happens if a request is executed twice.
+/// The effect of executing a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Semantics {
-    /// The same as if it were executed once.
+    /// The effect is the same as that of one execution.
     Idempotent,
-    /// Servers recognize the repeat by the request's key, and don't execute it again.
+    /// Servers recognize the repeat by the request's key and do not execute it again.
     Deduplicated,
-    /// Its effect happens twice.
+    /// The request takes effect twice.
     NonIdempotent,
 }
 
 /// The servers that recognize a deduplicated request's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatGroup {
-    /// All.
+    /// All servers.
     All,
-    /// Those of the zone of the server that had it first.
+    /// The servers in the zone of the first server.
     Zone,
-    /// Those of the cell of the server that had it first.
+    /// The servers in the cell of the first server.
     Cell,
 }
 
-/// A value of a load report.
+/// The meaning of a value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadValue {
-    /// Requests that the server executes.
+    /// The number of requests in execution.
     RequestsInFlight,
-    /// Requests that wait at the server.
+    /// The number of requests queued at the server.
     RequestsQueued,
-    /// The share of its processors in use; 1 is all.
+    /// The CPU utilization; 1 is all processors.
     CpuUtilization,
-    /// The time that a request takes, in milliseconds.
+    /// The service time of a request, in milliseconds.
     ServiceTimeMs,
-    /// Requests answered a second.
+    /// The number of responses per second.
     ResponsesPerSecond,
-    /// Requests failed a second.
+    /// The number of failures per second.
     FailuresPerSecond,
-    /// Something that the engine does not know.
+    /// A value that the engine does not use.
     Unknown,
 }
 
-/// How load reports come.
+/// How load reports are delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportChannel {
-    /// With responses and with answers to probes.
+    /// With responses and with replies to probes.
     Responses,
-    /// With answers to probes.
+    /// With replies to probes only.
     Probes,
-    /// Not at all.
+    /// There are no load reports.
     Disabled,
 }
 
-/// A group of endpoints that are alike.
+/// A group of endpoints with common settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupSettings {
-    /// A response is worth most within this time.
+    /// A response within this time has its full value.
     pub latency_target: Millis,
-    /// A response is worth nothing after this time.
+    /// A response after this time has no value.
     pub hard_limit: Millis,
-    /// What happens if its requests are executed twice.
+    /// The effect of executing one of its requests twice.
     pub semantics: Semantics,
-    /// Where repeats of its requests are recognized, if they are deduplicated.
+    /// The servers that recognize repeats of its requests, if they are deduplicated.
     pub repeat_group: RepeatGroup,
-    /// For how long repeats are recognized, if they are deduplicated.
+    /// How long repeats are recognized, if its requests are deduplicated.
     pub repeat_window: Millis,
-    /// What a response is worth, in relation to other groups.
+    /// The value of a response, relative to other groups.
     pub importance: f64,
-    /// The share of that worth which a response has after the latency target.
+    /// The fraction of that value which a response after the latency target has.
     pub late_value_share: f64,
     /// Its responses are streams.
     pub is_streaming: bool,
 }
 
-/// A plan: the quota that each tenant of it has, and its rate limit.
+/// A plan: the quota and the rate limit of each of its tenants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanSettings {
-    /// The quota is counted in fixed windows of burst over rate, however large it is.
+    /// The quota is always counted in fixed windows of burst / rate.
     pub is_windowed: bool,
-    /// Units a second; 0: no quota.
+    /// The quota's rate in units per second; 0: no quota.
     pub rate: f64,
-    /// Units at once.
+    /// The quota's burst in units.
     pub burst: f64,
-    /// What a response is worth, in relation to other plans.
+    /// The value of a response, relative to other plans.
     pub price: f64,
-    /// The share of its worth that a request beyond the quota earns.
+    /// The value of a request beyond the quota, as a fraction of its normal value.
     pub overage_value: f64,
-    /// The share of its worth that a request beyond the quota costs.
+    /// The cost of a request beyond the quota, as a fraction of its normal value.
     pub overage_cost: f64,
-    /// Requests in flight at once; 0: unlimited.
+    /// The maximum number of requests in flight; 0: unlimited.
     pub max_in_flight: u32,
-    /// Units a second that must never be exceeded, whatever fails; 0: no rate limit.
+    /// The rate limit in units per second, which holds under any failure; 0: no rate limit.
     pub rate_limit: f64,
-    /// Units at once that must never be exceeded.
+    /// The rate limit's burst in units.
     pub rate_limit_burst: f64,
-    /// Units by which the rate limit may be exceeded all the same.
+    /// The tolerance in units by which the rate limit may be exceeded.
     pub rate_limit_slack: f64,
 }
 
-/// All that an engine is started with.
+/// The settings of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This instance's number, from 0 on.
+    /// This instance's number, counted from 0.
     pub instance: u32,
     /// The number of instances; not 0.
     pub instances: u32,
     /// This instance's zone.
     pub zone: u8,
-    /// The steps in which events are delivered.
+    /// The granularity of event times.
     pub tick: Millis,
     /// Endpoint groups, by index.
     pub groups: Vec<GroupSettings>,
     /// Plans, by index.
     pub plans: Vec<PlanSettings>,
-    /// What the values of a load report are.
+    /// The meanings of the values in a load report, in order.
     pub load_values: Vec<LoadValue>,
-    /// How load reports come.
+    /// How load reports are delivered.
     pub load_reports: LoadReportChannel,
-    /// Discovery's list of servers must be asked for; else it comes by itself.
+    /// The server list has to be polled; otherwise discovery pushes it.
     pub polls_discovery: bool,
-    /// If it must be asked for: the longest time between two times.
+    /// The maximum interval between two polls, if the server list has to be polled.
     pub discovery_poll_limit: Millis,
-    /// For how long an instance may still send requests to a server after it was notified that the server drains.
+    /// How long an instance may still send requests to a server after the notification that it is
+    /// draining.
     pub drain_grace: Millis,
-    /// A starting server that is sent more than this multiple of its capacity collapses.
+    /// A starting server collapses under more load than this multiple of its capacity.
     pub collapse_multiple: f64,
-    /// For how long it takes that to collapse.
+    /// How long such a load has to last for a collapse.
     pub collapse_window: Millis,
-    /// The share of its capacity that a server has at its start.
+    /// The fraction of its capacity that a server has at its start.
     pub slow_start_capacity: f64,
-    /// How long after its start a server has all its capacity.
+    /// The time from its start until a server has its full capacity.
     pub slow_start_time: Millis,
-    /// How long after a client's deadline a final answer still counts.
+    /// How long after a client's deadline a final answer is still accepted.
     pub answer_grace: Millis,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
@@ -143,28 +144,28 @@
     pub may_send_datagrams: bool,
     /// A request may have two attempts in flight.
     pub may_hedge: bool,
-    /// Attempts of one request.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Rejections may advise clients when to retry.
+    /// Rejections may contain a retry delay for clients.
     pub sends_retry_after: bool,
-    /// The longest advice, in milliseconds.
+    /// The maximum retry delay.
     pub max_retry_after: Millis,
     /// There is a shared counter.
     pub has_counter: bool,
-    /// A call of the counter that takes longer fails.
+    /// The timeout of a counter call.
     pub counter_timeout: Millis,
-    /// What a call of the counter costs.
+    /// The price of a counter call.
     pub counter_price: f64,
-    /// What a probe costs.
+    /// The price of a probe.
     pub probe_price: f64,
-    /// What a request to another zone costs.
+    /// The price of a request to another zone.
     pub cross_zone_price: f64,
     /// The units of the largest request.
     pub max_units: f64,
-    /// What a request really costs is known after its execution.
+    /// The actual cost of a request is known after its execution.
     pub cost_known_after: bool,
-    /// Over how long servers meter a tenant's use; 0: they don't.
+    /// The window over which servers meter a tenant's usage; 0: they do not.
     pub metering_window: Millis,
-    /// Datagrams a second that an instance may take in.
+    /// The maximum rate of datagrams to an instance, per second.
     pub peer_datagrams_per_second: f64,
 }
--- a/crates/aspendrum-core/src/engine.rs
+++ b/crates/aspendrum-core/src/engine.rs
@@ -1,15 +1,20 @@
-//! The decision engine of one instance: what happens to each request, decided by the events so far.
+//! The decision engine of one gateway instance.
 //!
-//! Make one [`DecisionEngine`] an instance, give it each event with its time
-//! ([`DecisionEngine::handle`]), and carry out the actions that it appends, in order. It never
-//! looks at a clock: the timer that it requests drives time-outs and the queue. A request passes
-//! through `admission` (its tenant's `quota`, decided by the shared `counter`, a `quota_owner` or
-//! this instance alone), is queued and sent to a server (`dispatch`, `endpoint_selection`), and
-//! ends (`completion`). Reasons stand in docs/design.md.
+//! Each instance owns one [`DecisionEngine`]. The caller passes it every event with its timestamp
+//! ([`DecisionEngine::handle`]) and executes the appended actions in order. The engine never reads
+//! a clock: the timer that it requests drives timeouts and the queue. A request passes through
+//! `admission` (its tenant's `quota` is decided by the shared `counter`, by a `quota_owner` or by
+//! this instance alone), is queued and sent to a server (`dispatch`, `endpoint_selection`), and is
+//! completed (`completion`). docs/design.md gives the rationale.
 //!
-//! Decisions between states stand in tables. Five rules hold whatever fails, and are named by number: 1, each request has
-//! one final answer in time; 2, no effect happens twice; 3, a draining server gets nothing new; 4, a starting server
-//! gets no more than it can stand; 5, no tenant gets more than its rate limit.
+//! State transitions are defined in tables. Five invariants hold under any failure and are referred
+//! to by number:
+//!
+//! 1. Each request gets exactly one final answer before its deadline.
+//! 2. No request takes effect twice.
+//! 3. A draining server gets no new requests.
+//! 4. A starting server gets no more load than it can handle.
+//! 5. No tenant exceeds its rate limit.
 
 mod admission;
 mod breaker;
@@ -49,68 +54,71 @@
 use crate::state::tenant::Tenant;
 use std::collections::VecDeque;
 
-/// How often the engine asks for a timer.
-const TICK: Millis = 5.0;
-/// Of the shortest latency target, the first guess of a response time.
-const FIRST_RESPONSE_TIME: f64 = 0.25;
+/// The interval of the engine's timer.
+const TICK_INTERVAL: Millis = 5.0;
+/// The initial response time estimate, as a fraction of the shortest latency target.
+const INITIAL_RESPONSE_TIME_SHARE: f64 = 0.25;
 
-/// Units still to be added to the shared counter: by a call of their own if no other call carries them before.
+/// Units that are still to be added to the shared counter. They get a call of their own at `due_at`
+/// unless an earlier call of the tenant includes them.
 struct Settlement {
     /// The tenant's index.
     tenant: usize,
     due_at: Millis,
 }
 
-/// One instance's decisions and all that it remembers for them.
+/// The decisions of one instance and the state they are based on.
 ///
-/// Its functions name the request that they are about by its index in `requests`, called `slot`,
-/// and a tenant or server by its `index` in `tenants` or `servers`.
+/// Methods refer to a request by its index in `requests` (`slot`), and to a tenant or server by its
+/// index in `tenants` or `servers` (`index`).
 pub struct DecisionEngine {
     now: Millis,
     started_at: Millis,
-    /// The actions that follow from the event that is being handled.
+    /// The actions produced by the event that is being handled.
     actions: Vec<Action>,
     params: Parameters,
     rng: Rng,
 
     breaker: CircuitBreaker,
     sampling: CounterSampling,
-    /// When the counter last gave a sign of life, be it that it rejected a call.
-    counter_heard_at: Option<Millis>,
-    /// A call of the counter failed or was late shortly before.
-    counter_strained_until: Millis,
-    /// Tenants with logged grants, by index.
+    /// When the counter last replied, including rejections.
+    last_counter_reply_at: Option<Millis>,
+    /// The counter counts as degraded until then, after a late or failed call.
+    counter_degraded_until: Millis,
+    /// The indices of tenants with logged grants.
     tenants_with_log: Vec<usize>,
     settlements: VecDeque<Settlement>,
 
     servers: Slab<Server>,
     tenants: Slab<Tenant>,
     requests: Slab<Request>,
-    /// Requests that wait for a server, in the order in which they came to wait.
+    /// Requests that wait for a server, in the order in which they were enqueued.
     queue: Vec<usize>,
-    /// Where no server can take a request in this round of the queue; kept for its allocation.
-    without_server: Vec<dispatch::ServerScope>,
-    /// All requests that are remembered, in the order in which they came.
+    /// Scopes without an available server in the current dispatch round. Kept between rounds to
+    /// reuse the allocation.
+    unserved_scopes: Vec<dispatch::ServerScope>,
+    /// All open requests, in the order of arrival.
     open_requests: Vec<usize>,
     /// By endpoint group.
     latency_baselines: Vec<LatencyBaseline>,
     fleet: FleetStatistics,
-    swept_at: Millis,
+    last_sweep_at: Millis,
 
     /// By instance number.
     peers: Vec<Peer>,
     reply_cache: ReplyCache,
-    /// The time that the last message's id encodes.
-    last_message_at: u64,
+    /// The time encoded in the id of the last message to a peer.
+    last_message_time: u64,
     malformed_datagrams: u64,
 }
 
 impl DecisionEngine {
-    /// An instance that starts now. Equal seeds, settings and events give equal actions.
+    /// Returns the engine of an instance that starts at `now`, and appends its first actions. The
+    /// engine is deterministic: equal seeds, settings and events produce equal actions.
     pub fn new(now: Millis, seed: u64, settings: &Settings, actions: &mut Vec<Action>) -> Self {
         actions.push(Action::Timer {
             token: 0,
-            wait: TICK,
+            wait: TICK_INTERVAL,
         });
         actions.extend(
             settings
@@ -125,39 +133,38 @@
             rng: Rng::new(seed),
             breaker: CircuitBreaker::default(),
             sampling: CounterSampling::default(),
-            counter_heard_at: None,
-            counter_strained_until: 0.0,
+            last_counter_reply_at: None,
+            counter_degraded_until: 0.0,
             tenants_with_log: Vec::new(),
             settlements: VecDeque::new(),
             servers: Slab::default(),
             tenants: Slab::default(),
             requests: Slab::default(),
             queue: Vec::new(),
-            without_server: Vec::new(),
+            unserved_scopes: Vec::new(),
             open_requests: Vec::new(),
             latency_baselines: params
                 .groups
                 .iter()
                 .map(|_| LatencyBaseline::default())
                 .collect(),
-            fleet: FleetStatistics::new(FIRST_RESPONSE_TIME * params.shortest_target()),
-            swept_at: 0.0,
+            fleet: FleetStatistics::new(INITIAL_RESPONSE_TIME_SHARE * params.shortest_target()),
+            last_sweep_at: 0.0,
             peers: vec![Peer::default(); settings.instances as usize],
             reply_cache: ReplyCache::default(),
-            last_message_at: 0,
+            last_message_time: 0,
             malformed_datagrams: 0,
             params,
         }
     }
 
-    /// Takes in an event and appends what is to be done now. Times must not go back from one call
-    /// to the next.
+    /// Handles an event and appends the resulting actions. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Millis, event: &Event<'_>, actions: &mut Vec<Action>) {
         self.now = now;
         std::mem::swap(&mut self.actions, actions);
         match *event {
             Event::ServerList { list, entries, .. } => self.update_servers(list, entries),
-            Event::Request(ref new) => self.accept_request(new),
+            Event::Request(ref new) => self.handle_request(new),
             Event::AttemptEnded {
                 id,
                 forward,
@@ -174,32 +181,32 @@
                     is_final,
                     actual_units: f64::from(actual_units),
                 };
-                self.end_attempt(id, usize::from(forward), &result, load);
+                self.handle_attempt_result(id, usize::from(forward), &result, load);
             }
-            Event::StreamStarted { id, .. } => self.start_streaming(id),
-            Event::ClientDisconnected { id } => self.abandon_request(id),
+            Event::StreamStarted { id, .. } => self.handle_stream_started(id),
+            Event::ClientDisconnected { id } => self.handle_client_disconnect(id),
             Event::CounterReplied {
                 name,
                 outcome,
                 total,
                 rtt,
             } => {
-                self.end_counter_call(name, outcome, total.into(), rtt);
+                self.handle_counter_reply(name, outcome, total.into(), rtt);
             }
             Event::ProbeEnded {
                 server,
                 outcome,
                 ref load,
                 ..
-            } => self.end_probe(server, outcome, load),
+            } => self.handle_probe_result(server, outcome, load),
             Event::Timer { .. } => self.tick(),
             Event::DatagramReceived { from, data } => self.handle_datagram(from, data),
         }
         std::mem::swap(&mut self.actions, actions);
     }
 
-    /// A new configuration: endpoint groups and plans keep their numbers, and more may follow
-    /// behind them. One with fewer than before is ignored.
+    /// Applies a new configuration. Endpoint groups and plans keep their indices; new ones may only
+    /// be appended. A configuration with fewer groups or plans is ignored.
     pub fn configure(&mut self, groups: &[GroupSettings], plans: &[PlanSettings]) {
         if groups.len() < self.params.groups.len() || plans.len() < self.params.plans.len() {
             return;
--- a/crates/aspendrum-core/src/engine/admission.rs
+++ b/crates/aspendrum-core/src/engine/admission.rs
@@ -1,4 +1,4 @@
-//! How a request comes in, and what follows from the decision on its quota.
+//! Accepts requests and acts on the quota decision.
 
 use super::DecisionEngine;
 use crate::api::{Action, Millis, NewRequest, TenantId};
@@ -6,18 +6,19 @@
 use crate::state::tenant::{RateLimitShare, Tenant};
 use aspendrum_token_bucket::TokenBucket;
 
-/// Tenants are forgotten after this time without requests: the rate limit shares of an unknown tenant have filled for at
-/// least this long.
+/// Tenants without requests for this long are removed. The rate limit share of a new tenant is
+/// therefore refilled for at most this long.
 pub(super) const IDLE_TIMEOUT: Millis = 90_000.0;
-/// Within this time after a start, the process before may have granted its share of a windowed quota just before it ended.
+/// Within this time after a start, the previous process may have granted its share of a windowed
+/// quota just before it ended.
 const RECENT_START: Millis = 5000.0;
-/// A request beyond its quota leaves this part of the rate limit share to those within theirs.
-const CEILING_RESERVE: f64 = 0.5;
+/// The fraction of the rate limit share that is reserved for requests within their quota.
+const RATE_LIMIT_RESERVE: f64 = 0.5;
 
 impl DecisionEngine {
-    /// A client's request. One with a known id, or of a group or plan that is not configured, is
-    /// dropped.
-    pub(super) fn accept_request(&mut self, new: &NewRequest) {
+    /// Starts the admission of a client's request. A request with the id of an open request, or
+    /// with an unconfigured group or plan, is dropped.
+    pub(super) fn handle_request(&mut self, new: &NewRequest) {
         let (group, plan) = (usize::from(new.group), new.plan as usize);
         let is_known = self.requests.find(new.id).is_some();
         if is_known || group >= self.params.groups.len() || plan >= self.params.plans.len() {
@@ -35,7 +36,7 @@
         self.start_admission(slot);
     }
 
-    /// Remembers a request, its index.
+    /// Stores a request and returns its index.
     pub(super) fn add_request(&mut self, request: Request) -> usize {
         let tenant = request.tenant;
         let slot = self.requests.insert(request.id, request);
@@ -44,7 +45,8 @@
         slot
     }
 
-    /// The tenant's index. A new tenant starts without tokens; it has only its local count.
+    /// Returns the tenant's index. A new tenant starts with an empty token bucket and its share of
+    /// the local count.
     pub(super) fn find_or_add_tenant(
         &mut self,
         id: TenantId,
@@ -67,7 +69,7 @@
             owned_at: f64::NEG_INFINITY,
             rate_limit_share: share,
             owner_rate_limit_share: share,
-            // Whatever it held before its start it has forgotten, and it may have spent or given away all of that.
+            // Starts empty: the previous process may have spent or transferred all of its tokens.
             token_bucket: TokenBucket::new(filled_from as u64, self.started_at as u64),
             ..Tenant::default()
         };
@@ -79,9 +81,8 @@
         self.tenants.insert(id, tenant)
     }
 
-    /// The quota has been decided on: a peer gets its reply, a client's request is queued or given
-    /// up.
-    pub(super) fn conclude_admission(&mut self, slot: usize, within_quota: bool) {
+    /// Acts on the quota decision: replies to a peer, or queues or rejects a client's request.
+    pub(super) fn complete_admission(&mut self, slot: usize, within_quota: bool) {
         self.record_decision(slot, within_quota);
         let request = &mut self.requests[slot];
         if request.rate_limit_charged && !within_quota {
@@ -91,38 +92,40 @@
         if request.peer_origin.is_some() {
             self.reply_to_peer(slot);
             self.finish(slot);
-        } else if within_quota || self.accepts_beyond_quota(slot) {
+        } else if within_quota || self.admits_overage(slot) {
             self.requests[slot].waiting_since = self.now;
             self.enqueue(slot);
             self.dispatch();
         } else {
-            let wait = self.time_to_quota(slot);
-            self.give_up(slot, wait);
+            let wait = self.time_until_quota(slot);
+            self.send_local_reply(slot, wait);
         }
     }
 
-    /// Whether a request beyond its quota is let through all the same: the plan earns more for it than it costs, and
-    /// the rate limit has room for it.
-    fn accepts_beyond_quota(&mut self, slot: usize) -> bool {
+    /// Whether a request beyond its quota is admitted as overage: its value exceeds its cost under
+    /// the plan, and the rate limit has room for it. Scales the request's priority to its overage
+    /// value.
+    fn admits_overage(&mut self, slot: usize) -> bool {
         let request = &mut self.requests[slot];
         let tenant = &mut self.tenants[request.tenant];
         let plan = &self.params.plans[tenant.plan];
         request.priority *= plan.overage_value;
-        let pays = plan.overage_value > plan.overage_cost && self.breaker.is_closed();
+        let is_profitable = plan.overage_value > plan.overage_cost && self.breaker.is_closed();
         let share = self.params.split_rate_limit_share / tenant.instances;
-        pays && tenant
+        is_profitable
+            && tenant
             .rate_limit_share
-            .spend(plan, share, request.units, CEILING_RESERVE, self.now)
+            .spend(plan, share, request.units, RATE_LIMIT_RESERVE, self.now)
     }
 
-    /// When the quota has room for the request, as far as is known.
-    fn time_to_quota(&self, slot: usize) -> Millis {
+    /// Estimates the time until the quota has room for the request.
+    fn time_until_quota(&self, slot: usize) -> Millis {
         let request = &self.requests[slot];
         let tenant = &self.tenants[request.tenant];
         let plan = &self.params.plans[tenant.plan];
-        let as_owner_said = tenant.exhausted_until - self.now;
-        if as_owner_said > 0.0 {
-            as_owner_said
+        let until_owner_refill = tenant.exhausted_until - self.now;
+        if until_owner_refill > 0.0 {
+            until_owner_refill
         } else if tenant.is_sparse {
             (1.0 - tenant.window_position(self.now, plan).fract()) * plan.window
         } else {
--- a/crates/aspendrum-core/src/engine/breaker.rs
+++ b/crates/aspendrum-core/src/engine/breaker.rs
@@ -4,35 +4,35 @@
 
 /// How often the counter is probed while the breaker is open.
 pub(crate) const PROBE_INTERVAL: Millis = 1000.0;
-/// Failures in a row that open the breaker. Three let it swing open on a counter that still
+/// Consecutive failures that open the breaker. A threshold of 3 opened it on a counter that still
 /// answered most calls.
 const FAILURE_THRESHOLD: u32 = 5;
 
 /// Whether the shared counter is called.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub(crate) enum BreakerState {
-    /// Calls go out.
+    /// Calls are sent.
     #[default]
     Closed,
-    /// Only probes go out; instances decide by themselves.
+    /// Only probes are sent; each instance decides locally.
     Open,
 }
 
-/// What changes the breaker's state.
+/// An event that may change the breaker's state.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum BreakerEvent {
     FailureThresholdReached,
     ProbeAnswered,
 }
 
-/// What a change of state asks for.
+/// The side effect of a state transition.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum BreakerEffect {
     ScheduleProbe,
     ReplayGrants,
 }
 
-/// State, event, next state and effect. Whatever is not listed changes nothing.
+/// State, event, next state and effect. Combinations that are not listed have no effect.
 const TRANSITIONS: [(BreakerState, BreakerEvent, BreakerState, BreakerEffect); 2] = [
     (
         BreakerState::Closed,
@@ -48,41 +48,42 @@
     ),
 ];
 
-/// The breaker, and the probe that closes it.
+/// The circuit breaker and the state of its probe.
 #[derive(Default)]
 pub(crate) struct CircuitBreaker {
     state: BreakerState,
-    /// Failures since the counter last answered.
+    /// Failures since the counter's last successful reply.
     failures: u32,
-    /// The tenant whose count is read to probe the counter, by its index.
+    /// The index of the tenant whose count is read to probe the counter.
     pub(crate) probe_tenant: usize,
     next_probe_at: Millis,
     probe_in_flight: bool,
 }
 
 impl CircuitBreaker {
-    /// The counter is called.
+    /// Whether calls are sent.
     pub(crate) fn is_closed(&self) -> bool {
         self.state == BreakerState::Closed
     }
 
-    /// The last call failed.
+    /// Whether a call has failed since the last successful reply.
     pub(crate) fn has_failures(&self) -> bool {
         self.failures > 0
     }
 
-    /// The counter answered.
+    /// Resets the failure count after a successful reply.
     pub(crate) fn clear_failures(&mut self) {
         self.failures = 0;
     }
 
-    /// Counts a failure, if it is one; whether a closed breaker is to open.
+    /// Counts a failure if `is_failure` is set. Returns whether a closed breaker has reached the
+    /// failure threshold.
     pub(crate) fn count_failure(&mut self, is_failure: bool) -> bool {
         self.failures += u32::from(is_failure);
         self.failures >= FAILURE_THRESHOLD && self.is_closed()
     }
 
-    /// Changes state as the table says; what that asks for.
+    /// Applies the transition table and returns the effect of the transition, if any.
     pub(crate) fn apply(&mut self, event: BreakerEvent) -> Option<BreakerEffect> {
         let (_, _, next, effect) = *TRANSITIONS
             .iter()
@@ -91,12 +92,12 @@
         Some(effect)
     }
 
-    /// The next probe goes out in one interval.
+    /// Schedules the next probe after one interval.
     pub(crate) fn schedule_probe(&mut self, now: Millis) {
         self.next_probe_at = now + PROBE_INTERVAL;
     }
 
-    /// Whether a probe is to be sent now. If so, it counts as sent.
+    /// Whether a probe is due. If so, it is marked as in flight.
     pub(crate) fn start_probe(&mut self, now: Millis) -> bool {
         let due = !self.probe_in_flight && now >= self.next_probe_at;
         if self.is_closed() || !due {
@@ -107,8 +108,8 @@
         true
     }
 
-    /// A probe was answered or failed.
-    pub(crate) fn probe_ended(&mut self) {
+    /// Marks the probe as no longer in flight, after a reply or a failure.
+    pub(crate) fn finish_probe(&mut self) {
         self.probe_in_flight = false;
     }
 }
--- a/crates/aspendrum-core/src/engine/completion.rs
+++ b/crates/aspendrum-core/src/engine/completion.rs
@@ -1,18 +1,18 @@
-//! The end of a request: its final answer, the cancelling of attempts, and forgetting it.
+//! Completion of requests: local replies, cancellation of attempts, and release of their state.
 
 use super::DecisionEngine;
 use crate::api::{Action, Millis, RequestId};
 use crate::state::request::{ExecutionStatus, RequestStage};
 
 impl DecisionEngine {
-    /// Answers a request that no server will answer. The only place that does.
-    pub(super) fn give_up(&mut self, slot: usize, retry_after: Millis) {
+    /// Answers a request that no server will answer. All such replies are sent here.
+    pub(super) fn send_local_reply(&mut self, slot: usize, retry_after: Millis) {
         let request = &self.requests[slot];
-        // Who comes back past the latency target spends quota and servers on an answer that is
-        // worth nothing.
-        let is_useful =
+        // A retry after the latency target would spend quota and server capacity on a response
+        // without value.
+        let retry_is_useful =
             self.now + 2.0 * (retry_after + self.fleet.response_time) < request.target_at;
-        let retry_after = if is_useful {
+        let retry_after = if retry_is_useful {
             retry_after.min(self.params.max_retry_after)
         } else {
             0.0
@@ -35,14 +35,15 @@
         self.finish(slot);
     }
 
-    /// The client left.
-    pub(super) fn abandon_request(&mut self, id: RequestId) {
+    /// Handles a client's disconnect: its request needs no answer any more.
+    pub(super) fn handle_client_disconnect(&mut self, id: RequestId) {
         if let Some(slot) = self.requests.find(id) {
             self.finish(slot);
         }
     }
 
-    /// The request has its final answer or needs none: attempts in flight are cancelled.
+    /// Marks the request as finished, removes it from the queue and cancels its attempts in flight.
+    /// Attempts of a streaming request are not cancelled.
     pub(super) fn finish(&mut self, slot: usize) {
         let request = &mut self.requests[slot];
         if request.stage == RequestStage::Finished {
@@ -54,7 +55,7 @@
         if self.params.may_cancel && !is_streaming {
             self.cancel_attempts(slot);
         }
-        self.forget_if_done(slot);
+        self.release_if_done(slot);
     }
 
     fn cancel_attempts(&mut self, slot: usize) {
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Frees the request's place once nothing can come for it any more.
-    pub(super) fn forget_if_done(&mut self, slot: usize) {
+    /// Releases a finished request once it has no attempt or counter call in flight.
+    pub(super) fn release_if_done(&mut self, slot: usize) {
         let request = &self.requests[slot];
         if request.stage != RequestStage::Finished
             || request.counter_call_in_flight
--- a/crates/aspendrum-core/src/engine/counter.rs
+++ b/crates/aspendrum-core/src/engine/counter.rs
@@ -1,5 +1,5 @@
-//! The shared counter: calls and their answers, what a total says of a quota, and units settled
-//! later.
+//! Calls of the shared counter: their replies, quota updates from its totals, and the settlement of
+//! units that it has not counted yet.
 
 use super::breaker::{BreakerEffect, BreakerEvent};
 use super::counter_name::{is_window_name, tenant_of_name};
@@ -8,16 +8,15 @@
 use crate::state::request::RequestStage;
 use crate::state::tenant::{CounterCall, CounterCallOwner};
 
-/// An answer is prompt within this part of the counter's time-out.
-const PROMPT: f64 = 0.5;
-/// For how long a late or failed call makes the counter count as strained.
-const STRAINED_TIME: Millis = 2000.0;
-/// How long units wait for another call of their tenant to take them along, while all requests ask
-/// the counter.
+/// A reply is prompt within this fraction of the counter's timeout.
+const PROMPT_REPLY_SHARE: f64 = 0.5;
+/// How long the counter counts as degraded after a late or failed call.
+const DEGRADED_PERIOD: Millis = 2000.0;
+/// How long units wait for another call of their tenant to include them, at a sampling rate of 1.
 const SETTLEMENT_DELAY: Millis = 200.0;
 
 impl DecisionEngine {
-    /// Adds units to the tenant's count, along with which its total comes back.
+    /// Adds units to the tenant's count. The reply returns the new total.
     pub(super) fn call_counter(&mut self, index: usize, owner: CounterCallOwner, units: f64) {
         let tenant = &mut self.tenants[index];
         let counter_name = tenant.counter_name(self.now, &self.params.plans[tenant.plan]);
@@ -32,8 +31,8 @@
         });
     }
 
-    /// A call was answered or failed; `total`: the count, the call's units among it.
-    pub(super) fn end_counter_call(
+    /// Handles the outcome of a counter call. `total` includes the units of the call.
+    pub(super) fn handle_counter_reply(
         &mut self,
         name: u64,
         outcome: Outcome,
@@ -41,9 +40,9 @@
         rtt: Millis,
     ) {
         if matches!(outcome, Outcome::Ok | Outcome::Rejected) {
-            self.counter_heard_at = Some(self.now);
+            self.last_counter_reply_at = Some(self.now);
         }
-        self.apply_counter_answer(name, outcome, total, rtt);
+        self.apply_counter_reply(name, outcome, total, rtt);
         if outcome == Outcome::Ok && self.params.has_quota_owners {
             if let Some(index) = self.tenants.find(tenant_of_name(name)) {
                 self.set_tokens_from_total(index);
@@ -51,7 +50,7 @@
         }
     }
 
-    fn apply_counter_answer(&mut self, name: u64, outcome: Outcome, total: f64, rtt: Millis) {
+    fn apply_counter_reply(&mut self, name: u64, outcome: Outcome, total: f64, rtt: Millis) {
         let Some(index) = self.tenants.find(tenant_of_name(name)) else {
             return;
         };
@@ -62,71 +61,71 @@
         let Some(call) = calls.remove(position) else {
             return;
         };
-        let is_answered = outcome == Outcome::Ok;
-        let is_news = self.sampling.is_news(self.now - rtt);
-        self.adapt_sampling(
-            is_answered && rtt < PROMPT * self.params.counter_timeout,
-            is_news,
+        let is_ok = outcome == Outcome::Ok;
+        let is_new_failure = self.sampling.is_new_failure(self.now - rtt);
+        self.update_sampling_rate(
+            is_ok && rtt < PROMPT_REPLY_SHARE * self.params.counter_timeout,
+            is_new_failure,
         );
-        if is_answered {
+        if is_ok {
             self.breaker.clear_failures();
-            self.follow_total(index, &call, total);
+            self.update_from_total(index, &call, total);
         } else {
-            self.count_failed_call(index, &call, outcome, is_news);
+            self.handle_failed_call(index, &call, outcome, is_new_failure);
         }
         match call.owner {
-            CounterCallOwner::Request(slot) => self.continue_request(slot, is_answered),
+            CounterCallOwner::Request(slot) => self.resume_request(slot, is_ok),
             CounterCallOwner::Settlement => {}
             CounterCallOwner::BreakerProbe => {
-                self.breaker.probe_ended();
-                if is_answered {
-                    self.notify_breaker(BreakerEvent::ProbeAnswered);
+                self.breaker.finish_probe();
+                if is_ok {
+                    self.apply_breaker_event(BreakerEvent::ProbeAnswered);
                 }
             }
         }
     }
 
-    fn adapt_sampling(&mut self, is_prompt: bool, is_news: bool) {
+    fn update_sampling_rate(&mut self, is_prompt: bool, is_new_failure: bool) {
         if is_prompt {
-            self.sampling.grow();
+            self.sampling.increase();
             return;
         }
-        if is_news && self.breaker.is_closed() {
-            self.sampling.cut(self.now);
+        if is_new_failure && self.breaker.is_closed() {
+            self.sampling.decrease(self.now);
         }
-        self.counter_strained_until = self.now + STRAINED_TIME;
+        self.counter_degraded_until = self.now + DEGRADED_PERIOD;
     }
 
-    fn count_failed_call(
+    fn handle_failed_call(
         &mut self,
         index: usize,
         call: &CounterCall,
         outcome: Outcome,
-        is_news: bool,
+        is_new_failure: bool,
     ) {
         let tenant = &mut self.tenants[index];
-        // What a counter answers too late it has added.
+        // A call that timed out may still have been counted, so its units are not settled again.
         if outcome != Outcome::TimedOut {
-            self.settle_later(index, call.units);
+            self.schedule_settlement(index, call.units);
         } else if tenant.split_among == 1.0 {
             tenant.total += call.units;
         }
-        if self.breaker.count_failure(is_news) {
+        if self.breaker.count_failure(is_new_failure) {
             self.breaker.probe_tenant = index;
-            self.notify_breaker(BreakerEvent::FailureThresholdReached);
+            self.apply_breaker_event(BreakerEvent::FailureThresholdReached);
         }
     }
 
-    fn continue_request(&mut self, slot: usize, is_answered: bool) {
+    fn resume_request(&mut self, slot: usize, is_ok: bool) {
         self.requests[slot].counter_call_in_flight = false;
         match self.requests[slot].stage {
-            RequestStage::Admission if is_answered => self.decide_by_total(slot),
+            RequestStage::Admission if is_ok => self.decide_from_total(slot),
             RequestStage::Admission => self.decide_locally(slot, false),
-            _ => self.forget_if_done(slot),
+            _ => self.release_if_done(slot),
         }
     }
 
-    fn notify_breaker(&mut self, event: BreakerEvent) {
+    fn apply_breaker_event(&mut self, event: BreakerEvent) {
         match self.breaker.apply(event) {
             Some(BreakerEffect::ScheduleProbe) => self.breaker.schedule_probe(self.now),
             Some(BreakerEffect::ReplayGrants) => self.replay_grants(),
@@ -134,8 +133,8 @@
         }
     }
 
-    /// Settles what was granted while the breaker was open: one sum a tenant, which goes with the
-    /// tenant's next call, or by itself where none comes soon.
+    /// Settles the grants made while the breaker was open. Each tenant's grants are summed up and
+    /// sent with its next call, or by a separate call if none is made in time.
     fn replay_grants(&mut self) {
         self.breaker.clear_failures();
         for index in std::mem::take(&mut self.tenants_with_log) {
@@ -154,32 +153,32 @@
             let sum: f64 = recent.map(|grant| grant.units).sum();
             tenant.unsettled += if tenant.is_sparse { sum } else { 0.0 };
             tenant.remaining -= if tenant.is_sparse { 0.0 } else { sum };
-            self.settle_later(index, sum);
+            self.schedule_settlement(index, sum);
         }
     }
 
-    /// Follows the tenant's quota from the counter's totals, as if others had added evenly since
-    /// the last one.
-    fn follow_total(&mut self, index: usize, call: &CounterCall, total: f64) {
+    /// Updates the tenant's remaining quota from a total of the counter.
+    fn update_from_total(&mut self, index: usize, call: &CounterCall, total: f64) {
         let tenant = &mut self.tenants[index];
         let plan = &self.params.plans[tenant.plan];
         if tenant.is_sparse != is_window_name(call.name) {
-            return; // The count's name has changed since.
+            return; // The tenant's counter name has changed since the call.
         }
         if tenant.is_sparse {
-            tenant.follow_window_total(plan, call.units, total, self.now);
+            tenant.update_from_window_total(plan, call.units, total, self.now);
         } else if tenant.split_among == 1.0 {
-            tenant.follow_total_as_owner(plan, call.units, total, self.now);
+            tenant.update_from_total_as_owner(plan, call.units, total, self.now);
         } else {
             let noise = self.params.max_units * tenant.instances;
-            tenant.follow_total_among_others(plan, call.units, total, noise, self.now);
+            tenant.update_from_total_as_member(plan, call.units, total, noise, self.now);
         }
     }
 
-    /// Schedules units for the counter: they are added with the tenant's next call, or by a call of their own after a while.
-    pub(super) fn settle_later(&mut self, index: usize, units: f64) {
+    /// Schedules units for the counter. They are added with the tenant's next call, or by a
+    /// separate call after the settlement delay.
+    pub(super) fn schedule_settlement(&mut self, index: usize, units: f64) {
         let tenant = &mut self.tenants[index];
-        // What a sparse tenant is refused stays counted until the window ends.
+        // Units rejected for a sparse tenant stay counted until its window ends.
         if !tenant.is_sparse && self.params.has_counter {
             tenant.unsettled += units;
             let due_at = self.now + SETTLEMENT_DELAY / self.sampling.rate();
@@ -190,8 +189,8 @@
         }
     }
 
-    /// Sends units that no other call took along, as often as requests ask the counter.
-    pub(super) fn settle_due(&mut self) {
+    /// Sends the due units that no other call has included, at the sampling rate of requests.
+    pub(super) fn flush_due_settlements(&mut self) {
         while let Some(&Settlement {
             tenant: index,
             due_at,
@@ -203,7 +202,7 @@
             if self.tenants[index].unsettled != 0.0 {
                 let probability = self
                     .sampling
-                    .probability(self.sampling.average_stake(), self.now);
+                    .probability(self.sampling.average_weight(), self.now);
                 if self.rng.next_f64() >= probability {
                     return;
                 }
--- a/crates/aspendrum-core/src/engine/dispatch.rs
+++ b/crates/aspendrum-core/src/engine/dispatch.rs
@@ -4,9 +4,9 @@
 use crate::api::{Action, LoadReport, Millis, Outcome, RequestId};
 use crate::state::request::{ExecutionStatus, Request, RequestStage};
 
-/// A request beyond its tenant's quota is sent while more than this share of the concurrency limits
-/// is free.
-const FREE_SHARE_BEYOND_QUOTA: f64 = 0.5;
+/// A request beyond its tenant's quota is only sent while more than this fraction of the
+/// concurrency limits is free.
+const MIN_FREE_SHARE_FOR_OVERAGE: f64 = 0.5;
 
 /// The servers that a request may be sent to.
 pub(super) struct ServerScope {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether all servers of the other one are among these.
+    /// Whether every server in `other` is also in this scope.
     fn covers(&self, other: &ServerScope) -> bool {
         self.pool == other.pool && other.zones & !self.zones == 0
     }
@@ -32,23 +32,23 @@
 pub(super) struct AttemptResult {
     pub(super) outcome: Outcome,
     pub(super) response_time: Millis,
-    /// The request is over with it.
+    /// The attempt completes the request.
     pub(super) is_final: bool,
-    /// What the request really cost.
+    /// The actual cost of the request.
     pub(super) actual_units: f64,
 }
 
 impl DecisionEngine {
-    /// Puts the request at the queue's end.
+    /// Appends the request to the queue.
     pub(super) fn enqueue(&mut self, slot: usize) {
         self.requests[slot].stage = RequestStage::Queued;
         self.queue.push(slot);
     }
 
-    /// Sends queued requests for as long as servers have room.
+    /// Sends queued requests while servers can accept them.
     pub(super) fn dispatch(&mut self) {
-        self.without_server.clear();
-        while let Some(position) = self.next_in_queue() {
+        self.unserved_scopes.clear();
+        while let Some(position) = self.next_dispatchable() {
             let slot = self.queue[position];
             match self.select_server(slot) {
                 Some(server) => {
@@ -56,24 +56,27 @@
                     self.send(slot, server);
                 }
                 None => self
-                    .without_server
+                    .unserved_scopes
                     .push(ServerScope::of(&self.requests[slot])),
             }
         }
     }
 
-    /// The request to send next, by its position in the queue: the one of highest priority, of
-    /// equals the one with least time left.
-    fn next_in_queue(&self) -> Option<usize> {
+    /// Returns the queue position of the next request to send: the highest priority first, then the
+    /// earliest latency target.
+    fn next_dispatchable(&self) -> Option<usize> {
         let mut next: Option<(f64, Millis, usize)> = None;
         let mut last_free_share: Option<(u16, f64)> = None;
         for (position, &slot) in self.queue.iter().enumerate() {
             let request = &self.requests[slot];
             let rank = (request.priority, -request.target_at);
-            let is_first = next.is_none_or(|(priority, urgency, _)| rank > (priority, urgency));
+            let ranks_first = next.is_none_or(|(priority, urgency, _)| rank > (priority, urgency));
             let scope = ServerScope::of(request);
-            let is_stuck = self.without_server.iter().any(|stuck| stuck.covers(&scope));
-            if !is_first || is_stuck || self.awaits_tenants_turn(request) {
+            let is_blocked = self
+                .unserved_scopes
+                .iter()
+                .any(|blocked| blocked.covers(&scope));
+            if !ranks_first || is_blocked || self.exceeds_in_flight_limit(request) {
                 continue;
             }
             let known = last_free_share.filter(|(pool, _)| *pool == request.pool);
@@ -82,7 +85,7 @@
             let free_share_needed = if request.within_quota {
                 0.0
             } else {
-                FREE_SHARE_BEYOND_QUOTA
+                MIN_FREE_SHARE_FOR_OVERAGE
             };
             if free > free_share_needed {
                 next = Some((rank.0, rank.1, position));
@@ -91,9 +94,9 @@
         next.map(|(.., position)| position)
     }
 
-    /// As many of its tenant's requests are in flight as this instance's share of the plan's limit
-    /// allows.
-    fn awaits_tenants_turn(&self, request: &Request) -> bool {
+    /// Whether the request has to wait because its tenant has used up this instance's share of the
+    /// plan's in-flight limit. Requests that were sent before are not held back.
+    fn exceeds_in_flight_limit(&self, request: &Request) -> bool {
         let tenant = &self.tenants[request.tenant];
         let limit = f64::from(self.params.plans[tenant.plan].max_in_flight);
         let share = (limit / tenant.instances).ceil().max(1.0);
@@ -120,8 +123,9 @@
         });
     }
 
-    /// An attempt ended: the request is over, or waits for another server once none has it.
-    pub(super) fn end_attempt(
+    /// Handles the end of an attempt: completes the request, or queues it again once no attempt is
+    /// in flight.
+    pub(super) fn handle_attempt_result(
         &mut self,
         id: RequestId,
         number: usize,
@@ -134,7 +138,7 @@
         if !self.requests[slot].end_attempt(number, result.outcome) {
             return;
         }
-        self.correct_units(slot, result);
+        self.reconcile_units(slot, result);
         let request = &self.requests[slot];
         let (server, group) = (request.attempts()[number].server, request.group);
         self.record_load_report(server, load);
@@ -147,23 +151,24 @@
         {
             self.enqueue(slot);
         }
-        self.forget_if_done(slot);
+        self.release_if_done(slot);
         self.dispatch();
     }
 
-    /// Where costs are known only after execution, the difference goes to the shared counter later.
-    fn correct_units(&mut self, slot: usize, result: &AttemptResult) {
+    /// Settles the difference between the actual and the estimated cost, where the cost is only
+    /// known after execution.
+    fn reconcile_units(&mut self, slot: usize, result: &AttemptResult) {
         let request = &self.requests[slot];
-        let counts = self.params.cost_known_after && request.within_quota;
-        if counts && result.outcome == Outcome::Ok && request.stage != RequestStage::Finished {
+        let is_charged = self.params.cost_known_after && request.within_quota;
+        if is_charged && result.outcome == Outcome::Ok && request.stage != RequestStage::Finished {
             let tenant = &mut self.tenants[request.tenant];
             tenant.unsettled += result.actual_units - request.units;
             tenant.remaining -= result.actual_units - request.units;
         }
     }
 
-    /// A server began to stream its response: the request can't be sent to another one any more.
-    pub(super) fn start_streaming(&mut self, id: RequestId) {
+    /// Handles the start of a streamed response, after which the request cannot be retried.
+    pub(super) fn handle_stream_started(&mut self, id: RequestId) {
         if let Some(slot) = self.requests.find(id) {
             self.requests[slot].is_streaming = true;
         }
--- a/crates/aspendrum-core/src/engine/endpoint_selection.rs
+++ b/crates/aspendrum-core/src/engine/endpoint_selection.rs
@@ -1,26 +1,26 @@
-//! Which server a request is sent to: the least expected cost, among those that may and can take
-//! it.
+//! Endpoint selection: a request is sent to the eligible server with the lowest expected cost.
 
 use super::DecisionEngine;
 use crate::state::server::{EjectionState, Server};
 
-/// How much a price for crossing zones counts in a server's cost.
+/// The weight of the cross-zone price in a server's cost.
 const CROSS_ZONE_WEIGHT: f64 = 40.0;
-/// The cost of a starting server, where hundreds of instances send to it: each of them selects it
-/// so seldom that it is taken as it comes. Less than what an idle warm server's fading response
-/// time comes to, in any zone.
-const SLOW_START_COST: f64 = 0.1;
-/// Costs are drawn within a tenth around their value, lest all instances choose alike.
-const LEAST_JITTER: f64 = 0.95;
-const JITTER: f64 = 0.1;
+/// The cost factor of a starting server in a large fleet, where each instance may send to it only
+/// rarely and should use each chance. It is low enough to beat an idle warm server's decayed
+/// response time in any zone.
+const SLOW_START_COST_FACTOR: f64 = 0.1;
+/// Costs are multiplied by a random factor of 0.95 to 1.05, so that instances do not all select the
+/// same server.
+const MIN_JITTER_FACTOR: f64 = 0.95;
+const JITTER_RANGE: f64 = 0.1;
 
-/// Whether a bit set over small numbers holds that number. Only its low six bits count.
+/// Whether the bit set contains the number. Only the low six bits of the number are used.
 pub(super) fn has_bit(set: u64, number: u16) -> bool {
     set >> (number & 63) & 1 == 1
 }
 
 impl DecisionEngine {
-    /// The server to send the request to, by its index.
+    /// Returns the index of the server to send the request to.
     pub(super) fn select_server(&mut self, slot: usize) -> Option<usize> {
         let request = &self.requests[slot];
         let scope = self.retry_scope(request);
@@ -30,7 +30,7 @@
             if server.pool != request.pool || !has_bit(request.zones, server.zone.into()) {
                 continue;
             }
-            let cost = self.expected_cost(server) * (LEAST_JITTER + JITTER * self.rng.next_f64());
+            let cost = self.expected_cost(server) * (MIN_JITTER_FACTOR + JITTER_RANGE * self.rng.next_f64());
             let may_send = || self.can_accept(server) && self.is_in_scope(request, scope, index);
             if cost < least_cost && may_send() {
                 (selected, least_cost) = (Some(index), cost);
@@ -39,7 +39,8 @@
         selected
     }
 
-    /// It serves, is not backing off, and has room by its concurrency limit and its slow start.
+    /// Whether the server is serving, not backing off, and within its concurrency limit and slow
+    /// start budget.
     fn can_accept(&self, server: &Server) -> bool {
         let on_probation = server.ejection == EjectionState::Probation;
         let limit = if on_probation {
@@ -53,8 +54,8 @@
             && (!self.is_slow_starting(server.started_at) || server.slow_start_tokens >= 1.0)
     }
 
-    /// The expected time to a response, weighted by distance and load. A server that holds a
-    /// request for long is as slow as that request says.
+    /// The expected time to a response, weighted by distance and load. The response time of a
+    /// server is at least the time for which it has not answered its requests in flight.
     fn expected_cost(&self, server: &Server) -> f64 {
         let is_same_zone = server.zone == self.params.zone;
         let zone_cost = if is_same_zone {
@@ -67,9 +68,9 @@
         } else {
             zone_cost
         };
-        let in_large_fleet = self.params.probe_spacing > 1.0;
+        let in_large_fleet = self.params.probe_interval_factor > 1.0;
         let is_preferred = in_large_fleet && self.is_slow_starting(server.started_at);
-        let preference = if is_preferred { SLOW_START_COST } else { 1.0 };
+        let preference = if is_preferred { SLOW_START_COST_FACTOR } else { 1.0 };
         server.response_time.max(server.unanswered_for(self.now))
             * (1.0 + f64::from(server.in_flight))
             * distance
@@ -77,8 +78,8 @@
             * preference
     }
 
-    /// The share of the pool's concurrency limits that is not in use. Each server keeps at least
-    /// one request of its own limit; the sum bounds them all.
+    /// The unused fraction of the pool's concurrency limits. A server's own limit is never below
+    /// one request; this aggregate limit bounds the pool as a whole.
     pub(super) fn free_share(&self, pool: u16) -> f64 {
         let (mut limit, mut in_flight) = (0.0, 0.0);
         for server in self
--- a/crates/aspendrum-core/src/engine/membership.rs
+++ b/crates/aspendrum-core/src/engine/membership.rs
@@ -1,18 +1,18 @@
-//! The list of servers, as discovery tells it.
+//! Updates of the server list from discovery.
 
 use super::DecisionEngine;
 use crate::api::{Action, Health, ListKind, ServerEntry};
 use crate::spread::GOLDEN_FRACTION;
 use crate::state::server::Server;
 
-/// The concurrency limit of a new server, over all instances.
-const FIRST_CONCURRENCY_LIMIT: f64 = 6.0;
-/// The concurrency limit of a starting server at each instance.
+/// The initial concurrency limit of a server, summed over all instances.
+const INITIAL_CONCURRENCY_LIMIT: f64 = 6.0;
+/// The initial concurrency limit of a starting server at each instance.
 const SLOW_START_CONCURRENCY_LIMIT: f64 = 1.0;
 
 impl DecisionEngine {
-    /// Takes in a list of servers, whole or of changes. A list that could not be had is asked for
-    /// again.
+    /// Applies a full or partial server list. After a failed fetch, subscribes to the list again if
+    /// discovery has to be polled.
     pub(super) fn update_servers(&mut self, list: ListKind, entries: &[ServerEntry]) {
         if list == ListKind::Failed {
             self.actions.extend(
@@ -43,8 +43,8 @@
         self.dispatch();
     }
 
-    /// The server's index. One that has started again is a new server, but for what it has in
-    /// flight.
+    /// Returns the server's index. A restarted server is replaced by a new one that keeps only the
+    /// number of requests in flight.
     fn find_or_add_server(&mut self, member: &ServerEntry) -> usize {
         let new = self.new_server(member);
         let id = u64::from(member.server);
@@ -63,10 +63,10 @@
         let concurrency_limit = if self.is_slow_starting(member.started_at) {
             SLOW_START_CONCURRENCY_LIMIT
         } else {
-            FIRST_CONCURRENCY_LIMIT / self.params.instances
+            INITIAL_CONCURRENCY_LIMIT / self.params.instances
         };
-        // Each instance starts at another part of a token, so that hundreds send to a starting
-        // server in turn.
+        // Each instance starts with a different fraction of a token, so that the instances of a
+        // large fleet do not all send to a starting server at the same time.
         let phase = self.params.slow_start_phase + f64::from(member.server) * GOLDEN_FRACTION;
         Server {
             id: member.server,
--- a/crates/aspendrum-core/src/engine/outlier_ejection.rs
+++ b/crates/aspendrum-core/src/engine/outlier_ejection.rs
@@ -1,20 +1,21 @@
-//! Outlier ejection: servers that fail or hang get no requests until they have proved themselves.
+//! Outlier ejection: failing and hung servers get no requests until they pass probes, and then one
+//! request at a time until one succeeds.
 
 use super::DecisionEngine;
 use crate::api::{Health, Millis};
 use crate::state::server::{EjectionState, HealthSample};
 
-/// The first ejection's time; each one in a row doubles it up to the longest.
-const SHORTEST_EJECTION: Millis = 500.0;
-const LONGEST_EJECTION: Millis = 8000.0;
-/// The concurrency limit of a server that has proved itself, and of one that is to.
+/// The duration of the first ejection. Each consecutive ejection doubles it, up to the maximum.
+const MIN_EJECTION_TIME: Millis = 500.0;
+const MAX_EJECTION_TIME: Millis = 8000.0;
+/// The concurrency limits of a recovered server and of one on probation.
 const RECOVERED_LIMIT: f64 = 2.0;
 const PROBATION_LIMIT: f64 = 1.0;
-/// One in so many servers of a pool may be ejected.
-const EJECTABLE: u32 = 3;
+/// No more servers are ejected once one in this many ready servers of the pool is unhealthy.
+const READY_PER_EJECTED: u32 = 3;
 
-/// State, sample and next state. Whatever is not listed changes nothing. A hung server passes
-/// probes: on probation it gets one request, no more, to prove itself.
+/// State, sample and next state. Combinations that are not listed have no effect. A hung server may
+/// pass probes, so a server on probation gets only one request at a time.
 const TRANSITIONS: [(EjectionState, HealthSample, EjectionState); 5] = [
     (
         EjectionState::Healthy,
@@ -44,8 +45,8 @@
 ];
 
 impl DecisionEngine {
-    /// Ejects the server, unless a third of its pool is not healthy: then the fault is not single
-    /// servers', and the rest stays.
+    /// Ejects the server unless a third of its pool is already unhealthy, in which case the cause
+    /// is unlikely to be a single server. A server on probation is always ejected.
     pub(super) fn eject(&mut self, index: usize) {
         let pool = self.servers[index].pool;
         let (mut ready, mut unhealthy) = (0, 0);
@@ -58,12 +59,12 @@
             unhealthy += u32::from(server.ejection != EjectionState::Healthy);
         }
         let on_probation = self.servers[index].ejection == EjectionState::Probation;
-        if EJECTABLE * unhealthy < ready || on_probation {
+        if READY_PER_EJECTED * unhealthy < ready || on_probation {
             self.apply_health_sample(index, HealthSample::Failure);
         }
     }
 
-    /// Changes the server's state as the table says.
+    /// Applies the transition table to the server.
     pub(super) fn apply_health_sample(&mut self, index: usize, sample: HealthSample) {
         let server = &mut self.servers[index];
         let transition = TRANSITIONS
@@ -84,7 +85,7 @@
             EjectionState::Ejected => {
                 server.ejected_at = self.now;
                 server.ejection_time =
-                    (server.ejection_time * 2.0).clamp(SHORTEST_EJECTION, LONGEST_EJECTION);
+                    (server.ejection_time * 2.0).clamp(MIN_EJECTION_TIME, MAX_EJECTION_TIME);
             }
             EjectionState::Probation => server.response_time = self.fleet.response_time,
         }
--- a/crates/aspendrum-core/src/engine/parameters.rs
+++ b/crates/aspendrum-core/src/engine/parameters.rs
@@ -1,4 +1,4 @@
-//! The numbers that decisions use, worked out of the settings.
+//! The parameters of decisions, derived from the settings.
 
 use crate::api::{
     GroupSettings, LoadReportChannel, LoadValue, Millis, PlanSettings, RepeatGroup, Semantics,
@@ -7,25 +7,25 @@
 use crate::spread;
 use crate::state::request::MAX_ATTEMPTS;
 
-/// With more instances than these, each probes servers less often: hundreds would load what they
-/// probe.
-const PROBING_INSTANCES: f64 = 16.0;
-/// Of a rate limit, what the first quota owner grants from; the instances split the rest.
-pub(crate) const OWNER_CEILING_SHARE: f64 = 0.6;
-/// Of the datagrams that an instance takes in, the share that it may ask for with token requests.
+/// With more instances than this, each instance probes servers less often, to bound the load that
+/// probes put on them. Such a fleet counts as large.
+const LARGE_FLEET_INSTANCES: f64 = 16.0;
+/// The fraction of a rate limit that the first quota owner holds; all instances split the rest.
+pub(crate) const OWNER_RATE_LIMIT_SHARE: f64 = 0.6;
+/// The fraction of an instance's incoming datagrams that replies to its token requests may use.
 const TOKEN_REPLY_SHARE: f64 = 0.25;
-/// Of what makes a starting server collapse, what all instances together send it.
-const SLOW_START_SHARE: f64 = 0.35;
-/// Of what a warm server carries for its capacity, the most that a starting one is sent.
-const SLOW_START_MAX: f64 = 1.0;
+/// The load that all instances together send to a starting server, as a fraction of the load that
+/// makes it collapse.
+const SLOW_START_COLLAPSE_SHARE: f64 = 0.35;
+/// The maximum load sent to a starting server, relative to a warm server of the same capacity.
+const MAX_SLOW_START_LOAD: f64 = 1.0;
 
 /// An endpoint group's settings.
 pub(crate) struct GroupParameters {
-    /// The latency target.
     pub(crate) target: Millis,
     pub(crate) semantics: Semantics,
     pub(crate) repeat_group: RepeatGroup,
-    /// For how long servers recognize a repeated request.
+    /// How long servers recognize a repeated request.
     pub(crate) repeat_window: Millis,
     pub(crate) importance: f64,
 }
@@ -42,20 +42,20 @@
     }
 }
 
-/// A plan's quota and rate limit. Rates are units a millisecond.
+/// A plan's quota and rate limit. Rates are in units per millisecond.
 pub(crate) struct PlanParameters {
-    /// The quota is counted in fixed windows, however large it is.
+    /// The quota is always counted in fixed windows.
     pub(crate) is_windowed: bool,
     /// 0: no quota.
     pub(crate) rate: f64,
     pub(crate) burst: f64,
-    /// The time in which the rate fills the burst.
+    /// The time in which the rate refills the burst.
     pub(crate) window: Millis,
     pub(crate) price: f64,
-    /// What a request beyond the quota is worth, in relation to one within it.
+    /// The value of a request beyond the quota, relative to one within it.
     pub(crate) overage_value: f64,
     pub(crate) overage_cost: f64,
-    /// Requests in flight at once; 0: unlimited.
+    /// The maximum number of requests in flight; 0: unlimited.
     pub(crate) max_in_flight: u32,
     /// 0: no rate limit.
     pub(crate) rate_limit: f64,
@@ -83,15 +83,15 @@
     }
 }
 
-/// What an instance goes by, fixed at its start but for groups and plans.
+/// The parameters of an instance. Only groups and plans change after its start.
 pub(crate) struct Parameters {
     pub(crate) groups: Vec<GroupParameters>,
     pub(crate) plans: Vec<PlanParameters>,
-    /// Where in a load report the share of capacity in use stands.
+    /// The index of the CPU utilization in a load report.
     pub(crate) load_index: Option<usize>,
-    /// Load reports come with probes only.
+    /// Load reports are only returned by probes.
     pub(crate) reports_by_probe: bool,
-    /// The list of servers is asked for, not pushed.
+    /// The server list is polled rather than pushed.
     pub(crate) polls_discovery: bool,
     /// There is a shared counter.
     pub(crate) has_counter: bool,
@@ -99,44 +99,46 @@
     pub(crate) may_cancel: bool,
     pub(crate) may_probe: bool,
     pub(crate) max_attempts: usize,
-    /// The longest `retry_after` that is sent to clients.
+    /// The maximum `retry_after` that is sent to clients; 0: none is sent.
     pub(crate) max_retry_after: Millis,
     pub(crate) zone: u8,
     pub(crate) cross_zone_price: f64,
     /// The units of the largest request.
     pub(crate) max_units: f64,
-    /// A request's cost is known after it was executed.
+    /// A request's actual cost is known after its execution.
     pub(crate) cost_known_after: bool,
     pub(crate) instances: f64,
     /// This instance's number.
     pub(crate) instance: u16,
-    /// Tenants' quotas have owners among the instances.
+    /// Tenants' quotas are owned by instances.
     pub(crate) has_quota_owners: bool,
-    /// The least time between two token requests.
+    /// The minimum time between two token requests.
     pub(crate) token_request_interval: Millis,
-    /// Of a rate limit, what the instances split evenly.
+    /// The fraction of a rate limit that is split evenly among the instances.
     pub(crate) split_rate_limit_share: f64,
-    /// Requests in a window that all instances may send to a starting server, for each that a warm one answers in a
-    /// millisecond.
+    /// The requests that all instances may send to a starting server per window, for each request
+    /// per millisecond that a warm server answers.
     pub(crate) slow_start_budget: f64,
-    /// Where in `0.0..1.0` this instance begins to fill slow start tokens.
+    /// This instance's initial fraction of a slow start token, in `0.0..1.0`.
     pub(crate) slow_start_phase: f64,
-    /// By how much less often this instance probes, since others probe too; 1 in small fleets.
-    pub(crate) probe_spacing: f64,
-    /// Of its capacity, what a server has at its start.
+    /// The factor by which this instance's probe intervals are longer, since other instances probe
+    /// the same servers. Above 1 only in large fleets.
+    pub(crate) probe_interval_factor: f64,
+    /// The fraction of its capacity that a server has at its start.
     pub(crate) slow_start_capacity: f64,
     pub(crate) slow_start_time: Millis,
-    /// The window in which a starting server must not get too much.
+    /// The window to which the slow start budget applies.
     pub(crate) slow_start_window: Millis,
 }
 
 impl Parameters {
-    /// As the settings have it.
+    /// Derives the parameters from the settings.
     pub(crate) fn new(settings: &Settings) -> Self {
         let instances = f64::from(settings.instances);
-        let probe_spacing = (instances / PROBING_INSTANCES).max(1.0);
-        let has_quota_owners = settings.may_send_datagrams && probe_spacing > 1.0;
-        let collapse = (SLOW_START_SHARE * settings.collapse_multiple).min(SLOW_START_MAX);
+        let probe_interval_factor = (instances / LARGE_FLEET_INSTANCES).max(1.0);
+        let has_quota_owners = settings.may_send_datagrams && probe_interval_factor > 1.0;
+        let slow_start_load =
+            (SLOW_START_COLLAPSE_SHARE * settings.collapse_multiple).min(MAX_SLOW_START_LOAD);
         Parameters {
             groups: settings.groups.iter().map(GroupParameters::from).collect(),
             plans: settings.plans.iter().map(PlanParameters::from).collect(),
@@ -165,20 +167,20 @@
             has_quota_owners,
             token_request_interval: token_request_interval(settings.peer_datagrams_per_second),
             split_rate_limit_share: if has_quota_owners {
-                1.0 - OWNER_CEILING_SHARE
+                1.0 - OWNER_RATE_LIMIT_SHARE
             } else {
                 1.0
             },
-            slow_start_budget: collapse * settings.collapse_window,
+            slow_start_budget: slow_start_load * settings.collapse_window,
             slow_start_phase: spread::phase(f64::from(settings.instance)),
-            probe_spacing,
+            probe_interval_factor,
             slow_start_capacity: settings.slow_start_capacity,
             slow_start_time: settings.slow_start_time,
             slow_start_window: settings.collapse_window,
         }
     }
 
-    /// The shortest latency target of all endpoint groups; infinite without any.
+    /// Returns the shortest latency target of all endpoint groups; infinite if there are none.
     pub(crate) fn shortest_target(&self) -> Millis {
         self.groups
             .iter()
--- a/crates/aspendrum-core/src/engine/quota_owner.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner.rs
@@ -1,11 +1,13 @@
-//! Large fleets: an instance that decides on a tenant's quota for all of the tenant's instances.
+//! Quota ownership in large fleets: one instance decides on a tenant's quota for all of the
+//! tenant's instances.
 //!
-//! With hundreds of instances none sees enough of a tenant, and the shared counter bears a call for
-//! a third of the requests. The rest, decided without knowing of the others, refused a quarter of
-//! what had room and let a sixth in beyond the quota. So one instance of a tenant's set owns the
-//! quota and decides as an instance of a small fleet does (`DecisionEngine::decide_quota`); the
-//! others ask it ([`routing`], [`replies`]). While the counter says nothing, instances spend tokens
-//! that they hold and give to each other ([`tokens`]).
+//! With hundreds of instances, each sees only a small part of a tenant's traffic, and the shared
+//! counter has capacity for a call for a third of the requests. Deciding the rest locally rejected
+//! a quarter of the requests that had room, and admitted a sixth beyond the quota. Therefore one
+//! instance of a tenant's set owns the quota and decides like an instance of a small fleet
+//! (`DecisionEngine::decide_quota`); the others send it quota requests ([`routing`], [`replies`]).
+//! While the counter is silent, instances spend tokens that they hold and transfer to each other
+//! ([`tokens`]).
 
 mod messages;
 mod replies;
--- a/crates/aspendrum-core/src/engine/quota_owner/messages.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/messages.rs
@@ -1,4 +1,4 @@
-//! Datagrams from other instances.
+//! Handles datagrams from other instances.
 
 use crate::api::Action;
 use crate::engine::counter_name::fits_counter_name;
@@ -6,23 +6,23 @@
 use crate::peer_message::{PeerMessage, TenantKey};
 
 impl DecisionEngine {
-    /// A datagram from a peer. One that makes no sense is dropped and counted.
+    /// Handles a datagram from a peer. Malformed and unexpected datagrams are dropped and counted.
     pub(in crate::engine) fn handle_datagram(&mut self, peer: u16, data: &[u8]) {
         let is_expected = usize::from(peer) < self.peers.len() && self.params.has_quota_owners;
         let max_units = self.params.max_units.max(1.0) as f32;
         match PeerMessage::decode(data).filter(|_| is_expected) {
             Some(PeerMessage::QuotaRequest(request)) if request.units <= max_units => {
-                self.accept_quota_request(peer, &request);
+                self.handle_quota_request(peer, &request);
             }
             Some(PeerMessage::Ping { id }) => self.reply_to_ping(peer, id),
-            Some(PeerMessage::Return { id }) => self.accept_return(peer, id),
-            Some(PeerMessage::TokenRequest { key }) => self.accept_token_request(peer, &key),
+            Some(PeerMessage::Return { id }) => self.handle_return(peer, id),
+            Some(PeerMessage::TokenRequest { key }) => self.handle_token_request(peer, &key),
             Some(PeerMessage::TokenTransfer { id, key, steps }) => {
-                if let Some(index) = self.find_or_add_named_tenant(&key) {
-                    self.take_tokens(index, peer, id, steps);
+                if let Some(index) = self.find_or_add_peer_tenant(&key) {
+                    self.receive_tokens(index, peer, id, steps);
                 }
             }
-            Some(PeerMessage::QuotaReply(reply)) => self.accept_quota_reply(peer, &reply),
+            Some(PeerMessage::QuotaReply(reply)) => self.handle_quota_reply(peer, &reply),
             Some(PeerMessage::Legacy) => {}
             Some(PeerMessage::QuotaRequest(_)) | None => self.count_malformed_datagram(),
         }
@@ -31,13 +31,14 @@
     fn count_malformed_datagram(&mut self) {
         self.malformed_datagrams += 1;
         if self.malformed_datagrams.is_power_of_two() {
-            let text = format!("datagrams that make no sense: {}", self.malformed_datagrams);
+            let text = format!("malformed peer datagrams: {}", self.malformed_datagrams);
             self.actions.push(Action::Log(text));
         }
     }
 
-    /// The index of a tenant that a peer names; none if the name makes no sense here.
-    pub(super) fn find_or_add_named_tenant(&mut self, key: &TenantKey) -> Option<usize> {
+    /// Returns the index of the tenant in a peer's message, or `None` if its id does not fit a
+    /// counter name or its plan has no quota or differs from the known one.
+    pub(super) fn find_or_add_peer_tenant(&mut self, key: &TenantKey) -> Option<usize> {
         let plan = usize::from(key.plan);
         let instances = f64::from(key.instances).min(self.params.instances);
         let known = self.tenants.find(key.tenant);
--- a/crates/aspendrum-core/src/engine/quota_owner/replies.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/replies.rs
@@ -1,4 +1,4 @@
-//! What an owner answers to quota requests, and units that were granted and not used.
+//! The owner's replies to quota requests, and the return of granted units that were not used.
 
 use super::reply_cache::{peer_request_id, CachedReply};
 use crate::engine::DecisionEngine;
@@ -6,21 +6,21 @@
 use crate::state::request::{PeerOrigin, Request, RequestStage};
 
 impl DecisionEngine {
-    /// A peer asks for units of a quota that this instance owns. A request that comes again gets
-    /// the same reply.
-    pub(super) fn accept_quota_request(&mut self, peer: u16, quota_request: &QuotaRequest) {
+    /// Decides on a peer's request for units of a quota that this instance owns. A retransmitted
+    /// request gets the same reply.
+    pub(super) fn handle_quota_request(&mut self, peer: u16, quota_request: &QuotaRequest) {
         let id = peer_request_id(peer, quota_request.id);
         if let Some(message) = self.reply_cache.find(id).map(|reply| reply.message) {
             return self.send_to_peer(peer, message);
         }
-        let Some(tenant) = self.find_or_add_named_tenant(&quota_request.key) else {
+        let Some(tenant) = self.find_or_add_peer_tenant(&quota_request.key) else {
             return;
         };
         self.tenants[tenant].owned_at = self.now;
         if self.requests.find(id).is_some() {
             return;
         }
-        self.take_tokens(
+        self.receive_tokens(
             tenant,
             peer,
             quota_request.id,
@@ -37,10 +37,10 @@
         self.decide_quota(slot);
     }
 
-    /// Sends the decision on a peer's request; if it is refused, with the time until the quota has
+    /// Sends the decision on a peer's request. A rejection contains the time until the quota has
     /// room.
     pub(in crate::engine) fn reply_to_peer(&mut self, slot: usize) {
-        let lacks_counter = self.is_counter_silent();
+        let counter_unreachable = self.is_counter_silent();
         let request = &self.requests[slot];
         let Some(PeerOrigin { peer, sequence }) = request.peer_origin else {
             return;
@@ -48,17 +48,17 @@
         let tenant = &self.tenants[request.tenant];
         let plan = &self.params.plans[tenant.plan];
         let granted = request.within_quota;
-        let in_hand = if lacks_counter {
-            self.tokens_in_hand(request.tenant)
+        let available = if counter_unreachable {
+            self.available_tokens(request.tenant)
         } else {
             tenant.local_tokens
         };
-        let refill = ((request.units - in_hand).max(0.0) / plan.rate.max(1e-9)).min(plan.window);
+        let refill = ((request.units - available).max(0.0) / plan.rate.max(1e-9)).min(plan.window);
         let retry_after = if granted { 0.0 } else { refill };
         let reply = QuotaReply {
             sequence,
             granted,
-            lacks_counter,
+            counter_unreachable,
             retry_after,
         };
         let message = PeerMessage::QuotaReply(reply);
@@ -72,34 +72,37 @@
         self.send_to_peer(peer, message);
     }
 
-    /// A peer is there only if it is answered: as one that has no room, for no time.
+    /// Answers a ping with a rejection without a retry delay, which shows the peer that this
+    /// instance is reachable.
     pub(super) fn reply_to_ping(&mut self, peer: u16, id: MessageId) {
-        let lacks_counter = self.is_counter_silent();
+        let counter_unreachable = self.is_counter_silent();
         let reply = QuotaReply {
             sequence: id.sequence(),
             granted: false,
-            lacks_counter,
+            counter_unreachable,
             retry_after: 0.0,
         };
         self.send_to_peer(peer, PeerMessage::QuotaReply(reply));
     }
 
-    /// An owner's reply decides on the request that waits for it. A reply to a ping shows that the
-    /// owner can be asked.
-    pub(super) fn accept_quota_reply(&mut self, peer: u16, reply: &QuotaReply) {
-        let known = &mut self.peers[usize::from(peer)];
-        known.missed_replies = 0;
-        known.unreachable_until = 0.0;
-        known.is_answering = true;
-        known.lacks_counter = reply.lacks_counter;
-        let waits_for_it = |slot: &&usize| {
+    /// Handles an owner's reply, which decides on the request that waits for it. After a reply to a
+    /// ping, the quota request itself is sent.
+    pub(super) fn handle_quota_reply(&mut self, peer: u16, reply: &QuotaReply) {
+        let owner = &mut self.peers[usize::from(peer)];
+        owner.missed_replies = 0;
+        owner.unreachable_until = 0.0;
+        owner.is_responsive = true;
+        owner.counter_unreachable = reply.counter_unreachable;
+        let awaits_reply = |slot: &&usize| {
             let request = &self.requests[**slot];
-            let asked = request.message_to_owner.and_then(PeerMessage::answered_id);
-            asked.is_some_and(|id| id.sequence() == reply.sequence)
+            let sent_id = request
+                .message_to_owner
+                .and_then(PeerMessage::answered_id);
+            sent_id.is_some_and(|id| id.sequence() == reply.sequence)
                 && request.quota_owner == Some(peer)
                 && request.stage == RequestStage::Admission
         };
-        let Some(&slot) = self.open_requests.iter().find(waits_for_it) else {
+        let Some(&slot) = self.open_requests.iter().find(awaits_reply) else {
             return;
         };
         let Request {
@@ -108,19 +111,19 @@
             ..
         } = self.requests[slot];
         if matches!(message_to_owner, Some(PeerMessage::Ping { .. })) {
-            return self.ask_owner(slot, peer);
+            return self.send_to_owner(slot, peer);
         }
         self.tenants[tenant].exhausted_until = if reply.granted {
             0.0
         } else {
             self.now + reply.retry_after
         };
-        self.conclude_admission(slot, reply.granted);
+        self.complete_admission(slot, reply.granted);
     }
 
-    /// A peer returns units. Only what was granted here is taken, and once: units are granted anew
-    /// as often as they are returned.
-    pub(super) fn accept_return(&mut self, peer: u16, id: MessageId) {
+    /// Takes back units that a peer returns. Only units granted by this instance are accepted, and
+    /// only once: each accepted return allows the units to be granted again.
+    pub(super) fn handle_return(&mut self, peer: u16, id: MessageId) {
         let Some(reply) = self.reply_cache.find(peer_request_id(peer, id)) else {
             return;
         };
@@ -128,15 +131,16 @@
         let Some(index) = self.tenants.find(tenant) else {
             return;
         };
-        self.put_back_tokens(index, units);
+        self.refund_tokens(index, units);
         let tenant = &mut self.tenants[index];
         let burst = self.params.plans[tenant.plan].burst;
         tenant.remaining = (tenant.remaining + units).min(burst);
         tenant.local_tokens = (tenant.local_tokens + units).min(burst);
-        self.settle_later(index, -units);
+        self.schedule_settlement(index, -units);
     }
 
-    /// Returns the units of a granted request that was sent to no server, to the instance or counter that granted them.
+    /// Returns the units of a granted request that was not sent to any server, to the instance or
+    /// the counter that granted them.
     pub(in crate::engine) fn return_units(&mut self, slot: usize) {
         let Request {
             tenant: index,
@@ -150,7 +154,7 @@
         {
             return self.send_to_peer(peer, PeerMessage::Return { id: request.id });
         }
-        self.put_back_tokens(index, units);
+        self.refund_tokens(index, units);
         let tenant = &mut self.tenants[index];
         tenant.remaining += units;
         tenant.local_tokens += if tenant.split_among == 1.0 {
@@ -158,6 +162,6 @@
         } else {
             0.0
         };
-        self.settle_later(index, -units);
+        self.schedule_settlement(index, -units);
     }
 }
--- a/crates/aspendrum-core/src/engine/rate_limit.rs
+++ b/crates/aspendrum-core/src/engine/rate_limit.rs
@@ -1,18 +1,20 @@
-//! Rule 5: rate limits, which hold whatever fails. Each of a tenant's instances has an even share of the rate limit, and the
-//! tenant's first quota owner has one more.
+//! Invariant 5: rate limits hold under any failure. Each of a tenant's instances holds an even
+//! share of the rate limit, and the tenant's first quota owner holds an additional share.
 
-use super::parameters::{PlanParameters, OWNER_CEILING_SHARE};
+use super::parameters::{PlanParameters, OWNER_RATE_LIMIT_SHARE};
 use super::DecisionEngine;
 use crate::api::Millis;
 use crate::state::request::Request;
 use crate::state::tenant::RateLimitShare;
 
-/// Of a rate limit, what is split; the rest is slack for grants that wait and go out together.
-const CEILING_USED: f64 = 0.9;
+/// The fraction of a rate limit that is handed out. The rest is slack for granted requests that
+/// wait in the queue and are sent together.
+const USABLE_SHARE: f64 = 0.9;
 
 impl RateLimitShare {
-    /// Takes units out, if `reserve` of the bucket's size stays. `share`: of the whole rate limit. A plan without a
-    /// rate limit always has room.
+    /// Refills the bucket, and takes out the units if at least the fraction `reserve` of its size
+    /// remains. `share` is this bucket's fraction of the whole rate limit. A plan without a rate
+    /// limit always has room.
     pub(super) fn spend(
         &mut self,
         plan: &PlanParameters,
@@ -21,7 +23,7 @@
         reserve: f64,
         now: Millis,
     ) -> bool {
-        let share = CEILING_USED * share;
+        let share = USABLE_SHARE * share;
         let refill = share * plan.rate_limit * (now - self.refilled_at);
         let size = share * plan.rate_limit_burst;
         self.tokens = (self.tokens + refill).min(size);
@@ -34,8 +36,8 @@
 }
 
 impl DecisionEngine {
-    /// Takes a request's units out of the tenant's rate limit; false if it has no room. A peer's request is charged to the
-    /// owner's share, and only where the peer's own is spent.
+    /// Charges a request to the tenant's rate limit. Returns false if it has no room. A peer's
+    /// request is charged to the owner's share, and only if the peer's own share is exhausted.
     pub(super) fn charge_rate_limit(&mut self, slot: usize) -> bool {
         let request = &self.requests[slot];
         match request.peer_origin {
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Takes the request's units out of this instance's share; false if it has no room.
+    /// Charges a request to this instance's even share. Returns false if it has no room.
     pub(super) fn charge_rate_limit_share(&mut self, slot: usize) -> bool {
         let Request { tenant, units, .. } = self.requests[slot];
         let tenant = &mut self.tenants[tenant];
@@ -61,8 +63,8 @@
             .spend(plan, share, units, 0.0, self.now)
     }
 
-    /// Takes the request's units out of the owner's share, which only the first of the tenant's owners has; false if
-    /// this instance is another one or the share has no room.
+    /// Charges a request to the owner's share. Returns false if it has no room, or if this instance
+    /// is not the first of the tenant's owners.
     fn charge_owner_rate_limit_share(&mut self, slot: usize) -> bool {
         let Request {
             tenant: index,
@@ -76,6 +78,6 @@
         let plan = &self.params.plans[tenant.plan];
         tenant
             .owner_rate_limit_share
-            .spend(plan, OWNER_CEILING_SHARE, units, 0.0, self.now)
+            .spend(plan, OWNER_RATE_LIMIT_SHARE, units, 0.0, self.now)
     }
 }
--- a/crates/aspendrum-core/src/engine/retry_rules.rs
+++ b/crates/aspendrum-core/src/engine/retry_rules.rs
@@ -1,36 +1,36 @@
-//! Rules 1 and 2: whether a request may be sent to another server, and how it may be given up.
-//! Nothing else decides on either.
+//! Invariants 1 and 2: whether a request may be retried, and which local reply it may get. All such
+//! decisions are made here.
 
-use super::{DecisionEngine, TICK};
+use super::{DecisionEngine, TICK_INTERVAL};
 use crate::api::{Millis, RepeatGroup, Semantics};
 use crate::state::request::{Attempt, ExecutionStatus, Request, RequestStage};
 
-/// How long before a deadline, and before the end of a repeat window, nothing is sent any more.
-pub(super) const DEADLINE_MARGIN: Millis = 2.0 * TICK;
+/// No attempt is sent within this time before a deadline or before the end of a repeat window.
+pub(super) const DEADLINE_MARGIN: Millis = 2.0 * TICK_INTERVAL;
 
-/// The servers that a request may be sent to next.
+/// The servers to which a request may be sent next.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum RetryScope {
-    /// Any that it was not sent to before.
+    /// Any server to which it was not sent before.
     Anywhere,
-    /// Those that recognize a repeat of it.
+    /// The servers that recognize a repeat of the request.
     RepeatGroup,
-    /// None.
+    /// No server.
     Nowhere,
 }
 
-/// How a request may be given up.
+/// The reply to a request that no server will answer.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub(super) enum GiveUpAction {
-    /// The response tells its client that a retry is safe.
+pub(super) enum LocalReply {
+    /// A rejection: the client may safely retry.
     Shed,
-    /// As `Shed` if all servers recognize repeats, else as `Drop`.
+    /// `Shed` if all servers recognize repeats, otherwise `Drop`.
     ShedIfAllDeduplicate,
-    /// The response tells its client of an error.
+    /// An error: the request may have been executed.
     Drop,
 }
 
-struct Rule(Semantics, ExecutionStatus, RetryScope, GiveUpAction);
+struct Rule(Semantics, ExecutionStatus, RetryScope, LocalReply);
 
 const RULES: [Rule; 9] = {
     use ExecutionStatus as Status;
@@ -39,91 +39,91 @@
             Semantics::Idempotent,
             Status::NotExecuted,
             RetryScope::Anywhere,
-            GiveUpAction::Shed,
+            LocalReply::Shed,
         ),
         Rule(
             Semantics::Idempotent,
             Status::MayHaveExecuted,
             RetryScope::Anywhere,
-            GiveUpAction::Shed,
+            LocalReply::Shed,
         ),
         Rule(
             Semantics::Idempotent,
             Status::InFlight,
             RetryScope::Nowhere,
-            GiveUpAction::Shed,
+            LocalReply::Shed,
         ),
         Rule(
             Semantics::Deduplicated,
             Status::NotExecuted,
             RetryScope::Anywhere,
-            GiveUpAction::Shed,
+            LocalReply::Shed,
         ),
         Rule(
             Semantics::Deduplicated,
             Status::MayHaveExecuted,
             RetryScope::RepeatGroup,
-            GiveUpAction::ShedIfAllDeduplicate,
+            LocalReply::ShedIfAllDeduplicate,
         ),
         Rule(
             Semantics::Deduplicated,
             Status::InFlight,
             RetryScope::Nowhere,
-            GiveUpAction::ShedIfAllDeduplicate,
+            LocalReply::ShedIfAllDeduplicate,
         ),
         Rule(
             Semantics::NonIdempotent,
             Status::NotExecuted,
             RetryScope::Anywhere,
-            GiveUpAction::Shed,
+            LocalReply::Shed,
         ),
         Rule(
             Semantics::NonIdempotent,
             Status::MayHaveExecuted,
             RetryScope::Nowhere,
-            GiveUpAction::Drop,
+            LocalReply::Drop,
         ),
         Rule(
             Semantics::NonIdempotent,
             Status::InFlight,
             RetryScope::Nowhere,
-            GiveUpAction::Drop,
+            LocalReply::Drop,
         ),
     ]
 };
 
 impl DecisionEngine {
-    fn rule(&self, request: &Request) -> (RetryScope, GiveUpAction) {
+    fn rule(&self, request: &Request) -> (RetryScope, LocalReply) {
         let semantics = self.params.groups[request.group].semantics;
         let status = request.execution_status();
         let rule = RULES
             .iter()
             .find(|rule| rule.0 == semantics && rule.1 == status);
-        rule.map_or((RetryScope::Nowhere, GiveUpAction::Drop), |rule| {
+        rule.map_or((RetryScope::Nowhere, LocalReply::Drop), |rule| {
             (rule.2, rule.3)
         })
     }
 
-    /// Its client is about to give up.
+    /// Whether the request is at its deadline, less the margin.
     pub(super) fn is_expiring(&self, request: &Request) -> bool {
         self.now >= request.deadline - DEADLINE_MARGIN
     }
 
-    /// Where the request may be sent now.
+    /// The servers to which the request may be sent now.
     pub(super) fn retry_scope(&self, request: &Request) -> RetryScope {
         let max_attempts = self.params.max_attempts.min(request.max_attempts);
-        let is_over = request.stage == RequestStage::Finished
+        let is_final = request.stage == RequestStage::Finished
             || request.is_streaming
             || request.attempts().len() >= max_attempts
             || self.is_expiring(request);
-        if is_over {
+        if is_final {
             RetryScope::Nowhere
         } else {
             self.rule(request).0
         }
     }
 
-    /// Whether the server of that index is one of those that the request may be sent to.
+    /// Whether the server with that index is in the request's retry scope.
     pub(super) fn is_in_scope(&self, request: &Request, scope: RetryScope, server: usize) -> bool {
         match scope {
             RetryScope::Anywhere => request
@@ -138,27 +138,28 @@
         }
     }
 
-    /// The server would recognize a repeat of that attempt, or the attempt was never executed.
+    /// Whether the server would recognize a repeat of that attempt, or the attempt was never
+    /// executed.
     fn recognizes_repeat(&self, request: &Request, attempt: &Attempt, server: usize) -> bool {
         let group = &self.params.groups[request.group];
-        let (first, next) = (&self.servers[attempt.server], &self.servers[server]);
+        let (previous, candidate) = (&self.servers[attempt.server], &self.servers[server]);
         let share_repeats = match group.repeat_group {
             RepeatGroup::All => true,
-            RepeatGroup::Zone => first.zone == next.zone,
-            RepeatGroup::Cell => first.cell == next.cell,
+            RepeatGroup::Zone => previous.zone == candidate.zone,
+            RepeatGroup::Cell => previous.cell == candidate.cell,
         };
         let within_window = self.now < attempt.sent_at + group.repeat_window - DEADLINE_MARGIN;
         !attempt.may_have_executed() || share_repeats && within_window
     }
 
-    /// Whether a request that is given up is shed, not dropped.
+    /// Whether the local reply to the request is a rejection that permits a retry.
     pub(super) fn may_shed(&self, request: &Request) -> bool {
         match self.rule(request).1 {
-            GiveUpAction::Shed => true,
-            GiveUpAction::ShedIfAllDeduplicate => {
+            LocalReply::Shed => true,
+            LocalReply::ShedIfAllDeduplicate => {
                 self.params.groups[request.group].repeat_group == RepeatGroup::All
             }
-            GiveUpAction::Drop => false,
+            LocalReply::Drop => false,
         }
     }
 }
--- a/crates/aspendrum-core/src/engine/slow_start.rs
+++ b/crates/aspendrum-core/src/engine/slow_start.rs
@@ -1,24 +1,24 @@
-//! Rule 4: slow start. A server that has just started gets no more than it can stand, from all
-//! instances together.
+//! Invariant 4: slow start. All instances together send a starting server no more load than it can
+//! handle.
 
 use super::DecisionEngine;
 use crate::api::{Health, Millis};
 
 impl DecisionEngine {
-    /// Whether a server that started then is still in its slow start.
+    /// Whether a server with that start time is still in its slow start.
     pub(super) fn is_slow_starting(&self, started_at: Millis) -> bool {
         started_at > 0.0 && self.now - started_at < self.params.slow_start_time
     }
 
-    /// The least that is promised of such a server's capacity now, as a share of the whole.
+    /// Returns the fraction of its capacity that a server with that start time has at least now.
     fn available_capacity(&self, started_at: Millis) -> f64 {
         let progress =
             ((self.now - started_at) / self.params.slow_start_time.max(1.0)).clamp(0.0, 1.0);
         self.params.slow_start_capacity + (1.0 - self.params.slow_start_capacity) * progress
     }
 
-    /// Gives each starting server the tokens that this instance may spend on it: of what it stands
-    /// in a window, the part that this instance has of all traffic.
+    /// Refills the slow start tokens of each starting server. This instance's share of a server's
+    /// budget is proportional to its share of the traffic.
     pub(super) fn refill_slow_start_tokens(&mut self) {
         let (mut count, mut sizes, mut capacity) = (0.0, 0.0, 0.0);
         for server in self
@@ -28,7 +28,7 @@
         {
             count += 1.0;
             sizes += server.size;
-            // A starting server counts for what it can do, not as a whole one.
+            // A starting server counts with its available capacity only.
             capacity += self.available_capacity(server.started_at);
         }
         let rate_per_server = self.fleet.response_rate(self.now) / f64::max(capacity, 1.0);
--- a/crates/aspendrum-core/src/engine/tenant_count.rs
+++ b/crates/aspendrum-core/src/engine/tenant_count.rs
@@ -1,5 +1,5 @@
-//! A tenant's quota as an instance counts it: by a local token bucket, and by the shared counter's
-//! totals.
+//! A tenant's quota as counted by one instance: a local token bucket, corrected by the shared
+//! counter's totals.
 
 use super::counter_name::CounterName;
 use super::parameters::PlanParameters;
@@ -7,18 +7,18 @@
 use crate::spread;
 use crate::state::tenant::Tenant;
 
-/// With an even share of the burst of fewer units than this, an instance sees a tenant too seldom
-/// to follow its count.
-pub(crate) const LEAST_EVEN_SHARE: f64 = 1.0;
+/// The minimum even share of the burst, in units. With less than this, an instance sees a tenant's
+/// requests too rarely to track its count.
+pub(crate) const MIN_EVEN_SHARE: f64 = 1.0;
 
 impl Tenant {
-    /// The time in windows of its quota. Each tenant's windows begin at another moment, so that not
-    /// all begin at once.
+    /// Converts a time to a number of quota windows. Each tenant's windows have a different offset,
+    /// so that they do not all begin at once.
     pub(crate) fn window_position(&self, now: Millis, plan: &PlanParameters) -> f64 {
         now / plan.window.max(1.0) + spread::phase(self.id as f64)
     }
 
-    /// Begins the window of that moment, if it is sparse and another one is counted.
+    /// For a sparse tenant, starts the window at `now` unless it is the current one.
     pub(crate) fn enter_window(&mut self, now: Millis, plan: &PlanParameters) {
         let window = self.window_position(now, plan).floor();
         if self.is_sparse && window != self.window {
@@ -28,8 +28,9 @@
         }
     }
 
-    /// Whether the local count has room: a token bucket of an even share of rate and burst, and of
-    /// whatever the last total left it.
+    /// Refills the local count and returns whether it has room. It is a token bucket with an even
+    /// share of rate and burst. Unless the tenant is sparse, it may hold more after a counter
+    /// total.
     pub(crate) fn has_local_room(
         &mut self,
         plan: &PlanParameters,
@@ -48,21 +49,23 @@
         self.local_tokens >= units
     }
 
-    /// Splits the local count among `instances` instances. It starts anew: an instance that takes it over, or gives it
-    /// back, knows nothing yet of what the others used.
-    pub(crate) fn split_local_count(&mut self, plan: &PlanParameters, among: f64, now: Millis) {
+    /// Splits the local count among `instances` instances. The count is reset, since an instance
+    /// that takes it over or hands it back does not know the others' usage. A windowed plan's count
+    /// is kept: otherwise each change in the number of instances would grant another share.
+    pub(crate) fn split_local_count(&mut self, plan: &PlanParameters, instances: f64, now: Millis) {
         let keeps_count = plan.is_windowed && self.split_among > 0.0;
-        self.split_among = among;
-        self.is_sparse = plan.is_windowed || plan.burst < LEAST_EVEN_SHARE * among;
+        self.split_among = instances;
+        self.is_sparse = plan.is_windowed || plan.burst < MIN_EVEN_SHARE * instances;
         if keeps_count {
-            return; // Instances that come and go hand nobody a fresh share.
+            return;
         }
-        // Shares of less than one request would let nobody send: each instance of a sparse tenant
-        // may send one.
+        // Shares of less than one request would reject everything. Each instance of a sparse tenant
+        // may send one: `has_local_room` caps these tokens at the larger of its share and the
+        // request.
         self.local_tokens = if self.is_sparse {
             plan.burst
         } else {
-            plan.burst / among
+            plan.burst / instances
         };
         self.local_refilled_at = now;
         self.remaining = plan.burst;
@@ -73,7 +76,8 @@
         self.window = 0.0;
     }
 
-    /// The name of its count in the shared counter: one a window if it is sparse.
+    /// Returns the name of the tenant's count in the shared counter. A sparse tenant has one name
+    /// per window.
     pub(crate) fn counter_name(&mut self, now: Millis, plan: &PlanParameters) -> CounterName {
         self.enter_window(now, plan);
         if self.is_sparse {
@@ -84,11 +88,11 @@
     }
 }
 
-/// What the shared counter's total says of the quota. `added`: the units of the call that brought
-/// it, part of `total`.
+/// Updates from the shared counter's totals. `added` is the number of units that the call itself
+/// added; it is included in `total`.
 impl Tenant {
-    /// The total of a window counts all that was used in it.
-    pub(crate) fn follow_window_total(
+    /// Updates a sparse tenant. The total includes all units used in the window.
+    pub(crate) fn update_from_window_total(
         &mut self,
         plan: &PlanParameters,
         added: f64,
@@ -103,8 +107,8 @@
         }
     }
 
-    /// At its owner the local count is the tenant's: the total tells what others added beside it.
-    pub(crate) fn follow_total_as_owner(
+    /// Updates the whole count kept by the owner. Only units added by other instances are deducted.
+    pub(crate) fn update_from_total_as_owner(
         &mut self,
         plan: &PlanParameters,
         added: f64,
@@ -113,21 +117,21 @@
     ) {
         let added_by_others = total - self.total - added;
         self.has_local_room(plan, 0.0, now);
-        let most = if self.total_known {
+        let max_added = if self.total_known {
             f64::INFINITY
         } else {
             plan.burst / 2.0
         };
-        self.local_tokens -= added_by_others.clamp(0.0, most);
+        self.local_tokens -= added_by_others.clamp(0.0, max_added);
         self.remaining = self.local_tokens;
         self.remaining_at = now;
         self.total = total;
         self.total_known = true;
     }
 
-    /// One of several instances knows what the others added from the difference between two totals.
-    /// `noise`: by how much a total may fall through units that are returned.
-    pub(crate) fn follow_total_among_others(
+    /// Updates the count of one of several instances. The difference between two totals gives the
+    /// units added by the others. `noise` is the amount by which returned units may lower a total.
+    pub(crate) fn update_from_total_as_member(
         &mut self,
         plan: &PlanParameters,
         added: f64,
@@ -136,10 +140,10 @@
         now: Millis,
     ) {
         let mut added_by_others = total - self.total - added;
-        // A total far below the last one betrays a name that the counter has lost: the count goes
-        // on.
-        let is_reborn = !self.total_known || added_by_others < -noise;
-        if is_reborn {
+        // A total far below the last one means that the counter has lost the name. The local
+        // estimate of the remaining quota is kept.
+        let was_reset = !self.total_known || added_by_others < -noise;
+        if was_reset {
             added_by_others = (total - added).max(0.0);
         }
         if !self.total_known && added_by_others > plan.burst {
@@ -150,7 +154,7 @@
         self.remaining_at = now;
         self.total = total;
         self.total_known = true;
-        // Traffic is uneven and the next total soon: up to twice the even share until then.
+        // Traffic is uneven, so up to twice the even share may be used until the next total.
         self.local_tokens = self.remaining.max(0.0) * 2.0 / (self.split_among + 1.0);
         self.local_refilled_at = now;
     }
--- a/crates/aspendrum-core/src/lib.rs
+++ b/crates/aspendrum-core/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions of the aspendrum gateway, free of I/O, clocks and threads.
+//! The decision engine of the aspendrum gateway, without I/O, clocks or threads.
 //!
-//! [`engine::DecisionEngine`] handles events with their time and answers with actions; both are defined in [`api`].
-//! [`settings`] reads what an engine is started with. [`peer_message`] is the format of datagrams between instances.
+//! [`engine::DecisionEngine`] handles timestamped events and returns actions; both are defined in
+//! [`api`]. [`settings`] parses an engine's settings. [`peer_message`] defines the format of
+//! datagrams between instances.
 
 pub mod api;
 pub mod engine;
--- a/crates/aspendrum-core/src/peer_message.rs
+++ b/crates/aspendrum-core/src/peer_message.rs
@@ -1,49 +1,49 @@
-//! The datagrams between instances about a tenant's quota: the only place that knows their bytes.
-//! Numbers are big-endian. A datagram that does not fit its format exactly is not understood.
+//! The wire format of the datagrams that instances exchange about tenants' quotas. Numbers are
+//! big-endian. A datagram that does not match its format exactly is rejected.
 //!
-//! The first byte tells kind and version. Kinds 1, 2 and 4 are those of the version before token
-//! transfers: its quota requests are understood, as requests without a transfer; its returns are
-//! not, since they could come twice. That version drops the kinds from 5 on.
+//! The first byte encodes kind and version. Kinds 1, 2 and 4 belong to the previous version, which
+//! had no token transfers. Its quota requests are decoded as requests without a transfer. Its
+//! returns are ignored, since they could be duplicated. That version drops kinds 5 and above.
 
 use crate::api::{Millis, TenantId};
 
-/// A tenant as the sender knows it.
+/// A tenant, as known to the sender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantKey {
     /// The tenant's id, of 40 bits.
     pub tenant: TenantId,
     /// The index of its plan.
     pub plan: u8,
-    /// The first of the instances that its requests come through.
+    /// The number of the first instance that receives its requests.
     pub first_instance: u16,
-    /// How many instances its requests come through; not 0.
+    /// The number of instances that receive its requests; not 0.
     pub instances: u16,
 }
 
-/// Identifies a message among those of its sender: the low bits of the sender's clock in
-/// milliseconds. No two messages of one sender have the same.
+/// Identifies a message of a sender: the low bits of the sender's clock in milliseconds. Ids are
+/// unique per sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageId(pub u32);
 
 impl MessageId {
-    /// The low bits, which come back with the reply.
+    /// Returns the low bits, which the reply repeats.
     pub fn sequence(self) -> u16 {
         self.0 as u16
     }
 }
 
-/// Asks a tenant's quota owner for units.
+/// Requests units from a tenant's quota owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRequest {
-    /// Its low bits come back with the reply.
+    /// The message's id; the reply repeats its low bits.
     pub id: MessageId,
-    /// Whose quota it is.
+    /// The tenant whose quota is requested.
     pub key: TenantKey,
-    /// The units asked for; above 0.
+    /// The requested units; above 0.
     pub units: f32,
-    /// The units are to come out of the owner's share of the rate limit too.
+    /// The units must also be charged to the owner's share of the rate limit.
     pub charges_rate_limit: bool,
-    /// Tokens that the sender gives away along with it, in steps of the burst.
+    /// The tokens that the sender transfers with the request, in steps of the burst.
     pub transferred_steps: u16,
 }
 
@@ -54,46 +54,47 @@
     pub sequence: u16,
     /// The units are granted.
     pub granted: bool,
-    /// The owner cannot reach the shared counter: tokens that the asker holds are of use to it.
-    pub lacks_counter: bool,
-    /// If not granted, for how long the quota has no room. Sent as whole milliseconds up to 65535.
+    /// The owner cannot reach the shared counter, so it can use the requester's tokens.
+    pub counter_unreachable: bool,
+    /// If not granted, the time until the quota has room. Encoded in whole milliseconds up to
+    /// 65535.
     pub retry_after: Millis,
 }
 
 /// A datagram between instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// Asks whether the receiver is there. It answers with a [`QuotaReply`] that grants nothing.
-    /// Sent before a quota request to a peer whose datagrams may be lost: such a peer would grant
-    /// units that nobody uses.
+    /// Checks whether the receiver is reachable. It answers with a [`QuotaReply`] that grants
+    /// nothing. Sent before a quota request to a peer whose datagrams may be lost: such a peer
+    /// would grant units that are never used.
     Ping {
-        /// Its low bits come back with the reply.
+        /// The message's id; the reply repeats its low bits.
         id: MessageId,
     },
     /// Requests units.
     QuotaRequest(QuotaRequest),
-    /// Answers.
+    /// Answers a quota request or a ping.
     QuotaReply(QuotaReply),
-    /// Returns the units granted on a quota request: they went to no server.
+    /// Returns the units granted to a request that was not sent to any server.
     Return {
         /// The id of the quota request.
         id: MessageId,
     },
-    /// Asks for tokens: the sender owns the tenant's quota and has run out of them.
+    /// Requests tokens. The sender owns the tenant's quota and has no tokens left.
     TokenRequest {
-        /// Whose tokens they are.
+        /// The tenant.
         key: TenantKey,
     },
     /// Answers a [`PeerMessage::TokenRequest`].
     TokenTransfer {
-        /// Tells when they were given away.
+        /// The message's id, which encodes the time of the transfer.
         id: MessageId,
-        /// Whose tokens they are.
+        /// The tenant.
         key: TenantKey,
-        /// How many, in steps of the burst.
+        /// The number of tokens, in steps of the burst.
         steps: u16,
     },
-    /// A message of the version before that is of no use to this one.
+    /// A message of the previous version that is ignored.
     Legacy,
 }
 
@@ -108,13 +109,13 @@
 const TOKEN_TRANSFER: u8 = 9;
 const PING: u8 = 10;
 
-/// Bits of a reply's flags.
+/// The flag bits of a reply.
 const GRANTED: u8 = 1;
-/// The version before token transfers drops replies with this bit and decides by its own share.
-const LACKS_COUNTER: u8 = 2;
+/// The previous version drops replies with this bit and decides by its own share.
+const COUNTER_UNREACHABLE: u8 = 2;
 
 const TENANT_ID_BYTES: usize = 5;
-const LONGEST: usize = 24;
+const MAX_LENGTH: usize = 24;
 
 impl TenantKey {
     fn encode(&self, out: &mut Vec<u8>) {
@@ -126,7 +127,7 @@
 }
 
 impl PeerMessage {
-    /// The id of a message that is answered.
+    /// Returns the message's id if the message is to be answered.
     pub fn answered_id(self) -> Option<MessageId> {
         match self {
             PeerMessage::QuotaRequest(QuotaRequest { id, .. }) | PeerMessage::Ping { id } => {
@@ -136,9 +137,9 @@
         }
     }
 
-    /// The datagram's bytes; none for [`PeerMessage::Legacy`], which nobody sends.
+    /// Encodes the message. [`PeerMessage::Legacy`] is never sent and yields no bytes.
     pub fn encode(&self) -> Vec<u8> {
-        let mut out = Vec::with_capacity(LONGEST);
+        let mut out = Vec::with_capacity(MAX_LENGTH);
         match *self {
             PeerMessage::QuotaRequest(ref request) => request.encode(&mut out),
             PeerMessage::QuotaReply(ref reply) => reply.encode(&mut out),
@@ -165,7 +166,7 @@
         out
     }
 
-    /// `None` for bytes that no instance sends.
+    /// Decodes a datagram. Returns `None` if it is malformed or of an unknown kind.
     pub fn decode(data: &[u8]) -> Option<PeerMessage> {
         let (&kind, body) = data.split_first()?;
         let mut fields = Fields(body);
@@ -205,8 +206,8 @@
     }
 }
 
-/// A return of the version before has the fields of its quota request. What they hold is not looked
-/// at.
+/// The length of the previous version's return message, without the kind. It has the fields of its
+/// quota request, which are ignored.
 const LEGACY_RETURN_BODY: usize = 16;
 
 impl QuotaRequest {
@@ -228,14 +229,14 @@
         out.push(QUOTA_REPLY);
         out.extend(self.sequence.to_be_bytes());
         let granted = if self.granted { GRANTED } else { 0 };
-        let lacks_counter = if self.lacks_counter { LACKS_COUNTER } else { 0 };
-        out.push(granted | lacks_counter);
+        let counter_unreachable = if self.counter_unreachable { COUNTER_UNREACHABLE } else { 0 };
+        out.push(granted | counter_unreachable);
         let retry_after = self.retry_after.clamp(0.0, u16::MAX.into()) as u16;
         out.extend(retry_after.to_be_bytes());
     }
 }
 
-/// What is left to read of a datagram.
+/// The fields of a datagram that are still to be decoded.
 struct Fields<'a>(&'a [u8]);
 
 impl Fields<'_> {
@@ -277,15 +278,15 @@
         let sequence = self.u16()?;
         let [flags] = self.take()?;
         let retry_after = f64::from(self.u16()?);
-        if flags & !(GRANTED | LACKS_COUNTER) != 0 {
+        if flags & !(GRANTED | COUNTER_UNREACHABLE) != 0 {
             return None;
         }
         let granted = flags & GRANTED != 0;
-        let lacks_counter = flags & LACKS_COUNTER != 0;
+        let counter_unreachable = flags & COUNTER_UNREACHABLE != 0;
         Some(QuotaReply {
             sequence,
             granted,
-            lacks_counter,
+            counter_unreachable,
             retry_after,
         })
     }
--- a/crates/aspendrum-core/src/rng.rs
+++ b/crates/aspendrum-core/src/rng.rs
@@ -10,12 +10,12 @@
 pub(crate) struct Rng(u64);
 
 impl Rng {
-    /// A generator whose sequence is determined by `seed`.
+    /// Returns a generator whose sequence is determined by `seed`.
     pub(crate) fn new(seed: u64) -> Self {
         Rng((seed | 1) & SEED_BITS)
     }
 
-    /// The next number, uniform in `0.0..1.0`.
+    /// Returns the next number, uniformly distributed in `0.0..1.0`.
     pub(crate) fn next_f64(&mut self) -> f64 {
         self.0 = MULTIPLIER * (self.0 & LOW_BITS) + (self.0 >> 32);
         (self.0 & LOW_BITS) as f64 / RANGE
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -1,6 +1,6 @@
-//! Reads settings from lines of `path=value`: those of the simulator and of the gateway's
-//! configuration alike. Unknown paths are ignored; one that is needed and missing, or whose value
-//! makes no sense, is refused by name.
+//! Parses settings from lines of `path=value`, as used by both the simulator and the gateway's
+//! configuration. Unknown paths are ignored. A missing or invalid setting is reported with its
+//! path.
 
 use crate::api::{
     GroupSettings, LoadReportChannel, LoadValue, Millis, PlanSettings, RepeatGroup, Semantics,
@@ -9,29 +9,29 @@
 use derive_more::{Display, Error};
 use std::collections::HashMap;
 
-/// Settings are given in seconds, the engine counts in milliseconds.
+/// The factor between seconds, as used in settings, and milliseconds, as used by the engine.
 pub const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// The most instances, and entries of a list.
+/// The maximum number of instances and of entries in a list.
 const MAX_COUNT: f64 = 1e5;
-const MAX_SEND_CAP: f64 = 1e6;
+const MAX_ATTEMPTS: f64 = 1e6;
 const MAX_CONCURRENCY: f64 = 1e9;
 
-/// Why settings are refused.
+/// An error in the settings.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum SettingsError {
-    /// A path that is needed is not there.
+    /// A required setting is missing.
     #[display("setting {path} is missing")]
     Missing {
         /// The path.
         path: String,
     },
-    /// A value is not of its type, or out of its range.
+    /// A value has the wrong type or is out of range.
     #[display("setting {path} is absurd: {value}")]
     Invalid {
         /// The path.
         path: String,
-        /// What stands there.
+        /// The value.
         value: String,
     },
 }
@@ -45,14 +45,18 @@
     }
 }
 
-/// Reads all settings.
+/// Parses all settings.
+///
+/// # Errors
+///
+/// Returns the first setting found to be missing or invalid.
 pub fn read(text: &str) -> Result<Settings, SettingsError> {
     let pairs = Pairs(
         text.lines()
             .filter_map(|line| line.split_once('='))
             .collect(),
     );
-    let settings = settings(&pairs)?;
+    let settings = parse_settings(&pairs)?;
     if settings.instances == 0 {
         return Err(SettingsError::invalid("Instances", 0));
     }
@@ -70,7 +74,7 @@
             .ok_or_else(|| SettingsError::Missing { path: path.into() })
     }
 
-    /// A finite number, not negative.
+    /// Returns a finite, non-negative number.
     fn number(&self, path: &str) -> Result<f64, SettingsError> {
         let value = self.text(path)?;
         match value.parse::<f64>() {
@@ -79,7 +83,7 @@
         }
     }
 
-    /// A number that is 0 if it is not there.
+    /// Returns a number, or 0 if the setting is missing.
     fn number_or_zero(&self, path: &str) -> Result<f64, SettingsError> {
         if self.0.contains_key(path) {
             self.number(path)
@@ -105,23 +109,24 @@
         }
     }
 
-    fn choice<T: Copy>(&self, path: &str, choices: &[(&str, T)]) -> Result<T, SettingsError> {
+    fn keyword<T: Copy>(&self, path: &str, keywords: &[(&str, T)]) -> Result<T, SettingsError> {
         let value = self.text(path)?;
-        let chosen = choices.iter().find(|(word, _)| *word == value);
-        chosen
-            .map(|(_, choice)| *choice)
+        keywords
+            .iter()
+            .find(|(keyword, _)| *keyword == value)
+            .map(|(_, parsed)| *parsed)
             .ok_or_else(|| SettingsError::invalid(path, value))
     }
 
     fn boolean(&self, path: &str) -> Result<bool, SettingsError> {
-        self.choice(path, &[("true", true), ("false", false)])
+        self.keyword(path, &[("true", true), ("false", false)])
     }
 
-    /// A list of at least one entry; `read_entry` is given an entry's path.
+    /// Returns a list of at least one entry. `parse_entry` is called with the path of each entry.
     fn list<T>(
         &self,
         path: &str,
-        read_entry: impl Fn(&Self, &str) -> Result<T, SettingsError>,
+        parse_entry: impl Fn(&Self, &str) -> Result<T, SettingsError>,
     ) -> Result<Vec<T>, SettingsError> {
         let count_path = format!("{path}.count");
         let count = self.integer(&count_path, MAX_COUNT)?;
@@ -129,24 +134,23 @@
             return Err(SettingsError::invalid(&count_path, 0));
         }
         (0..count)
-            .map(|number| read_entry(self, &format!("{path}.{number}")))
+            .map(|number| parse_entry(self, &format!("{path}.{number}")))
             .collect()
     }
 }
 
-/// Longer than other functions: one line a setting.
-fn settings(pairs: &Pairs<'_>) -> Result<Settings, SettingsError> {
+fn parse_settings(pairs: &Pairs<'_>) -> Result<Settings, SettingsError> {
     let has_counter = pairs.boolean("Specifics.Counter")?;
     Ok(Settings {
         instance: pairs.integer("Me", MAX_COUNT)?,
         instances: pairs.integer("Instances", MAX_COUNT)?,
         zone: pairs.number_or_zero("Zone")? as u8,
         tick: pairs.seconds("TickS")?,
-        groups: pairs.list("Profiles", group)?,
-        plans: pairs.list("TiersOfService", plan)?,
-        load_values: load_values(pairs),
-        load_reports: pairs.choice("Feedback.Via", &LOAD_REPORT_CHANNELS)?,
-        polls_discovery: pairs.choice("Discovery", &[("push", false), ("ask", true)])?,
+        groups: pairs.list("Profiles", parse_group)?,
+        plans: pairs.list("TiersOfService", parse_plan)?,
+        load_values: parse_load_values(pairs),
+        load_reports: pairs.keyword("Feedback.Via", &LOAD_REPORT_CHANNELS)?,
+        polls_discovery: pairs.keyword("Discovery", &[("push", false), ("ask", true)])?,
         discovery_poll_limit: pairs.seconds_or_zero("Invariants.MustAskInS")?,
         drain_grace: pairs.seconds("Invariants.DrainGraceS")?,
         collapse_multiple: pairs.number("Invariants.FallMultiple")?,
@@ -158,7 +162,7 @@
         may_probe: pairs.boolean("Limits.Probes")?,
         may_send_datagrams: pairs.boolean("Limits.MayTell")?,
         may_hedge: pairs.boolean("Limits.SecondCopies")?,
-        max_attempts: pairs.integer("Limits.SendCap", MAX_SEND_CAP)?,
+        max_attempts: pairs.integer("Limits.SendCap", MAX_ATTEMPTS)?,
         sends_retry_after: pairs.boolean("Limits.RetryAfter")?,
         max_retry_after: pairs.seconds_or_zero("Limits.MaxRetryAfterS")?,
         has_counter,
@@ -201,15 +205,15 @@
     ("failed_ps", LoadValue::FailuresPerSecond),
 ];
 
-fn group(pairs: &Pairs<'_>, path: &str) -> Result<GroupSettings, SettingsError> {
-    let semantics = pairs.choice(&format!("{path}.Semantics"), &SEMANTICS)?;
+fn parse_group(pairs: &Pairs<'_>, path: &str) -> Result<GroupSettings, SettingsError> {
+    let semantics = pairs.keyword(&format!("{path}.Semantics"), &SEMANTICS)?;
     let is_deduplicated = semantics == Semantics::Deduplicated;
     Ok(GroupSettings {
         latency_target: pairs.seconds(&format!("{path}.AimS"))?,
         hard_limit: pairs.seconds(&format!("{path}.HardLimitS"))?,
         semantics,
         repeat_group: if is_deduplicated {
-            pairs.choice(&format!("{path}.Group"), &REPEAT_GROUPS)?
+            pairs.keyword(&format!("{path}.Group"), &REPEAT_GROUPS)?
         } else {
             RepeatGroup::All
         },
@@ -224,7 +228,7 @@
     })
 }
 
-fn plan(pairs: &Pairs<'_>, path: &str) -> Result<PlanSettings, SettingsError> {
+fn parse_plan(pairs: &Pairs<'_>, path: &str) -> Result<PlanSettings, SettingsError> {
     Ok(PlanSettings {
         is_windowed: false,
         rate: pairs.number(&format!("{path}.PerSecond"))?,
@@ -239,11 +243,12 @@
     })
 }
 
-/// What a load report's values are, in order. Names that are not known keep their place.
-fn load_values(pairs: &Pairs<'_>) -> Vec<LoadValue> {
+/// Parses the meanings of the values in a load report. An unknown name yields
+/// [`LoadValue::Unknown`], so that the other values keep their positions.
+fn parse_load_values(pairs: &Pairs<'_>) -> Vec<LoadValue> {
     let names = pairs.0.get("Feedback.Names").copied().unwrap_or("");
     let load_value = |name: &str| {
-        let known = LOAD_VALUES.iter().find(|(word, _)| *word == name);
+        let known = LOAD_VALUES.iter().find(|(keyword, _)| *keyword == name);
         known.map_or(LoadValue::Unknown, |(_, value)| *value)
     };
     names
--- a/crates/aspendrum-core/src/spread.rs
+++ b/crates/aspendrum-core/src/spread.rs
@@ -1,10 +1,10 @@
-//! Even spreading of numbered things over an interval, without coordination between instances.
+//! Distributes numbered items evenly over an interval, without coordination between instances.
 
 /// The golden ratio's fractional part. Multiples of it, modulo 1, form a low-discrepancy sequence
 /// (Weyl).
 pub(crate) const GOLDEN_FRACTION: f64 = 0.618_033_988_75;
 
-/// Where the thing of that number lies in `0.0..1.0`.
+/// Returns the position of the item with that number in `0.0..1.0`.
 pub(crate) fn phase(number: f64) -> f64 {
     (number * GOLDEN_FRACTION).fract()
 }
--- a/crates/aspendrum-core/src/state.rs
+++ b/crates/aspendrum-core/src/state.rs
@@ -1,5 +1,5 @@
-//! What an instance remembers. Plain data with the arithmetic that concerns one value alone;
-//! decisions are made in [`crate::engine`].
+//! The state of an instance: plain data, with methods that need nothing but the value itself.
+//! Decisions are made in [`crate::engine`].
 
 pub(crate) mod peer;
 pub(crate) mod request;
--- a/crates/aspendrum-core/src/state/peer.rs
+++ b/crates/aspendrum-core/src/state/peer.rs
@@ -1,16 +1,16 @@
-//! What an instance remembers of other instances.
+//! The state kept about other instances.
 
 use crate::api::Millis;
 
-/// Another instance, as an owner of quotas.
+/// Another instance, in its role as quota owner.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Peer {
-    /// Requests in a row that it has not answered.
+    /// The number of consecutive requests that it has not answered.
     pub(crate) missed_replies: u32,
-    /// It is asked nothing until then.
+    /// No requests are sent to it until then.
     pub(crate) unreachable_until: Millis,
-    /// It has answered the last finished request to it.
-    pub(crate) is_answering: bool,
-    /// It said that it cannot reach the shared counter.
-    pub(crate) lacks_counter: bool,
+    /// It answered the last completed request.
+    pub(crate) is_responsive: bool,
+    /// It reported in its last reply that it cannot reach the shared counter.
+    pub(crate) counter_unreachable: bool,
 }
--- a/crates/aspendrum-core/src/state/request.rs
+++ b/crates/aspendrum-core/src/state/request.rs
@@ -1,48 +1,49 @@
-//! What an instance remembers of a request that it decides on.
+//! The state of an open request.
 
 use crate::api::{Millis, NewRequest, Outcome, RequestId};
 use crate::peer_message::PeerMessage;
 
-/// The most attempts of one request.
+/// The maximum number of attempts per request.
 pub(crate) const MAX_ATTEMPTS: usize = 8;
 
-/// Whether a server may have executed a request, as far as is known.
+/// Whether a server may have executed a request.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum ExecutionStatus {
-    /// No attempt was made, or each ended in a way that proves that no server executed it.
+    /// No attempt was made, or the outcome of each proves that no server executed the request.
     NotExecuted,
-    /// An attempt ended in a way that leaves it open.
+    /// The outcome of an attempt does not exclude that a server executed the request.
     MayHaveExecuted,
     /// An attempt is in flight.
     InFlight,
 }
 
-/// How far a request has come.
+/// The stage of processing of a request.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub(crate) enum RequestStage {
-    /// It is checked against its tenant's quota.
+    /// The decision on its tenant's quota is pending.
     #[default]
     Admission,
     /// It waits for a server.
     Queued,
-    /// A server has it.
+    /// It was sent to a server.
     InFlight,
-    /// It has its final answer.
+    /// It has its final answer or needs none.
     Finished,
 }
 
-/// A request sent to a server.
+/// One attempt to have a server execute a request.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Attempt {
     /// The server's index.
     pub(crate) server: usize,
     pub(crate) sent_at: Millis,
-    /// `None` while it is in flight.
+    /// `None` while the attempt is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// It has not ended, or not in a way that proves that the server never executed it.
+    /// Whether the server may have executed the attempt: it is in flight, or its outcome does not
+    /// exclude an execution.
     pub(crate) fn may_have_executed(&self) -> bool {
         !matches!(
             self.outcome,
@@ -51,11 +52,11 @@
     }
 }
 
-/// Where another instance's quota request came from.
+/// The origin of another instance's quota request.
 #[derive(Clone, Copy)]
 pub(crate) struct PeerOrigin {
     pub(crate) peer: u16,
-    /// Identifies the request in the reply.
+    /// The sequence number that identifies the request in the reply.
     pub(crate) sequence: u16,
 }
 
@@ -67,46 +68,46 @@
     pub(crate) group: usize,
     /// The pool whose servers may execute it.
     pub(crate) pool: u16,
-    /// Zones whose servers may execute it, a bit each.
+    /// A bit set of the zones whose servers may execute it.
     pub(crate) zones: u64,
     pub(crate) max_attempts: usize,
     /// The tenant's index.
     pub(crate) tenant: usize,
-    /// What it costs of the quota.
+    /// Its cost in units of the quota.
     pub(crate) units: f64,
     pub(crate) stage: RequestStage,
-    /// When it began to wait for what it waits for now.
+    /// When the current wait began.
     pub(crate) waiting_since: Millis,
-    /// When its client gives up.
+    /// When its client stops waiting for an answer.
     pub(crate) deadline: Millis,
-    /// When its endpoint group's latency target passes.
+    /// When the latency target of its endpoint group is exceeded.
     pub(crate) target_at: Millis,
     pub(crate) counter_call_in_flight: bool,
-    /// Of the counter call that asks for it, the units of this request.
+    /// The units of this request that are included in its counter call.
     pub(crate) counted_units: f64,
     pub(crate) within_quota: bool,
     pub(crate) is_streaming: bool,
     attempts: [Attempt; MAX_ATTEMPTS],
     attempt_count: usize,
-    /// What its answer is worth; the queue's order.
+    /// The value of its response, which determines the order in the queue.
     pub(crate) priority: f64,
-    /// The instance that decides on its quota, or has.
+    /// The other instance that decides on its quota, or has decided on it.
     pub(crate) quota_owner: Option<u16>,
-    /// What that instance was asked. Asked again in the same bytes, since a transfer of tokens
-    /// counts once.
+    /// The message sent to that instance. A retransmission has the same bytes, so that a transfer
+    /// of tokens in it is counted once.
     pub(crate) message_to_owner: Option<PeerMessage>,
-    /// Set where this is another instance's request for quota.
+    /// Set if this is a quota request of another instance.
     pub(crate) peer_origin: Option<PeerOrigin>,
-    /// `message_to_owner` was sent a second time.
-    pub(crate) repeated_to_owner: bool,
-    /// Its units have been taken out of this instance's share of the rate limit.
+    /// `message_to_owner` has been retransmitted.
+    pub(crate) retransmitted_to_owner: bool,
+    /// Its units were charged to this instance's share of the rate limit.
     pub(crate) rate_limit_charged: bool,
-    /// Its units are to come out of the owner's share of the rate limit too.
+    /// Its units must also be charged to the owner's share of the rate limit.
     pub(crate) charges_owner_rate_limit: bool,
 }
 
 impl Request {
-    /// A client's request of the tenant with that index.
+    /// Creates the state of a client's request. `tenant` is the tenant's index.
     pub(crate) fn new(new: &NewRequest, tenant: usize, now: Millis) -> Self {
         Request {
             id: new.id,
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Another instance's request for units of a tenant's quota, which goes to no server and has no
-    /// deadline.
+    /// Creates the state of another instance's quota request, which is not sent to any server and
+    /// has no deadline.
     pub(crate) fn from_peer(id: RequestId, origin: PeerOrigin, tenant: usize, units: f64) -> Self {
         Request {
             id,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// What is known of its attempts as a whole.
+    /// Returns the execution status over all attempts.
     pub(crate) fn execution_status(&self) -> ExecutionStatus {
         let in_flight = self
             .attempts()
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Its attempts, the first one first.
+    /// Returns the attempts in the order in which they were sent.
     pub(crate) fn attempts(&self) -> &[Attempt] {
         &self.attempts[..self.attempt_count]
     }
@@ -165,7 +166,8 @@
         self.attempt_count += 1;
     }
 
-    /// Ends the attempt of that number. False if there is none or it has ended before.
+    /// Records the outcome of an attempt. Returns false if the attempt does not exist or has
+    /// already ended.
     pub(crate) fn end_attempt(&mut self, number: usize, outcome: Outcome) -> bool {
         number < self.attempt_count && self.attempts[number].outcome.replace(outcome).is_none()
     }
--- a/crates/aspendrum-core/src/state/slab.rs
+++ b/crates/aspendrum-core/src/state/slab.rs
@@ -3,8 +3,9 @@
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
-/// Values found by id or by index. An index stays valid until its value is removed, then it is used
-/// again; a removed value stays readable, and part of [`Slab::iter`], until then.
+/// A slab of values that are accessed by id or by index. An index is stable until its value is
+/// removed and may be reused afterwards. A removed value stays readable, and is included in
+/// [`Slab::iter`], until its index is reused.
 pub(crate) struct Slab<T> {
     values: Vec<T>,
     index_of: HashMap<u64, usize>,
@@ -22,12 +23,12 @@
 }
 
 impl<T> Slab<T> {
-    /// The index of the value with that id.
+    /// Returns the index of the value with that id.
     pub(crate) fn find(&self, id: u64) -> Option<usize> {
         self.index_of.get(&id).copied()
     }
 
-    /// Stores a value under an id that is not in use; its index.
+    /// Stores a value under an unused id and returns its index.
     pub(crate) fn insert(&mut self, id: u64, value: T) -> usize {
         let index = self.free.pop().unwrap_or(self.values.len());
         if index < self.values.len() {
@@ -39,24 +40,24 @@
         index
     }
 
-    /// Frees the index of that id. False if there is none.
+    /// Frees the index of that id. Returns false if the id is unknown.
     pub(crate) fn remove(&mut self, id: u64) -> bool {
         let index = self.index_of.remove(&id);
         self.free.extend(index);
         index.is_some()
     }
 
-    /// The number of indices, those of removed values among them.
+    /// Returns the number of indices, including those of removed values.
     pub(crate) fn len(&self) -> usize {
         self.values.len()
     }
 
-    /// All values in the order of their indices, removed ones among them.
+    /// Iterates over all values in the order of their indices, including removed ones.
     pub(crate) fn iter(&self) -> std::slice::Iter<'_, T> {
         self.values.iter()
     }
 
-    /// As [`Slab::iter`].
+    /// Iterates like [`Slab::iter`], with mutable references.
     pub(crate) fn iter_mut(&mut self) -> std::slice::IterMut<'_, T> {
         self.values.iter_mut()
     }
--- a/crates/aspendrum-core/tests/common/mod.rs
+++ b/crates/aspendrum-core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings that the engine's tests start from.
+//! Default settings for the tests of the engine.
 
 use aspendrum_core::api::{
     GroupSettings, LoadReportChannel, LoadValue, PlanSettings, RepeatGroup, Semantics, Settings,
--- a/crates/aspendrum-core/tests/decisions/breaker.rs
+++ b/crates/aspendrum-core/tests/decisions/breaker.rs
@@ -1,4 +1,4 @@
-//! The shared counter's circuit breaker, and the replay of what was granted while it was open.
+//! The shared counter's circuit breaker, and the replay of grants made while it was open.
 
 use crate::harness::Harness;
 use aspendrum_core::api::{Event, Outcome};
@@ -12,31 +12,31 @@
     let mut harness = Harness::plain();
     outcomes
         .iter()
-        .for_each(|outcome| harness.call_of(104, *outcome));
+        .for_each(|outcome| harness.end_counter_call(104, *outcome));
     let calls = harness.calls.len();
     harness.wait(1000.0);
-    // A strained counter is asked by some requests, one behind an open breaker by none.
-    (0..60).for_each(|id| harness.ask(90 + id, 90 + id));
+    // With a degraded counter some requests call it; with an open breaker only probes do.
+    (0..60).for_each(|id| harness.request(90 + id, 90 + id));
     assert_eq!(harness.calls[calls..].iter().all(|c| c.1 == 0.0), open);
 }
 
 fn open(harness: &mut Harness) {
-    (0..5).for_each(|_| harness.call_of(104, Outcome::ConnectFailed));
+    (0..5).for_each(|_| harness.end_counter_call(104, Outcome::ConnectFailed));
     harness.calls.clear();
 }
 
 #[test]
-fn an_open_breaker_grants_the_even_share_and_replays_it_once_in_one_sum() {
+fn an_open_breaker_grants_the_even_share_and_replays_it_once_as_a_sum() {
     let mut harness = Harness::plain();
     open(&mut harness);
     for id in 10..15 {
-        harness.ask(id, 9);
+        harness.request(id, 9);
     }
-    let granted = (10..15).filter(|id| harness.finals(*id) == 0).count();
+    let granted = (10..15).filter(|id| harness.local_replies(*id) == 0).count();
     assert_eq!(granted, 2, "burst 4 over 2 instances");
     harness.wait(1005.0);
     assert_eq!(harness.calls, [(104, 0.0)]);
-    harness.count(104, Outcome::Ok, 0.0);
+    harness.counter_reply(104, Outcome::Ok, 0.0);
     harness.wait(1000.0);
     let replays: Vec<_> = harness.calls.iter().filter(|c| c.0 == 9).collect();
     assert_eq!(replays, [&(9, 2.0)]);
@@ -46,9 +46,9 @@
 fn grants_older_than_the_window_are_not_replayed() {
     let mut harness = Harness::plain();
     open(&mut harness);
-    harness.ask(10, 9);
+    harness.request(10, 9);
     harness.wait(2500.0);
-    harness.count(104, Outcome::Ok, 0.0);
+    harness.counter_reply(104, Outcome::Ok, 0.0);
     assert!(
         harness.calls.iter().all(|c| c.0 != 9),
         "{:?}",
@@ -56,22 +56,22 @@
     );
 }
 
-// The danger: a small counter whose line the replays fill, so that they fail and the breaker never
+// Replays sent all at once could overload a small counter, so that they fail and the breaker never
 // closes.
 #[test]
-fn replays_go_with_the_next_call_not_at_once() {
+fn replays_are_included_in_the_next_calls() {
     let mut harness = Harness::plain();
     open(&mut harness);
     for id in 0..30 {
-        harness.ask(200 + id, 300 + id);
+        harness.request(200 + id, 300 + id);
     }
     harness.wait(1005.0);
-    harness.count(104, Outcome::Ok, 0.0);
+    harness.counter_reply(104, Outcome::Ok, 0.0);
     assert_eq!(harness.calls.len(), 1, "the probe alone");
     for id in 0..30 {
-        harness.ask(400 + id, 300 + id);
+        harness.request(400 + id, 300 + id);
     }
-    // Closed at once; what found no server was returned.
+    // The breaker is closed, so the replay is included in the tenant's next call.
     assert!(
         harness.calls[1..].iter().any(|c| c.1 == 2.0),
         "{:?}",
@@ -79,15 +79,15 @@
     );
 }
 
-// One unreadable answer ends the connection, and all that was written there with it: that is one
-// failure.
+// An unreadable reply closes the connection, so all calls in flight on it fail together. They count
+// as one failure.
 #[test]
 fn calls_that_fail_together_do_not_open_the_breaker() {
     let mut harness = Harness::plain();
-    (0..8).for_each(|id| harness.ask(id, 100 + id));
+    (0..8).for_each(|id| harness.request(id, 100 + id));
     harness.now += 10.0;
     for id in 0..8 {
-        harness.tell(&Event::CounterReplied {
+        harness.handle(&Event::CounterReplied {
             name: 100 + id,
             outcome: Outcome::TimedOut,
             total: 0.0,
@@ -95,6 +95,6 @@
         });
     }
     let calls = harness.calls.len();
-    (0..20).for_each(|id| harness.ask(1000 + id, 1000 + id));
+    (0..20).for_each(|id| harness.request(1000 + id, 1000 + id));
     assert!(harness.calls.len() > calls, "closed");
 }
--- a/crates/aspendrum-core/tests/decisions/counter.rs
+++ b/crates/aspendrum-core/tests/decisions/counter.rs
@@ -1,4 +1,4 @@
-//! Quotas decided by the shared counter.
+//! Quota decisions by the shared counter.
 
 use crate::common::settings;
 use crate::harness::Harness;
@@ -10,37 +10,37 @@
 #[test_case(5.0, false ; "beyond the burst")]
 fn a_request_is_admitted_by_the_counters_total(total: f32, admitted: bool) {
     let mut harness = Harness::plain();
-    harness.ask_at(1, 9, total);
+    harness.request_with_total(1, 9, total);
     assert_eq!(
         (
             harness.calls[0],
             harness.sent(1) == 1,
-            harness.finals(1) == 0
+            harness.local_replies(1) == 0
         ),
         ((9, 1.0), admitted, admitted)
     );
 }
 
 #[test]
-fn refused_units_are_settled_with_the_next_call_or_soon_by_themselves() {
+fn rejected_units_are_settled_with_the_next_call_or_separately() {
     let mut harness = Harness::plain();
-    harness.ask_at(1, 9, 5.0);
-    harness.ask(2, 9);
+    harness.request_with_total(1, 9, 5.0);
+    harness.request(2, 9);
     assert_eq!(harness.calls[1], (9, 0.0));
-    harness.count(9, Outcome::Ok, 5.0);
+    harness.counter_reply(9, Outcome::Ok, 5.0);
     harness.wait(300.0);
     assert_eq!(harness.calls[2], (9, -1.0));
 }
 
 #[test]
-fn a_lost_name_hands_out_no_fresh_burst() {
+fn a_lost_counter_name_grants_no_additional_burst() {
     let mut harness = Harness::plain();
     for id in 0..4 {
-        harness.ask_at(id, 9, 41.0 + id as f32);
+        harness.request_with_total(id, 9, 41.0 + id as f32);
     }
     let before = harness.forwards.len();
     for id in 10..14 {
-        harness.ask_at(id, 9, (id - 9) as f32);
+        harness.request_with_total(id, 9, (id - 9) as f32);
     }
     assert!(
         before <= 2 && harness.forwards.len() == before,
@@ -50,38 +50,38 @@
 }
 
 #[test]
-fn a_silent_counter_still_gets_each_request_an_answer() {
+fn requests_are_answered_despite_a_silent_counter() {
     let mut harness = Harness::plain();
-    harness.ask(1, 9);
+    harness.request(1, 9);
     harness.wait(100.0);
     assert_eq!(harness.sent(1), 1);
     harness.wait(3000.0);
-    assert_eq!(harness.finals(1), 1);
+    assert_eq!(harness.local_replies(1), 1);
 }
 
-// An amount whose call was turned away must go again by itself: kept for a next add that may never
-// come, it held a tenant who came once in memory for ever.
+// Units of a rejected call must be sent again without a further request. Otherwise a tenant with a
+// single request would never be idle, and its state would never be removed.
 #[test]
 fn units_of_a_rejected_call_are_settled_again() {
     let mut harness = Harness::plain();
-    harness.ask(1, 9);
-    harness.count(9, Outcome::Rejected, 0.0);
+    harness.request(1, 9);
+    harness.counter_reply(9, Outcome::Rejected, 0.0);
     harness.wait(2000.0);
     assert_eq!(harness.calls, [(9, 1.0), (9, 1.0)]);
 }
 
-/// A tenant of a hundred instances is counted under a name for each window, the same at all of
-/// them; what is refused stays counted; once the counter is late, a call stands for those that did
-/// not ask.
+/// A tenant of a hundred instances is counted under one name per window, which is the same at all
+/// instances. Rejected units stay counted. Once the counter is slow, a call also accounts for the
+/// requests that were not sampled.
 #[test]
 fn a_sparse_tenant_is_counted_by_windows() {
     let mut harnesses = [Harness::plain(), Harness::plain()];
     for harness in &mut harnesses {
-        harness.ask_of(1, 9, 100.0);
-        harness.count(harness.calls[0].0, Outcome::Ok, 9.0);
-        assert_eq!((harness.calls[0].1, harness.finals(1)), (1.0, 1));
+        harness.request_of(1, 9, 100.0);
+        harness.counter_reply(harness.calls[0].0, Outcome::Ok, 9.0);
+        assert_eq!((harness.calls[0].1, harness.local_replies(1)), (1.0, 1));
         harness.wait(2005.0);
-        harness.ask_of(2, 9, 100.0);
+        harness.request_of(2, 9, 100.0);
         assert!(
             harness.calls.len() == 2 && harness.calls[1].0 != harness.calls[0].0,
             "{:?}",
@@ -92,11 +92,11 @@
     let harness = &mut harnesses[0];
     for id in 10..60 {
         let before = harness.calls.len();
-        harness.ask_of(id, 1000 + id, 100.0);
+        harness.request_of(id, 1000 + id, 100.0);
         if harness.calls.len() > before {
             let name = harness.calls[before].0;
             harness.now += 30.0;
-            harness.tell(&Event::CounterReplied {
+            harness.handle(&Event::CounterReplied {
                 name,
                 outcome: Outcome::Ok,
                 total: 1.0,
@@ -110,23 +110,23 @@
         harness.calls
     );
     assert!(
-        (10..60).all(|id| harness.sent(id) == 1 || harness.finals(id) == 0),
-        "one request each is let in"
+        (10..60).all(|id| harness.sent(id) == 1 || harness.local_replies(id) == 0),
+        "one request of each tenant is admitted"
     );
 }
 
 #[test]
-fn without_a_counter_none_is_called() {
+fn no_counter_is_called_if_none_is_configured() {
     let s = Settings {
         has_counter: false,
         ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let mut harness = Harness::with(&s, &[]);
-    (0..20).for_each(|id| harness.ask(id, 9));
+    (0..20).for_each(|id| harness.request(id, 9));
     harness.wait(2000.0);
     assert_eq!(
         (harness.calls.len(), harness.shed.len()),
         (0, 20),
-        "what is given up owes nothing"
+        "every request is shed"
     );
 }
--- a/crates/aspendrum-core/tests/decisions/harness.rs
+++ b/crates/aspendrum-core/tests/decisions/harness.rs
@@ -1,4 +1,4 @@
-//! One decision engine, and what it asked for.
+//! A test harness around one decision engine.
 
 use crate::common::settings;
 use aspendrum_core::api::{
@@ -7,20 +7,20 @@
 };
 use aspendrum_core::engine::DecisionEngine;
 
-/// An engine, its clock, and what it asked for.
+/// An engine, its clock and the actions that it has returned.
 pub(crate) struct Harness {
     pub(crate) engine: DecisionEngine,
     pub(crate) now: Millis,
-    /// Counter calls: names and units.
+    /// The name and the units of each counter call.
     pub(crate) calls: Vec<(u64, f32)>,
     pub(crate) forwards: Vec<(RequestId, ServerId)>,
     pub(crate) shed: Vec<RequestId>,
     pub(crate) dropped: Vec<RequestId>,
     pub(crate) probes: Vec<ServerId>,
-    pub(crate) all: Vec<Action>,
+    pub(crate) actions: Vec<Action>,
 }
 
-pub(crate) fn member(server: ServerId, health: Health, cell: u16, started: Millis) -> ServerEntry {
+pub(crate) fn server_entry(server: ServerId, health: Health, cell: u16, started: Millis) -> ServerEntry {
     ServerEntry {
         server,
         pool: 0,
@@ -36,8 +36,8 @@
 
 impl Harness {
     pub(crate) fn with(s: &Settings, servers: &[ServerEntry]) -> Harness {
-        let mut all = Vec::new();
-        let engine = DecisionEngine::new(1000.0, 7, s, &mut all);
+        let mut actions = Vec::new();
+        let engine = DecisionEngine::new(1000.0, 7, s, &mut actions);
         let (calls, forwards, shed, dropped, probes) = Default::default();
         let mut harness = Harness {
             engine,
@@ -47,9 +47,9 @@
             shed,
             dropped,
             probes,
-            all,
+            actions,
         };
-        harness.tell(&Event::ServerList {
+        harness.handle(&Event::ServerList {
             list: ListKind::Cached,
             version: 1,
             entries: servers,
@@ -59,7 +59,7 @@
 
     pub(crate) fn new(semantics: Semantics, group: RepeatGroup) -> Harness {
         let servers: Vec<ServerEntry> = (1..5)
-            .map(|id| member(id, Health::Ready, (id % 2) as u16, 0.0))
+            .map(|id| server_entry(id, Health::Ready, (id % 2) as u16, 0.0))
             .collect();
         Harness::with(&settings(semantics, group), &servers)
     }
@@ -68,7 +68,7 @@
         Harness::new(Semantics::Idempotent, RepeatGroup::All)
     }
 
-    pub(crate) fn tell(&mut self, event: &Event<'_>) {
+    pub(crate) fn handle(&mut self, event: &Event<'_>) {
         let mut out = Vec::new();
         self.engine.handle(self.now, event, &mut out);
         for action in &out {
@@ -83,15 +83,15 @@
                 _ => {}
             }
         }
-        self.all.extend(out);
+        self.actions.extend(out);
     }
 
-    pub(crate) fn ask(&mut self, id: RequestId, tenant: TenantId) {
-        self.ask_of(id, tenant, 2.0);
+    pub(crate) fn request(&mut self, id: RequestId, tenant: TenantId) {
+        self.request_of(id, tenant, 2.0);
     }
 
-    /// A request of a tenant that comes through that many instances.
-    pub(crate) fn ask_of(&mut self, id: RequestId, tenant: TenantId, instances: f32) {
+    /// Sends a request of a tenant whose requests are spread over that many instances.
+    pub(crate) fn request_of(&mut self, id: RequestId, tenant: TenantId, instances: f32) {
         let (until, units) = (self.now + 3000.0, 1.0);
         let (client_repeat, write) = (false, false);
         let q = NewRequest {
@@ -109,11 +109,11 @@
             allowed_zones: u64::MAX,
             max_attempts: u8::MAX,
         };
-        self.tell(&Event::Request(q));
+        self.handle(&Event::Request(q));
     }
 
-    pub(crate) fn count(&mut self, name: u64, outcome: Outcome, total: f32) {
-        self.tell(&Event::CounterReplied {
+    pub(crate) fn counter_reply(&mut self, name: u64, outcome: Outcome, total: f32) {
+        self.handle(&Event::CounterReplied {
             name,
             outcome,
             total,
@@ -121,22 +121,22 @@
         });
     }
 
-    /// Sends requests until the counter is called, and ends that call.
-    pub(crate) fn call_of(&mut self, tenant: TenantId, outcome: Outcome) {
+    /// Sends requests until the counter is called, and ends that call with the outcome.
+    pub(crate) fn end_counter_call(&mut self, tenant: TenantId, outcome: Outcome) {
         let calls = self.calls.len();
         while self.calls.len() == calls {
             self.now += 2.0;
-            let id = 9000 + self.all.len() as u64;
-            self.ask(id, tenant);
+            let id = 9000 + self.actions.len() as u64;
+            self.request(id, tenant);
         }
         self.now += 2.0;
-        self.count(tenant, outcome, 1.0);
+        self.counter_reply(tenant, outcome, 1.0);
     }
 
-    /// A request for which the counter answers `total`.
-    pub(crate) fn ask_at(&mut self, id: RequestId, tenant: TenantId, total: f32) {
-        self.ask(id, tenant);
-        self.count(tenant, Outcome::Ok, total);
+    /// Sends a request and replies to its counter call with `total`.
+    pub(crate) fn request_with_total(&mut self, id: RequestId, tenant: TenantId, total: f32) {
+        self.request(id, tenant);
+        self.counter_reply(tenant, Outcome::Ok, total);
     }
 
     pub(crate) fn end(&mut self, id: RequestId, forward: u8, outcome: Outcome) {
@@ -149,7 +149,7 @@
         let over = outcome == Outcome::Ok;
         let load = LoadReport::default();
         let (rtt, used, actual) = (50.0, 0, 0);
-        self.tell(&Event::AttemptEnded {
+        self.handle(&Event::AttemptEnded {
             id,
             forward,
             server,
@@ -166,7 +166,7 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += 5.0;
-            self.tell(&Event::Timer { token: 0 });
+            self.handle(&Event::Timer { token: 0 });
         }
     }
 
@@ -174,7 +174,7 @@
         self.forwards.iter().filter(|f| f.0 == id).count()
     }
 
-    pub(crate) fn finals(&self, id: RequestId) -> usize {
+    pub(crate) fn local_replies(&self, id: RequestId) -> usize {
         self.shed
             .iter()
             .chain(&self.dropped)
--- a/crates/aspendrum-core/tests/decisions/main.rs
+++ b/crates/aspendrum-core/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! The decision engine's decisions, one instance at a time.
+//! Tests of the decisions of a single engine.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/aspendrum-core/tests/decisions/rate_limit.rs
+++ b/crates/aspendrum-core/tests/decisions/rate_limit.rs
@@ -1,7 +1,7 @@
-//! Rate limits, which hold whatever fails.
+//! Rate limits under failures.
 
 use crate::common::settings;
-use crate::harness::{member, Harness};
+use crate::harness::{server_entry, Harness};
 use aspendrum_core::api::{
     Health, Outcome, PlanSettings, RepeatGroup, Semantics, ServerEntry, Settings,
 };
@@ -19,15 +19,15 @@
     s
 }
 
-/// All instances together stay under the rate limit whatever the counter says and however many they are, and
-/// some of it is granted.
-#[test_case(2, true ; "counter up, asked far beyond")]
+/// All instances together stay below the rate limit, regardless of the counter's state and the
+/// number of instances, and grant at least a part of it.
+#[test_case(2, true ; "counter up, demand far beyond")]
 #[test_case(2, false ; "counter down from the start")]
 #[test_case(100, true ; "a hundred instances")]
 #[test_case(100, false ; "a hundred instances without a counter")]
 fn the_rate_limit_holds_right_after_a_restart(instances: usize, counter: bool) {
     let servers: Vec<ServerEntry> = (1..40)
-        .map(|id| member(id, Health::Ready, 0, 0.0))
+        .map(|id| server_entry(id, Health::Ready, 0, 0.0))
         .collect();
     let mut s = rate_limit();
     let many = instances as f64 / 2.0;
@@ -39,7 +39,7 @@
     for step in 0..400u64 {
         for (n, harness) in harnesses.iter_mut().enumerate() {
             let (id, before) = (step * 200 + n as u64, harness.calls.len());
-            harness.ask_of(id, 9, instances as f32);
+            harness.request_of(id, 9, instances as f32);
             for i in before..harness.calls.len() {
                 total += harness.calls[i].1;
                 let outcome = if counter {
@@ -47,7 +47,7 @@
                 } else {
                     Outcome::Rejected
                 };
-                harness.count(harness.calls[i].0, outcome, total);
+                harness.counter_reply(harness.calls[i].0, outcome, total);
             }
             if harness.sent(id) > 0 {
                 harness.end(id, 0, Outcome::Ok);
--- a/crates/aspendrum-core/tests/decisions/retries.rs
+++ b/crates/aspendrum-core/tests/decisions/retries.rs
@@ -1,4 +1,4 @@
-//! Final answers, and requests that are sent again.
+//! Final answers and retries.
 
 use crate::common::settings;
 use crate::harness::Harness;
@@ -23,7 +23,7 @@
 #[test_case(Semantics::Deduplicated, Outcome::Rejected, 2, 1, 0 ; "deduplicated rejected")]
 #[test_case(Semantics::Deduplicated, Outcome::ConnectFailed, 2, 1, 0 ; "deduplicated connect failed")]
 #[test_case(Semantics::Deduplicated, Outcome::NotSent, 2, 1, 0 ; "deduplicated not sent")]
-fn a_request_is_sent_again_only_where_that_is_safe(
+fn a_request_is_retried_only_if_safe(
     semantics: Semantics,
     outcome: Outcome,
     least: usize,
@@ -31,7 +31,7 @@
     dropped: usize,
 ) {
     let mut harness = Harness::new(semantics, RepeatGroup::Cell);
-    harness.ask_at(1, 9, 1.0);
+    harness.request_with_total(1, 9, 1.0);
     let mut n = 0;
     while harness.sent(1) > usize::from(n) && n < 8 {
         harness.end(1, n, outcome);
@@ -66,17 +66,17 @@
 #[test]
 fn a_deduplicated_request_is_not_sent_again_after_its_window() {
     let mut harness = Harness::new(Semantics::Deduplicated, RepeatGroup::All);
-    harness.ask_at(1, 9, 1.0);
+    harness.request_with_total(1, 9, 1.0);
     harness.wait(600.0);
     harness.end(1, 0, Outcome::Reset);
     harness.wait(3000.0);
-    assert_eq!((harness.sent(1), harness.finals(1)), (1, 1));
+    assert_eq!((harness.sent(1), harness.local_replies(1)), (1, 1));
 }
 
 #[test]
 fn late_and_duplicate_events_change_nothing() {
     let mut harness = Harness::plain();
-    harness.ask_at(1, 9, 1.0);
+    harness.request_with_total(1, 9, 1.0);
     harness.end(1, 0, Outcome::Ok);
     let seen = (
         harness.forwards.len(),
@@ -84,10 +84,10 @@
         harness.dropped.len(),
     );
     harness.end(1, 0, Outcome::Error);
-    harness.tell(&Event::ClientDisconnected { id: 1 });
-    harness.count(9, Outcome::Ok, 7.0);
-    harness.count(777, Outcome::Ok, 7.0);
-    harness.tell(&Event::ProbeEnded {
+    harness.handle(&Event::ClientDisconnected { id: 1 });
+    harness.counter_reply(9, Outcome::Ok, 7.0);
+    harness.counter_reply(777, Outcome::Ok, 7.0);
+    harness.handle(&Event::ProbeEnded {
         server: 99,
         outcome: Outcome::Ok,
         rtt: 1.0,
@@ -106,33 +106,33 @@
 #[test]
 fn a_request_whose_client_disconnected_is_neither_answered_nor_forwarded() {
     let mut harness = Harness::plain();
-    harness.ask(1, 9);
-    harness.tell(&Event::ClientDisconnected { id: 1 });
-    harness.count(9, Outcome::Ok, 1.0);
+    harness.request(1, 9);
+    harness.handle(&Event::ClientDisconnected { id: 1 });
+    harness.counter_reply(9, Outcome::Ok, 1.0);
     harness.wait(3000.0);
-    assert_eq!((harness.sent(1), harness.finals(1)), (0, 0));
+    assert_eq!((harness.sent(1), harness.local_replies(1)), (0, 0));
 }
 
 #[test]
 fn each_request_queued_without_servers_is_shed_once_in_time() {
     let mut harness = Harness::with(&settings(Semantics::NonIdempotent, RepeatGroup::All), &[]);
     for id in 0..50 {
-        harness.ask_at(id, 1000 + id, 1.0);
+        harness.request_with_total(id, 1000 + id, 1.0);
     }
     harness.wait(1000.0);
-    assert!((0..50).all(|id| harness.finals(id) == 1) && harness.dropped.is_empty());
+    assert!((0..50).all(|id| harness.local_replies(id) == 1) && harness.dropped.is_empty());
 }
 
 #[test]
 fn a_request_rejected_by_one_server_goes_to_another() {
     let mut harness = Harness::plain();
-    harness.ask_at(1, 9, 1.0);
+    harness.request_with_total(1, 9, 1.0);
     let first = harness.forwards[0].1;
     harness.end(1, 0, Outcome::Rejected);
     harness.end(1, 1, Outcome::Ok);
     for id in 2..5 {
         harness.wait(500.0);
-        harness.ask_at(id, 9, id as f32);
+        harness.request_with_total(id, 9, id as f32);
         harness.end(id, 0, Outcome::Ok);
     }
     assert!(
@@ -147,8 +147,8 @@
     let run = || {
         let mut harness = Harness::plain();
         for id in 0..200 {
-            harness.ask(id, 1000 + id * 7 % 13);
-            harness.count(
+            harness.request(id, 1000 + id * 7 % 13);
+            harness.counter_reply(
                 1000 + id * 7 % 13,
                 if id % 9 == 0 {
                     Outcome::TimedOut
@@ -168,17 +168,17 @@
             );
             harness.wait(20.0);
         }
-        harness.all
+        harness.actions
     };
     assert_eq!(run(), run());
 }
 
-/// A client that is told to come back after its latency target comes back for nothing.
+/// A retry after the request's latency target would be useless, so no retry delay is sent then.
 #[test_case(4.2, 100 ; "soon enough")]
 #[test_case(4.9, 0 ; "too late to be of use")]
-fn retry_after_lets_clients_come_back_in_time(total: f32, advice: u64) {
+fn retry_after_is_only_sent_if_a_retry_can_meet_the_target(total: f32, advice: u64) {
     let mut harness = Harness::plain();
-    harness.ask_at(1, 9, total);
-    let told = |a: &Action| matches!(*a, Action::Shed { retry_after, .. } if retry_after.round() as u64 == advice);
-    assert!(harness.all.iter().any(told), "{:?}", harness.all);
+    harness.request_with_total(1, 9, total);
+    let has_advice = |a: &Action| matches!(*a, Action::Shed { retry_after, .. } if retry_after.round() as u64 == advice);
+    assert!(harness.actions.iter().any(has_advice), "{:?}", harness.actions);
 }
--- a/crates/aspendrum-core/tests/decisions/sampling.rs
+++ b/crates/aspendrum-core/tests/decisions/sampling.rs
@@ -1,17 +1,18 @@
-//! Which requests ask the shared counter when it is short of calls.
+//! Sampling of the requests that call an overloaded shared counter.
 
 use crate::harness::Harness;
 use aspendrum_core::api::{Event, Outcome};
 
-// Calls that are out together fail together: one stall of four calls cut the share by four fifths
-// to the fourth, and a counter that was well again got next to nothing for tens of seconds.
+// Concurrent calls fail together. When each failure decreased the rate, a single stall of four
+// calls multiplied it by 0.8 four times, and the recovered counter got few calls for tens of
+// seconds.
 #[test]
 fn a_stall_cuts_the_sampling_rate_once() {
     let mut harness = Harness::plain();
-    (0..4).for_each(|id| harness.ask(id, 100 + id));
+    (0..4).for_each(|id| harness.request(id, 100 + id));
     harness.wait(30.0);
     for id in 0..4 {
-        harness.tell(&Event::CounterReplied {
+        harness.handle(&Event::CounterReplied {
             name: 100 + id,
             outcome: Outcome::TimedOut,
             total: 0.0,
@@ -19,50 +20,51 @@
         });
     }
     let before = harness.calls.len();
-    (0..200).for_each(|id| harness.ask(1000 + id, 1000 + id));
+    (0..200).for_each(|id| harness.request(1000 + id, 1000 + id));
     let asked = harness.calls.len() - before;
-    assert!((140..190).contains(&asked), "{asked} of 200 ask");
+    assert!((140..190).contains(&asked), "{asked} of 200 call the counter");
 }
 
-// With a counter that cannot answer all, a third of what the local count turned away had half its
-// store free: those ask first, and whoever has room here needs no word of others.
+// With an overloaded counter, a third of the requests that the local count rejected still had half
+// of their quota free. Such requests are sampled first; those with local room need the counter
+// less.
 #[test]
-fn requests_without_local_room_ask_before_the_others() {
+fn requests_without_local_room_are_sampled_before_others() {
     let mut harness = Harness::plain();
-    (0..5).for_each(|_| harness.call_of(104, Outcome::TimedOut));
+    (0..5).for_each(|_| harness.end_counter_call(104, Outcome::TimedOut));
     harness.wait(1005.0);
-    harness.count(104, Outcome::Ok, 1.0);
-    // Two tenants have spent their share here, many others have not.
+    harness.counter_reply(104, Outcome::Ok, 1.0);
+    // One tenant has used up its local share, many others have not.
     let mut asked = [0, 0];
     for round in 0..40 {
         harness.now += 5.0;
         for (kind, tenant) in [(0, 300 + round), (1, 200)] {
             let calls = harness.calls.len();
-            harness.ask(10_000 + 10 * round + kind, tenant);
+            harness.request(10_000 + 10 * round + kind, tenant);
             asked[kind as usize] += harness.calls.len() - calls;
         }
     }
     assert!(asked[1] > 2 * asked[0], "{asked:?}");
 }
 
-/// After a failed call the counter is not asked for what surely has no room, and little for the
-/// rest.
+/// After a failed call, requests that are known to have no room do not call the counter, and only
+/// some of the others do.
 #[test]
-fn a_strained_counter_gets_few_calls() {
+fn a_degraded_counter_gets_few_calls() {
     let mut harness = Harness::plain();
-    harness.ask_at(1, 9, 1.0);
-    harness.ask_at(4, 9, 40.0);
-    harness.ask(2, 10);
-    harness.count(10, Outcome::Rejected, 0.0);
+    harness.request_with_total(1, 9, 1.0);
+    harness.request_with_total(4, 9, 40.0);
+    harness.request(2, 10);
+    harness.counter_reply(10, Outcome::Rejected, 0.0);
     let calls = harness.calls.len();
-    harness.ask(3, 9);
-    assert_eq!((harness.calls.len(), harness.finals(3)), (calls, 1));
+    harness.request(3, 9);
+    assert_eq!((harness.calls.len(), harness.local_replies(3)), (calls, 1));
     for id in 200..400 {
         let calls = harness.calls.len();
-        harness.ask(id, id);
+        harness.request(id, id);
         if harness.calls.len() > calls {
             harness.now += 30.0;
-            harness.tell(&Event::CounterReplied {
+            harness.handle(&Event::CounterReplied {
                 name: id,
                 outcome: Outcome::Ok,
                 total: 1.0,
@@ -72,7 +74,7 @@
     }
     let calls = harness.calls.len();
     for id in 0..50 {
-        harness.ask(100 + id, 100 + id);
+        harness.request(100 + id, 100 + id);
     }
     assert!(
         harness.calls.len() <= calls + 15,
@@ -80,22 +82,22 @@
         harness.calls.len() - calls
     );
     assert!(
-        (100..150).filter(|id| harness.finals(*id) == 0).count() > 40,
-        "the rest goes by the local count"
+        (100..150).filter(|id| harness.local_replies(*id) == 0).count() > 40,
+        "the others are decided by the local count"
     );
 }
 
-/// A sparse tenant's first request of a window at this instance knows nothing of the others' use:
-/// with hundreds of instances, each one's free request let such a tenant far beyond its quota.
-/// Where few may ask, it asks first.
+/// An instance does not know the other instances' usage of a sparse tenant before its first counter
+/// call in a window. With hundreds of instances, one locally admitted request each exceeded such a
+/// tenant's quota by far. Therefore these requests are sampled first when the sampling rate is low.
 #[test]
-fn a_sparse_tenants_first_request_asks_first_when_few_may_ask() {
+fn a_sparse_tenants_first_request_is_sampled_first_at_a_low_rate() {
     let mut harness = Harness::plain();
-    // Late answers cut the sampling rate.
+    // Late replies decrease the sampling rate.
     for id in 0..12 {
         harness.now += 30.0;
-        harness.ask_of(id, 50 + id, 2.0);
-        harness.tell(&Event::CounterReplied {
+        harness.request_of(id, 50 + id, 2.0);
+        harness.handle(&Event::CounterReplied {
             name: 50 + id,
             outcome: Outcome::Ok,
             total: 1.0,
@@ -111,7 +113,7 @@
         };
         let calls = harness.calls.len();
         harness.now += 1.0;
-        harness.ask_of(1000 + n, tenant, instances);
+        harness.request_of(1000 + n, tenant, instances);
         let asked = harness.calls.len() > calls;
         *(if instances > 2.0 {
             &mut sparse
--- a/crates/aspendrum-core/tests/decisions/servers.rs
+++ b/crates/aspendrum-core/tests/decisions/servers.rs
@@ -1,6 +1,6 @@
-//! Servers that drain, fail or are overloaded.
+//! Draining, failing and overloaded servers.
 
-use crate::harness::{member, Harness};
+use crate::harness::{server_entry, Harness};
 use aspendrum_core::api::{Event, Health, ListKind, LoadReport, Millis, Outcome};
 use test_case::test_case;
 
@@ -8,14 +8,14 @@
 #[test_case(Health::Removed ; "gone")]
 fn nothing_new_goes_to_a_draining_server(health: Health) {
     let mut harness = Harness::plain();
-    let entries = [member(1, health, 1, 0.0), member(2, health, 0, 0.0)];
-    harness.tell(&Event::ServerList {
+    let entries = [server_entry(1, health, 1, 0.0), server_entry(2, health, 0, 0.0)];
+    harness.handle(&Event::ServerList {
         list: ListKind::Delta,
         version: 2,
         entries: &entries,
     });
     for id in 0..20 {
-        harness.ask_at(id, 50 + id, 1.0);
+        harness.request_with_total(id, 50 + id, 1.0);
     }
     assert!(
         !harness.forwards.is_empty() && harness.forwards.iter().all(|f| f.1 > 2),
@@ -27,14 +27,14 @@
 #[test]
 fn a_full_list_removes_what_it_does_not_name() {
     let mut harness = Harness::plain();
-    let entries = [member(3, Health::Ready, 1, 0.0)];
-    harness.tell(&Event::ServerList {
+    let entries = [server_entry(3, Health::Ready, 1, 0.0)];
+    harness.handle(&Event::ServerList {
         list: ListKind::Full,
         version: 2,
         entries: &entries,
     });
     for id in 0..5 {
-        harness.ask_at(id, 50 + id, 1.0);
+        harness.request_with_total(id, 50 + id, 1.0);
     }
     assert!(harness.forwards.iter().all(|f| f.1 == 3) && !harness.forwards.is_empty());
 }
@@ -49,7 +49,7 @@
         for _ in 0..rounds {
             first += 8;
             for id in first..first + 8 {
-                harness.ask_at(id, 1000 + id, 1.0);
+                harness.request_with_total(id, 1000 + id, 1.0);
             }
             for id in first..first + 8 {
                 let mut forward = 0;
@@ -71,12 +71,12 @@
             harness.wait(5.0);
         }
     };
-    ask(&mut harness, 60);
+    request(&mut harness, 60);
     let before = harness.forwards.iter().filter(|f| f.1 == 1).count();
     assert!((3..=8).contains(&before), "{before}");
     assert!(harness.probes.contains(&1));
     for _ in 0..8 {
-        harness.tell(&Event::ProbeEnded {
+        harness.handle(&Event::ProbeEnded {
             server: 1,
             outcome: Outcome::Ok,
             rtt: 1.0,
@@ -84,16 +84,16 @@
         });
         harness.wait(250.0);
     }
-    ask(&mut harness, 60);
+    request(&mut harness, 60);
     let after = harness.forwards.iter().filter(|f| f.1 == 1).count();
     assert!(
         after > before && after <= before + 2,
-        "one request at a time on trial: {before} {after}"
+        "one request at a time on probation: {before} {after}"
     );
 }
 
-/// Responses that take nearly the latency target bring down what is in flight, and quick ones bring
-/// it back.
+/// Response times close to the latency target lower the concurrency limits, and short ones raise
+/// them again.
 #[test]
 fn an_overload_shrinks_the_limits_until_it_is_over() {
     let mut harness = Harness::plain();
@@ -104,7 +104,7 @@
             let first = id;
             for _ in 0..40 {
                 id += 1;
-                harness.ask_at(id, 1000 + id, 1.0);
+                harness.request_with_total(id, 1000 + id, 1.0);
             }
             let sent: Vec<_> = harness
                 .forwards
@@ -127,7 +127,7 @@
                     actual_units: actual,
                     load,
                 };
-                harness.tell(&ended);
+                harness.handle(&ended);
             }
             harness.wait(1000.0);
             for f in harness.forwards.clone().iter().filter(|f| f.0 > first) {
@@ -136,10 +136,13 @@
         }
         out
     };
-    let (start, jam, after) = (
+    let (start, overloaded, after) = (
         fill(&mut harness, 1, 100.0),
         fill(&mut harness, 40, 900.0),
         fill(&mut harness, 200, 50.0),
     );
-    assert!(jam < start && after > jam, "{start} {jam} {after}");
+    assert!(
+        overloaded < start && after > overloaded,
+        "{start} {overloaded} {after}"
+    );
 }
--- a/crates/aspendrum-core/tests/decisions/slow_start.rs
+++ b/crates/aspendrum-core/tests/decisions/slow_start.rs
@@ -1,24 +1,24 @@
-//! Servers that have just started.
+//! Slow start of servers.
 
 use crate::common::settings;
-use crate::harness::{member, Harness};
+use crate::harness::{server_entry, Harness};
 use aspendrum_core::api::{
     Event, Health, ListKind, LoadReportChannel, Outcome, RepeatGroup, Semantics, ServerEntry,
     Settings,
 };
 use test_case::test_case;
 
-/// Instant responses of any kind must not pull work to a server that has just started.
+/// Fast responses of any kind must not attract more load to a starting server.
 #[test_case(Outcome::Ok ; "quick answers")]
 #[test_case(Outcome::Rejected ; "quick refusals")]
 fn a_starting_server_gets_its_share_of_the_budget(outcome: Outcome) {
     let entries = [
-        member(1, Health::Ready, 0, 0.0),
-        member(2, Health::Ready, 0, 900.0),
+        server_entry(1, Health::Ready, 0, 0.0),
+        server_entry(2, Health::Ready, 0, 900.0),
     ];
     let mut harness = Harness::with(&settings(Semantics::Idempotent, RepeatGroup::All), &entries);
     for id in 0..300 {
-        harness.ask_at(id, 1000 + id, 1.0);
+        harness.request_with_total(id, 1000 + id, 1.0);
         harness.wait(10.0);
         while let Some(&(q, server)) = harness.forwards.last().filter(|f| f.0 == id) {
             let n = harness.sent(q) - 1;
@@ -36,11 +36,11 @@
     );
 }
 
-/// Requests sent to starting servers in the 3 s after their start, out of 600, when `instances`
-/// share the load of `warm` warm servers and `fresh` more start.
+/// Returns how many of 600 requests are sent to starting servers in the 3 s after their start, when
+/// `instances` share the load of `warm` warm servers and `fresh` more servers start.
 fn sent_to_starting_servers(instances: u32, warm: u32, fresh: u32) -> f64 {
     let servers: Vec<ServerEntry> = (1..=warm)
-        .map(|id| member(id, Health::Ready, 0, 0.0))
+        .map(|id| server_entry(id, Health::Ready, 0, 0.0))
         .collect();
     let s = |me| Settings {
         instance: me,
@@ -51,14 +51,14 @@
         .map(|me| Harness::with(&s(me), &servers))
         .collect();
     let new: Vec<ServerEntry> = (0..fresh)
-        .map(|id| member(9 + id, Health::Ready, 0, 6000.0))
+        .map(|id| server_entry(9 + id, Health::Ready, 0, 6000.0))
         .collect();
     let mut cold = 0.0;
     for step in 0..1600u32 {
         for harness in &mut harnesses {
             harness.wait(5.0);
             if step == 1000 {
-                harness.tell(&Event::ServerList {
+                harness.handle(&Event::ServerList {
                     list: ListKind::Delta,
                     version: 2,
                     entries: &new,
@@ -66,7 +66,7 @@
             }
         }
         let (harness, id) = (&mut harnesses[(step % instances) as usize], u64::from(step));
-        harness.ask_at(id, 1000 + id, 1.0);
+        harness.request_with_total(id, 1000 + id, 1.0);
         let last = harness.forwards.last().filter(|f| f.0 == id && f.1 >= 9);
         cold += f64::from(u8::from(last.is_some()));
         harness.end(id, 0, Outcome::Ok);
@@ -74,8 +74,8 @@
     cold
 }
 
-/// Rule 4: however many instances share the same load, a starting server gets a few times its share
-/// at most.
+/// Invariant 4: regardless of the number of instances that share the load, a starting server gets
+/// at most its slow start budget.
 #[test_case(1 ; "one")]
 #[test_case(3 ; "three")]
 #[test_case(100 ; "a hundred")]
@@ -89,23 +89,22 @@
     );
 }
 
-/// A starting server's turn comes to one of a hundred instances once in many seconds. Passed over
-/// for warm servers that look quick because nobody asked them lately, and counted as a whole
-/// server, six fresh ones beside four got next to nothing while the four were overloaded. Each is
-/// to get most of what it can do, and no more than that.
+/// Each of a hundred instances gets a slow start token only once in many seconds. When the
+/// instances preferred idle warm servers with a decayed response time, and counted starting servers
+/// with their full capacity, six starting servers got almost no requests while four warm ones were
+/// overloaded. Starting servers must get most of their available capacity, and no more.
 #[test]
 fn starting_servers_get_their_share_from_a_hundred_instances() {
     let cold = sent_to_starting_servers(100, 4, 6);
-    // Six that can do a fifth at first and 0.44 after 3 s, beside four whole ones.
+    // Six servers with a capacity of 0.2 at first and 0.44 after 3 s, and four with full capacity.
     let (first, last) = (1.2 / 5.2, 2.64 / 6.64);
     let part = 600.0 * (first + last) / 2.0;
     assert!(cold >= 0.6 * part && cold <= 1.2 * part, "{cold} of {part}");
 }
 
-/// Probes are paid for by the whole fleet: hundreds of instances that each ask a starting server
-/// for its load report, of which each steers a few hundredths of the load, cost more than they
-/// tell.
-#[test_case(4, true ; "a few instances ask")]
+/// Each probe costs a price. In a fleet of hundreds, each instance directs only a small fraction of
+/// the load, so probing starting servers for load reports costs more than it improves.
+#[test_case(4, true ; "a few instances probe")]
 #[test_case(300, false ; "hundreds do not")]
 fn starting_servers_are_probed_for_reports_only_by_a_small_fleet(instances: u32, probed: bool) {
     let s = Settings {
@@ -114,8 +113,8 @@
         ..settings(Semantics::Idempotent, RepeatGroup::All)
     };
     let entries = [
-        member(1, Health::Ready, 0, 0.0),
-        member(2, Health::Ready, 0, 900.0),
+        server_entry(1, Health::Ready, 0, 0.0),
+        server_entry(2, Health::Ready, 0, 900.0),
     ];
     let mut harness = Harness::with(&s, &entries);
     harness.wait(20_000.0);
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Pools of servers, plans by windows and new configurations, as the proxies use the engine.
+//! Server pools, windowed plans and configuration changes, as used by the proxies.
 
 mod common;
 
@@ -34,7 +34,7 @@
         }
     }
 
-    fn tell(&mut self, event: &Event<'_>) -> Vec<Action> {
+    fn handle(&mut self, event: &Event<'_>) -> Vec<Action> {
         self.out.clear();
         self.engine.handle(self.now, event, &mut self.out);
         self.out.clone()
@@ -53,15 +53,15 @@
             started_at: 0.0,
         };
         let entries: Vec<ServerEntry> = servers.iter().map(member).collect();
-        self.tell(&Event::ServerList {
+        self.handle(&Event::ServerList {
             list: ListKind::Delta,
             version: 1,
             entries: &entries,
         });
     }
 
-    /// A request whose counter call fails; what the engine does with it.
-    fn ask(&mut self, pool: u16, zones: u64, instances: f32) -> Vec<Action> {
+    /// Sends a request whose counter call fails, and returns the resulting actions.
+    fn request(&mut self, pool: u16, zones: u64, instances: f32) -> Vec<Action> {
         let id = self.next;
         self.next += 1;
         let until = self.now + 3000.0;
@@ -82,8 +82,8 @@
             allowed_zones: zones,
             max_attempts: most,
         };
-        let mut acts = self.tell(&Event::Request(new));
-        let call = acts.iter().find_map(|a| match a {
+        let mut actions = self.handle(&Event::Request(new));
+        let call = actions.iter().find_map(|a| match a {
             Action::AddToCounter { name, .. } => Some(*name),
             _ => None,
         });
@@ -94,14 +94,14 @@
                 total: 0.0,
                 rtt: 1.0,
             };
-            acts.extend(self.tell(&failed));
+            actions.extend(self.handle(&failed));
         }
-        acts
+        actions
     }
 }
 
-fn forwarded(acts: &[Action]) -> Option<ServerId> {
-    acts.iter().find_map(|a| match a {
+fn forwarded(actions: &[Action]) -> Option<ServerId> {
+    actions.iter().find_map(|a| match a {
         Action::Forward { server, .. } => Some(*server),
         _ => None,
     })
@@ -112,57 +112,59 @@
     let mut harness = Harness::new(false, 0.0);
     harness.servers(&[(1, 0, 0), (2, 1, 0), (3, 1, 1), (4, 1, 2)]);
     for _ in 0..3 {
-        assert_eq!(forwarded(&harness.ask(1, 1 << 1, 2.0)), Some(3));
+        assert_eq!(forwarded(&harness.request(1, 1 << 1, 2.0)), Some(3));
     }
-    assert_eq!(forwarded(&harness.ask(0, u64::MAX, 2.0)), Some(1));
-    assert_eq!(forwarded(&harness.ask(0, 1 << 2, 2.0)), None);
-    assert_eq!(forwarded(&harness.ask(2, u64::MAX, 2.0)), None);
+    assert_eq!(forwarded(&harness.request(0, u64::MAX, 2.0)), Some(1));
+    assert_eq!(forwarded(&harness.request(0, 1 << 2, 2.0)), None);
+    assert_eq!(forwarded(&harness.request(2, u64::MAX, 2.0)), None);
 }
 
-/// Requests that wait for a pool without servers would hold up those of every other pool.
+/// Requests queued for a pool without servers must not block the requests of other pools.
 #[test]
-fn a_pool_without_servers_holds_up_no_other() {
+fn a_pool_without_servers_does_not_block_other_pools() {
     let mut harness = Harness::new(false, 0.0);
     harness.servers(&[(1, 0, 0)]);
     for _ in 0..5 {
-        assert_eq!(forwarded(&harness.ask(1, u64::MAX, 2.0)), None);
+        assert_eq!(forwarded(&harness.request(1, u64::MAX, 2.0)), None);
     }
-    assert_eq!(forwarded(&harness.ask(0, u64::MAX, 2.0)), Some(1));
+    assert_eq!(forwarded(&harness.request(0, u64::MAX, 2.0)), Some(1));
 }
 
-/// Half of the instances are killed, the list changes five times in a third of a second, and each
-/// time the tenant's local count was split anew: 1,330 run where 1,248 were allowed.
+/// When half of the instances were killed, the number of instances changed five times in a third of
+/// a second. Each change reset the tenant's local count, and 1,330 requests ran where 1,248 were
+/// allowed.
 #[test]
-fn instances_that_come_and_go_hand_nobody_a_fresh_share() {
+fn a_changing_number_of_instances_grants_no_additional_share() {
     let mut harness = Harness::new(true, 90.0);
     harness.servers(&(1..200).map(|s| (s, 0, 0)).collect::<Vec<_>>());
     harness.now += 20_000.0;
     let mut granted = 0;
     for instances in [9.0, 8.0, 7.0, 6.0, 5.0, 4.0_f32] {
         for _ in 0..100 {
-            granted += u32::from(forwarded(&harness.ask(0, u64::MAX, instances)).is_some());
+            granted += u32::from(forwarded(&harness.request(0, u64::MAX, instances)).is_some());
         }
     }
-    // An even share of the burst as the set was when the tenant was first met.
+    // The even share of the burst for the number of instances at the tenant's first request.
     assert_eq!(granted, 10);
 }
 
-/// An instance that was killed may have granted its whole share just before.
+/// An instance that was killed may have granted its whole share just before, so a new process must
+/// not grant it again.
 #[test]
-fn right_after_a_start_a_windowed_plan_has_only_what_its_rate_brings() {
+fn right_after_a_start_a_windowed_plan_has_only_its_refill() {
     let mut harness = Harness::new(true, 90.0);
     harness.servers(&[(1, 0, 0)]);
-    assert_eq!(forwarded(&harness.ask(0, u64::MAX, 9.0)), None);
+    assert_eq!(forwarded(&harness.request(0, u64::MAX, 9.0)), None);
     harness.now += 200.0;
-    assert_eq!(forwarded(&harness.ask(0, u64::MAX, 9.0)), Some(1));
+    assert_eq!(forwarded(&harness.request(0, u64::MAX, 9.0)), Some(1));
 }
 
 #[test]
-fn a_new_configuration_brings_groups_and_quotas_without_a_new_start() {
+fn a_new_configuration_applies_groups_and_quotas_without_a_restart() {
     let mut harness = Harness::new(true, 0.0);
     harness.servers(&[(1, 0, 0)]);
     assert!(
-        forwarded(&harness.ask(0, u64::MAX, 1.0)).is_some(),
+        forwarded(&harness.request(0, u64::MAX, 1.0)).is_some(),
         "no quota"
     );
     let s = settings(Semantics::NonIdempotent, RepeatGroup::All);
@@ -174,22 +176,21 @@
     };
     harness.engine.configure(&s.groups, &[]);
     assert!(
-        forwarded(&harness.ask(0, u64::MAX, 1.0)).is_some(),
-        "fewer plans than before are not taken"
+        forwarded(&harness.request(0, u64::MAX, 1.0)).is_some(),
+        "a configuration with fewer plans is ignored"
     );
     harness.engine.configure(&s.groups, &[plan]);
-    assert!(forwarded(&harness.ask(0, u64::MAX, 1.0)).is_none());
+    assert!(forwarded(&harness.request(0, u64::MAX, 1.0)).is_none());
 }
 
-/// Danger: a request whose zones hold no usable server leads its pool's queue, and none of the pool's other requests is
-/// sent until it is given up: they wait for a server that is free.
-///
-/// Found by reading: a request without a server marked its whole pool as without a server for that round.
+/// A request whose zones have no usable server must not block the other requests of its pool.
+/// Previously, such a request at the head of the queue marked its whole pool as unavailable for the
+/// dispatch round, and the others waited until it was rejected, although they had a free server.
 #[test]
-fn a_request_without_a_server_in_its_zones_does_not_hold_up_its_pool() {
+fn a_request_without_a_server_in_its_zones_does_not_block_its_pool() {
     let mut harness = Harness::new(false, 0.0);
     harness.servers(&[(3, 1, 1), (4, 1, 3)]);
-    assert_eq!(forwarded(&harness.ask(1, 1 << 2, 2.0)), None);
-    assert_eq!(forwarded(&harness.ask(1, 1 << 1, 2.0)), Some(3));
-    assert_eq!(forwarded(&harness.ask(1, 1 << 3 | 1 << 2, 2.0)), Some(4));
+    assert_eq!(forwarded(&harness.request(1, 1 << 2, 2.0)), None);
+    assert_eq!(forwarded(&harness.request(1, 1 << 1, 2.0)), Some(3));
+    assert_eq!(forwarded(&harness.request(1, 1 << 3 | 1 << 2, 2.0)), Some(4));
 }
