--- a/crates/aspendrum-core/tests/quota_owner.rs
+++ b/crates/aspendrum-core/tests/quota_owner.rs
@@ -1,5 +1,4 @@
-//! Fleets of decision engines that get each other's datagrams, without sockets: a tenant's quota
-//! has an owner among its instances.
+//! Quota ownership in a fleet of decision engines that exchange datagrams without sockets.
 
 mod common;
 
@@ -12,21 +11,21 @@
 use test_case::test_case;
 
 const SERVERS: u32 = 40;
-const BEGUN: Millis = 100_000.0;
-/// Token buckets fill from an instance's start: the time that fills a burst, and some.
-const FULL: Millis = 4000.0;
+const START: Millis = 100_000.0;
+/// More than the time in which a token bucket refills its burst after an instance's start.
+const FILL_TIME: Millis = 4000.0;
 
-/// Instances on one clock, and what is on its way between them.
+/// Instances with a common clock, and the datagrams in transit between them.
 struct Fleet {
     now: Millis,
     settings: Settings,
     instances: Vec<Option<DecisionEngine>>,
-    mail: Vec<(usize, usize, Vec<u8>)>,
-    /// Every so many datagrams one is lost; 0: none.
-    lose: usize,
-    said: usize,
-    /// Whether the second gets datagrams of the first at that time since the start.
-    hears: fn(Millis, usize, usize) -> bool,
+    in_transit: Vec<(usize, usize, Vec<u8>)>,
+    /// One in this many datagrams is lost; 0: none.
+    loss_interval: usize,
+    datagrams_sent: usize,
+    /// Whether the second instance receives datagrams of the first at that time since the start.
+    is_linked: fn(Millis, usize, usize) -> bool,
     granted: Vec<RequestId>,
     sent: Vec<ServerId>,
     shed: Vec<RequestId>,
@@ -61,37 +60,37 @@
 
 impl Fleet {
     fn of(settings: Settings) -> Fleet {
-        let (mail, granted, sent, shed, open) = Default::default();
+        let (in_transit, granted, sent, shed, open) = Default::default();
         let mut instances = Vec::new();
         instances.resize_with(settings.instances as usize, || None);
-        let (now, lose, said) = (BEGUN, 0, 0);
-        let hears = |_, _, _| true;
+        let (now, loss_interval, datagrams_sent) = (START, 0, 0);
+        let is_linked = |_, _, _| true;
         let mut fleet = Fleet {
             now,
             settings,
             instances,
-            mail,
-            lose,
-            said,
-            hears,
+            in_transit,
+            loss_interval,
+            datagrams_sent,
+            is_linked,
             granted,
             sent,
             shed,
             open,
         };
-        (0..fleet.instances.len()).for_each(|me| fleet.start(me));
+        (0..fleet.instances.len()).for_each(|instance| fleet.start(instance));
         fleet
     }
 
-    /// Starts it, or starts it again from nothing.
-    fn start(&mut self, me: usize) {
+    /// Starts or restarts an instance without any state.
+    fn start(&mut self, instance: usize) {
         let s = Settings {
-            instance: me as u32,
+            instance: instance as u32,
             ..self.settings.clone()
         };
-        self.instances[me] = Some(DecisionEngine::new(
+        self.instances[instance] = Some(DecisionEngine::new(
             self.now,
-            7 + me as u64,
+            7 + instance as u64,
             &s,
             &mut Vec::new(),
         ));
@@ -107,8 +106,8 @@
             started_at: 0.0,
         };
         let entries: Vec<ServerEntry> = (1..=SERVERS).map(member).collect();
-        self.tell(
-            me,
+        self.handle(
+            instance,
             &Event::ServerList {
                 list: ListKind::Cached,
                 version: 1,
@@ -117,25 +116,25 @@
         );
     }
 
-    fn tell(&mut self, me: usize, event: &Event<'_>) {
+    fn handle(&mut self, instance: usize, event: &Event<'_>) {
         let mut out = Vec::new();
-        let Some(control) = &mut self.instances[me] else {
+        let Some(engine) = &mut self.instances[instance] else {
             return;
         };
-        control.handle(self.now, event, &mut out);
+        engine.handle(self.now, event, &mut out);
         for action in out {
             match action {
                 Action::Forward { id, server, .. } => {
                     self.granted.push(id);
                     self.sent.push(server);
-                    self.open.push((me, id, server));
+                    self.open.push((instance, id, server));
                 }
                 Action::Shed { id, .. } => self.shed.push(id),
                 Action::SendDatagram { to: Some(to), data } => {
-                    self.said += 1;
-                    let heard = (self.hears)(self.now - BEGUN, me, to as usize);
-                    if heard && (self.lose == 0 || !self.said.is_multiple_of(self.lose)) {
-                        self.mail.push((me, to as usize, data));
+                    self.datagrams_sent += 1;
+                    let is_delivered = (self.is_linked)(self.now - START, instance, to as usize);
+                    if is_delivered && (self.loss_interval == 0 || !self.datagrams_sent.is_multiple_of(self.loss_interval)) {
+                        self.in_transit.push((instance, to as usize, data));
                     }
                 }
                 _ => {}
@@ -143,11 +142,11 @@
         }
     }
 
-    /// Five milliseconds: datagrams arrive, attempts end, timers are due.
+    /// Advances by five milliseconds: delivers datagrams, ends attempts and fires timers.
     fn step(&mut self) {
         self.now += 5.0;
-        for (from, to, data) in std::mem::take(&mut self.mail) {
-            self.tell(
+        for (from, to, data) in std::mem::take(&mut self.in_transit) {
+            self.handle(
                 to,
                 &Event::DatagramReceived {
                     from: from as u16,
@@ -155,9 +154,9 @@
                 },
             );
         }
-        for (me, id, server) in std::mem::take(&mut self.open) {
-            self.tell(
-                me,
+        for (instance, id, server) in std::mem::take(&mut self.open) {
+            self.handle(
+                instance,
                 &Event::AttemptEnded {
                     id,
                     forward: 0,
@@ -171,17 +170,17 @@
                 },
             );
         }
-        (0..self.instances.len()).for_each(|me| self.tell(me, &Event::Timer { token: 0 }));
+        (0..self.instances.len()).for_each(|instance| self.handle(instance, &Event::Timer { token: 0 }));
     }
 
     fn wait(&mut self, ms: Millis) {
         (0..(ms / 5.0) as u32).for_each(|_| self.step());
     }
 
-    fn ask(&mut self, me: usize, id: RequestId, tenant: TenantId) {
+    fn request(&mut self, instance: usize, id: RequestId, tenant: TenantId) {
         let instances = self.instances.len() as f32;
-        self.tell(
-            me,
+        self.handle(
+            instance,
             &Event::Request(NewRequest {
                 id,
                 group: 0,
@@ -200,12 +199,12 @@
         );
     }
 
-    /// Tenant 5 asks `n` times, `ms` apart, through each instance in turn.
-    fn ask_in_turn(&mut self, from: RequestId, n: u64, ms: Millis) {
+    /// Sends `n` requests of tenant 5, `ms` apart, through each instance in turn.
+    fn request_in_turn(&mut self, from: RequestId, n: u64, ms: Millis) {
         for id in from..from + n {
-            let me = id as usize % self.instances.len();
-            if self.instances[me].is_some() {
-                self.ask(me, id, 5);
+            let instance = id as usize % self.instances.len();
+            if self.instances[instance].is_some() {
+                self.request(instance, id, 5);
             }
             self.wait(ms);
         }
@@ -213,20 +212,20 @@
     }
 }
 
-/// Forty instances that each see a tenant once in seconds granted each their first request: 40
-/// units where the quota had 6 and 2 a second. What one instance grants the others must know,
-/// though the counter says nothing and though datagrams get lost.
+/// Without quota owners, each of forty instances that rarely saw a tenant granted its first
+/// request: 40 units for a quota with a burst of 6 and 2 units per second. Instances must take each
+/// other's grants into account, even with a silent counter and lost datagrams.
 #[test_case(false, 0 ; "no counter")]
 #[test_case(true, 0 ; "a counter that never answers")]
 #[test_case(false, 7 ; "one datagram in seven is lost")]
-fn all_instances_together_grant_the_quota_and_no_more(counter: bool, lose: usize) {
+fn all_instances_together_grant_the_quota_and_no_more(counter: bool, loss_interval: usize) {
     let mut fleet = Fleet::of(settings(40, counter, 0.0));
-    fleet.lose = lose;
-    fleet.wait(FULL);
-    fleet.ask_in_turn(0, 80, 50.0);
-    // 6 at once, and 2 a second for 4 s.
+    fleet.loss_interval = loss_interval;
+    fleet.wait(FILL_TIME);
+    fleet.request_in_turn(0, 80, 50.0);
+    // A burst of 6, and 2 units per second for 4 s.
     let granted = fleet.granted.len();
-    // A unit or two are still with instances that have nobody to ask for, or lost on the way.
+    // One or two units may still be held by instances without requests, or be lost in transit.
     assert!((12..=14).contains(&granted), "{granted} granted");
     assert_eq!(
         granted + fleet.shed.len(),
@@ -235,53 +234,54 @@
     );
 }
 
-/// A killed owner answers nobody: its tenants' requests are decided all the same, by the next
-/// owner; at most one more burst is granted; once it is back it takes over again.
+/// When an owner is killed, the next owner decides on its tenants' requests, and at most one more
+/// burst is granted. After its restart the first owner takes over again.
 #[test]
-fn a_killed_owner_costs_a_burst_at_most() {
+fn a_killed_owner_grants_at_most_one_more_burst() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
-    fleet.ask_in_turn(0, 40, 50.0);
+    fleet.request_in_turn(0, 40, 50.0);
     let before = fleet.granted.len();
-    // The owner is found by killing one after another, each for a second.
-    for me in 0..40 {
-        fleet.instances[me] = None;
-        fleet.ask_in_turn(100 + 10 * me as u64, 10, 50.0);
-        fleet.start(me);
+    // Each instance is killed for a second in turn, so the owner is among them.
+    for instance in 0..40 {
+        fleet.instances[instance] = None;
+        fleet.request_in_turn(100 + 10 * instance as u64, 10, 50.0);
+        fleet.start(instance);
     }
     let (granted, answered) = (fleet.granted.len(), fleet.granted.len() + fleet.shed.len());
-    // 40 times a second with 2 units, three owners with a burst each, before and after.
+    // 2 units for each of 40 s, and a burst of each of the three owners, before and after.
     let most = before + 80 + 6 * 6 + 4;
     assert!(
         granted > before + 60 && granted <= most,
         "{granted} of {most}"
     );
-    // One request in ten at the most met the killed instance itself.
+    // At most one request in ten is sent to the killed instance itself.
     assert!(answered >= 40 + 360, "{answered} answered");
 }
 
-/// Rule 5: all traffic through one instance got its even share, a fortieth, of a rate limit that the tenant did
-/// not come near; and no restart of any instance, the owner's neither, hands out a share anew.
+/// Invariant 5: with only even shares, a tenant whose traffic all goes through one instance got a
+/// fortieth of its rate limit. A restart of any instance, including the owner, must not grant its
+/// share again.
 #[test]
-fn a_rate_limit_goes_where_the_traffic_is_and_holds_through_restarts() {
+fn a_rate_limit_follows_the_traffic_and_holds_across_restarts() {
     let mut fleet = Fleet::of(settings(40, false, 1.5));
-    let begun = fleet.now;
-    fleet.wait(FULL);
+    let start = fleet.now;
+    fleet.wait(FILL_TIME);
     for id in 0..60 {
-        fleet.ask(3, id, 5);
+        fleet.request(3, id, 5);
         fleet.wait(50.0);
     }
     let uneven = fleet.granted.len();
-    // The owner's share fills from nothing with 0.54 of 3 a second; the even one with less than a
-    // tenth.
+    // The owner's share starts empty and refills at 0.54 of 3 units per second; the even share at
+    // less than a tenth of a unit.
     assert!(uneven >= 3, "{uneven} granted in 3 s");
     for id in 0..400u64 {
         if id % 10 == 0 {
             fleet.start(id as usize / 10);
         }
-        fleet.ask((id * 7 % 40) as usize, 1000 + id, 5);
+        fleet.request((id * 7 % 40) as usize, 1000 + id, 5);
         fleet.wait(25.0);
     }
-    let rate_limit = 9.0 + 3.0 * (fleet.now - begun) / 1000.0;
+    let rate_limit = 9.0 + 3.0 * (fleet.now - start) / 1000.0;
     assert!(
         (fleet.granted.len() as f64) <= rate_limit,
         "{} of {rate_limit}",
@@ -289,115 +289,114 @@
     );
 }
 
-/// A tenant's share of a rate limit filled only from its first request on, which was refused for that: with
-/// hundreds of instances many tenants' first request of the day. It fills from the instance's start.
+/// A tenant's share of a rate limit refills from the instance's start. When it refilled only from
+/// the tenant's first request, that request was rejected; with hundreds of instances this affected
+/// the first request of the day of many tenants.
 #[test]
 fn a_share_of_a_rate_limit_fills_from_the_instances_start() {
     let mut fleet = Fleet::of(settings(40, false, 1.5));
     fleet.wait(5000.0);
-    fleet.ask_in_turn(0, 2, 5.0);
+    fleet.request_in_turn(0, 2, 5.0);
     assert_eq!(
         fleet.granted.len(),
         2,
-        "2.7 units have come together in the owner's part"
+        "2.7 units have accumulated in the owner's share"
     );
-    (0..40).for_each(|me| fleet.start(me));
-    fleet.ask_in_turn(100, 40, 5.0);
+    (0..40).for_each(|instance| fleet.start(instance));
+    fleet.request_in_turn(100, 40, 5.0);
     assert!(
         fleet.granted.len() <= 3,
-        "{} granted from parts that start with nothing",
+        "{} granted from shares that start empty",
         fleet.granted.len()
     );
 }
 
-/// Datagrams that no instance writes: cut short, too long, of unknown kinds, absurd, from nobody,
-/// or naming a tenant with another plan. None may panic, be answered, or take anything from a real
-/// tenant.
+/// Malformed datagrams: truncated, too long, of unknown kinds, with invalid values, from unknown
+/// peers or with a different plan for a tenant. None may cause a panic, be answered or affect a
+/// real tenant.
 #[test_case(&[] ; "empty")]
 #[test_case(&[9; 17] ; "unknown kind")]
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0] ; "one byte short")]
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0, 0] ; "one byte long")]
 #[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x7f, 0xc0, 0, 0] ; "units not a number")]
-#[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x7f, 0x80, 0, 0] ; "units without end")]
-#[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0xbf, 0x80, 0, 0] ; "units below nothing")]
+#[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x7f, 0x80, 0, 0] ; "infinite units")]
+#[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0xbf, 0x80, 0, 0] ; "negative units")]
 #[test_case(&[4, 0, 0, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x47, 0, 0, 0] ; "more returned than one request takes")]
-#[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 7, 0, 0, 0, 40, 0x3f, 0x80, 0, 0] ; "a plan that is not there")]
-#[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 0, 0x3f, 0x80, 0, 0] ; "a set of nobody")]
+#[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 7, 0, 0, 0, 40, 0x3f, 0x80, 0, 0] ; "an unknown plan")]
+#[test_case(&[1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 0, 0x3f, 0x80, 0, 0] ; "an empty set")]
 #[test_case(&[3, 0, 1, 4, 0, 0] ; "neither granted nor refused")]
 #[test_case(&[3, 0, 1, 1, 0, 0] ; "a reply to no request")]
-fn datagrams_that_make_no_sense_change_nothing(data: &[u8]) {
-    let asked = |fleet: &mut Fleet| {
-        fleet.ask_in_turn(0, 40, 5.0);
+fn malformed_datagrams_change_nothing(data: &[u8]) {
+    let granted = |fleet: &mut Fleet| {
+        fleet.request_in_turn(0, 40, 5.0);
         fleet.granted.len()
     };
     let mut undisturbed = Fleet::of(settings(40, false, 0.0));
-    undisturbed.wait(FULL);
+    undisturbed.wait(FILL_TIME);
     let mut fleet = Fleet::of(settings(40, false, 0.0));
-    fleet.wait(FULL - 250.0);
+    fleet.wait(FILL_TIME - 250.0);
     for _ in 0..50 {
-        for me in 0..40 {
-            fleet.tell(me, &Event::DatagramReceived { from: 3, data });
-            fleet.tell(me, &Event::DatagramReceived { from: 40_000, data });
+        for instance in 0..40 {
+            fleet.handle(instance, &Event::DatagramReceived { from: 3, data });
+            fleet.handle(instance, &Event::DatagramReceived { from: 40_000, data });
         }
         fleet.step();
     }
-    assert_eq!(fleet.said, 0);
-    let (there, here) = (asked(&mut undisturbed), asked(&mut fleet));
+    assert_eq!(fleet.datagrams_sent, 0);
+    let (expected, actual) = (granted(&mut undisturbed), granted(&mut fleet));
     assert!(
-        here == there && here >= 5,
-        "the tenant's burst is untouched: {here} of {there}"
+        actual == expected && actual >= 5,
+        "the tenant's burst is untouched: {actual} of {expected}"
     );
 }
 
-/// A quota request that comes twice is one: its units are taken once, and the second is answered as
-/// the first.
+/// A retransmitted quota request is charged once and gets the same reply again.
 #[test]
-fn a_quota_request_sent_twice_takes_its_units_once() {
+fn a_retransmitted_quota_request_is_charged_once() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
-    fleet.wait(FULL);
-    let ask = [1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
+    fleet.wait(FILL_TIME);
+    let request = [1, 0, 1, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
     for _ in 0..20 {
-        fleet.tell(
+        fleet.handle(
             3,
             &Event::DatagramReceived {
                 from: 8,
-                data: &ask,
+                data: &request,
             },
         );
-        assert_eq!(fleet.mail.pop(), Some((3, 8, vec![3, 0, 1, 3, 0, 0])));
+        assert_eq!(fleet.in_transit.pop(), Some((3, 8, vec![3, 0, 1, 3, 0, 0])));
     }
-    let other = [1, 0, 2, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
-    fleet.tell(
+    let other_request = [1, 0, 2, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
+    fleet.handle(
         3,
         &Event::DatagramReceived {
             from: 8,
-            data: &other,
+            data: &other_request,
         },
     );
-    assert_eq!(fleet.mail.pop(), Some((3, 8, vec![3, 0, 2, 3, 0, 0])));
+    assert_eq!(fleet.in_transit.pop(), Some((3, 8, vec![3, 0, 2, 3, 0, 0])));
 }
 
-/// A few instances that see their tenants often need no owner, and where datagrams are not allowed
-/// none is sent.
+/// Small fleets have no quota owners, and no datagrams are sent where they are not allowed.
 #[test_case(4, true ; "a small fleet")]
 #[test_case(40, false ; "datagrams not allowed")]
-fn no_datagrams_where_none_is_needed_or_allowed(instances: u32, may_tell: bool) {
+fn no_datagrams_are_sent_where_not_needed_or_allowed(instances: u32, may_send_datagrams: bool) {
     let mut fleet = Fleet::of(Settings {
-        may_send_datagrams: may_tell,
+        may_send_datagrams: may_send_datagrams,
         ..settings(instances, false, 0.0)
     });
-    fleet.ask_in_turn(0, 40, 20.0);
-    assert_eq!(fleet.said, 0);
+    fleet.request_in_turn(0, 40, 20.0);
+    assert_eq!(fleet.datagrams_sent, 0);
     assert!(!fleet.granted.is_empty());
 }
 
-/// Rule 3 over a whole fleet: six in ten servers are told to drain, in steps, while every instance
-/// has requests in hand, some still waiting for an owner's reply. None goes to a server that its
-/// instance knows to drain, and the new ones are used.
+/// Invariant 3 for a whole fleet: six in ten servers are drained in steps while every instance has
+/// open requests, some of which wait for an owner's reply. No request is sent to a server that its
+/// instance knows to be draining, and the new servers are used.
 #[test]
-fn six_in_ten_servers_replaced_get_nothing_new_from_any_instance() {
+fn draining_six_in_ten_servers_stops_new_requests_from_all_instances() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
-    fleet.wait(FULL);
+    fleet.wait(FILL_TIME);
     let mut id = 0;
     for gone in (0..=24u32).step_by(4) {
         let health = |s| {
@@ -422,9 +421,9 @@
         let entries: Vec<ServerEntry> = old
             .chain((1..=gone).map(|s| member(100 + s, Health::Ready, fleet.now)))
             .collect();
-        (0..40).for_each(|me| {
-            fleet.tell(
-                me,
+        (0..40).for_each(|instance| {
+            fleet.handle(
+                instance,
                 &Event::ServerList {
                     list: ListKind::Full,
                     version: 2 + gone,
@@ -435,14 +434,14 @@
         fleet.sent.clear();
         for _ in 0..300 {
             id += 1;
-            fleet.ask((id * 7 % 40) as usize, id, 1000 + id);
+            fleet.request((id * 7 % 40) as usize, id, 1000 + id);
             fleet.step();
         }
         assert!(fleet.sent.len() >= 250, "{} sent", fleet.sent.len());
         let wrong = fleet.sent.iter().filter(|s| **s <= gone).count();
         assert_eq!(
             wrong, 0,
-            "to servers that drain, with {gone} of {SERVERS} replaced"
+            "sent to draining servers, with {gone} of {SERVERS} replaced"
         );
     }
     assert!(
@@ -451,147 +450,149 @@
     );
 }
 
-/// Forty instances through which one tenant asks for twenty times its quota for 60 s while the
-/// counter says nothing; granted over quota. `kill`: all are killed and start again from nothing
-/// each time so long has passed.
-fn played(hears: fn(Millis, usize, usize) -> bool, lose: usize, kill: Option<Millis>) -> f64 {
+/// Sends twenty times a tenant's quota through forty instances for 60 s while the counter is
+/// silent. Returns the ratio of granted units to the quota. `kill` is the interval at which all
+/// instances are restarted without state.
+fn granted_ratio(is_linked: fn(Millis, usize, usize) -> bool, loss_interval: usize, kill: Option<Millis>) -> f64 {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
-    (fleet.hears, fleet.lose) = (hears, lose);
-    fleet.wait(FULL);
-    let begun = fleet.now;
-    let mut killed = begun;
+    (fleet.is_linked, fleet.loss_interval) = (is_linked, loss_interval);
+    fleet.wait(FILL_TIME);
+    let start = fleet.now;
+    let mut killed = start;
     for id in 0..2400u64 {
-        // Scattered over the instances, with no pattern in time.
-        let me = (id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32) as usize % 40;
+        // Spread over the instances without a pattern in time.
+        let instance = (id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32) as usize % 40;
         if kill.is_some_and(|every| fleet.now - killed >= every) {
             killed = fleet.now;
             (0..40).for_each(|n| fleet.start(n));
         }
-        fleet.ask(me, id, 5);
+        fleet.request(instance, id, 5);
         fleet.wait(25.0);
     }
-    let quota = 6.0 + 2.0 * (fleet.now - begun) / 1000.0;
-    let over = fleet.granted.len() as f64 / quota;
+    let quota = 6.0 + 2.0 * (fleet.now - start) / 1000.0;
+    let ratio = fleet.granted.len() as f64 / quota;
     println!(
-        "{over:.2} of the quota, {:.2} datagrams",
-        fleet.said as f64 / 40.0 / 64.0
+        "{ratio:.2} of the quota, {:.2} datagrams",
+        fleet.datagrams_sent as f64 / 40.0 / 64.0
     );
-    over
+    ratio
 }
 
-/// In a partition each side's owner went by the whole quota: 2.41 of it in halves, 2.62 in
-/// quarters, 2.79 in halves that change, 1.90 with a tenth that is not heard. However links are
-/// cut, nobody spends now what it was not given; what is held by instances that can't give it waits
-/// until it comes to a whole request.
+/// When each side of a partition had an owner that granted the whole quota, 2.41 times the quota
+/// was granted in two halves, 2.62 in quarters, 2.79 in changing halves and 1.90 with a tenth of
+/// the instances unable to send. With tokens, no instance spends more than it holds, whichever
+/// links are cut. Tokens at instances that cannot transfer them accumulate until they suffice for a
+/// request.
 #[test_case(|_, _, _| true, 0, None, 0.93 ; "whole")]
 #[test_case(|_, _, _| true, 9, None, 0.85 ; "one datagram in nine is lost")]
 #[test_case(|_, a, b| a / 20 == b / 20, 0, None, 0.9 ; "halves")]
 #[test_case(|_, a, b| a / 10 == b / 10, 0, None, 0.65 ; "quarters")]
 #[test_case(|_, _, _| false, 0, None, 0.5 ; "every instance alone")]
-#[test_case(|_, _, b| b >= 4, 0, None, 0.75 ; "a tenth hears nothing")]
-#[test_case(|_, a, _| a >= 4, 0, None, 0.75 ; "a tenth is not heard")]
-#[test_case(turning, 0, None, 0.75 ; "halves that change every 2 s")]
+#[test_case(|_, _, b| b >= 4, 0, None, 0.75 ; "a tenth cannot receive")]
+#[test_case(|_, a, _| a >= 4, 0, None, 0.75 ; "a tenth cannot send")]
+#[test_case(changing_halves, 0, None, 0.75 ; "halves that change every 2 s")]
 #[test_case(|_, _, _| true, 0, Some(10_000.0), 0.85 ; "all killed every 10 s")]
 fn no_partition_grants_more_than_the_quota(
-    hears: fn(Millis, usize, usize) -> bool,
-    lose: usize,
+    is_linked: fn(Millis, usize, usize) -> bool,
+    loss_interval: usize,
     kill: Option<Millis>,
-    least: f64,
+    min_ratio: f64,
 ) {
-    let over = played(hears, lose, kill);
-    assert!(over <= 1.0, "{over:.2} of the quota granted");
+    let ratio = granted_ratio(is_linked, loss_interval, kill);
+    assert!(ratio <= 1.0, "{ratio:.2} of the quota granted");
     assert!(
-        over >= least,
-        "{over:.2} of the quota granted, and {least} could be"
+        ratio >= min_ratio,
+        "{ratio:.2} of the quota granted, expected at least {min_ratio}"
     );
 }
 
-fn turning(at: Millis, a: usize, b: usize) -> bool {
+fn changing_halves(at: Millis, a: usize, b: usize) -> bool {
     let turn = (at / 2000.0) as usize;
     (a + turn * 7) % 40 / 20 == (b + turn * 7) % 40 / 20
 }
 
-/// A quota whose even shares are whole requests (burst 80): each instance alone goes by its even
-/// share, and no more is granted than the quota however links are cut.
+/// With a quota whose even shares suffice for whole requests (burst 80), each instance spends its
+/// even share, and no more than the quota is granted, whichever links are cut.
 #[test_case(|_, _, _| true, 0.93 ; "whole")]
 #[test_case(|_, a, b| a / 20 == b / 20, 0.85 ; "halves")]
 #[test_case(|_, _, _| false, 0.85 ; "every instance alone")]
-fn even_shares_of_a_wide_quota_are_kept_and_used(
-    hears: fn(Millis, usize, usize) -> bool,
-    least: f64,
+fn even_shares_of_a_large_quota_are_spent_and_not_exceeded(
+    is_linked: fn(Millis, usize, usize) -> bool,
+    min_ratio: f64,
 ) {
     let mut settings = settings(40, false, 0.0);
     (settings.plans[0].rate, settings.plans[0].burst) = (20.0, 80.0);
     let mut fleet = Fleet::of(settings);
-    fleet.hears = hears;
-    fleet.wait(FULL);
-    let begun = fleet.now;
+    fleet.is_linked = is_linked;
+    fleet.wait(FILL_TIME);
+    let start = fleet.now;
     for id in 0..4800u64 {
-        let me = (id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32) as usize % 40;
-        fleet.ask(me, id, 5);
+        let instance = (id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32) as usize % 40;
+        fleet.request(instance, id, 5);
         fleet.wait(5.0);
     }
-    let over = fleet.granted.len() as f64 / (80.0 + 20.0 * (fleet.now - begun) / 1000.0);
+    let ratio = fleet.granted.len() as f64 / (80.0 + 20.0 * (fleet.now - start) / 1000.0);
     assert!(
-        (least..=1.0).contains(&over),
-        "{over:.2} of the quota granted"
+        (min_ratio..=1.0).contains(&ratio),
+        "{ratio:.2} of the quota granted"
     );
 }
 
-/// All of a tenant's traffic through one instance: what the idle ones hold is fetched for it, and
-/// the owner that was cut off from it is replaced by the next.
+/// With all of a tenant's traffic through one instance, the tokens of idle instances are
+/// transferred to where they are used.
 #[test]
-fn idle_instances_shares_go_to_where_the_traffic_is() {
+fn idle_instances_tokens_move_to_instances_with_traffic() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
-    fleet.wait(FULL);
+    fleet.wait(FILL_TIME);
     for id in 0..1200 {
-        fleet.ask(17, id, 5);
+        fleet.request(17, id, 5);
         fleet.wait(25.0);
     }
-    // 6 and 2 a second for 30 s; the first owner's own share is 0.61 of it.
+    // A burst of 6 and 2 units per second for 30 s; the first owner's own share is 0.61 of that.
     let granted = fleet.granted.len();
     println!("{granted} of 66");
     assert!((56..=66).contains(&granted), "{granted} of 66");
 }
 
-/// A unit returned twice, or by an instance that never had it, is taken once or not at all.
+/// Units that are returned twice are accepted once, and units returned by an instance to which they
+/// were not granted are not accepted.
 #[test]
-fn returned_units_come_back_once() {
+fn returned_units_are_accepted_once() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
-    fleet.wait(FULL);
-    let ask = |stamp: u8| [1, 0, stamp, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
+    fleet.wait(FILL_TIME);
+    let quota_request = |sequence: u8| [1, 0, sequence, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
     let granted = |fleet: &mut Fleet, from: u8| {
         (from..from + 20)
             .filter(|n| {
-                fleet.tell(
+                fleet.handle(
                     3,
                     &Event::DatagramReceived {
                         from: 8,
-                        data: &ask(*n),
+                        data: &quota_request(*n),
                     },
                 );
-                fleet.mail.pop().is_some_and(|m| m.2[3] & 1 == 1)
+                fleet.in_transit.pop().is_some_and(|m| m.2[3] & 1 == 1)
             })
             .count()
     };
     let first = granted(&mut fleet, 1);
     assert_eq!(first, 3, "the owner's own share of a burst of 6");
     for _ in 0..10 {
-        fleet.tell(
+        fleet.handle(
             3,
             &Event::DatagramReceived {
                 from: 8,
                 data: &[7, 0, 0, 0, 1],
             },
         );
-        fleet.tell(
+        fleet.handle(
             3,
             &Event::DatagramReceived {
                 from: 9,
                 data: &[7, 0, 0, 0, 2],
             },
         );
-        fleet.tell(
+        fleet.handle(
             3,
             &Event::DatagramReceived {
                 from: 8,
@@ -602,11 +603,11 @@
     assert_eq!(granted(&mut fleet, 40), 1);
 }
 
-/// Instances of the version before token transfers beside this one: their quota requests are
-/// understood, their returns, which could come twice, are not taken, and they drop the kinds of
-/// messages that they do not know.
+/// Compatibility with the previous version, which had no token transfers: its quota requests are
+/// accepted; its returns are ignored, since they could be duplicated; and it drops messages of the
+/// kinds that it does not know.
 #[test]
-fn messages_of_the_version_before_are_understood_or_ignored() {
+fn messages_of_the_previous_version_are_accepted_or_ignored() {
     let old = [1, 0, 9, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
     let key = TenantKey {
         tenant: 5,
@@ -639,7 +640,7 @@
         assert_eq!(PeerMessage::decode(&bytes), Some(message));
         assert!(
             bytes[0] > 4 && bytes.len() <= 256,
-            "the version before drops it"
+            "the previous version drops it"
         );
         for cut in 0..bytes.len() {
             assert_ne!(PeerMessage::decode(&bytes[..cut]), Some(message));
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -1,10 +1,11 @@
-//! Long drawn runs of the decision engine, pinned action by action: what a run decided at the
-//! commit that recorded it, it decides today, to the last bit of each number.
+//! Replays long randomized runs of the decision engine and compares every action with a recording,
+//! to the last bit of each number.
 //!
-//! `fixtures/recorded_runs.txt` holds a line for each second of each run: how many actions of each
-//! kind, and a digest of all their numbers. The first second that differs is where behaviour has
-//! changed. The text of actions is left out of the digest, the numbers in it are not wire formats.
-//! Only a wanted change of decisions may change the fixture; its commit says which.
+//! `fixtures/recorded_runs.txt` holds a line for each second of each run: the number of actions of
+//! each kind and a digest of all their numbers. The first differing second shows where the
+//! behaviour has changed. The text of actions is not part of the digest. The kind numbers in it are
+//! not a wire format. The fixture may only change with an intended change of decisions, which its
+//! commit describes.
 
 use aspendrum_core::api::{
     Action, Event, GroupSettings, Health, ListKind, LoadReport, LoadReportChannel, LoadValue,
@@ -22,10 +23,11 @@
 const STARTED: f64 = 100_000.0;
 const KINDS: usize = 13;
 
-/// SplitMix64 (Steele, Lea and Flood, 2014): what the world around the instances draws from.
-struct Draws(u64);
+/// The random number generator of the simulated environment: SplitMix64 (Steele, Lea and Flood,
+/// 2014).
+struct SimulationRng(u64);
 
-impl Draws {
+impl SimulationRng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -42,7 +44,7 @@
     }
 }
 
-/// FNV-1a of 64 bits, and how many actions of each kind.
+/// A 64-bit FNV-1a digest, and the number of actions of each kind.
 struct Digest {
     hash: u64,
     kinds: [u32; KINDS],
@@ -141,8 +143,8 @@
     }
 }
 
-/// What is on its way to a instance, due at a step.
-enum Arrival {
+/// A scheduled event for an instance.
+enum ScheduledEvent {
     Forward {
         id: u64,
         forward: u8,
@@ -171,48 +173,48 @@
     },
 }
 
-/// What the world does to the instances, by the second of the run.
+/// The parameters of a simulated run.
 struct Script {
     settings: Settings,
     seconds: u64,
     servers: u32,
-    /// Answer times are multiplied by this.
-    slowness: f64,
-    /// One attempt in so many fails; at server 4 one in three.
-    failing_in: u64,
-    /// One new request in so many draws.
-    request_in: u64,
-    /// Draws a step.
-    draws_a_step: u64,
+    /// The factor by which response times are multiplied.
+    response_time_factor: f64,
+    /// One in this many attempts fails; at server 4, one in three.
+    failure_interval: u64,
+    /// One in this many draws creates a request.
+    request_interval: u64,
+    /// The number of draws per step.
+    draws_per_step: u64,
     tenants: u64,
-    /// The counter's state in that second.
+    /// The counter's state in each second of the run.
     counter: fn(u64) -> Counter,
-    /// Whether the second instance gets datagrams of the first in that second.
+    /// Whether the second instance receives datagrams of the first, in each second of the run.
     linked: fn(u64, usize, usize) -> bool,
-    /// All instances get another configuration in that second.
+    /// The second in which all instances get a new configuration.
     configured_at: Option<u64>,
-    /// A instance is killed and starts again every so many seconds; 0: never.
-    killed_every: u64,
-    spreads: &'static [f32],
+    /// The interval in seconds at which an instance is killed and restarted; 0: never.
+    kill_interval: u64,
+    instance_counts: &'static [f32],
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Counter {
     Answers,
     Slow,
-    Overfull,
+    Overloaded,
     Silent,
     Refuses,
 }
 
 struct World {
     script: Script,
-    draws: Draws,
+    rng: SimulationRng,
     step: u64,
     engines: Vec<DecisionEngine>,
-    due: HashMap<u64, Vec<(usize, Arrival)>>,
+    due: HashMap<u64, Vec<(usize, ScheduledEvent)>>,
     totals: HashMap<u64, f32>,
-    /// Forwards of each request so far, by instance and request.
+    /// The attempts so far, by instance and request.
     forwards: HashMap<(usize, u64), Vec<(u32, bool)>>,
     next_request: u64,
     health: Vec<(Health, f64)>,
@@ -223,7 +225,7 @@
 impl World {
     fn new(script: Script, seed: u64) -> World {
         let mut world = World {
-            draws: Draws(seed),
+            rng: SimulationRng(seed),
             step: 0,
             engines: Vec::new(),
             due: HashMap::new(),
@@ -271,18 +273,18 @@
         self.engines[instance].handle(now, event, &mut out);
         for action in &out {
             self.digest.action(instance, action);
-            self.carry_out(instance, action);
+            self.execute(instance, action);
         }
     }
 
-    fn later(&mut self, steps: u64, instance: usize, arrival: Arrival) {
+    fn schedule(&mut self, steps: u64, instance: usize, scheduled: ScheduledEvent) {
         self.due
             .entry(self.step + steps.max(1))
             .or_default()
-            .push((instance, arrival));
+            .push((instance, scheduled));
     }
 
-    fn carry_out(&mut self, instance: usize, action: &Action) {
+    fn execute(&mut self, instance: usize, action: &Action) {
         match *action {
             Action::Forward { id, server, .. } => self.forward(instance, id, server),
             Action::Cancel { id, forward } => {
@@ -291,10 +293,10 @@
                     let (server, was_open) = (*server, std::mem::replace(open, false));
                     let (outcome, rtt, actual) = (Outcome::Cancelled, 9.0, 0);
                     if was_open {
-                        self.later(
+                        self.schedule(
                             1,
                             instance,
-                            Arrival::Forward {
+                            ScheduledEvent::Forward {
                                 id,
                                 forward,
                                 server,
@@ -310,36 +312,36 @@
                 name, units: add, ..
             } => self.count(instance, name, add),
             Action::Probe { server } => {
-                let outcome = if self.draws.one_in(4) {
+                let outcome = if self.rng.one_in(4) {
                     Outcome::TimedOut
                 } else {
                     Outcome::Ok
                 };
-                self.later(3, instance, Arrival::Probe { server, outcome });
+                self.schedule(3, instance, ScheduledEvent::Probe { server, outcome });
             }
             Action::SendDatagram {
                 to: Some(to),
                 ref data,
             } => {
                 let to = to as usize;
-                if !(self.script.linked)(self.second(), instance, to) || self.draws.one_in(15) {
+                if !(self.script.linked)(self.second(), instance, to) || self.rng.one_in(15) {
                     return;
                 }
-                let steps = 1 + self.draws.below(4);
-                self.later(
+                let steps = 1 + self.rng.below(4);
+                self.schedule(
                     steps,
                     to,
-                    Arrival::Datagram {
+                    ScheduledEvent::Datagram {
                         from: instance as u16,
                         data: data.clone(),
                     },
                 );
-                if self.draws.one_in(20) {
-                    let steps = 1 + self.draws.below(300);
-                    self.later(
+                if self.rng.one_in(20) {
+                    let steps = 1 + self.rng.below(300);
+                    self.schedule(
                         steps,
                         to,
-                        Arrival::Datagram {
+                        ScheduledEvent::Datagram {
                             from: instance as u16,
                             data: data.clone(),
                         },
@@ -354,14 +356,14 @@
         let sent = self.forwards.entry((instance, id)).or_default();
         sent.push((server, true));
         let forward = (sent.len() - 1) as u8;
-        // Server 2 hangs and comes back; server 3 is slow; server 4 fails much.
+        // Server 2 hangs and recovers, server 3 is slow, and server 4 fails often.
         let second = self.second();
         if server == 2 && second % 6 >= 4 {
             let (outcome, rtt, actual) = (Outcome::TimedOut, 1500.0, 0);
-            return self.later(
+            return self.schedule(
                 300,
                 instance,
-                Arrival::Forward {
+                ScheduledEvent::Forward {
                     id,
                     forward,
                     server,
@@ -371,14 +373,14 @@
                 },
             );
         }
-        let rtt = 10.0 + self.draws.below(40) as f64 + if server == 3 { 120.0 } else { 0.0 };
-        let rtt = rtt * self.script.slowness;
+        let rtt = 10.0 + self.rng.below(40) as f64 + if server == 3 { 120.0 } else { 0.0 };
+        let rtt = rtt * self.script.response_time_factor;
         let failing = if server == 4 {
             3
         } else {
-            self.script.failing_in
+            self.script.failure_interval
         };
-        let outcome = if self.draws.one_in(failing) {
+        let outcome = if self.rng.one_in(failing) {
             let failures = [
                 Outcome::Error,
                 Outcome::Rejected,
@@ -387,19 +389,19 @@
                 Outcome::Reset,
                 Outcome::NotSent,
             ];
-            failures[self.draws.below(6) as usize]
+            failures[self.rng.below(6) as usize]
         } else {
             Outcome::Ok
         };
-        let actual = self.draws.below(3) as u16;
-        if self.draws.one_in(30) {
-            self.later(1, instance, Arrival::Stream { id, server });
+        let actual = self.rng.below(3) as u16;
+        if self.rng.one_in(30) {
+            self.schedule(1, instance, ScheduledEvent::Stream { id, server });
         }
         let steps = (rtt / STEP) as u64;
-        self.later(
+        self.schedule(
             steps,
             instance,
-            Arrival::Forward {
+            ScheduledEvent::Forward {
                 id,
                 forward,
                 server,
@@ -414,20 +416,20 @@
         let state = (self.script.counter)(self.second());
         let (outcome, steps) = match state {
             Counter::Answers => (Outcome::Ok, 1),
-            Counter::Slow => (Outcome::Ok, 2 + self.draws.below(4)),
-            Counter::Overfull if self.draws.one_in(3) => (Outcome::Rejected, 1),
-            Counter::Overfull => (Outcome::Ok, 2),
+            Counter::Slow => (Outcome::Ok, 2 + self.rng.below(4)),
+            Counter::Overloaded if self.rng.one_in(3) => (Outcome::Rejected, 1),
+            Counter::Overloaded => (Outcome::Ok, 2),
             Counter::Silent => (Outcome::TimedOut, 6),
             Counter::Refuses => (Outcome::ConnectFailed, 1),
         };
-        let adds = outcome == Outcome::Ok || outcome == Outcome::TimedOut && self.draws.one_in(2);
+        let adds = outcome == Outcome::Ok || outcome == Outcome::TimedOut && self.rng.one_in(2);
         let total = self.totals.entry(name).or_default();
         *total += if adds { add } else { 0.0 };
         let (total, rtt) = (*total, steps as f64 * STEP);
-        self.later(
+        self.schedule(
             steps,
             instance,
-            Arrival::Counter {
+            ScheduledEvent::Counter {
                 name,
                 outcome,
                 total,
@@ -436,9 +438,9 @@
         );
     }
 
-    fn arrive(&mut self, instance: usize, arrival: Arrival) {
-        match arrival {
-            Arrival::Forward {
+    fn deliver(&mut self, instance: usize, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Forward {
                 id,
                 forward,
                 server,
@@ -470,7 +472,7 @@
                     },
                 );
             }
-            Arrival::Stream { id, server } => {
+            ScheduledEvent::Stream { id, server } => {
                 self.handle(
                     instance,
                     &Event::StreamStarted {
@@ -481,7 +483,7 @@
                     },
                 );
             }
-            Arrival::Counter {
+            ScheduledEvent::Counter {
                 name,
                 outcome,
                 total,
@@ -497,7 +499,7 @@
                     },
                 );
             }
-            Arrival::Probe { server, outcome } => {
+            ScheduledEvent::Probe { server, outcome } => {
                 let load = self.load();
                 self.handle(
                     instance,
@@ -509,17 +511,17 @@
                     },
                 );
             }
-            Arrival::Datagram { from, data } => {
+            ScheduledEvent::Datagram { from, data } => {
                 self.handle(instance, &Event::DatagramReceived { from, data: &data })
             }
         }
     }
 
     fn load(&mut self) -> LoadReport {
-        let busy = self.draws.below(120) as f32 / 100.0;
-        match self.draws.below(8) {
+        let busy = self.rng.below(120) as f32 / 100.0;
+        match self.rng.below(8) {
             0 => LoadReport::default(),
-            1 if self.draws.one_in(3) => LoadReport {
+            1 if self.rng.one_in(3) => LoadReport {
                 count: 1,
                 values: [9.0, 0.0, 0.0, 0.0],
             },
@@ -566,14 +568,14 @@
         );
     }
 
-    /// A server drains, goes, comes back or starts again.
+    /// Drains, removes, adds or restarts a server.
     fn change_servers(&mut self) {
-        let at = self.draws.below(self.health.len() as u64) as usize;
+        let at = self.rng.below(self.health.len() as u64) as usize;
         self.health[at] = match self.health[at].0 {
-            Health::Ready if self.draws.one_in(2) => (Health::Draining, self.health[at].1),
+            Health::Ready if self.rng.one_in(2) => (Health::Draining, self.health[at].1),
             Health::Ready => (Health::Ready, self.now()),
             Health::Draining => (Health::Removed, self.health[at].1),
-            Health::Removed => (Health::Ready, self.now() - self.draws.below(3000) as f64),
+            Health::Removed => (Health::Ready, self.now() - self.rng.below(3000) as f64),
         };
         let kinds = [
             ListKind::Delta,
@@ -581,7 +583,7 @@
             ListKind::Cached,
             ListKind::Failed,
         ];
-        let list = kinds[self.draws.below(4) as usize];
+        let list = kinds[self.rng.below(4) as usize];
         (0..self.engines.len()).for_each(|instance| self.send_server_list(instance, list));
     }
 
@@ -592,40 +594,40 @@
             self.script.settings.groups.len(),
             self.script.settings.plans.len(),
         );
-        // New tenants come and old ones stay away as time goes on.
-        let tenant = self.draws.below(self.script.tenants) + self.second() / 2;
-        let spreads = self.script.spreads;
-        let spread = spreads[(self.second() / 3) as usize % spreads.len()];
+        // The range of active tenants shifts over time.
+        let tenant = self.rng.below(self.script.tenants) + self.second() / 2;
+        let instance_counts = self.script.instance_counts;
+        let instances = instance_counts[(self.second() / 3) as usize % instance_counts.len()];
         let new = NewRequest {
             id,
-            group: self.draws.below(groups as u64) as u16,
-            deadline: self.now() + 800.0 + self.draws.below(2000) as f64,
+            group: self.rng.below(groups as u64) as u16,
+            deadline: self.now() + 800.0 + self.rng.below(2000) as f64,
             tenant,
-            // One request in a thousand names a plan that is not there.
+            // One request in a thousand has an unknown plan.
             plan: if id % 1000 == 999 {
                 99
             } else {
                 tenant as u32 % plans as u32
             },
-            instances: spread,
-            units: [1.0, 1.0, 2.0, 0.5][self.draws.below(4) as usize],
+            instances,
+            units: [1.0, 1.0, 2.0, 0.5][self.rng.below(4) as usize],
             first_instance: (tenant % u64::from(self.script.settings.instances)) as f32,
-            is_client_retry: self.draws.one_in(10),
-            is_write: self.draws.one_in(3),
-            pool: u16::from(self.draws.one_in(12)),
-            allowed_zones: if self.draws.one_in(10) { 2 } else { u64::MAX },
-            max_attempts: if self.draws.one_in(10) { 1 } else { u8::MAX },
+            is_client_retry: self.rng.one_in(10),
+            is_write: self.rng.one_in(3),
+            pool: u16::from(self.rng.one_in(12)),
+            allowed_zones: if self.rng.one_in(10) { 2 } else { u64::MAX },
+            max_attempts: if self.rng.one_in(10) { 1 } else { u8::MAX },
         };
         self.handle(instance, &Event::Request(new));
-        if self.draws.one_in(40) {
+        if self.rng.one_in(40) {
             self.handle(instance, &Event::ClientDisconnected { id });
         }
-        // One that is known already.
+        // A duplicate of an open request.
         let open = self
             .forwards
             .get(&(instance, id))
             .is_some_and(|sent| sent.iter().any(|forward| forward.1));
-        if open && self.draws.one_in(50) {
+        if open && self.rng.one_in(50) {
             self.handle(instance, &Event::Request(new));
         }
     }
@@ -653,25 +655,25 @@
 
     fn step(&mut self) {
         self.step += 1;
-        for (instance, arrival) in self.due.remove(&self.step).unwrap_or_default() {
-            self.arrive(instance, arrival);
+        for (instance, scheduled) in self.due.remove(&self.step).unwrap_or_default() {
+            self.deliver(instance, scheduled);
         }
         for instance in 0..self.engines.len() {
-            for _ in 0..self.script.draws_a_step {
-                if self.draws.one_in(self.script.request_in) {
+            for _ in 0..self.script.draws_per_step {
+                if self.rng.one_in(self.script.request_interval) {
                     self.request(instance);
                 }
             }
         }
-        if self.draws.one_in(200) {
+        if self.rng.one_in(200) {
             self.change_servers();
         }
-        if self.draws.one_in(300) {
-            let data: Vec<u8> = (0..self.draws.below(24))
-                .map(|_| self.draws.below(256) as u8)
+        if self.rng.one_in(300) {
+            let data: Vec<u8> = (0..self.rng.below(24))
+                .map(|_| self.rng.below(256) as u8)
                 .collect();
-            let instance = self.draws.below(self.engines.len() as u64) as usize;
-            let from = self.draws.below(60) as u16;
+            let instance = self.rng.below(self.engines.len() as u64) as usize;
+            let from = self.rng.below(60) as u16;
             self.handle(instance, &Event::DatagramReceived { from, data: &data });
         }
         (0..self.engines.len())
@@ -689,8 +691,8 @@
         if self.script.configured_at == Some(second) {
             self.configure();
         }
-        if self.script.killed_every > 0 && second.is_multiple_of(self.script.killed_every) {
-            let instance = self.draws.below(self.engines.len() as u64) as usize;
+        if self.script.kill_interval > 0 && second.is_multiple_of(self.script.kill_interval) {
+            let instance = self.rng.below(self.engines.len() as u64) as usize;
             self.engines[instance] = self.start(instance);
             self.forwards.retain(|of, _| of.0 != instance);
             self.due
@@ -711,12 +713,12 @@
 fn group(
     semantics: Semantics,
     repeat_group: RepeatGroup,
-    slo: f64,
+    latency_target: f64,
     importance: f64,
 ) -> GroupSettings {
     GroupSettings {
-        latency_target: slo,
-        hard_limit: 3.0 * slo,
+        latency_target,
+        hard_limit: 3.0 * latency_target,
         semantics,
         repeat_group,
         repeat_window: 60.0,
@@ -753,7 +755,7 @@
         rate_limit_burst: 18.0,
         ..plan(4.0, 8.0)
     };
-    let overdraft = PlanSettings {
+    let overage = PlanSettings {
         overage_value: 0.8,
         overage_cost: 0.2,
         rate_limit: 60.0,
@@ -774,7 +776,7 @@
         plans: vec![
             plan(5.0, 10.0),
             rate_limit,
-            overdraft,
+            overage,
             limited,
             windowed,
             plan(0.0, 0.0),
@@ -787,12 +789,12 @@
     }
 }
 
-/// Answers, then each fault in turn, then answers again.
-fn troubled(second: u64) -> Counter {
+/// Answers, then each kind of fault, with phases of normal answers in between and at the end.
+fn faulty_counter(second: u64) -> Counter {
     match second {
         0..=7 => Counter::Answers,
         8..=11 => Counter::Slow,
-        12..=16 => Counter::Overfull,
+        12..=16 => Counter::Overloaded,
         17..=21 => Counter::Silent,
         22..=26 => Counter::Answers,
         27..=31 => Counter::Refuses,
@@ -809,21 +811,21 @@
         },
         seconds: 45,
         servers: 40,
-        slowness: 1.0,
-        request_in: 2,
-        draws_a_step: 1,
-        failing_in: 60,
+        response_time_factor: 1.0,
+        request_interval: 2,
+        draws_per_step: 1,
+        failure_interval: 60,
         tenants: 23,
-        counter: troubled,
+        counter: faulty_counter,
         linked: |_, _, _| true,
         configured_at: Some(36),
-        killed_every: 13,
-        spreads: &[3.0, 2.0, 1.0],
+        kill_interval: 13,
+        instance_counts: &[3.0, 2.0, 1.0],
     }
 }
 
-/// One instance of a large fleet's settings, driven hard: without a counter, with reports by
-/// probes, no advice and no cancels.
+/// A single instance under high load, without a counter, with load reports by probes, without retry
+/// delays and without cancellation.
 fn no_counter() -> Script {
     let settings = Settings {
         instances: 1,
@@ -841,21 +843,21 @@
         settings,
         seconds: 30,
         servers: 24,
-        slowness: 1.0,
-        request_in: 1,
-        draws_a_step: 1,
-        failing_in: 60,
+        response_time_factor: 1.0,
+        request_interval: 1,
+        draws_per_step: 1,
+        failure_interval: 60,
         tenants: 40,
         counter: |_| Counter::Answers,
         linked: |_, _, _| true,
         configured_at: None,
-        killed_every: 0,
-        spreads: &[1.0],
+        kill_interval: 0,
+        instance_counts: &[1.0],
     }
 }
 
-/// Two instances whose servers are slow and busy, with more requests than they can take, many
-/// beyond their quota.
+/// Two instances with slow servers and more requests than these can handle, many beyond their
+/// quota.
 fn overload() -> Script {
     Script {
         settings: Settings {
@@ -866,20 +868,20 @@
         },
         seconds: 30,
         servers: 30,
-        slowness: 5.0,
-        request_in: 1,
-        draws_a_step: 1,
-        failing_in: 60,
+        response_time_factor: 5.0,
+        request_interval: 1,
+        draws_per_step: 1,
+        failure_interval: 60,
         tenants: 9,
         counter: |_| Counter::Answers,
         linked: |_, _, _| true,
         configured_at: None,
-        killed_every: 0,
-        spreads: &[2.0],
+        kill_interval: 0,
+        instance_counts: &[2.0],
     }
 }
 
-/// One instance that drives servers as hard as their concurrency limits allow, without quotas.
+/// One instance that loads its servers up to their concurrency limits, without quotas.
 fn saturation() -> Script {
     Script {
         settings: Settings {
@@ -892,20 +894,20 @@
         },
         seconds: 20,
         servers: 12,
-        slowness: 0.4,
-        request_in: 1,
-        draws_a_step: 24,
-        failing_in: 4000,
+        response_time_factor: 0.4,
+        request_interval: 1,
+        draws_per_step: 24,
+        failure_interval: 4000,
         tenants: 5,
         counter: |_| Counter::Answers,
         linked: |_, _, _| true,
         configured_at: None,
-        killed_every: 0,
-        spreads: &[1.0],
+        kill_interval: 0,
+        instance_counts: &[1.0],
     }
 }
 
-/// A hundred instances that jam a few slow servers, of which some have just started, without
+/// A hundred instances that overload a few slow servers, some of which have just started, without
 /// quotas.
 fn crowd() -> Script {
     Script {
@@ -919,21 +921,20 @@
         },
         seconds: 15,
         servers: 12,
-        slowness: 12.0,
-        request_in: 20,
-        draws_a_step: 1,
-        failing_in: 400,
+        response_time_factor: 12.0,
+        request_interval: 20,
+        draws_per_step: 1,
+        failure_interval: 400,
         tenants: 50,
         counter: |_| Counter::Answers,
         linked: |_, _, _| true,
         configured_at: None,
-        killed_every: 4,
-        spreads: &[100.0],
+        kill_interval: 4,
+        instance_counts: &[100.0],
     }
 }
 
-/// Instances that speak to each other: the owner of a tenant's quota is asked, units are lent,
-/// links are cut.
+/// A large fleet with quota owners and token transfers, in which links are cut.
 fn large_fleet(counter: fn(u64) -> Counter) -> Script {
     let settings = Settings {
         instances: 40,
@@ -946,10 +947,10 @@
         settings,
         seconds: 40,
         servers: 60,
-        slowness: 1.0,
-        request_in: 8,
-        draws_a_step: 1,
-        failing_in: 60,
+        response_time_factor: 1.0,
+        request_interval: 8,
+        draws_per_step: 1,
+        failure_interval: 60,
         tenants: 30,
         counter,
         linked: |second, a, b| match second {
@@ -960,8 +961,8 @@
             _ => true,
         },
         configured_at: Some(33),
-        killed_every: 3,
-        spreads: &[40.0, 38.0],
+        kill_interval: 3,
+        instance_counts: &[40.0, 38.0],
     }
 }
 
@@ -970,9 +971,9 @@
 #[test_case("overload", overload ; "overload")]
 #[test_case("saturation", saturation ; "saturated servers")]
 #[test_case("crowd", crowd ; "a hundred instances and slow servers")]
-#[test_case("large_fleet", || large_fleet(troubled) ; "large fleet with a counter in trouble")]
+#[test_case("large_fleet", || large_fleet(faulty_counter) ; "large fleet with a counter in trouble")]
 #[test_case("large_fleet_alone", || large_fleet(|_| Counter::Silent) ; "large fleet whose counter never answers")]
-fn a_drawn_run_decides_as_recorded(name: &str, script: fn() -> Script) {
+fn a_randomized_run_decides_as_recorded(name: &str, script: fn() -> Script) {
     let fixture = include_str!("fixtures/recorded_runs.txt");
     let mut recorded = fixture
         .split("\n\n")
@@ -982,6 +983,6 @@
     let differs = played.lines().zip(recorded.lines()).find(|(a, b)| a != b);
     assert!(
         played.trim_end() == recorded,
-        "{name} differs first at {differs:?}; it plays\n{name}\n{played}"
+        "{name} first differs at {differs:?}; the run is\n{name}\n{played}"
     );
 }
--- a/crates/aspendrum-core/tests/settings.rs
+++ b/crates/aspendrum-core/tests/settings.rs
@@ -1,5 +1,4 @@
-//! Each key of the settings, as `fixtures/settings.txt` gives it one value, and what is read from
-//! it.
+//! Parsing of each settings key, with the values in `fixtures/settings.txt`.
 
 use aspendrum_core::api::{
     GroupSettings, LoadReportChannel, LoadValue, PlanSettings, RepeatGroup, Semantics, Settings,
@@ -132,12 +131,12 @@
     assert_eq!(
         lines.len() + 1,
         SETTINGS.lines().count(),
-        "{key} stands in the fixture once"
+        "{key} occurs in the fixture once"
     );
     lines.join("\n")
 }
 
-/// Each key of the fixture that may be left out, and what is read then.
+/// The optional keys and their defaults.
 #[test_case("Zone", |s| s.zone = 0)]
 #[test_case("Profiles.0.LateShare", |s| s.groups[0].late_value_share = 0.0)]
 #[test_case("Profiles.2.Group", |_| ())]
@@ -153,7 +152,7 @@
 #[test_case("Deductions.Probe", |s| s.probe_price = 0.0)]
 #[test_case("Deductions.CrossZone", |s| s.cross_zone_price = 0.0)]
 #[test_case("Something.New", |_| ())]
-fn a_key_that_may_be_left_out_has_its_default(key: &str, change: fn(&mut Settings)) {
+fn an_optional_key_has_its_default(key: &str, change: fn(&mut Settings)) {
     let mut settings = expected();
     change(&mut settings);
     assert_eq!(read(&without(key)), Ok(settings));
@@ -196,13 +195,13 @@
 #[test_case("Specifics.CountWaitS")]
 #[test_case("Specifics.UnitsTop")]
 #[test_case("Specifics.CostAfter")]
-fn a_key_that_is_needed_is_asked_for_by_name(key: &str) {
+fn a_missing_required_key_is_reported_by_name(key: &str) {
     let error = read(&without(key)).unwrap_err();
     assert_eq!(error.to_string(), format!("setting {key} is missing"));
 }
 
 #[test]
-fn the_counters_wait_is_not_needed_without_a_counter() {
+fn the_counter_timeout_is_optional_without_a_counter() {
     let text = without("Specifics.CountWaitS")
         .replace("Specifics.Counter=true", "Specifics.Counter=false");
     assert_eq!(
@@ -216,16 +215,16 @@
 }
 
 #[test_case("Me=3", "Me=3.5", "setting Me is absurd: 3.5" ; "fraction")]
-#[test_case("Me=3", "Me=100001", "setting Me is absurd: 100001" ; "beyond the top")]
+#[test_case("Me=3", "Me=100001", "setting Me is absurd: 100001" ; "above the maximum")]
 #[test_case("Me=3", "Me=-1", "setting Me is absurd: -1" ; "negative")]
 #[test_case("TickS=0.004", "TickS=inf", "setting TickS is absurd: inf" ; "infinite")]
 #[test_case("TickS=0.004", "TickS=NaN", "setting TickS is absurd: NaN" ; "not a number")]
 #[test_case("Profiles.count=3", "Profiles.count=0", "setting Profiles.count is absurd: 0" ; "no profiles")]
-#[test_case("Zone=2", "Zone=x", "setting Zone is absurd: x" ; "optional but absurd")]
+#[test_case("Zone=2", "Zone=x", "setting Zone is absurd: x" ; "optional but invalid")]
 #[test_case("Discovery=ask", "Discovery=pull", "setting Discovery is absurd: pull" ; "unknown word")]
 #[test_case("Limits.Probes=false", "Limits.Probes=no", "setting Limits.Probes is absurd: no" ; "neither true nor false")]
 #[test_case("Instances=7", "Instances=0", "setting Instances is absurd: 0" ; "no instances")]
-fn an_absurd_value_is_refused_by_name(from: &str, to: &str, text: &str) {
+fn an_invalid_value_is_reported_by_name(from: &str, to: &str, text: &str) {
     let line = |line: &str| {
         if line == from {
             to.to_string()
--- a/crates/aspendrum-core/tests/wire_bytes.rs
+++ b/crates/aspendrum-core/tests/wire_bytes.rs
@@ -1,4 +1,4 @@
-//! The bytes of each datagram between instances, as `fixtures/datagrams.txt` pins them.
+//! The encoding of each datagram between instances, as pinned in `fixtures/datagrams.txt`.
 
 use aspendrum_core::peer_message::{MessageId, PeerMessage, QuotaReply, QuotaRequest, TenantKey};
 use test_case::test_case;
@@ -31,7 +31,7 @@
         .collect()
 }
 
-fn ask(charges_rate_limit: bool) -> PeerMessage {
+fn quota_request(charges_rate_limit: bool) -> PeerMessage {
     let transferred_steps = 0x5566;
     PeerMessage::QuotaRequest(QuotaRequest {
         id: ID,
@@ -42,34 +42,34 @@
     })
 }
 
-fn answer(granted: bool, lacks_counter: bool, retry_after: f64) -> PeerMessage {
+fn quota_reply(granted: bool, counter_unreachable: bool, retry_after: f64) -> PeerMessage {
     PeerMessage::QuotaReply(QuotaReply {
         sequence: SEQUENCE,
         granted,
-        lacks_counter,
+        counter_unreachable,
         retry_after,
     })
 }
 
-#[test_case("probe", PeerMessage::Ping { id: ID } ; "probe")]
-#[test_case("ask", ask(false) ; "ask")]
-#[test_case("ask_ceiling", ask(true) ; "ask that takes from the ceiling too")]
-#[test_case("answer_refused", answer(false, false, 500.0) ; "refused")]
-#[test_case("answer_granted", answer(true, false, 0.0) ; "granted")]
-#[test_case("answer_refused_isolated", answer(false, true, 65_535.0) ; "refused without the counter")]
-#[test_case("answer_granted_isolated", answer(true, true, 7.0) ; "granted without the counter")]
-#[test_case("give_back", PeerMessage::Return { id: ID } ; "units given back")]
-#[test_case("gift_request", PeerMessage::TokenRequest { key: KEY } ; "request for gifts")]
-#[test_case("gift", PeerMessage::TokenTransfer { id: ID, key: KEY, steps: 0x5566 } ; "gift")]
-fn each_datagram_is_written_and_read_as_these_bytes(name: &str, message: PeerMessage) {
+#[test_case("probe", PeerMessage::Ping { id: ID } ; "ping")]
+#[test_case("ask", quota_request(false) ; "quota request")]
+#[test_case("ask_ceiling", quota_request(true) ; "quota request charged to the rate limit")]
+#[test_case("answer_refused", quota_reply(false, false, 500.0) ; "refused")]
+#[test_case("answer_granted", quota_reply(true, false, 0.0) ; "granted")]
+#[test_case("answer_refused_isolated", quota_reply(false, true, 65_535.0) ; "refused without the counter")]
+#[test_case("answer_granted_isolated", quota_reply(true, true, 7.0) ; "granted without the counter")]
+#[test_case("give_back", PeerMessage::Return { id: ID } ; "return")]
+#[test_case("gift_request", PeerMessage::TokenRequest { key: KEY } ; "token request")]
+#[test_case("gift", PeerMessage::TokenTransfer { id: ID, key: KEY, steps: 0x5566 } ; "token transfer")]
+fn each_message_is_encoded_and_decoded_as_pinned(name: &str, message: PeerMessage) {
     let bytes = fixture(name);
     assert_eq!(message.encode(), bytes);
     assert_eq!(PeerMessage::decode(&bytes), Some(message));
 }
 
-#[test_case("legacy_ask", false ; "ask")]
-#[test_case("legacy_ask_ceiling", true ; "ask that takes from the ceiling too")]
-fn an_ask_of_the_version_before_is_read_as_one_without_a_gift(
+#[test_case("legacy_ask", false ; "quota request")]
+#[test_case("legacy_ask_ceiling", true ; "quota request charged to the rate limit")]
+fn a_quota_request_of_the_previous_version_is_decoded_without_a_transfer(
     name: &str,
     charges_rate_limit: bool,
 ) {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn units_given_back_by_the_version_before_are_known_and_written_by_nobody() {
+fn a_return_of_the_previous_version_is_recognized_and_never_sent() {
     assert_eq!(
         PeerMessage::decode(&fixture("legacy_give_back")),
         Some(PeerMessage::Legacy)
@@ -92,17 +92,17 @@
     assert_eq!(PeerMessage::Legacy.encode(), Vec::<u8>::new());
 }
 
-/// A wait is told in whole milliseconds of two bytes.
+/// The retry delay is encoded in whole milliseconds, in two bytes.
 #[test_case(-1.0, 0 ; "negative")]
 #[test_case(12.9, 12 ; "fraction")]
 #[test_case(1e9, 65_535 ; "beyond two bytes")]
-fn a_wait_is_written_within_two_bytes(wait: f64, written: u16) {
-    let bytes = answer(false, false, wait).encode();
-    assert_eq!(bytes[4..], written.to_be_bytes());
+fn a_retry_delay_is_encoded_in_two_bytes(delay: f64, encoded: u16) {
+    let bytes = quota_reply(false, false, delay).encode();
+    assert_eq!(bytes[4..], encoded.to_be_bytes());
 }
 
 #[test]
-fn bytes_of_any_other_length_or_kind_are_not_read() {
+fn datagrams_of_any_other_length_or_kind_are_rejected() {
     let text = include_str!("fixtures/datagrams.txt");
     for name in text
         .lines()
@@ -121,7 +121,7 @@
         assert_eq!(
             PeerMessage::decode(&longer),
             None,
-            "{name} with a byte more"
+            "{name} with an additional byte"
         );
     }
     for kind in [0, 11, 12, 0x7f, 0xff] {
