--- a/crates/aspendrum-core/tests/decisions/sampling.rs
+++ b/crates/aspendrum-core/tests/decisions/sampling.rs
@@ -21,8 +21,8 @@
     }
     let before = harness.calls.len();
     (0..200).for_each(|id| harness.request(1000 + id, 1000 + id));
-    let asked = harness.calls.len() - before;
-    assert!((140..190).contains(&asked), "{asked} of 200 call the counter");
+    let sampled = harness.calls.len() - before;
+    assert!((140..190).contains(&sampled), "{sampled} of 200 call the counter");
 }
 
 // With an overloaded counter, a third of the requests that the local count rejected still had half
@@ -35,16 +35,16 @@
     harness.wait(1005.0);
     harness.counter_reply(104, Outcome::Ok, 1.0);
     // One tenant has used up its local share, many others have not.
-    let mut asked = [0, 0];
+    let mut sampled = [0, 0];
     for round in 0..40 {
         harness.now += 5.0;
         for (kind, tenant) in [(0, 300 + round), (1, 200)] {
             let calls = harness.calls.len();
             harness.request(10_000 + 10 * round + kind, tenant);
-            asked[kind as usize] += harness.calls.len() - calls;
+            sampled[kind as usize] += harness.calls.len() - calls;
         }
     }
-    assert!(asked[1] > 2 * asked[0], "{asked:?}");
+    assert!(sampled[1] > 2 * sampled[0], "{sampled:?}");
 }
 
 /// After a failed call, requests that are known to have no room do not call the counter, and only
@@ -114,12 +114,12 @@
         let calls = harness.calls.len();
         harness.now += 1.0;
         harness.request_of(1000 + n, tenant, instances);
-        let asked = harness.calls.len() > calls;
+        let sampled = harness.calls.len() > calls;
         *(if instances > 2.0 {
             &mut sparse
         } else {
             &mut plain
-        }) += u32::from(asked);
+        }) += u32::from(sampled);
     }
     assert!(sparse >= 3 * plain.max(1), "sparse {sparse}, plain {plain}");
 }
--- a/crates/aspendrum-core/tests/decisions/servers.rs
+++ b/crates/aspendrum-core/tests/decisions/servers.rs
@@ -45,7 +45,7 @@
 fn a_failing_server_is_ejected_and_comes_back_after_probes(outcome: Outcome) {
     let mut harness = Harness::plain();
     let mut first = 0;
-    let mut ask = |harness: &mut Harness, rounds: u64| {
+    let mut request = |harness: &mut Harness, rounds: u64| {
         for _ in 0..rounds {
             first += 8;
             for id in first..first + 8 {
--- a/crates/aspendrum-core/tests/quota_owner.rs
+++ b/crates/aspendrum-core/tests/quota_owner.rs
@@ -382,7 +382,7 @@
 #[test_case(40, false ; "datagrams not allowed")]
 fn no_datagrams_are_sent_where_not_needed_or_allowed(instances: u32, may_send_datagrams: bool) {
     let mut fleet = Fleet::of(Settings {
-        may_send_datagrams: may_send_datagrams,
+        may_send_datagrams,
         ..settings(instances, false, 0.0)
     });
     fleet.request_in_turn(0, 40, 20.0);
