--- a/crates/aspendrum-core/src/engine/admission.rs
+++ b/crates/aspendrum-core/src/engine/admission.rs
@@ -113,9 +113,13 @@
         let is_profitable = plan.overage_value > plan.overage_cost && self.breaker.is_closed();
         let share = self.params.split_rate_limit_share / tenant.instances;
         is_profitable
-            && tenant
-            .rate_limit_share
-            .spend(plan, share, request.units, RATE_LIMIT_RESERVE, self.now)
+            && tenant.rate_limit_share.spend(
+                plan,
+                share,
+                request.units,
+                RATE_LIMIT_RESERVE,
+                self.now,
+            )
     }
 
     /// Estimates the time until the quota has room for the request.
--- a/crates/aspendrum-core/src/engine/concurrency_limit.rs
+++ b/crates/aspendrum-core/src/engine/concurrency_limit.rs
@@ -56,9 +56,7 @@
                 self.record_failure(index, REJECTION_SCORE);
             }
             Outcome::TimedOut | Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
-                server.response_time = server
-                    .response_time
-                    .max(target * FAILURE_RESPONSE_TIME);
+                server.response_time = server.response_time.max(target * FAILURE_RESPONSE_TIME);
                 server.concurrency_limit =
                     (server.concurrency_limit * FAILURE_DECREASE).max(MIN_LIMIT);
                 self.record_failure(index, FAILURE_SCORE);
@@ -68,7 +66,8 @@
 
     fn record_success(&mut self, index: usize, response_time: Millis, group: usize) {
         let target = self.params.groups[group].target;
-        let step = self.response_time_setpoint(group, response_time) - (response_time / target).min(1.0);
+        let step =
+            self.response_time_setpoint(group, response_time) - (response_time / target).min(1.0);
         let server = &mut self.servers[index];
         let in_flight_before = f64::from(server.in_flight) + 1.0;
         let was_at_limit = in_flight_before >= server.concurrency_limit.floor()
@@ -100,6 +99,9 @@
     fn response_time_setpoint(&mut self, group: usize, response_time: Millis) -> f64 {
         let target = self.params.groups[group].target;
         let baseline = self.latency_baselines[group].record(response_time, self.now) / target;
-        (SETPOINT_BASELINE_FACTOR * baseline).clamp(MIN_SETPOINT, MAX_SETPOINT.max(MIN_SETPOINT_ABOVE_BASELINE * baseline))
+        (SETPOINT_BASELINE_FACTOR * baseline).clamp(
+            MIN_SETPOINT,
+            MAX_SETPOINT.max(MIN_SETPOINT_ABOVE_BASELINE * baseline),
+        )
     }
 }
--- a/crates/aspendrum-core/src/engine/endpoint_selection.rs
+++ b/crates/aspendrum-core/src/engine/endpoint_selection.rs
@@ -30,7 +30,8 @@
             if server.pool != request.pool || !has_bit(request.zones, server.zone.into()) {
                 continue;
             }
-            let cost = self.expected_cost(server) * (MIN_JITTER_FACTOR + JITTER_RANGE * self.rng.next_f64());
+            let cost = self.expected_cost(server)
+                * (MIN_JITTER_FACTOR + JITTER_RANGE * self.rng.next_f64());
             let may_send = || self.can_accept(server) && self.is_in_scope(request, scope, index);
             if cost < least_cost && may_send() {
                 (selected, least_cost) = (Some(index), cost);
@@ -70,7 +71,11 @@
         };
         let in_large_fleet = self.params.probe_interval_factor > 1.0;
         let is_preferred = in_large_fleet && self.is_slow_starting(server.started_at);
-        let preference = if is_preferred { SLOW_START_COST_FACTOR } else { 1.0 };
+        let preference = if is_preferred {
+            SLOW_START_COST_FACTOR
+        } else {
+            1.0
+        };
         server.response_time.max(server.unanswered_for(self.now))
             * (1.0 + f64::from(server.in_flight))
             * distance
--- a/crates/aspendrum-core/src/engine/health_check.rs
+++ b/crates/aspendrum-core/src/engine/health_check.rs
@@ -31,7 +31,12 @@
     }
 
     /// Handles the outcome of a probe.
-    pub(super) fn handle_probe_result(&mut self, id: ServerId, outcome: Outcome, load: &LoadReport) {
+    pub(super) fn handle_probe_result(
+        &mut self,
+        id: ServerId,
+        outcome: Outcome,
+        load: &LoadReport,
+    ) {
         let Some(index) = self.servers.find(u64::from(id)) else {
             return;
         };
@@ -88,12 +93,13 @@
         };
         // In a large fleet, the report reaches one of hundreds of instances and influences too
         // little of the load to be worth the probe.
-        let report_is_useful = self.params.reports_by_probe && self.params.probe_interval_factor <= 1.0;
-        let is_needed =
-            is_ejected || self.is_slow_starting(server.started_at) && report_is_useful;
+        let report_is_useful =
+            self.params.reports_by_probe && self.params.probe_interval_factor <= 1.0;
+        let is_needed = is_ejected || self.is_slow_starting(server.started_at) && report_is_useful;
         let is_possible =
             self.params.may_probe && !server.probe_in_flight && server.health == Health::Ready;
-        let is_due = self.now - server.last_probe_at >= interval * self.params.probe_interval_factor;
+        let is_due =
+            self.now - server.last_probe_at >= interval * self.params.probe_interval_factor;
         if is_possible && is_needed && is_due {
             let server = &mut self.servers[index];
             server.last_probe_at = self.now;
--- a/crates/aspendrum-core/src/engine/maintenance.rs
+++ b/crates/aspendrum-core/src/engine/maintenance.rs
@@ -62,7 +62,10 @@
                 let is_late = self.is_late(request);
                 let was_sent = !request.attempts().is_empty();
                 if is_late || was_sent && self.select_server(slot).is_none() {
-                    self.send_local_reply(slot, RETRY_AFTER_RESPONSE_TIMES * self.fleet.response_time);
+                    self.send_local_reply(
+                        slot,
+                        RETRY_AFTER_RESPONSE_TIMES * self.fleet.response_time,
+                    );
                 }
             }
             RequestStage::InFlight | RequestStage::Finished => {}
@@ -82,7 +85,8 @@
     /// Whether a server is unlikely to answer the request within the latency target.
     fn is_late(&self, request: &Request) -> bool {
         let target = self.params.groups[request.group].target;
-        let min_time_left = (MIN_TIME_LEFT_RESPONSE_TIMES * self.fleet.response_time).min(MIN_TIME_LEFT_TARGET_SHARE * target);
+        let min_time_left = (MIN_TIME_LEFT_RESPONSE_TIMES * self.fleet.response_time)
+            .min(MIN_TIME_LEFT_TARGET_SHARE * target);
         self.now >= request.target_at - min_time_left
     }
 
--- a/crates/aspendrum-core/src/engine/quota.rs
+++ b/crates/aspendrum-core/src/engine/quota.rs
@@ -19,7 +19,8 @@
         self.requests[slot].waiting_since = self.now;
         let tenant = &mut self.tenants[index];
         let plan = &self.params.plans[tenant.plan];
-        let is_owner = self.now - tenant.owned_at < OWNERSHIP_TIMEOUT && self.params.has_quota_owners;
+        let is_owner =
+            self.now - tenant.owned_at < OWNERSHIP_TIMEOUT && self.params.has_quota_owners;
         let split_among = if is_owner { 1.0 } else { tenant.instances };
         if tenant.split_among != split_among {
             tenant.split_local_count(plan, split_among, self.now);
--- a/crates/aspendrum-core/src/engine/quota_owner/replies.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/replies.rs
@@ -95,9 +95,7 @@
         owner.counter_unreachable = reply.counter_unreachable;
         let awaits_reply = |slot: &&usize| {
             let request = &self.requests[**slot];
-            let sent_id = request
-                .message_to_owner
-                .and_then(PeerMessage::answered_id);
+            let sent_id = request.message_to_owner.and_then(PeerMessage::answered_id);
             sent_id.is_some_and(|id| id.sequence() == reply.sequence)
                 && request.quota_owner == Some(peer)
                 && request.stage == RequestStage::Admission
--- a/crates/aspendrum-core/src/engine/quota_owner/routing.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/routing.rs
@@ -85,7 +85,8 @@
         if self.now < self.tenants[index].exhausted_until {
             return self.complete_admission(slot, false);
         }
-        let is_charged_locally = self.requests[slot].rate_limit_charged || self.charge_rate_limit_share(slot);
+        let is_charged_locally =
+            self.requests[slot].rate_limit_charged || self.charge_rate_limit_share(slot);
         let (id, key) = (self.next_message_id(), self.tenant_key(index));
         let units = self.requests[slot].units as f32;
         let quota_request = |transferred_steps| {
--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -88,9 +88,7 @@
                 .position(|owner| owner == self.params.instance);
             (
                 0,
-                owner_rank.map_or(0, |rank| {
-                    (OWNER_SHARES[rank] * total_shares as f64) as u64
-                }),
+                owner_rank.map_or(0, |rank| (OWNER_SHARES[rank] * total_shares as f64) as u64),
             )
         } else {
             (EVEN_PARTS as u64, EVEN_PARTS as u64)
@@ -170,7 +168,8 @@
         let last = tenant.spare_grant;
         let is_refilled = last.last_counter_reply_at.is_none() || self.now - last.at >= refill;
         let is_unused = last.last_counter_reply_at != self.last_counter_reply_at && is_refilled;
-        let is_allowed = is_held_by_owners(&limits) && self.last_counter_reply_at.is_some() && is_unused;
+        let is_allowed =
+            is_held_by_owners(&limits) && self.last_counter_reply_at.is_some() && is_unused;
         is_allowed && tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now)
     }
 
--- a/crates/aspendrum-core/src/peer_message.rs
+++ b/crates/aspendrum-core/src/peer_message.rs
@@ -229,7 +229,11 @@
         out.push(QUOTA_REPLY);
         out.extend(self.sequence.to_be_bytes());
         let granted = if self.granted { GRANTED } else { 0 };
-        let counter_unreachable = if self.counter_unreachable { COUNTER_UNREACHABLE } else { 0 };
+        let counter_unreachable = if self.counter_unreachable {
+            COUNTER_UNREACHABLE
+        } else {
+            0
+        };
         out.push(granted | counter_unreachable);
         let retry_after = self.retry_after.clamp(0.0, u16::MAX.into()) as u16;
         out.extend(retry_after.to_be_bytes());
--- a/crates/aspendrum-core/tests/decisions/breaker.rs
+++ b/crates/aspendrum-core/tests/decisions/breaker.rs
@@ -32,7 +32,9 @@
     for id in 10..15 {
         harness.request(id, 9);
     }
-    let granted = (10..15).filter(|id| harness.local_replies(*id) == 0).count();
+    let granted = (10..15)
+        .filter(|id| harness.local_replies(*id) == 0)
+        .count();
     assert_eq!(granted, 2, "burst 4 over 2 instances");
     harness.wait(1005.0);
     assert_eq!(harness.calls, [(104, 0.0)]);
--- a/crates/aspendrum-core/tests/decisions/harness.rs
+++ b/crates/aspendrum-core/tests/decisions/harness.rs
@@ -20,7 +20,12 @@
     pub(crate) actions: Vec<Action>,
 }
 
-pub(crate) fn server_entry(server: ServerId, health: Health, cell: u16, started: Millis) -> ServerEntry {
+pub(crate) fn server_entry(
+    server: ServerId,
+    health: Health,
+    cell: u16,
+    started: Millis,
+) -> ServerEntry {
     ServerEntry {
         server,
         pool: 0,
--- a/crates/aspendrum-core/tests/decisions/retries.rs
+++ b/crates/aspendrum-core/tests/decisions/retries.rs
@@ -180,5 +180,9 @@
     let mut harness = Harness::plain();
     harness.request_with_total(1, 9, total);
     let has_advice = |a: &Action| matches!(*a, Action::Shed { retry_after, .. } if retry_after.round() as u64 == advice);
-    assert!(harness.actions.iter().any(has_advice), "{:?}", harness.actions);
+    assert!(
+        harness.actions.iter().any(has_advice),
+        "{:?}",
+        harness.actions
+    );
 }
--- a/crates/aspendrum-core/tests/decisions/sampling.rs
+++ b/crates/aspendrum-core/tests/decisions/sampling.rs
@@ -22,7 +22,10 @@
     let before = harness.calls.len();
     (0..200).for_each(|id| harness.request(1000 + id, 1000 + id));
     let sampled = harness.calls.len() - before;
-    assert!((140..190).contains(&sampled), "{sampled} of 200 call the counter");
+    assert!(
+        (140..190).contains(&sampled),
+        "{sampled} of 200 call the counter"
+    );
 }
 
 // With an overloaded counter, a third of the requests that the local count rejected still had half
@@ -82,7 +85,10 @@
         harness.calls.len() - calls
     );
     assert!(
-        (100..150).filter(|id| harness.local_replies(*id) == 0).count() > 40,
+        (100..150)
+            .filter(|id| harness.local_replies(*id) == 0)
+            .count()
+            > 40,
         "the others are decided by the local count"
     );
 }
--- a/crates/aspendrum-core/tests/decisions/servers.rs
+++ b/crates/aspendrum-core/tests/decisions/servers.rs
@@ -8,7 +8,10 @@
 #[test_case(Health::Removed ; "gone")]
 fn nothing_new_goes_to_a_draining_server(health: Health) {
     let mut harness = Harness::plain();
-    let entries = [server_entry(1, health, 1, 0.0), server_entry(2, health, 0, 0.0)];
+    let entries = [
+        server_entry(1, health, 1, 0.0),
+        server_entry(2, health, 0, 0.0),
+    ];
     harness.handle(&Event::ServerList {
         list: ListKind::Delta,
         version: 2,
--- a/crates/aspendrum-core/tests/decisions/slow_start.rs
+++ b/crates/aspendrum-core/tests/decisions/slow_start.rs
@@ -9,8 +9,8 @@
 use test_case::test_case;
 
 /// Fast responses of any kind must not attract more load to a starting server.
-#[test_case(Outcome::Ok ; "quick answers")]
-#[test_case(Outcome::Rejected ; "quick refusals")]
+#[test_case(Outcome::Ok ; "fast responses")]
+#[test_case(Outcome::Rejected ; "fast rejections")]
 fn a_starting_server_gets_its_share_of_the_budget(outcome: Outcome) {
     let entries = [
         server_entry(1, Health::Ready, 0, 0.0),
--- a/crates/aspendrum-core/tests/pools.rs
+++ b/crates/aspendrum-core/tests/pools.rs
@@ -192,5 +192,8 @@
     harness.servers(&[(3, 1, 1), (4, 1, 3)]);
     assert_eq!(forwarded(&harness.request(1, 1 << 2, 2.0)), None);
     assert_eq!(forwarded(&harness.request(1, 1 << 1, 2.0)), Some(3));
-    assert_eq!(forwarded(&harness.request(1, 1 << 3 | 1 << 2, 2.0)), Some(4));
+    assert_eq!(
+        forwarded(&harness.request(1, 1 << 3 | 1 << 2, 2.0)),
+        Some(4)
+    );
 }
--- a/crates/aspendrum-core/tests/quota_owner.rs
+++ b/crates/aspendrum-core/tests/quota_owner.rs
@@ -133,7 +133,10 @@
                 Action::SendDatagram { to: Some(to), data } => {
                     self.datagrams_sent += 1;
                     let is_delivered = (self.is_linked)(self.now - START, instance, to as usize);
-                    if is_delivered && (self.loss_interval == 0 || !self.datagrams_sent.is_multiple_of(self.loss_interval)) {
+                    if is_delivered
+                        && (self.loss_interval == 0
+                            || !self.datagrams_sent.is_multiple_of(self.loss_interval))
+                    {
                         self.in_transit.push((instance, to as usize, data));
                     }
                 }
@@ -170,7 +173,8 @@
                 },
             );
         }
-        (0..self.instances.len()).for_each(|instance| self.handle(instance, &Event::Timer { token: 0 }));
+        (0..self.instances.len())
+            .for_each(|instance| self.handle(instance, &Event::Timer { token: 0 }));
     }
 
     fn wait(&mut self, ms: Millis) {
@@ -453,7 +457,11 @@
 /// Sends twenty times a tenant's quota through forty instances for 60 s while the counter is
 /// silent. Returns the ratio of granted units to the quota. `kill` is the interval at which all
 /// instances are restarted without state.
-fn granted_ratio(is_linked: fn(Millis, usize, usize) -> bool, loss_interval: usize, kill: Option<Millis>) -> f64 {
+fn granted_ratio(
+    is_linked: fn(Millis, usize, usize) -> bool,
+    loss_interval: usize,
+    kill: Option<Millis>,
+) -> f64 {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     (fleet.is_linked, fleet.loss_interval) = (is_linked, loss_interval);
     fleet.wait(FILL_TIME);
@@ -560,7 +568,11 @@
 fn returned_units_are_accepted_once() {
     let mut fleet = Fleet::of(settings(40, false, 0.0));
     fleet.wait(FILL_TIME);
-    let quota_request = |sequence: u8| [1, 0, sequence, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0];
+    let quota_request = |sequence: u8| {
+        [
+            1, 0, sequence, 0, 0, 0, 0, 5, 0, 0, 0, 0, 40, 0x3f, 0x80, 0, 0,
+        ]
+    };
     let granted = |fleet: &mut Fleet, from: u8| {
         (from..from + 20)
             .filter(|n| {
