--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -1,4 +1,4 @@
-//! The loopback connection to the agent on this machine: updates come in and are applied, heartbeats go out.
+//! The loopback connection to the agent on this machine: receives and applies updates, and sends heartbeats.
 
 use crate::state::ProxyState;
 use aspendrum_model::message::{FromControl, StateSection, ToControl};
@@ -11,17 +11,18 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Updates hold whole configurations: reading one takes more stack than a request does.
+/// Stack size of the receiving thread. An update contains a whole configuration, which takes more stack to
+/// decode than a request.
 const STACK_BYTES: usize = 512 << 10;
-const RECONNECT_EVERY: Duration = Duration::from_millis(100);
-/// TCP user time-out: the connection ends if the agent acknowledges no bytes within this time.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
+/// TCP user time-out: the connection is closed if the agent acknowledges no bytes within this time.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Messages that may wait to be written.
-const QUEUE_LENGTH: usize = 32;
+/// The capacity of the queue of outgoing messages.
+const SEND_QUEUE_CAPACITY: usize = 32;
 const READ_BUFFER_BYTES: usize = 4 << 10;
 
-/// Connects to the agent, again and again, for as long as the process runs. `listen_address`: where clients reach this
-/// proxy.
+/// Starts the thread that keeps a connection to the agent, and reconnects when it is lost. `listen_address` is the
+/// proxy's address for clients.
 pub(crate) fn start(
     state: &Arc<ProxyState>,
     settings: &Settings,
@@ -41,14 +42,14 @@
             state.agent_link.set(None);
             log::info!("event=agent_lost");
         }
-        sleep(RECONNECT_EVERY);
+        sleep(RECONNECT_INTERVAL);
     })?;
     Ok(())
 }
 
 fn connect(agent_address: SocketAddrV4) -> io::Result<(Arc<Link>, Arc<TcpStream>)> {
     let stream = Link::connect(agent_address, ACKNOWLEDGE_TIMEOUT)?;
-    let link = Link::from_stream(stream.clone(), ACKNOWLEDGE_TIMEOUT, QUEUE_LENGTH)?;
+    let link = Link::from_stream(stream.clone(), ACKNOWLEDGE_TIMEOUT, SEND_QUEUE_CAPACITY)?;
     Ok((Arc::new(link), stream))
 }
 
@@ -58,26 +59,31 @@
     while let Ok(message) = frames::read_frame::<FromControl>(&mut reader) {
         match message {
             FromControl::Update { number, section } => {
-                let is_ordered = matches!(
+                let is_versioned = matches!(
                     section,
                     StateSection::Config { .. } | StateSection::Evacuated { .. }
                 );
                 state.dispatcher.apply(section);
-                if is_ordered {
-                    state.update_applied();
+                if is_versioned {
+                    state.update_applied_digest();
                 }
                 link.send(&ToControl::Applied { number });
             }
             FromControl::Resync => state.dispatcher.rebuild_tables(),
             FromControl::Heartbeat {
                 sent_at_ms,
-                majority_age: age,
-                decided: of,
-                control_reachable: heard,
-                most_agents_isolated: deserted,
+                majority_age,
+                decided,
+                control_reachable,
+                most_agents_isolated,
             } => {
-                state.record_control_report(sent_at_ms, age, of, deserted);
-                state.record_control_reachable(sent_at_ms, heard);
+                state.record_control_report(
+                    sent_at_ms,
+                    majority_age,
+                    decided,
+                    most_agents_isolated,
+                );
+                state.record_control_reachable(sent_at_ms, control_reachable);
             }
         }
     }
--- a/crates/aspendrum-proxy/src/agent_link.rs
+++ b/crates/aspendrum-proxy/src/agent_link.rs
@@ -5,13 +5,13 @@
 use aspendrum_net::threads::lock;
 use std::sync::{Arc, Mutex};
 
-/// The connection to the agent, while there is one.
+/// The connection to the agent, if established.
 #[derive(Default)]
 pub struct AgentLink(Mutex<Option<Arc<Link>>>);
 
 impl AgentLink {
-    /// Sends a heartbeat. The agent answers with `sent_at_ms`, the proxy's clock in milliseconds, and the age of control's
-    /// last report.
+    /// Sends a heartbeat. The agent's reply contains `sent_at_ms`, a time of the proxy's clock in milliseconds,
+    /// and the age of control's last report.
     pub fn send_heartbeat(&self, sent_at_ms: u64, readiness: Readiness, applied: StateDigest) {
         let link = lock(&self.0).clone();
         if let Some(link) = link {
--- a/crates/aspendrum-proxy/src/consistency.rs
+++ b/crates/aspendrum-proxy/src/consistency.rs
@@ -1,5 +1,5 @@
-//! Whether what this proxy has applied is what control has decided. Requests read one small assessment, which expires by
-//! itself on the proxy's own clock: a proxy that is cut off needs nobody to tell it to stop.
+//! Compares the state applied by this proxy with the state decided by control. Requests read a small assessment that
+//! expires on the proxy's own clock, so an isolated proxy stops relying on its state without being notified.
 
 use aspendrum_model::message::StateDigest;
 use aspendrum_net::threads::lock;
@@ -8,7 +8,7 @@
 };
 use std::sync::Mutex;
 
-/// The assessment on this proxy, and what it rests on.
+/// The assessment of this proxy's state, and its inputs.
 pub struct ConsistencyStatus {
     report_validity: ReportValidity,
     state: Mutex<State>,
@@ -17,22 +17,23 @@
 struct State {
     applied: StateDigest,
     report: Option<MajorityReport>,
-    /// Half of the agents or more have no majority's report either.
+    /// Whether at least half of the agents have no report from a majority either.
     most_agents_isolated: bool,
     assessment: SyncAssessment,
-    /// As it was logged last.
-    logged: SyncStatus,
+    /// The status last logged.
+    logged_status: SyncStatus,
 }
 
 impl ConsistencyStatus {
-    /// Nothing is applied and nothing is known. `apply_ms` and `stretch_ms`: the platform's terms, in milliseconds.
+    /// Creates the status of a proxy without any state or report. `apply_ms` and `stretch_ms` are limits of the
+    /// platform's terms, in milliseconds.
     pub fn new(apply_ms: Millis, stretch_ms: Millis) -> ConsistencyStatus {
         let state = State {
             applied: state_digest(None, 0, &[]),
             report: None,
             most_agents_isolated: false,
             assessment: SyncAssessment::UNKNOWN,
-            logged: SyncStatus::Isolated,
+            logged_status: SyncStatus::Isolated,
         };
         ConsistencyStatus {
             report_validity: ReportValidity::from_limits(apply_ms, stretch_ms),
@@ -40,15 +41,15 @@
         }
     }
 
-    /// The digest of the tables that are in force was computed again.
+    /// Records the digest of the active tables.
     pub fn record_applied(&self, now: Millis, applied: StateDigest) {
         let mut state = lock(&self.state);
         state.applied = applied;
         state.update_assessment(now, &self.report_validity);
     }
 
-    /// A majority's report came, or none is known. Returns how what is in force compares with this report, whatever
-    /// others said.
+    /// Records a majority's report, or that none is known. Returns how the active state compares with this
+    /// report alone, regardless of earlier reports.
     pub fn record_report(
         &self,
         now: Millis,
@@ -58,7 +59,7 @@
         let mut state = lock(&self.state);
         state.most_agents_isolated = most_agents_isolated;
         let is_newer =
-            |held: &MajorityReport| report.is_some_and(|report| report.as_of >= held.as_of);
+            |current: &MajorityReport| report.is_some_and(|report| report.as_of >= current.as_of);
         if state.report.as_ref().is_none_or(is_newer) {
             state.report = report.or(state.report);
         }
@@ -72,12 +73,12 @@
         .status
     }
 
-    /// What was in force when the digest was last computed.
+    /// Returns the last recorded digest of the active tables.
     pub fn applied(&self) -> StateDigest {
         lock(&self.state).applied
     }
 
-    /// Whether what is in force is what was decided, by a report that still counts.
+    /// Whether the active state is the decided one according to a report that has not expired.
     pub fn is_current(&self, now: Millis) -> bool {
         lock(&self.state).assessment.allows_non_idempotent(now)
     }
@@ -89,7 +90,7 @@
         self.assessment =
             SyncAssessment::new(&self.applied, report, self.most_agents_isolated, validity);
         let current = self.assessment.status_at(now);
-        let previous = std::mem::replace(&mut self.logged, current);
+        let previous = std::mem::replace(&mut self.logged_status, current);
         if current != previous {
             log::info!(
                 "event=consistency is={} was={}",
--- a/crates/aspendrum-proxy/src/counter/client.rs
+++ b/crates/aspendrum-proxy/src/counter/client.rs
@@ -1,4 +1,4 @@
-//! Calls to counters that other proxies own.
+//! Calls to counters owned by other proxies.
 
 use super::id::CounterId;
 use super::rtt::RttEstimator;
@@ -7,41 +7,41 @@
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
-/// A call that waits for its answer.
+/// A call that awaits its reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
-    /// The counter and its window as the decision engine names them.
+    /// The decision engine's name for the counter and its window.
     pub engine_name: u64,
-    /// The proxy that was asked.
+    /// The called proxy.
     pub owner: Ipv4Addr,
-    /// When it was asked.
+    /// The time of the call.
     pub sent_at: Millis,
     deadline: Millis,
 }
 
-/// The owners of counters, and the calls to them that wait for an answer.
+/// The owners of counters, and the pending calls to them.
 #[derive(Default)]
 pub struct CounterClient {
     owners: Vec<Ipv4Addr>,
     pending: HashMap<u32, CounterCall>,
     last_call: u32,
-    round_trips: HashMap<Ipv4Addr, RttEstimator>,
+    rtt_estimators: HashMap<Ipv4Addr, RttEstimator>,
 }
 
 impl CounterClient {
-    /// Replaces the proxies that may own counters. Returns the calls to removed proxies, which have failed; `None`
-    /// if nothing changed.
+    /// Replaces the proxies that may own counters. Returns the calls to removed proxies, which have failed, or
+    /// `None` if the owners are unchanged.
     pub fn set_owners(&mut self, owners: Vec<Ipv4Addr>) -> Option<Vec<CounterCall>> {
         if self.owners == owners {
             return None;
         }
         self.owners = owners;
         let owners = &self.owners;
-        let is_gone = |call: &CounterCall| !owners.contains(&call.owner);
-        Some(drain_calls(&mut self.pending, is_gone))
+        let is_removed = |call: &CounterCall| !owners.contains(&call.owner);
+        Some(remove_calls(&mut self.pending, is_removed))
     }
 
-    /// The owner of a counter; `None` while no proxy is known.
+    /// Returns the owner of a counter, or `None` if no proxy is known.
     pub fn owner(&self, counter: CounterId) -> Option<Ipv4Addr> {
         highest_ranked(
             counter.0,
@@ -51,11 +51,11 @@
         )
     }
 
-    /// Begins a call. Returns the number that its answer bears.
+    /// Starts a call and returns the call number that identifies its reply.
     pub fn start_call(&mut self, now: Millis, owner: Ipv4Addr, engine_name: u64) -> u32 {
         self.last_call = self.last_call.wrapping_add(1);
-        let round_trips = self.round_trips.get(&owner);
-        let timeout = round_trips.map_or(RttEstimator::INITIAL_TIMEOUT, RttEstimator::timeout);
+        let estimator = self.rtt_estimators.get(&owner);
+        let timeout = estimator.map_or(RttEstimator::INITIAL_TIMEOUT, RttEstimator::timeout);
         let call = CounterCall {
             engine_name,
             owner,
@@ -66,38 +66,39 @@
         self.last_call
     }
 
-    /// An answer came. `None`: the call timed out before, or another proxy was asked.
+    /// Completes a call on a reply. Returns `None` if the call has timed out, or if the reply is not from the
+    /// called proxy.
     pub fn finish_call(&mut self, now: Millis, from: Ipv4Addr, call: u32) -> Option<CounterCall> {
         self.pending
             .get(&call)
             .filter(|pending| pending.owner == from)?;
         let call = self.pending.remove(&call)?;
         let sample = now - call.sent_at;
-        let round_trips = self
-            .round_trips
+        let estimator = self
+            .rtt_estimators
             .entry(call.owner)
             .or_insert(RttEstimator::new(sample));
-        round_trips.record(sample);
+        estimator.record(sample);
         Some(call)
     }
 
-    /// Removes and returns the calls whose time-out is over.
+    /// Removes and returns the calls that have timed out.
     pub fn expire_calls(&mut self, now: Millis) -> Vec<CounterCall> {
-        drain_calls(&mut self.pending, |call| now >= call.deadline)
+        remove_calls(&mut self.pending, |call| now >= call.deadline)
     }
 }
 
-/// Removes and returns the calls for which that holds.
-fn drain_calls(
+/// Removes and returns the calls that match the predicate.
+fn remove_calls(
     pending: &mut HashMap<u32, CounterCall>,
-    holds: impl Fn(&CounterCall) -> bool,
+    predicate: impl Fn(&CounterCall) -> bool,
 ) -> Vec<CounterCall> {
-    let taken: Vec<u32> = pending
+    let matching: Vec<u32> = pending
         .iter()
-        .filter(|entry| holds(entry.1))
+        .filter(|entry| predicate(entry.1))
         .map(|entry| *entry.0)
         .collect();
-    taken
+    matching
         .iter()
         .filter_map(|call| pending.remove(call))
         .collect()
--- a/crates/aspendrum-proxy/src/counter/lease.rs
+++ b/crates/aspendrum-proxy/src/counter/lease.rs
@@ -1,27 +1,29 @@
-//! Whether this proxy may grant from the counters that it owns.
+//! The lease under which this proxy may grant from the counters that it owns.
 //!
-//! The list of owners comes from control. A proxy that control no longer hears is dropped from it, and does not learn of
-//! that: the others find new owners, which begin to grant one window after the change. By then it must have ceased.
-//! So it grants only under a lease: for a while after control has certainly heard it, or while most of the other proxies
-//! ask it, which shows that their lists still name it. The second keeps counters at work while no control node is there, as
-//! no list changes then.
+//! Control distributes the list of owners. A proxy from which control no longer receives heartbeats is removed
+//! from the list, and does not learn of that. The other proxies select new owners, which begin to grant one
+//! window after the change. The removed proxy must have stopped granting by then, so an owner grants only while
+//! its lease is valid: for a limited time after its agent has confirmed contact with control, or while most
+//! other proxies call it, which shows that their lists still contain it. The latter keeps counters available
+//! while no control node is running, since no list changes then.
 
 use aspendrum_core::api::Millis;
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
-/// For how long the lease lasts from when this proxy asked its agent, if that says that control has heard of it. With the
-/// agent's own bound, 650 ms, this is less than the 1,000 ms after which control takes an agent for silent.
-const LEASE_TIME: Millis = 500.0;
-/// For how long a call of another proxy shows that its list names this one.
-const CALL_COUNTS_FOR: Millis = 500.0;
+/// The lease duration in milliseconds, measured from the heartbeat whose reply confirms contact with control.
+/// With the agent's own bound of 650 ms, the lease may end up to 150 ms after control considers the agent
+/// silent, which takes 1,000 ms. A new owner waits for at least one window before it grants, which is longer.
+const LEASE_DURATION: Millis = 500.0;
+/// How long a call from another proxy shows that the caller's list contains this proxy, in milliseconds.
+const CALL_VALIDITY: Millis = 500.0;
 
-/// The lease on the counters of this proxy.
+/// The lease on the counters owned by this proxy.
 pub struct OwnerLease {
     valid_until: Millis,
-    /// When each other proxy asked last.
-    asked_at: HashMap<Ipv4Addr, Millis>,
-    /// How many other proxies may own counters.
+    /// The time of the last call from each other proxy.
+    last_calls: HashMap<Ipv4Addr, Millis>,
+    /// The number of other proxies that may own counters.
     others: usize,
 }
 
@@ -29,33 +31,34 @@
     fn default() -> OwnerLease {
         OwnerLease {
             valid_until: f64::NEG_INFINITY,
-            asked_at: HashMap::new(),
+            last_calls: HashMap::new(),
             others: 0,
         }
     }
 }
 
 impl OwnerLease {
-    /// The proxies that may own counters have changed.
+    /// Sets the other proxies that may own counters.
     pub fn set_others(&mut self, others: &[Ipv4Addr]) {
         self.others = others.len();
-        self.asked_at.retain(|proxy, _| others.contains(proxy));
+        self.last_calls.retain(|proxy, _| others.contains(proxy));
     }
 
-    /// Control is known to have heard this proxy, by an answer to a question that was sent then.
-    pub fn renew(&mut self, asked_at: Millis) {
-        self.valid_until = self.valid_until.max(asked_at + LEASE_TIME);
+    /// Extends the lease: the agent has confirmed contact with control in reply to a heartbeat sent at
+    /// `heartbeat_sent_at`.
+    pub fn renew(&mut self, heartbeat_sent_at: Millis) {
+        self.valid_until = self.valid_until.max(heartbeat_sent_at + LEASE_DURATION);
     }
 
-    /// Another proxy asks this one for a counter.
+    /// Records a call from another proxy to a counter of this one.
     pub fn record_call(&mut self, now: Millis, from: Ipv4Addr) {
-        self.asked_at.insert(from, now);
+        self.last_calls.insert(from, now);
     }
 
     /// Whether this proxy may grant from its counters.
     pub fn is_valid(&self, now: Millis) -> bool {
-        let is_recent = |asked_at: &&Millis| now - **asked_at < CALL_COUNTS_FOR;
-        let asking = self.asked_at.values().filter(is_recent).count();
-        self.others == 0 || now < self.valid_until || asking * 2 > self.others
+        let is_recent = |called_at: &&Millis| now - **called_at < CALL_VALIDITY;
+        let recent_callers = self.last_calls.values().filter(is_recent).count();
+        self.others == 0 || now < self.valid_until || recent_callers * 2 > self.others
     }
 }
--- a/crates/aspendrum-proxy/src/counter/message.rs
+++ b/crates/aspendrum-proxy/src/counter/message.rs
@@ -1,45 +1,46 @@
-//! Datagrams between proxies. Postcard writes variants and fields by their order: a proxy of another version reads
+//! Datagrams between proxies. Postcard encodes variants and fields by position, and proxies of other versions decode
 //! these bytes, so nothing here may be reordered, split or merged.
 
 use super::id::CounterId;
 use serde::{Deserialize, Serialize};
 
-/// A counter on its way to its next owner. Its last owner grants nothing from it any more.
+/// The transfer of a counter to its next owner. The sender no longer grants anything from it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CounterHandover {
     /// The counter.
     pub counter: CounterId,
-    /// What its current window holds; `None` if its last owner still waited to take it over, and granted nothing.
+    /// The total of the current window, or `None` if the sender was still waiting to take over the counter and
+    /// granted nothing.
     pub total: Option<f32>,
-    /// Milliseconds since its window began, or since its last owner began to wait.
+    /// The time since the window began, or since the sender began to wait, in milliseconds.
     pub age_ms: u32,
 }
 
 /// A datagram between proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CounterMessage {
-    /// Adds to a counter that the receiver owns.
+    /// Adds to a counter owned by the receiver.
     Add {
-        /// Comes back with the answer.
+        /// The call number, returned in the reply.
         call: u32,
         /// The counter.
         counter: CounterId,
-        /// How much to add.
+        /// The number of units to add.
         amount: f32,
     },
-    /// Answers [`CounterMessage::Add`].
+    /// The reply to [`CounterMessage::Add`] after the amount has been added.
     Total {
-        /// The call that is answered.
+        /// The call number of the request.
         call: u32,
-        /// What the counter's window holds, with the amount added.
+        /// The total of the counter's window, including the amount added.
         total: f32,
     },
-    /// Answers [`CounterMessage::Add`]: nothing was added. Another proxy may still own the counter, or its tenant is not
-    /// known to the receiver.
+    /// The reply to [`CounterMessage::Add`] if nothing was added: another proxy may still own the counter, or the
+    /// receiver does not know the tenant.
     Unavailable {
-        /// The call that is answered.
+        /// The call number of the request.
         call: u32,
     },
-    /// The sender does not own that counter any more.
+    /// Transfers a counter that the sender no longer owns.
     Handover(CounterHandover),
 }
--- a/crates/aspendrum-proxy/src/counter/mod.rs
+++ b/crates/aspendrum-proxy/src/counter/mod.rs
@@ -1,8 +1,8 @@
-//! Tenants' request counters. Each tenant's counter has one owner among the proxies, found by rendezvous hashing; the
-//! other proxies ask the owner with one datagram and are answered with one. The decision engine grants or rejects a
-//! request by the total that comes back.
+//! Tenant request counters. Each tenant's counter is owned by one proxy, selected by rendezvous hashing.
+//! Another proxy adds to it with one datagram to the owner, which replies with one. The decision engine admits
+//! or rejects a request by the returned total.
 //!
-//! Only the socket does I/O. Nothing in this module reads a clock; times are milliseconds of the caller's clock.
+//! Only the socket does I/O. This module reads no clock; times are milliseconds of the caller's clock.
 
 mod client;
 mod id;
--- a/crates/aspendrum-proxy/src/counter/quota.rs
+++ b/crates/aspendrum-proxy/src/counter/quota.rs
@@ -1,39 +1,41 @@
-//! What a counter's window may grant, so that no span of time holds more than the tenant's quota and its tolerance.
+//! The limit of a counter's window, chosen so that no time span exceeds the tenant's quota and its tolerance.
 
 use aspendrum_core::api::Millis;
 
-/// The quota of one tenant, as its counter grants it.
+/// The quota of one tenant, as granted by its counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
     /// Units per second.
     pub rate: f64,
     /// Units per window.
     pub burst: f64,
-    /// Length of a window, in milliseconds.
+    /// The length of a window, in milliseconds.
     pub window: Millis,
 }
 
-/// What may be granted above a tenant's quota in any span of time: `excess` of the quota, and `slack` on top.
+/// The tolerance above a tenant's quota in any time span: `excess` of the quota, plus `slack`.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaTolerance {
-    /// Length of the span, in seconds.
+    /// The length of the span, in seconds.
     pub span_s: f64,
-    /// As a share of what the quota allows in that span.
+    /// A fraction of the quota in that span.
     pub excess: f64,
-    /// Units.
+    /// Additional units.
     pub slack: f64,
 }
 
-/// The share of the tolerance that windows grant. The rest is for proxies that are cut off and decide by their local
-/// share.
-const TOLERANCE_FOR_WINDOWS: f64 = 0.3;
-/// With shorter windows random arrivals alone exceed the window of a tenant well within its quota.
+/// The fraction of the tolerance that windows may grant. The rest is reserved for isolated proxies, which admit
+/// requests by their local share of the quota.
+const WINDOW_TOLERANCE_FRACTION: f64 = 0.3;
+/// The minimum length of a window, in seconds. With shorter windows, random arrivals alone exceed the window of
+/// a tenant that stays well within its quota.
 const MIN_WINDOW_S: f64 = 0.5;
 
 impl Quota {
-    /// A window of `burst / rate`, and what each may grant so that no span of `tolerance.span_s` seconds, however it lies
-    /// over the windows, holds more than `(span * rate + burst) * (1 + excess) + slack`, with `TOLERANCE_FOR_WINDOWS`
-    /// of the excess and the slack. A span touches at most `span / window + 1` windows.
+    /// Returns the quota with a window of `burst / rate` and the limit per window. The limit is chosen so that no
+    /// span of `tolerance.span_s` seconds, at whatever offset to the windows, exceeds
+    /// `(span * rate + burst) * (1 + excess) + slack`, where excess and slack are multiplied by
+    /// `WINDOW_TOLERANCE_FRACTION`. A span overlaps at most `span / window + 1` windows.
     pub fn within(rate: f64, burst: f64, tolerance: &QuotaTolerance) -> Quota {
         let burst = if burst > 0.0 { burst } else { rate };
         if rate <= 0.0 {
@@ -45,8 +47,8 @@
         }
         let window = (burst / rate).max(MIN_WINDOW_S);
         let allowed = (tolerance.span_s * rate + burst)
-            * (1.0 + TOLERANCE_FOR_WINDOWS * tolerance.excess)
-            + TOLERANCE_FOR_WINDOWS * tolerance.slack;
+            * (1.0 + WINDOW_TOLERANCE_FRACTION * tolerance.excess)
+            + WINDOW_TOLERANCE_FRACTION * tolerance.slack;
         let burst = allowed / (tolerance.span_s / window + 1.0);
         Quota {
             rate: burst / window,
--- a/crates/aspendrum-proxy/src/counter/rtt.rs
+++ b/crates/aspendrum-proxy/src/counter/rtt.rs
@@ -1,16 +1,17 @@
-//! Round-trip times of one peer, and the time-out that follows from them (RFC 6298).
+//! Estimates the round-trip time of a peer and derives the time-out (RFC 6298).
 
 use aspendrum_core::api::Millis;
 
-/// Until an answer has come: the design's time-out, on top of the longest round trip of known deployments.
+/// The time-out in milliseconds before the first sample: the time-out of the design, plus the longest round
+/// trip of known deployments.
 const INITIAL_TIMEOUT: Millis = 160.0;
 const MIN_TIMEOUT: Millis = 20.0;
 const MAX_TIMEOUT: Millis = 300.0;
-/// Gains of RFC 6298, section 2.3.
+/// The gains of RFC 6298, section 2.3.
 const SMOOTHING_GAIN: f64 = 0.125;
 const VARIATION_GAIN: f64 = 0.25;
 
-/// Smoothed round-trip time and its variation, in milliseconds.
+/// The smoothed round-trip time and its variation, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct RttEstimator {
     smoothed: Millis,
@@ -18,10 +19,10 @@
 }
 
 impl RttEstimator {
-    /// The time-out for a peer that has not answered yet.
+    /// The time-out for a peer without samples, in milliseconds.
     pub const INITIAL_TIMEOUT: Millis = INITIAL_TIMEOUT;
 
-    /// Begins with the first sample.
+    /// Creates an estimator from the first sample.
     pub fn new(first: Millis) -> RttEstimator {
         RttEstimator {
             smoothed: first,
@@ -29,13 +30,13 @@
         }
     }
 
-    /// Takes in another sample.
+    /// Records a sample.
     pub fn record(&mut self, sample: Millis) {
         self.variation += VARIATION_GAIN * ((sample - self.smoothed).abs() - self.variation);
         self.smoothed += SMOOTHING_GAIN * (sample - self.smoothed);
     }
 
-    /// How long to wait for the next answer.
+    /// Returns the time-out for the next reply, in milliseconds.
     pub fn timeout(&self) -> Millis {
         (2.0 * self.smoothed + 4.0 * self.variation + MIN_TIMEOUT).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
--- a/crates/aspendrum-proxy/src/counter/socket.rs
+++ b/crates/aspendrum-proxy/src/counter/socket.rs
@@ -1,13 +1,13 @@
-//! The socket over which proxies send each other counter datagrams.
+//! The socket for counter datagrams between proxies.
 
 use super::message::CounterMessage;
 use aspendrum_model::settings::Settings;
 use std::net::{IpAddr, Ipv4Addr, SocketAddrV4, UdpSocket};
 
-/// No datagram of ours is longer.
-const MAX_SENT: usize = 32;
-/// Longer datagrams are cut, and then not understood.
-const MAX_RECEIVED: usize = 64;
+/// The maximum length of an encoded message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 32;
+/// The length of the receive buffer, in bytes. Longer datagrams are truncated and fail to decode.
+const RECEIVE_BUFFER_BYTES: usize = 64;
 
 /// Sends and receives counter datagrams.
 pub struct CounterSocket {
@@ -16,7 +16,7 @@
 }
 
 impl CounterSocket {
-    /// Over a socket that is bound to this proxy's counter port.
+    /// Wraps a socket that is bound to this proxy's counter port.
     pub fn new(socket: UdpSocket, settings: &Settings) -> CounterSocket {
         CounterSocket {
             socket,
@@ -24,20 +24,20 @@
         }
     }
 
-    /// Sends a datagram to another proxy. It may be lost, as any datagram.
+    /// Sends a datagram to another proxy. Errors are ignored, since a datagram may be lost in any case.
     pub fn send(&self, to: Ipv4Addr, message: &CounterMessage) {
-        let mut space = [0; MAX_SENT];
-        if let Ok(bytes) = postcard::to_slice(message, &mut space) {
+        let mut buffer = [0; MAX_MESSAGE_BYTES];
+        if let Ok(bytes) = postcard::to_slice(message, &mut buffer) {
             let address = SocketAddrV4::new(to, self.settings.counter_port());
             let _ = self.socket.send_to(bytes, self.settings.dial_addr(address));
         }
     }
 
-    /// Waits for the next datagram; `None` if none can be read, or it is no message of ours.
+    /// Waits for the next datagram. Returns `None` if receiving fails or the datagram cannot be decoded.
     pub fn receive(&self) -> Option<(Ipv4Addr, CounterMessage)> {
-        let mut space = [0; MAX_RECEIVED];
-        let (size, from) = self.socket.recv_from(&mut space).ok()?;
-        let message = postcard::from_bytes(&space[..size]).ok()?;
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
+        let (size, from) = self.socket.recv_from(&mut buffer).ok()?;
+        let message = postcard::from_bytes(&buffer[..size]).ok()?;
         match from.ip() {
             IpAddr::V4(ip) => Some((ip, message)),
             IpAddr::V6(_) => None,
--- a/crates/aspendrum-proxy/src/counter/store.rs
+++ b/crates/aspendrum-proxy/src/counter/store.rs
@@ -1,5 +1,4 @@
-//! The counters that this proxy owns, and how ownership passes from one proxy to the next without granting a window
-//! twice.
+//! The counters owned by this proxy, and the transfer of ownership between proxies without granting a window twice.
 
 use super::id::CounterId;
 use super::message::CounterHandover;
@@ -7,10 +6,10 @@
 use aspendrum_core::api::Millis;
 use std::collections::HashMap;
 
-/// How much longer than a window other proxies may use an older list of owners.
-const STALE_OWNERS: Millis = 400.0;
+/// How long, beyond the length of a window, other proxies may still use an older list of owners, in milliseconds.
+const OWNER_LIST_LAG: Millis = 400.0;
 
-/// What was granted in the current window of one counter.
+/// The total granted in the current window of a counter.
 struct Window {
     total: f64,
     started_at: Millis,
@@ -21,15 +20,16 @@
 pub struct CounterStore {
     windows: HashMap<CounterId, Window>,
     quotas: HashMap<CounterId, Quota>,
-    /// Since when this proxy owns each counter. Kept by counter: a change of owners that concerns others makes no
-    /// counter wait. Negative infinity: no other proxy ever owned it.
+    /// The time since which this proxy owns each counter. It is stored per counter so that a change of other owners
+    /// delays no counter. Negative infinity means that no other proxy has ever owned the counter.
     owned_since: HashMap<CounterId, Millis>,
-    /// The list of owners is known.
+    /// Whether the list of owners is known.
     owners_known: bool,
 }
 
 impl CounterStore {
-    /// Replaces the quotas. A counter that is new to the running process had no owner before, so it need not wait.
+    /// Replaces the quotas. A counter that is first configured while the process is running had no previous
+    /// owner, so it grants without delay.
     pub fn set_quotas(
         &mut self,
         quotas: HashMap<CounterId, Quota>,
@@ -41,18 +41,18 @@
             .retain(|counter, _| quotas.contains_key(counter));
         if self.owners_known {
             let is_new = |counter: &&CounterId| !self.quotas.contains_key(counter);
-            let new = quotas
+            let new_counters = quotas
                 .keys()
                 .filter(is_new)
                 .filter(|counter| is_owned(**counter));
             self.owned_since
-                .extend(new.map(|counter| (*counter, f64::NEG_INFINITY)));
+                .extend(new_counters.map(|counter| (*counter, f64::NEG_INFINITY)));
         }
         self.quotas = quotas;
     }
 
-    /// The list of owners has changed. Returns what goes to other owners: nothing is granted from these here any more,
-    /// so the next owner goes on at once.
+    /// Updates the owned counters after a change of owners. Returns the handovers for counters owned by other
+    /// proxies from now on. Nothing more is granted from these here, so their next owners can continue at once.
     pub fn set_owned(
         &mut self,
         now: Millis,
@@ -65,8 +65,9 @@
                 self.owned_since.entry(*counter).or_insert(now);
                 continue;
             }
-            // Also a window that is over: the next owner begins another without waiting. And one that still waits: it
-            // need not wait from the start at each owner while a whole fleet comes back.
+            // An expired window is handed over too, so that the next owner can start another one without
+            // waiting. A counter that is still waiting is handed over with the time it has waited: otherwise,
+            // while a whole fleet restarts, the wait would begin again at each owner.
             let since = self.owned_since.remove(counter);
             let window = self.windows.remove(counter);
             let total = window.as_ref().map(|window| window.total as f32);
@@ -83,7 +84,7 @@
         handovers
     }
 
-    /// The last owner hands a counter over. What was granted here meanwhile is added to it.
+    /// Accepts a counter from its previous owner. Units already granted here are added to the received total.
     pub fn accept_handover(&mut self, now: Millis, handover: CounterHandover) {
         let CounterHandover { counter, total, .. } = handover;
         if !self.quotas.contains_key(&counter) {
@@ -106,21 +107,22 @@
         }
     }
 
-    /// Adds to a counter; returns what its window then holds. `None`: the last owner may still grant from the counter
-    /// until its window is over, unless it has handed it over, or the tenant is not known.
+    /// Adds to a counter and returns the total of its window. Returns `None` if the tenant is unknown, or if
+    /// the previous owner has not handed the counter over and may still grant from it until its window has
+    /// ended.
     pub fn add(&mut self, now: Millis, counter: CounterId, amount: f32) -> Option<f32> {
         let quota = self.quotas.get(&counter)?;
         if !self.windows.contains_key(&counter) {
             let since = self.owned_since.get(&counter)?;
-            if now - since < quota.window + STALE_OWNERS {
+            if now - since < quota.window + OWNER_LIST_LAG {
                 return None;
             }
         }
-        let fresh = Window {
+        let new_window = Window {
             total: 0.0,
             started_at: now,
         };
-        let window = self.windows.entry(counter).or_insert(fresh);
+        let window = self.windows.entry(counter).or_insert(new_window);
         if now - window.started_at >= quota.window {
             *window = Window {
                 total: 0.0,
--- a/crates/aspendrum-proxy/src/disconnects.rs
+++ b/crates/aspendrum-proxy/src/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while their requests are in flight: what the proxy does about them, and how it checks itself.
+//! Handling of clients that disconnect while their requests are in flight, and a check that it is timely.
 
 use crate::session::ClientSession;
 use crate::state::ProxyState;
@@ -7,11 +7,11 @@
 use aspendrum_net::forward::{ForwardStage, Progress, RequestKind};
 use std::time::Duration;
 
-/// How long an execution may continue after its client disconnected: most end within this time, and their connections are kept. A crowd
-/// that leaves servers at their usual pace costs no new connections.
-const FINISH_WITHIN: Duration = Duration::from_millis(90);
+/// How long an idempotent request may keep running after its client disconnected. Most requests end within this time,
+/// so that their connections stay usable, and a wave of disconnects does not cause a wave of new connections.
+const IDEMPOTENT_ABORT_DELAY: Duration = Duration::from_millis(90);
 
-/// Looks whether clients with a request in flight are still there, and gives up what is done for those that have left.
+/// Detects clients that disconnected with a request in flight, and stops the work for them.
 pub(crate) fn check_clients(state: &ProxyState) {
     let sessions = state.sessions.in_flight();
     for session in state.disconnect_watcher.poll_disconnects(&sessions) {
@@ -26,26 +26,27 @@
         if let (Some(disconnected_for), Some(request)) =
             (disconnected_for, session.connection.request())
         {
-            follow_up(state, session, request, disconnected_for);
+            enforce_disconnect_deadline(state, session, request, disconnected_for);
         }
     }
 }
 
-/// A request's client has left.
+/// Handles the disconnect of a request's client.
 pub(crate) fn client_disconnected(state: &ProxyState, request: RequestId) {
     if let Some((kind, stage)) = state.dispatcher.client_disconnected(request) {
         state.disconnect_metrics.record_disconnect(kind, stage);
     }
 }
 
-/// What is due this long after a disconnect, and a check of the invariant that the request is over by then.
-fn follow_up(
+/// Aborts an idempotent request some time after its client disconnected, and records a violation if the request
+/// has not ended in time.
+fn enforce_disconnect_deadline(
     state: &ProxyState,
     session: &ClientSession,
     request: RequestId,
     disconnected_for: Duration,
 ) {
-    if disconnected_for >= FINISH_WITHIN {
+    if disconnected_for >= IDEMPOTENT_ABORT_DELAY {
         state.dispatcher.abort_idempotent(request);
     }
     let progress = state.dispatcher.progress(request);
@@ -59,11 +60,12 @@
         ended_ago,
     } = progress;
     let may_finish = (kind, stage) == (RequestKind::OnceOnly, ForwardStage::AtServer);
-    // A run that was let finish, and has just come back, ends a moment later.
-    let due_for = ended_ago.map_or(disconnected_for, |ended_ago| {
+    // A request that was allowed to finish is measured from the end of its attempt, since it takes a moment to
+    // complete.
+    let elapsed = ended_ago.map_or(disconnected_for, |ended_ago| {
         ended_ago.min(disconnected_for)
     });
-    if due_for > REACTION_DEADLINE && !may_finish && session.connection.mark_overdue() {
+    if elapsed > REACTION_DEADLINE && !may_finish && session.connection.mark_overdue() {
         state
             .disconnect_metrics
             .record_overdue(kind, stage, is_aborted);
--- a/crates/aspendrum-proxy/src/dispatcher/admission.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Requests that the decision engine decides of, and how their threads learn of its decisions.
+//! Requests scheduled by the decision engine, and the delivery of decisions to their threads.
 
 use super::configuration::ConfigSnapshot;
 use aspendrum_core::api::{Millis, NewRequest, RequestId, ServerId};
@@ -8,50 +8,50 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What is decided of a request.
+/// A decision on a request.
 #[derive(Debug)]
 pub enum RequestDecision {
-    /// It is to be sent to that server.
+    /// The request is to be sent to a server.
     Forward {
-        /// The number of this attempt, from 0.
+        /// The attempt number, starting at 0.
         attempt: u8,
         /// The server.
         server: ServerId,
     },
-    /// It is rejected.
+    /// The request is rejected.
     Shed {
-        /// When its client may come again; 0: not known.
+        /// The delay after which the client may retry, in milliseconds; 0 if unknown.
         retry_after: Millis,
-        /// It is beyond its tenant's quota.
+        /// Whether the request exceeds its tenant's quota.
         beyond_quota: bool,
     },
-    /// Nothing more can be done for it.
+    /// The request cannot be served any more.
     Drop,
-    /// It would be retried, and the budget of retries is spent.
+    /// The request would be retried, but the retry budget is exhausted.
     RetryBudgetSpent,
-    /// Its client has left: there is nobody to answer.
+    /// The client has disconnected, so no response is needed.
     ClientDisconnected,
 }
 
-/// A request, as the dispatcher needs it.
+/// A request to be admitted by the dispatcher.
 pub struct AdmissionRequest {
-    /// The number of its route in the configuration.
+    /// The index of the route in the configuration.
     pub route: usize,
-    /// The number of its service's pool.
+    /// The pool number of the service.
     pub pool: u16,
-    /// The number of its tenant in the configuration.
+    /// The index of the tenant in the configuration.
     pub tenant: Option<usize>,
-    /// Regions whose servers may run it, a bit each.
+    /// The regions whose servers may run the request, as a bit set of region numbers.
     pub regions: u64,
-    /// When its client gives up.
+    /// The time at which the client stops waiting.
     pub deadline: Instant,
-    /// Takes the decisions on it.
+    /// Receives the decisions on the request.
     pub decisions: MailboxSender<RequestDecision>,
-    /// Its attempts, as other threads see them.
+    /// Lets other threads observe and abort the request's attempts.
     pub forward_handle: Arc<ForwardHandle>,
 }
 
-/// A request whose thread waits for decisions.
+/// A request whose thread is waiting for decisions.
 struct PendingRequest {
     decisions: MailboxSender<RequestDecision>,
     forward_handle: Arc<ForwardHandle>,
@@ -61,12 +61,12 @@
 
 /// The next attempt of a request.
 pub(super) struct NextAttempt {
-    /// Its number, from 0.
+    /// The attempt number, starting at 0.
     pub(super) number: u8,
     pub(super) pool: u16,
 }
 
-/// All requests whose threads wait for decisions.
+/// All requests whose threads are waiting for decisions.
 pub(super) struct PendingRequests {
     requests: HashMap<RequestId, PendingRequest>,
     next_id: RequestId,
@@ -83,12 +83,12 @@
 }
 
 impl PendingRequests {
-    /// The number that the next request gets.
+    /// Returns the id of the next inserted request.
     pub(super) fn next_id(&self) -> RequestId {
         self.next_id
     }
 
-    /// Enters a request under the next number.
+    /// Inserts a request and returns its id.
     pub(super) fn insert(&mut self, request: AdmissionRequest) -> RequestId {
         let id = self.next_id;
         self.next_id += 1;
@@ -120,7 +120,7 @@
             .map(|request| &*request.forward_handle)
     }
 
-    /// Counts one more attempt of a request.
+    /// Starts the next attempt of a request.
     pub(super) fn next_attempt(&mut self, id: RequestId) -> Option<NextAttempt> {
         let request = self.requests.get_mut(&id)?;
         let next = NextAttempt {
@@ -131,42 +131,42 @@
         Some(next)
     }
 
-    /// Tells a request's thread of a decision.
+    /// Sends a decision to a request's thread.
     pub(super) fn notify(&self, id: RequestId, decision: RequestDecision) {
         if let Some(request) = self.requests.get(&id) {
-            // A full mailbox means that nobody reads decisions there any more.
+            // A full mailbox means that its thread no longer reads decisions.
             let _ = request.decisions.try_send(decision);
         }
     }
 }
 
-/// The request as an event for the decision engine. `quota_sharers`: among so many the tenant's quota is divided while its
-/// counter does not answer.
+/// Returns the request as an event for the decision engine. `quota_divisor` gives this proxy's share of the tenant's
+/// quota while the counter does not answer.
 pub(super) fn new_request(
     id: RequestId,
     deadline: Millis,
     snapshot: &ConfigSnapshot,
     request: &AdmissionRequest,
-    quota_sharers: f32,
+    quota_divisor: f32,
 ) -> NewRequest {
     let tenant = request
         .tenant
         .map(|tenant| snapshot.tenant(tenant))
         .unwrap_or_default();
-    let tries = snapshot.config.routes[request.route].max_attempts;
+    let max_attempts = snapshot.config.routes[request.route].max_attempts;
     NewRequest {
         id,
         group: snapshot.group(request.route),
         deadline,
         tenant: tenant.id,
         plan: tenant.plan,
-        instances: quota_sharers,
+        instances: quota_divisor,
         units: 1.0,
         first_instance: 0.0,
         is_client_retry: false,
         is_write: false,
         pool: request.pool,
         allowed_zones: request.regions,
-        max_attempts: tries.min(u32::from(u8::MAX)) as u8,
+        max_attempts: max_attempts.min(u32::from(u8::MAX)) as u8,
     }
 }
--- a/crates/aspendrum-proxy/src/dispatcher/attempt.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/attempt.rs
@@ -1,22 +1,22 @@
-//! Attempts to run requests at servers: whether one may start now, and how its end is reported to the decision engine.
+//! Upstream attempts: whether an attempt may start, and how its result is reported to the decision engine.
 
 use super::admission::{PendingRequests, RequestDecision};
 use crate::endpoints::EndpointSet;
 use aspendrum_core::api::{Event, LoadReport, Millis, Outcome, RequestId, ServerEntry, ServerId};
 
-/// How an attempt ended.
+/// The result of an upstream attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// Whether it succeeded, and whether it may have run.
+    /// Whether the attempt succeeded, and if not, whether the request may have run.
     pub outcome: Outcome,
-    /// Its round-trip time.
+    /// The round-trip time in milliseconds.
     pub rtt: Millis,
-    /// The load that the server reported with its answer.
+    /// The load reported in the server's response.
     pub load: LoadReport,
 }
 
 impl AttemptResult {
-    /// It never left.
+    /// The result of an attempt whose request was never sent.
     pub const NOT_SENT: AttemptResult = AttemptResult {
         outcome: Outcome::NotSent,
         rtt: 0.0,
@@ -26,8 +26,8 @@
         },
     };
 
-    /// As an event for the decision engine. `is_final`: the request is over;
-    /// `actual_units`: what was spent on it.
+    /// Returns the result as an event for the decision engine. `is_final` marks the last attempt of the
+    /// request, and `actual_units` is the number of units consumed.
     pub(super) fn event(
         &self,
         id: RequestId,
@@ -51,16 +51,16 @@
     }
 }
 
-/// What follows from an attempt that the decision engine wants.
+/// The effects of an attempt requested by the decision engine.
 #[derive(Default)]
 pub(super) struct StartedAttempt {
-    /// The server's health changed for the decision engine.
-    pub(super) change: Option<ServerEntry>,
-    /// The end of an attempt that did not start.
+    /// The health change of the server to report to the decision engine.
+    pub(super) health_change: Option<ServerEntry>,
+    /// The result of an attempt that was not started.
     pub(super) not_sent: Option<Event<'static>>,
 }
 
-/// Lets an attempt start, if its server may be used and, for a retry, the budget of retries allows it.
+/// Starts an attempt if its server is usable and, for a retry, the retry budget has room.
 pub(super) fn start_attempt(
     now: Millis,
     id: RequestId,
@@ -72,7 +72,7 @@
         return StartedAttempt::default();
     };
     let reservation = endpoints.reserve(now, server);
-    let change = reservation.change;
+    let health_change = reservation.health_change;
     let is_retry = next.number > 0;
     let budget_spent = reservation.granted && is_retry && !endpoints.reserve_retry(now, next.pool);
     if reservation.granted && !budget_spent {
@@ -84,17 +84,17 @@
             },
         );
         return StartedAttempt {
-            change,
+            health_change,
             not_sent: None,
         };
     }
     if budget_spent {
         requests.notify(id, RequestDecision::RetryBudgetSpent);
     }
-    // Without the budget for it the request is over.
+    // A request without retry budget gets no further attempt.
     let not_sent = AttemptResult::NOT_SENT.event(id, next.number, server, budget_spent, 0);
     StartedAttempt {
-        change,
+        health_change,
         not_sent: Some(not_sent),
     }
 }
--- a/crates/aspendrum-proxy/src/dispatcher/configuration.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration as requests read it, and the tables that the decision engine needs for it.
+//! The configuration snapshot used by requests, and the decision engine's tables built from it.
 
 use super::engine::{default_group, quota_plan};
 use crate::counter::{CounterId, Quota};
@@ -8,22 +8,22 @@
 use aspendrum_reconcile::state_digest;
 use std::collections::HashMap;
 
-/// A configuration that is in force, and the decision engine's numbers for its parts.
+/// The active configuration with the decision engine's numbers for its routes, tenants and services.
 pub struct ConfigSnapshot {
     /// The configuration.
     pub config: Config,
-    /// The number of each service's pool.
+    /// The pool number of each service.
     pub pools: HashMap<String, u16>,
-    /// Regions in which each route's requests may be served, a bit each.
+    /// The regions in which each route's requests may be served, as a bit set of region numbers.
     pub route_regions: Vec<u64>,
-    /// Regions in which each tenant's requests may be served, a bit each.
+    /// The regions in which each tenant's requests may be served, as a bit set of region numbers.
     pub tenant_regions: Vec<u64>,
-    /// The group of each route.
+    /// The decision engine's group of each route.
     pub(super) groups: Vec<u16>,
     pub(super) tenants: Vec<TenantNumbers>,
 }
 
-/// A tenant as the decision engine numbers it; both are 0 for requests without a tenant.
+/// The decision engine's numbers for a tenant; both are 0 for requests without a tenant.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TenantNumbers {
     pub(super) id: TenantId,
@@ -31,7 +31,7 @@
 }
 
 impl ConfigSnapshot {
-    /// Whether that configuration is newer, or another one under the same version.
+    /// Whether `config` is newer than this configuration, or has the same version and a different content.
     pub(super) fn is_superseded_by(&self, config: &Config) -> bool {
         let digest = |config: &Config| state_digest(Some(config), 0, &[]);
         let is_newer = config.version > self.config.version;
@@ -47,7 +47,8 @@
     }
 }
 
-/// The regions that the settings know of these, a bit each; all where none is named.
+/// Returns the bit set of the given regions. Regions missing from the settings are ignored; an empty list means
+/// all regions.
 pub(super) fn region_bits(settings: &Settings, regions: &[String]) -> u64 {
     if regions.is_empty() {
         return u64::MAX;
@@ -58,16 +59,18 @@
     numbers.fold(0, |bits, number| bits | 1 << number)
 }
 
-/// Routes that the decision engine treats alike share a group. Numbers are compared by their bits.
+/// The route settings that determine a group. Routes with equal settings share a group; floating-point values
+/// are compared by their bits.
 #[derive(PartialEq, Eq, Hash)]
 struct GroupKey {
-    goal: u64,
-    limit: u64,
+    latency_target: u64,
+    timeout: u64,
     idempotent: bool,
     priority: u64,
 }
 
-/// The decision engine's groups and plans. They only ever grow: numbers stay valid for requests in flight.
+/// The decision engine's groups and plans. Entries are never removed, so that the numbers held by requests in
+/// flight stay valid.
 pub(super) struct EngineTables {
     pub(super) groups: Vec<GroupSettings>,
     pub(super) plans: Vec<PlanSettings>,
@@ -76,7 +79,7 @@
 }
 
 impl Default for EngineTables {
-    /// The first group and the first plan are for what has none.
+    /// The first group and the first plan are the defaults for requests without a route or a tenant.
     fn default() -> EngineTables {
         EngineTables {
             groups: vec![default_group()],
@@ -88,11 +91,11 @@
 }
 
 impl EngineTables {
-    /// The group of a route.
-    pub(super) fn group(&mut self, route: &Route) -> u16 {
+    /// Returns the number of the group for a route, adding the group if needed.
+    pub(super) fn group_number(&mut self, route: &Route) -> u16 {
         let key = GroupKey {
-            goal: route.latency_target_ms.to_bits(),
-            limit: route.timeout_ms.to_bits(),
+            latency_target: route.latency_target_ms.to_bits(),
+            timeout: route.timeout_ms.to_bits(),
             idempotent: route.idempotent,
             priority: route.priority.to_bits(),
         };
@@ -101,7 +104,8 @@
         }
         let number = self.groups.len() as u16;
         self.groups.push(GroupSettings {
-            // Late answers have their value: servers are not left idle for a latency target that cannot be met.
+            // A late response still has its value, so the engine's target is the timeout: with a latency target that
+            // cannot be met it would leave servers idle.
             latency_target: route.timeout_ms,
             hard_limit: route.timeout_ms,
             semantics: if route.idempotent {
@@ -116,8 +120,8 @@
         number
     }
 
-    /// The plan of a tenant, which now has that quota.
-    pub(super) fn plan(&mut self, tenant: &str, quota: &Quota) -> u32 {
+    /// Sets the quota of a tenant's plan and returns the plan's number.
+    pub(super) fn set_plan(&mut self, tenant: &str, quota: &Quota) -> u32 {
         let next = self.plans.len() as u32;
         let number = *self.plan_numbers.entry(tenant.to_string()).or_insert(next);
         let plan = quota_plan(quota.rate, quota.burst);
@@ -129,7 +133,7 @@
     }
 }
 
-/// The decision engine's id of a tenant: its counter's.
+/// Returns the decision engine's id of a tenant, which is the id of its counter.
 pub(super) fn tenant_id(tenant: &str) -> TenantId {
     CounterId::of_tenant(tenant).0
 }
--- a/crates/aspendrum-proxy/src/dispatcher/counters.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/counters.rs
@@ -1,5 +1,5 @@
-//! Tenants' counters as the decision engine uses them: those of this proxy are added to at once, the others by a call to
-//! their owner.
+//! The decision engine's access to tenant counters: counters owned by this proxy are updated locally, all others
+//! by a call to their owner.
 
 use crate::counter::{
     CounterCall, CounterClient, CounterHandover, CounterId, CounterMessage, CounterSocket,
@@ -10,14 +10,15 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// Of its even share of a quota, what a proxy spends without its counter's answer: the counter's last window may have
-/// been spent just before.
-const LOCAL_SHARE: f64 = 0.75;
-/// The others may consider a proxy without contact to control as failed, and divide the whole quota among themselves. It spends
-/// so much of its even share: with a sixth of the proxies cut off that stays within the quota's tolerance.
-const CONTROL_SILENT_SHARE: f64 = 0.4;
+/// The fraction of its even share of a quota that a proxy grants while the counter does not answer. It is below 1
+/// because the counter's last window may have been used up immediately before.
+const LOCAL_QUOTA_SHARE: f64 = 0.75;
+/// The same fraction while control is unreachable. The other proxies may then consider this one failed and divide
+/// the whole quota among themselves: with a sixth of the proxies isolated, the total stays within the quota's
+/// tolerance.
+const ISOLATED_QUOTA_SHARE: f64 = 0.4;
 
-/// How a call to a counter ended, at this proxy or at another.
+/// The result of adding to a counter, local or remote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct CounterResult {
     engine_name: u64,
@@ -27,8 +28,8 @@
 }
 
 impl CounterResult {
-    /// The end of a call to another proxy.
-    pub(super) fn of_call(
+    /// Returns the result of a call to another proxy.
+    pub(super) fn from_call(
         now: Millis,
         call: &CounterCall,
         outcome: Outcome,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// As an event for the decision engine.
+    /// Returns the result as an event for the decision engine.
     pub(super) fn event(&self) -> Event<'static> {
         let CounterResult {
             engine_name: name,
@@ -59,24 +60,24 @@
     }
 }
 
-/// What follows from a datagram of another proxy.
-pub(super) enum Received {
-    /// An answer to it.
+/// The effect of a datagram from another proxy.
+pub(super) enum ReceiveOutcome {
+    /// A reply must be sent.
     Reply(CounterMessage),
-    /// A call of ours has ended.
+    /// A call made by this proxy has finished.
     Finished(CounterResult),
-    /// Nothing.
+    /// The datagram has no effect that needs handling.
     Ignored,
 }
 
-/// The counters of this proxy, and the calls to others'.
+/// The counters owned by this proxy, and the calls to counters owned by others.
 pub(super) struct Counters {
     client: CounterClient,
     store: CounterStore,
     lease: OwnerLease,
     socket: Arc<CounterSocket>,
     local_ip: Ipv4Addr,
-    control_silent: bool,
+    control_unreachable: bool,
 }
 
 impl Counters {
@@ -88,20 +89,25 @@
             lease: OwnerLease::default(),
             socket,
             local_ip,
-            control_silent: false,
+            control_unreachable: false,
         }
     }
 
-    /// Adds to the counter that the decision engine names. `None`: its owner was asked, and the answer follows.
+    /// Adds to a counter. `engine_name` is the decision engine's name for the counter. Returns `None` if a call
+    /// to the counter's owner was started, whose result follows later.
     pub(super) fn add(
         &mut self,
         now: Millis,
         engine_name: u64,
         amount: f32,
     ) -> Option<CounterResult> {
-        // The module's name holds a window of its own; the owner has its own windows.
+        // The engine's name includes a window number; the owner maintains its own windows.
         let counter = CounterId::of_engine_name(engine_name);
-        let total = match self.client.owner(counter).filter(|_| !self.control_silent) {
+        let total = match self
+            .client
+            .owner(counter)
+            .filter(|_| !self.control_unreachable)
+        {
             Some(owner) if owner != self.local_ip => {
                 let call = self.client.start_call(now, owner, engine_name);
                 self.socket.send(
@@ -114,7 +120,7 @@
                 );
                 return None;
             }
-            Some(_) => self.add_as_owner(now, counter, amount),
+            Some(_) => self.add_owned(now, counter, amount),
             None => None,
         };
         let (outcome, total) = match total {
@@ -129,26 +135,27 @@
         })
     }
 
-    /// `None`: nothing may be granted from it now.
-    fn add_as_owner(&mut self, now: Millis, counter: CounterId, amount: f32) -> Option<f32> {
+    /// Adds to a counter owned by this proxy. Returns `None` if the counter may not grant anything now.
+    fn add_owned(&mut self, now: Millis, counter: CounterId, amount: f32) -> Option<f32> {
         if !self.lease.is_valid(now) {
             return None;
         }
         self.store.add(now, counter, amount)
     }
 
-    /// Control has certainly heard this proxy: its agent has said so when it was asked then.
-    pub(super) fn renew_lease(&mut self, asked_at: Millis) {
-        self.lease.renew(asked_at);
+    /// Extends the owner lease: the agent has confirmed contact with control in reply to a heartbeat sent at
+    /// `heartbeat_sent_at`.
+    pub(super) fn renew_lease(&mut self, heartbeat_sent_at: Millis) {
+        self.lease.renew(heartbeat_sent_at);
     }
 
-    /// A datagram of another proxy.
+    /// Handles a datagram from another proxy.
     pub(super) fn receive(
         &mut self,
         now: Millis,
         from: Ipv4Addr,
         message: CounterMessage,
-    ) -> Received {
+    ) -> ReceiveOutcome {
         match message {
             CounterMessage::Add {
                 call,
@@ -156,7 +163,7 @@
                 amount,
             } if amount.is_finite() => {
                 self.lease.record_call(now, from);
-                Received::Reply(match self.add_as_owner(now, counter, amount) {
+                ReceiveOutcome::Reply(match self.add_owned(now, counter, amount) {
                     Some(total) => CounterMessage::Total { call, total },
                     None => CounterMessage::Unavailable { call },
                 })
@@ -169,9 +176,9 @@
             }
             CounterMessage::Handover(handover) => {
                 self.store.accept_handover(now, handover);
-                Received::Ignored
+                ReceiveOutcome::Ignored
             }
-            CounterMessage::Add { .. } | CounterMessage::Total { .. } => Received::Ignored,
+            CounterMessage::Add { .. } | CounterMessage::Total { .. } => ReceiveOutcome::Ignored,
         }
     }
 
@@ -182,14 +189,16 @@
         call: u32,
         outcome: Outcome,
         total: f32,
-    ) -> Received {
+    ) -> ReceiveOutcome {
         match self.client.finish_call(now, from, call) {
-            Some(call) => Received::Finished(CounterResult::of_call(now, &call, outcome, total)),
-            None => Received::Ignored,
+            Some(call) => {
+                ReceiveOutcome::Finished(CounterResult::from_call(now, &call, outcome, total))
+            }
+            None => ReceiveOutcome::Ignored,
         }
     }
 
-    /// Calls whose time-out is over.
+    /// Removes and returns the calls that have timed out.
     pub(super) fn expire_calls(&mut self, now: Millis) -> Vec<CounterCall> {
         self.client.expire_calls(now)
     }
@@ -201,8 +210,8 @@
             .set_quotas(quotas, |counter| client.owner(counter) == Some(local_ip));
     }
 
-    /// Replaces the proxies that may own counters, and hands over what others own now. Returns the calls to proxies that
-    /// are gone.
+    /// Replaces the proxies that may own counters, and hands over the counters that other proxies own from now on.
+    /// Returns the calls to proxies that were removed.
     pub(super) fn set_owners(&mut self, now: Millis, owners: Vec<Ipv4Addr>) -> Vec<CounterCall> {
         let others = owners.iter().copied().filter(|ip| *ip != self.local_ip);
         self.lease.set_others(&others.collect::<Vec<_>>());
@@ -225,17 +234,19 @@
         }
     }
 
-    /// While control is unreachable, others may consider this proxy as failed: it asks no owner. Returns whether that changed.
-    pub(super) fn set_control_silent(&mut self, is_silent: bool) -> bool {
-        std::mem::replace(&mut self.control_silent, is_silent) != is_silent
+    /// Sets whether control is unreachable. If it is, no counter is used, local or remote, since the other
+    /// proxies may consider this one failed. Returns whether the value changed.
+    pub(super) fn set_control_unreachable(&mut self, is_unreachable: bool) -> bool {
+        std::mem::replace(&mut self.control_unreachable, is_unreachable) != is_unreachable
     }
 
-    /// Among how many a tenant's quota is divided while its counter does not answer, out of so many proxies.
-    pub(super) fn quota_sharers(&self, proxies: usize) -> f32 {
-        let share = if self.control_silent {
-            CONTROL_SILENT_SHARE
+    /// Returns the divisor that gives this proxy's share of a tenant's quota while the counter does not answer.
+    /// `proxies` is the number of proxies.
+    pub(super) fn quota_divisor(&self, proxies: usize) -> f32 {
+        let share = if self.control_unreachable {
+            ISOLATED_QUOTA_SHARE
         } else {
-            LOCAL_SHARE
+            LOCAL_QUOTA_SHARE
         };
         (proxies as f64 / share) as f32
     }
--- a/crates/aspendrum-proxy/src/dispatcher/engine.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/engine.rs
@@ -1,17 +1,18 @@
-//! How the decision engine is set up in a proxy. Its zones are the system's regions.
+//! Settings of the decision engine in a proxy. The engine's zones are the regions of the deployment.
 
 use aspendrum_core::api::{
     GroupSettings, LoadReportChannel, LoadValue, Millis, PlanSettings, RepeatGroup, Semantics,
     Settings,
 };
 
-/// How often the decision engine's timer runs.
+/// The interval of the decision engine's timer, in milliseconds.
 pub const TICK_MS: Millis = 5.0;
-/// The module sends to a server what answers have paid back; so many limiters share the initial credit. With more, a few
-/// servers' initial credits hold requests up at a proxy that sees a tenth of the traffic.
-const CREDIT_SHARERS: u32 = 2;
+/// The number of instances among which the engine divides a server's initial credit. Responses replenish the
+/// credit afterwards. With a larger number, a proxy with a tenth of the traffic delays requests while it has
+/// only the initial credit of a few servers.
+const INITIAL_CREDIT_INSTANCES: u32 = 2;
 
-/// The group of requests that no route names.
+/// Returns the settings of the group used for requests without a group of their own.
 pub(super) fn default_group() -> GroupSettings {
     GroupSettings {
         latency_target: 400.0,
@@ -25,7 +26,7 @@
     }
 }
 
-/// A plan with a quota and nothing beyond it.
+/// Returns a plan that has a quota and no other limit.
 pub(super) fn quota_plan(rate: f64, burst: f64) -> PlanSettings {
     PlanSettings {
         is_windowed: true,
@@ -41,11 +42,11 @@
     }
 }
 
-/// The decision engine's settings in a proxy of that region.
+/// Returns the decision engine's settings for a proxy in the given region.
 pub(super) fn engine_settings(region: u8) -> Settings {
     Settings {
         instance: 0,
-        instances: CREDIT_SHARERS,
+        instances: INITIAL_CREDIT_INSTANCES,
         zone: region,
         tick: TICK_MS,
         groups: vec![default_group()],
--- a/crates/aspendrum-proxy/src/dispatcher/mod.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/mod.rs
@@ -1,7 +1,7 @@
-//! The dispatcher: the decision engine, the endpoints that it may use, the counters and the requests in flight, behind
-//! one lock. Each thread reports what happened and goes on; nothing under the lock waits for anything.
+//! The dispatcher: the decision engine, the available endpoints, the counters and the requests in flight, behind one
+//! lock. Threads report events to it and return at once; no operation blocks while holding the lock.
 //!
-//! [`Dispatcher`] owns the lock; `state` composes what stands behind it out of the parts that the other modules hold.
+//! [`Dispatcher`] owns the lock, and `state` combines the components behind it.
 
 mod admission;
 mod attempt;
@@ -32,13 +32,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// The decision engine's clock does not begin at 0, which means "long ago" to it.
+/// The start value of the decision engine's clock. It is above 0 because the engine treats 0 as long ago.
 const CLOCK_START: Millis = 1000.0;
 
-/// Each attempt costs one unit.
+/// The units consumed by one attempt.
 const ATTEMPT_UNITS: u16 = 1;
 
-/// Where a server is reached, and what it is called.
+/// The address and the uid of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerAddress {
     /// The address to connect to.
@@ -47,29 +47,29 @@
     pub uid: String,
 }
 
-/// What a health check asks.
+/// The server and the path of a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthCheckTarget {
     /// The server.
     pub server: ServerAddress,
-    /// The path that its service names for health checks.
+    /// The health check path of the server's service.
     pub path: String,
 }
 
-/// What a health check found.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthCheckResult {
-    /// How it ended.
+    /// The outcome of the check.
     pub outcome: Outcome,
-    /// Its round-trip time.
+    /// The round-trip time in milliseconds.
     pub rtt: Millis,
     /// The load that the server reported.
     pub load: LoadReport,
-    /// How much of its slow start the server reported as left, in milliseconds.
+    /// The remaining slow start reported by the server, in milliseconds.
     pub slow_start_left: Option<Millis>,
 }
 
-/// Decides of requests and keeps what decisions rest on.
+/// Schedules requests on servers, and keeps the state that scheduling depends on.
 pub struct Dispatcher {
     state: Mutex<DispatcherState>,
     snapshot: Mutex<Option<Arc<ConfigSnapshot>>>,
@@ -79,7 +79,7 @@
 }
 
 impl Dispatcher {
-    /// Nothing is known yet. `socket`: bound to the counter port.
+    /// Creates a dispatcher without any configuration. `socket` is bound to the counter port.
     pub fn new(settings: &Settings, socket: UdpSocket) -> Dispatcher {
         let counter_socket = Arc::new(CounterSocket::new(socket, settings));
         Dispatcher {
@@ -95,12 +95,12 @@
         }
     }
 
-    /// The configuration that is in force; `None` before the first.
+    /// Returns the active configuration, or `None` before the first one.
     pub fn snapshot(&self) -> Option<Arc<ConfigSnapshot>> {
         lock(&self.snapshot).clone()
     }
 
-    /// The socket over which other proxies are answered.
+    /// Returns the socket for counter datagrams.
     pub fn counter_socket(&self) -> &CounterSocket {
         &self.counter_socket
     }
@@ -117,34 +117,35 @@
         self.clock_at(Instant::now())
     }
 
-    /// A request came. Decisions on it follow; the first may be there at once.
+    /// Admits a request and returns its id. The decisions on it are sent to its mailbox, the first possibly before
+    /// this function returns.
     pub fn admit(&self, snapshot: &ConfigSnapshot, request: AdmissionRequest) -> RequestId {
         let now = self.now();
         let deadline = self.clock_at(request.deadline);
         lock(&self.state).admit(now, deadline, snapshot, request)
     }
 
-    /// An attempt has ended. `is_answered`: the request is over by it.
+    /// Records the result of an attempt. `is_final` means that the request is completed by it.
     pub fn finish_attempt(
         &self,
         id: RequestId,
         attempt: u8,
         server: ServerId,
         result: AttemptResult,
-        is_answered: bool,
+        is_final: bool,
     ) {
         let now = self.now();
         let mut state = lock(&self.state);
         state.dispatch(
             now,
-            &result.event(id, attempt, server, is_answered, ATTEMPT_UNITS),
+            &result.event(id, attempt, server, is_final, ATTEMPT_UNITS),
         );
-        if is_answered {
+        if is_final {
             state.requests.remove(id);
         }
     }
 
-    /// The request needs no decision any more.
+    /// Removes a request that needs no further decisions.
     pub fn finish_request(&self, id: RequestId) {
         let now = self.now();
         let mut state = lock(&self.state);
@@ -152,8 +153,8 @@
         state.dispatch(now, &Event::ClientDisconnected { id });
     }
 
-    /// The request's client has left: nothing more is sent for it. Returns how far the request had come; `None`: it is
-    /// over.
+    /// Handles the disconnect of a request's client: nothing more is forwarded for the request. Returns the stage
+    /// that the request had reached, or `None` if it has already finished.
     pub fn client_disconnected(&self, id: RequestId) -> Option<(RequestKind, ForwardStage)> {
         let now = self.now();
         let mut state = lock(&self.state);
@@ -166,14 +167,14 @@
         Some((kind, stage))
     }
 
-    /// The request's client has left a while ago: a run that may be repeated is aborted.
+    /// Aborts the running attempt of an idempotent request whose client has disconnected.
     pub fn abort_idempotent(&self, id: RequestId) {
         if let Some(handle) = lock(&self.state).requests.forward_handle(id) {
             handle.abort_idempotent();
         }
     }
 
-    /// How far a request has come. `None`: it is over.
+    /// Returns the progress of a request, or `None` if it has finished.
     pub fn progress(&self, id: RequestId) -> Option<(RequestKind, Progress)> {
         let state = lock(&self.state);
         state
@@ -182,7 +183,7 @@
             .map(|handle| (handle.kind, handle.progress()))
     }
 
-    /// Where a server is reached.
+    /// Returns the address of a server.
     pub fn server_address(&self, id: ServerId) -> Option<ServerAddress> {
         let state = lock(&self.state);
         state.endpoints.get(id).map(|endpoint| ServerAddress {
@@ -191,7 +192,7 @@
         })
     }
 
-    /// What a health check of that server asks; `None` if the server or its service is not known.
+    /// Returns the target of a server's health check, or `None` if the server or its service is unknown.
     pub fn health_check_target(&self, id: ServerId) -> Option<HealthCheckTarget> {
         let (server, service) = {
             let state = lock(&self.state);
@@ -212,7 +213,7 @@
         Some(HealthCheckTarget { server, path })
     }
 
-    /// A health check has ended.
+    /// Records the result of a health check.
     pub fn record_health_check(&self, server: ServerId, result: &HealthCheckResult) {
         let HealthCheckResult {
             outcome,
@@ -236,13 +237,13 @@
         );
     }
 
-    /// Does what is due; to be called every [`TICK_MS`]. Returns the servers whose health is to be checked.
+    /// Runs the periodic work and must be called every [`TICK_MS`]. Returns the servers whose health must be checked.
     pub fn tick(&self) -> Vec<ServerId> {
         let now = self.now();
         lock(&self.state).tick(now)
     }
 
-    /// A datagram of another proxy came. Returns the answer to it, if it asks for one.
+    /// Handles a datagram from another proxy. Returns the reply, if one is due.
     pub fn receive_counter_message(
         &self,
         from: Ipv4Addr,
@@ -252,7 +253,7 @@
         lock(&self.state).receive_counter_message(now, from, message)
     }
 
-    /// Applies one section of what control has decided.
+    /// Applies one section of the state decided by control.
     pub fn apply(&self, section: StateSection) {
         let now = self.now();
         match section {
@@ -266,7 +267,7 @@
             } => {
                 match Config::read(&decompress(&compressed_text).unwrap_or_default()) {
                     Ok(config) => self.apply_config(config),
-                    // Control checked it by the same reader.
+                    // Control validates each configuration with the same parser, so this is not expected.
                     Err(fault) => {
                         log::error!("event=config_unreadable version={version:08x} why=\"{fault}\"")
                     }
@@ -276,11 +277,11 @@
                 lock(&self.state).apply_evacuation(now, revision, &zones)
             }
             StateSection::Servers { age_ms, list } => {
-                let locate = |zone: &str| ZoneLocation::of(zone, &self.settings);
+                let locate = |zone: &str| ZoneLocation::new(zone, &self.settings);
                 lock(&self.state).apply_servers(now, f64::from(age_ms), list, locate);
             }
             StateSection::Proxies(proxies) => {
-                let addresses = ProxyAddresses::of(&proxies);
+                let addresses = ProxyAddresses::from_endpoints(&proxies);
                 lock(&self.state).apply_proxies(now, addresses);
             }
             StateSection::Control(_) => {}
@@ -289,10 +290,11 @@
 
     fn apply_config(&self, config: Config) {
         let mut state = lock(&self.state);
-        let rebuilds = std::mem::take(&mut state.rebuilds_tables);
-        let is_in_force =
-            |snapshot: Arc<ConfigSnapshot>| !rebuilds && !snapshot.is_superseded_by(&config);
-        if self.snapshot().is_some_and(is_in_force) {
+        let rebuild_requested = std::mem::take(&mut state.rebuild_requested);
+        let is_unchanged = |snapshot: Arc<ConfigSnapshot>| {
+            !rebuild_requested && !snapshot.is_superseded_by(&config)
+        };
+        if self.snapshot().is_some_and(is_unchanged) {
             return;
         }
         let snapshot = state.apply_config(config, &self.settings);
@@ -301,45 +303,50 @@
         *lock(&self.snapshot) = Some(Arc::new(snapshot));
     }
 
-    /// Control has heard this proxy, by an answer to a question that was sent at that time.
-    pub fn renew_owner_lease(&self, asked_at: Instant) {
-        let asked_at = self.clock_at(asked_at);
-        lock(&self.state).counters.renew_lease(asked_at);
+    /// Extends the owner lease: the agent has confirmed contact with control in reply to a heartbeat sent at
+    /// `heartbeat_sent_at`.
+    pub fn renew_owner_lease(&self, heartbeat_sent_at: Instant) {
+        let heartbeat_sent_at = self.clock_at(heartbeat_sent_at);
+        lock(&self.state).counters.renew_lease(heartbeat_sent_at);
     }
 
-    /// Control was heard of lately, or not.
-    pub fn set_control_silent(&self, is_silent: bool) {
-        if lock(&self.state).counters.set_control_silent(is_silent) {
+    /// Sets whether control is unreachable from this proxy.
+    pub fn set_control_unreachable(&self, is_unreachable: bool) {
+        if lock(&self.state)
+            .counters
+            .set_control_unreachable(is_unreachable)
+        {
             log::info!(
                 "event=control_{}",
-                if is_silent { "silent" } else { "heard" }
+                if is_unreachable { "silent" } else { "heard" }
             );
         }
     }
 
-    /// All that is needed to take requests is known.
+    /// Whether the configuration, the servers and the proxies are known, so that requests can be served.
     pub fn is_configured(&self) -> bool {
         let state = lock(&self.state);
-        // Without the list of proxies each would take the whole of every quota for its share.
-        self.snapshot().is_some() && state.proxies_known && !state.endpoints.is_empty()
+        // Without the list of proxies, each proxy would use the whole of every quota.
+        self.snapshot().is_some() && state.has_proxy_list && !state.endpoints.is_empty()
     }
 
-    /// A digest of what is in force, computed from the tables that requests go by.
+    /// Returns the digest of the active state, computed from the tables that requests use.
     pub fn applied(&self) -> StateDigest {
-        let (order, zones) = {
+        let (revision, zones) = {
             let state = lock(&self.state);
-            (state.evacuation_order, state.endpoints.evacuated_zones())
+            (state.evacuation_revision, state.endpoints.evacuated_zones())
         };
         state_digest(
             self.snapshot().as_ref().map(|snapshot| &snapshot.config),
-            order,
+            revision,
             &zones,
         )
     }
 
-    /// The tables are built again from the next configuration that comes, whatever its version. Until then they serve on.
+    /// Requests that the tables are rebuilt from the next configuration received, regardless of its version. The
+    /// current tables remain in use until then.
     pub fn rebuild_tables(&self) {
         log::warn!("event=tables_rebuilt");
-        lock(&self.state).rebuilds_tables = true;
+        lock(&self.state).rebuild_requested = true;
     }
 }
--- a/crates/aspendrum-proxy/src/dispatcher/proxies.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/proxies.rs
@@ -1,18 +1,19 @@
-//! The proxies that share the work, out of the list that control sends.
+//! Addresses of the active proxies, taken from the list sent by control.
 
 use aspendrum_model::message::ProxyEndpoint;
 use std::net::Ipv4Addr;
 
-/// Addresses of proxies, sorted, each once.
+/// Sorted proxy addresses without duplicates.
 pub(super) struct ProxyAddresses {
-    /// Those that are ready, or about to be: after a start of all, nobody is ready yet, and each has its share already.
+    /// All listed proxies, including those that are about to become ready. After a restart of the whole fleet no
+    /// proxy is ready yet, but each already counts for the division of quotas.
     pub(super) all: Vec<Ipv4Addr>,
-    /// Those that are ready: they own counters.
+    /// The proxies that are ready and therefore may own counters.
     pub(super) ready: Vec<Ipv4Addr>,
 }
 
 impl ProxyAddresses {
-    pub(super) fn of(proxies: &[ProxyEndpoint]) -> ProxyAddresses {
+    pub(super) fn from_endpoints(proxies: &[ProxyEndpoint]) -> ProxyAddresses {
         let all = sorted(proxies.iter());
         let ready = sorted(proxies.iter().filter(|proxy| proxy.is_ready()));
         ProxyAddresses { all, ready }
--- a/crates/aspendrum-proxy/src/dispatcher/state.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/state.rs
@@ -1,10 +1,10 @@
-//! What stands behind the dispatcher's lock: the decision engine, and the parts that its events come from and its actions
-//! go to.
+//! The state behind the dispatcher's lock: the decision engine, and the components that produce its events and
+//! execute its actions.
 
 use super::admission::{new_request, AdmissionRequest, PendingRequests, RequestDecision};
 use super::attempt::start_attempt;
 use super::configuration::{region_bits, tenant_id, ConfigSnapshot, EngineTables, TenantNumbers};
-use super::counters::{CounterResult, Counters, Received};
+use super::counters::{CounterResult, Counters, ReceiveOutcome};
 use super::engine::engine_settings;
 use super::proxies::ProxyAddresses;
 use crate::counter::{CounterId, CounterMessage, CounterSocket, Quota, QuotaTolerance};
@@ -20,31 +20,31 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// How often endpoints' health is looked at.
-const REFRESH_EVERY: Millis = 20.0;
+/// The interval at which the health of all endpoints is recomputed, in milliseconds.
+const ENDPOINT_REFRESH_INTERVAL: Millis = 20.0;
 
 /// The state of a dispatcher.
 pub(super) struct DispatcherState {
     engine: DecisionEngine,
-    /// The engine's actions, kept for their memory.
+    /// A reusable buffer for the engine's actions.
     actions: Vec<Action>,
-    /// Events that follow from actions: they come once the actions are carried out.
+    /// Events produced by actions, handled after all actions of the current event have been executed.
     deferred: Vec<Event<'static>>,
-    /// Endpoints whose health changed, until the engine is told.
-    changes: Vec<ServerEntry>,
-    /// Servers whose health is to be checked, until the next tick.
+    /// Health changes not yet reported to the engine.
+    health_changes: Vec<ServerEntry>,
+    /// Servers whose health check is started at the next tick.
     health_checks: Vec<ServerId>,
     tables: EngineTables,
-    refreshed_at: Millis,
+    endpoints_refreshed_at: Millis,
     pub(super) endpoints: EndpointSet,
     pub(super) counters: Counters,
     pub(super) requests: PendingRequests,
-    /// A list of proxies has come.
-    pub(super) proxies_known: bool,
-    /// The number of the last order about evacuations.
-    pub(super) evacuation_order: u64,
-    /// The next configuration is applied whatever its version.
-    pub(super) rebuilds_tables: bool,
+    /// Whether a list of proxies has been received.
+    pub(super) has_proxy_list: bool,
+    /// The revision of the last applied evacuation command.
+    pub(super) evacuation_revision: u64,
+    /// Whether the next configuration or evacuation command is applied regardless of its version.
+    pub(super) rebuild_requested: bool,
 }
 
 impl DispatcherState {
@@ -54,7 +54,7 @@
         socket: Arc<CounterSocket>,
     ) -> DispatcherState {
         let region = settings.region_number(&settings.region).unwrap_or(0);
-        // At its start the engine asks for what a proxy gives it anyhow: its timer.
+        // The engine requests its timer at startup; the proxy runs that timer in any case.
         let mut initial_actions = Vec::new();
         let seed = fastrand::u64(..);
         let engine = DecisionEngine::new(now, seed, &engine_settings(region), &mut initial_actions);
@@ -62,40 +62,40 @@
             engine,
             actions: Vec::new(),
             deferred: Vec::new(),
-            changes: Vec::new(),
+            health_changes: Vec::new(),
             health_checks: Vec::new(),
             tables: EngineTables::default(),
-            refreshed_at: 0.0,
+            endpoints_refreshed_at: 0.0,
             endpoints: EndpointSet::new(EndpointLimits::from_settings(settings), settings.ip),
             counters: Counters::new(socket, settings.ip),
             requests: PendingRequests::default(),
-            proxies_known: false,
-            evacuation_order: 0,
-            rebuilds_tables: false,
+            has_proxy_list: false,
+            evacuation_revision: 0,
+            rebuild_requested: false,
         }
     }
 
-    /// Tells the engine of an event, and carries out what follows.
+    /// Passes an event to the engine and executes the resulting actions.
     pub(super) fn dispatch(&mut self, now: Millis, event: &Event<'_>) {
         self.handle(now, event);
         while let Some(event) = self.deferred.pop() {
             self.handle(now, &event);
         }
-        self.report_changes(now);
+        self.report_health_changes(now);
     }
 
     fn handle(&mut self, now: Millis, event: &Event<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.engine.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
         self.actions = actions;
     }
 
-    fn report_changes(&mut self, now: Millis) {
-        while !self.changes.is_empty() {
-            let entries = std::mem::take(&mut self.changes);
+    fn report_health_changes(&mut self, now: Millis) {
+        while !self.health_changes.is_empty() {
+            let entries = std::mem::take(&mut self.health_changes);
             self.handle(
                 now,
                 &Event::ServerList {
@@ -107,7 +107,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: Millis, action: Action) {
+    fn execute(&mut self, now: Millis, action: Action) {
         match action {
             Action::Forward { id, server, .. } => self.forward(now, id, server),
             Action::Shed {
@@ -125,16 +125,19 @@
             }
             Action::Drop { id } => self.requests.notify(id, RequestDecision::Drop),
             Action::AddToCounter {
-                name, units: add, ..
+                name,
+                units: amount,
+                ..
             } => {
-                let result = self.counters.add(now, name, add);
+                let result = self.counters.add(now, name, amount);
                 self.deferred.extend(result.map(|result| result.event()));
             }
             Action::Probe { server } => self.health_checks.push(server),
             Action::Fault(text) => log::error!("event=module_fault text=\"{text}\""),
             Action::Log(text) => log::debug!("event=module text=\"{text}\""),
-            // An attempt that is given up ends by its own time, and one whose client left is aborted by the watcher of
-            // clients; the timer is this proxy's; the rest is for other fleets.
+            // Cancelled attempts end at their own deadline, and the disconnect watcher aborts the attempts of
+            // disconnected clients. The timer is run by the proxy. The remaining actions are for other deployments of
+            // the engine.
             Action::Cancel { .. }
             | Action::CloseConnections { .. }
             | Action::Timer { .. }
@@ -146,11 +149,11 @@
 
     fn forward(&mut self, now: Millis, id: RequestId, server: ServerId) {
         let attempt = start_attempt(now, id, server, &mut self.requests, &mut self.endpoints);
-        self.changes.extend(attempt.change);
+        self.health_changes.extend(attempt.health_change);
         self.deferred.extend(attempt.not_sent);
     }
 
-    /// A request came.
+    /// Admits a request and returns its id.
     pub(super) fn admit(
         &mut self,
         now: Millis,
@@ -159,27 +162,27 @@
         request: AdmissionRequest,
     ) -> RequestId {
         self.endpoints.record_request(now, request.pool);
-        let quota_sharers = self.counters.quota_sharers(self.endpoints.proxy_count());
+        let quota_divisor = self.counters.quota_divisor(self.endpoints.proxy_count());
         let new_request = new_request(
             self.requests.next_id(),
             deadline,
             snapshot,
             &request,
-            quota_sharers,
+            quota_divisor,
         );
         let id = self.requests.insert(request);
         self.dispatch(now, &Event::Request(new_request));
         id
     }
 
-    /// Does what is due. Returns the servers whose health is to be checked.
+    /// Runs the periodic work. Returns the servers whose health must be checked.
     pub(super) fn tick(&mut self, now: Millis) -> Vec<ServerId> {
-        if now - self.refreshed_at >= REFRESH_EVERY {
-            self.refreshed_at = now;
+        if now - self.endpoints_refreshed_at >= ENDPOINT_REFRESH_INTERVAL {
+            self.endpoints_refreshed_at = now;
             self.refresh_endpoints(now);
         }
         for call in self.counters.expire_calls(now) {
-            let result = CounterResult::of_call(now, &call, Outcome::TimedOut, 0.0);
+            let result = CounterResult::from_call(now, &call, Outcome::TimedOut, 0.0);
             self.dispatch(now, &result.event());
         }
         self.dispatch(now, &Event::Timer { token: 0 });
@@ -187,11 +190,11 @@
     }
 
     fn refresh_endpoints(&mut self, now: Millis) {
-        self.changes = self.endpoints.refresh(now);
-        self.report_changes(now);
+        self.health_changes = self.endpoints.refresh(now);
+        self.report_health_changes(now);
     }
 
-    /// A datagram of another proxy came. Returns the answer to it.
+    /// Handles a datagram from another proxy. Returns the reply, if one is due.
     pub(super) fn receive_counter_message(
         &mut self,
         now: Millis,
@@ -199,27 +202,27 @@
         message: CounterMessage,
     ) -> Option<CounterMessage> {
         match self.counters.receive(now, from, message) {
-            Received::Reply(reply) => Some(reply),
-            Received::Finished(result) => {
+            ReceiveOutcome::Reply(reply) => Some(reply),
+            ReceiveOutcome::Finished(result) => {
                 self.dispatch(now, &result.event());
                 None
             }
-            Received::Ignored => None,
+            ReceiveOutcome::Ignored => None,
         }
     }
 
-    /// Zones get nothing any more, or are used again. A command that is older than the last one changes nothing, unless the
-    /// tables are built again.
-    pub(super) fn apply_evacuation(&mut self, now: Millis, order: u64, zones: &[String]) {
-        if order < self.evacuation_order && !self.rebuilds_tables {
+    /// Replaces the set of evacuated zones. A command older than the last applied one is ignored, unless a rebuild
+    /// of the tables was requested.
+    pub(super) fn apply_evacuation(&mut self, now: Millis, revision: u64, zones: &[String]) {
+        if revision < self.evacuation_revision && !self.rebuild_requested {
             return;
         }
-        self.evacuation_order = order;
+        self.evacuation_revision = revision;
         self.endpoints.set_evacuated_zones(now, zones);
         self.refresh_endpoints(now);
     }
 
-    /// A list of servers came, which is `age` milliseconds old.
+    /// Applies a list of servers that is `age` milliseconds old.
     pub(super) fn apply_servers(
         &mut self,
         now: Millis,
@@ -231,17 +234,17 @@
         self.refresh_endpoints(now);
     }
 
-    /// A list of proxies came.
+    /// Applies a list of proxies.
     pub(super) fn apply_proxies(&mut self, now: Millis, proxies: ProxyAddresses) {
-        self.proxies_known = true;
+        self.has_proxy_list = true;
         for call in self.counters.set_owners(now, proxies.ready) {
-            let result = CounterResult::of_call(now, &call, Outcome::TimedOut, 0.0);
+            let result = CounterResult::from_call(now, &call, Outcome::TimedOut, 0.0);
             self.dispatch(now, &result.event());
         }
         self.endpoints.set_proxies(proxies.all);
     }
 
-    /// A configuration comes into force.
+    /// Builds the engine's tables for a configuration and returns its snapshot.
     pub(super) fn apply_config(&mut self, config: Config, settings: &Settings) -> ConfigSnapshot {
         for service in &config.services {
             let duration = service.slow_start_s * 1000.0;
@@ -259,13 +262,18 @@
             groups: config
                 .routes
                 .iter()
-                .map(|route| self.tables.group(route))
+                .map(|route| self.tables.group_number(route))
                 .collect(),
             tenants: self.apply_tenants(tenants, settings),
             pools: config
                 .services
                 .iter()
-                .map(|service| (service.name.clone(), self.endpoints.pool(&service.name)))
+                .map(|service| {
+                    (
+                        service.name.clone(),
+                        self.endpoints.pool_number(&service.name),
+                    )
+                })
                 .collect(),
             route_regions: config
                 .routes
@@ -295,7 +303,7 @@
             quotas.insert(CounterId::of_tenant(&tenant.name), quota);
             TenantNumbers {
                 id: tenant_id(&tenant.name),
-                plan: self.tables.plan(&tenant.name, &quota),
+                plan: self.tables.set_plan(&tenant.name, &quota),
             }
         });
         let numbers = numbers.collect();
--- a/crates/aspendrum-proxy/src/endpoints/location.rs
+++ b/crates/aspendrum-proxy/src/endpoints/location.rs
@@ -1,32 +1,32 @@
-//! How far zones are from this proxy.
+//! Relative cost of zones as seen from this proxy.
 
 use aspendrum_model::settings::Settings;
 
-/// How many times dearer a server in another zone or region is than one in this proxy's zone: bytes between regions cost
-/// eight times those between zones, and for a whole request about a fifth of what it earns.
-const OTHER_ZONE_COST: f32 = 1.3;
-const OTHER_REGION_COST: f32 = 7.0;
-/// The number of a region that the settings do not name.
+/// The relative cost of a server in another zone or region, where 1 is the cost in this proxy's zone. Traffic between
+/// regions costs eight times as much as traffic between zones, and for a whole request about a fifth of its revenue.
+const CROSS_ZONE_COST: f32 = 1.3;
+const CROSS_REGION_COST: f32 = 7.0;
+/// The region number of zones that are missing from the settings.
 const UNKNOWN_REGION: u8 = u8::MAX;
 
-/// Where a zone lies, seen from this proxy.
+/// The region and the relative cost of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneLocation {
-    /// The number of its region.
+    /// The number of the zone's region.
     pub region: u8,
-    /// How many times dearer a server there is than one in this proxy's zone.
+    /// The relative cost of a server in the zone, where 1 is the cost in this proxy's zone.
     pub cost: f32,
 }
 
 impl ZoneLocation {
-    /// Seen from the zone that the settings name.
-    pub fn of(zone: &str, settings: &Settings) -> ZoneLocation {
+    /// Returns the location of `zone` as seen from the zone in the settings.
+    pub fn new(zone: &str, settings: &Settings) -> ZoneLocation {
         let region = settings.region_of(zone).unwrap_or(UNKNOWN_REGION);
         let is_local_region = settings.region_of(&settings.zone) == Some(region);
         let cost = match (zone == settings.zone, is_local_region) {
             (true, _) => 1.0,
-            (false, true) => OTHER_ZONE_COST,
-            (false, false) => OTHER_REGION_COST,
+            (false, true) => CROSS_ZONE_COST,
+            (false, false) => CROSS_REGION_COST,
         };
         ZoneLocation { region, cost }
     }
--- a/crates/aspendrum-proxy/src/endpoints/mod.rs
+++ b/crates/aspendrum-proxy/src/endpoints/mod.rs
@@ -1,8 +1,8 @@
-//! Endpoints: the servers that the decision engine may use now. These are the servers of the platform's list that do
-//! not drain, are in no evacuated zone, and are past their slow start or have a token left for this proxy. The module
-//! also keeps the budget of retries.
+//! Endpoints: the servers that the decision engine may use. A server is usable if the platform lists it, it is not
+//! draining, its zone is not evacuated, and its slow start is over or this proxy has a token for it. The module also
+//! contains the retry budget.
 //!
-//! Nothing in this module does I/O or reads a clock; times are milliseconds of the caller's clock.
+//! This module does no I/O and reads no clock; times are milliseconds of the caller's clock.
 
 mod location;
 mod preference;
--- a/crates/aspendrum-proxy/src/endpoints/preference.rs
+++ b/crates/aspendrum-proxy/src/endpoints/preference.rs
@@ -1,23 +1,23 @@
-//! Which servers a proxy keeps connections to first (deterministic subsetting): each server more is a connection more,
-//! and one that is seldom used is closed before it is used again.
+//! Deterministic subsetting: selects the servers to which a proxy preferably keeps connections. Each further server
+//! needs another connection, and a rarely used connection is closed before it is used again.
 
 use aspendrum_model::hash::{digest, rank};
 use aspendrum_model::servers::ServerInstance;
 use std::collections::{HashMap, HashSet};
 use std::net::Ipv4Addr;
 
-/// Preferred servers of each service and zone.
-const PREFERRED: usize = 6;
-/// How many times dearer the other servers count.
-const OTHERS_COST: f32 = 1.5;
+/// The number of preferred servers per service and zone.
+const PREFERRED_PER_ZONE: usize = 6;
+/// The cost factor of servers that are not preferred.
+const NON_PREFERRED_COST_FACTOR: f32 = 1.5;
 
 /// The uids of a proxy's preferred servers.
 pub(super) struct PreferredServers(HashSet<String>);
 
 impl PreferredServers {
-    /// Of each service's servers in a zone a few, ranked by rendezvous hashing, so that all servers are preferred by
-    /// about as many proxies.
-    pub(super) fn choose(local_ip: Ipv4Addr, servers: &[ServerInstance]) -> PreferredServers {
+    /// Selects servers of each service and zone by rendezvous hashing, so that each server is preferred by about the
+    /// same number of proxies.
+    pub(super) fn select(local_ip: Ipv4Addr, servers: &[ServerInstance]) -> PreferredServers {
         let mut ranked: HashMap<(&str, &str), Vec<(u64, &str)>> = HashMap::new();
         let proxy = u64::from(u32::from(local_ip));
         for server in servers.iter().filter(|server| !server.draining) {
@@ -28,17 +28,22 @@
         let mut preferred = HashSet::new();
         for group in ranked.values_mut() {
             group.sort_unstable();
-            preferred.extend(group.iter().take(PREFERRED).map(|(_, uid)| uid.to_string()));
+            preferred.extend(
+                group
+                    .iter()
+                    .take(PREFERRED_PER_ZONE)
+                    .map(|(_, uid)| uid.to_string()),
+            );
         }
         PreferredServers(preferred)
     }
 
-    /// How many times dearer a server counts than a preferred one.
+    /// Returns the cost factor of a server, which is 1 for preferred servers.
     pub(super) fn cost_factor(&self, uid: &str) -> f32 {
         if self.0.contains(uid) {
             1.0
         } else {
-            OTHERS_COST
+            NON_PREFERRED_COST_FACTOR
         }
     }
 }
--- a/crates/aspendrum-proxy/src/endpoints/retry_budget.rs
+++ b/crates/aspendrum-proxy/src/endpoints/retry_budget.rs
@@ -1,34 +1,34 @@
-//! The budget of retries (Google SRE book, "Addressing Cascading Failures"): retries of all proxies together stay within
-//! a share of first attempts, without any message between proxies.
+//! The retry budget (Google SRE book, "Addressing Cascading Failures"): limits the retries of all proxies together to
+//! a fraction of first attempts, without communication between proxies.
 
 use aspendrum_core::api::Millis;
 use std::collections::{HashMap, VecDeque};
 
-/// Of the retries that the limits leave to all proxies, the share that they make.
-const SAFETY: f64 = 0.7;
-/// Attempts are counted by tenths of a second.
-const BUCKET: Millis = 100.0;
+/// The fraction of the permitted retries that the proxies use.
+const SAFETY_FACTOR: f64 = 0.7;
+/// The width of the buckets in which attempts are counted, in milliseconds.
+const BUCKET_WIDTH: Millis = 100.0;
 
-/// How many retries all proxies together may make of one service's requests.
+/// The limits on retries of one service's requests, for all proxies together.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryLimits {
-    /// Retries per first attempt.
+    /// The number of retries per first attempt.
     pub ratio: f64,
-    /// The span over which both are counted, in milliseconds.
+    /// The length of the window in which attempts are counted, in milliseconds.
     pub window: Millis,
-    /// Retries beyond the ratio, in any window.
+    /// The number of retries permitted above the ratio in any window.
     pub slack: f64,
 }
 
-/// The first attempts and retries of this proxy, by service pool.
+/// The recent first attempts and retries of this proxy, by service pool.
 pub struct RetryBudget {
     limits: RetryLimits,
-    first_attempts: HashMap<u16, RecentCount>,
-    retries: HashMap<u16, RecentCount>,
+    first_attempts: HashMap<u16, SlidingCount>,
+    retries: HashMap<u16, SlidingCount>,
 }
 
 impl RetryBudget {
-    /// Begins without any attempt.
+    /// Creates a budget without recorded attempts.
     pub fn new(limits: RetryLimits) -> RetryBudget {
         RetryBudget {
             limits,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A client's request came for that pool.
+    /// Records the first attempt of a request for a pool.
     pub fn record_request(&mut self, now: Millis, pool: u16) {
         self.first_attempts
             .entry(pool)
@@ -45,8 +45,8 @@
             .record(now, self.limits.window);
     }
 
-    /// Whether this proxy may retry a request now; if so, the retry is counted. The proxy's own first attempts earn
-    /// retries, and of the slack it has an even share among `proxies`.
+    /// Whether this proxy may retry a request now; if so, the retry is counted. The limit is based on the proxy's own
+    /// first attempts and on an even share of the slack among `proxies`.
     pub fn reserve_retry(&mut self, now: Millis, pool: u16, proxies: usize) -> bool {
         let window = self.limits.window;
         let first_attempts = self
@@ -56,7 +56,7 @@
             .sum(now, window);
         let retries = self.retries.entry(pool).or_default().sum(now, window);
         let share = self.limits.slack / proxies as f64;
-        let allowed = retries + 1.0 <= SAFETY * (self.limits.ratio * first_attempts + share);
+        let allowed = retries + 1.0 <= SAFETY_FACTOR * (self.limits.ratio * first_attempts + share);
         if allowed {
             self.retries.entry(pool).or_default().record(now, window);
         }
@@ -64,9 +64,9 @@
     }
 }
 
-/// How many things happened in a window that ends now.
+/// Counts events in a sliding window.
 #[derive(Default)]
-struct RecentCount {
+struct SlidingCount {
     buckets: VecDeque<Bucket>,
 }
 
@@ -75,9 +75,9 @@
     count: u32,
 }
 
-impl RecentCount {
+impl SlidingCount {
     fn record(&mut self, now: Millis, window: Millis) {
-        let started_at = (now / BUCKET).floor() * BUCKET;
+        let started_at = (now / BUCKET_WIDTH).floor() * BUCKET_WIDTH;
         match self
             .buckets
             .back_mut()
@@ -92,7 +92,7 @@
         while self
             .buckets
             .front()
-            .is_some_and(|bucket| bucket.started_at < now - window - BUCKET)
+            .is_some_and(|bucket| bucket.started_at < now - window - BUCKET_WIDTH)
         {
             self.buckets.pop_front();
         }
@@ -102,7 +102,7 @@
         let recent = self
             .buckets
             .iter()
-            .filter(|bucket| bucket.started_at >= now - window - BUCKET);
+            .filter(|bucket| bucket.started_at >= now - window - BUCKET_WIDTH);
         recent.map(|bucket| f64::from(bucket.count)).sum()
     }
 }
--- a/crates/aspendrum-proxy/src/endpoints/set.rs
+++ b/crates/aspendrum-proxy/src/endpoints/set.rs
@@ -1,4 +1,4 @@
-//! The set of endpoints, and the changes of it that are reported to the decision engine.
+//! The set of endpoints and its health changes, which are reported to the decision engine.
 
 use super::location::ZoneLocation;
 use super::preference::PreferredServers;
@@ -10,19 +10,19 @@
 use std::collections::{HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// What the platform's terms allow, and how far its list lags behind the servers.
+/// The limits for the use of endpoints, and the lag of the platform's server list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointLimits {
-    /// Of servers in slow start.
+    /// The limits on requests to servers in slow start.
     pub slow_start: SlowStartTolerance,
-    /// Of retries.
+    /// The limits on retries.
     pub retries: RetryLimits,
-    /// Milliseconds by which the platform's list is older than its age says.
+    /// How far the platform's list lags behind the servers, in addition to its reported age, in milliseconds.
     pub list_lag: Millis,
 }
 
 impl EndpointLimits {
-    /// The limits that the settings name.
+    /// Returns the limits configured in the settings.
     pub fn from_settings(settings: &Settings) -> EndpointLimits {
         EndpointLimits {
             slow_start: SlowStartTolerance {
@@ -39,22 +39,22 @@
     }
 }
 
-/// A server as this proxy knows it.
+/// A server and its state at this proxy.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// As the platform lists it.
+    /// The server as listed by the platform.
     pub server: ServerInstance,
     pool: u16,
     region: u8,
     cost: f32,
     slow_start_until: Millis,
     slow_start_tokens: SlowStartTokens,
-    /// As last reported to the decision engine.
-    reported: Health,
+    /// The health last reported to the decision engine.
+    reported_health: Health,
 }
 
 impl Endpoint {
-    /// Where the server listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddrV4 {
         self.server.addr
     }
@@ -64,16 +64,16 @@
     }
 }
 
-/// Whether a request may leave for a server.
+/// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
-    /// It may; a token was spent if the server is in slow start.
+    /// Whether the request may be sent. If the server is in slow start, a token has been spent.
     pub granted: bool,
-    /// A change of the server's health, to be reported to the decision engine.
-    pub change: Option<ServerEntry>,
+    /// The health change of the server to report to the decision engine.
+    pub health_change: Option<ServerEntry>,
 }
 
-/// All servers of the platform's list, and what else decides whether they are used.
+/// All servers listed by the platform, and the state that determines whether they are usable.
 pub struct EndpointSet {
     limits: EndpointLimits,
     endpoints: HashMap<ServerId, Endpoint>,
@@ -82,17 +82,17 @@
     pools: HashMap<String, u16>,
     slow_starts: HashMap<u16, SlowStart>,
     evacuated_zones: HashSet<String>,
-    /// Zones whose evacuation has ended, and when: a list read before that does not know which of their servers have
-    /// restarted meanwhile.
+    /// The zones whose evacuation has ended, and the time of that. A list read before that time does not show
+    /// which of their servers have restarted.
     restored_zones: HashMap<String, Millis>,
-    /// All proxies, ready or about to be.
+    /// All proxies, including those about to become ready.
     proxies: Vec<Ipv4Addr>,
     local_ip: Ipv4Addr,
     retry_budget: RetryBudget,
 }
 
 impl EndpointSet {
-    /// An empty set at the proxy with that address.
+    /// Creates an empty set for the proxy with the given address.
     pub fn new(limits: EndpointLimits, local_ip: Ipv4Addr) -> EndpointSet {
         EndpointSet {
             limits,
@@ -109,30 +109,30 @@
         }
     }
 
-    /// The number of a service's pool, the same for as long as the process lives.
-    pub fn pool(&mut self, service: &str) -> u16 {
+    /// Returns the pool number of a service, which is constant for the lifetime of the process.
+    pub fn pool_number(&mut self, service: &str) -> u16 {
         let next = self.pools.len() as u16;
         *self.pools.entry(service.to_string()).or_insert(next)
     }
 
-    /// The configured slow start of a service's servers.
+    /// Sets the slow start of a service's servers.
     pub fn set_slow_start(&mut self, service: &str, slow_start: SlowStart) {
-        let pool = self.pool(service);
+        let pool = self.pool_number(service);
         self.slow_starts.insert(pool, slow_start);
     }
 
-    /// One endpoint.
+    /// Returns an endpoint.
     pub fn get(&self, id: ServerId) -> Option<&Endpoint> {
         self.endpoints.get(&id)
     }
 
-    /// No server was ever listed.
+    /// Whether no server has ever been listed.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// Takes in the platform's list, which is complete and `age` milliseconds old. A server that is not in it gets
-    /// nothing new.
+    /// Applies the platform's list of servers, which is complete and `age` milliseconds old. Servers missing
+    /// from the list are marked as draining.
     pub fn update(
         &mut self,
         now: Millis,
@@ -140,7 +140,7 @@
         servers: Vec<ServerInstance>,
         locate: impl Fn(&str) -> ZoneLocation,
     ) {
-        let preferred = PreferredServers::choose(self.local_ip, &servers);
+        let preferred = PreferredServers::select(self.local_ip, &servers);
         let mut listed = HashSet::new();
         for server in servers {
             let mut location = locate(&server.zone);
@@ -161,8 +161,8 @@
         server: ServerInstance,
         location: ZoneLocation,
     ) -> ServerId {
-        let pool = self.pool(&server.service);
-        let id = self.id(&server.uid);
+        let pool = self.pool_number(&server.service);
+        let id = self.server_id(&server.uid);
         let slow_start_until = match server.slow_start_left_ms {
             0 => 0.0,
             left => now + f64::from(left),
@@ -177,7 +177,7 @@
             cost: location.cost,
             slow_start_until,
             slow_start_tokens: SlowStartTokens::new(now),
-            reported: Health::Removed,
+            reported_health: Health::Removed,
         });
         endpoint.slow_start_until = if predates_restore {
             endpoint.slow_start_until.max(slow_start_until)
@@ -188,7 +188,7 @@
         id
     }
 
-    fn id(&mut self, uid: &str) -> ServerId {
+    fn server_id(&mut self, uid: &str) -> ServerId {
         if let Some(id) = self.ids.get(uid) {
             return *id;
         }
@@ -198,8 +198,8 @@
         id
     }
 
-    /// Replaces the zones that get nothing. Servers of a zone whose evacuation ends may have restarted meanwhile: they
-    /// begin with a slow start.
+    /// Replaces the evacuated zones. The servers of a zone whose evacuation ends may have restarted during it,
+    /// so they enter slow start.
     pub fn set_evacuated_zones(&mut self, now: Millis, zones: &[String]) {
         let next: HashSet<String> = zones.iter().cloned().collect();
         for zone in self.evacuated_zones.difference(&next) {
@@ -217,7 +217,7 @@
         self.evacuated_zones = next;
     }
 
-    /// The zones that get nothing, in no order.
+    /// Returns the evacuated zones in arbitrary order.
     pub fn evacuated_zones(&self) -> Vec<String> {
         self.evacuated_zones.iter().cloned().collect()
     }
@@ -227,12 +227,12 @@
         self.proxies = proxies;
     }
 
-    /// How many proxies share the work, this one among them.
+    /// Returns the number of proxies, including this one.
     pub fn proxy_count(&self) -> usize {
         self.proxies.len().max(1)
     }
 
-    /// A server reports itself how much of its slow start is left.
+    /// Applies a server's own report of its remaining slow start, in milliseconds.
     pub fn report_slow_start(&mut self, now: Millis, id: ServerId, left: Millis) {
         if left <= 0.0 {
             return;
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Refills tokens. Returns the endpoints whose health changed for the decision engine.
+    /// Refills the slow start tokens. Returns the health changes to report to the decision engine.
     pub fn refresh(&mut self, now: Millis) -> Vec<ServerEntry> {
         let ids: Vec<ServerId> = self.endpoints.keys().copied().collect();
         ids.into_iter()
@@ -260,7 +260,7 @@
             Some(tokens_per_s) => endpoint.slow_start_tokens.refill(now, tokens_per_s),
             None => endpoint.slow_start_tokens.skip(now),
         }
-        self.report_change(now, id)
+        self.take_health_change(now, id)
     }
 
     fn tokens_per_s(&self, endpoint: &Endpoint) -> f64 {
@@ -275,12 +275,13 @@
         share.tokens_per_s()
     }
 
-    /// A request is about to leave for that server, whatever the decision engine knew when it decided.
+    /// Reserves capacity for a request to a server. The health is checked again, since it may have changed after the
+    /// decision engine's choice.
     pub fn reserve(&mut self, now: Millis, id: ServerId) -> Reservation {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return Reservation {
                 granted: false,
-                change: None,
+                health_change: None,
             };
         };
         let granted = health(now, endpoint, &self.evacuated_zones) == Health::Ready;
@@ -289,18 +290,18 @@
         }
         Reservation {
             granted,
-            change: self.report_change(now, id),
+            health_change: self.take_health_change(now, id),
         }
     }
 
-    /// The endpoint's health, if it differs from what was last reported to the decision engine.
-    fn report_change(&mut self, now: Millis, id: ServerId) -> Option<ServerEntry> {
+    /// Returns the endpoint's health if it differs from the value last reported to the decision engine.
+    fn take_health_change(&mut self, now: Millis, id: ServerId) -> Option<ServerEntry> {
         let endpoint = self.endpoints.get_mut(&id)?;
         let health = health(now, endpoint, &self.evacuated_zones);
-        if endpoint.reported == health {
+        if endpoint.reported_health == health {
             return None;
         }
-        endpoint.reported = health;
+        endpoint.reported_health = health;
         Some(ServerEntry {
             server: id,
             pool: endpoint.pool,
@@ -314,7 +315,7 @@
         })
     }
 
-    /// A client's request came for that pool.
+    /// Records the first attempt of a request for a pool.
     pub fn record_request(&mut self, now: Millis, pool: u16) {
         self.retry_budget.record_request(now, pool);
     }
@@ -326,11 +327,11 @@
     }
 }
 
-/// The health that the decision engine is to go by.
+/// Returns an endpoint's health for the decision engine.
 fn health(now: Millis, endpoint: &Endpoint, evacuated_zones: &HashSet<String>) -> Health {
-    let is_out = endpoint.server.draining || evacuated_zones.contains(&endpoint.server.zone);
+    let is_excluded = endpoint.server.draining || evacuated_zones.contains(&endpoint.server.zone);
     let has_capacity = !endpoint.in_slow_start(now) || endpoint.slow_start_tokens.available();
-    if !is_out && has_capacity {
+    if !is_excluded && has_capacity {
         Health::Ready
     } else {
         Health::Draining
--- a/crates/aspendrum-proxy/src/endpoints/slow_start.rs
+++ b/crates/aspendrum-proxy/src/endpoints/slow_start.rs
@@ -1,33 +1,33 @@
-//! Slow start: a server that has just started bears a few requests a second until its caches are warm. A few proxies
-//! share what it bears, each with tokens of its own (a token bucket of one token).
+//! Slow start: a server that has just started can handle only a few requests per second until its caches are warm. A
+//! few proxies share this rate, each with its own token bucket that holds one token.
 
 use aspendrum_core::api::Millis;
 use aspendrum_model::hash::{digest, rank};
 use std::net::Ipv4Addr;
 
-/// Of what a server in slow start bears by the limits, the share that all proxies together send: their lists of proxies
-/// differ for a moment when one comes or goes.
-const SAFETY: f64 = 0.8;
+/// The fraction of the permitted rate that all proxies together use. It is below 1 because the proxies' lists of each
+/// other differ briefly when a proxy is added or removed.
+const SAFETY_FACTOR: f64 = 0.8;
 
-/// The slow start of a service's servers, as configured.
+/// The configured slow start of a service's servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStart {
-    /// How long it lasts after a server's start, in milliseconds.
+    /// The duration after a server's start, in milliseconds.
     pub duration: Millis,
-    /// Requests a second that a server bears meanwhile.
+    /// The number of requests per second that a server can handle during its slow start.
     pub rate: f64,
 }
 
-/// What all proxies together may send to a server in slow start, above its configured rate.
+/// The tolerance above the configured rate for all proxies together.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartTolerance {
-    /// Times the configured rate.
+    /// A multiple of the configured rate.
     pub excess: f64,
-    /// Requests a second.
+    /// Additional requests per second.
     pub slack: f64,
 }
 
-/// One proxy's share of a server's slow start.
+/// The inputs for one proxy's share of a server's slow start rate.
 pub(super) struct SlowStartShare<'a> {
     pub(super) uid: &'a str,
     pub(super) rate: f64,
@@ -37,10 +37,11 @@
 }
 
 impl SlowStartShare<'_> {
-    /// This proxy's tokens a second: as few proxies as can each have a whole token share the server, ranked by rendezvous
-    /// hashing, so that all together never pass the limit, at whatever moment they spend them.
+    /// Returns this proxy's tokens per second. The server is shared by as few proxies as can each have a whole token,
+    /// selected by rendezvous hashing, so that all proxies together never exceed the limit, whenever they spend their
+    /// tokens.
     pub(super) fn tokens_per_s(&self) -> f64 {
-        let limit = (self.rate * self.tolerance.excess + self.tolerance.slack) * SAFETY;
+        let limit = (self.rate * self.tolerance.excess + self.tolerance.slack) * SAFETY_FACTOR;
         let sharers = (limit / 2.0).floor().max(1.0) as usize;
         let key = digest(self.uid.as_bytes());
         let own_rank = rank(key, u64::from(u32::from(self.local_ip)));
@@ -51,12 +52,13 @@
         if ahead >= sharers {
             return 0.0;
         }
-        // Not more where fewer proxies are known: after a start of all, each knows of few.
+        // A proxy that knows few others gets no larger share: after a restart of the whole fleet, all lists are
+        // short.
         (limit / sharers as f64 - 1.0).max(0.0)
     }
 }
 
-/// Tokens of this proxy for one server in slow start; each admits one request.
+/// This proxy's token bucket for one server in slow start. Each token admits one request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlowStartTokens {
     tokens: f64,
@@ -71,7 +73,8 @@
         }
     }
 
-    /// At most one token is kept: more would let a burst through.
+    /// Adds tokens for the time since the last refill. The bucket holds at most one token, so that no burst is
+    /// possible.
     pub(super) fn refill(&mut self, now: Millis, tokens_per_s: f64) {
         let more = tokens_per_s * (now - self.refilled_at) / 1000.0;
         let capacity = if tokens_per_s > 0.0 { 1.0 } else { 0.0 };
@@ -79,7 +82,7 @@
         self.refilled_at = now;
     }
 
-    /// The server is not in slow start: time passes without tokens.
+    /// Advances the refill time without adding tokens, while the server is not in slow start.
     pub(super) fn skip(&mut self, now: Millis) {
         self.refilled_at = now;
     }
--- a/crates/aspendrum-proxy/src/error.rs
+++ b/crates/aspendrum-proxy/src/error.rs
@@ -1,35 +1,35 @@
-//! Why a proxy does not start, or ends early.
+//! Errors that prevent a proxy from starting, or end it early.
 
 use aspendrum_model::settings::SettingsError;
 use aspendrum_net::process_signals::SignalError;
 use derive_more::{Display, Error};
 use std::io;
 
-/// Why a proxy does not start, or ends early.
+/// An error that prevents a proxy from starting, or ends it early.
 #[derive(Debug, Display, Error)]
 pub enum ProxyError {
-    /// The settings cannot be read.
+    /// The settings cannot be loaded.
     #[display("{_0}")]
     Settings(SettingsError),
-    /// The settings name no address for clients.
+    /// The settings contain no address for clients.
     #[display("net.binds.front is missing")]
     NoListenAddress,
-    /// A socket or a thread that the proxy needs.
+    /// A required socket or thread cannot be created.
     #[display("{component}: {source}")]
     Start {
-        /// What it is for.
+        /// The component that needs it.
         component: &'static str,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// Signals cannot be received.
+    /// Signal handling cannot be set up.
     #[display("{_0}")]
     Signals(SignalError),
 }
 
 impl ProxyError {
-    /// What the system says of a component that does not start.
-    pub(crate) fn of_component(component: &'static str) -> impl FnOnce(io::Error) -> ProxyError {
+    /// Returns a function that converts an I/O error into the error of a component that cannot start.
+    pub(crate) fn for_component(component: &'static str) -> impl FnOnce(io::Error) -> ProxyError {
         move |source| ProxyError::Start { component, source }
     }
 }
--- a/crates/aspendrum-proxy/src/health_check.rs
+++ b/crates/aspendrum-proxy/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers, as the decision engine asks for them.
+//! Health checks of servers, as requested by the decision engine.
 
 use crate::dispatcher::HealthCheckResult;
 use crate::state::ProxyState;
@@ -7,20 +7,20 @@
 use aspendrum_net::http1;
 use std::time::{Duration, Instant};
 
-/// What a server answered to a health check.
-struct Answer {
+/// A server's response to a health check.
+struct HealthResponse {
     is_healthy: bool,
     load: LoadReport,
     slow_start_left: Option<f64>,
 }
 
-/// Checks a server, and reports the result in any case.
+/// Checks a server and reports the result, including failures.
 pub(crate) fn check(state: &ProxyState, server: ServerId) {
     let started_at = Instant::now();
-    let answer = exchange(state, server, started_at + state.connect_timeout);
+    let response = exchange(state, server, started_at + state.connect_timeout);
     let rtt = started_at.elapsed().as_secs_f64() * 1000.0;
-    let result = match answer {
-        Ok(Answer {
+    let result = match response {
+        Ok(HealthResponse {
             is_healthy,
             load,
             slow_start_left,
@@ -47,7 +47,11 @@
     state.dispatcher.record_health_check(server, &result);
 }
 
-fn exchange(state: &ProxyState, server: ServerId, deadline: Instant) -> Result<Answer, Outcome> {
+fn exchange(
+    state: &ProxyState,
+    server: ServerId,
+    deadline: Instant,
+) -> Result<HealthResponse, Outcome> {
     let target = state
         .dispatcher
         .health_check_target(server)
@@ -62,11 +66,11 @@
     ));
     connection.send()?;
     let response = connection.receive(deadline, pool.connection_options(), |buffer| {
-        http1::parse_response(buffer, &wire::RESPONSE_BOUNDS)
+        http1::parse_response(buffer, &wire::RESPONSE_LIMITS)
     })?;
-    // Another server may have the address by now.
+    // The address may belong to another server by now.
     let is_same_server = wire::server_id(&response) == Some(target.server.uid.as_str());
-    let answer = Answer {
+    let health = HealthResponse {
         is_healthy: response.status == 200 && is_same_server,
         load: wire::server_load(&response),
         slow_start_left: wire::slow_start_left(&response),
@@ -74,5 +78,5 @@
     if !response.close {
         pool.release(server, connection);
     }
-    Ok(answer)
+    Ok(health)
 }
--- a/crates/aspendrum-proxy/src/lib.rs
+++ b/crates/aspendrum-proxy/src/lib.rs
@@ -1,10 +1,11 @@
-//! The proxy of the system: carries clients' requests to servers. What it needs to know its agent sends it ahead of time;
-//! the one thing that a request may have to ask of another proxy is its tenant's counter.
+//! The proxy, which forwards clients' requests to servers. It receives all state that requests need from its agent in
+//! advance; the only remote call that a request may need is to another proxy for its tenant's counter.
 //!
-//! A request's way: [`listener`] reads it, [`request`] finds its route and asks the [`dispatcher`], which decides by the
-//! [`endpoints`] and the tenant's [`counter`]; then `request` sends it to a server and answers its client.
+//! Request path: [`listener`] reads a request, [`request`] finds its route and passes it to the [`dispatcher`],
+//! which decides based on the [`endpoints`] and the tenant's [`counter`]; then `request` forwards it to a
+//! server and responds to the client.
 //!
-//! An update's way: the agent's connection receives it and hands it to [`dispatcher::Dispatcher::apply`].
+//! Update path: the agent connection receives an update and passes it to [`dispatcher::Dispatcher::apply`].
 
 pub mod agent_link;
 pub mod consistency;
--- a/crates/aspendrum-proxy/src/listener.rs
+++ b/crates/aspendrum-proxy/src/listener.rs
@@ -1,5 +1,5 @@
-//! Clients' connections: each has a thread while it is open, which reads one request at a time, serves it, and writes
-//! its answer.
+//! Client connections. Each open connection has a thread, which reads one request at a time, handles it, and
+//! writes the response.
 
 use crate::request;
 use crate::response::{ClientResponse, ConnectionPolicy};
@@ -19,26 +19,27 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A connection's buffer at the start; what a request may be at most comes from the configuration.
+/// The initial size of a connection's buffer. The maximum size of a request is configured.
 const INITIAL_BUFFER_BYTES: usize = 2 << 10;
-/// Room in the buffer beside the longest request.
+/// The buffer space in addition to the largest request.
 const SPARE_BUFFER_BYTES: usize = 1024;
-/// How long, and how much, is still read of a connection that the proxy closes.
-const LINGER: Duration = Duration::from_millis(200);
-const LINGER_BYTES: usize = 256 << 10;
-/// For a client that does not read its answer.
+/// The limits on data read and discarded from a connection that the proxy closes.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+const MAX_LINGER_BYTES: usize = 256 << 10;
+/// The write time-out, for clients that do not read their response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-const BACKLOG: i32 = 1024;
-/// After a connection could not be accepted: no descriptor is free, and one may be in a moment.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// The configuration's time-outs count for so much at least: a socket takes none of nothing.
+const LISTEN_BACKLOG: i32 = 1024;
+/// The delay after a failed accept: a file descriptor may be free again by then.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The minimum of the configured time-outs, in milliseconds: a socket time-out of zero is invalid.
 const MIN_TIMEOUT_MS: f64 = 1.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Accepts connections until the process takes no more requests. Then the clients that the system has accepted by now
-/// are answered too, and the listener is closed: a client that comes later is refused, and goes elsewhere at once.
+/// Accepts connections until the proxy accepts no more requests. It then answers the clients in the system's
+/// accept queue and closes the listener, so that later clients are refused and connect to another proxy at
+/// once.
 pub fn accept(state: &Arc<ProxyState>, listener: TcpListener) {
-    let _ = SockRef::from(&listener).listen(BACKLOG);
+    let _ = SockRef::from(&listener).listen(LISTEN_BACKLOG);
     let mut next_number = 1;
     while state.accepts_requests() {
         match listener.accept() {
@@ -46,7 +47,7 @@
                 state.record_accept();
                 start_session(state, &mut next_number, stream);
             }
-            Err(_) => sleep(ACCEPT_PAUSE),
+            Err(_) => sleep(ACCEPT_RETRY_DELAY),
         }
     }
     serve_accept_queue(state, &mut next_number, &listener);
@@ -54,7 +55,7 @@
     state.record_listener_closed();
 }
 
-/// Serves what waits in the system's accept queue: the requests are there, or on their way.
+/// Accepts the connections waiting in the system's accept queue, whose requests have arrived or are under way.
 fn serve_accept_queue(state: &Arc<ProxyState>, next_number: &mut u64, listener: &TcpListener) {
     let mut waiting = 0;
     if listener.set_nonblocking(true).is_ok() {
@@ -65,7 +66,7 @@
                     start_session(state, next_number, stream);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => sleep(ACCEPT_PAUSE),
+                Err(_) => sleep(ACCEPT_RETRY_DELAY),
             }
         }
     }
@@ -82,11 +83,11 @@
         number,
     };
     let job = move || serve_connection(&registration.state, &session);
-    // Without a free thread the job is dropped, and with it the connection: its client goes to another proxy.
+    // Without a free thread, the job and its connection are dropped, and the client retries at another proxy.
     drop(state.workers.run(Box::new(job)));
 }
 
-/// Removes a session from the registry when its thread is done with it, also by a panic: the connection closes with it.
+/// Removes a session from the registry when its thread finishes, also after a panic, which closes the connection.
 struct SessionRegistration {
     state: Arc<ProxyState>,
     number: u64,
@@ -98,18 +99,18 @@
     }
 }
 
-/// What follows on a connection.
+/// The next step on a connection.
 enum Step {
     Continue,
-    /// It is closed at once.
+    /// Close it immediately.
     Close,
-    /// It is closed, and what still comes is read for a moment.
+    /// Close it after reading and discarding remaining input for a limited time.
     Linger,
 }
 
 fn serve_connection(state: &ProxyState, session: &ClientSession) {
     let stream = &*session.stream;
-    if set_up(stream).is_err() {
+    if configure_stream(stream).is_err() {
         return;
     }
     let mut buffer = RequestBuffer::default();
@@ -128,17 +129,18 @@
         match step {
             Step::Continue => {}
             Step::Close => return,
-            Step::Linger => return lingering_close(stream, LINGER, LINGER_BYTES),
+            Step::Linger => return lingering_close(stream, LINGER_TIMEOUT, MAX_LINGER_BYTES),
         }
     }
 }
 
-fn set_up(stream: &TcpStream) -> io::Result<()> {
+fn configure_stream(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(WRITE_TIMEOUT))
 }
 
-/// Serves one request and writes its answer. `is_pipelined`: more of the client's has come behind it.
+/// Handles one request and writes the response. `is_pipelined` means that more data from the client has been received
+/// behind the request.
 fn serve_request(
     state: &ProxyState,
     session: &ClientSession,
@@ -151,9 +153,9 @@
     } else {
         request::reject(request)
     };
-    let wants_close = state.is_draining() || state.sessions.is_crowded();
+    let wants_close = state.is_draining() || state.sessions.exceeds_keep_alive_limit();
     let closes = response.closes_connection(wants_close, is_pipelined);
-    // A client that closed only its sending side still reads what a once-only run came to.
+    // A client that closed only its sending side still reads the response to a non-idempotent request.
     let is_written = (&*session.stream)
         .write_all(&response.encode(closes))
         .is_ok();
@@ -166,7 +168,7 @@
     Step::Continue
 }
 
-/// A panic must leave neither the client without an answer nor the dispatcher with the request.
+/// Handles a request. On a panic, the client still gets a response and the request is removed from the dispatcher.
 fn handle_request(
     state: &ProxyState,
     session: &ClientSession,
@@ -183,30 +185,30 @@
     })
 }
 
-/// Answers a request that is not well-formed, or beyond the limits. By limits that may be outdated nothing is refused for
-/// good.
+/// Responds to a request that is malformed or exceeds the limits. If the limits may be outdated, exceeding them is no
+/// permanent error.
 fn reject_invalid(state: &ProxyState, mut stream: &TcpStream, status: u16) -> Step {
-    let is_by_limits = matches!(status, CONTENT_TOO_LARGE | HEADER_FIELDS_TOO_LARGE);
-    if !is_by_limits || state.is_current() {
+    let exceeds_limits = matches!(status, CONTENT_TOO_LARGE | HEADER_FIELDS_TOO_LARGE);
+    if !exceeds_limits || state.is_current() {
         return reject(stream, status);
     }
-    let response = ClientResponse::send_elsewhere("");
+    let response = ClientResponse::retry_on_other_proxy("");
     let _ = stream.write_all(&response.encode(true));
     Step::Linger
 }
 
-/// Answers a request that cannot be read, and closes the connection.
+/// Responds to a request that cannot be parsed, and closes the connection.
 fn reject(mut stream: &TcpStream, status: u16) -> Step {
     let _ = stream.write_all(&http1::encode_response(status, &[], true, b""));
     Step::Linger
 }
 
-/// What has been read of a connection.
+/// The data received on a connection but not yet handled.
 #[derive(Default)]
 struct RequestBuffer {
     buffer: Option<RingBuffer>,
     read_timeout: Duration,
-    /// Since when the connection waits for its next request; `None`: it does not.
+    /// The time since which the connection has been waiting for its next request; `None` if it is not waiting.
     idle_since: Option<Instant>,
 }
 
@@ -223,7 +225,7 @@
         let buffer = self
             .buffer
             .get_or_insert_with(|| RingBuffer::new(INITIAL_BUFFER_BYTES, max_bytes));
-        // Another configuration may have come since the last request.
+        // The configuration may have changed since the last request.
         buffer.set_max_bytes(max_bytes);
         http1::parse_request(buffer, &bounds)
     }
@@ -232,7 +234,7 @@
         self.buffer.as_ref().is_none_or(RingBuffer::is_empty)
     }
 
-    /// Reads once. A request that has begun to arrive is awaited, also by a proxy that drains.
+    /// Reads once. A request that has begun to arrive is awaited even if the proxy is draining.
     fn receive(&mut self, session: &ClientSession, limits: &RequestLimits) -> Step {
         let stream = &*session.stream;
         let is_idle = self.is_empty();
@@ -255,7 +257,7 @@
                 self.idle_since = None;
                 Step::Continue
             }
-            // Unless a configuration has come meanwhile that allows more.
+            // The idle time-out is evaluated again, since a new configuration may allow a longer one.
             Err(e) if is_timeout(&e) && is_idle => Step::Continue,
             Err(e) if is_timeout(&e) => reject(stream, 408),
             Err(e) if e.kind() == ErrorKind::Interrupted => Step::Continue,
@@ -263,7 +265,7 @@
         }
     }
 
-    /// How long the connection may still wait for its next request.
+    /// Returns how long the connection may still wait for its next request, in milliseconds.
     fn remaining_idle_ms(&mut self, limits: &RequestLimits) -> f64 {
         let Some(idle_since) = self.idle_since else {
             self.idle_since = Some(Instant::now());
@@ -272,7 +274,7 @@
         limits.idle_timeout_ms - idle_since.elapsed().as_secs_f64() * MILLIS_PER_SECOND
     }
 
-    /// Setting it again for each read would cost a system call.
+    /// Sets the read time-out if it has changed, which avoids a system call per read.
     fn set_read_timeout(&mut self, stream: &TcpStream, timeout_ms: f64) {
         let timeout = duration_from_millis(timeout_ms.max(MIN_TIMEOUT_MS));
         if timeout != self.read_timeout {
--- a/crates/aspendrum-proxy/src/periodic.rs
+++ b/crates/aspendrum-proxy/src/periodic.rs
@@ -1,5 +1,5 @@
-//! What is due from time to time: the decision engine's timer, health checks, heartbeats to the agent, and looks after
-//! clients that have left.
+//! Periodic work: the decision engine's timer, health checks, heartbeats to the agent, and the detection of
+//! disconnected clients.
 
 use crate::dispatcher::TICK_MS;
 use crate::state::ProxyState;
@@ -10,17 +10,18 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Between two heartbeats to the agent.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(250);
-/// The same while the proxy is not ready: it may be for want of a report of control's.
-const FIRST_HEARTBEATS_EVERY: Duration = Duration::from_millis(40);
-/// Time-out of the agent. Without an agent the proxy has no contact to control.
-const CONTROL_SILENT_AFTER_MS: u64 = 1200;
-const SWEEP_POOL_EVERY: Duration = Duration::from_millis(1000);
-/// Between two digests of the tables: a table that changed under its proxy shows within that.
-const UPDATE_APPLIED_EVERY: Duration = Duration::from_millis(2000);
+/// The interval of heartbeats to the agent.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// The interval while the proxy is not ready, which may only be for lack of a report from control.
+const NOT_READY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(40);
+/// The time without a report of contact to control, in milliseconds, after which control counts as unreachable.
+/// A proxy without an agent has no contact to control.
+const CONTROL_TIMEOUT_MS: u64 = 1200;
+const POOL_SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
+/// The interval at which the digest of the tables is recomputed, which detects a corrupted table within that time.
+const DIGEST_UPDATE_INTERVAL: Duration = Duration::from_millis(2000);
 
-/// Does what is due, for as long as the process lives.
+/// Runs the periodic work for the lifetime of the process.
 pub fn run(state: &Arc<ProxyState>) {
     let mut tasks = PeriodicTasks::new();
     loop {
@@ -32,10 +33,10 @@
     }
 }
 
-/// When each task ran last.
+/// The last execution of each task.
 struct PeriodicTasks {
     heartbeat_at: Instant,
-    applied_updated_at: Instant,
+    digest_updated_at: Instant,
     pool_swept_at: Instant,
     last_readiness: Readiness,
     disconnect_report: DisconnectReporter,
@@ -46,7 +47,7 @@
         let now = Instant::now();
         PeriodicTasks {
             heartbeat_at: now,
-            applied_updated_at: now,
+            digest_updated_at: now,
             pool_swept_at: now,
             last_readiness: Readiness::Closed,
             disconnect_report: DisconnectReporter::default(),
@@ -63,21 +64,21 @@
 
     fn send_heartbeat(&mut self, state: &ProxyState) {
         let has_changed = self.last_readiness != state.readiness();
-        let every = match self.last_readiness {
-            Readiness::Ready => HEARTBEAT_EVERY,
-            Readiness::Closed | Readiness::Draining => FIRST_HEARTBEATS_EVERY,
+        let interval = match self.last_readiness {
+            Readiness::Ready => HEARTBEAT_INTERVAL,
+            Readiness::Closed | Readiness::Draining => NOT_READY_HEARTBEAT_INTERVAL,
         };
-        if !has_changed && self.heartbeat_at.elapsed() < every {
+        if !has_changed && self.heartbeat_at.elapsed() < interval {
             return;
         }
         self.heartbeat_at = Instant::now();
         self.last_readiness = state.readiness();
         state
             .dispatcher
-            .set_control_silent(state.control_silent_ms() > CONTROL_SILENT_AFTER_MS);
-        if self.applied_updated_at.elapsed() >= UPDATE_APPLIED_EVERY {
-            self.applied_updated_at = Instant::now();
-            state.update_applied();
+            .set_control_unreachable(state.ms_since_control_contact() > CONTROL_TIMEOUT_MS);
+        if self.digest_updated_at.elapsed() >= DIGEST_UPDATE_INTERVAL {
+            self.digest_updated_at = Instant::now();
+            state.update_applied_digest();
         }
         let applied = state.consistency.applied();
         state
@@ -86,7 +87,7 @@
     }
 
     fn sweep_pool(&mut self, state: &ProxyState) {
-        if self.pool_swept_at.elapsed() >= SWEEP_POOL_EVERY {
+        if self.pool_swept_at.elapsed() >= POOL_SWEEP_INTERVAL {
             self.pool_swept_at = Instant::now();
             state.server_pool.close_expired();
         }
@@ -95,10 +96,10 @@
 
 fn start_health_checks(state: &Arc<ProxyState>) {
     for server in state.dispatcher.tick() {
-        let own_state = state.clone();
-        // Without a free thread the check is not made, and the decision engine asks again.
+        let check_state = state.clone();
+        // Without a free thread the check is skipped, and the decision engine requests it again.
         let _ = state
             .workers
-            .run(Box::new(move || health_check::check(&own_state, server)));
+            .run(Box::new(move || health_check::check(&check_state, server)));
     }
 }
--- a/crates/aspendrum-proxy/src/process.rs
+++ b/crates/aspendrum-proxy/src/process.rs
@@ -1,4 +1,4 @@
-//! A proxy process from its start to its end.
+//! The lifecycle of a proxy process.
 
 use crate::error::ProxyError;
 use crate::state::{ProxyState, STACK_BYTES};
@@ -14,28 +14,29 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Between two looks whether the proxy has become ready.
-const READY_POLL: Duration = Duration::from_millis(20);
+/// The interval at which readiness is polled.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs a proxy until a termination signal.
+/// Runs a proxy until it receives a termination signal and has drained.
 ///
 /// # Errors
 ///
-/// The settings cannot be read, an address cannot be bound, or a thread cannot be started.
+/// Returns an error if the settings cannot be loaded, an address cannot be bound, or a thread cannot be started.
 pub fn serve(signals: ProcessSignals) -> Result<(), ProxyError> {
     let settings = Settings::load().map_err(ProxyError::Settings)?;
     let listen_address = settings.proxy_addr.ok_or(ProxyError::NoListenAddress)?;
     let counter_address = SocketAddrV4::new(settings.ip, settings.counter_port());
     let socket =
-        UdpSocket::bind(counter_address).map_err(ProxyError::of_component("count port"))?;
+        UdpSocket::bind(counter_address).map_err(ProxyError::for_component("counter port"))?;
     let state = Arc::new(ProxyState::new(&settings, socket));
-    open_pages(&state, &settings)?;
+    start_http_servers(&state, &settings)?;
     start_threads(&state, &settings, listen_address)?;
     log::info!(
         "event=started host={} proxy={listen_address}",
         settings.host_name
     );
-    // Nothing in the settings that a proxy uses may change while it runs: seeds are its agent's.
+    // A reload only validates the settings: the proxy uses none that may change at runtime. The seeds, which may, are
+    // used by its agent.
     let reload = || {
         Settings::load()
             .map(|settings| log::info!("event=settings_read host={}", settings.host_name))
@@ -53,19 +54,19 @@
     Ok(())
 }
 
-/// The pages for the platform and for operators.
-fn open_pages(state: &Arc<ProxyState>, settings: &Settings) -> Result<(), ProxyError> {
+/// Starts the HTTP servers for the readiness and metrics pages.
+fn start_http_servers(state: &Arc<ProxyState>, settings: &Settings) -> Result<(), ProxyError> {
     if let Some(address) = settings.readiness_addr {
         let state = state.clone();
         let page = move |request: Request| readiness_page(&state, &request);
-        http_server::listen(address, page_options(), page)
-            .map_err(ProxyError::of_component("readyz"))?;
+        http_server::listen(address, http_server_options(), page)
+            .map_err(ProxyError::for_component("readyz"))?;
     }
     let state = state.clone();
     let page = move |request: Request| metrics_page(&state, &request);
     let address = SocketAddrV4::new(settings.ip, settings.metrics_port());
-    if let Err(e) = http_server::listen(address, page_options(), page) {
-        // Requests are served without metrics too.
+    if let Err(e) = http_server::listen(address, http_server_options(), page) {
+        // The proxy can serve requests without its metrics page.
         log::warn!("event=metrics_not_bound at={address} why=\"{e}\"");
     }
     Ok(())
@@ -86,8 +87,8 @@
     }
 }
 
-/// For short calls by the platform and by operators.
-fn page_options() -> ServerOptions {
+/// Returns the options of the HTTP servers, which handle short calls by the platform and operators.
+fn http_server_options() -> ServerOptions {
     ServerOptions {
         stack_bytes: STACK_BYTES,
         limits: MessageLimits {
@@ -104,38 +105,42 @@
     settings: &Settings,
     listen_address: SocketAddrV4,
 ) -> Result<(), ProxyError> {
-    let own = state.clone();
-    spawn("counters", STACK_BYTES, move || serve_counters(&own))
-        .map_err(ProxyError::of_component("counters"))?;
-    agent::start(state, settings, listen_address).map_err(ProxyError::of_component("agent"))?;
-    let own = state.clone();
-    spawn("periodic", STACK_BYTES, move || periodic::run(&own))
-        .map_err(ProxyError::of_component("periodic"))?;
-    let own = state.clone();
+    let thread_state = state.clone();
+    spawn("counters", STACK_BYTES, move || {
+        serve_counters(&thread_state)
+    })
+    .map_err(ProxyError::for_component("counters"))?;
+    agent::start(state, settings, listen_address).map_err(ProxyError::for_component("agent"))?;
+    let thread_state = state.clone();
+    spawn("periodic", STACK_BYTES, move || {
+        periodic::run(&thread_state)
+    })
+    .map_err(ProxyError::for_component("periodic"))?;
+    let thread_state = state.clone();
     spawn("listener", STACK_BYTES, move || {
-        listen(&own, listen_address)
+        listen(&thread_state, listen_address)
     })
-    .map_err(ProxyError::of_component("listener"))?;
+    .map_err(ProxyError::for_component("listener"))?;
     Ok(())
 }
 
-/// Answers datagrams of other proxies.
+/// Handles counter datagrams from other proxies.
 fn serve_counters(state: &ProxyState) {
     let socket = state.dispatcher.counter_socket();
     loop {
         let Some((from, message)) = socket.receive() else {
             continue;
         };
-        if let Some(answer) = state.dispatcher.receive_counter_message(from, message) {
-            socket.send(from, &answer);
+        if let Some(reply) = state.dispatcher.receive_counter_message(from, message) {
+            socket.send(from, &reply);
         }
     }
 }
 
-/// Listens for clients once all that requests need is known.
+/// Waits until the proxy is ready, then listens for clients.
 fn listen(state: &Arc<ProxyState>, address: SocketAddrV4) {
     while !state.is_ready() {
-        sleep(READY_POLL);
+        sleep(READY_POLL_INTERVAL);
     }
     state.record_listening();
     match TcpListener::bind(address) {
--- a/crates/aspendrum-proxy/src/request/context.rs
+++ b/crates/aspendrum-proxy/src/request/context.rs
@@ -1,7 +1,7 @@
-//! A request in flight: decisions on it are carried out one after another until one of them ends it.
+//! A request in flight: executes the dispatcher's decisions until one of them completes the request.
 
 use super::filter::RequestTarget;
-use super::upstream::{AttemptOutcome, UpstreamRequest, ANSWER_MARGIN};
+use super::upstream::{AttemptOutcome, UpstreamRequest, RESPONSE_MARGIN};
 use crate::disconnects;
 use crate::dispatcher::{AdmissionRequest, AttemptResult, ConfigSnapshot, RequestDecision};
 use crate::response::{ClientResponse, ConnectionPolicy, DEFAULT_RETRY_AFTER};
@@ -13,19 +13,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Decisions on one request that may wait.
-const DECISIONS: usize = 8;
-/// Of a request's latency target, how long it waits for a server at most.
-const MAX_QUEUED_SHARE: f64 = 0.4;
-/// How long after its deadline a request ends if no decision has come.
-const DECISION_OVERDUE: Duration = Duration::from_millis(20);
+/// The capacity of a request's decision mailbox.
+const DECISION_MAILBOX_CAPACITY: usize = 8;
+/// The maximum time that a request waits for a server, as a fraction of its latency target.
+const MAX_QUEUE_TIME_FRACTION: f64 = 0.4;
+/// How long after its deadline a request still waits for a decision.
+const DECISION_GRACE: Duration = Duration::from_millis(20);
 
 /// A request in flight.
 pub(super) struct RequestContext<'a> {
     upstream: UpstreamRequest<'a>,
-    /// An attempt was written completely and is not known to have run nowhere.
+    /// Whether a server may have run the request: an attempt was sent completely, and its outcome does not rule
+    /// this out.
     may_have_run: bool,
-    /// A server's own failure, which the client gets if nothing better comes.
+    /// The last error response of a server. The client gets it if no attempt succeeds.
     failure: Option<Response>,
 }
 
@@ -38,19 +39,21 @@
         }
     }
 
-    /// Carries out decisions until there is an answer.
+    /// Executes decisions until one of them yields the response to the client.
     pub(super) fn proxy(&mut self) -> ClientResponse {
-        let (sender, decisions) = mailbox::for_current_thread(DECISIONS);
+        let (sender, decisions) = mailbox::for_current_thread(DECISION_MAILBOX_CAPACITY);
         let id = self.admit(sender);
         loop {
             match self.next_decision(&decisions) {
-                Some(RequestDecision::Forward { attempt, server }) if self.is_still_valid() => {
+                Some(RequestDecision::Forward { attempt, server })
+                    if self.is_destination_valid() =>
+                {
                     if let Some(response) = self.attempt_server(id, attempt, server) {
                         return self.forward_response(response);
                     }
                 }
                 Some(decision) => return self.finish(id, decision),
-                None => return self.finish_undecided(id, &decisions),
+                None => return self.finish_without_decision(id, &decisions),
             }
         }
     }
@@ -85,45 +88,48 @@
         id
     }
 
-    /// Waits for a decision. A request that no server can take now is better sent to another proxy, while its latency
-    /// target can be met.
+    /// Waits for the next decision. The wait is limited so that a request that no server can take now is sent to
+    /// another proxy while its latency target can still be met.
     fn next_decision(
         &self,
         decisions: &MailboxReceiver<RequestDecision>,
     ) -> Option<RequestDecision> {
-        let goal_ms = self.upstream.target.rule().latency_target_ms;
-        let max_queued = duration_from_millis(goal_ms * MAX_QUEUED_SHARE);
-        let until = (Instant::now() + max_queued).min(self.upstream.deadline + DECISION_OVERDUE);
-        decisions.recv_deadline(Some(until)).ok()
+        let latency_target_ms = self.upstream.target.route_config().latency_target_ms;
+        let max_queue_time = duration_from_millis(latency_target_ms * MAX_QUEUE_TIME_FRACTION);
+        let deadline =
+            (Instant::now() + max_queue_time).min(self.upstream.deadline + DECISION_GRACE);
+        decisions.recv_deadline(Some(deadline)).ok()
     }
 
-    /// Whether a request that must run at most once, and has waited for a server, may still go where it was bound for:
-    /// the tables by which it was found are in force, and they are what was decided. What is at a server already goes on.
-    fn is_still_valid(&self) -> bool {
+    /// Whether a request may still be sent to the destination found at its arrival. Idempotent requests always may. A
+    /// non-idempotent request, which may have waited for a server, requires that the active configuration is current
+    /// and still yields the same destination. Requests already sent to a server are not affected.
+    fn is_destination_valid(&self) -> bool {
         if self.upstream.is_idempotent() {
             return true;
         }
         let current = self.upstream.state.dispatcher.snapshot();
-        let is_same_target = |current: Arc<ConfigSnapshot>| {
+        let is_same_destination = |current: Arc<ConfigSnapshot>| {
             Arc::ptr_eq(&current, &self.upstream.target.snapshot)
-                || self.finds_same_target(&current)
+                || self.has_same_destination(&current)
         };
-        self.upstream.state.is_current() && current.is_some_and(is_same_target)
+        self.upstream.state.is_current() && current.is_some_and(is_same_destination)
     }
 
-    fn finds_same_target(&self, current: &ConfigSnapshot) -> bool {
+    fn has_same_destination(&self, current: &ConfigSnapshot) -> bool {
         let route = current
             .config
             .route(self.upstream.target.head.host, &self.upstream.request.path);
-        let is_same_route =
-            route.is_some_and(|route| current.config.routes[route] == *self.upstream.target.rule());
+        let is_same_route = route.is_some_and(|route| {
+            current.config.routes[route] == *self.upstream.target.route_config()
+        });
         let credential = self.upstream.target.credential();
         let has_tenant =
             credential.is_none_or(|credential| current.config.tenant(credential).is_some());
         is_same_route && has_tenant
     }
 
-    /// Sends the request to a server. Returns an answer that ends the request, if that brought one.
+    /// Sends the request to a server. Returns the response if it completes the request.
     fn attempt_server(&mut self, id: RequestId, attempt: u8, server: ServerId) -> Option<Response> {
         let started_at = Instant::now();
         let AttemptOutcome { outcome, response } = self.upstream.send(attempt, server, started_at);
@@ -143,13 +149,14 @@
         if is_answered {
             return response;
         }
-        let is_failure = |response: &Response| ResponseClass::of(response) == ResponseClass::Failed;
+        let is_failure =
+            |response: &Response| ResponseClass::from_response(response) == ResponseClass::Failed;
         let failure = response.filter(|response| !is_known_not_run && is_failure(response));
         self.failure = failure.or(self.failure.take());
         None
     }
 
-    /// Ends a request by a decision that is not carried out by sending it.
+    /// Completes a request on a decision other than a valid forward.
     fn finish(&self, id: RequestId, decision: RequestDecision) -> ClientResponse {
         if let RequestDecision::Forward { attempt, server } = decision {
             self.discard(id, attempt, server);
@@ -165,33 +172,33 @@
                 } else {
                     DEFAULT_RETRY_AFTER
                 };
-                self.refuse(if beyond_quota { 429 } else { 503 }, retry_after)
+                self.reject(if beyond_quota { 429 } else { 503 }, retry_after)
             }
             RequestDecision::Drop => self.fail_to_proxy(),
             RequestDecision::ClientDisconnected => ClientResponse::empty(),
             RequestDecision::Forward { .. } | RequestDecision::RetryBudgetSpent => {
-                self.not_served()
+                self.respond_unavailable()
             }
         }
     }
 
-    /// Ends a request on which no decision came in time.
-    fn finish_undecided(
+    /// Completes a request for which no decision arrived in time.
+    fn finish_without_decision(
         &self,
         id: RequestId,
         decisions: &MailboxReceiver<RequestDecision>,
     ) -> ClientResponse {
         self.upstream.state.dispatcher.finish_request(id);
-        // A decision that came in the same moment is not carried out.
+        // Decisions that arrived at the same moment are discarded.
         while let Ok(RequestDecision::Forward { attempt, server }) =
             decisions.recv_deadline(Some(Instant::now()))
         {
             self.discard(id, attempt, server);
         }
-        self.not_served()
+        self.respond_unavailable()
     }
 
-    /// That attempt never left, and the request is over.
+    /// Reports that an attempt was not sent and that the request is completed.
     fn discard(&self, id: RequestId, attempt: u8, server: ServerId) {
         self.upstream.state.dispatcher.finish_attempt(
             id,
@@ -202,22 +209,23 @@
         );
     }
 
-    /// No server takes it now.
-    fn not_served(&self) -> ClientResponse {
+    /// Returns the response for a request that no server can take now.
+    fn respond_unavailable(&self) -> ClientResponse {
         if self.may_have_run {
             self.fail_to_proxy()
         } else {
-            self.refuse(503, DEFAULT_RETRY_AFTER)
+            self.reject(503, DEFAULT_RETRY_AFTER)
         }
     }
 
-    /// Promises that nothing ran, where that is so.
-    fn refuse(&self, status: u16, retry_after: Millis) -> ClientResponse {
+    /// Rejects the request with a status that promises that it did not run, unless a non-idempotent request may have
+    /// run.
+    fn reject(&self, status: u16, retry_after: Millis) -> ClientResponse {
         if self.may_have_run && !self.upstream.is_idempotent() {
             return self.fail_to_proxy();
         }
-        // The client comes back on a new connection, and would leave this one open: a tenant far beyond its quota had
-        // 1,800 of them at each proxy.
+        // The client retries on a new connection and would leave this one open: a tenant far beyond its quota held
+        // 1,800 such connections at each proxy.
         let policy = match self.upstream.target.policy {
             ConnectionPolicy::Close => ConnectionPolicy::Close,
             ConnectionPolicy::KeepAlive | ConnectionPolicy::CloseIfIdle => {
@@ -232,7 +240,7 @@
         )
     }
 
-    /// The answer where no server gave one that ends the request.
+    /// Returns the response for a request that no server completed.
     fn fail_to_proxy(&self) -> ClientResponse {
         if let Some(failure) = &self.failure {
             return self.forward_response(failure.clone());
@@ -241,10 +249,10 @@
             self.upstream.target.head.try_id,
             self.upstream.target.policy,
         );
-        if !self.may_have_run && Instant::now() + ANSWER_MARGIN < self.upstream.deadline {
+        if !self.may_have_run && Instant::now() + RESPONSE_MARGIN < self.upstream.deadline {
             return ClientResponse::generated(503, try_id, Some(DEFAULT_RETRY_AFTER), policy);
         }
-        let is_timed_out = Instant::now() + 2 * ANSWER_MARGIN >= self.upstream.deadline;
+        let is_timed_out = Instant::now() + 2 * RESPONSE_MARGIN >= self.upstream.deadline;
         let status = match (self.may_have_run, is_timed_out) {
             (false, _) => 503,
             (true, true) => 504,
@@ -253,9 +261,10 @@
         ClientResponse::generated(status, try_id, None, policy)
     }
 
-    /// The client gets a server's answer.
+    /// Returns a server's response for the client.
     fn forward_response(&self, response: Response) -> ClientResponse {
-        // To clients these statuses promise that nothing ran. A server that gives one without saying so promises nothing.
+        // These statuses promise clients that the request did not run. Without `Not-Run`, a server's response
+        // carries no such promise.
         let promises_not_run = matches!(response.status, 408 | 421 | 429 | 503);
         let status = if promises_not_run && self.may_have_run {
             502
--- a/crates/aspendrum-proxy/src/request/filter.rs
+++ b/crates/aspendrum-proxy/src/request/filter.rs
@@ -1,4 +1,4 @@
-//! The first phase of a request: by which route and for which tenant it runs, or why it is rejected.
+//! The first phase of request handling: finds the route and the tenant of a request, or rejects it.
 
 use crate::dispatcher::ConfigSnapshot;
 use crate::response::{ClientResponse, ConnectionPolicy};
@@ -8,23 +8,23 @@
 use aspendrum_net::http1::Request;
 use std::sync::Arc;
 
-/// Where a request goes, by the configuration that was in force when it came.
+/// The destination of a request, based on the configuration that was active when the request arrived.
 pub(super) struct RequestTarget<'r> {
     pub(super) head: RequestHead<'r>,
     pub(super) snapshot: Arc<ConfigSnapshot>,
-    /// The number of its route.
+    /// The index of the route in the configuration.
     pub(super) route: usize,
-    /// The number of its tenant.
+    /// The index of the tenant in the configuration.
     pub(super) tenant: Option<usize>,
-    /// The pool of its service.
+    /// The pool number of the service.
     pub(super) pool: u16,
-    /// Regions whose servers may run it, a bit each.
+    /// The regions whose servers may run the request, as a bit set of region numbers.
     pub(super) regions: u64,
     pub(super) policy: ConnectionPolicy,
 }
 
 impl RequestTarget<'_> {
-    pub(super) fn rule(&self) -> &Route {
+    pub(super) fn route_config(&self) -> &Route {
         &self.snapshot.config.routes[self.route]
     }
 
@@ -33,13 +33,14 @@
         self.tenant.map(|tenant| tenants[tenant].name.as_str())
     }
 
-    /// The key by which its tenant was found.
+    /// Returns the credential that identified the tenant.
     pub(super) fn credential(&self) -> Option<&'_ str> {
         self.head.credential.filter(|_| self.tenant.is_some())
     }
 }
 
-/// Finds where a request goes, or the answer that rejects it: by a table that may be outdated nothing is refused for good.
+/// Finds the destination of a request, or returns the response that rejects it. A configuration that may be outdated
+/// never leads to a permanent rejection.
 pub(super) fn request_filter<'r>(
     state: &ProxyState,
     request: &'r Request,
@@ -51,27 +52,30 @@
     };
     let head = RequestHead::parse(request);
     let head = head.ok_or_else(|| ClientResponse::generated(400, "", None, policy))?;
-    let refuse = |status| refuse_if_current(state, head.try_id, status, policy);
+    let reject = |status| reject_if_current(state, head.try_id, status, policy);
     let has_path = request.path.starts_with('/');
     let snapshot = state.dispatcher.snapshot().filter(|_| has_path);
-    let snapshot = snapshot.ok_or_else(|| ClientResponse::send_elsewhere(head.try_id))?;
+    let snapshot = snapshot.ok_or_else(|| ClientResponse::retry_on_other_proxy(head.try_id))?;
     let route = snapshot.config.route(head.host, &request.path);
-    let route = route.ok_or_else(|| refuse(404))?;
-    let rule = &snapshot.config.routes[route];
-    let tenant = find_tenant(&snapshot, rule, head.credential);
-    let tenant = tenant.map_err(|Unauthorized| refuse(401))?;
-    // A credential may have been revoked without this proxy's knowledge: the lease says that none was, up to now.
+    let route = route.ok_or_else(|| reject(404))?;
+    let route_config = &snapshot.config.routes[route];
+    let tenant = find_tenant(&snapshot, route_config, head.credential);
+    let tenant = tenant.map_err(|Unauthorized| reject(401))?;
+    // A credential may have been revoked without this proxy's knowledge, unless its lease on credentials is valid.
     let is_authentic = tenant.is_none() || state.credentials_are_valid();
-    // A request may belong elsewhere by now, and another proxy knows where. One that may be repeated goes on.
-    let may_run = || rule.idempotent || state.is_current();
+    // The route may have changed since. A non-idempotent request is then left to a proxy that is up to date.
+    let may_run = || route_config.idempotent || state.is_current();
     if !is_authentic || !may_run() {
-        return Err(ClientResponse::send_elsewhere(head.try_id));
+        return Err(ClientResponse::retry_on_other_proxy(head.try_id));
     }
     let tenant_regions = tenant.map_or(u64::MAX, |tenant| snapshot.tenant_regions[tenant]);
     let regions = snapshot.route_regions[route] & tenant_regions;
-    let pool = snapshot.pools.get(rule.service(fastrand::f64())).copied();
-    // Each service of a configuration has a pool.
-    let pool = pool.ok_or_else(|| ClientResponse::send_elsewhere(head.try_id))?;
+    let pool = snapshot
+        .pools
+        .get(route_config.service(fastrand::f64()))
+        .copied();
+    // Every configured service has a pool, so this is not expected.
+    let pool = pool.ok_or_else(|| ClientResponse::retry_on_other_proxy(head.try_id))?;
     Ok(RequestTarget {
         head,
         snapshot,
@@ -83,9 +87,9 @@
     })
 }
 
-/// Refuses a request for good by what is in force. What an outdated table does not allow may have been allowed since, and a
-/// client does not come again after such an answer: it is sent elsewhere.
-fn refuse_if_current(
+/// Rejects a request with a permanent error if the active configuration is known to be current. Otherwise the request
+/// may have been allowed since, and the client, which does not retry after such an error, is sent to another proxy.
+fn reject_if_current(
     state: &ProxyState,
     try_id: &str,
     status: u16,
@@ -94,16 +98,16 @@
     if state.is_current() {
         ClientResponse::generated(status, try_id, None, policy)
     } else {
-        ClientResponse::send_elsewhere(try_id)
+        ClientResponse::retry_on_other_proxy(try_id)
     }
 }
 
-/// The request bears no credential of a tenant, and its route needs one.
+/// The error for a request that lacks the tenant credential required by its route.
 struct Unauthorized;
 
 fn find_tenant(
     snapshot: &ConfigSnapshot,
-    rule: &Route,
+    route_config: &Route,
     credential: Option<&str>,
 ) -> Result<Option<usize>, Unauthorized> {
     if snapshot.config.tenants.is_none() {
@@ -111,7 +115,7 @@
     }
     let tenant = credential.and_then(|credential| snapshot.config.tenant(credential));
     match tenant {
-        None if !rule.is_public => Err(Unauthorized),
+        None if !route_config.is_public => Err(Unauthorized),
         tenant => Ok(tenant),
     }
 }
--- a/crates/aspendrum-proxy/src/request/mod.rs
+++ b/crates/aspendrum-proxy/src/request/mod.rs
@@ -1,11 +1,11 @@
-//! The life of one request, on the thread of its client's connection. Its phases, in order:
+//! Request handling, on the thread of the client's connection. The phases of a request, in order:
 //!
-//! 1. `filter::request_filter` finds its route and tenant, or rejects it.
-//! 2. `RequestContext::proxy` admits it to the dispatcher and waits for decisions.
-//! 3. For each decision to forward it, `UpstreamRequest::upstream_peer` connects to the server,
-//!    `UpstreamRequest::exchange` sends it and reads the answer, and `upstream_response_filter` classes that;
-//!    `UpstreamRequest::fail_to_connect` and `RequestContext::fail_to_proxy` say what a failure means.
-//! 4. One answer goes to the client, whatever happened.
+//! 1. `filter::request_filter` finds the route and the tenant, or rejects the request.
+//! 2. `RequestContext::proxy` admits the request to the dispatcher and waits for decisions.
+//! 3. For each decision to forward the request, `UpstreamRequest::upstream_peer` connects to the server,
+//!    `UpstreamRequest::exchange` sends the request and reads the response, and `upstream_response_filter`
+//!    classifies it; `UpstreamRequest::fail_to_connect` and `RequestContext::fail_to_proxy` handle failures.
+//! 4. The client gets exactly one response.
 
 mod context;
 mod filter;
@@ -20,7 +20,7 @@
 use std::time::Instant;
 use upstream::UpstreamRequest;
 
-/// Serves a request that was read at that time.
+/// Handles a request that was read at `received_at`.
 pub fn handle(
     state: &ProxyState,
     session: &ClientSession,
@@ -37,8 +37,8 @@
     response
 }
 
-/// The answer to a request that is not taken: it has not run, and another proxy may take it.
+/// Returns the response to a request that is not accepted: it has not run, and another proxy may serve it.
 pub fn reject(request: &Request) -> ClientResponse {
     let head = RequestHead::parse(request);
-    ClientResponse::send_elsewhere(head.map_or("", |head| head.try_id))
+    ClientResponse::retry_on_other_proxy(head.map_or("", |head| head.try_id))
 }
--- a/crates/aspendrum-proxy/src/request/upstream.rs
+++ b/crates/aspendrum-proxy/src/request/upstream.rs
@@ -1,4 +1,4 @@
-//! One attempt to run a request at a server: connect to the server, send the request, read the answer.
+//! One attempt to run a request on a server: connects to the server, sends the request and reads the response.
 
 use super::filter::RequestTarget;
 use crate::session::ClientSession;
@@ -13,18 +13,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The client is answered so much before it gives up.
-pub(super) const ANSWER_MARGIN: Duration = Duration::from_millis(12);
-/// No client waits longer, whatever it says.
+/// How long before the client's deadline the response is due.
+pub(super) const RESPONSE_MARGIN: Duration = Duration::from_millis(12);
+/// The upper bound of a client's time budget, in milliseconds.
 const MAX_BUDGET: Millis = 3_600_000.0;
-/// Answers to earlier requests that are skipped on one connection.
-const MAX_STALE_ANSWERS: usize = 3;
-/// Of the time that a server keeps an idle connection, how long it is used: a request on a connection that is being
-/// closed may or may not have run.
-const KEEP_ALIVE_SHARE: f64 = 0.6;
+/// The number of late responses to earlier requests that are skipped on one connection.
+const MAX_STALE_RESPONSES: usize = 3;
+/// The fraction of a server's keep-alive time for which an idle connection is reused. It is below 1 because a request
+/// sent on a connection that is being closed may or may not have run.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 const MAX_KEEP_ALIVE: Duration = Duration::from_secs(30);
 
-/// How an attempt ended, and the answer that it brought.
+/// The outcome of an attempt and the response, if one was received.
 pub(super) struct AttemptOutcome {
     pub(super) outcome: Outcome,
     pub(super) response: Option<Response>,
@@ -38,7 +38,7 @@
         }
     }
 
-    fn answered(outcome: Outcome, response: Response) -> AttemptOutcome {
+    fn with_response(outcome: Outcome, response: Response) -> AttemptOutcome {
         AttemptOutcome {
             outcome,
             response: Some(response),
@@ -46,21 +46,21 @@
     }
 }
 
-/// A connection to a server, and the name by which the server is addressed.
+/// A connection to a server, and the uid sent to the server.
 struct UpstreamPeer {
     connection: Connection,
     uid: String,
 }
 
-/// A request as it is sent to servers.
+/// A request to be sent to servers.
 pub(super) struct UpstreamRequest<'a> {
     pub(super) state: &'a ProxyState,
     pub(super) session: &'a ClientSession,
     pub(super) request: &'a Request,
     pub(super) target: RequestTarget<'a>,
-    /// Its attempts, as other threads see them.
+    /// Lets other threads observe and abort the request's attempts.
     pub(super) forward_handle: Arc<ForwardHandle>,
-    /// When its client gives up.
+    /// The time at which the client stops waiting.
     pub(super) deadline: Instant,
 }
 
@@ -72,14 +72,14 @@
         received_at: Instant,
         target: RequestTarget<'a>,
     ) -> UpstreamRequest<'a> {
-        let rule = target.rule();
+        let route_config = target.route_config();
         let budget = target
             .head
             .budget
-            .unwrap_or(rule.timeout_ms)
-            .min(rule.timeout_ms);
+            .unwrap_or(route_config.timeout_ms)
+            .min(route_config.timeout_ms);
         let budget = duration_from_millis(budget.min(MAX_BUDGET));
-        let kind = if rule.idempotent {
+        let kind = if route_config.idempotent {
             RequestKind::Idempotent
         } else {
             RequestKind::OnceOnly
@@ -96,17 +96,17 @@
     }
 
     pub(super) fn is_idempotent(&self) -> bool {
-        self.target.rule().idempotent
+        self.target.route_config().idempotent
     }
 
-    /// Sends the request to a server, as its attempt of that number.
+    /// Sends the request to a server as attempt number `attempt`.
     pub(super) fn send(
         &self,
         attempt: u8,
         server: ServerId,
         started_at: Instant,
     ) -> AttemptOutcome {
-        let deadline = self.deadline - ANSWER_MARGIN;
+        let deadline = self.deadline - RESPONSE_MARGIN;
         let time_left = deadline.saturating_duration_since(started_at);
         if time_left.is_zero() {
             return AttemptOutcome::failed(Outcome::NotSent);
@@ -115,16 +115,16 @@
             Ok(peer) => peer,
             Err(outcome) => return AttemptOutcome::failed(outcome),
         };
-        let answer = self.exchange(&mut peer, attempt, deadline);
+        let result = self.exchange(&mut peer, attempt, deadline);
         let is_aborted = self.forward_handle.end_attempt(attempt);
-        match answer {
+        match result {
             Ok(response) => {
                 if !response.close && !is_aborted {
-                    self.keep_connection(server, peer.connection, &response);
+                    self.release_connection(server, peer.connection, &response);
                 }
                 upstream_response_filter(response)
             }
-            // It never left completely. That it was aborted is not its server's doing.
+            // The request was not sent completely. The server is not to blame for an abort.
             Err(Outcome::ConnectFailed | Outcome::NotSent) if is_aborted => {
                 AttemptOutcome::failed(Outcome::NotSent)
             }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Connects to the server, or takes a kept connection.
+    /// Takes a pooled connection to the server, or opens a new one.
     fn upstream_peer(
         &self,
         attempt: u8,
@@ -148,13 +148,15 @@
         state.server_pool.set_address(server, target.address.into());
         let max_idle = match self.is_idempotent() {
             true => Duration::MAX,
-            false => state.max_idle_for_once_only(),
+            false => state.max_idle_for_non_idempotent(),
         };
         let connect_timeout = time_left.min(state.connect_timeout);
-        let enter = |stream: &Arc<TcpStream>| self.forward_handle.begin_attempt(attempt, stream);
-        let connection = state
-            .server_pool
-            .acquire(server, connect_timeout, max_idle, enter);
+        let register_attempt =
+            |stream: &Arc<TcpStream>| self.forward_handle.begin_attempt(attempt, stream);
+        let connection =
+            state
+                .server_pool
+                .acquire(server, connect_timeout, max_idle, register_attempt);
         let connection = connection.map_err(|outcome| self.fail_to_connect(attempt, outcome))?;
         Ok(UpstreamPeer {
             connection,
@@ -162,7 +164,8 @@
         })
     }
 
-    /// What a failed connection means: where the client has left it is not the server's doing.
+    /// Returns the outcome of a failed connection attempt. If the attempt was aborted because the client
+    /// disconnected, the server is not to blame.
     fn fail_to_connect(&self, attempt: u8, outcome: Outcome) -> Outcome {
         if self.forward_handle.end_attempt(attempt) {
             Outcome::NotSent
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Sends the request on that connection and reads its answer.
+    /// Sends the request on a connection and reads the response.
     fn exchange(
         &self,
         peer: &mut UpstreamPeer,
@@ -198,23 +201,25 @@
         }
         peer.connection.send()?;
         self.forward_handle.advance(attempt, ForwardStage::AtServer);
-        self.read_answer(&mut peer.connection, deadline)
+        self.read_response(&mut peer.connection, deadline)
     }
 
-    /// Reads the answer to this request. Answers to earlier requests may come late, in its place: they are skipped.
-    fn read_answer(
+    /// Reads the response to this request, skipping late responses to earlier requests on the connection.
+    fn read_response(
         &self,
         connection: &mut Connection,
         deadline: Instant,
     ) -> Result<Response, Outcome> {
         let limits = self.state.server_pool.connection_options();
-        for _ in 0..=MAX_STALE_ANSWERS {
+        for _ in 0..=MAX_STALE_RESPONSES {
             let response = connection
                 .receive(deadline, limits, |buffer| {
-                    http1::parse_response(buffer, &wire::RESPONSE_BOUNDS)
+                    http1::parse_response(buffer, &wire::RESPONSE_LIMITS)
                 })
                 .inspect_err(|outcome| self.record_reset(connection, *outcome))?;
-            if wire::answers(&response, self.target.head.try_id) || is_unread_rejection(&response) {
+            if wire::is_response_to(&response, self.target.head.try_id)
+                || is_unread_rejection(&response)
+            {
                 return Ok(response);
             }
             if response.close {
@@ -224,7 +229,8 @@
         Err(Outcome::Error)
     }
 
-    /// A reset of a kept connection before a byte came back: the server may have dropped it while it was idle.
+    /// Records a reset of a reused connection before any response byte: the server may have dropped the
+    /// connection while it was idle.
     fn record_reset(&self, connection: &Connection, outcome: Outcome) {
         let was_idle = connection.nothing_received() && !connection.idle_time().is_zero();
         if outcome == Outcome::Reset && was_idle && !self.forward_handle.progress().is_aborted {
@@ -232,30 +238,36 @@
         }
     }
 
-    /// Keeps a connection for the next attempt, for less than the server keeps it.
-    fn keep_connection(&self, server: ServerId, mut connection: Connection, response: &Response) {
+    /// Returns a connection to the pool, for less time than the server keeps it open.
+    fn release_connection(
+        &self,
+        server: ServerId,
+        mut connection: Connection,
+        response: &Response,
+    ) {
         if let Some(seconds) = wire::keep_alive_s(response) {
-            let keep_alive = duration_from_millis(seconds * 1000.0 * KEEP_ALIVE_SHARE);
+            let keep_alive = duration_from_millis(seconds * 1000.0 * KEEP_ALIVE_FRACTION);
             connection.idle_timeout = keep_alive.min(MAX_KEEP_ALIVE);
         }
         self.state.server_pool.release(server, connection);
     }
 }
 
-/// What a server's answer means for the request.
+/// Maps a server's response to the outcome of the attempt.
 fn upstream_response_filter(response: Response) -> AttemptOutcome {
-    match ResponseClass::of(&response) {
-        ResponseClass::Final => AttemptOutcome::answered(Outcome::Ok, response),
+    match ResponseClass::from_response(&response) {
+        ResponseClass::Final => AttemptOutcome::with_response(Outcome::Ok, response),
         ResponseClass::NotRun => AttemptOutcome::failed(Outcome::Rejected),
         ResponseClass::Misdirected => AttemptOutcome::failed(Outcome::ConnectFailed),
-        ResponseClass::Failed => AttemptOutcome::answered(Outcome::Error, response),
+        ResponseClass::Failed => AttemptOutcome::with_response(Outcome::Error, response),
         ResponseClass::Invalid => AttemptOutcome::failed(Outcome::Error),
     }
 }
 
-/// A server that rejects a request unread may not know its id.
+/// Whether a response without a `Try-Id` rejects the request. A server that rejects a request before reading it may
+/// not know the id.
 fn is_unread_rejection(response: &Response) -> bool {
-    let class = ResponseClass::of(response);
+    let class = ResponseClass::from_response(response);
     wire::lacks_try_id(response)
         && matches!(class, ResponseClass::NotRun | ResponseClass::Misdirected)
 }
--- a/crates/aspendrum-proxy/src/shutdown.rs
+++ b/crates/aspendrum-proxy/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: clients are sent elsewhere, after a while no request is taken any more, and those in flight are
-//! finished.
+//! Graceful shutdown: the proxy is reported as draining, later it stops accepting requests, and those in flight are
+//! completed.
 
 use crate::drain::DrainSchedule;
 use crate::state::ProxyState;
@@ -8,12 +8,12 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Between two looks at how far it has come.
-const STEP: Duration = Duration::from_millis(20);
-/// For the connection by which a proxy that drains wakes its own listener.
+/// The interval at which the progress of the shutdown is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The time-out of the connection that wakes the proxy's own listener.
 const WAKE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Returns when the process may end. `grace_period`: it is killed after that.
+/// Drains the proxy, and returns when the process may end. The platform kills the process after `grace_period`.
 pub(crate) fn drain(state: &ProxyState, listen_address: SocketAddrV4, grace_period: Duration) {
     let started_at = Instant::now();
     let elapsed_ms = || started_at.elapsed().as_secs_f64() * 1000.0;
@@ -23,28 +23,30 @@
         "event=draining connections={connections} takes_ms={}",
         schedule.accepts_until
     );
-    let is_quiet = || {
+    let may_end = || {
         schedule.is_finished(
             elapsed_ms(),
             state.sessions.count(),
-            state.quiet_ms() as f64,
+            state.ms_since_last_accept() as f64,
         )
     };
-    while state.accepts_requests() && !is_quiet() {
-        sleep(STEP);
+    while state.accepts_requests() && !may_end() {
+        sleep(POLL_INTERVAL);
         close_idle(state, &schedule, elapsed_ms());
     }
     state.stop_accepting();
-    while elapsed_ms() < schedule.ends_at && !(state.is_closed() && state.sessions.count() == 0) {
-        if !state.is_closed() {
+    while elapsed_ms() < schedule.deadline
+        && !(state.is_listener_closed() && state.sessions.count() == 0)
+    {
+        if !state.is_listener_closed() {
             wake_listener(listen_address);
         }
-        sleep(STEP);
+        sleep(POLL_INTERVAL);
         close_idle(state, &schedule, elapsed_ms());
     }
 }
 
-/// The listener looks whether it is to close when a connection comes.
+/// Wakes the listener, which checks whether to close when it accepts a connection.
 fn wake_listener(listen_address: SocketAddrV4) {
     let _ = TcpStream::connect_timeout(&listen_address.into(), WAKE_TIMEOUT);
 }
--- a/crates/aspendrum-proxy/src/state.rs
+++ b/crates/aspendrum-proxy/src/state.rs
@@ -1,4 +1,4 @@
-//! What the proxy's threads share.
+//! The state shared by the proxy's threads.
 
 use crate::agent_link::AgentLink;
 use crate::consistency::ConsistencyStatus;
@@ -20,19 +20,19 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Of the proxy's threads.
+/// The stack size of the proxy's threads.
 pub(crate) const STACK_BYTES: usize = 128 << 10;
-/// A worker thread without work ends after that.
-const WORKER_IDLE: Duration = Duration::from_secs(5);
-/// Connect time-out of servers.
+/// The idle time after which a worker thread ends.
+const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The time-out for connecting to servers.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Of the time in which a revoked credential must be unknown everywhere, what a lease leaves for clocks that drift and
-/// threads that wake late.
+/// The part of the revocation deadline that a lease on credentials leaves unused, in milliseconds. It covers
+/// clock drift and delayed threads.
 const LEASE_MARGIN_MS: f64 = 250.0;
 
 /// The state of a proxy process.
 pub struct ProxyState {
-    /// Decides of requests.
+    /// Schedules requests on servers.
     pub dispatcher: Dispatcher,
     /// Connections to servers.
     pub server_pool: Pool,
@@ -42,40 +42,40 @@
     pub agent_link: AgentLink,
     /// Threads for connections and health checks.
     pub workers: WorkerPool,
-    /// Whether what is applied is what was decided.
+    /// Whether the applied state is the decided one.
     pub consistency: ConsistencyStatus,
-    /// Whether clients are still there.
+    /// Detects disconnected clients.
     pub disconnect_watcher: DisconnectWatcher,
-    /// What became of requests whose clients had left.
+    /// Metrics of requests whose clients disconnected.
     pub disconnect_metrics: DisconnectMetrics,
-    /// How long to wait for a connection to a server.
+    /// The time-out for connecting to servers.
     pub connect_timeout: Duration,
     idle_limit: Mutex<IdleConnectionLimit>,
     started_at: Instant,
     is_draining: AtomicBool,
-    /// Clients can connect, or will be able to in a moment.
+    /// Whether clients can connect, or will be able to in a moment.
     is_listening: AtomicBool,
-    /// From then on no new request is taken, in milliseconds of uptime.
+    /// The time from which no new request is accepted, in milliseconds of uptime.
     accepts_until: AtomicU64,
-    /// How long a revoked credential may be believed; `None`: credentials need no lease.
+    /// How long a revoked credential may still be accepted, in milliseconds; `None` if credentials need no lease.
     revocation_ms: Option<f64>,
-    /// Credentials are known to be valid until then, in milliseconds of uptime.
+    /// The end of the lease on credentials, in milliseconds of uptime.
     credentials_valid_until: AtomicU64,
-    /// When the last connection was accepted, in milliseconds of uptime.
+    /// The time at which the last connection was accepted, in milliseconds of uptime.
     last_accepted_at: AtomicU64,
-    /// When the agent last reported that control is heard of, in milliseconds of uptime.
+    /// The time of the agent's last report that control is reachable, in milliseconds of uptime.
     control_reachable_at: AtomicU64,
 }
 
 impl ProxyState {
-    /// A proxy that knows nothing yet. `counter_socket`: bound to the counter port.
+    /// Creates the state of a proxy without any configuration. `counter_socket` is bound to the counter port.
     pub fn new(settings: &Settings, counter_socket: UdpSocket) -> ProxyState {
         ProxyState {
             dispatcher: Dispatcher::new(settings, counter_socket),
             server_pool: Pool::new(pool_limits(settings)),
             sessions: SessionRegistry::default(),
             agent_link: AgentLink::default(),
-            workers: WorkerPool::new(STACK_BYTES, WORKER_IDLE),
+            workers: WorkerPool::new(STACK_BYTES, WORKER_IDLE_TIMEOUT),
             consistency: ConsistencyStatus::new(
                 settings.apply_deadline_ms,
                 settings.unsettled_extension_ms,
@@ -97,22 +97,22 @@
         }
     }
 
-    /// Milliseconds since the start.
+    /// Returns the time since the start of the process, in milliseconds.
     pub(crate) fn uptime_ms(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// A graceful shutdown has begun.
+    /// Whether a graceful shutdown has begun.
     pub fn is_draining(&self) -> bool {
         self.is_draining.load(Ordering::Acquire)
     }
 
-    /// New requests are taken: the proxy does not drain, or has only begun to.
+    /// Whether new requests are accepted, which includes the first stage of a graceful shutdown.
     pub fn accepts_requests(&self) -> bool {
         self.uptime_ms() < self.accepts_until.load(Ordering::Acquire)
     }
 
-    /// Begins a graceful shutdown. `grace_period`: the process is killed after that.
+    /// Begins a graceful shutdown and returns its schedule. The platform kills the process after `grace_period`.
     pub fn begin_drain(&self, grace_period: Duration) -> DrainSchedule {
         let snapshot = self.dispatcher.snapshot();
         let routes = snapshot.iter().flat_map(|snapshot| &snapshot.config.routes);
@@ -124,35 +124,36 @@
         schedule
     }
 
-    /// No new request is taken from now on.
+    /// Stops accepting new requests.
     pub(crate) fn stop_accepting(&self) {
         self.accepts_until
             .fetch_min(self.uptime_ms(), Ordering::AcqRel);
     }
 
-    /// Clients will be able to connect in a moment.
+    /// Records that clients will be able to connect in a moment.
     pub(crate) fn record_listening(&self) {
         self.is_listening.store(true, Ordering::Release);
     }
 
-    /// Clients cannot connect any more, and those that did have sessions.
+    /// Records that the listener is closed, and that all accepted connections have sessions.
     pub(crate) fn record_listener_closed(&self) {
         self.is_listening.store(false, Ordering::Release);
     }
 
-    /// Clients cannot connect.
-    pub(crate) fn is_closed(&self) -> bool {
+    /// Whether clients cannot connect.
+    pub(crate) fn is_listener_closed(&self) -> bool {
         !self.is_listening.load(Ordering::Acquire)
     }
 
-    /// Credentials may be believed: none of them has been revoked without this proxy's knowledge.
+    /// Whether credentials may be accepted, since none can have been revoked without this proxy's knowledge.
     pub fn credentials_are_valid(&self) -> bool {
         let valid_until = || self.credentials_valid_until.load(Ordering::Acquire);
         self.revocation_ms.is_none() || self.uptime_ms() < valid_until()
     }
 
-    /// The agent reports that `age` milliseconds before it answered, a majority of control's disks held nothing above
-    /// `decided`. Counted from `sent_at_ms`, when it was asked, so that an answer which came late does not count for more.
+    /// Records the agent's report that `age` milliseconds before its reply, a majority of control's disks held
+    /// no state above `decided`. The age is counted from `sent_at_ms`, when the heartbeat was sent, so that a
+    /// delayed reply does not extend the report's validity.
     pub fn record_control_report(
         &self,
         sent_at_ms: u64,
@@ -169,7 +170,7 @@
         let status = self
             .consistency
             .record_report(now, report, most_agents_isolated);
-        // Credentials are valid by what is in force here, not by what was sent.
+        // Only the active state authenticates credentials, so the report must match it.
         let (Some(age), Some(revocation_ms), SyncStatus::Current) =
             (age, self.revocation_ms, status)
         else {
@@ -180,33 +181,34 @@
             .fetch_max(valid_until.max(0.0) as u64, Ordering::AcqRel);
     }
 
-    /// Computes the digest of the tables that requests go by again.
-    pub fn update_applied(&self) {
+    /// Recomputes the digest of the tables that requests use.
+    pub fn update_applied_digest(&self) {
         self.consistency
             .record_applied(self.uptime_ms() as f64, self.dispatcher.applied());
     }
 
-    /// Whether what is in force is known to be what was decided, up to the time that a change may take. Only then may a
-    /// request that must run at most once leave for a server, and may one be refused for good by what is in force.
+    /// Whether the active state is known to be the decided one, up to the time that a change may take. Only
+    /// then may a non-idempotent request be sent to a server, or a request be rejected with a permanent error.
     pub fn is_current(&self) -> bool {
         self.consistency.is_current(self.uptime_ms() as f64)
     }
 
-    /// How long a connection may have been idle for a request that must run at most once.
-    pub fn max_idle_for_once_only(&self) -> Duration {
+    /// Returns the maximum idle time of a connection used for a non-idempotent request.
+    pub fn max_idle_for_non_idempotent(&self) -> Duration {
         let max_idle = lock(&self.idle_limit).max_idle(self.uptime_ms() as f64);
         max_idle.map_or(Duration::MAX, |ms| Duration::from_secs_f64(ms / 1000.0))
     }
 
-    /// A request on a kept connection was reset before a byte came back.
+    /// Records that a request on a reused connection was reset before any response byte.
     pub fn record_idle_reset(&self, idle_for: Duration) {
         let idle_for_ms = idle_for.as_secs_f64() * 1000.0;
         lock(&self.idle_limit).record_reset(self.uptime_ms() as f64, idle_for_ms);
     }
 
-    /// The agent reports whether control has heard it lately, in answer to a heartbeat that was sent at `sent_at_ms` of uptime.
-    pub fn record_control_reachable(&self, sent_at_ms: u64, has_heard: bool) {
-        if has_heard {
+    /// Records the agent's report whether control is reachable, in reply to a heartbeat sent at `sent_at_ms` of
+    /// uptime.
+    pub fn record_control_reachable(&self, sent_at_ms: u64, is_reachable: bool) {
+        if is_reachable {
             self.control_reachable_at
                 .store(self.uptime_ms(), Ordering::Release);
             let sent_at = self.started_at + Duration::from_millis(sent_at_ms);
@@ -214,16 +216,16 @@
         }
     }
 
-    /// How long control has not been heard of.
-    pub(crate) fn control_silent_ms(&self) -> u64 {
+    /// Returns the time since control was last known to be reachable, in milliseconds.
+    pub(crate) fn ms_since_control_contact(&self) -> u64 {
         self.uptime_ms()
             .saturating_sub(self.control_reachable_at.load(Ordering::Acquire))
     }
 
-    /// Whether clients may be sent here.
+    /// Returns the readiness reported to the agent.
     pub(crate) fn readiness(&self) -> Readiness {
-        let is_able = self.dispatcher.is_configured() && self.credentials_are_valid();
-        match (self.is_draining(), is_able) {
+        let can_serve = self.dispatcher.is_configured() && self.credentials_are_valid();
+        match (self.is_draining(), can_serve) {
             (false, true) => Readiness::Ready,
             (true, true) if self.accepts_requests() => Readiness::Draining,
             _ => Readiness::Closed,
@@ -234,20 +236,20 @@
         self.readiness() == Readiness::Ready
     }
 
-    /// A client's connection was accepted.
+    /// Records that a client connection was accepted.
     pub(crate) fn record_accept(&self) {
         self.last_accepted_at
             .store(self.uptime_ms(), Ordering::Release);
     }
 
-    /// How long no client's connection has been accepted.
-    pub(crate) fn quiet_ms(&self) -> u64 {
+    /// Returns the time since the last client connection was accepted, in milliseconds.
+    pub(crate) fn ms_since_last_accept(&self) -> u64 {
         self.uptime_ms()
             .saturating_sub(self.last_accepted_at.load(Ordering::Acquire))
     }
 }
 
-/// Of connections to servers.
+/// Returns the limits of the pool of connections to servers.
 fn pool_limits(settings: &Settings) -> PoolLimits {
     PoolLimits {
         max_connections: settings.max_open_files as usize / 3,
