--- a/crates/aspendrum-proxy/src/wire.rs
+++ b/crates/aspendrum-proxy/src/wire.rs
@@ -1,4 +1,4 @@
-//! The proxy's HTTP headers, and the messages built of them. No header's name stands in any other module.
+//! The proxy's HTTP headers, and the encoding of its messages. No other module contains header names.
 
 use aspendrum_core::api::{LoadReport, Millis};
 use aspendrum_net::http1::{
@@ -21,34 +21,33 @@
 const RETRY_AFTER: &str = "Retry-After";
 const KEEP_ALIVE: &str = "Keep-Alive";
 const CONTENT_ENCODING: &str = "Content-Encoding";
-/// Headers of a client's request that servers do not get: the proxy writes its own, or they are none of the servers'
-/// business.
+/// Request headers that are not forwarded to servers: the proxy writes its own values, or servers do not need them.
 const NOT_FORWARDED: [&str; 4] = [BUDGET_MS, CREDENTIAL, TENANT, WANT_SERVER];
-/// Headers of a server's answer that clients do not get.
+/// Response headers that are not returned to clients.
 const NOT_RETURNED: [&str; 3] = [SERVER_LOAD, WARM_MS, SERVER_ID];
-/// The most bytes of a server's answer: they are as large as the service makes them.
-pub(crate) const RESPONSE_BOUNDS: MessageLimits = MessageLimits {
+/// The size limits of server responses, which are as large as the service makes them.
+pub(crate) const RESPONSE_LIMITS: MessageLimits = MessageLimits {
     head_bytes: 32 << 10,
     body_bytes: 64 << 20,
 };
-/// Room for a head beside the body.
-const REQUEST_HEAD_ROOM: usize = 512;
-const RESPONSE_HEAD_ROOM: usize = 256;
+/// The initial buffer capacity for a message head, in bytes.
+const REQUEST_HEAD_CAPACITY: usize = 512;
+const RESPONSE_HEAD_CAPACITY: usize = 256;
 
-/// The headers of a request by which it is decided.
+/// The request headers that determine how a request is handled.
 pub struct RequestHead<'r> {
-    /// `Host`, perhaps with a port.
+    /// `Host`, with an optional port.
     pub host: &'r str,
-    /// `Try-Id`: identifies this attempt of the client's.
+    /// `Try-Id`, which identifies the client's attempt.
     pub try_id: &'r str,
-    /// `Budget-Ms`: how long the client waits, in milliseconds.
+    /// `Budget-Ms`, the time that the client waits, in milliseconds.
     pub budget: Option<Millis>,
-    /// `Credential`: the key by which its tenant is found.
+    /// `Credential`, the key that identifies the tenant.
     pub credential: Option<&'r str>,
 }
 
 impl RequestHead<'_> {
-    /// `None`: a header that decides is missing, comes twice or cannot be read.
+    /// Parses the headers. Returns `None` if a required header is missing, or if one is repeated or invalid.
     pub fn parse(request: &Request) -> Option<RequestHead<'_>> {
         let headers = &request.headers;
         let at_most_once = |name| {
@@ -73,22 +72,22 @@
     }
 }
 
-/// A finite number of milliseconds that is not negative.
+/// Parses a finite, non-negative number of milliseconds.
 fn parse_milliseconds(text: &str) -> Option<Millis> {
     text.parse::<f64>()
         .ok()
         .filter(|ms| ms.is_finite() && *ms >= 0.0)
 }
 
-/// The bytes of a request as a server gets it. `budget_ms`: what is left of the client's.
+/// Encodes a request for a server. `budget_ms` is the remaining time budget of the client.
 pub fn encode_forward(
     request: &Request,
     server: &str,
     tenant: Option<&str>,
     budget_ms: u64,
 ) -> Vec<u8> {
-    let mut out = Vec::with_capacity(REQUEST_HEAD_ROOM + request.body.len());
-    // Writing to memory does not fail.
+    let mut out = Vec::with_capacity(REQUEST_HEAD_CAPACITY + request.body.len());
+    // Writing to a `Vec` does not fail.
     let _ = write!(out, "{} {} HTTP/1.1\r\n", request.method, request.path);
     for (name, value) in &request.headers {
         let is_dropped = NOT_FORWARDED
@@ -105,7 +104,7 @@
     if let Some(tenant) = tenant {
         let _ = write!(out, "{TENANT}: {tenant}\r\n");
     }
-    // A length where the client sent a body, or where its method implies one.
+    // A length is needed if there is a body, or if the method implies one.
     let implies_body = !matches!(
         request.method.as_str(),
         "GET" | "HEAD" | "DELETE" | "OPTIONS"
@@ -124,29 +123,29 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The bytes of a health check.
+/// Encodes a health check request.
 pub fn encode_health_check(path: &str, host: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
-/// What a server's answer says of the request's execution.
+/// What a server's response implies about the execution of the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseClass {
-    /// It goes to the client.
+    /// The response is final and goes to the client.
     Final,
-    /// The server is full, or the time was over: it says that nothing ran.
+    /// The request did not run, because the server was full or the time was over.
     NotRun,
-    /// Another server has the address; nothing ran.
+    /// The address belongs to another server; the request did not run.
     Misdirected,
     /// The server failed, and the request may have run.
     Failed,
-    /// These bytes are no valid answer to the request, which may have run.
+    /// The response is invalid, and the request may have run.
     Invalid,
 }
 
 impl ResponseClass {
-    /// By the answer's status and headers.
-    pub fn of(response: &Response) -> ResponseClass {
+    /// Classifies a response by its status and headers.
+    pub fn from_response(response: &Response) -> ResponseClass {
         let not_run = has_header(&response.headers, NOT_RUN);
         let is_sealed = || {
             has_header(&response.headers, SEAL) && !has_header(&response.headers, CONTENT_ENCODING)
@@ -163,22 +162,23 @@
     }
 }
 
-/// Whether the answer names that request's `Try-Id`. An answer to an earlier request may come late, in its place.
-pub fn answers(response: &Response, try_id: &str) -> bool {
+/// Whether the response has the request's `Try-Id`. A late response to an earlier request may arrive in its place.
+pub fn is_response_to(response: &Response, try_id: &str) -> bool {
     single_header(&response.headers, TRY_ID) == Some(try_id)
 }
 
-/// Whether the answer names no request at all: a server that rejects a request unread may not know it.
+/// Whether the response has no `Try-Id`: a server that rejects a request before reading it may not know the id.
 pub fn lacks_try_id(response: &Response) -> bool {
     !has_header(&response.headers, TRY_ID)
 }
 
-/// The name that the server gives itself.
+/// Returns the server's own id.
 pub fn server_id(response: &Response) -> Option<&str> {
     single_header(&response.headers, SERVER_ID)
 }
 
-/// The server's load: running and waiting requests as a share of its slots; no value if it cannot be read.
+/// Returns the server's load, which is the number of running and waiting requests per slot. The report is empty
+/// if the header is missing or invalid.
 pub fn server_load(response: &Response) -> LoadReport {
     let share = || {
         let numbers = single_header(&response.headers, SERVER_LOAD)?.split(',');
@@ -192,12 +192,12 @@
     })
 }
 
-/// How much of its slow start the server says is left, in milliseconds.
+/// Returns the remaining slow start reported by the server, in milliseconds.
 pub fn slow_start_left(response: &Response) -> Option<Millis> {
     parse_milliseconds(single_header(&response.headers, WARM_MS)?)
 }
 
-/// For how long the server keeps an idle connection, in seconds.
+/// Returns how long the server keeps an idle connection open, in seconds.
 pub fn keep_alive_s(response: &Response) -> Option<f64> {
     let parameters = single_header(&response.headers, KEEP_ALIVE)?.split(',');
     let timeout = parameters
@@ -210,14 +210,14 @@
         .filter(|seconds| *seconds >= 0.0)
 }
 
-/// The bytes of a server's answer as the client gets it, under that status. `closes`: the connection ends behind it.
+/// Encodes a server's response for the client with the given status. `closes` announces the end of the connection.
 pub fn encode_forwarded(response: &Response, status: u16, closes: bool) -> Vec<u8> {
     let text = if status == response.status && !response.reason.is_empty() {
         response.reason.as_str()
     } else {
         reason_phrase(status)
     };
-    let mut out = Vec::with_capacity(RESPONSE_HEAD_ROOM + response.body.len());
+    let mut out = Vec::with_capacity(RESPONSE_HEAD_CAPACITY + response.body.len());
     let _ = write!(out, "HTTP/1.1 {status} {text}\r\n");
     for (name, value) in &response.headers {
         let is_dropped = NOT_RETURNED
@@ -237,7 +237,8 @@
     out
 }
 
-/// The bytes of an answer that the proxy itself gives. `retry_after`: when the client may come again, in milliseconds.
+/// Encodes a response generated by the proxy. `retry_after` is the delay after which the client may retry, in
+/// milliseconds.
 pub fn encode_generated(
     status: u16,
     try_id: &str,
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback, with servers that answer as a test wants.
+//! A proxy on loopback with scripted servers.
 
 #![allow(dead_code)]
 
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::Instant;
 
-pub(crate) const BOUNDS: MessageLimits = MessageLimits {
+pub(crate) const MESSAGE_LIMITS: MessageLimits = MessageLimits {
     head_bytes: 16 << 10,
     body_bytes: 1 << 20,
 };
@@ -30,18 +30,19 @@
 {"name":"open","type":"idem","public":true,"goal-ms":800,"match":{"pfx":"/open/"},"action":{"svc":"s1","limit-ms":2000,"tries":3}}]}],
 "pools":[{"name":"s1","check":"/healthz","warmup-s":3.0,"warm-rate-s":10.0}]}"#;
 
-/// What a server sends for a request, by its number: a text, in which {id} is the request's. `None`: it closes.
+/// Returns the response to the n-th request, in which `{id}` stands for the request's `Try-Id`. `None` closes the
+/// connection.
 pub(crate) type Script = fn(usize) -> Option<&'static str>;
 
-/// Servers that answer in turn, and a proxy that knows them.
+/// A proxy in front of scripted servers.
 pub(crate) struct TestProxy {
     pub(crate) state: Arc<ProxyState>,
-    pub(crate) seen: Arc<Mutex<Vec<String>>>,
-    /// How often each request ran.
-    pub(crate) ran: Arc<Mutex<HashMap<String, u32>>>,
-    /// The connection that requests come on, and the listener that holds its other end open.
+    pub(crate) received_requests: Arc<Mutex<Vec<String>>>,
+    /// How often each request ran, by `Try-Id`.
+    pub(crate) run_counts: Arc<Mutex<HashMap<String, u32>>>,
+    /// The client connection of all requests, and the listener that keeps its other end open.
     connection: TcpStream,
-    _other_end: TcpListener,
+    _listener: TcpListener,
 }
 
 pub(crate) fn test_proxy(servers: usize, script: Script) -> TestProxy {
@@ -49,8 +50,8 @@
 }
 
 pub(crate) fn test_proxy_with(bounds: &str, servers: usize, script: Script) -> TestProxy {
-    let seen = Arc::new(Mutex::new(Vec::new()));
-    let (ran, count) = (
+    let received_requests = Arc::new(Mutex::new(Vec::new()));
+    let (run_counts, count) = (
         Arc::new(Mutex::new(HashMap::new())),
         Arc::new(Mutex::new(0)),
     );
@@ -59,27 +60,34 @@
         .collect();
     let addresses: Vec<SocketAddr> = listeners.iter().map(|l| l.local_addr().unwrap()).collect();
     for (n, listener) in listeners.into_iter().enumerate() {
-        let (seen, ran, count) = (Arc::clone(&seen), Arc::clone(&ran), Arc::clone(&count));
+        let (received_requests, run_counts, count) = (
+            Arc::clone(&received_requests),
+            Arc::clone(&run_counts),
+            Arc::clone(&count),
+        );
         thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                let (seen, ran, count) = (seen.clone(), ran.clone(), count.clone());
-                thread::spawn(move || serve(n, &stream, script, &seen, &ran, &count));
+                let (received_requests, run_counts, count) =
+                    (received_requests.clone(), run_counts.clone(), count.clone());
+                thread::spawn(move || {
+                    serve(n, &stream, script, &received_requests, &run_counts, &count)
+                });
             }
         });
     }
-    let other_end = TcpListener::bind("127.0.0.1:0").unwrap();
-    let connection = TcpStream::connect(other_end.local_addr().unwrap()).unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let connection = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     TestProxy {
         state: proxy(bounds, CONFIG, &addresses),
-        seen,
-        ran,
+        received_requests,
+        run_counts,
         connection,
-        _other_end: other_end,
+        _listener: listener,
     }
 }
 
-/// A proxy with that configuration which knows servers at these addresses, `i-0` and so on, and has control's report that
-/// all of it is in force.
+/// Returns a proxy with the given configuration and servers `i-0`, `i-1` and so on, and with a report from
+/// control that this is the decided state.
 pub(crate) fn proxy(bounds: &str, config: &str, servers: &[SocketAddr]) -> Arc<ProxyState> {
     let settings = r#"{"self":{"host-name":"e1","ip":"127.0.0.1","az":"poa-a","geo":"poa"},"net":{"binds":{"front":"127.0.0.1:1"},
         "port-range":[7600,7615],"zones":{"poa-a":"poa"}},"terms":{"bounds":{"apply-ms":600000,BOUNDS}}}"#;
@@ -95,7 +103,7 @@
         draining: false,
         slow_start_left_ms: 0,
     });
-    let front = ProxyEndpoint {
+    let proxy_endpoint = ProxyEndpoint {
         addr: "127.0.0.1:1".parse().unwrap(),
         zone: "poa-a".into(),
         readiness: Readiness::Ready,
@@ -108,12 +116,14 @@
         age_ms: 0,
         list: list.collect(),
     });
-    // Danger: a proxy that knows of no other takes the whole of every quota for its share.
+    // Without the list of proxies, a proxy would use the whole of every quota.
     assert!(!state.dispatcher.is_configured());
-    state.dispatcher.apply(StateSection::Proxies(vec![front]));
+    state
+        .dispatcher
+        .apply(StateSection::Proxies(vec![proxy_endpoint]));
     assert!(state.dispatcher.is_configured() || servers.is_empty());
-    // As control would report it; that is no lease on credentials.
-    state.update_applied();
+    // A report as from control, which does not include a lease on credentials.
+    state.update_applied_digest();
     state.consistency.record_report(
         0.0,
         Some(MajorityReport {
@@ -122,8 +132,8 @@
         }),
         false,
     );
-    let own = state.clone();
-    thread::spawn(move || periodic::run(&own));
+    let periodic_state = state.clone();
+    thread::spawn(move || periodic::run(&periodic_state));
     state
 }
 
@@ -131,38 +141,41 @@
     server: usize,
     stream: &TcpStream,
     script: Script,
-    seen: &Mutex<Vec<String>>,
-    ran: &Mutex<HashMap<String, u32>>,
+    received_requests: &Mutex<Vec<String>>,
+    run_counts: &Mutex<HashMap<String, u32>>,
     count: &Mutex<usize>,
 ) {
     let mut ring = RingBuffer::new(1024, 1 << 20);
     loop {
-        match http1::parse_request(&mut ring, &BOUNDS) {
+        match http1::parse_request(&mut ring, &MESSAGE_LIMITS) {
             Parsed::Incomplete => match ring.fill(&mut &*stream) {
                 Ok(n) if n > 0 => {}
                 _ => return,
             },
             Parsed::Invalid(status) => panic!("{status}"),
-            Parsed::Complete(asked) if asked.path == "/healthz" => {
-                let well = format!(
+            Parsed::Complete(request) if request.path == "/healthz" => {
+                let health_response = format!(
                     "HTTP/1.1 200 OK\r\nServer-Id: i-{server}\r\nContent-Length: 0\r\n\r\n"
                 );
-                if (&mut &*stream).write_all(well.as_bytes()).is_err() {
+                if (&mut &*stream)
+                    .write_all(health_response.as_bytes())
+                    .is_err()
+                {
                     return;
                 }
             }
-            Parsed::Complete(asked) => {
+            Parsed::Complete(request) => {
                 let n = {
                     let mut count = count.lock().unwrap();
                     *count += 1;
                     *count - 1
                 };
-                seen.lock().unwrap().push(transcript(&asked));
-                let id = asked.headers.iter().find(|h| h.0 == "Try-Id").unwrap();
+                received_requests.lock().unwrap().push(transcript(&request));
+                let id = request.headers.iter().find(|h| h.0 == "Try-Id").unwrap();
                 let id = String::from_utf8(id.1.clone()).unwrap();
                 let text = script(n);
                 if !text.is_some_and(|t| t.contains("Not-Run") || t.contains(" 421 ")) {
-                    *ran.lock().unwrap().entry(id.clone()).or_insert(0) += 1;
+                    *run_counts.lock().unwrap().entry(id.clone()).or_insert(0) += 1;
                 }
                 let Some(text) = text else { return };
                 let text = text.replace("{id}", &id);
@@ -175,9 +188,9 @@
     }
 }
 
-/// A request as a transcript has it; what differs from run to run is left out.
-pub(crate) fn transcript(r: &Request) -> String {
-    let headers = r.headers.iter().map(|(name, value)| {
+/// Formats a request for comparison, without the parts that differ between runs.
+pub(crate) fn transcript(request: &Request) -> String {
+    let headers = request.headers.iter().map(|(name, value)| {
         let value = String::from_utf8_lossy(value);
         match name.as_str() {
             "Budget-Ms" if value.parse::<u64>().unwrap() <= 2000 => format!("{name}: (left)"),
@@ -188,10 +201,10 @@
     let headers: Vec<String> = headers.collect();
     format!(
         "{} {} | {} | {}",
-        r.method,
-        r.path,
+        request.method,
+        request.path,
         headers.join("; "),
-        String::from_utf8_lossy(&r.body)
+        String::from_utf8_lossy(&request.body)
     )
 }
 
@@ -200,18 +213,18 @@
         let mut ring = RingBuffer::new(1024, 1 << 20);
         ring.write_all(text.replace('\n', "\r\n").as_bytes())
             .unwrap();
-        let Parsed::Complete(asked) = http1::parse_request(&mut ring, &BOUNDS) else {
+        let Parsed::Complete(request) = http1::parse_request(&mut ring, &MESSAGE_LIMITS) else {
             panic!("{text}")
         };
         let client = ClientSession::new(self.connection.try_clone().unwrap());
-        let answer = request::handle(&self.state, &client, &asked, Instant::now());
-        String::from_utf8(answer.encode(answer.closes_connection(false, false)))
+        let response = request::handle(&self.state, &client, &request, Instant::now());
+        String::from_utf8(response.encode(response.closes_connection(false, false)))
             .unwrap()
             .replace("\r\n", "\n")
     }
 
     pub(crate) fn received(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+        self.received_requests.lock().unwrap().clone()
     }
 }
 
@@ -221,9 +234,9 @@
 pub(crate) const SEND: &str =
     "POST /send/1 HTTP/1.1\nHost: a.example\nTry-Id: t2\nBudget-Ms: 2000\nCredential: k1\n\
     Transfer-Encoding: chunked\n\n3\nabc\n0\n\n";
-pub(crate) const GOOD: &str =
+pub(crate) const OK_RESPONSE: &str =
     "HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 3e1b.07\nServer-Load: 1,0,2\nContent-Length: 4\n\nbody";
-pub(crate) const GOOD_TO_T1: &str =
+pub(crate) const OK_RESPONSE_T1: &str =
     "HTTP/1.1 200 OK\nTry-Id: t1\nSeal: 3e1b.07\nContent-Length: 4\n\nbody";
-pub(crate) const GOOD_TO_T2: &str =
+pub(crate) const OK_RESPONSE_T2: &str =
     "HTTP/1.1 200 OK\nTry-Id: t2\nSeal: 3e1b.07\nContent-Length: 4\n\nbody";
--- a/crates/aspendrum-proxy/tests/counter.rs
+++ b/crates/aspendrum-proxy/tests/counter.rs
@@ -1,4 +1,4 @@
-//! Tenants' counters: no tenant is granted more than the terms allow, whichever proxy owns its counter.
+//! Tenant counters: no tenant is granted more than the terms allow, whichever proxy owns its counter.
 
 use aspendrum_proxy::counter::{
     CounterClient, CounterHandover, CounterId, CounterStore, Quota, QuotaTolerance,
@@ -7,7 +7,7 @@
 use std::net::Ipv4Addr;
 
 const COUNTER: CounterId = CounterId(7);
-/// The counter as the decision engine names it, in some window.
+/// The decision engine's name for the counter in some window.
 const ENGINE_NAME: u64 = 3 << 40 | 7;
 const TOLERANCE: QuotaTolerance = QuotaTolerance {
     span_s: 5.0,
@@ -29,7 +29,7 @@
     (rate * TOLERANCE.span_s + burst) * (1.0 + TOLERANCE.excess) + TOLERANCE.slack
 }
 
-/// The most of these grants that lie in any five seconds.
+/// Returns the maximum number of grants in any five seconds.
 fn max_in_span(grants: &[f64]) -> f64 {
     let within = |from: &f64| {
         grants
@@ -40,7 +40,7 @@
     grants.iter().map(within).max().unwrap_or(0) as f64
 }
 
-/// A tenant that sends a request every millisecond, for 20 s.
+/// Covers a tenant that sends a request every millisecond for 20 s.
 #[test]
 fn no_span_holds_more_than_the_terms_allow() {
     for (rate, burst) in [
@@ -51,20 +51,20 @@
         (61.0, 0.0),
     ] {
         let (mut store, quota) = store(rate, burst);
-        let asks = (0..20_000).map(f64::from);
-        let passes = |now: &f64| {
+        let request_times = (0..20_000).map(f64::from);
+        let is_granted = |now: &f64| {
             store
                 .add(*now, COUNTER, 1.0)
                 .is_some_and(|total| f64::from(total) <= quota.burst)
         };
-        let grants: Vec<f64> = asks.filter(passes).collect();
+        let grants: Vec<f64> = request_times.filter(is_granted).collect();
         let burst = if burst > 0.0 { burst } else { rate };
         assert!(
             max_in_span(&grants) <= allowed(rate, burst),
             "{rate}/{burst}: {}",
             max_in_span(&grants)
         );
-        // A span touches one window more than fits in it: each window grants a little less for that.
+        // A span overlaps one window more than fits into it, so each window grants a little less.
         assert!(
             grants.len() as f64 >= 19.0 * rate,
             "{rate}/{burst}: only {}",
@@ -73,9 +73,9 @@
     }
 }
 
-/// Danger: a counter moves while its last owner's window is open, and two owners grant a burst each.
+/// Guards against two owners granting a burst each when a counter moves during a window of its previous owner.
 #[test]
-fn a_counter_that_moves_every_three_seconds_grants_no_more() {
+fn a_counter_that_moves_every_three_seconds_stays_within_the_quota() {
     let (mut grants, (rate, burst)) = (Vec::new(), (186.0, 186.0));
     let (mut store, quota) = store(rate, burst);
     for now in (0..30_000).map(f64::from) {
@@ -118,46 +118,47 @@
     );
 }
 
-/// Danger: proxies restart one after another, the list changes every 0.4 s, and every counter that moved waits until the
-/// last of them is back: a quarter of all requests were rejected below quota.
+/// Guards against counters that wait until the last change of owners. With proxies restarting one after
+/// another, the list changes every 0.4 s; a quarter of all requests were rejected below the quota until the
+/// last proxy was back.
 #[test]
-fn a_change_of_owners_that_concerns_others_does_not_prolong_the_wait() {
+fn a_change_of_other_owners_does_not_prolong_the_wait() {
     let (mut store, quota) = store(10.0, 10.0);
     store.set_owned(0.0, |_| false);
-    let mut opened = None;
+    let mut first_granted_at = None;
     for now in (100..10_000).step_by(100).map(f64::from) {
         if now % 400.0 == 100.0 {
             store.set_owned(now, |_| true);
         }
-        if opened.is_none() && store.add(now, COUNTER, 1.0).is_some() {
-            opened = Some(now);
+        if first_granted_at.is_none() && store.add(now, COUNTER, 1.0).is_some() {
+            first_granted_at = Some(now);
         }
     }
-    assert_eq!(opened, Some(100.0 + quota.window + 400.0));
+    assert_eq!(first_granted_at, Some(100.0 + quota.window + 400.0));
 }
 
-/// A counter that is handed over goes on at once, and grants no more for that.
+/// A counter that is handed over is available at once at its new owner, and grants no more for that.
 #[test]
-fn a_counter_that_is_handed_over_goes_on_with_its_total() {
+fn a_counter_that_is_handed_over_keeps_its_total() {
     let (mut grants, (rate, burst)) = (Vec::new(), (186.0, 186.0));
-    let (mut one, quota) = store(rate, burst);
-    let (mut other, _) = store(rate, burst);
-    other.set_owned(-5000.0, |_| false);
+    let (mut owner, quota) = store(rate, burst);
+    let (mut other_proxy, _) = store(rate, burst);
+    other_proxy.set_owned(-5000.0, |_| false);
     for now in (0..30_000).map(f64::from) {
         if now % 700.0 == 300.0 {
-            let handed = one.set_owned(now, |_| false);
-            other.set_owned(now, |_| true);
-            handed
+            let handovers = owner.set_owned(now, |_| false);
+            other_proxy.set_owned(now, |_| true);
+            handovers
                 .into_iter()
-                .for_each(|h| other.accept_handover(now, h));
-            std::mem::swap(&mut one, &mut other);
+                .for_each(|h| other_proxy.accept_handover(now, h));
+            std::mem::swap(&mut owner, &mut other_proxy);
             assert_eq!(
-                other.add(now, COUNTER, 1.0),
+                other_proxy.add(now, COUNTER, 1.0),
                 None,
                 "the last owner grants nothing more"
             );
         }
-        if one
+        if owner
             .add(now, COUNTER, 1.0)
             .is_some_and(|total| f64::from(total) <= quota.burst)
         {
@@ -170,10 +171,10 @@
         max_in_span(&grants)
     );
     assert!(grants.len() as f64 >= 29.0 * rate, "only {}", grants.len());
-    // Invalid handovers change nothing, and what was granted meanwhile is added.
-    let before = one.add(30_000.0, COUNTER, 0.0);
+    // Invalid handovers change nothing. The total of a valid one is added to the units already granted.
+    let before = owner.add(30_000.0, COUNTER, 0.0);
     for (counter, total) in [(CounterId(8), 1.0), (COUNTER, f32::NAN), (COUNTER, -5.0)] {
-        one.accept_handover(
+        owner.accept_handover(
             30_000.0,
             CounterHandover {
                 counter,
@@ -182,8 +183,8 @@
             },
         );
     }
-    assert_eq!(one.add(30_000.0, COUNTER, 0.0), before);
-    one.accept_handover(
+    assert_eq!(owner.add(30_000.0, COUNTER, 0.0), before);
+    owner.accept_handover(
         30_000.0,
         CounterHandover {
             counter: COUNTER,
@@ -192,36 +193,39 @@
         },
     );
     assert_eq!(
-        one.add(30_000.0, COUNTER, 0.0),
+        owner.add(30_000.0, COUNTER, 0.0),
         before.map(|total| total + 3.0)
     );
 }
 
-/// Danger: a whole fleet comes back, the list grows for a second, and each next owner waits from the start.
+/// Guards against a wait that starts again at each new owner while the list of proxies grows during a fleet restart.
 #[test]
-fn a_wait_that_is_handed_over_ends_when_it_would_have_ended() {
-    let (mut one, quota) = store(10.0, 10.0);
-    let (mut other, _) = store(10.0, 10.0);
-    one.set_owned(0.0, |_| false);
-    other.set_owned(0.0, |_| false);
-    one.set_owned(100.0, |_| true);
-    let handed = one.set_owned(900.0, |_| false);
+fn a_handover_does_not_restart_the_wait() {
+    let (mut owner, quota) = store(10.0, 10.0);
+    let (mut other_proxy, _) = store(10.0, 10.0);
+    owner.set_owned(0.0, |_| false);
+    other_proxy.set_owned(0.0, |_| false);
+    owner.set_owned(100.0, |_| true);
+    let handovers = owner.set_owned(900.0, |_| false);
     assert_eq!(
-        handed,
+        handovers,
         [CounterHandover {
             counter: COUNTER,
             total: None,
             age_ms: 800
         }]
     );
-    // The next owner's list may come before or after the handover.
-    handed
+    // The new owner may get its list before or after the handover.
+    handovers
         .into_iter()
-        .for_each(|h| other.accept_handover(905.0, h));
-    other.set_owned(910.0, |_| true);
-    assert_eq!(other.add(100.0 + quota.window + 300.0, COUNTER, 1.0), None);
+        .for_each(|h| other_proxy.accept_handover(905.0, h));
+    other_proxy.set_owned(910.0, |_| true);
     assert_eq!(
-        other.add(106.0 + quota.window + 400.0, COUNTER, 1.0),
+        other_proxy.add(100.0 + quota.window + 300.0, COUNTER, 1.0),
+        None
+    );
+    assert_eq!(
+        other_proxy.add(106.0 + quota.window + 400.0, COUNTER, 1.0),
         Some(1.0)
     );
 }
@@ -230,9 +234,9 @@
     (1..=n).map(|n| Ipv4Addr::new(10, 1, 0, n)).collect()
 }
 
-/// Rendezvous hashing: when one proxy goes only its own counters move.
+/// Rendezvous hashing: if a proxy is removed, only its own counters move.
 #[test]
-fn other_proxies_keep_their_counters_when_one_goes() {
+fn other_proxies_keep_their_counters_when_one_is_removed() {
     let (mut before, mut after) = (CounterClient::default(), CounterClient::default());
     before.set_owners(proxies(9));
     after.set_owners(
@@ -249,24 +253,27 @@
     assert!((60..200).contains(&moved.count()));
 }
 
-/// Danger: an owner is killed, and its callers wait for the time-out of every call.
+/// Guards against callers that wait for the time-out of every call to a removed proxy.
 #[test]
-fn calls_to_a_proxy_that_is_gone_end_at_once() {
+fn calls_to_a_removed_proxy_fail_immediately() {
     let mut calls = CounterClient::default();
     calls.set_owners(proxies(2));
     let call = calls.start_call(0.0, proxies(2)[0], ENGINE_NAME);
     assert_eq!(calls.set_owners(proxies(2)), None, "nothing changed");
-    let lost = calls.set_owners(vec![proxies(2)[1]]).unwrap();
+    let failed_calls = calls.set_owners(vec![proxies(2)[1]]).unwrap();
     assert_eq!(
-        lost.iter().map(|call| call.engine_name).collect::<Vec<_>>(),
+        failed_calls
+            .iter()
+            .map(|call| call.engine_name)
+            .collect::<Vec<_>>(),
         [ENGINE_NAME]
     );
     assert_eq!(calls.finish_call(5.0, proxies(2)[0], call), None);
 }
 
-/// Danger: an answer of another proxy, or one that comes after its time-out.
+/// Guards against accepting a reply from another proxy, or after the time-out.
 #[test]
-fn only_the_owner_answers_a_call_and_only_before_its_time_out() {
+fn only_the_owner_can_complete_a_call_and_only_before_its_timeout() {
     let mut calls = CounterClient::default();
     calls.set_owners(proxies(2));
     let call = calls.start_call(0.0, proxies(2)[0], ENGINE_NAME);
--- a/crates/aspendrum-proxy/tests/endpoints.rs
+++ b/crates/aspendrum-proxy/tests/endpoints.rs
@@ -1,4 +1,5 @@
-//! Which servers may be used: those in slow start within the fleet's limit, none that drains, none of an evacuated zone.
+//! Usable endpoints: servers in slow start within the fleet's limit, and none that is draining or in an
+//! evacuated zone.
 
 use aspendrum_core::api::{Health, ServerEntry, ServerId};
 use aspendrum_model::servers::ServerInstance;
@@ -42,9 +43,9 @@
     Ipv4Addr::from(0x0a01_0000 + u32::from(n))
 }
 
-fn endpoints(me: u16, of: u16) -> EndpointSet {
-    let mut endpoints = EndpointSet::new(LIMITS, proxy(me));
-    endpoints.set_proxies((0..of).map(proxy).collect());
+fn endpoints(number: u16, proxy_count: u16) -> EndpointSet {
+    let mut endpoints = EndpointSet::new(LIMITS, proxy(number));
+    endpoints.set_proxies((0..proxy_count).map(proxy).collect());
     endpoints.set_slow_start(
         "s1",
         SlowStart {
@@ -55,14 +56,14 @@
     endpoints
 }
 
-/// What the decision engine was told of each server last.
+/// The health last reported to the decision engine for each server.
 #[derive(Default)]
 struct ReportedHealth(HashMap<ServerId, Health>);
 
 impl ReportedHealth {
-    fn record(&mut self, members: impl IntoIterator<Item = ServerEntry>) {
+    fn record(&mut self, changes: impl IntoIterator<Item = ServerEntry>) {
         self.0
-            .extend(members.into_iter().map(|m| (m.server, m.health)));
+            .extend(changes.into_iter().map(|m| (m.server, m.health)));
     }
 
     fn ready_count(&self) -> usize {
@@ -70,35 +71,36 @@
     }
 }
 
-/// Each of the proxies sends to a server in slow start whenever it may. Returns the most requests in any second, and the
-/// mean. `known`: how many of the proxies each knows of.
-fn slow_start_load(of: u16, known: u16) -> (usize, f64) {
-    let mut fleet: Vec<(EndpointSet, ReportedHealth)> = (0..of)
-        .map(|me| (endpoints(me, of), ReportedHealth::default()))
+/// Each of `proxy_count` proxies sends to a server in slow start whenever it may. Returns the maximum
+/// number of requests in any second, and the mean. `known` is the number of proxies in each
+/// proxy's list.
+fn slow_start_load(proxy_count: u16, known: u16) -> (usize, f64) {
+    let mut fleet: Vec<(EndpointSet, ReportedHealth)> = (0..proxy_count)
+        .map(|number| (endpoints(number, proxy_count), ReportedHealth::default()))
         .collect();
     let mut sent = Vec::new();
-    for (n, (endpoints, reported)) in fleet.iter_mut().enumerate() {
-        let me = n as u16;
+    for (n, (endpoints, reported_health)) in fleet.iter_mut().enumerate() {
+        let number = n as u16;
         endpoints.set_proxies(
-            (0..of)
-                .filter(|p| *p == me || p % of < known)
+            (0..proxy_count)
+                .filter(|p| *p == number || p % proxy_count < known)
                 .map(proxy)
                 .collect(),
         );
         endpoints.update(0.0, 0.0, vec![server("i-1", "poa-a", 60_000)], |_| LOCAL);
-        reported.record(endpoints.refresh(0.0));
+        reported_health.record(endpoints.refresh(0.0));
     }
     for now in (0..20_000).step_by(10).map(f64::from) {
-        for (endpoints, reported) in &mut fleet {
-            reported.record(endpoints.refresh(now));
-            let ready = reported
+        for (endpoints, reported_health) in &mut fleet {
+            reported_health.record(endpoints.refresh(now));
+            let ready = reported_health
                 .0
                 .iter()
                 .find(|t| *t.1 == Health::Ready)
                 .map(|t| *t.0);
             if let Some(id) = ready {
                 let reservation = endpoints.reserve(now, id);
-                reported.record(reservation.change);
+                reported_health.record(reservation.health_change);
                 sent.extend(reservation.granted.then_some(now));
             }
         }
@@ -115,33 +117,36 @@
 }
 
 #[test]
-fn all_proxies_together_keep_to_the_slow_start_limit() {
-    for of in [1, 4, 9, 11, 63] {
-        let (most, mean) = slow_start_load(of, of);
-        assert!(most <= 20, "{of}: {most}");
-        assert!(mean >= 0.9 * f64::from(of.min(4)), "{of}: {mean}");
+fn all_proxies_together_stay_within_the_slow_start_limit() {
+    for proxy_count in [1, 4, 9, 11, 63] {
+        let (maximum, mean) = slow_start_load(proxy_count, proxy_count);
+        assert!(maximum <= 20, "{proxy_count}: {maximum}");
+        assert!(
+            mean >= 0.9 * f64::from(proxy_count.min(4)),
+            "{proxy_count}: {mean}"
+        );
     }
 }
 
-/// Danger: after a power loss of the whole fleet each proxy knows of few others.
+/// Guards against exceeding the limit after a restart of the whole fleet, when each proxy knows few others.
 #[test]
-fn proxies_that_know_of_few_others_do_not_take_the_others_shares() {
-    let (most, _) = slow_start_load(9, 1);
-    assert!(most <= 20, "{most}");
+fn proxies_that_know_few_others_stay_within_the_slow_start_limit() {
+    let (maximum, _) = slow_start_load(9, 1);
+    assert!(maximum <= 20, "{maximum}");
 }
 
 #[test]
 fn a_draining_or_unlisted_server_gets_no_new_request() {
-    let (mut endpoints, mut reported) = (endpoints(0, 1), ReportedHealth::default());
+    let (mut endpoints, mut reported_health) = (endpoints(0, 1), ReportedHealth::default());
     endpoints.update(
         0.0,
         0.0,
         vec![server("i-1", "poa-a", 0), server("i-2", "poa-a", 0)],
         |_| LOCAL,
     );
-    reported.record(endpoints.refresh(0.0));
-    assert_eq!(reported.ready_count(), 2);
-    let id = *reported.0.keys().next().unwrap();
+    reported_health.record(endpoints.refresh(0.0));
+    assert_eq!(reported_health.ready_count(), 2);
+    let id = *reported_health.0.keys().next().unwrap();
     endpoints.update(
         100.0,
         0.0,
@@ -151,60 +156,61 @@
         }],
         |_| LOCAL,
     );
-    // The decision engine chose it before it was reported.
+    // The decision engine chose the server before the change was reported.
     let reservation = endpoints.reserve(101.0, id);
     assert!(!reservation.granted);
-    reported.record(reservation.change);
-    reported.record(endpoints.refresh(102.0));
-    assert_eq!(reported.ready_count(), 0);
+    reported_health.record(reservation.health_change);
+    reported_health.record(endpoints.refresh(102.0));
+    assert_eq!(reported_health.ready_count(), 0);
 }
 
-/// Danger: a zone's servers restarted while it was evacuated, and every list at hand is older.
+/// Guards against sending full load to servers that restarted while their zone was evacuated: every available list is
+/// older than the restart.
 #[test]
-fn a_restored_zone_is_in_slow_start_until_a_newer_list_says_otherwise() {
-    let (mut endpoints, mut reported) = (endpoints(0, 20), ReportedHealth::default());
+fn a_restored_zone_is_in_slow_start_until_a_newer_list_arrives() {
+    let (mut endpoints, mut reported_health) = (endpoints(0, 20), ReportedHealth::default());
     let zone = || vec![server("i-1", "poa-a", 0), server("i-2", "cwb-a", 0)];
     endpoints.update(0.0, 0.0, zone(), |_| LOCAL);
     endpoints.set_evacuated_zones(10.0, &["poa-a".into()]);
-    reported.record(endpoints.refresh(20.0));
-    assert_eq!(reported.ready_count(), 1);
+    reported_health.record(endpoints.refresh(20.0));
+    assert_eq!(reported_health.ready_count(), 1);
     endpoints.set_evacuated_zones(5000.0, &[]);
-    reported.record(endpoints.refresh(5001.0));
-    assert_eq!(reported.ready_count(), 1, "no token yet");
-    // Read 700 ms ago, and the platform's list lags.
+    reported_health.record(endpoints.refresh(5001.0));
+    assert_eq!(reported_health.ready_count(), 1, "no token yet");
+    // This list was read 700 ms ago, and the platform's list lags behind the servers.
     endpoints.update(5200.0, 700.0, zone(), |_| LOCAL);
-    reported.record(endpoints.refresh(5201.0));
-    assert_eq!(reported.ready_count(), 1);
+    reported_health.record(endpoints.refresh(5201.0));
+    assert_eq!(reported_health.ready_count(), 1);
     endpoints.update(6100.0, 100.0, zone(), |_| LOCAL);
-    reported.record(endpoints.refresh(6101.0));
-    assert_eq!(reported.ready_count(), 2);
+    reported_health.record(endpoints.refresh(6101.0));
+    assert_eq!(reported_health.ready_count(), 2);
 }
 
 #[test]
-fn a_server_that_reports_slow_start_is_believed() {
-    let (mut endpoints, mut reported) = (endpoints(0, 20), ReportedHealth::default());
+fn a_slow_start_reported_by_the_server_is_applied() {
+    let (mut endpoints, mut reported_health) = (endpoints(0, 20), ReportedHealth::default());
     endpoints.update(0.0, 0.0, vec![server("i-1", "poa-a", 0)], |_| LOCAL);
-    reported.record(endpoints.refresh(1.0));
-    let id = *reported.0.keys().next().unwrap();
+    reported_health.record(endpoints.refresh(1.0));
+    let id = *reported_health.0.keys().next().unwrap();
     endpoints.report_slow_start(2.0, id, 2000.0);
-    reported.record(endpoints.refresh(3.0));
-    assert_eq!(reported.ready_count(), 0);
+    reported_health.record(endpoints.refresh(3.0));
+    assert_eq!(reported_health.ready_count(), 0);
 }
 
-/// Nine proxies that exchange no messages, each retrying whatever it may.
+/// Nine proxies exchange no messages, and each retries whenever it may.
 #[test]
 fn retries_of_all_proxies_stay_within_the_budget() {
-    let (of, requests) = (9, 400);
-    let mut all = 0;
-    for me in 0..of {
-        let mut endpoints = endpoints(me, of);
+    let (proxy_count, requests) = (9, 400);
+    let mut retries = 0;
+    for number in 0..proxy_count {
+        let mut endpoints = endpoints(number, proxy_count);
         for n in 0..requests {
             let now = f64::from(n) * 10.0;
             endpoints.record_request(now, 0);
-            all += u32::from(endpoints.reserve_retry(now, 0));
+            retries += u32::from(endpoints.reserve_retry(now, 0));
         }
     }
-    let bound = 0.2 * f64::from(of) * f64::from(requests) + 58.0;
-    assert!(f64::from(all) <= bound, "{all} of {bound}");
-    assert!(f64::from(all) >= bound / 2.0, "{all} of {bound}");
+    let bound = 0.2 * f64::from(proxy_count) * f64::from(requests) + 58.0;
+    assert!(f64::from(retries) <= bound, "{retries} of {bound}");
+    assert!(f64::from(retries) >= bound / 2.0, "{retries} of {bound}");
 }
--- a/crates/aspendrum-proxy/tests/exchanges.rs
+++ b/crates/aspendrum-proxy/tests/exchanges.rs
@@ -1,5 +1,5 @@
-//! Complete exchanges on loopback: a client, the proxy, and servers that fail in all the ways that servers fail in. What
-//! went over each connection is compared with an approved transcript.
+//! Complete exchanges on loopback between a client, the proxy, and servers with all kinds of failures. The
+//! messages on each connection are compared with expected transcripts.
 
 mod common;
 
@@ -15,25 +15,25 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_request_goes_to_a_server_and_its_answer_back() {
-    let proxy = test_proxy(1, |_| Some(GOOD));
-    assert_eq!(proxy.request(READ), GOOD_TO_T1);
+fn a_request_is_forwarded_and_its_response_returned() {
+    let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
+    assert_eq!(proxy.request(READ), OK_RESPONSE_T1);
     let head = "Host: a.example; Try-Id: t1; X-More: yes; Budget-Ms: (left); Want-Server: (one); Tenant: ann";
     assert_eq!(proxy.received(), [format!("GET /read/1?x=2 | {head} | ")]);
 }
 
 #[test]
 fn a_chunked_body_is_forwarded_with_its_length() {
-    let proxy = test_proxy(1, |_| Some(GOOD));
-    assert_eq!(proxy.request(SEND), GOOD_TO_T2);
+    let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
+    assert_eq!(proxy.request(SEND), OK_RESPONSE_T2);
     let head =
         "Host: a.example; Try-Id: t2; Budget-Ms: (left); Want-Server: (one); Tenant: ann; Content-Length: 3";
     assert_eq!(proxy.received(), [format!("POST /send/1 | {head} | abc")]);
 }
 
-/// Where a server says that nothing ran, even a mutating request may be retried at another.
+/// If a server states that a request did not run, even a mutating request may be retried at another server.
 #[test]
-fn a_mutating_request_is_retried_where_a_server_says_that_nothing_ran() {
+fn a_mutating_request_is_retried_if_the_server_states_that_it_did_not_run() {
     for first in [
         "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n",
         "HTTP/1.1 421 Other\nServer-Id: i-9\nContent-Length: 0\n\n",
@@ -43,7 +43,7 @@
                 Some(if n == 0 {
                     "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n"
                 } else {
-                    GOOD
+                    OK_RESPONSE
                 })
             }
         } else {
@@ -51,19 +51,19 @@
                 Some(if n == 0 {
                     "HTTP/1.1 421 Other\nServer-Id: i-9\nContent-Length: 0\n\n"
                 } else {
-                    GOOD
+                    OK_RESPONSE
                 })
             }
         };
         let proxy = test_proxy(2, script);
-        assert_eq!(proxy.request(SEND), GOOD_TO_T2);
+        assert_eq!(proxy.request(SEND), OK_RESPONSE_T2);
         assert_eq!(proxy.received().len(), 2);
     }
 }
 
-/// Danger: whatever else a server answers or does once it has the request, the request may have run.
+/// Guards against running a request twice: after any other response or failure of a server, the request may have run.
 #[test]
-fn a_mutating_request_runs_once_whatever_comes_back() {
+fn a_mutating_request_is_not_retried_after_any_other_failure() {
     let cases: [Script; 5] = [
         |_| None,
         |_| Some("HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 1\nContent-Length: 40\n\nshort(close)"),
@@ -75,18 +75,19 @@
     ];
     for script in cases {
         let proxy = test_proxy(3, script);
-        let answer = proxy.request(SEND);
+        let response = proxy.request(SEND);
         assert_eq!(
-            answer,
+            response,
             "HTTP/1.1 502 Bad Gateway\nContent-Length: 0\nTry-Id: t2\n\n"
         );
         assert_eq!(proxy.received().len(), 1);
     }
 }
 
-/// Danger: to clients 503 and its like promise that nothing ran; a server's own 503, without `Not-Run`, does not.
+/// Guards against a false promise to clients: a 503 of the proxy promises that the request did not run, but a
+/// server's own 503 without `Not-Run` does not.
 #[test]
-fn a_servers_503_without_not_run_is_not_passed_on_as_503() {
+fn a_server_503_without_not_run_is_not_returned_as_503() {
     let proxy = test_proxy(2, |_| {
         Some("HTTP/1.1 503 Oops\nTry-Id: {id}\nSeal: 1\nContent-Length: 1\n\nx")
     });
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_servers_own_failure_is_passed_on() {
+fn a_server_error_is_returned_to_the_client() {
     let proxy = test_proxy(1, |_| {
         Some("HTTP/1.1 500 Broken\nTry-Id: {id}\nSeal: 1\nContent-Length: 1\n\nx")
     });
@@ -109,60 +110,60 @@
 }
 
 #[test]
-fn a_repeatable_request_is_retried_after_any_failure() {
+fn an_idempotent_request_is_retried_after_any_failure() {
     let cases: [Script; 3] = [
-        |n| if n == 0 { None } else { Some(GOOD) },
+        |n| if n == 0 { None } else { Some(OK_RESPONSE) },
         |n| {
             Some(if n == 0 {
                 "HTTP/1.1 200 OK\nTry-Id: {id}\nContent-Length: 4\n\nbody"
             } else {
-                GOOD
+                OK_RESPONSE
             })
         },
         |n| {
             Some(if n == 0 {
                 "HTTP/1.1 500 Broken\nTry-Id: {id}\nSeal: 1\nContent-Length: 0\n\n"
             } else {
-                GOOD
+                OK_RESPONSE
             })
         },
     ];
     for script in cases {
         let proxy = test_proxy(3, script);
-        assert_eq!(proxy.request(READ), GOOD_TO_T1);
+        assert_eq!(proxy.request(READ), OK_RESPONSE_T1);
         assert_eq!(proxy.received().len(), 2);
     }
 }
 
-/// Danger: an answer to an earlier request comes in the place of this one's.
+/// Guards against returning a late response to an earlier request.
 #[test]
-fn an_answer_to_another_request_is_skipped() {
+fn a_response_to_another_request_is_skipped() {
     let proxy = test_proxy(1, |_| {
         Some("HTTP/1.1 200 OK\nTry-Id: old\nSeal: 9\nContent-Length: 3\n\noldHTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 3e1b.07\nContent-Length: 4\n\nbody")
     });
-    assert_eq!(proxy.request(SEND), GOOD_TO_T2);
+    assert_eq!(proxy.request(SEND), OK_RESPONSE_T2);
     assert_eq!(proxy.received().len(), 1);
 }
 
 #[test]
 fn a_request_without_a_route_or_a_valid_credential_reaches_no_server() {
-    let proxy = test_proxy(1, |_| Some(GOOD));
-    let own = |status: &str| format!("HTTP/1.1 {status}\nContent-Length: 0\nTry-Id: t1\n\n");
+    let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
+    let generated = |status: &str| format!("HTTP/1.1 {status}\nContent-Length: 0\nTry-Id: t1\n\n");
     assert_eq!(
         proxy.request(&READ.replace("/read/", "/other/")),
-        own("404 Not Found")
+        generated("404 Not Found")
     );
     assert_eq!(
         proxy.request(&READ.replace("a.example", "b.example")),
-        own("404 Not Found")
+        generated("404 Not Found")
     );
     assert_eq!(
         proxy.request(&READ.replace("k1", "k2")),
-        own("401 Unauthorized")
+        generated("401 Unauthorized")
     );
     assert_eq!(
         proxy.request(&READ.replace("Credential: k1\n", "")),
-        own("401 Unauthorized")
+        generated("401 Unauthorized")
     );
     let twice = READ.replace("Credential: k1\n", "Credential: k1\nCredential: k2\n");
     assert_eq!(
@@ -170,22 +171,20 @@
         "HTTP/1.1 400 Bad Request\nContent-Length: 0\n\n"
     );
     assert!(proxy.received().is_empty());
-    // A public route needs no credential, and no tenant is made up for it.
+    // A public route needs no credential, and its requests have no tenant.
     let open = READ
         .replace("/read/", "/open/")
         .replace("Credential: k1\n", "");
-    assert_eq!(proxy.request(&open), GOOD_TO_T1);
+    assert_eq!(proxy.request(&open), OK_RESPONSE_T1);
     assert!(!proxy.received()[0].contains("Tenant"));
 }
 
-/// A proxy that lacks a change, or has not heard for long that it lacks none, refuses by an old table what has been allowed
-/// since: a client does not come again after 401 or 404.
-///
-/// Storm day of issue 60: "CONFIG at 31.721 s: refused with 404 as an older version says; version 828 was acked more than
-/// 3000 ms before". The refusal came from whatever table was in force, however old.
+/// Guards against permanent errors from an outdated configuration: clients do not retry after 401 or 404, and
+/// the request may have been allowed since. In one run, a proxy rejected a request with 404 by an older version
+/// more than 3,000 ms after the new version had been acknowledged.
 #[test]
-fn a_proxy_that_may_be_outdated_sends_elsewhere_what_its_table_does_not_allow() {
-    let proxy = test_proxy(1, |_| Some(GOOD));
+fn a_possibly_outdated_proxy_sends_disallowed_requests_to_another_proxy() {
+    let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
     let refused = [
         READ.replace("/read/", "/added/"),
         READ.replace("k1", "k2"),
@@ -199,26 +198,30 @@
     };
     report(2, 1.0);
     for request in &refused {
-        let answer = proxy.request(request);
+        let response = proxy.request(request);
         assert!(
-            answer.starts_with("HTTP/1.1 503 ") && answer.contains("Retry-After: "),
-            "{answer}"
+            response.starts_with("HTTP/1.1 503 ") && response.contains("Retry-After: "),
+            "{response}"
         );
     }
-    assert_eq!(proxy.request(READ), GOOD_TO_T1, "it may be repeated");
+    assert_eq!(
+        proxy.request(READ),
+        OK_RESPONSE_T1,
+        "idempotent requests are still served"
+    );
     report(1, 2.0);
     let statuses = refused.map(|request| proxy.request(&request)[9..12].to_string());
     assert_eq!(statuses, ["404", "401", "401"]);
 }
 
-/// Danger: the operator has raised a limit, and a proxy that has not heard of it refuses what is allowed now.
+/// Guards against rejecting a request by an outdated limit that the operator has raised.
 #[test]
-fn a_proxy_that_may_be_outdated_sends_elsewhere_what_is_beyond_its_limits() {
-    let proxy = test_proxy(1, |_| Some(GOOD));
+fn a_possibly_outdated_proxy_sends_oversized_requests_to_another_proxy() {
+    let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let own = proxy.state.clone();
-    thread::spawn(move || listener::accept(&own, listener));
+    let thread_state = proxy.state.clone();
+    thread::spawn(move || listener::accept(&thread_state, listener));
     let statuses = || {
         let large_body = READ.replace("\n\n", "\nContent-Length: 70000\n\n");
         let large_head = READ.replace("\n\n", &format!("\nX-Large: {}\n\n", "x".repeat(20_000)));
@@ -245,12 +248,11 @@
     assert_eq!(statuses(), ["503", "503"]);
 }
 
-/// Danger: a server names a keep-alive time that no duration holds, the worker panics behind the exchange, and the client's
-/// connection ends without the answer that had come.
-///
-/// Found by reading: `Duration::from_secs_f64` panics on an infinite or absurdly large number.
+/// Guards against a panic on a server's keep-alive time that no `Duration` can hold, which closed the client's
+/// connection without the response already received. `Duration::from_secs_f64` panics on infinite and excessive
+/// values.
 #[test]
-fn an_absurd_keep_alive_time_of_a_server_costs_no_answer() {
+fn an_excessive_keep_alive_time_of_a_server_loses_no_response() {
     let proxy = test_proxy(1, |n| {
         Some(match n {
             0 => "HTTP/1.1 200 OK\nTry-Id: {id}\nSeal: 3e1b.07\nKeep-Alive: timeout=inf\nContent-Length: 4\n\ngood",
@@ -258,16 +260,16 @@
         })
     });
     for _ in 0..2 {
-        let answer = proxy.request(READ);
-        assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
+        let response = proxy.request(READ);
+        assert!(response.starts_with("HTTP/1.1 200 "), "{response}");
     }
 }
 
-/// Danger: the same by a number in a configuration: it is valid, and each client's connection ends unread.
+/// Guards against the same panic on excessive numbers in a valid configuration, which closed every client connection.
 #[test]
-fn absurd_limits_in_a_configuration_cost_no_request() {
-    let proxy = test_proxy(1, |_| Some(GOOD));
-    let absurd = CONFIG
+fn excessive_limits_in_a_configuration_lose_no_request() {
+    let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
+    let excessive = CONFIG
         .replace("00000001", "00000002")
         .replace(
             "\"hdr-ms\":3000,\"idle-ms\":15000",
@@ -282,12 +284,12 @@
     proxy
         .state
         .dispatcher
-        .apply(StateSection::config(2, compress(absurd.as_bytes())));
+        .apply(StateSection::config(2, compress(excessive.as_bytes())));
     assert_eq!(proxy.state.dispatcher.applied().revision.config, 2);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let own = proxy.state.clone();
-    thread::spawn(move || listener::accept(&own, listener));
+    let thread_state = proxy.state.clone();
+    thread::spawn(move || listener::accept(&thread_state, listener));
     let mut client = TcpStream::connect(address).unwrap();
     client
         .set_read_timeout(Some(Duration::from_secs(20)))
@@ -300,24 +302,24 @@
     assert_eq!(&status[9..], b"200");
 }
 
-/// A request that no server can take is rejected while its client can still be served elsewhere.
+/// A request that no server can take is rejected while the client can still be served by another proxy.
 #[test]
-fn without_any_server_a_request_is_rejected_in_time() {
+fn a_request_without_an_available_server_is_rejected_in_time() {
     let proxy = test_proxy(0, |_| None);
     let started_at = Instant::now();
-    let answer = proxy.request(SEND);
+    let response = proxy.request(SEND);
     assert!(
-        answer.starts_with("HTTP/1.1 503 Service Unavailable\n")
-            && answer.contains("Retry-After: "),
-        "{answer}"
+        response.starts_with("HTTP/1.1 503 Service Unavailable\n")
+            && response.contains("Retry-After: "),
+        "{response}"
     );
-    // Danger: a rejected client comes again on a new connection and leaves this one open.
-    assert!(answer.contains("Connection: close\n"), "{answer}");
+    // A rejected client retries on a new connection and would leave this one open.
+    assert!(response.contains("Connection: close\n"), "{response}");
     assert!(started_at.elapsed() < Duration::from_millis(800));
 }
 
-/// Danger: a server that fails in all these ways at once, under many clients: no answer may go to another's request, no
-/// once-only request may run twice, and none that ran may be rejected.
+/// Combines all kinds of server failures under many concurrent clients: no response may go to another request, no
+/// non-idempotent request may run twice, and none that ran may be rejected.
 #[test]
 fn ten_thousand_exchanges_with_a_server_that_fails_in_every_way() {
     let script: Script = |n| {
@@ -333,68 +335,76 @@
     }
     };
     let proxy = test_proxy(4, script);
-    let good = Mutex::new(0);
+    let ok_count = Mutex::new(0);
     thread::scope(|scope| {
         for client in 0..8u32 {
-            let (proxy, good) = (&proxy, &good);
+            let (proxy, ok_count) = (&proxy, &ok_count);
             scope.spawn(move || {
                 for n in 0..1250u32 {
                     let id = format!("{:04x}", client << 12 | n);
-                    let (text, own) = if n % 2 == 0 {
+                    let (text, original_id) = if n % 2 == 0 {
                         (READ, "t1")
                     } else {
                         (SEND, "t2")
                     };
-                    let answer = proxy.request(
-                        &text.replace(&format!("Try-Id: {own}"), &format!("Try-Id: {id}")),
+                    let response = proxy.request(
+                        &text.replace(&format!("Try-Id: {original_id}"), &format!("Try-Id: {id}")),
                     );
-                    let served = answer.starts_with("HTTP/1.1 200 ");
+                    let served = response.starts_with("HTTP/1.1 200 ");
                     assert!(
-                        !served || answer.ends_with(&format!("\n\n{id}")),
-                        "{answer}"
+                        !served || response.ends_with(&format!("\n\n{id}")),
+                        "{response}"
                     );
-                    *good.lock().unwrap() += u32::from(served);
-                    let ran = proxy.ran.lock().unwrap().get(&id).copied().unwrap_or(0);
+                    *ok_count.lock().unwrap() += u32::from(served);
+                    let run_count = proxy
+                        .run_counts
+                        .lock()
+                        .unwrap()
+                        .get(&id)
+                        .copied()
+                        .unwrap_or(0);
                     let promise = ["408", "421", "429", "503"]
                         .iter()
-                        .any(|s| answer[9..].starts_with(s));
-                    assert!(n % 2 == 0 || ran <= 1, "{id} ran {ran} times");
-                    assert!(n % 2 == 0 || !promise || ran == 0, "{answer}");
+                        .any(|s| response[9..].starts_with(s));
+                    assert!(n % 2 == 0 || run_count <= 1, "{id} ran {run_count} times");
+                    assert!(n % 2 == 0 || !promise || run_count == 0, "{response}");
                 }
             });
         }
     });
-    let good = *good.lock().unwrap();
-    assert!(good > 7000, "{good}");
+    let ok_count = *ok_count.lock().unwrap();
+    assert!(ok_count > 7000, "{ok_count}");
 }
 
-/// Danger: a credential is revoked while the proxy is cut off. It can know only by a lease, which is counted from when it
-/// asked, however late the answer came.
+/// Guards against accepting a revoked credential while the proxy is isolated: credentials need a lease, which
+/// is measured from the proxy's heartbeat, however late the reply arrives.
 #[test]
-fn without_a_lease_no_credential_is_believed() {
-    let proxy = test_proxy_with(r#""revoked":true,"revoke-ms":60000"#, 1, |_| Some(GOOD));
-    assert_sent_elsewhere(&proxy.request(READ));
+fn no_credential_is_accepted_without_a_lease() {
+    let proxy = test_proxy_with(r#""revoked":true,"revoke-ms":60000"#, 1, |_| {
+        Some(OK_RESPONSE)
+    });
+    assert_retry_on_other_proxy(&proxy.request(READ));
     let report = |age| {
         proxy
             .state
             .record_control_report(0, age, proxy.state.consistency.applied(), false)
     };
     report(None);
-    assert_sent_elsewhere(&proxy.request(READ));
-    // Control's report was as old as a lease lasts.
+    assert_retry_on_other_proxy(&proxy.request(READ));
+    // The age of control's report equals the duration of a lease.
     report(Some(60_000));
-    assert_sent_elsewhere(&proxy.request(READ));
+    assert_retry_on_other_proxy(&proxy.request(READ));
     assert!(proxy.received().is_empty());
-    // Without a credential there is nothing to believe.
+    // A request without a credential needs no lease.
     assert_eq!(
         proxy.request(
             &READ
                 .replace("/read/", "/open/")
                 .replace("Credential: k1\n", "")
         ),
-        GOOD_TO_T1
+        OK_RESPONSE_T1
     );
-    // A younger report, of what is not in force here.
+    // This report is more recent, but its state is not the active one.
     let other = StateDigest {
         digests: [1; 4],
         ..proxy.state.consistency.applied()
@@ -402,60 +412,60 @@
     proxy
         .state
         .record_control_report(0, Some(700), other, false);
-    assert_sent_elsewhere(&proxy.request(READ));
+    assert_retry_on_other_proxy(&proxy.request(READ));
     report(Some(500));
-    assert_eq!(proxy.request(READ), GOOD_TO_T1);
+    assert_eq!(proxy.request(READ), OK_RESPONSE_T1);
     // An older report does not shorten the lease.
     report(Some(59_000));
-    assert_eq!(proxy.request(READ), GOOD_TO_T1);
+    assert_eq!(proxy.request(READ), OK_RESPONSE_T1);
 }
 
-fn assert_sent_elsewhere(answer: &str) {
+fn assert_retry_on_other_proxy(response: &str) {
     assert!(
-        answer.starts_with("HTTP/1.1 503 ") && answer.contains("Connection: close\n"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 503 ") && response.contains("Connection: close\n"),
+        "{response}"
     );
-    assert!(answer.contains("Retry-After: "), "{answer}");
+    assert!(response.contains("Retry-After: "), "{response}");
 }
 
-/// Danger: a proxy that missed a change, or applied another text under its version, sends a once-only request where it
-/// does not belong. Repeatable requests are served all the while.
+/// Guards against non-idempotent requests that are sent to a wrong destination by a proxy that missed a change,
+/// or that has another content under the same version. Idempotent requests are served all the time.
 #[test]
-fn once_only_requests_run_only_under_the_decided_configuration() {
-    let proxy = test_proxy(1, |_| Some(GOOD));
-    let held = proxy.state.consistency.applied();
+fn non_idempotent_requests_run_only_under_the_decided_configuration() {
+    let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
+    let applied = proxy.state.consistency.applied();
     let report = |decided, as_of| {
         proxy
             .state
             .consistency
             .record_report(1.0, Some(MajorityReport { decided, as_of }), false)
     };
-    let assert_served = |text: &str, good: &str| assert_eq!(proxy.request(text), good);
-    assert_served(SEND, GOOD_TO_T2);
-    // Something newer was decided; an evacuation counts as a configuration does.
+    let assert_served = |text: &str, expected: &str| assert_eq!(proxy.request(text), expected);
+    assert_served(SEND, OK_RESPONSE_T2);
+    // A newer configuration or evacuation was decided.
     for newer in [
         Revision {
             config: 2,
-            ..held.revision
+            ..applied.revision
         },
         Revision {
             evacuation: 1,
-            ..held.revision
+            ..applied.revision
         },
     ] {
         report(
             StateDigest {
                 revision: newer,
-                ..held
+                ..applied
             },
             0.0,
         );
-        assert_sent_elsewhere(&proxy.request(SEND));
-        assert_served(READ, GOOD_TO_T1);
+        assert_retry_on_other_proxy(&proxy.request(SEND));
+        assert_served(READ, OK_RESPONSE_T1);
     }
-    report(held, 0.0);
-    assert_served(SEND, GOOD_TO_T2);
-    // A table that was corrupted: the same version, another limit behind the route.
+    report(applied, 0.0);
+    assert_served(SEND, OK_RESPONSE_T2);
+    // A corrupted table has the same version, but another timeout of the route.
     let corrupt = CONFIG.replace(
         r#""action":{"svc":"s1","limit-ms":2000,"tries":3}},
 {"name":"open""#,
@@ -467,17 +477,17 @@
         .state
         .dispatcher
         .apply(StateSection::config(1, compress(corrupt.as_bytes())));
-    proxy.state.update_applied();
-    assert_sent_elsewhere(&proxy.request(SEND));
-    assert_served(READ, GOOD_TO_T1);
-    // Sent again, the tables are rebuilt, though the version is the same.
+    proxy.state.update_applied_digest();
+    assert_retry_on_other_proxy(&proxy.request(SEND));
+    assert_served(READ, OK_RESPONSE_T1);
+    // If the configuration is sent again, the tables are rebuilt although the version is the same.
     proxy
         .state
         .dispatcher
         .apply(StateSection::config(1, compress(CONFIG.as_bytes())));
-    proxy.state.update_applied();
-    assert_served(SEND, GOOD_TO_T2);
-    // The report is as old as it may be: nothing had to come for that.
+    proxy.state.update_applied_digest();
+    assert_served(SEND, OK_RESPONSE_T2);
+    // The report expires without any further message.
     let last = 600_000.0;
     assert!(
         proxy.state.consistency.is_current(last - 251.0)
@@ -491,7 +501,7 @@
             .count(),
         3
     );
-    // A corrupt update is not applied, and the tables serve on as they are.
+    // A corrupt update is not applied, and the current tables remain in use.
     let StateSection::Config {
         version,
         checksum: seal,
@@ -506,13 +516,14 @@
         checksum: seal,
     });
     proxy.state.dispatcher.rebuild_tables();
-    proxy.state.update_applied();
-    assert_served(SEND, GOOD_TO_T2);
+    proxy.state.update_applied_digest();
+    assert_served(SEND, OK_RESPONSE_T2);
 }
 
-/// Danger: a once-only request waits for a server, its route changes meanwhile, and it leaves by the old one.
+/// Guards against a non-idempotent request that leaves by an outdated route, which changed while the request
+/// was waiting for a server.
 #[test]
-fn a_queued_once_only_request_does_not_leave_by_an_outdated_route() {
+fn a_queued_non_idempotent_request_is_not_sent_by_an_outdated_route() {
     static STATE: Mutex<Option<Arc<ProxyState>>> = Mutex::new(None);
     let script: Script = |n| {
         if let Some(state) = STATE.lock().unwrap().as_ref().filter(|_| n == 0) {
@@ -527,17 +538,17 @@
             state
                 .dispatcher
                 .apply(StateSection::config(2, compress(moved.as_bytes())));
-            state.update_applied();
+            state.update_applied_digest();
         }
         Some("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n")
     };
     let proxy = test_proxy(3, script);
     *STATE.lock().unwrap() = Some(proxy.state.clone());
-    assert_sent_elsewhere(&proxy.request(SEND));
+    assert_retry_on_other_proxy(&proxy.request(SEND));
     assert_eq!(
         proxy.received().len(),
         1,
-        "it left once, by the route of that time"
+        "it was sent once, by the route of that time"
     );
     assert!(proxy.state.is_current());
 }
--- a/crates/aspendrum-proxy/tests/process.rs
+++ b/crates/aspendrum-proxy/tests/process.rs
@@ -1,5 +1,5 @@
-//! The proxy as a process on loopback, beside an agent played by the test: its readiness and metrics pages, and what it
-//! says to its agent.
+//! The proxy as a process on loopback, with the test acting as its agent: the readiness and metrics pages, and the
+//! messages to the agent.
 
 use aspendrum_model::compression::compress;
 use aspendrum_model::message::{FromControl, ProxyEndpoint, Readiness, StateSection, ToControl};
@@ -16,9 +16,9 @@
 const FIRST_PORT: u16 = 23_000;
 const METRICS_PORT: u16 = 23_015;
 const READINESS_PORT: u16 = 23_100;
-const FRONT_PORT: u16 = 23_101;
-/// Whatever the test waits for has come by then.
-const PATIENCE: Duration = Duration::from_secs(30);
+const PROXY_PORT: u16 = 23_101;
+/// An upper bound for each wait of the test.
+const TIMEOUT: Duration = Duration::from_secs(30);
 const CONFIG: &str = r#"{"gen":"00000001","caps":{"hdr-bytes":16384,"body-bytes":1024,"hdr-ms":3000,"idle-ms":15000},
 "ports":[{"vhost":"a.example","rules":[{"name":"r","type":"idem","goal-ms":500,"match":{"pfx":"/a/"},
 "action":{"svc":"s1","limit-ms":2000,"tries":2}}]}],"pools":[{"name":"s1","check":"/healthz"}]}"#;
@@ -32,7 +32,7 @@
     fn start(agent: SocketAddr) -> ProxyProcess {
         let text = format!(
             r#"{{"self":{{"host-name":"edge-1","ip":"{IP}","az":"poa-a","geo":"poa"}},
-"net":{{"binds":{{"front":"{IP}:{FRONT_PORT}","readyz":"{IP}:{READINESS_PORT}"}},
+"net":{{"binds":{{"front":"{IP}:{PROXY_PORT}","readyz":"{IP}:{READINESS_PORT}"}},
 "port-range":[{FIRST_PORT},{METRICS_PORT}],"zones":{{"poa-a":"poa"}},
 "ways":{{"127.0.0.1:{}":"{agent}"}}}}}}"#,
             FIRST_PORT + 2
@@ -58,17 +58,17 @@
     }
 }
 
-/// What comes back for a GET, once the process listens there.
+/// Returns the response to a GET, once the process listens on the port.
 fn get(port: u16, path: &str) -> String {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut stream = loop {
         match TcpStream::connect((IP, port)) {
             Ok(stream) => break stream,
-            Err(e) => assert!(begun.elapsed() < PATIENCE, "{port}: {e}"),
+            Err(e) => assert!(started_at.elapsed() < TIMEOUT, "{port}: {e}"),
         }
         thread::yield_now();
     };
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     write!(
         stream,
         "GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
@@ -79,12 +79,12 @@
     text.replace("\r\n", "\n")
 }
 
-fn empty(status: &str) -> String {
+fn empty_response(status: &str) -> String {
     format!("HTTP/1.1 {status}\nContent-Length: 0\nConnection: close\n\n")
 }
 
-/// What makes a proxy ready: a configuration, servers, and the list of proxies.
-fn updates(front: SocketAddrV4) -> [StateSection; 3] {
+/// Returns the updates that make a proxy ready: a configuration, servers, and the list of proxies.
+fn updates(proxy_addr: SocketAddrV4) -> [StateSection; 3] {
     let server = ServerInstance {
         uid: "i-1".into(),
         service: "s1".into(),
@@ -94,8 +94,8 @@
         draining: false,
         slow_start_left_ms: 0,
     };
-    let front = ProxyEndpoint {
-        addr: front,
+    let proxy = ProxyEndpoint {
+        addr: proxy_addr,
         zone: "poa-a".into(),
         readiness: Readiness::Ready,
         is_current: true,
@@ -106,7 +106,7 @@
             age_ms: 0,
             list: vec![server],
         },
-        StateSection::Proxies(vec![front]),
+        StateSection::Proxies(vec![proxy]),
     ]
 }
 
@@ -116,20 +116,23 @@
     let _proxy = ProxyProcess::start(listener.local_addr().unwrap());
     assert_eq!(
         get(READINESS_PORT, "/api/readyz"),
-        empty("503 Service Unavailable")
+        empty_response("503 Service Unavailable")
     );
-    assert_eq!(get(READINESS_PORT, "/readyz"), empty("404 Not Found"));
-    assert_eq!(get(METRICS_PORT, "/other"), empty("404 Not Found"));
+    assert_eq!(
+        get(READINESS_PORT, "/readyz"),
+        empty_response("404 Not Found")
+    );
+    assert_eq!(get(METRICS_PORT, "/other"), empty_response("404 Not Found"));
     assert_eq!(
         get(METRICS_PORT, "/metrics"),
         "HTTP/1.1 200 OK\nContent-Length: 0\nContent-Type: text/plain\nConnection: close\n\n"
     );
     let (mut agent, _) = listener.accept().unwrap();
-    agent.set_read_timeout(Some(PATIENCE)).unwrap();
-    let front = SocketAddrV4::new(IP, FRONT_PORT);
+    agent.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let proxy_addr = SocketAddrV4::new(IP, PROXY_PORT);
     let hello = ToControl::Hello {
         host: "edge-1".into(),
-        proxy_addr: front,
+        proxy_addr,
         zone: "poa-a".into(),
     };
     assert_eq!(frames::read_frame::<ToControl>(&mut agent).unwrap(), hello);
@@ -137,21 +140,18 @@
         readiness, applied, ..
     } = frames::read_frame::<ToControl>(&mut agent).unwrap()
     else {
-        panic!("a heartbeat follows")
+        panic!("expected a heartbeat")
     };
     assert_eq!((readiness, applied.revision.config), (Readiness::Closed, 0));
-    let mut applied_in_order = Vec::new();
-    for (number, part) in (1..).zip(updates(front)) {
+    let mut acknowledged = Vec::new();
+    for (number, section) in (1..).zip(updates(proxy_addr)) {
         agent
-            .write_all(&encode_frame(&FromControl::Update {
-                number,
-                section: part,
-            }))
+            .write_all(&encode_frame(&FromControl::Update { number, section }))
             .unwrap();
     }
     loop {
         match frames::read_frame::<ToControl>(&mut agent).unwrap() {
-            ToControl::Applied { number } => applied_in_order.push(number),
+            ToControl::Applied { number } => acknowledged.push(number),
             ToControl::Heartbeat {
                 readiness: Readiness::Ready,
                 applied,
@@ -160,11 +160,11 @@
             _ => {}
         }
     }
-    assert_eq!(applied_in_order, [1, 2, 3]);
-    assert_eq!(get(READINESS_PORT, "/api/readyz"), empty("200 OK"));
+    assert_eq!(acknowledged, [1, 2, 3]);
+    assert_eq!(get(READINESS_PORT, "/api/readyz"), empty_response("200 OK"));
     assert_eq!(
-        get(FRONT_PORT, "/elsewhere"),
+        get(PROXY_PORT, "/elsewhere"),
         "HTTP/1.1 400 Bad Request\nContent-Length: 0\nConnection: close\n\n",
-        "clients are taken in"
+        "clients are accepted"
     );
 }
--- a/crates/aspendrum-proxy/tests/wire_bytes.rs
+++ b/crates/aspendrum-proxy/tests/wire_bytes.rs
@@ -1,9 +1,9 @@
-//! The counter datagrams between proxies, byte by byte. A fleet is upgraded proxy by proxy, so each version must read
-//! what the others write: the fixture file stays as it is, whatever the types are called.
+//! Byte-level compatibility of the counter datagrams between proxies. A fleet is upgraded proxy by proxy, so
+//! each version must read what the others write. The fixture file must not change when types are renamed.
 
 use aspendrum_proxy::counter::{CounterHandover, CounterId, CounterMessage};
 
-/// One line per datagram: a name and its bytes in hexadecimal.
+/// The fixture has one line per datagram: a name and the bytes in hexadecimal.
 const DATAGRAMS: &str = include_str!("fixtures/counter_datagrams.txt");
 
 fn hex(bytes: &[u8]) -> String {
@@ -16,7 +16,7 @@
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
-/// Each variant, with values whose encodings are short and with those whose encodings are the longest.
+/// Returns each variant with values that have short encodings, and with values that have the longest ones.
 fn datagrams() -> Vec<(&'static str, CounterMessage)> {
     let handover = |counter, total, age_ms| {
         CounterMessage::Handover(CounterHandover {
@@ -62,8 +62,8 @@
 #[test]
 fn counter_datagrams_keep_their_bytes() {
     let written = datagrams().into_iter().map(|(name, datagram)| {
-        let mut space = [0; 32];
-        let bytes = postcard::to_slice(&datagram, &mut space).expect("32 bytes hold any datagram");
+        let mut buffer = [0; 32];
+        let bytes = postcard::to_slice(&datagram, &mut buffer).expect("32 bytes hold any datagram");
         format!("{name} {}\n", hex(bytes))
     });
     assert_eq!(written.collect::<String>(), DATAGRAMS);
@@ -84,13 +84,13 @@
 }
 
 #[test]
-fn datagrams_that_are_cut_or_of_an_unknown_variant_are_not_read() {
+fn truncated_datagrams_and_unknown_variants_are_rejected() {
     for line in DATAGRAMS.lines() {
         let (name, hex) = line.split_once(' ').expect("a name and bytes");
         let bytes = bytes_of(hex);
-        let cut = &bytes[..bytes.len() - 1];
+        let truncated = &bytes[..bytes.len() - 1];
         assert!(
-            postcard::from_bytes::<CounterMessage>(cut).is_err(),
+            postcard::from_bytes::<CounterMessage>(truncated).is_err(),
             "{name}"
         );
     }
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -1,5 +1,5 @@
-//! What the proxy writes to clients and servers over HTTP, and its metrics page, byte by byte. The fixture files stay
-//! as they are, whatever the functions are called.
+//! Byte-level tests of the proxy's HTTP messages to clients and servers, and of its metrics page. The fixture
+//! files must not change when functions are renamed.
 
 mod common;
 
@@ -10,23 +10,23 @@
 use aspendrum_proxy::response::{ClientResponse, ConnectionPolicy};
 use aspendrum_proxy::wire::{self, RequestHead, ResponseClass};
 use aspendrum_proxy::{listener, request};
-use common::{proxy, test_proxy, test_proxy_with, BOUNDS, CONFIG, GOOD, READ, SEND};
+use common::{proxy, test_proxy, test_proxy_with, CONFIG, MESSAGE_LIMITS, OK_RESPONSE, READ, SEND};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::thread;
 use std::time::Duration;
 
-/// Sections, each below its name; lines end with LF here and with CRLF on the wire.
+/// The fixture has one section per message, below its name. Lines end with LF here and with CRLF on the wire.
 const MESSAGES: &str = include_str!("fixtures/http_messages.txt");
 const METRICS: &str = include_str!("fixtures/metrics.txt");
-/// Whatever a test waits for has come by then.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// An upper bound for each wait of a test.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn parse_whole_request(text: &str) -> Request {
     let mut ring = RingBuffer::new(1024, 1 << 20);
     ring.write_all(text.replace('\n', "\r\n").as_bytes())
         .unwrap();
-    let Parsed::Complete(request) = parse_request(&mut ring, &BOUNDS) else {
+    let Parsed::Complete(request) = parse_request(&mut ring, &MESSAGE_LIMITS) else {
         panic!("{text}")
     };
     request
@@ -36,25 +36,25 @@
     let mut ring = RingBuffer::new(1024, 1 << 20);
     ring.write_all(text.replace('\n', "\r\n").as_bytes())
         .unwrap();
-    let Parsed::Complete(response) = parse_response(&mut ring, &BOUNDS) else {
+    let Parsed::Complete(response) = parse_response(&mut ring, &MESSAGE_LIMITS) else {
         panic!("{text}")
     };
     response
 }
 
-/// A message as the fixture has it; on the wire each line of the head ends with CRLF.
+/// Formats a message as a section of the fixture. On the wire, each line of the head ends with CRLF.
 fn section(name: &str, bytes: &[u8]) -> String {
     let text = std::str::from_utf8(bytes).unwrap();
     assert!(!text.replace("\r\n", "").contains(['\r', '\n']), "{text:?}");
     format!("### {name}\n{}\n", text.replace("\r\n", "\n"))
 }
 
-const SERVER_ANSWER: &str =
+const SERVER_RESPONSE: &str =
     "HTTP/1.1 200 Fine\nTry-Id: t1\nSeal: 3e1b.07\nServer-Id: i-1\nServer-Load: 1,2,4\nWarm-Ms: 1500\n\
     Keep-Alive: timeout=5, max=100\nConnection: keep-alive, x-hop\nX-Hop: 1\nX-More: yes\n\
     Content-Type: text/plain\nContent-Length: 4\n\nbody";
 
-/// Messages to servers.
+/// Returns the messages to servers, by section name.
 fn to_servers() -> Vec<(&'static str, Vec<u8>)> {
     let (read, send) = (parse_whole_request(READ), parse_whole_request(SEND));
     let delete = parse_whole_request(
@@ -86,25 +86,25 @@
     ]
 }
 
-/// Answers to clients.
+/// Returns the responses to clients, by section name.
 fn to_clients() -> Vec<(&'static str, Vec<u8>)> {
-    let answered = parse_whole_response(SERVER_ANSWER);
+    let server_response = parse_whole_response(SERVER_RESPONSE);
     let unnamed = parse_whole_response("HTTP/1.1 500\nTry-Id: t1\nContent-Length: 0\n\n");
-    let own = |status, id, again| {
-        ClientResponse::generated(status, id, again, ConnectionPolicy::KeepAlive)
+    let generated = |status, id, retry_after| {
+        ClientResponse::generated(status, id, retry_after, ConnectionPolicy::KeepAlive)
     };
     vec![
         (
             "server's answer",
-            wire::encode_forwarded(&answered, 200, false),
+            wire::encode_forwarded(&server_response, 200, false),
         ),
         (
             "server's answer, connection closes",
-            wire::encode_forwarded(&answered, 200, true),
+            wire::encode_forwarded(&server_response, 200, true),
         ),
         (
             "server's answer under another status",
-            wire::encode_forwarded(&answered, 502, false),
+            wire::encode_forwarded(&server_response, 502, false),
         ),
         (
             "server's answer without a reason phrase",
@@ -127,18 +127,22 @@
             "own answer with the least Retry-After",
             wire::encode_generated(503, "t1", Some(0.0), true),
         ),
-        ("own answer out of time", own(504, "t1", None).encode(false)),
+        (
+            "own answer out of time",
+            generated(504, "t1", None).encode(false),
+        ),
         (
             "own answer of an unknown outcome",
-            own(502, "t1", None).encode(true),
+            generated(502, "t1", None).encode(true),
         ),
         (
             "own answer that sends elsewhere",
-            own(503, "t1", Some(150.0)).encode(true),
+            generated(503, "t1", Some(150.0)).encode(true),
         ),
         (
             "answer passed on",
-            ClientResponse::forwarded(answered, 200, ConnectionPolicy::KeepAlive).encode(true),
+            ClientResponse::forwarded(server_response, 200, ConnectionPolicy::KeepAlive)
+                .encode(true),
         ),
         ("answer to nobody", ClientResponse::empty().encode(true)),
         (
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn request_heads_are_read_by_their_names_on_the_wire() {
+fn request_headers_are_parsed_by_their_wire_names() {
     let request = parse_whole_request(READ);
     let head = RequestHead::parse(&request).unwrap();
     assert_eq!(
@@ -173,7 +177,7 @@
         (head.host, head.try_id, head.budget, head.credential),
         ("a.example", "t1", None, None)
     );
-    for refused in [
+    for invalid in [
         "GET / HTTP/1.1\nHost: a.example\n\n",
         "GET / HTTP/1.1\nHost: a.example\nTry-Id:\n\n",
         "GET / HTTP/1.1\nTry-Id: t1\n\n",
@@ -185,14 +189,14 @@
         "GET / HTTP/1.1\nHost: a.example\nTry-Id: t1\nCredential: k1\nCredential: k1\n\n",
     ] {
         assert!(
-            RequestHead::parse(&parse_whole_request(refused)).is_none(),
-            "{refused}"
+            RequestHead::parse(&parse_whole_request(invalid)).is_none(),
+            "{invalid}"
         );
     }
 }
 
 #[test]
-fn servers_answers_are_classed_by_status_and_headers() {
+fn server_responses_are_classified_by_status_and_headers() {
     let sealed = "Try-Id: t1\nSeal: 1\n";
     for (status, headers, expected) in [
         (200, sealed, ResponseClass::Final),
@@ -219,7 +223,7 @@
     ] {
         let text = format!("HTTP/1.1 {status} X\n{headers}Content-Length: 0\n\n");
         assert_eq!(
-            ResponseClass::of(&parse_whole_response(&text)),
+            ResponseClass::from_response(&parse_whole_response(&text)),
             expected,
             "{text}"
         );
@@ -227,27 +231,30 @@
 }
 
 #[test]
-fn servers_headers_are_read_by_their_names_on_the_wire() {
-    let answer = parse_whole_response(SERVER_ANSWER);
+fn server_headers_are_parsed_by_their_wire_names() {
+    let response = parse_whole_response(SERVER_RESPONSE);
     assert!(
-        wire::answers(&answer, "t1")
-            && !wire::answers(&answer, "t2")
-            && !wire::lacks_try_id(&answer)
+        wire::is_response_to(&response, "t1")
+            && !wire::is_response_to(&response, "t2")
+            && !wire::lacks_try_id(&response)
     );
-    assert_eq!(wire::server_id(&answer), Some("i-1"));
+    assert_eq!(wire::server_id(&response), Some("i-1"));
     assert_eq!(
-        wire::server_load(&answer),
+        wire::server_load(&response),
         LoadReport {
             count: 1,
             values: [0.75, 0.0, 0.0, 0.0]
         }
     );
     assert_eq!(
-        (wire::slow_start_left(&answer), wire::keep_alive_s(&answer)),
+        (
+            wire::slow_start_left(&response),
+            wire::keep_alive_s(&response)
+        ),
         (Some(1500.0), Some(5.0))
     );
     let bare = parse_whole_response("HTTP/1.1 200 OK\nContent-Length: 0\n\n");
-    assert!(wire::lacks_try_id(&bare) && !wire::answers(&bare, ""));
+    assert!(wire::lacks_try_id(&bare) && !wire::is_response_to(&bare, ""));
     assert_eq!(
         (wire::server_id(&bare), wire::server_load(&bare)),
         (None, LoadReport::default())
@@ -267,8 +274,8 @@
 }
 
 #[test]
-fn a_connection_closes_where_the_client_asks_or_the_proxy_drains() {
-    let answer = |policy| ClientResponse::generated(200, "t1", None, policy);
+fn a_connection_closes_on_client_request_or_while_draining() {
+    let response = |policy| ClientResponse::generated(200, "t1", None, policy);
     for (policy, draining, pipelined, closes) in [
         (ConnectionPolicy::KeepAlive, false, false, false),
         (ConnectionPolicy::KeepAlive, true, false, true),
@@ -278,7 +285,7 @@
         (ConnectionPolicy::Close, false, true, true),
     ] {
         assert_eq!(
-            answer(policy).closes_connection(draining, pipelined),
+            response(policy).closes_connection(draining, pipelined),
             closes,
             "{policy:?} {draining} {pipelined}"
         );
@@ -286,8 +293,8 @@
     assert!(ClientResponse::empty().closes_connection(false, true));
 }
 
-/// Sends these bytes to a listening proxy and reads all that comes until it closes.
-fn exchange(config: &str, bytes: &[u8], end_of_sending: bool) -> String {
+/// Sends bytes to a proxy and returns everything received until it closes the connection.
+fn exchange(config: &str, bytes: &[u8], half_close: bool) -> String {
     let state = proxy(
         "\"retry-slack\":100",
         config,
@@ -297,9 +304,9 @@
     let address = listener.local_addr().unwrap();
     thread::spawn(move || listener::accept(&state, listener));
     let mut client = TcpStream::connect(address).unwrap();
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
+    client.set_read_timeout(Some(TIMEOUT)).unwrap();
     client.write_all(bytes).unwrap();
-    if end_of_sending {
+    if half_close {
         client.shutdown(Shutdown::Write).unwrap();
     }
     let mut text = String::new();
@@ -308,7 +315,7 @@
 }
 
 #[test]
-fn requests_that_cannot_be_parsed_get_their_status_and_a_closed_connection() {
+fn unparsable_requests_get_an_error_status_and_a_closed_connection() {
     let head_limit = "\"hdr-bytes\":16384";
     let small_head = CONFIG.replace(head_limit, "\"hdr-bytes\":64");
     let large = format!(
@@ -335,16 +342,16 @@
         exchange(&small_head, large.as_bytes(), false),
         closed("431 Request Header Fields Too Large")
     );
-    let impatient = CONFIG.replace("\"hdr-ms\":3000", "\"hdr-ms\":30");
-    assert_ne!(impatient, CONFIG);
+    let short_timeout = CONFIG.replace("\"hdr-ms\":3000", "\"hdr-ms\":30");
+    assert_ne!(short_timeout, CONFIG);
     assert_eq!(
-        exchange(&impatient, b"GET /read/1 HT", false),
+        exchange(&short_timeout, b"GET /read/1 HT", false),
         closed("408 Request Timeout")
     );
     assert_eq!(
         exchange(CONFIG, b"", true),
         "",
-        "nothing is owed to a client that sent nothing"
+        "a client that sent nothing gets no response"
     );
     assert_eq!(exchange(CONFIG, b"GET /read/1 HT", true), "");
     let close = b"GET /none HTTP/1.1\r\nHost: a.example\r\nTry-Id: t1\r\nConnection: close\r\n\r\n";
@@ -355,10 +362,10 @@
 }
 
 #[test]
-fn a_tenant_beyond_its_quota_gets_429_with_the_time_to_retry() {
+fn a_tenant_beyond_its_quota_gets_429_with_retry_after() {
     let config = CONFIG.replace("\"rate-s\":0", "\"rate-s\":1,\"burst\":1");
     assert_ne!(config, CONFIG);
-    let proxy = test_proxy(1, |_| Some(GOOD));
+    let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
     proxy
         .state
         .dispatcher
@@ -368,8 +375,8 @@
                 config.replace("00000001", "00000002").as_bytes(),
             ),
         ));
-    let answers = (0..50).map(|_| proxy.request(READ));
-    let rejected = answers
+    let responses = (0..50).map(|_| proxy.request(READ));
+    let rejected = responses
         .into_iter()
         .find(|a| a.starts_with("HTTP/1.1 429 "))
         .expect("one in fifty");
@@ -389,20 +396,20 @@
     let proxy = test_proxy_with("\"retry-slack\":100", 1, |_| loop {
         thread::park();
     });
-    let answer = proxy.request(&SEND.replace("Budget-Ms: 2000", "Budget-Ms: 500"));
+    let response = proxy.request(&SEND.replace("Budget-Ms: 2000", "Budget-Ms: 500"));
     assert_eq!(
-        answer,
+        response,
         "HTTP/1.1 504 Gateway Timeout\nContent-Length: 0\nTry-Id: t2\n\n"
     );
 }
 
 #[test]
-fn metrics_keep_their_names_and_form() {
+fn metrics_keep_their_names_and_format() {
     let state = proxy("\"retry-slack\":100", CONFIG, &[]);
     assert_eq!(
         state.disconnect_metrics.text(),
         "",
-        "what is 0 is not shown"
+        "counters with value 0 are omitted"
     );
     let stages = [
         ForwardStage::Waiting,
