--- a/crates/aspendrum-fake-services/tests/services.rs
+++ b/crates/aspendrum-fake-services/tests/services.rs
@@ -1,5 +1,5 @@
-//! The fake services against a client that speaks the protocol plainly: each does what it is for, fails as it is told to,
-//! and records what reached it.
+//! The fake services with a client that uses only their protocols. Each test covers the normal operation, the faults,
+//! or the record of calls.
 
 use aspendrum_checker::limiter::{ForwardOutcome, RetrySafety};
 use aspendrum_fake_services::counter::{self, Counter};
@@ -15,9 +15,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-const SOON: Duration = Duration::from_secs(5);
-const A_WHILE: Duration = Duration::from_millis(150);
+const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+const TIMEOUT: Duration = Duration::from_secs(5);
+const SILENCE: Duration = Duration::from_millis(150);
 
 fn options() -> server::RateServerOptions {
     let groups = [
@@ -36,7 +36,7 @@
         reports_in_answers: true,
         answers_probes: true,
         groups: groups
-            .map(|(name, repeats)| (name.to_string(), (20.0, repeats)))
+            .map(|(name, retry_safety)| (name.to_string(), (20.0, retry_safety)))
             .into(),
         deduplication_window: 5000.0,
     }
@@ -45,18 +45,18 @@
 async fn server(options: server::RateServerOptions) -> (Arc<RateServer>, Arc<ServerLog>) {
     let shared = ServerLog::new(Clock::start());
     (
-        RateServer::start(HERE, 0, options, 1, shared.clone())
+        RateServer::start(LOOPBACK, 0, options, 1, shared.clone())
             .await
             .unwrap(),
         shared,
     )
 }
 
-/// Asks on a connection; `None`: it ended without a whole answer.
-async fn ask(stream: &mut TcpStream, text: &str) -> Option<http::Message> {
+/// Sends a request and returns the response, or `None` if the connection ended before it was complete.
+async fn request(stream: &mut TcpStream, text: &str) -> Option<http::Message> {
     stream.write_all(text.as_bytes()).await.ok()?;
     timeout(
-        SOON,
+        TIMEOUT,
         http::read_message(stream, &mut Vec::new(), MessageKind::Response),
     )
     .await
@@ -67,33 +67,33 @@
 async fn query(server: &RateServer, id: u64, group: &str) -> Option<http::Message> {
     let mut stream = TcpStream::connect(server.addr()).await.ok()?;
     let text = format!("GET /{group} HTTP/1.1\r\nX-Txn: {id:016x}\r\nIdempotency-Key: k\r\n\r\n");
-    ask(&mut stream, &text).await
+    request(&mut stream, &text).await
 }
 
 #[tokio::test]
-async fn a_server_answers_with_its_report_and_records_what_reached_it() {
+async fn a_server_responds_with_its_load_report_and_records_queries() {
     let (server, shared) = server(options()).await;
-    let answer = query(&server, 7, "look").await.unwrap();
+    let response = query(&server, 7, "look").await.unwrap();
     assert_eq!(
-        (answer.status(), answer.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"0000000000000007".as_slice())
     );
-    assert!(answer
+    assert!(response
         .header("X-Pressure")
         .unwrap()
         .starts_with("TEXT inflight=0"));
-    let seen = shared.forwards();
+    let forwards = shared.forwards();
     assert_eq!(
-        (seen.len(), seen[0].id, seen[0].fate),
+        (forwards.len(), forwards[0].id, forwards[0].outcome),
         (1, 7, ForwardOutcome::Ran)
     );
-    // A keyed query's repeat is dropped, and answered as the first was.
-    for fate in [ForwardOutcome::Ran, ForwardOutcome::Deduplicated] {
+    // A repeat of a keyed query is dropped and gets the same response.
+    for outcome in [ForwardOutcome::Ran, ForwardOutcome::Deduplicated] {
         assert_eq!(query(&server, 8, "book").await.unwrap().status(), 200);
-        assert_eq!(shared.forwards().last().unwrap().fate, fate);
+        assert_eq!(shared.forwards().last().unwrap().outcome, outcome);
     }
     let mut stream = TcpStream::connect(server.addr()).await.unwrap();
-    let probe = ask(&mut stream, "GET /stats HTTP/1.1\r\n\r\n")
+    let probe = request(&mut stream, "GET /stats HTTP/1.1\r\n\r\n")
         .await
         .unwrap();
     assert!(probe.body.starts_with(b"inflight=0, queue=0, util=0.00"));
@@ -112,56 +112,56 @@
             tokio::spawn(async move { query(&server, id, "look").await.unwrap() })
         })
         .collect();
-    let mut turned_away = 0;
+    let mut rejected = 0;
     for call in calls {
-        let answer = call.await.unwrap();
-        turned_away +=
-            usize::from(answer.status() == 503 && answer.header("X-Turned-Away") == Some("1"));
+        let response = call.await.unwrap();
+        rejected +=
+            usize::from(response.status() == 503 && response.header("X-Turned-Away") == Some("1"));
     }
     let ran = shared
         .forwards()
         .iter()
-        .filter(|f| f.fate == ForwardOutcome::Ran)
+        .filter(|f| f.outcome == ForwardOutcome::Ran)
         .count();
     assert!(
-        ran >= 4 && ran + turned_away == 16,
-        "{ran} ran, {turned_away} turned away"
+        ran >= 4 && ran + rejected == 16,
+        "{ran} ran, {rejected} rejected"
     );
 
-    server.change_faults(|a| a.is_draining = true);
+    server.change_faults(|faults| faults.is_draining = true);
     assert_eq!(query(&server, 20, "look").await.unwrap().status(), 503);
-    server.change_faults(|a| a.is_draining = false);
-    let small = crate::server(options()).await.0;
-    let mut held = Vec::new();
+    server.change_faults(|faults| faults.is_draining = false);
+    let limited = crate::server(options()).await.0;
+    let mut streams = Vec::new();
     for id in 0..4 {
-        let mut stream = TcpStream::connect(small.addr()).await.unwrap();
+        let mut stream = TcpStream::connect(limited.addr()).await.unwrap();
         let text = format!("GET /look HTTP/1.1\r\nX-Txn: {id:016x}\r\n\r\n");
-        let answer = ask(&mut stream, &text).await.unwrap();
+        let response = request(&mut stream, &text).await.unwrap();
         assert_eq!(
-            answer.status(),
+            response.status(),
             if id < 3 { 200 } else { 503 },
-            "the fourth connection is one too many"
+            "the fourth connection exceeds the limit"
         );
-        held.push(stream);
+        streams.push(stream);
     }
 }
 
 #[tokio::test]
-async fn servers_that_fail_reset_or_are_silent_have_run_what_they_do_not_answer() {
+async fn faulty_servers_run_queries_that_get_no_response() {
     let (server, shared) = server(options()).await;
-    server.change_faults(|a| a.error_share = 1.0);
+    server.change_faults(|faults| faults.error_share = 1.0);
     assert_eq!(query(&server, 1, "look").await.unwrap().status(), 500);
-    server.change_faults(|a| (a.error_share, a.reset_share) = (0.0, 1.0));
+    server.change_faults(|faults| (faults.error_share, faults.reset_share) = (0.0, 1.0));
     assert!(query(&server, 2, "look").await.is_none());
-    server.change_faults(|a| (a.reset_share, a.is_silent) = (0.0, true));
-    assert!(timeout(A_WHILE, query(&server, 3, "look")).await.is_err());
-    server.change_faults(|a| a.is_silent = false);
+    server.change_faults(|faults| (faults.reset_share, faults.is_silent) = (0.0, true));
+    assert!(timeout(SILENCE, query(&server, 3, "look")).await.is_err());
+    server.change_faults(|faults| faults.is_silent = false);
     assert_eq!(query(&server, 4, "look").await.unwrap().status(), 200);
     assert_eq!(
         shared
             .forwards()
             .iter()
-            .filter(|f| f.fate == ForwardOutcome::Ran)
+            .filter(|f| f.outcome == ForwardOutcome::Ran)
             .count(),
         4
     );
@@ -176,9 +176,9 @@
     .await;
     let mut stream = TcpStream::connect(server.addr()).await.unwrap();
     server.kill();
-    let end = timeout(SOON, stream.read(&mut [0; 1])).await.unwrap();
+    let end = timeout(TIMEOUT, stream.read(&mut [0; 1])).await.unwrap();
     assert!(end.is_err() || end.unwrap() == 0);
-    timeout(SOON, async {
+    timeout(TIMEOUT, async {
         while TcpStream::connect(server.addr()).await.is_ok() {
             sleep(Duration::from_millis(5)).await;
         }
@@ -191,7 +191,7 @@
     assert!(
         server.incarnations()[1].is_cold_start && server.incarnations()[1].collapsed_at.is_none()
     );
-    // 3 times a fifth of two cores for 100 ms are 120 ms of work; eight queries of 20 ms are more.
+    // Three times a fifth of two cores for 100 ms is 120 ms of work; eight queries of 20 ms exceed it.
     let calls: Vec<_> = (10..18)
         .map(|id| {
             let server = server.clone();
@@ -210,7 +210,9 @@
         calls_per_second: calls_per_s,
         max_wait: Duration::from_millis(busy_after_ms),
     };
-    Counter::start(HERE, options, Clock::start()).await.unwrap()
+    Counter::start(LOOPBACK, options, Clock::start())
+        .await
+        .unwrap()
 }
 
 fn add(name: &str, amount: &str) -> String {
@@ -223,16 +225,16 @@
 
 async fn reply(stream: &mut TcpStream, call: &str, size: usize) -> String {
     stream.write_all(call.as_bytes()).await.unwrap();
-    let mut told = vec![0; size];
-    timeout(SOON, stream.read_exact(&mut told))
+    let mut reply = vec![0; size];
+    timeout(TIMEOUT, stream.read_exact(&mut reply))
         .await
         .unwrap()
         .unwrap();
-    String::from_utf8(told).unwrap()
+    String::from_utf8(reply).unwrap()
 }
 
 #[tokio::test]
-async fn the_counter_adds_in_order_and_rejects_what_is_no_call() {
+async fn the_counter_adds_in_order_and_rejects_invalid_calls() {
     let counter = counter(10_000.0, 100).await;
     let mut stream = TcpStream::connect(counter.addr()).await.unwrap();
     let two = add("a", "1.5") + &add("a", "-1");
@@ -256,9 +258,9 @@
     }
     assert_eq!(reply(&mut stream, &add("a", "1"), 9).await, "$3\r\n1.5\r\n");
     assert_eq!((counter.stats().calls, counter.stats().invalid), (3, 4));
-    // What is no RESP at all ends the connection.
+    // Invalid RESP ends the connection.
     stream.write_all(b"*x\r\n").await.unwrap();
-    let end = timeout(SOON, stream.read(&mut [0; 1])).await.unwrap();
+    let end = timeout(TIMEOUT, stream.read(&mut [0; 1])).await.unwrap();
     assert!(end.is_err() || end.unwrap() == 0);
 }
 
@@ -269,16 +271,16 @@
     assert_eq!(reply(&mut stream, &add("a", "2"), 7).await, "$1\r\n2\r\n");
     counter.clear();
     assert_eq!(reply(&mut stream, &add("a", "3"), 7).await, "$1\r\n3\r\n");
-    counter.change_faults(|a| a.is_busy = true);
+    counter.change_faults(|faults| faults.is_busy = true);
     assert_eq!(reply(&mut stream, &add("a", "1"), 7).await, "-BUSY\r\n");
-    counter.change_faults(|a| (a.is_busy, a.is_silent) = (false, true));
+    counter.change_faults(|faults| (faults.is_busy, faults.is_silent) = (false, true));
     stream.write_all(add("a", "1").as_bytes()).await.unwrap();
-    assert!(timeout(A_WHILE, stream.read(&mut [0; 1])).await.is_err());
-    // A call waits for its turn however long the counter is silent.
-    counter.change_faults(|a| a.is_silent = false);
+    assert!(timeout(SILENCE, stream.read(&mut [0; 1])).await.is_err());
+    // A call waits for its turn until the counter responds again.
+    counter.change_faults(|faults| faults.is_silent = false);
     assert_eq!(reply(&mut stream, "", 7).await, "$1\r\n4\r\n");
     counter.replace();
-    let end = timeout(SOON, stream.read(&mut [0; 1])).await.unwrap();
+    let end = timeout(TIMEOUT, stream.read(&mut [0; 1])).await.unwrap();
     assert!(end.is_err() || end.unwrap() == 0);
     let mut stream = TcpStream::connect(counter.addr()).await.unwrap();
     assert_eq!(reply(&mut stream, &add("a", "1"), 7).await, "$1\r\n1\r\n");
@@ -295,12 +297,12 @@
     }
     let mut busy = 0;
     for mut stream in streams {
-        let mut told = [0; 7];
-        timeout(SOON, stream.read_exact(&mut told))
+        let mut reply = [0; 7];
+        timeout(TIMEOUT, stream.read_exact(&mut reply))
             .await
             .unwrap()
             .unwrap();
-        busy += u64::from(&told == b"-BUSY\r\n");
+        busy += u64::from(&reply == b"-BUSY\r\n");
     }
     assert_eq!(
         (counter.stats().rejected, counter.stats().calls),
@@ -308,7 +310,7 @@
     );
     assert!(
         (1..=4).contains(&busy),
-        "50 ms each, and a wait of over 100 ms is too long: {busy}"
+        "calls take 50 ms each and may wait for 100 ms: {busy}"
     );
 }
 
@@ -319,8 +321,11 @@
 
 async fn agent() -> Agent {
     let discovery = Discovery::new(Clock::start(), &[0, 1]);
-    let dials = vec![SocketAddr::from((HERE, 1)), SocketAddr::from((HERE, 2))];
-    let addr = discovery.start_agent(HERE, 3, dials).await.unwrap();
+    let dials = vec![
+        SocketAddr::from((LOOPBACK, 1)),
+        SocketAddr::from((LOOPBACK, 2)),
+    ];
+    let addr = discovery.start_agent(LOOPBACK, 3, dials).await.unwrap();
     Agent {
         discovery,
         stream: TcpStream::connect(addr).await.unwrap(),
@@ -330,16 +335,16 @@
 impl Agent {
     async fn get(&mut self, query: &str) -> (u16, Value) {
         let text = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: x\r\n\r\n");
-        let answer = ask(&mut self.stream, &text).await.unwrap();
+        let response = request(&mut self.stream, &text).await.unwrap();
         (
-            answer.status(),
-            serde_json::from_slice(&answer.body).unwrap_or(Value::Null),
+            response.status(),
+            serde_json::from_slice(&response.body).unwrap_or(Value::Null),
         )
     }
 }
 
 #[tokio::test]
-async fn discovery_sends_the_whole_list_then_changes_and_records_what_it_sent() {
+async fn discovery_sends_the_complete_list_then_changes_and_records_updates() {
     let mut agent = agent().await;
     let (_, list) = agent.get("").await;
     assert_eq!(
@@ -353,23 +358,26 @@
     assert_eq!(list["hosts"][1]["dial"], "127.0.0.1:2");
     let discovery = agent.discovery.clone();
     let watch = tokio::spawn(async move { (agent.get("?from=1&hold_ms=5000").await, agent) });
-    sleep(A_WHILE).await;
+    sleep(SILENCE).await;
     discovery.set_health(1, Health::Terminating, None);
-    let ((_, news), mut agent) = watch.await.unwrap();
-    assert_eq!((&news["seq"], &news["whole"]), (&2.into(), &false.into()));
-    assert_eq!(news["hosts"].as_array().unwrap().len(), 1);
+    let ((_, changes), mut agent) = watch.await.unwrap();
     assert_eq!(
-        (&news["hosts"][0]["host"], &news["hosts"][0]["health"]),
+        (&changes["seq"], &changes["whole"]),
+        (&2.into(), &false.into())
+    );
+    assert_eq!(changes["hosts"].as_array().unwrap().len(), 1);
+    assert_eq!(
+        (&changes["hosts"][0]["host"], &changes["hosts"][0]["health"]),
         (&"s-1".into(), &"terminating".into())
     );
-    let told = discovery.updates();
-    assert!(told
+    let updates = discovery.updates();
+    assert!(updates
         .iter()
-        .any(|t| t.limiter == 3 && t.server == 1 && !t.in_service));
-    // Nothing new: the watch ends with no entries after its time.
+        .any(|u| u.limiter == 3 && u.server == 1 && !u.in_service));
+    // Without a change the call ends with an empty list after its hold time.
     let (_, none) = agent.get("?from=2&hold_ms=50").await;
     assert_eq!(none["hosts"], Value::Array(vec![]));
-    // Gone ones are named among changes only.
+    // Terminated servers are listed only in incremental lists.
     discovery.set_health(1, Health::Terminated, None);
     assert_eq!(agent.get("").await.1["hosts"].as_array().unwrap().len(), 1);
 }
@@ -378,21 +386,25 @@
 async fn discovery_can_be_late_stale_silent_and_over_its_rate() {
     let mut agent = agent().await;
     let discovery = agent.discovery.clone();
-    discovery.change_faults(|a| a.is_stale = true);
+    discovery.change_faults(|faults| faults.is_stale = true);
     discovery.set_health(0, Health::Terminated, None);
     assert_eq!(
         agent.get("").await.1["seq"],
         1,
-        "the list that it had when it went stale"
+        "the list at the time when it became stale"
+    );
+    discovery.change_faults(|faults| (faults.is_stale, faults.delay_ms) = (false, 300.0));
+    assert_eq!(
+        agent.get("").await.1["seq"],
+        1,
+        "a change becomes visible late"
     );
-    discovery.change_faults(|a| (a.is_stale, a.delay_ms) = (false, 300.0));
-    assert_eq!(agent.get("").await.1["seq"], 1, "a change is told late");
     assert_eq!(agent.get("?from=1&hold_ms=3000").await.1["seq"], 2);
-    discovery.change_faults(|a| (a.delay_ms, a.max_calls_per_second) = (0.0, 1.0));
+    discovery.change_faults(|faults| (faults.delay_ms, faults.max_calls_per_second) = (0.0, 1.0));
     sleep(Duration::from_millis(1100)).await;
-    let answers = [agent.get("").await.0, agent.get("").await.0];
-    assert_eq!(answers, [200, 503]);
-    discovery.change_faults(|a| (a.max_calls_per_second, a.is_silent) = (0.0, true));
-    assert!(timeout(A_WHILE, agent.get("")).await.is_err());
+    let responses = [agent.get("").await.0, agent.get("").await.0];
+    assert_eq!(responses, [200, 503]);
+    discovery.change_faults(|faults| (faults.max_calls_per_second, faults.is_silent) = (0.0, true));
+    assert!(timeout(SILENCE, agent.get("")).await.is_err());
     assert_eq!(discovery.stats().rejected, 1);
 }
