--- a/crates/aspendrum-fault-proxy/src/datagrams.rs
+++ b/crates/aspendrum-fault-proxy/src/datagrams.rs
@@ -1,7 +1,7 @@
-//! Datagrams between limiters, over a link for each direction of each pair.
+//! Datagrams between limiters, over one link for each direction of each pair.
 //!
-//! Limiter `i` knows limiter `j` by an address of its own, at which the mesh listens. What arrives there goes to `j` from the
-//! address by which `j` knows `i`, so that `j` sees a datagram from the peer that its own list names.
+//! For each pair of limiters `i` and `j` the mesh listens at an address that `i` uses for `j`. It forwards datagrams from
+//! there to `j`, with the address that `j` uses for `i` as the source, so that `j` recognizes the peer of its own list.
 
 use crate::fault::{Fault, REORDER_DELAY};
 use crate::link::Link;
@@ -13,34 +13,35 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Limiters may not send datagrams of this size; the mesh carries them nevertheless, so that they are seen.
+/// The largest datagram that the mesh forwards. It exceeds the size limit of limiters, so that oversized datagrams
+/// reach receivers.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// The datagrams between all limiters of a run. It carries them until it is dropped.
+/// Forwards the datagrams between all limiters of a run, until it is dropped.
 pub struct Mesh {
     size: usize,
-    /// By sender, then receiver: the socket by which the sender knows the receiver.
+    /// By sender, then receiver: the socket whose address the sender uses for the receiver.
     sockets: Vec<Arc<UdpSocket>>,
-    /// By sender, then receiver.
+    /// The links, by sender, then receiver.
     links: Vec<Arc<Link>>,
-    /// By sender: the socket by which it reaches all others at once.
+    /// By sender: the socket whose address the sender uses to reach all other limiters.
     broadcast_sockets: Vec<Arc<UdpSocket>>,
     tasks: JoinSet<()>,
 }
 
 impl Mesh {
-    /// A mesh of so many limiters at that loopback address.
+    /// Creates a mesh of `size` limiters at one loopback address.
     ///
     /// # Errors
-    /// No port is free.
+    /// Fails if no port is free.
     pub async fn bind(ip: IpAddr, size: usize) -> io::Result<Mesh> {
         Mesh::bind_each(&vec![ip; size]).await
     }
 
-    /// A mesh of limiters with an IP address each, at which their datagrams come from.
+    /// Creates a mesh of limiters with one IP address each, from which their datagrams are sent.
     ///
     /// # Errors
-    /// No port is free.
+    /// Fails if no port is free.
     pub async fn bind_each(ips: &[IpAddr]) -> io::Result<Mesh> {
         let size = ips.len();
         let mut sockets = Vec::with_capacity(size * size);
@@ -60,10 +61,10 @@
         from * self.size + to
     }
 
-    /// The addresses by which a limiter knows each limiter, itself included.
+    /// Returns the addresses that a limiter uses for each limiter, including itself.
     ///
     /// # Errors
-    /// The system does not know a socket's address.
+    /// Fails if the address of a socket is not available.
     pub fn peers(&self, limiter: usize) -> io::Result<Vec<SocketAddr>> {
         let others = 0..self.size;
         others
@@ -71,20 +72,20 @@
             .collect()
     }
 
-    /// The address by which a limiter reaches all others at once.
+    /// Returns the address that a limiter uses to reach all other limiters.
     ///
     /// # Errors
-    /// The system does not know the socket's address.
+    /// Fails if the address of the socket is not available.
     pub fn broadcast_addr(&self, limiter: usize) -> io::Result<SocketAddr> {
         self.broadcast_sockets[limiter].local_addr()
     }
 
-    /// The link from one limiter to another.
+    /// Returns the link from one limiter to another.
     pub fn link(&self, from: usize, to: usize) -> &Arc<Link> {
         &self.links[self.index(from, to)]
     }
 
-    /// Carries datagrams from now on. `addresses` are the limiters' own, in their order.
+    /// Starts to forward datagrams. `addresses` holds the addresses of the limiters, in their order.
     pub fn start(&mut self, addresses: &[SocketAddr]) {
         for from in 0..self.size {
             for to in 0..self.size {
@@ -117,21 +118,23 @@
     Ok(sockets)
 }
 
-/// Forwards what the sender sends to the socket, over all paths.
+/// Forwards datagrams that `sender` sends to the socket, over all paths.
 async fn forward(socket: Arc<UdpSocket>, sender: SocketAddr, paths: Vec<Path>) {
     let mut datagram = [0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error reports an earlier datagram that found nobody.
+        // An error reports an earlier datagram that could not be delivered.
         match socket.recv_from(&mut datagram).await {
             Ok((size, from)) if from == sender => {
-                paths.iter().for_each(|path| path.carry(&datagram[..size]));
+                paths
+                    .iter()
+                    .for_each(|path| path.transmit(&datagram[..size]));
             }
             _ => {}
         }
     }
 }
 
-/// A link, and its end: the socket from which the receiver expects the sender, and where the receiver listens.
+/// A link with its end: the socket whose address the receiver uses for the sender, and the address of the receiver.
 #[derive(Clone)]
 struct Path {
     link: Arc<Link>,
@@ -140,14 +143,14 @@
 }
 
 impl Path {
-    fn carry(&self, datagram: &[u8]) {
+    fn transmit(&self, datagram: &[u8]) {
         let fault = self.link.fault();
-        let is_hit = |share: f64| share > 0.0 && rand::random::<f64>() < share;
-        if fault.is_cut || is_hit(fault.loss) {
+        let occurs = |share: f64| share > 0.0 && rand::random::<f64>() < share;
+        if fault.is_cut || occurs(fault.loss) {
             return self.link.record_loss();
         }
-        self.send(datagram, &fault, is_hit(fault.reordering));
-        if is_hit(fault.duplication) {
+        self.send(datagram, &fault, occurs(fault.reordering));
+        if occurs(fault.duplication) {
             self.send(datagram, &fault, false);
         }
     }
--- a/crates/aspendrum-fault-proxy/src/fault.rs
+++ b/crates/aspendrum-fault-proxy/src/fault.rs
@@ -1,35 +1,37 @@
-//! What can be wrong with a link.
+//! The faults of a link.
 
 use std::time::Duration;
 
-/// A stream's lost data is sent again after so long: the shortest time-out of Linux.
+/// The delay after which lost data of a stream is retransmitted. This is the shortest retransmission timeout of Linux.
 pub const RESEND_DELAY: Duration = Duration::from_millis(200);
-/// A datagram that is reordered arrives so much later.
+/// The additional delay of a reordered datagram.
 pub const REORDER_DELAY: Duration = Duration::from_millis(30);
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// What is wrong with one direction of a path; by default nothing. Shares are from 0 to 1.
+/// A fault of one direction of a path; by default none. Shares are from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Nothing passes, and neither side is told.
+    /// Blocks all traffic without an error at either side.
     pub is_cut: bool,
-    /// New connections are refused; if the link is only cut, they never come up. Without effect on datagrams.
+    /// Refuses new connections while the link is cut; otherwise they hang while it is cut. Has no effect on datagrams.
     pub refuses_connections: bool,
-    /// The share of datagrams, or of chunks of a stream, that are lost. A chunk arrives [`RESEND_DELAY`] later.
+    /// The share of datagrams, or of chunks of a stream, that are lost. A lost chunk arrives after [`RESEND_DELAY`].
     pub loss: f64,
-    /// Milliseconds added to each datagram or chunk of a stream.
+    /// The delay of each datagram or chunk, in milliseconds.
     pub delay_ms: f64,
-    /// Up to so many milliseconds more, drawn evenly for each one. Datagrams overtake each other by it.
+    /// The maximum of the additional random delay of each datagram or chunk, in milliseconds, with a uniform
+    /// distribution. It reorders datagrams.
     pub jitter_ms: f64,
-    /// The share of datagrams that arrive [`REORDER_DELAY`] later, after others. Without effect on streams.
+    /// The share of datagrams that are delayed by [`REORDER_DELAY`], so that later ones overtake them. Has no effect on
+    /// streams.
     pub reordering: f64,
-    /// The share of datagrams that arrive twice. Without effect on streams.
+    /// The share of datagrams that arrive twice. Has no effect on streams.
     pub duplication: f64,
 }
 
 impl Fault {
-    /// A link that is cut.
+    /// A cut link.
     pub const CUT: Fault = Fault {
         is_cut: true,
         refuses_connections: false,
@@ -40,13 +42,13 @@
         duplication: 0.0,
     };
 
-    /// A link that is cut and refuses connections.
+    /// A cut link that refuses connections.
     pub const REFUSE: Fault = Fault {
         refuses_connections: true,
         ..Fault::CUT
     };
 
-    /// Both faults at once: each takes its share, and delays add up.
+    /// Combines two faults: shares combine as independent probabilities, and delays add up.
     pub(crate) fn combined_with(self, other: Fault) -> Fault {
         let either = |one: f64, other: f64| 1.0 - (1.0 - one) * (1.0 - other);
         Fault {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// How long one datagram or chunk is delayed. `chance` is drawn evenly from 0 to 1.
+    /// Returns the delay of one datagram or chunk. `chance` is uniformly distributed from 0 to 1.
     pub(crate) fn delay(&self, chance: f64) -> Duration {
         let delay_ms = (self.delay_ms + self.jitter_ms * chance).max(0.0);
         Duration::from_secs_f64(delay_ms / MILLIS_PER_SECOND)
--- a/crates/aspendrum-fault-proxy/src/lib.rs
+++ b/crates/aspendrum-fault-proxy/src/lib.rs
@@ -1,6 +1,6 @@
-//! Links between processes on loopback, with faults. Every path between two processes of a test run goes through one: a
-//! stream through a [`Relay`], datagrams through a [`Mesh`]. A link can lose, delay, reorder, duplicate or block what it
-//! carries. Whoever plays the timeline sets and clears the faults.
+//! Links with faults between processes on loopback. Each path between two processes of a test run uses one: streams
+//! pass through a [`Relay`], datagrams through a [`Mesh`]. A link can lose, delay, reorder, duplicate or block what it
+//! carries. The runner of the timeline sets and clears the faults.
 
 mod datagrams;
 mod fault;
--- a/crates/aspendrum-fault-proxy/src/link.rs
+++ b/crates/aspendrum-fault-proxy/src/link.rs
@@ -1,30 +1,30 @@
-//! One direction of a path between two processes: its faults, and what it has carried.
+//! One direction of a path between two processes, with its faults and traffic counts.
 
 use crate::fault::Fault;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What a link has carried so far.
+/// The traffic of a link so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkStats {
-    /// Datagrams, or chunks of a stream.
+    /// The number of delivered datagrams or stream chunks.
     pub messages: u64,
-    /// Their bytes.
+    /// The size of the delivered datagrams or chunks, in bytes.
     pub bytes: u64,
-    /// Datagrams that were lost; streams lose nothing.
+    /// The number of lost datagrams. Streams lose nothing.
     pub lost: u64,
-    /// Datagrams that are being delayed now.
+    /// The number of datagrams that are currently delayed.
     pub in_flight: u64,
 }
 
-/// A fault, and the id under which it can be cleared.
+/// A fault with the id by which it can be cleared.
 struct ActiveFault {
     id: u32,
     fault: Fault,
 }
 
-/// All faults of a link, and their combination.
+/// All active faults of a link, and their combination.
 #[derive(Default)]
 struct ActiveFaults {
     active: Vec<ActiveFault>,
@@ -35,7 +35,7 @@
 #[derive(Default)]
 pub struct Link {
     faults: watch::Sender<ActiveFaults>,
-    /// Counts the resets: each ends all connections.
+    /// The number of resets. Each one ends all connections.
     resets: watch::Sender<u64>,
     messages: AtomicU64,
     bytes: AtomicU64,
@@ -44,12 +44,12 @@
 }
 
 impl Link {
-    /// A link without faults.
+    /// Creates a link without faults.
     pub(crate) fn healthy() -> Arc<Link> {
         Arc::default()
     }
 
-    /// Sets a fault, beside the others; it replaces one of the same id.
+    /// Adds a fault. It replaces an active fault with the same id.
     pub fn set_fault(&self, id: u32, fault: Fault) {
         self.change(|active| {
             active.retain(|other| other.id != id);
@@ -57,7 +57,7 @@
         });
     }
 
-    /// Clears the fault of that id; others remain.
+    /// Clears the fault with that id; others remain active.
     pub fn clear_fault(&self, id: u32) {
         self.change(|active| active.retain(|fault| fault.id != id));
     }
@@ -71,22 +71,22 @@
         });
     }
 
-    /// Resets the connections that go over it.
+    /// Resets all connections over this link.
     pub fn reset_connections(&self) {
         self.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// Changes with each reset.
+    /// Returns a receiver that changes with each reset.
     pub(crate) fn subscribe_resets(&self) -> watch::Receiver<u64> {
         self.resets.subscribe()
     }
 
-    /// All its faults now, combined.
+    /// Returns the combination of all active faults.
     pub fn fault(&self) -> Fault {
         self.faults.borrow().combined
     }
 
-    /// What it has carried so far.
+    /// Returns the traffic so far.
     pub fn stats(&self) -> LinkStats {
         LinkStats {
             messages: self.messages.load(Relaxed),
@@ -113,9 +113,9 @@
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
-    /// Returns once it is not cut.
+    /// Waits until the link is not cut.
     pub(crate) async fn wait_until_open(&self) {
-        // The sender lives as long as the link, so that this does not fail, here and below.
+        // The sender lives as long as the link, so this cannot fail, here and below.
         let _ = self
             .faults
             .subscribe()
@@ -123,7 +123,7 @@
             .await;
     }
 
-    /// Returns once it is cut.
+    /// Waits until the link is cut.
     pub(crate) async fn wait_until_cut(&self) {
         let _ = self
             .faults
--- a/crates/aspendrum-fault-proxy/src/relay.rs
+++ b/crates/aspendrum-fault-proxy/src/relay.rs
@@ -1,9 +1,9 @@
-//! Streams: a relay listens in the place of a process and carries bytes both ways, over a link for each direction.
+//! Streams: a relay listens in place of a process and forwards bytes in both directions, over one link for each.
 //!
-//! While either direction is cut, open connections stay open and silent and new ones never come up, as with a machine that has
-//! vanished: the backlog of the listener is kept full, so that the kernel accepts no other connection. When the cut ends,
-//! the bytes that waited flow on, and whoever tried to connect meanwhile gets a reset. Where a link refuses connections,
-//! nobody listens while it is cut.
+//! While either direction is cut, open connections stay open without traffic and new ones hang, as if the machine had
+//! vanished: the relay keeps the listen backlog full, so that the kernel accepts no further connection. When the cut
+//! ends, delayed bytes are forwarded, and connections that were attempted during the cut are reset. If a link refuses
+//! connections, the relay closes its listener while the link is cut.
 
 use crate::fault::RESEND_DELAY;
 use crate::link::Link;
@@ -19,19 +19,19 @@
 use tokio::time::{sleep, timeout};
 
 const BACKLOG: i32 = 1024;
-/// The smallest backlog is full with one or two connections; a third finds no place.
+/// The smallest backlog is full after one or two connections, so a third one hangs.
 const BACKLOG_FILLERS: usize = 3;
-/// A connection that does not come up for so long does not come up at all.
+/// A connection that is not established within this time counts as hanging.
 const FILL_TIMEOUT: Duration = Duration::from_millis(20);
 const BIND_RETRY: Duration = Duration::from_millis(20);
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// A relay. It ends, with its connections, when it is dropped.
+/// A relay. Dropping it ends the relay and all its connections.
 pub struct Relay {
     address: SocketAddr,
-    /// The direction from the process that connects.
+    /// The direction from the connecting process to the destination.
     pub forward: Arc<Link>,
-    /// The direction to it.
+    /// The direction from the destination to the connecting process.
     pub backward: Arc<Link>,
     task: AbortHandle,
 }
@@ -42,7 +42,7 @@
     }
 }
 
-/// The links of a relay, and where it leads.
+/// The links and the destination of a relay.
 #[derive(Clone)]
 struct Route {
     destination: SocketAddr,
@@ -69,10 +69,10 @@
 }
 
 impl Relay {
-    /// Listens at a free port of that address, and leads to the destination.
+    /// Starts a relay that listens at a free port of `ip` and connects to `destination`.
     ///
     /// # Errors
-    /// No port is free.
+    /// Fails if no port is free.
     pub async fn start(ip: IpAddr, destination: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind((ip, 0)).await?;
         SockRef::from(&listener).listen(BACKLOG)?;
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Where to connect instead of the destination.
+    /// Returns the address to which processes connect in place of the destination.
     pub fn addr(&self) -> SocketAddr {
         self.address
     }
@@ -105,7 +105,7 @@
             () = route.wait_until_cut() => {}
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connections.spawn(carry(stream, route.clone()));
+                    connections.spawn(forward_connection(stream, route.clone()));
                 }
                 while connections.try_join_next().is_some() {}
                 continue;
@@ -117,7 +117,7 @@
             };
             drop(listener);
             route.wait_until_open().await;
-            listener = listen_again(address).await;
+            listener = rebind(address).await;
         } else {
             let fillers = fill_backlog(&listener).await;
             route.wait_until_open().await;
@@ -127,8 +127,8 @@
     }
 }
 
-/// Listens at that address as soon as it is free.
-async fn listen_again(address: SocketAddr) -> TcpListener {
+/// Binds the address again, with retries until it is free.
+async fn rebind(address: SocketAddr) -> TcpListener {
     loop {
         if let Ok(listener) = TcpListener::bind(address).await {
             let _ = SockRef::from(&listener).listen(BACKLOG);
@@ -138,7 +138,7 @@
     }
 }
 
-/// Fills the listener's backlog, so that no connection comes up while the result is kept.
+/// Fills the listener's backlog. No connection is established until the returned streams are dropped.
 async fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
     let _ = SockRef::from(listener).listen(0);
     let mut fillers = Vec::new();
@@ -154,7 +154,8 @@
     fillers
 }
 
-/// Resets whoever connected meanwhile, as a machine does that is back and knows of no such connection.
+/// Resets the connections that were attempted during the cut, as a restarted machine resets connections that it does
+/// not know.
 async fn reset_backlog(listener: &TcpListener) {
     while let Ok(Ok((stream, _))) = timeout(FILL_TIMEOUT, listener.accept()).await {
         let _ = stream.set_zero_linger();
@@ -162,8 +163,8 @@
     let _ = SockRef::from(listener).listen(BACKLOG);
 }
 
-/// Carries one connection.
-async fn carry(near: TcpStream, route: Route) {
+/// Forwards one connection.
+async fn forward_connection(near: TcpStream, route: Route) {
     let mut forward_resets = route.forward.subscribe_resets();
     let mut backward_resets = route.backward.subscribe_resets();
     let far = tokio::select! {
@@ -178,40 +179,40 @@
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
     let result = {
-        let both = async {
-            let forward = carry_direction(near_in, far_out, &route.forward);
-            let backward = carry_direction(far_in, near_out, &route.backward);
+        let directions = async {
+            let forward = forward_direction(near_in, far_out, &route.forward);
+            let backward = forward_direction(far_in, near_out, &route.backward);
             tokio::try_join!(forward, backward)
         };
         tokio::select! {
-            result = both => result,
+            result = directions => result,
             _ = forward_resets.changed() => Err(BrokenDirection),
             _ = backward_resets.changed() => Err(BrokenDirection),
         }
     };
-    // After a reset both halves are dropped without another byte: what broke on one side breaks on the other.
+    // After a reset both halves are dropped without further bytes, so that a broken connection breaks on both sides.
     drop(result);
 }
 
-/// A direction of a connection broke.
+/// The error of a broken direction of a connection.
 struct BrokenDirection;
 
-/// The sending half of a connection, which is reset when this is dropped unless the half was taken out.
+/// The sending half of a connection. Resets the connection when dropped, unless the half was taken.
 struct ResetOnDrop(Option<OwnedWriteHalf>);
 
 impl Drop for ResetOnDrop {
     fn drop(&mut self) {
         if let Some(half) = self.0.take() {
             let _ = SockRef::from(half.as_ref()).set_linger(Some(Duration::ZERO));
-            // Dropped, it would first shut down the connection in an orderly way.
+            // Dropping the half would shut the connection down in an orderly way.
             half.forget();
         }
     }
 }
 
-/// Carries one direction until its orderly end, and returns the sending half then: it is kept until the other direction has
-/// ended too.
-async fn carry_direction(
+/// Forwards one direction until its orderly end. Returns the sending half, which must be kept until the other direction
+/// has ended too.
+async fn forward_direction(
     mut from: OwnedReadHalf,
     to: OwnedWriteHalf,
     link: &Link,
@@ -231,7 +232,7 @@
         let delay = fault.delay(rand::random()) + resend_delay;
         if !delay.is_zero() {
             sleep(delay).await;
-            // It may have been cut meanwhile.
+            // The link may have been cut during the delay.
             link.wait_until_open().await;
         }
         let Some(half) = to.0.as_mut() else {
--- a/crates/aspendrum-fault-proxy/tests/relay.rs
+++ b/crates/aspendrum-fault-proxy/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Streams over a link that is healthy, cut, refusing connections or reset.
+//! Streams over a relay whose links are healthy, cut, refusing connections or reset.
 
 use aspendrum_fault_proxy::{Fault, Relay};
 use std::io;
@@ -8,12 +8,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-const SOON: Duration = Duration::from_secs(5);
-const HERE: [u8; 4] = [127, 0, 0, 1];
+const TIMEOUT: Duration = Duration::from_secs(5);
+const LOOPBACK: [u8; 4] = [127, 0, 0, 1];
 
-/// Sends back whatever it gets.
-async fn echo() -> SocketAddr {
-    let listener = TcpListener::bind((IpAddr::from(HERE), 0)).await.unwrap();
+/// Starts a server that echoes everything it receives.
+async fn start_echo_server() -> SocketAddr {
+    let listener = TcpListener::bind((IpAddr::from(LOOPBACK), 0))
+        .await
+        .unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
@@ -28,42 +30,52 @@
 
 async fn round_trip(stream: &mut TcpStream, word: &[u8]) -> io::Result<()> {
     stream.write_all(word).await?;
-    let mut space = vec![0; word.len()];
-    timeout(SOON, stream.read_exact(&mut space)).await??;
-    assert_eq!(space, word);
+    let mut buffer = vec![0; word.len()];
+    timeout(TIMEOUT, stream.read_exact(&mut buffer)).await??;
+    assert_eq!(buffer, word);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_cut_connection_stays_open_and_silent_and_goes_on_once_healed() {
-    let relay = Relay::start(HERE.into(), echo().await).await.unwrap();
+async fn a_cut_connection_stays_open_and_resumes_after_the_cut() {
+    let relay = Relay::start(LOOPBACK.into(), start_echo_server().await)
+        .await
+        .unwrap();
     let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
     round_trip(&mut stream, b"whole").await.unwrap();
     relay.backward.set_fault(1, Fault::CUT);
     stream.write_all(b"held").await.unwrap();
-    let mut space = [0; 4];
-    let early = timeout(Duration::from_millis(100), stream.read_exact(&mut space)).await;
-    assert!(early.is_err(), "nothing comes, and the connection stands");
+    let mut buffer = [0; 4];
+    let early = timeout(Duration::from_millis(100), stream.read_exact(&mut buffer)).await;
+    assert!(
+        early.is_err(),
+        "no data arrives and the connection stays open"
+    );
     relay.backward.clear_fault(1);
-    timeout(SOON, stream.read_exact(&mut space))
+    timeout(TIMEOUT, stream.read_exact(&mut buffer))
         .await
         .unwrap()
         .unwrap();
-    assert_eq!(&space, b"held");
+    assert_eq!(&buffer, b"held");
 }
 
 #[tokio::test]
-async fn no_connection_comes_up_while_cut_and_new_ones_do_once_healed() {
-    let relay = Relay::start(HERE.into(), echo().await).await.unwrap();
+async fn connection_attempts_hang_during_a_cut_and_succeed_after_it() {
+    let relay = Relay::start(LOOPBACK.into(), start_echo_server().await)
+        .await
+        .unwrap();
     relay.forward.set_fault(1, Fault::CUT);
-    // The backlog is full a few milliseconds after the cut; whoever connects before has a silent connection.
+    // The backlog is full a few milliseconds after the cut. Earlier connections are established, but get no response.
     sleep(Duration::from_millis(200)).await;
     for _ in 0..3 {
         let dialled = timeout(Duration::from_millis(100), TcpStream::connect(relay.addr())).await;
-        assert!(dialled.is_err(), "neither up nor refused: {dialled:?}");
+        assert!(
+            dialled.is_err(),
+            "neither established nor refused: {dialled:?}"
+        );
     }
     relay.forward.clear_fault(1);
-    timeout(SOON, async {
+    timeout(TIMEOUT, async {
         loop {
             let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
             if round_trip(&mut stream, b"back").await.is_ok() {
@@ -76,14 +88,16 @@
 }
 
 #[tokio::test]
-async fn whoever_dials_a_link_that_refuses_is_told_at_once() {
-    let relay = Relay::start(HERE.into(), echo().await).await.unwrap();
+async fn connections_over_a_refusing_link_are_refused_immediately() {
+    let relay = Relay::start(LOOPBACK.into(), start_echo_server().await)
+        .await
+        .unwrap();
     let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
     round_trip(&mut stream, b"whole").await.unwrap();
     relay.backward.set_fault(1, Fault::REFUSE);
     relay.backward.reset_connections();
-    let mut space = [0; 1];
-    let end = timeout(SOON, stream.read(&mut space)).await.unwrap();
+    let mut buffer = [0; 1];
+    let end = timeout(TIMEOUT, stream.read(&mut buffer)).await.unwrap();
     assert_eq!(end.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     let refused = async {
         loop {
@@ -94,11 +108,11 @@
         }
     };
     assert_eq!(
-        timeout(SOON, refused).await.unwrap(),
+        timeout(TIMEOUT, refused).await.unwrap(),
         io::ErrorKind::ConnectionRefused
     );
     relay.backward.clear_fault(1);
-    timeout(SOON, async {
+    timeout(TIMEOUT, async {
         loop {
             if let Ok(mut stream) = TcpStream::connect(relay.addr()).await {
                 return round_trip(&mut stream, b"back").await.unwrap();
@@ -111,26 +125,28 @@
 }
 
 #[tokio::test]
-async fn a_reset_ends_what_is_open_and_nothing_after() {
-    let relay = Relay::start(HERE.into(), echo().await).await.unwrap();
+async fn a_reset_ends_open_connections_only() {
+    let relay = Relay::start(LOOPBACK.into(), start_echo_server().await)
+        .await
+        .unwrap();
     let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
     round_trip(&mut stream, b"whole").await.unwrap();
     relay.forward.reset_connections();
-    let mut space = [0; 1];
-    let end = timeout(SOON, stream.read(&mut space)).await.unwrap();
+    let mut buffer = [0; 1];
+    let end = timeout(TIMEOUT, stream.read(&mut buffer)).await.unwrap();
     assert_eq!(end.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     let mut next = TcpStream::connect(relay.addr()).await.unwrap();
     round_trip(&mut next, b"next").await.unwrap();
 }
 
 #[tokio::test]
-async fn nobody_behind_it_is_a_reset() {
-    let nobody = TcpListener::bind((IpAddr::from(HERE), 0))
+async fn an_unreachable_destination_resets_the_connection() {
+    let unreachable = TcpListener::bind((IpAddr::from(LOOPBACK), 0))
         .await
         .unwrap()
         .local_addr()
         .unwrap();
-    let relay = Relay::start(HERE.into(), nobody).await.unwrap();
+    let relay = Relay::start(LOOPBACK.into(), unreachable).await.unwrap();
     let mut stream = TcpStream::connect(relay.addr()).await.unwrap();
     assert!(round_trip(&mut stream, b"lost").await.is_err());
 }
