--- a/crates/aspendrum-checker/src/limiter/quota.rs
+++ b/crates/aspendrum-checker/src/limiter/quota.rs
@@ -43,7 +43,7 @@
     grants.sort_by(|a, b| a.at.total_cmp(&b.at));
 }
 
-fn units_of(grants: &[Grant]) -> f64 {
+fn total_units(grants: &[Grant]) -> f64 {
     grants.iter().map(|grant| grant.units).sum()
 }
 
@@ -117,7 +117,7 @@
     let mut requests: Grants = requests.collect();
     sort_by_time(&mut requests);
     let within_quota = bucket_grants(customer, grants, from);
-    let granted = units_of(grants);
+    let granted = total_units(grants);
     let whole_quota = (customer.burst + customer.rate * (to - from)).max(f64::MIN_POSITIVE);
     let ratio = |rate: f64, burst: f64| peak(grants, rate) / burst.max(f64::MIN_POSITIVE);
     let has_limit = customer.limit_rate > 0.0;
@@ -131,8 +131,8 @@
         } else {
             0.0
         },
-        granted_within_quota: units_of(&within_quota),
-        ideally_granted: units_of(&bucket_grants(customer, &requests, from)),
+        granted_within_quota: total_units(&within_quota),
+        ideally_granted: total_units(&bucket_grants(customer, &requests, from)),
         refused: queries
             .iter()
             .filter(|query| query.outcome == QueryOutcome::Shed)
@@ -175,7 +175,7 @@
     let window = criterion.window;
     let units_in_window = |grants: &Grants, start: Millis| -> f64 {
         let index = |at: Millis| grants.partition_point(|grant| grant.at < at);
-        units_of(&grants[index(start)..index(start + window)])
+        total_units(&grants[index(start)..index(start + window)])
     };
     let (all, within_quota) = (merged(all), merged(within_quota));
     // The measured use can only change at the end of the fault and at each grant after it.
--- a/crates/aspendrum-checker/src/system/record.rs
+++ b/crates/aspendrum-checker/src/system/record.rs
@@ -286,7 +286,8 @@
 }
 
 impl Record {
-    /// Returns whether every configuration that may have been in force during the attempt allows it.
+    /// Returns whether the attempt is allowed by every configuration that was sent before its end and is not older than the
+    /// newest applied one. This includes configurations that were refused.
     pub fn is_owed(&self, attempt: &Attempt) -> bool {
         let is_applied = |version: &&ConfigVersion| {
             let applied_by = version.acknowledged_at.map(|at| at + self.bounds.apply);
--- a/crates/aspendrum-checker/src/system/verdict.rs
+++ b/crates/aspendrum-checker/src/system/verdict.rs
@@ -32,7 +32,7 @@
 pub struct Verdict {
     /// The rules that were broken.
     pub breaches: Vec<Breach>,
-    /// The requests that every configuration which may have been in force allows.
+    /// The requests that every configuration in question allows; see [`Record::is_owed`].
     pub all: ServedCount,
     /// The part of these requests that may run only once.
     pub once_only: ServedCount,
--- a/crates/aspendrum-fake-services/src/discovery.rs
+++ b/crates/aspendrum-fake-services/src/discovery.rs
@@ -168,7 +168,7 @@
         });
     }
 
-    /// Returns all updates that agents sent to their limiters.
+    /// Returns the recorded updates: for each list that an agent sent to its limiter, the state of every server.
     pub fn updates(&self) -> Vec<DiscoveryUpdate> {
         lock(&self.state).updates.clone()
     }
