--- a/crates/aspendrum-testbed/tests/sweep.rs
+++ b/crates/aspendrum-testbed/tests/sweep.rs
@@ -1,9 +1,9 @@
-//! What a sweep goes over.
+//! Parsing of the key and the values of a sweep.
 
 use aspendrum_testbed::sweep::SweptKey;
 
 #[test]
-fn a_sweep_names_a_key_and_its_values() {
+fn a_swept_key_is_parsed_with_its_values() {
     let swept: SweptKey = "limiters.count=5, 20,40".parse().unwrap();
     let values = ["5", "20", "40"].map(String::from).to_vec();
     assert_eq!(
--- a/crates/aspendrum-testbed/tests/timeline.rs
+++ b/crates/aspendrum-testbed/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! When the faults of a scenario begin and end.
+//! The transitions and the periods of a scenario's faults.
 
 use aspendrum_testbed::scenario::Scenario;
 use aspendrum_testbed::timeline::{fault_periods, transitions};
@@ -14,10 +14,10 @@
 
 #[test]
 fn a_fault_that_repeats_ends_before_it_begins_again() {
-    let s = scenario(
+    let scenario = scenario(
         "[[faults]]\nat_s = 1.0\nfor_s = 4.0\nevery_s = 4.0\nkind = \"stall\"\nof = \"0\"\n",
     );
-    let found: Vec<(f64, u32, bool)> = transitions(&s)
+    let found: Vec<(f64, u32, bool)> = transitions(&scenario)
         .iter()
         .map(|t| (t.at, t.occurrence, t.begins))
         .collect();
@@ -28,13 +28,19 @@
         (9000.0, 2, false),
         (9000.0, 3, true),
     ];
-    assert_eq!(found, expected, "the third outlasts the run");
-    assert!(fault_periods(&s, 0.0).is_empty(), "nothing to recover in");
+    assert_eq!(
+        found, expected,
+        "the third occurrence lasts beyond the end of the run"
+    );
+    assert!(
+        fault_periods(&scenario, 0.0).is_empty(),
+        "no time remains for a recovery"
+    );
 }
 
 #[test]
-fn a_fault_without_duration_leaves_the_rest_of_the_run_to_recover_in() {
-    let s = scenario("[[faults]]\nat_s = 3.0\nkind = \"counter\"\nemptied = true\n");
-    let all = fault_periods(&s, 500.0);
+fn an_instant_fault_has_a_period_without_duration() {
+    let scenario = scenario("[[faults]]\nat_s = 3.0\nkind = \"counter\"\nemptied = true\n");
+    let all = fault_periods(&scenario, 500.0);
     assert_eq!((all.len(), all[0].from, all[0].to), (1, 3500.0, 3500.0));
 }
