--- a/crates/aspendrum-testbed/src/system/client_exchange.rs
+++ b/crates/aspendrum-testbed/src/system/client_exchange.rs
@@ -1,5 +1,4 @@
-//! One exchange of a client with a proxy: the bytes of a request, its answer, and clients that disconnect before they have
-//! it.
+//! One HTTP exchange between a client and a proxy, including clients that disconnect before the response arrives.
 
 use super::configuration::{path, KEYS};
 use aspendrum_checker::system::AttemptOutcome;
@@ -9,31 +8,31 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// What a client wants, and how it goes about it.
+/// A client request and how the client uses its connection.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestPlan {
-    /// The number of the route.
+    /// The index of the route.
     pub route: usize,
-    /// It may run once only.
+    /// Whether the request may be executed at most once.
     pub is_once_only: bool,
-    /// The number of the tenant.
+    /// The index of the tenant.
     pub tenant: usize,
-    /// The zone that the client is in.
+    /// The index of the client's zone.
     pub zone: usize,
-    /// The connection is kept for the next request, as half of the clients do.
+    /// Whether the connection is kept open for a later request.
     pub keeps_connection: bool,
-    /// The client holds an old answer of the directory, and goes to any proxy.
+    /// Whether the client ignores the directory and connects to any proxy, as with an outdated lookup result.
     pub ignores_lookups: bool,
-    /// The client uses whatever connection is open, until its proxy closes it.
+    /// Whether the client uses any open connection until the proxy closes it.
     pub reuses_any_connection: bool,
-    /// A second request is sent behind the first one, before its answer.
+    /// Whether a second request is sent before the first response arrives.
     pub is_pipelined: bool,
-    /// The client disconnects before it has an answer.
+    /// When and how the client disconnects without waiting for the response, if it does.
     pub disconnect: Option<Disconnect>,
 }
 
 impl RequestPlan {
-    /// A request of the first tenant on a route that may be repeated, on a connection that is kept.
+    /// Returns a plan for an idempotent request of the first tenant on a connection that is kept open.
     pub fn simple(route: usize) -> RequestPlan {
         RequestPlan {
             route,
@@ -49,60 +48,62 @@
     }
 }
 
-/// When a client disconnects after it has sent its request, and how that looks to the proxy.
+/// When and how a client disconnects after it has sent its request.
 #[derive(Clone, Copy, Debug)]
 pub struct Disconnect {
-    /// So long after the request.
+    /// The delay after the request was sent.
     pub after: Duration,
-    /// How.
+    /// How the connection is ended.
     pub manner: DisconnectManner,
 }
 
 /// How a connection is ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DisconnectManner {
-    /// It is closed.
+    /// The connection is closed.
     Close,
-    /// It is reset.
+    /// The connection is reset.
     Reset,
-    /// Its sending side is ended, and the client reads on.
+    /// The sending side is shut down, and the client keeps reading.
     HalfClose,
-    /// More bytes are sent just before the close.
-    BehindBytes,
+    /// The start of another request is sent just before the close.
+    CloseAfterPartialRequest,
 }
 
-/// All of them.
+/// All ways of ending a connection.
 pub const DISCONNECT_MANNERS: [DisconnectManner; 4] = [
     DisconnectManner::Close,
     DisconnectManner::Reset,
     DisconnectManner::HalfClose,
-    DisconnectManner::BehindBytes,
+    DisconnectManner::CloseAfterPartialRequest,
 ];
 
-/// The attempts of one exchange, as their clients number them.
+/// The attempt ids of one exchange.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptIds {
+    /// The id of the first request.
     pub(super) first: u64,
-    /// Of the request that is sent behind it.
+    /// The id of the pipelined request, if there is one.
     pub(super) pipelined: Option<u64>,
 }
 
-/// What came of one exchange.
+/// The result of one exchange.
 pub(super) struct ExchangeResult {
+    /// The outcome of the first request.
     pub(super) outcome: AttemptOutcome,
     /// When the client disconnected, if it did.
     pub(super) disconnected_at: Option<Instant>,
-    /// When the client may come again, if the answer says so.
+    /// The delay given by the response's `Retry-After` header.
     pub(super) retry_after: Option<Duration>,
-    /// How the request that was sent behind it ended.
+    /// The outcome of the pipelined request, if there was one.
     pub(super) pipelined: Option<AttemptOutcome>,
-    /// The connection, if it can be used again.
+    /// The connection, if it can be reused.
     pub(super) kept: Option<TcpStream>,
 }
 
 impl ExchangeResult {
-    /// It ended without an answer.
-    pub(super) fn without_answer(outcome: AttemptOutcome, ids: AttemptIds) -> ExchangeResult {
+    /// Returns a result for an exchange that received no response.
+    pub(super) fn without_response(outcome: AttemptOutcome, ids: AttemptIds) -> ExchangeResult {
         ExchangeResult {
             outcome,
             disconnected_at: None,
@@ -113,7 +114,9 @@
     }
 }
 
-/// Sends a request, and reads its answer. `until`: when the client gives up.
+/// Sends a request and reads its response.
+///
+/// `until` is the client's deadline, which is sent with the request.
 pub(super) async fn exchange(
     mut stream: TcpStream,
     ids: AttemptIds,
@@ -124,59 +127,60 @@
     let ids_sent = [Some(ids.first), ids.pipelined].into_iter().flatten();
     let text: String = ids_sent.map(|id| request_text(id, plan, until)).collect();
     let mut unread = Vec::new();
-    let answer = async {
+    let response = async {
         stream.write_all(text.as_bytes()).await?;
         http::read_message(&mut stream, &mut unread, MessageKind::Response).await
     };
-    let answer = match plan.disconnect {
-        None => answer.await,
-        Some(disconnect) => match timeout(disconnect.after, answer).await {
-            Ok(answer) => answer,
+    let response = match plan.disconnect {
+        None => response.await,
+        Some(disconnect) => match timeout(disconnect.after, response).await {
+            Ok(response) => response,
             Err(_) => {
                 let disconnected_at = Some(Instant::now());
                 let outcome = end_connection(stream, unread, disconnect.manner, ids.first).await;
                 return ExchangeResult {
                     outcome,
                     disconnected_at,
-                    ..ExchangeResult::without_answer(AttemptOutcome::ClientDisconnected, ids)
+                    ..ExchangeResult::without_response(AttemptOutcome::ClientDisconnected, ids)
                 };
             }
         },
     };
-    match answer {
-        Ok(Some(answer)) => answered(stream, unread, &answer, ids, plan).await,
-        Ok(None) | Err(_) => ExchangeResult::without_answer(AttemptOutcome::Lost, ids),
+    match response {
+        Ok(Some(response)) => handle_response(stream, unread, &response, ids, plan).await,
+        Ok(None) | Err(_) => ExchangeResult::without_response(AttemptOutcome::Lost, ids),
     }
 }
 
-async fn answered(
+async fn handle_response(
     mut stream: TcpStream,
     mut unread: Vec<u8>,
-    answer: &Message,
+    response: &Message,
     ids: AttemptIds,
     plan: RequestPlan,
 ) -> ExchangeResult {
-    let mut is_closed = answer.wants_close();
+    let mut is_closed = response.wants_close();
     let mut pipelined = None;
     if let Some(id) = ids.pipelined {
-        // Behind an answer that closes the connection nothing of it is read any more (RFC 9112, 9.3.2).
+        // A server ignores requests that follow a response with `Connection: close` (RFC 9112, section 9.6), so the
+        // pipelined request has not run.
         let outcome = if is_closed {
             AttemptOutcome::Unreached
         } else {
             let second = http::read_message(&mut stream, &mut unread, MessageKind::Response).await;
             let second = second.ok().flatten();
             is_closed |= second.as_ref().is_none_or(Message::wants_close);
-            second.map_or(AttemptOutcome::Lost, |answer| outcome_of(&answer, id))
+            second.map_or(AttemptOutcome::Lost, |response| outcome_of(&response, id))
         };
         pipelined = Some(outcome);
     }
     let is_reusable = !is_closed && unread.is_empty();
     let wants_reuse = plan.keeps_connection || plan.reuses_any_connection;
-    let retry_after = answer
+    let retry_after = response
         .header("Retry-After")
         .and_then(|seconds| seconds.parse::<f64>().ok());
     ExchangeResult {
-        outcome: outcome_of(answer, ids.first),
+        outcome: outcome_of(response, ids.first),
         disconnected_at: None,
         retry_after: retry_after.map(|s| Duration::from_secs_f64(s.clamp(0.0, 60.0))),
         pipelined,
@@ -184,7 +188,7 @@
     }
 }
 
-/// A request's bytes.
+/// Returns the text of a request, including its body.
 pub fn request_text(id: u64, plan: RequestPlan, until: Instant) -> String {
     let (method, body) = if plan.is_once_only {
         ("POST", "pay")
@@ -201,7 +205,7 @@
     )
 }
 
-/// Ends the connection in that manner. Whoever reads on compares what comes with his request.
+/// Ends the connection in the given manner. After a half-close, checks that the response belongs to the client's request.
 async fn end_connection(
     mut stream: TcpStream,
     mut unread: Vec<u8>,
@@ -213,14 +217,16 @@
         DisconnectManner::Reset => {
             let _ = stream.set_zero_linger();
         }
-        DisconnectManner::BehindBytes => {
+        DisconnectManner::CloseAfterPartialRequest => {
             let _ = stream.try_write(b"GET /quote/ahead HTTP/1.1\r\n");
         }
         DisconnectManner::HalfClose => {
             let _ = stream.shutdown().await;
-            let answer = http::read_message(&mut stream, &mut unread, MessageKind::Response).await;
-            let is_foreign = |answer: Message| outcome_of(&answer, id) == AttemptOutcome::Foreign;
-            if answer.ok().flatten().is_some_and(is_foreign) {
+            let response =
+                http::read_message(&mut stream, &mut unread, MessageKind::Response).await;
+            let is_foreign =
+                |response: Message| outcome_of(&response, id) == AttemptOutcome::Foreign;
+            if response.ok().flatten().is_some_and(is_foreign) {
                 return AttemptOutcome::Foreign;
             }
         }
@@ -228,9 +234,10 @@
     AttemptOutcome::ClientDisconnected
 }
 
-fn outcome_of(answer: &Message, id: u64) -> AttemptOutcome {
-    let is_own = answer.header("Seal").is_some() && answer.body == format!("{id:016x}").as_bytes();
-    match answer.status() {
+fn outcome_of(response: &Message, id: u64) -> AttemptOutcome {
+    let is_own =
+        response.header("Seal").is_some() && response.body == format!("{id:016x}").as_bytes();
+    match response.status() {
         200 if is_own => AttemptOutcome::Answered,
         200 => AttemptOutcome::Foreign,
         status @ (408 | 421 | 429 | 503) => AttemptOutcome::NotRun(status),
--- a/crates/aspendrum-testbed/src/system/clients.rs
+++ b/crates/aspendrum-testbed/src/system/clients.rs
@@ -1,8 +1,8 @@
-//! The clients of a run, as the protocol defines them: lookups that are held, proxies drawn among the answers, further
-//! attempts only where they may be made.
+//! Clients that follow the protocol: they cache lookups, choose a random proxy from the result, and retry only where the
+//! protocol allows it.
 
 use super::client_exchange::{exchange, AttemptIds, ExchangeResult, RequestPlan};
-use super::fleet::{region, zone, Fleet};
+use super::fleet::{region_name, zone_name, Fleet};
 use super::http_call::{call, CALL_TIMEOUT};
 use aspendrum_checker::system::{Attempt, AttemptOutcome};
 use aspendrum_checker::Millis;
@@ -18,20 +18,20 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The time that a client has for a request, with all attempts.
+/// The client's time limit for a request, including all attempts.
 const DEADLINE: Duration = Duration::from_millis(2000);
-/// What a client waits beyond its deadline before an attempt counts as silent.
+/// How long a client waits beyond its deadline before it records an attempt as silent.
 const SILENCE_GRACE: Duration = Duration::from_millis(700);
 const MAX_ATTEMPTS: usize = 3;
-/// Before the next attempt where an answer does not say when.
+/// The delay before the next attempt if the response has no `Retry-After` header.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// So many control nodes are asked for one lookup.
+/// The maximum number of control nodes queried for one lookup.
 const MAX_LOOKUP_CALLS: usize = 3;
 
-/// The answer to a lookup, and until when it is held.
+/// A cached lookup result.
 #[derive(Clone)]
-struct HeldLookup {
-    until: Instant,
+struct CachedLookup {
+    expires_at: Instant,
     proxies: Vec<SocketAddr>,
 }
 
@@ -39,7 +39,7 @@
 struct ChosenProxy {
     address: SocketAddr,
     number: usize,
-    /// An open connection to it, where the client uses one.
+    /// An open connection to reuse, if any.
     open: Option<TcpStream>,
 }
 
@@ -47,14 +47,15 @@
 pub struct Clients {
     fleet: Arc<Fleet>,
     next_id: AtomicU64,
-    /// By zone.
-    lookups: Mutex<HashMap<usize, HeldLookup>>,
+    /// Cached lookups by zone.
+    lookups: Mutex<HashMap<usize, CachedLookup>>,
+    /// Idle connections by proxy address.
     idle: Mutex<HashMap<SocketAddr, Vec<TcpStream>>>,
     attempts: Mutex<Vec<Attempt>>,
 }
 
 impl Clients {
-    /// Clients of that fleet that have sent nothing yet.
+    /// Creates the clients of a fleet.
     pub fn new(fleet: Arc<Fleet>) -> Clients {
         Clients {
             fleet,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// All attempts that have ended.
+    /// Returns all attempts that have ended.
     pub fn attempts(&self) -> Vec<Attempt> {
         lock(&self.attempts).clone()
     }
@@ -74,16 +75,16 @@
         self.fleet.clock.now()
     }
 
-    fn draw_id(&self) -> u64 {
+    fn next_attempt_id(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// One request, with all its attempts.
+    /// Sends one request, retrying where the protocol allows it.
     pub async fn request(&self, plan: RequestPlan) {
         let until = Instant::now() + DEADLINE;
         let (mut request, mut failed) = (None, Vec::new());
         for _ in 0..MAX_ATTEMPTS {
-            let id = self.draw_id();
+            let id = self.next_attempt_id();
             let is_first = request.is_none();
             let number = *request.get_or_insert(id);
             let chosen = self.choose_proxy(plan, is_first, &failed, until).await;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// One attempt at one proxy, and what it leaves in the record.
+    /// Makes one attempt at one proxy and records it.
     async fn attempt(
         &self,
         plan: RequestPlan,
@@ -117,7 +118,7 @@
         let sent_at = self.now();
         let ids = AttemptIds {
             first: id,
-            pipelined: plan.is_pipelined.then(|| self.draw_id()),
+            pipelined: plan.is_pipelined.then(|| self.next_attempt_id()),
         };
         let ChosenProxy {
             address,
@@ -128,8 +129,8 @@
             until + SILENCE_GRACE,
             self.exchange(address, open, ids, plan, until),
         );
-        let silent = |_| ExchangeResult::without_answer(AttemptOutcome::Silent, ids);
-        let result = ended.await.unwrap_or_else(silent);
+        let no_response = |_| ExchangeResult::without_response(AttemptOutcome::Silent, ids);
+        let result = ended.await.unwrap_or_else(no_response);
         let disconnected_for = result.disconnected_at.map(|at| at.elapsed());
         let ended_at = self.now() - disconnected_for.unwrap_or_default().as_secs_f64() * 1000.0;
         let attempt = |id: u64, request: u64, outcome: AttemptOutcome| Attempt {
@@ -149,22 +150,23 @@
         result
     }
 
-    /// Asks one proxy for a route that may be repeated, once: how that ended, and when it was sent.
+    /// Sends a single request for an idempotent route to one proxy. Returns the outcome and the time at which the request was
+    /// sent.
     pub async fn probe(&self, proxy: usize, route: usize) -> (AttemptOutcome, Millis) {
-        let address = self.fleet.front(proxy);
+        let address = self.fleet.proxy_addr(proxy);
         let chosen = ChosenProxy {
             address,
             number: proxy,
             open: self.take_idle(address),
         };
-        let (id, until) = (self.draw_id(), Instant::now() + DEADLINE);
+        let (id, until) = (self.next_attempt_id(), Instant::now() + DEADLINE);
         let sent_at = self.now();
         let plan = RequestPlan::simple(route);
         let result = self.attempt(plan, chosen, id, id, until).await;
         (result.outcome, sent_at)
     }
 
-    /// Exchanges on the open connection, or on a new one. A connection that can be used again is kept.
+    /// Makes an exchange on the open connection, or on a new one. A reusable connection returns to the idle pool.
     async fn exchange(
         &self,
         address: SocketAddr,
@@ -180,7 +182,7 @@
         let Ok(Ok(stream)) = connected else {
             return ExchangeResult {
                 pipelined: None,
-                ..ExchangeResult::without_answer(AttemptOutcome::Unreached, ids)
+                ..ExchangeResult::without_response(AttemptOutcome::Unreached, ids)
             };
         };
         let mut result = exchange(stream, ids, plan, until).await;
@@ -190,7 +192,7 @@
         result
     }
 
-    /// The proxy that an attempt goes to; `None`: no proxy is known.
+    /// Chooses the proxy for an attempt. Returns `None` if no proxy is known.
     async fn choose_proxy(
         &self,
         plan: RequestPlan,
@@ -199,13 +201,13 @@
         until: Instant,
     ) -> Option<ChosenProxy> {
         if plan.reuses_any_connection && is_first {
-            if let Some(chosen) = self.any_idle() {
+            if let Some(chosen) = self.take_any_idle() {
                 return Some(chosen);
             }
         }
         let proxies = if plan.ignores_lookups && is_first {
             let all = 0..self.fleet.scenario.edges;
-            all.map(|proxy| self.fleet.front(proxy)).collect()
+            all.map(|proxy| self.fleet.proxy_addr(proxy)).collect()
         } else {
             self.look_up(plan.zone, until).await
         };
@@ -222,17 +224,17 @@
         };
         Some(ChosenProxy {
             address,
-            number: self.fleet.edge_at(address)?,
+            number: self.fleet.edge_by_addr(address)?,
             open,
         })
     }
 
-    /// Whatever connection is open.
-    fn any_idle(&self) -> Option<ChosenProxy> {
+    /// Takes an idle connection to any proxy.
+    fn take_any_idle(&self) -> Option<ChosenProxy> {
         let addresses: Vec<SocketAddr> = lock(&self.idle).keys().copied().collect();
         addresses.into_iter().find_map(|address| {
             let open = Some(self.take_idle(address)?);
-            let number = self.fleet.edge_at(address)?;
+            let number = self.fleet.edge_by_addr(address)?;
             Some(ChosenProxy {
                 address,
                 number,
@@ -241,7 +243,7 @@
         })
     }
 
-    /// A connection that is idle, and that the proxy has not closed as far as can be seen.
+    /// Takes an idle connection to a proxy, skipping those that the proxy has closed.
     fn take_idle(&self, address: SocketAddr) -> Option<TcpStream> {
         let mut idle = lock(&self.idle);
         let streams = idle.get_mut(&address)?;
@@ -254,36 +256,44 @@
         }
     }
 
-    /// What the directory answers for a zone, held for as long as it says; an old answer where none can be had.
+    /// Looks up the proxies for a zone. Caches the result for the time to live that the directory returns, and falls back to an
+    /// expired result if no control node responds.
     async fn look_up(&self, of_zone: usize, until: Instant) -> Vec<SocketAddr> {
-        let held = lock(&self.lookups).get(&of_zone).cloned();
-        if let Some(held) = held.as_ref().filter(|held| held.until > Instant::now()) {
-            return held.proxies.clone();
+        let cached = lock(&self.lookups).get(&of_zone).cloned();
+        let is_fresh = |cached: &&CachedLookup| cached.expires_at > Instant::now();
+        if let Some(cached) = cached.as_ref().filter(is_fresh) {
+            return cached.proxies.clone();
         }
         let path = format!(
             "/api/lookup?name=a.example&geo={}&az={}",
-            region(of_zone),
-            zone(of_zone)
+            region_name(of_zone),
+            zone_name(of_zone)
         );
         let members = self.fleet.members();
         let first = rand::rng().random_range(0..members.len());
-        let asked = members.iter().cycle().skip(first).take(members.len());
-        for node in asked.take(MAX_LOOKUP_CALLS) {
-            let asked = call(self.fleet.dir(*node), "GET", &path, "", CALL_TIMEOUT);
-            let Ok(Some((200, body))) = timeout_at(until, asked).await else {
+        let nodes = members.iter().cycle().skip(first).take(members.len());
+        for node in nodes.take(MAX_LOOKUP_CALLS) {
+            let lookup = call(
+                self.fleet.directory_addr(*node),
+                "GET",
+                &path,
+                "",
+                CALL_TIMEOUT,
+            );
+            let Ok(Some((200, body))) = timeout_at(until, lookup).await else {
                 continue;
             };
             let Some((proxies, ttl)) = parse_lookup(&body) else {
                 continue;
             };
-            let held = HeldLookup {
-                until: Instant::now() + ttl,
+            let cached = CachedLookup {
+                expires_at: Instant::now() + ttl,
                 proxies: proxies.clone(),
             };
-            lock(&self.lookups).insert(of_zone, held);
+            lock(&self.lookups).insert(of_zone, cached);
             return proxies;
         }
-        held.map_or(Vec::new(), |held| held.proxies)
+        cached.map_or(Vec::new(), |cached| cached.proxies)
     }
 
     fn record_unreached(&self, plan: RequestPlan, id: u64, request: u64) {
@@ -319,14 +329,14 @@
     }
 }
 
-/// The proxies and the time to live that the directory answers.
+/// Parses the proxies and the time to live of a lookup response.
 fn parse_lookup(body: &[u8]) -> Option<(Vec<SocketAddr>, Duration)> {
-    let answer: serde_json::Value = serde_json::from_slice(body).ok()?;
-    let proxies = answer["ips"]
+    let response: serde_json::Value = serde_json::from_slice(body).ok()?;
+    let proxies = response["ips"]
         .as_array()?
         .iter()
         .map(|address| address.as_str()?.parse().ok())
         .collect::<Option<_>>()?;
-    let ttl_s = answer["ttl-s"].as_f64()?.clamp(0.0, 60.0);
+    let ttl_s = response["ttl-s"].as_f64()?.clamp(0.0, 60.0);
     Some((proxies, Duration::from_secs_f64(ttl_s)))
 }
--- a/crates/aspendrum-testbed/src/system/configuration.rs
+++ b/crates/aspendrum-testbed/src/system/configuration.rs
@@ -1,16 +1,16 @@
-//! The text of a configuration, as the operator words it: valid ones, and ones with a fault.
+//! Configuration texts that the operator sends, both valid and invalid.
 
 use super::fleet::SERVICES;
 use super::scenario::Scenario;
 use aspendrum_checker::system::{ConfigVersion, RouteRule, TenantRule};
 use serde_json::{json, Value};
 
-/// The credentials of the tenants, by their number.
+/// The credentials of the tenants, by tenant index.
 pub const KEYS: [&str; 2] = ["ann-key", "bob-key"];
-/// The routes that are there from the start: one that may be repeated, and one that may run once only.
+/// The number of routes in the first configuration: an idempotent one and a once-only one.
 pub const FIRST_ROUTES: usize = 2;
 
-/// The path prefix of a route.
+/// Returns the path prefix of a route.
 pub fn path(route: usize) -> String {
     match route {
         0 => "/quote/".into(),
@@ -19,7 +19,7 @@
     }
 }
 
-/// A configuration's text, with as many routes beside those of the version as the scenario says.
+/// Returns the configuration text of a version, including the scenario's filler routes.
 pub fn text(s: &Scenario, version: &ConfigVersion) -> String {
     document(s, version).to_string()
 }
@@ -48,7 +48,7 @@
         "action": {"svc": route.service, "limit-ms": 2000, "tries": 3, "homes": []}})
 }
 
-/// A route that nobody uses.
+/// Returns a route that receives no requests.
 fn filler_rule(number: usize) -> Value {
     json!({"name": format!("filler-{number}"), "type": "idem", "goal-ms": 800, "prio": 1, "public": false,
         "match": {"pfx": format!("/filler-{number}/")},
@@ -64,22 +64,22 @@
     json!({"name": tenant.name, "keys": keys, "prio": 0, "rate-s": s.quota_per_s, "burst": s.quota_per_s, "homes": []})
 }
 
-/// What is wrong with an invalid text.
+/// The fault of an invalid configuration text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigFault {
-    /// Its end is missing.
+    /// The text is truncated.
     CutShort,
-    /// A route leads to a service that it does not define.
+    /// A route refers to an undefined service.
     UnknownService,
-    /// Two routes have one prefix.
+    /// Two routes have the same prefix.
     DuplicateRoute,
     /// A route allows no attempts.
     NoAttempts,
-    /// Two tenants have one credential.
+    /// Two tenants have the same credential.
     SharedKey,
 }
 
-/// All of them.
+/// All configuration faults.
 pub const CONFIG_FAULTS: [ConfigFault; 5] = [
     ConfigFault::CutShort,
     ConfigFault::UnknownService,
@@ -88,7 +88,7 @@
     ConfigFault::SharedKey,
 ];
 
-/// The text of that version with a fault.
+/// Returns the configuration text of a version with the given fault.
 pub fn invalid_text(s: &Scenario, version: &ConfigVersion, fault: ConfigFault) -> String {
     let mut document = document(s, version);
     let rules = &mut document["ports"][0]["rules"];
--- a/crates/aspendrum-testbed/src/system/error.rs
+++ b/crates/aspendrum-testbed/src/system/error.rs
@@ -1,6 +1,6 @@
-//! Why a run of the whole system could not be made.
+//! Errors of runs of the whole system.
 
-use super::scenario::What;
+use super::scenario::StepKind;
 use crate::library::UnknownScenario;
 use crate::program::ProgramError;
 use derive_more::{Display, Error, From};
@@ -8,96 +8,98 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why a scenario is refused.
+/// An invalid or unknown scenario.
 #[derive(Debug, Display, Error)]
 pub enum ScenarioError {
-    /// It is neither in the library nor in a file.
+    /// The scenario is neither in the library nor a file.
     #[display("{_0}")]
     Unknown(UnknownScenario),
-    /// It is not TOML of the expected form; says where.
+    /// The text is not TOML with the expected fields.
     #[display("{_0}")]
     Unreadable(Box<toml::de::Error>),
-    /// It lacks machines.
+    /// The scenario has no control nodes, edge machines, zones or servers.
     #[display("{_0}: cores, edges, zones and servers must be 1 or more")]
     Empty(#[error(not(source))] String),
-    /// It has more machines than a run may have.
+    /// The scenario exceeds the maximum number of machines.
     #[display("{scenario}: at most {max_cores} cores and {max_edges} edges")]
     TooLarge {
-        /// Its name.
+        /// The name of the scenario.
         scenario: String,
-        /// The most control nodes.
+        /// The maximum number of control nodes.
         max_cores: usize,
-        /// The most machines at the edge.
+        /// The maximum number of edge machines.
         max_edges: usize,
     },
-    /// A step names no machine, server or process.
-    #[display("{scenario}: {part} names nobody here")]
+    /// A step refers to a machine, server or process that does not exist.
+    #[display("{scenario}: {part} matches no machine, process or server")]
     UnknownMachine {
-        /// The scenario.
+        /// The name of the scenario.
         scenario: String,
-        /// What the step says.
+        /// The part of the step's text that matches nothing.
         part: String,
     },
-    /// A step of control nodes names others.
-    #[display("{scenario}: {what:?} is of machines of control")]
+    /// A step that applies to control nodes only has other targets, or none.
+    #[display("{scenario}: {what:?} applies to control nodes only")]
     NotControl {
-        /// The scenario.
+        /// The name of the scenario.
         scenario: String,
         /// The kind of the step.
-        what: What,
+        what: StepKind,
     },
-    /// More control nodes are replaced than can be.
-    #[display("{scenario}: {replaced} are replaced, and there are {spares} spares")]
+    /// More control nodes are replaced than there are spares.
+    #[display(
+        "{scenario}: {replaced} control nodes are replaced, but there are only {spares} spares"
+    )]
     TooFewSpares {
-        /// The scenario.
+        /// The name of the scenario.
         scenario: String,
-        /// How many are replaced.
+        /// The number of replaced control nodes.
         replaced: usize,
-        /// How many spare ones there are.
+        /// The number of spare control nodes.
         spares: usize,
     },
 }
 
-/// Why a run could not be made.
+/// Why a run could not be carried out.
 #[derive(Debug, Display, Error, From)]
 pub enum SystemError {
-    /// The scenario is refused.
+    /// The scenario is invalid or unknown.
     #[display("{_0}")]
     Scenario(ScenarioError),
     /// A program cannot be found or built.
     #[display("{_0}")]
     Program(ProgramError),
-    /// The programs could not be built; cargo has said why.
+    /// The programs could not be built; cargo has printed the reason.
     #[display("the programs could not be built")]
     NotBuilt,
-    /// Stand-ins, links or files could not be set up.
-    #[display("the fleet: {_0}")]
+    /// Fake services, links or files could not be set up.
+    #[display("failed to set up the fleet: {_0}")]
     #[from(skip)]
     Fleet(io::Error),
     /// A process could not be started.
-    #[display("start: {_0}")]
+    #[display("failed to start a process: {_0}")]
     #[from(skip)]
     Start(io::Error),
     /// Settings could not be written.
-    #[display("the settings: {_0}")]
+    #[display("failed to write the settings: {_0}")]
     #[from(skip)]
     Settings(io::Error),
     /// The runtime could not be built.
-    #[display("the runtime: {_0}")]
+    #[display("failed to build the runtime: {_0}")]
     #[from(skip)]
     Runtime(io::Error),
     /// A proxy did not become ready.
-    #[display("the proxy {proxy} was not ready in {timeout:?}\n{}", logs.display())]
+    #[display("proxy {proxy} was not ready within {timeout:?}\n{}", logs.display())]
     #[from(skip)]
     NotReady {
         /// The proxy.
         proxy: usize,
-        /// How long it was waited for.
+        /// How long the run waited.
         timeout: Duration,
-        /// Where the logs are.
+        /// The folder with the logs.
         logs: PathBuf,
     },
-    /// An operator of the testbed ended it.
+    /// The run was interrupted by Ctrl-C.
     #[display("interrupted")]
     Interrupted,
 }
--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -1,9 +1,9 @@
-//! The machines of a run, each at a loopback address of its own, their processes, and the stand-ins around them.
+//! The machines of a run, their processes, and the fake services around them.
 
 use super::addresses::Addresses;
 use super::error::SystemError;
 use super::links::Links;
-use super::scenario::{Form, Scenario, Who};
+use super::scenario::{CutForm, Scenario, Target};
 use super::settings_files::{replace_file, SettingsWriter};
 use super::slot::Slot;
 use super::tamper::Tampering;
@@ -16,14 +16,14 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, OnceLock};
 
-/// Of so many servers one works on when its connection has closed.
-const WORKS_ON_EVERY: usize = 8;
-/// Seeds, as the platform names them.
-const SEEDS: usize = 3;
-/// Calls a second that the platform's list of servers takes.
+/// One in this many servers continues its work after the client connection has closed.
+const CONTINUES_ON_CLOSE_EVERY: usize = 8;
+/// The number of seeds in the settings.
+const SEED_COUNT: usize = 3;
+/// The rate limit of the platform's server list, in calls per second.
 const CLOUD_CALLS_PER_S: f64 = 40.0;
 
-/// The programs of the system, built once in this process' life.
+/// Returns the programs of the proxy, the agent and the control node, which are built once per process.
 ///
 /// # Errors
 /// [`SystemError`] if they cannot be built or found.
@@ -44,36 +44,36 @@
 
 /// The machines of a run.
 pub struct Fleet {
-    /// What is played.
+    /// The scenario of the run.
     pub scenario: Scenario,
-    /// The clock of the record.
+    /// The clock for all recorded times.
     pub clock: Clock,
-    /// Control nodes, spare ones behind the others.
+    /// The control nodes, followed by the spares.
     pub cores: Vec<tokio::sync::Mutex<Slot>>,
-    /// The proxy of each machine at the edge.
+    /// The proxy of each edge machine.
     pub proxies: Vec<tokio::sync::Mutex<Slot>>,
-    /// The agent of each machine at the edge.
+    /// The agent of each edge machine.
     pub agents: Vec<tokio::sync::Mutex<Slot>>,
-    /// The servers.
+    /// The fake servers.
     pub origins: Vec<Arc<OriginServer>>,
-    /// What servers have worked on.
-    pub record: Arc<ExecutionLog>,
+    /// The requests that the servers have executed.
+    pub execution_log: Arc<ExecutionLog>,
     addresses: Addresses,
     links: Links,
-    /// Which control nodes are there.
+    /// The control nodes that are members at present.
     members: Mutex<Vec<usize>>,
-    /// Which of them the settings name.
+    /// The control nodes that the settings list as seeds.
     seeds: Mutex<Vec<usize>>,
     cloud: Arc<CloudApi>,
 }
 
-/// The name of a zone.
-pub fn zone(n: usize) -> String {
+/// Returns the name of a zone.
+pub fn zone_name(n: usize) -> String {
     format!("zone-{n}")
 }
 
-/// Two zones each are a region.
-pub fn region(n: usize) -> String {
+/// Returns the name of a zone's region. A region consists of two zones.
+pub fn region_name(n: usize) -> String {
     format!("region-{}", n / 2)
 }
 
@@ -81,7 +81,7 @@
 pub const SERVICES: [&str; 2] = ["quotes", "payouts"];
 
 impl Fleet {
-    /// Everything is there and linked; no process of the system has been started yet.
+    /// Sets up the fake services, links and settings of a run, without starting any process of the system.
     ///
     /// # Errors
     /// [`SystemError`] if something cannot be set up.
@@ -104,8 +104,8 @@
         std::fs::create_dir_all(folder)?;
         let addresses = Addresses::claim()?;
         let clock = Clock::start();
-        let record = ExecutionLog::new(clock);
-        let origins = start_origins(s, &addresses, &record).await?;
+        let execution_log = ExecutionLog::new(clock);
+        let origins = start_origins(s, &addresses, &execution_log).await?;
         let services = addresses.services();
         let cloud = CloudApi::start(services, origins.clone(), CLOUD_CALLS_PER_S, clock).await?;
         let slot = |program: &Program, kind: &str, number: usize| {
@@ -124,46 +124,46 @@
             agents: (0..s.edges).map(|n| slot(agent, "agent", n)).collect(),
             links: Links::open(s, &addresses, &origins).await?,
             origins,
-            record,
+            execution_log,
             addresses,
             members: Mutex::new((0..s.cores).collect()),
-            seeds: Mutex::new((0..s.cores.min(SEEDS)).collect()),
+            seeds: Mutex::new((0..s.cores.min(SEED_COUNT)).collect()),
             cloud,
         })
     }
 
-    /// Where a control node takes operators' calls.
-    pub fn ctl(&self, number: usize) -> SocketAddr {
+    /// Returns the address on which a control node accepts operator calls.
+    pub fn operator_addr(&self, number: usize) -> SocketAddr {
         self.addresses.operator(number)
     }
 
-    /// Where a control node takes lookups.
-    pub fn dir(&self, number: usize) -> SocketAddr {
+    /// Returns the address on which a control node accepts lookups.
+    pub fn directory_addr(&self, number: usize) -> SocketAddr {
         self.addresses.directory(number)
     }
 
-    /// Where a proxy takes requests.
-    pub fn front(&self, number: usize) -> SocketAddr {
+    /// Returns the address on which a proxy accepts requests.
+    pub fn proxy_addr(&self, number: usize) -> SocketAddr {
         self.addresses.proxy(number)
     }
 
-    /// Where a proxy says whether it is ready.
+    /// Returns the address of a proxy's readiness endpoint.
     pub fn readiness(&self, number: usize) -> SocketAddr {
         self.addresses.readiness(number)
     }
 
-    /// Which proxy an address belongs to.
-    pub fn edge_at(&self, addr: SocketAddr) -> Option<usize> {
-        (0..self.scenario.edges).find(|n| self.front(*n) == addr)
+    /// Returns the index of the proxy with the given address.
+    pub fn edge_by_addr(&self, addr: SocketAddr) -> Option<usize> {
+        (0..self.scenario.edges).find(|n| self.proxy_addr(*n) == addr)
     }
 
-    /// The machines of control that are there, as a platform's list names them.
+    /// Returns the current members among the control nodes.
     pub fn members(&self) -> Vec<usize> {
         lock(&self.members).clone()
     }
 
-    /// The one that is asked after that one.
-    pub fn after(&self, core: usize) -> usize {
+    /// Returns the member that follows the given control node, or the first one if that node is not a member.
+    pub fn next_member(&self, core: usize) -> usize {
         let members = lock(&self.members);
         let at = members
             .iter()
@@ -172,30 +172,30 @@
         members[at % members.len()]
     }
 
-    /// The settings name these from their next version on.
-    pub fn name_seeds(&self, seeds: Vec<usize>) {
+    /// Sets the seeds that are listed the next time the settings are written.
+    pub fn set_seeds(&self, seeds: Vec<usize>) {
         *lock(&self.seeds) = seeds;
     }
 
-    /// One machine of control leaves for good and a spare one takes its place, with `seeds` also where the settings
-    /// name it. `None`: no spare one is left.
+    /// Replaces a control node by a spare in the membership, and with `seeds` also in the list of seeds. Returns the spare, or
+    /// `None` if no spare is left.
     pub fn replace(&self, old: usize, seeds: bool) -> Option<usize> {
         let mut members = lock(&self.members);
         let next = members.iter().max()? + 1;
         let new = (next.max(self.scenario.cores) < self.cores.len()).then_some(next)?;
-        let taken =
+        let substitute =
             |all: &mut Vec<usize>| all.iter_mut().filter(|n| **n == old).for_each(|n| *n = new);
-        taken(&mut members);
+        substitute(&mut members);
         if seeds {
-            taken(&mut lock(&self.seeds));
+            substitute(&mut lock(&self.seeds));
         }
         Some(new)
     }
 
-    /// Writes every process' settings file.
+    /// Writes the settings file of every process.
     ///
     /// # Errors
-    /// The error of a write.
+    /// Returns the error of a failed write.
     pub async fn write_settings(&self, is_first_start: bool) -> io::Result<()> {
         let seeds = lock(&self.seeds).clone();
         let writer = SettingsWriter {
@@ -212,28 +212,28 @@
             replace_file(&slot.settings, &settings.to_string())?;
         }
         for number in 0..self.scenario.edges {
-            let of_proxy = writer.edge(number, self.links.proxy_updates[number].addr());
-            let of_agent = writer.edge(number, self.addresses.agent(number));
+            let proxy_settings = writer.edge(number, self.links.proxy_updates[number].addr());
+            let agent_settings = writer.edge(number, self.addresses.agent(number));
             let proxy = self.proxies[number].lock().await;
-            replace_file(&proxy.settings, &of_proxy.to_string())?;
+            replace_file(&proxy.settings, &proxy_settings.to_string())?;
             let agent = self.agents[number].lock().await;
-            replace_file(&agent.settings, &of_agent.to_string())?;
+            replace_file(&agent.settings, &agent_settings.to_string())?;
         }
         Ok(())
     }
 
-    /// The processes that someone stands for.
-    pub fn slots(&self, who: Who) -> Vec<&tokio::sync::Mutex<Slot>> {
-        match who {
-            Who::Core(n) => vec![&self.cores[n]],
-            Who::Edge(n) => vec![&self.proxies[n], &self.agents[n]],
-            Who::Proxy(n) => vec![&self.proxies[n]],
-            Who::Agent(n) => vec![&self.agents[n]],
-            Who::Origin(_) => Vec::new(),
+    /// Returns the processes of a target; servers have none.
+    pub fn slots(&self, target: Target) -> Vec<&tokio::sync::Mutex<Slot>> {
+        match target {
+            Target::Core(n) => vec![&self.cores[n]],
+            Target::Edge(n) => vec![&self.proxies[n], &self.agents[n]],
+            Target::Proxy(n) => vec![&self.proxies[n]],
+            Target::Agent(n) => vec![&self.agents[n]],
+            Target::Origin(_) => Vec::new(),
         }
     }
 
-    /// Starts all processes, but for spare control nodes.
+    /// Starts all processes except the spare control nodes.
     ///
     /// # Errors
     /// [`SystemError::Start`] if one cannot be started.
@@ -243,38 +243,42 @@
             .chain(&self.proxies)
             .chain(&self.agents)
         {
-            slot.lock().await.up().map_err(SystemError::Start)?;
+            slot.lock()
+                .await
+                .ensure_running()
+                .map_err(SystemError::Start)?;
         }
         Ok(())
     }
 
-    /// Everyone that has links: machines and servers.
-    pub fn everyone(&self) -> Vec<Who> {
+    /// Returns all machines and servers, including spare control nodes.
+    pub fn all_targets(&self) -> Vec<Target> {
         let s = &self.scenario;
-        let cores = (0..s.machines()).map(Who::Core);
+        let cores = (0..s.machines()).map(Target::Core);
         cores
-            .chain((0..s.edges).map(Who::Edge))
-            .chain((0..s.origins()).map(Who::Origin))
+            .chain((0..s.edges).map(Target::Edge))
+            .chain((0..s.origins()).map(Target::Origin))
             .collect()
     }
 
-    /// Bytes that have gone from control nodes to agents so far.
+    /// Returns the number of bytes that control nodes have sent to agents so far.
     pub fn bytes_to_agents(&self) -> u64 {
         self.links.bytes_to_agents()
     }
 
-    /// What happens to configurations on their way to that agent or proxy.
-    pub fn tamper(&self, who: Who, how: Option<Tampering>) {
-        self.links.tamper(who, how);
+    /// Sets what happens to configurations sent to the given agent or proxy; `None` stops the tampering.
+    pub fn tamper(&self, target: Target, how: Option<Tampering>) {
+        self.links.tamper(target, how);
     }
 
-    /// Cuts what the ones send to the others, and back unless `one_way`; [`Fleet::heal`] with the same number.
-    pub fn cut(&self, of: &[Who], from: &[Who], one_way: bool, form: Form, number: u32) {
+    /// Cuts the links from `of` to `from`, and unless `one_way` also the reverse direction, until [`Fleet::heal`] is called
+    /// with the same number.
+    pub fn cut(&self, of: &[Target], from: &[Target], one_way: bool, form: CutForm, number: u32) {
         self.links.cut(of, from, one_way, form, number);
     }
 
-    /// Ends the cut with that number.
-    pub fn heal(&self, of: &[Who], from: &[Who], one_way: bool, number: u32) {
+    /// Heals the cut with the given number.
+    pub fn heal(&self, of: &[Target], from: &[Target], one_way: bool, number: u32) {
         self.links.heal(of, from, one_way, number);
     }
 }
@@ -282,20 +286,20 @@
 async fn start_origins(
     s: &Scenario,
     addresses: &Addresses,
-    record: &Arc<ExecutionLog>,
+    execution_log: &Arc<ExecutionLog>,
 ) -> io::Result<Vec<Arc<OriginServer>>> {
     let mut origins = Vec::new();
     for number in 0..s.origins() {
         let options = OriginOptions {
             service: SERVICES[number / (s.zones * s.servers)].into(),
-            zone: zone(number % s.zones),
+            zone: zone_name(number % s.zones),
             slots: 4,
             queue_capacity: 8,
             work_ms: 25.0,
-            drops_on_close: number % WORKS_ON_EVERY != WORKS_ON_EVERY - 1,
+            drops_on_close: number % CONTINUES_ON_CLOSE_EVERY != CONTINUES_ON_CLOSE_EVERY - 1,
         };
         let at = addresses.services();
-        origins.push(OriginServer::start(at, number, options, record.clone()).await?);
+        origins.push(OriginServer::start(at, number, options, execution_log.clone()).await?);
     }
     Ok(origins)
 }
--- a/crates/aspendrum-testbed/src/system/http_call.rs
+++ b/crates/aspendrum-testbed/src/system/http_call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call on a connection of its own, as operators and lookups make them.
+//! HTTP calls of operators and lookups, each on a new connection.
 
 use aspendrum_fake_services::http::{self, Message, MessageKind};
 use std::net::SocketAddr;
@@ -7,49 +7,51 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A lookup or an order is answered by then, or asked of the next machine.
+/// The timeout of a lookup or an order, after which the next control node is tried.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A call and two redirections.
+/// The maximum number of requests per call, including two redirections.
 const MAX_CALLS: usize = 3;
 
-/// Makes a call, and follows two redirections. Returns the status and the body; `None`: nothing came within the time-out, or a
-/// little more for a large body.
+/// Makes a call and follows up to two redirections. Returns the status and the body, or `None` if a request fails or times
+/// out. The timeout applies to each request, and is extended by 1 µs per byte of the body.
 pub async fn call(
-    at: SocketAddr,
+    address: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
     call_timeout: Duration,
 ) -> Option<(u16, Vec<u8>)> {
-    let for_body = Duration::from_micros(body.len() as u64);
-    let (mut at, mut path) = (at, path.to_string());
+    let body_allowance = Duration::from_micros(body.len() as u64);
+    let (mut address, mut path) = (address, path.to_string());
     for _ in 0..MAX_CALLS {
-        let answer = exchange(at, method, &path, body);
-        let answer = timeout(call_timeout + for_body, answer).await.ok()??;
-        let location = answer
+        let response = exchange(address, method, &path, body);
+        let response = timeout(call_timeout + body_allowance, response)
+            .await
+            .ok()??;
+        let location = response
             .header("Location")
-            .filter(|_| answer.status() == 307)
+            .filter(|_| response.status() == 307)
             .and_then(redirection);
         match location {
-            Some(next) => (at, path) = next,
-            None => return Some((answer.status(), answer.body)),
+            Some(next) => (address, path) = next,
+            None => return Some((response.status(), response.body)),
         }
     }
     None
 }
 
-/// The address and path of `http://10.0.0.4:8080/path`.
+/// Parses the address and path of a location such as `http://10.0.0.4:8080/path`.
 fn redirection(location: &str) -> Option<(SocketAddr, String)> {
-    let (at, path) = location.strip_prefix("http://")?.split_once('/')?;
-    Some((at.parse().ok()?, format!("/{path}")))
+    let (address, path) = location.strip_prefix("http://")?.split_once('/')?;
+    Some((address.parse().ok()?, format!("/{path}")))
 }
 
-async fn exchange(at: SocketAddr, method: &str, path: &str, body: &str) -> Option<Message> {
+async fn exchange(address: SocketAddr, method: &str, path: &str, body: &str) -> Option<Message> {
     let text = format!(
         "{method} {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    let mut stream = TcpStream::connect(at).await.ok()?;
+    let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(text.as_bytes()).await.ok()?;
     http::read_message(&mut stream, &mut Vec::new(), MessageKind::Response)
         .await
--- a/crates/aspendrum-testbed/src/system/library.rs
+++ b/crates/aspendrum-testbed/src/system/library.rs
@@ -1,4 +1,4 @@
-//! The scenarios of the system that come with the rig.
+//! The built-in scenarios for the whole system.
 
 use super::error::ScenarioError;
 use super::scenario::Scenario;
@@ -13,7 +13,7 @@
 }
 
 library!(
-    /// Every scenario that CI plays: its name and its text.
+    /// The scenarios that CI plays, by name and text.
     ALL:
     "calm",
     "control-killed",
@@ -48,12 +48,12 @@
 );
 
 library!(
-    /// Scenarios that control does not pass yet: each goes to [`ALL`], and into CI, with the change that mends it.
+    /// Scenarios that fail because of known faults of the control nodes. Each moves to [`ALL`], and so into CI, with its fix.
     WAITING:
 );
 
 library!(
-    /// Scenarios of a deployment's full size: they take most of a machine, and are played by hand.
+    /// Scenarios at the full size of a deployment. They use most of a machine and are played manually.
     FULL_SIZE:
     "config-storm-grown",
     "config-storm-throttled",
@@ -63,15 +63,15 @@
     [ALL, WAITING, FULL_SIZE].concat()
 }
 
-/// A scenario, by its name or from a file.
+/// Reads a scenario by its name in the library or from a file.
 ///
 /// # Errors
-/// [`ScenarioError`] if there is none of that name, or it is refused.
+/// [`ScenarioError`] if the scenario does not exist or is invalid.
 pub fn scenario(name: &str) -> Result<Scenario, ScenarioError> {
     Scenario::read(&find_text(&all(), name).map_err(ScenarioError::Unknown)?)
 }
 
-/// A line for each.
+/// Returns a list of all scenarios, one per line.
 pub fn list() -> String {
     describe_all(&all(), |text| Scenario::read(text).map(|s| s.about))
 }
--- a/crates/aspendrum-testbed/src/system/links.rs
+++ b/crates/aspendrum-testbed/src/system/links.rs
@@ -1,8 +1,9 @@
-//! The links between the processes of a run: each goes through a relay that can be cut, reset or made to tamper.
+//! The network links between the processes of a run. Each goes through a relay that can cut or reset connections or tamper
+//! with updates.
 
 use super::addresses::{Addresses, CONTROL_PORT, COUNTER_PORT, GOSSIP_PORT, SNAPSHOT_PORT};
 use super::fleet::SERVICES;
-use super::scenario::{Form, Scenario, Who};
+use super::scenario::{CutForm, Scenario, Target};
 use super::tamper::{Tampering, TamperingRelay};
 use aspendrum_fake_services::origin::OriginServer;
 use aspendrum_fault_proxy::{Fault, Link, Mesh, Relay};
@@ -12,22 +13,23 @@
 
 /// All links of a run.
 pub(super) struct Links {
-    /// Control nodes, spare ones too.
+    /// The number of control nodes, including spares.
     control_nodes: usize,
-    /// By the machine that connects (control nodes, then those at the edge), then control node.
+    /// Links to control nodes, by connecting machine (control nodes, then edge machines) and control node.
     pub(super) control: Vec<Vec<Relay>>,
-    /// By machine at the edge, then server.
+    /// Links to servers, by edge machine and server.
     pub(super) servers: Vec<Vec<Relay>>,
-    /// Datagrams between proxies; empty where machines at the edge reach each other directly.
+    /// Datagrams between proxies; empty if edge machines reach each other directly.
     pub(super) counters: Mesh,
-    /// Datagrams between agents; the same.
+    /// Datagrams between agents; empty if edge machines reach each other directly.
     pub(super) gossip: Mesh,
-    /// By machine at the edge, then control node: updates to its agent.
+    /// Relays for updates to agents, by edge machine and control node.
     updates: Vec<Vec<TamperingRelay>>,
-    /// By machine at the edge: updates to its proxy.
+    /// Relays for updates from an agent to its proxy, by edge machine.
     pub(super) proxy_updates: Vec<TamperingRelay>,
-    /// By machine at the edge, then by another one: snapshots between agents.
+    /// Snapshots between agents, by connecting and listening edge machine.
     pub(super) snapshots: Vec<Vec<Relay>>,
+    /// Whether edge machines reach each other through relays.
     are_edges_linked: bool,
 }
 
@@ -67,69 +69,84 @@
         })
     }
 
-    /// Bytes that have gone from control nodes to agents so far.
+    /// Returns the number of bytes that control nodes have sent to agents so far.
     pub(super) fn bytes_to_agents(&self) -> u64 {
         let to_agents = self.control[self.control_nodes..].iter().flatten();
         to_agents.map(|relay| relay.backward.stats().bytes).sum()
     }
 
-    /// What happens to configurations on their way to that agent or proxy.
-    pub(super) fn tamper(&self, who: Who, how: Option<Tampering>) {
-        match who {
-            Who::Agent(n) => self.updates[n].iter().for_each(|relay| relay.set(how)),
-            Who::Proxy(n) => self.proxy_updates[n].set(how),
-            Who::Core(_) | Who::Edge(_) | Who::Origin(_) => {}
+    /// Sets what happens to configurations sent to the given agent or proxy; `None` stops the tampering.
+    pub(super) fn tamper(&self, target: Target, how: Option<Tampering>) {
+        match target {
+            Target::Agent(n) => self.updates[n]
+                .iter()
+                .for_each(|relay| relay.set_tampering(how)),
+            Target::Proxy(n) => self.proxy_updates[n].set_tampering(how),
+            Target::Core(_) | Target::Edge(_) | Target::Origin(_) => {}
         }
     }
 
-    /// Cuts what the ones send to the others, and back unless `one_way`, until [`Links::heal`] with the same number.
-    pub(super) fn cut(&self, of: &[Who], from: &[Who], one_way: bool, form: Form, number: u32) {
-        let fault = if form == Form::Refuse {
+    /// Cuts the links from `of` to `from`, and unless `one_way` also the reverse direction, until [`Links::heal`] is called
+    /// with the same number.
+    pub(super) fn cut(
+        &self,
+        of: &[Target],
+        from: &[Target],
+        one_way: bool,
+        form: CutForm,
+        number: u32,
+    ) {
+        let fault = if form == CutForm::Refuse {
             Fault::REFUSE
         } else {
             Fault::CUT
         };
-        self.each(of, from, one_way, |link| {
+        self.for_each_link(of, from, one_way, |link| {
             link.set_fault(number, fault);
-            if form != Form::Silent {
+            if form != CutForm::Silent {
                 link.reset_connections();
             }
         });
     }
 
-    /// Ends the cut with that number.
-    pub(super) fn heal(&self, of: &[Who], from: &[Who], one_way: bool, number: u32) {
-        self.each(of, from, one_way, |link| link.clear_fault(number));
+    /// Heals the cut with the given number.
+    pub(super) fn heal(&self, of: &[Target], from: &[Target], one_way: bool, number: u32) {
+        self.for_each_link(of, from, one_way, |link| link.clear_fault(number));
     }
 
-    fn each(&self, of: &[Who], from: &[Who], one_way: bool, change: impl Fn(&Link)) {
+    /// Applies a change to all links from `of` to `from`, and unless `one_way` to the reverse direction. Targets that are in
+    /// both lists are skipped.
+    fn for_each_link(&self, of: &[Target], from: &[Target], one_way: bool, change: impl Fn(&Link)) {
         for one in of {
             for other in from.iter().filter(|other| !of.contains(other)) {
-                let there = self.between(*one, *other);
-                let back = if one_way {
+                let forward = self.links_between(*one, *other);
+                let backward = if one_way {
                     Vec::new()
                 } else {
-                    self.between(*other, *one)
+                    self.links_between(*other, *one)
                 };
-                there.into_iter().chain(back).for_each(|link| change(link));
+                forward
+                    .into_iter()
+                    .chain(backward)
+                    .for_each(|link| change(link));
             }
         }
     }
 
-    /// The directions of all links from the one to the other.
-    fn between(&self, from: Who, to: Who) -> Vec<&Arc<Link>> {
-        let mut links = self.with_control(from, to);
-        links.extend(self.between_agents(from, to));
+    /// Returns all links that carry data from one target to another.
+    fn links_between(&self, from: Target, to: Target) -> Vec<&Arc<Link>> {
+        let mut links = self.control_links(from, to);
+        links.extend(self.agent_links(from, to));
         match (from, to) {
-            (Who::Edge(a) | Who::Proxy(a), Who::Edge(b) | Who::Proxy(b))
+            (Target::Edge(a) | Target::Proxy(a), Target::Edge(b) | Target::Proxy(b))
                 if self.are_edges_linked =>
             {
                 links.push(self.counters.link(a, b));
             }
-            (Who::Edge(a) | Who::Proxy(a), Who::Origin(b)) => {
+            (Target::Edge(a) | Target::Proxy(a), Target::Origin(b)) => {
                 links.push(&self.servers[a][b].forward);
             }
-            (Who::Origin(a), Who::Edge(b) | Who::Proxy(b)) => {
+            (Target::Origin(a), Target::Edge(b) | Target::Proxy(b)) => {
                 links.push(&self.servers[b][a].backward);
             }
             _ => {}
@@ -137,25 +154,25 @@
         links
     }
 
-    fn with_control(&self, from: Who, to: Who) -> Vec<&Arc<Link>> {
-        let row = |who| match who {
-            Who::Core(n) => Some(n),
-            Who::Edge(n) | Who::Agent(n) => Some(self.control_nodes + n),
-            Who::Proxy(_) | Who::Origin(_) => None,
+    fn control_links(&self, from: Target, to: Target) -> Vec<&Arc<Link>> {
+        let row = |target| match target {
+            Target::Core(n) => Some(n),
+            Target::Edge(n) | Target::Agent(n) => Some(self.control_nodes + n),
+            Target::Proxy(_) | Target::Origin(_) => None,
         };
         let mut links = Vec::new();
-        if let (Some(row), Who::Core(to)) = (row(from), to) {
+        if let (Some(row), Target::Core(to)) = (row(from), to) {
             links.push(&self.control[row][to].forward);
         }
-        if let (Who::Core(from), Some(row)) = (from, row(to)) {
+        if let (Target::Core(from), Some(row)) = (from, row(to)) {
             links.push(&self.control[row][from].backward);
         }
         links
     }
 
-    fn between_agents(&self, from: Who, to: Who) -> Vec<&Arc<Link>> {
+    fn agent_links(&self, from: Target, to: Target) -> Vec<&Arc<Link>> {
         match (from, to) {
-            (Who::Edge(a) | Who::Agent(a), Who::Edge(b) | Who::Agent(b))
+            (Target::Edge(a) | Target::Agent(a), Target::Edge(b) | Target::Agent(b))
                 if self.are_edges_linked =>
             {
                 vec![
@@ -169,7 +186,7 @@
     }
 }
 
-/// The links to control nodes, by the machine that connects; those of agents go through one that can tamper.
+/// Opens the links to control nodes, by connecting machine. Those of agents also go through a [`TamperingRelay`].
 async fn open_control(
     s: &Scenario,
     addresses: &Addresses,
@@ -195,7 +212,7 @@
     Ok((control, updates))
 }
 
-/// So many rows of links to the same addresses.
+/// Opens `count` rows of links, each to the same addresses.
 async fn open_rows(count: usize, to: &[SocketAddr]) -> io::Result<Vec<Vec<Relay>>> {
     let mut rows = Vec::new();
     for _ in 0..count {
--- a/crates/aspendrum-testbed/src/system/mod.rs
+++ b/crates/aspendrum-testbed/src/system/mod.rs
@@ -1,5 +1,5 @@
-//! The whole system as processes on loopback: machines of control, proxies and their agents, links between all of
-//! them that can be cut, stand-ins for servers, platform, operator and clients, and a judge of what those saw.
+//! Runs the whole system as processes on loopback addresses: control nodes, proxies and their agents, links between them
+//! that can be cut, and fake servers, platform, operator and clients, whose records are checked afterwards.
 
 mod addresses;
 pub mod client_exchange;
--- a/crates/aspendrum-testbed/src/system/operator.rs
+++ b/crates/aspendrum-testbed/src/system/operator.rs
@@ -1,5 +1,5 @@
-//! An operator, as the protocol defines it: which answers end an order, which control node is asked next and how soon, and
-//! the record of all calls and their answers.
+//! An operator that follows the protocol: which responses end an order, which control node is tried next and after which
+//! delay. All calls are recorded with their responses.
 
 use super::fleet::Fleet;
 use super::http_call::{call, CALL_TIMEOUT};
@@ -12,27 +12,28 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// An operator gives up a configuration after so long.
+/// The time after which an operator gives up sending or reading a configuration.
 const CONFIG_TIMEOUT: Duration = Duration::from_secs(20);
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// So many refusals that are not final by themselves end an order.
+/// The number of 4xx responses with no specific meaning that together end an order.
 const MAX_OTHER_REFUSALS: u32 = 3;
 const STATUS_OK: u16 = 200;
 
-/// What one answer means for its order.
+/// What a response means for its order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderStep {
-    /// It is acknowledged.
+    /// The order is acknowledged.
     Acknowledged,
-    /// It is refused for good, with that status.
+    /// The order is rejected with the given status, and is not retried.
     Refused(u16),
-    /// Another control node is asked, after a backoff.
+    /// The order is sent to the next control node after a backoff.
     Retry,
 }
 
-/// What an answer means; `None`: there was none in time. `other_refusals`: the refusals so far that are not final by
-/// themselves.
+/// Returns what a response status means for the order. `None` stands for a call without a response in time.
+///
+/// `other_refusals` counts the order's 4xx responses that have no specific meaning, and is incremented for each further one.
 pub fn next_step(status: Option<u16>, other_refusals: &mut u32) -> OrderStep {
     match status {
         Some(200..=299) => OrderStep::Acknowledged,
@@ -50,25 +51,25 @@
     }
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OrderOutcome {
-    /// It was acknowledged then.
+    /// The order was acknowledged at the given time.
     Acknowledged(Millis),
-    /// It was refused for good, with that status.
+    /// The order was rejected with the given status.
     Refused(u16),
-    /// It was given up without a clear answer, and may be in force or not.
+    /// The order was given up without a definite response, and may or may not be in force.
     Unclear,
 }
 
-/// An operator.
+/// An operator that sends orders to the control nodes and records its calls.
 pub struct Operator {
     fleet: Arc<Fleet>,
     calls: Mutex<Vec<ControlCall>>,
 }
 
 impl Operator {
-    /// An operator of that fleet, without any call so far.
+    /// Creates an operator of a fleet.
     pub fn new(fleet: Arc<Fleet>) -> Operator {
         Operator {
             fleet,
@@ -76,24 +77,24 @@
         }
     }
 
-    /// All calls so far, but for those about zones.
+    /// Returns all calls about configurations so far. Calls about evacuations are not recorded.
     pub fn calls(&self) -> Vec<ControlCall> {
         lock(&self.calls).clone()
     }
 
-    /// Sends a configuration, to that control node first.
+    /// Sends a configuration, starting with control node `first`.
     pub async fn send_config(&self, first: usize, number: u32, text: &Arc<str>) -> OrderOutcome {
         let send = |node: usize| async move {
             let sent_at = self.fleet.clock.now();
-            let answer = call(
-                self.fleet.ctl(node),
+            let response = call(
+                self.fleet.operator_addr(node),
                 "POST",
                 "/api/Cfg.Set",
                 text,
                 CALL_TIMEOUT,
             )
             .await;
-            let status = answer.map(|(status, _)| status);
+            let status = response.map(|(status, _)| status);
             let call = OperatorCall::Set {
                 number,
                 text: text.clone(),
@@ -104,18 +105,18 @@
         self.send_order(first, CONFIG_TIMEOUT, send).await
     }
 
-    /// Sends a text that is not valid to one control node. Returns the status of the answer, if there was one.
+    /// Sends an invalid configuration text to one control node. Returns the status of the response, if there was one.
     pub async fn send_invalid(&self, node: usize, number: u32, text: &Arc<str>) -> Option<u16> {
         let sent_at = self.fleet.clock.now();
-        let answer = call(
-            self.fleet.ctl(node),
+        let response = call(
+            self.fleet.operator_addr(node),
             "POST",
             "/api/Cfg.Set",
             text,
             CALL_TIMEOUT,
         )
         .await;
-        let status = answer.map(|(status, _)| status);
+        let status = response.map(|(status, _)| status);
         let call = OperatorCall::SetInvalid {
             number,
             text: text.clone(),
@@ -124,7 +125,7 @@
         status
     }
 
-    /// Begins or finishes an evacuation. It is sent again only for as long as an acknowledgement may take.
+    /// Begins or finishes an evacuation. The order is retried until the acknowledgement bound has passed.
     pub async fn evacuate(&self, first: usize, zone: &str, begins: bool) -> OrderOutcome {
         let path = format!(
             "/api/Evac.{}/{zone}",
@@ -132,14 +133,21 @@
         );
         let path = path.as_str();
         let send = |node: usize| async move {
-            let answer = call(self.fleet.ctl(node), "POST", path, "", CALL_TIMEOUT).await;
-            answer.map(|(status, _)| status)
+            let response = call(
+                self.fleet.operator_addr(node),
+                "POST",
+                path,
+                "",
+                CALL_TIMEOUT,
+            )
+            .await;
+            response.map(|(status, _)| status)
         };
         let timeout = Duration::from_secs_f64(self.fleet.scenario.terms.ack / 1000.0);
         self.send_order(first, timeout, send).await
     }
 
-    /// Sends an order to one control node after another until it is acknowledged, refused or given up.
+    /// Sends an order to one control node after another until it is acknowledged, rejected or timed out.
     async fn send_order<F: Future<Output = Option<u16>>>(
         &self,
         first: usize,
@@ -156,17 +164,24 @@
                 OrderStep::Refused(status) => return OrderOutcome::Refused(status),
                 OrderStep::Retry => sleep(backoff).await,
             }
-            (node, backoff) = (self.fleet.after(node), (backoff * 2).min(MAX_BACKOFF));
+            (node, backoff) = (self.fleet.next_member(node), (backoff * 2).min(MAX_BACKOFF));
         }
         OrderOutcome::Unclear
     }
 
-    /// The version that a control node shows, if any, within that time.
+    /// Returns the version of the configuration that a control node shows, if it responds within the timeout.
     pub async fn shown_version(&self, node: usize, timeout: Duration) -> Option<u32> {
         let sent_at = self.fleet.clock.now();
-        let answer = call(self.fleet.ctl(node), "GET", "/api/Cfg.Show", "", timeout).await;
+        let response = call(
+            self.fleet.operator_addr(node),
+            "GET",
+            "/api/Cfg.Show",
+            "",
+            timeout,
+        )
+        .await;
         let (status, body) =
-            answer.map_or((None, Vec::new()), |(status, body)| (Some(status), body));
+            response.map_or((None, Vec::new()), |(status, body)| (Some(status), body));
         let shown = if status == Some(STATUS_OK) {
             parse_config(&body)
         } else {
@@ -177,7 +192,7 @@
         number
     }
 
-    /// The version that is shown in the end, by one control node after another.
+    /// Returns the version of the configuration at the end of a run, trying one control node after another.
     pub async fn final_version(&self, first: usize) -> Option<u32> {
         let (started_at, mut node) = (Instant::now(), first);
         while started_at.elapsed() < CONFIG_TIMEOUT {
@@ -185,7 +200,7 @@
                 return Some(number);
             }
             sleep(INITIAL_BACKOFF).await;
-            node = self.fleet.after(node);
+            node = self.fleet.next_member(node);
         }
         None
     }
@@ -202,7 +217,7 @@
     }
 }
 
-/// A configuration as it was read, whatever the order of its fields.
+/// Parses a configuration that was read back. Its text is normalized, so that it doesn't depend on the order of fields.
 fn parse_config(body: &[u8]) -> Option<ConfigText> {
     let config: Value = serde_json::from_slice(body).ok()?;
     let number = u32::from_str_radix(config["gen"].as_str()?, 16).ok()?;
--- a/crates/aspendrum-testbed/src/system/outcome.rs
+++ b/crates/aspendrum-testbed/src/system/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a run: the checker's verdict, figures, and the bounds of the scenario that were passed.
+//! The outcome of a run: the checker's verdict, measurements, and the violated bounds of the scenario.
 
 use super::scenario::{Bounds, Scenario};
 use super::usage::Usage;
@@ -8,27 +8,27 @@
 use aspendrum_checker::Millis;
 use std::collections::{HashMap, HashSet};
 
-/// The last part of the traffic, in which the system is to be back.
-const LAST_PART: Millis = 2000.0;
+/// The length of the final part of the traffic, by which the system must have recovered.
+const FINAL_PART_MS: Millis = 2000.0;
 
-/// Requests that were owed an answer, and those of them that were served.
+/// The number of requests that had to be answered, and of those that were served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServedPart {
-    /// All of the part.
+    /// The requests that had to be answered.
     pub requests: usize,
-    /// The served ones.
+    /// The requests that were served.
     pub served: usize,
 }
 
 impl ServedPart {
-    /// The part of a run's requests whose first attempt is such a one.
+    /// Counts the requests of a run whose first attempt satisfies `is_part`.
     fn of(record: &Record, is_part: impl Fn(&Attempt) -> bool) -> ServedPart {
         let answered = record
             .attempts
             .iter()
             .filter(|attempt| attempt.outcome == AttemptOutcome::Answered);
         let answered: HashSet<u64> = answered.map(|attempt| attempt.request).collect();
-        // Nothing is owed to a client that disconnected.
+        // Requests whose client disconnected need no answer.
         let is_owed = |attempt: &&Attempt| {
             attempt.id == attempt.request
                 && attempt.outcome != AttemptOutcome::ClientDisconnected
@@ -43,52 +43,52 @@
         }
     }
 
-    /// The share that was served.
+    /// Returns the share of requests that were served.
     pub fn share(&self) -> f64 {
         self.served as f64 / self.requests.max(1) as f64
     }
 }
 
-/// What came of a run.
+/// The outcome of a run.
 pub struct Outcome {
-    /// What clients, servers and operators saw.
+    /// What clients, servers and operators observed.
     pub record: Record,
-    /// What the checker says of it.
+    /// The checker's verdict on the record.
     pub verdict: Verdict,
-    /// Requests of the last two seconds.
+    /// Requests of the last two seconds of the traffic.
     pub last: ServedPart,
     /// Requests of the second tenant.
     pub second_tenant: ServedPart,
-    /// Processes that ended unasked, or did not end when told.
+    /// Failures of the run itself, such as unexpected process exits and orders without a definite response.
     pub failures: Vec<String>,
-    /// Milliseconds from the start of all processes until all proxies were ready.
+    /// The time from the start of all processes until all proxies were ready, in milliseconds.
     pub ready: Millis,
-    /// Violations of their own invariants that proxies have told.
+    /// The number of violations of invariants that the processes logged.
     pub violations: u64,
-    /// Of each added route when it was acknowledged, and milliseconds until the last connected proxy served it.
+    /// For each added route, when it was acknowledged and how many milliseconds later the last connected proxy served it.
     pub in_force: Vec<(Millis, Millis)>,
-    /// What the processes used while the traffic went on.
-    pub used: Usage,
+    /// Resources that the processes used during the traffic.
+    pub usage: Usage,
 }
 
-/// What a run has left behind beside its record.
+/// Results of a run apart from its record.
 pub struct RunReport {
-    /// Processes that ended by themselves, or did not end when told.
+    /// Failures of the run itself, such as unexpected process exits and orders without a definite response.
     pub failures: Vec<String>,
-    /// Milliseconds from the start of all processes until all proxies were ready.
+    /// The time from the start of all processes until all proxies were ready, in milliseconds.
     pub ready: Millis,
-    /// Violations of their own invariants that proxies reported.
+    /// The number of violations of invariants that the processes logged.
     pub violations: u64,
-    /// Of each added route when it was acknowledged, and milliseconds until the last connected proxy served it.
+    /// For each added route, when it was acknowledged and how many milliseconds later the last connected proxy served it.
     pub in_force: Vec<(Millis, Millis)>,
-    /// What the processes used while the traffic went on.
-    pub used: Usage,
+    /// Resources that the processes used during the traffic.
+    pub usage: Usage,
 }
 
 impl Outcome {
-    /// Checks the record of a run.
+    /// Checks the record of a run and combines it with the other results.
     pub fn new(record: Record, report: RunReport) -> Outcome {
-        let last_from = record.to - LAST_PART;
+        let last_from = record.to - FINAL_PART_MS;
         Outcome {
             verdict: check(&record),
             last: ServedPart::of(&record, |attempt| attempt.sent_at > last_from),
@@ -97,35 +97,35 @@
             ready: report.ready,
             violations: report.violations,
             in_force: report.in_force,
-            used: report.used,
+            usage: report.usage,
             record,
         }
     }
 
-    /// So long do nineteen of twenty refusals for a quota take at the most, milliseconds.
-    pub fn refusals(&self) -> Millis {
+    /// Returns the 95th percentile of the response times of 429 responses, in milliseconds.
+    pub fn quota_refusal_p95(&self) -> Millis {
         let refused = self
             .record
             .attempts
             .iter()
             .filter(|t| t.outcome == AttemptOutcome::NotRun(429));
-        let mut took: Vec<Millis> = refused.map(|t| t.ended_at - t.sent_at).collect();
-        took.sort_by(f64::total_cmp);
-        took.get(took.len() * 19 / 20).copied().unwrap_or(0.0)
+        let mut times: Vec<Millis> = refused.map(|t| t.ended_at - t.sent_at).collect();
+        times.sort_by(f64::total_cmp);
+        times.get(times.len() * 19 / 20).copied().unwrap_or(0.0)
     }
 
-    /// Configurations that were acknowledged, and the milliseconds that the slowest of them took.
-    pub fn acknowledged(&self) -> (usize, Millis) {
-        let took = self
+    /// Returns the number of acknowledged configurations and the time of the slowest acknowledgement in milliseconds.
+    pub fn acknowledgements(&self) -> (usize, Millis) {
+        let times = self
             .record
             .versions
             .iter()
             .filter_map(|v| Some(v.acknowledged_at? - v.sent_at));
-        took.fold((0, 0.0), |(n, most), took| (n + 1, most.max(took)))
+        times.fold((0, 0.0), |(n, slowest), time| (n + 1, slowest.max(time)))
     }
 
-    /// Milliseconds from the acknowledgement of an added route until the last connected proxy served it: the median and the
-    /// most.
+    /// Returns the median and the maximum time from the acknowledgement of an added route until the last connected proxy served
+    /// it, in milliseconds.
     pub fn times_in_force(&self) -> (Millis, Millis) {
         let mut times: Vec<Millis> = self.in_force.iter().map(|(_, time)| *time).collect();
         times.sort_by(f64::total_cmp);
@@ -133,14 +133,14 @@
         (at(times.len() / 2), at(times.len().saturating_sub(1)))
     }
 
-    /// What went on for clients that had left.
-    pub fn departed(&self) -> DisconnectCounts {
-        let tries: HashMap<u64, &Attempt> =
+    /// Counts the work that was done for clients that had disconnected.
+    pub fn disconnect_counts(&self) -> DisconnectCounts {
+        let attempts: HashMap<u64, &Attempt> =
             self.record.attempts.iter().map(|t| (t.id, t)).collect();
-        count_disconnects(&self.record, &tries)
+        count_disconnects(&self.record, &attempts)
     }
 
-    /// Every failure, broken rule and passed bound, in words.
+    /// Describes every failure of the run, broken rule and violated bound.
     pub fn broken(&self, s: &Scenario) -> Vec<String> {
         let rules = self.verdict.breaches.iter();
         let rules = rules.map(|breach| format!("rule {breach}"));
@@ -154,41 +154,45 @@
             .collect()
     }
 
-    /// Shares of requests that were served, below their bounds.
+    /// Describes the shares of served requests that are below their bounds.
     fn low_shares(&self, bounds: &Bounds) -> Vec<String> {
         let shares = [
-            ("the share served", self.verdict.all.share(), bounds.served),
             (
-                "the share of once-only requests served",
+                "the share of served requests",
+                self.verdict.all.share(),
+                bounds.served,
+            ),
+            (
+                "the share of served once-only requests",
                 self.verdict.once_only.share(),
                 bounds.served_once,
             ),
             (
-                "the share served in the end",
+                "the share of served requests in the last two seconds",
                 self.last.share(),
                 bounds.served_last,
             ),
             (
-                "the share of the second tenant",
+                "the share of the second tenant's served requests",
                 self.second_tenant.share(),
                 bounds.served_second,
             ),
         ];
-        let is_low = |(name, share, least): &(&str, f64, Option<f64>)| {
-            let least = least.filter(|least| share < least)?;
-            Some(format!("{name} is {share:.3}, and must be {least}"))
+        let is_low = |(name, share, min): &(&str, f64, Option<f64>)| {
+            let min = min.filter(|min| share < min)?;
+            Some(format!("{name} is {share:.3}, below the minimum of {min}"))
         };
         shares.iter().filter_map(is_low).collect()
     }
 
-    /// Numbers above their bounds.
+    /// Describes the counts that are above their bounds.
     fn high_counts(&self, bounds: &Bounds) -> Vec<String> {
         let lost = self.verdict.count(AttemptOutcome::Lost) as u64;
         let unready = self.verdict.count(AttemptOutcome::NotRun(503)) as u64;
         let counts = [
-            ("connections were lost", lost, bounds.lost.map(|n| n as u64)),
+            ("lost connections", lost, bounds.lost.map(|n| n as u64)),
             (
-                "attempts were refused with 503",
+                "attempts rejected with 503",
                 unready,
                 bounds.unready.map(|n| n as u64),
             ),
@@ -198,31 +202,37 @@
                 bounds.violations,
             ),
         ];
-        let is_high = |(name, count, most): &(&str, u64, Option<u64>)| {
-            let most = most.filter(|most| count > most)?;
-            Some(format!("{count} {name}, and {most} may be"))
+        let is_high = |(name, count, max): &(&str, u64, Option<u64>)| {
+            let max = max.filter(|max| count > max)?;
+            Some(format!("{count} {name}, above the maximum of {max}"))
         };
         counts.iter().filter_map(is_high).collect()
     }
 
-    /// Times above their bounds.
+    /// Describes the times that are above their bounds.
     fn long_times(&self, bounds: &Bounds) -> Vec<String> {
         let times = [
-            ("refusals take", self.refusals(), bounds.refused_ms),
             (
-                "an added route was in force everywhere after",
+                "the 95th percentile of quota refusals is",
+                self.quota_refusal_p95(),
+                bounds.refused_ms,
+            ),
+            (
+                "the slowest added route was in force everywhere after",
                 self.times_in_force().1,
                 bounds.in_force_ms,
             ),
             (
-                "an acknowledgement took",
-                self.acknowledged().1,
+                "the slowest acknowledgement took",
+                self.acknowledgements().1,
                 bounds.acked_ms,
             ),
         ];
-        let is_long = |(name, time, most): &(&str, Millis, Option<Millis>)| {
-            let most = most.filter(|most| time > most)?;
-            Some(format!("{name} {time:.0} ms, and {most:.0} are allowed"))
+        let is_long = |(name, time, max): &(&str, Millis, Option<Millis>)| {
+            let max = max.filter(|max| time > max)?;
+            Some(format!(
+                "{name} {time:.0} ms, above the maximum of {max:.0} ms"
+            ))
         };
         times.iter().filter_map(is_long).collect()
     }
--- a/crates/aspendrum-testbed/src/system/play.rs
+++ b/crates/aspendrum-testbed/src/system/play.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario: the system started, traffic, the steps at their times, the record and its verdict.
+//! Plays a scenario: starts the system, sends traffic, carries out the steps, and checks the record.
 
 use super::clients::Clients;
 use super::error::SystemError;
@@ -18,18 +18,18 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// The system is ready by then, or has failed to start.
+/// How long each proxy may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// Nodes agree by then, once the last fault is over.
+/// How long nodes may take to agree after the end of the traffic and steps.
 const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Steps are done so long after the traffic's end, or are given up.
+/// How long steps may take after the end of the traffic.
 const STEPS_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Plays a scenario on a runtime of its own. An interrupt ends it like any other failure: with all it has started.
+/// Plays a scenario on its own runtime. On Ctrl-C the run fails and all processes that it started are killed.
 ///
 /// # Errors
-/// [`SystemError`] if the run could not be made.
+/// [`SystemError`] if the run cannot be carried out.
 pub fn play(
     scenario: &Scenario,
     folder: &Path,
@@ -53,7 +53,7 @@
     progress: &(dyn Fn(&str) + Sync),
 ) -> Result<Outcome, SystemError> {
     progress(&format!(
-        "{} cores, {} proxies, {} servers start",
+        "starting {} control nodes, {} proxies and {} servers",
         s.cores,
         s.edges,
         s.origins()
@@ -64,22 +64,22 @@
     start(s, &fleet, &run, folder).await?;
     let from = fleet.clock.now();
     let ready = from - started_at;
-    progress(&format!("ready after {ready:.0} ms; traffic begins"));
+    progress(&format!("ready after {ready:.0} ms; starting the traffic"));
     let clients = Arc::new(Clients::new(fleet.clone()));
     let traffic = play_traffic(s, &fleet, &run, &clients).await?;
     let (record, failures, violations) =
         end_run(s, &fleet, &run, &clients, (from, traffic.to)).await;
     let report = RunReport {
-        in_force: run.probes.times_to_last(&record, s.edges),
+        in_force: run.probes.propagation_times(&record, s.edges),
         failures,
         ready,
         violations,
-        used: traffic.used,
+        usage: traffic.usage,
     };
     Ok(Outcome::new(record, report))
 }
 
-/// Starts all processes, and waits until all proxies serve a first configuration.
+/// Starts all processes, sends a first configuration, and waits until all proxies are ready.
 async fn start(
     s: &Scenario,
     fleet: &Fleet,
@@ -87,7 +87,7 @@
     folder: &Path,
 ) -> Result<(), SystemError> {
     fleet.start().await?;
-    run.change(0, |_| {}).await;
+    run.send_change(0, |_| {}).await;
     for proxy in 0..s.edges {
         if !is_ready(fleet, proxy).await {
             return Err(SystemError::NotReady {
@@ -97,20 +97,20 @@
             });
         }
     }
-    // Only a first start of the whole system is one.
+    // Later starts of control nodes must not initialize the system again.
     fleet
         .write_settings(false)
         .await
         .map_err(SystemError::Settings)
 }
 
-/// The traffic is over.
+/// The end of the traffic and the resources used until then.
 struct TrafficEnd {
     to: Millis,
-    used: Usage,
+    usage: Usage,
 }
 
-/// Traffic, steps and probes, until all of them have ended.
+/// Runs traffic, steps and probes until all of them have ended.
 async fn play_traffic(
     s: &Scenario,
     fleet: &Fleet,
@@ -118,21 +118,21 @@
     clients: &Arc<Clients>,
 ) -> Result<TrafficEnd, SystemError> {
     let mut probes = start_probes(s, run, clients);
-    let used_before = Usage::of(fleet).await;
+    let usage_before = Usage::of(fleet).await;
     let start = Instant::now();
     let mut steps = start_steps(s, run, start)?;
     let mut requests = traffic::send(s, clients, start).await;
     let end = TrafficEnd {
         to: fleet.clock.now(),
-        used: Usage::of(fleet).await.since(&used_before),
+        usage: Usage::of(fleet).await.since(&usage_before),
     };
     while requests.join_next().await.is_some() {}
     let all_steps = async { while steps.join_next().await.is_some() {} };
     if timeout(STEPS_TIMEOUT, all_steps).await.is_err() {
-        run.record_failure("steps were under way long after the traffic's end");
+        run.record_failure("steps were still running long after the end of the traffic");
         steps.shutdown().await;
     }
-    run.probes.end();
+    run.probes.stop();
     while probes.join_next().await.is_some() {}
     Ok(end)
 }
@@ -154,17 +154,17 @@
 ) -> Result<JoinSet<()>, SystemError> {
     let mut steps = JoinSet::new();
     for (number, step) in (1..).zip(s.steps.iter().cloned()) {
-        let (run, of, others) = (run.clone(), s.who(&step.of)?, s.who(&step.from)?);
+        let (run, of, from_targets) = (run.clone(), s.targets(&step.of)?, s.targets(&step.from)?);
         steps.spawn(async move {
             sleep_until(start + Duration::from_secs_f64(step.at_s)).await;
-            run.step(number, &step, &of, others).await;
+            run.run_step(number, &step, &of, from_targets).await;
         });
     }
     Ok(steps)
 }
 
-/// Reads the configuration back, ends all processes, and puts the record together. `during`: when the traffic began and
-/// ended. Returns also what failed, and how many violations of invariants proxies reported.
+/// Reads the configuration back, ends all processes, and assembles the record. `during` is the start and the end of the
+/// traffic. Also returns the failures of the run and the number of invariant violations that the processes logged.
 async fn end_run(
     s: &Scenario,
     fleet: &Fleet,
@@ -172,13 +172,13 @@
     clients: &Clients,
     during: (Millis, Millis),
 ) -> (Record, Vec<String>, u64) {
-    let final_version = run.operator.final_version(fleet.after(0)).await;
+    let final_version = run.operator.final_version(fleet.next_member(0)).await;
     let calls = run.operator.calls();
     let mut log = run.take_log();
     if s.bounds.agree {
         log.failures.extend(disagreeing(fleet).await);
     }
-    let violations = end(fleet, &mut log.failures).await;
+    let violations = end_processes(fleet, &mut log.failures).await;
     let RunLog {
         versions,
         evacuations,
@@ -191,7 +191,7 @@
         to: during.1,
         bounds: rule_bounds(s),
         attempts: clients.attempts(),
-        executions: fleet.record.executions(),
+        executions: fleet.execution_log.executions(),
         versions,
         evacuations,
         calls,
@@ -220,27 +220,39 @@
     }
 }
 
-/// The nodes that do not apply what was decided, as control knows them, once they have had a moment.
+/// Waits until all nodes apply the current state. Returns a description of those that don't before the timeout, according to
+/// the control nodes.
 async fn disagreeing(fleet: &Fleet) -> Vec<String> {
     let started_at = Instant::now();
     loop {
         let mut all = Vec::new();
         let mut known = 0;
         for core in fleet.members() {
-            let told = call(fleet.ctl(core), "GET", "/api/Nodes", "", CALL_TIMEOUT).await;
-            let Some((200, body)) = told else { continue };
-            let told: Value = serde_json::from_slice(&body).unwrap_or_default();
-            let nodes = told["nodes"].as_array().cloned().unwrap_or_default();
+            let response = call(
+                fleet.operator_addr(core),
+                "GET",
+                "/api/Nodes",
+                "",
+                CALL_TIMEOUT,
+            )
+            .await;
+            let Some((200, body)) = response else {
+                continue;
+            };
+            let status: Value = serde_json::from_slice(&body).unwrap_or_default();
+            let nodes = status["nodes"].as_array().cloned().unwrap_or_default();
             known += nodes.len();
             all.extend(
                 nodes
                     .iter()
                     .filter(|n| n["standing"] != "current")
-                    .map(|n| format!("disagrees: {n}")),
+                    .map(|n| format!("a node does not apply the current state: {n}")),
             );
         }
         if known < fleet.scenario.edges {
-            all.push(format!("control knows of {known} nodes"));
+            all.push(format!(
+                "the control nodes list {known} nodes, fewer than the scenario has"
+            ));
         }
         if all.is_empty() || started_at.elapsed() > AGREEMENT_TIMEOUT {
             return all;
@@ -249,7 +261,7 @@
     }
 }
 
-/// Waits until a proxy is ready. Returns false if it is not in time.
+/// Waits until a proxy is ready. Returns `false` if the timeout expires.
 async fn is_ready(fleet: &Fleet, proxy: usize) -> bool {
     let started_at = Instant::now();
     while started_at.elapsed() < READY_TIMEOUT {
@@ -268,8 +280,9 @@
     false
 }
 
-/// Ends everything, and says what had ended by itself, and how many violations of invariants proxies have told.
-async fn end(fleet: &Fleet, failures: &mut Vec<String>) -> u64 {
+/// Ends all processes, and records those that exited unexpectedly or panicked. Returns the number of invariant violations that
+/// the processes logged.
+async fn end_processes(fleet: &Fleet, failures: &mut Vec<String>) -> u64 {
     let mut violations = 0;
     let named = |kind: &'static str, slots| (kind, slots);
     for (kind, slots) in [
@@ -279,8 +292,8 @@
     ] {
         for (n, slot) in slots.iter().enumerate() {
             let mut slot = slot.lock().await;
-            if let Some(how) = slot.process.as_mut().and_then(|p| p.exit_status()) {
-                failures.push(format!("{kind} {n} ended by itself: {how}"));
+            if let Some(status) = slot.process.as_mut().and_then(|p| p.exit_status()) {
+                failures.push(format!("{kind} {n} exited unexpectedly: {status}"));
             }
             if slot.log().contains("panicked") {
                 failures.push(format!("{kind} {n} panicked"));
--- a/crates/aspendrum-testbed/src/system/report.rs
+++ b/crates/aspendrum-testbed/src/system/report.rs
@@ -1,16 +1,16 @@
-//! What a run of the system came to, as a table.
+//! Formats the outcome of a system run as a table.
 
 use super::outcome::Outcome;
 use super::scenario::Scenario;
 use std::fmt::Write;
 
-/// So many broken rules and bounds are listed.
+/// The maximum number of failures, broken rules and violated bounds that are listed.
 const MAX_LISTED: usize = 20;
 
-/// A row of the table.
+/// The name and the value of a row of the table.
 type Row = (String, String);
 
-/// The table of a run.
+/// Returns the table of a run, followed by failures, broken rules and violated bounds.
 pub fn table(s: &Scenario, o: &Outcome) -> String {
     let mut out = format!("{}: {}\n\n", s.name, s.about);
     let rows = size_rows(s, o)
@@ -21,7 +21,7 @@
         .chain(usage_rows(o))
         .chain(outcome_rows(o));
     for (name, value) in rows {
-        // Writing to memory does not fail, here and below.
+        // Writing to a string cannot fail, here and below.
         let _ = writeln!(out, "| {name:<45} | {value:>14} |");
     }
     let broken = o.broken(s);
@@ -77,7 +77,7 @@
 fn fault_rows(o: &Outcome) -> Vec<Row> {
     let v = &o.verdict;
     let astray = ["CONFIG", "ROUTE", "EVAC"].map(|rule| v.count_breaches(rule));
-    let clients = o.departed();
+    let clients = o.disconnect_counts();
     vec![
         row("doubled", v.count_breaches("TWICE")),
         row("refused, and ran", v.count_breaches("REFUSED")),
@@ -100,7 +100,7 @@
 }
 
 fn configuration_rows(o: &Outcome) -> Vec<Row> {
-    let (acknowledged, slowest) = o.acknowledged();
+    let (acknowledged, slowest) = o.acknowledgements();
     let mut rows = vec![
         row(
             "configurations sent, acknowledged",
@@ -109,32 +109,36 @@
         row("the slowest acknowledgement, ms", format!("{slowest:.0}")),
     ];
     if !o.in_force.is_empty() {
-        let (median, most) = o.times_in_force();
+        let (median, max) = o.times_in_force();
         rows.push(row(
             "added routes in force at the last proxy, ms",
-            format!("{median:.0}, {most:.0}"),
+            format!("{median:.0}, {max:.0}"),
         ));
     }
     rows
 }
 
 fn usage_rows(o: &Outcome) -> Vec<Row> {
-    let used = &o.used;
+    let usage = &o.usage;
     vec![
         row(
             "processor s of control, agents, proxies",
             format!(
                 "{:.1}, {:.1}, {:.1}",
-                used.control_cpu_s, used.agents_cpu_s, used.proxies_cpu_s
+                usage.control_cpu_s, usage.agents_cpu_s, usage.proxies_cpu_s
             ),
         ),
         row(
             "KB from control to agents, peak KB of control",
-            format!("{}, {}", used.bytes_to_agents / 1000, used.control_peak_kb),
+            format!(
+                "{}, {}",
+                usage.bytes_to_agents / 1000,
+                usage.control_peak_kb
+            ),
         ),
         row(
             "refusals for a quota, 95th percentile, ms",
-            format!("{:.1}", o.refusals()),
+            format!("{:.1}", o.quota_refusal_p95()),
         ),
     ]
 }
--- a/crates/aspendrum-testbed/src/system/scenario.rs
+++ b/crates/aspendrum-testbed/src/system/scenario.rs
@@ -1,123 +1,129 @@
-//! A scenario of the system: its size, its terms, what happens when, and what must hold in the end.
+//! Scenarios of the whole system: size, terms, steps, and bounds on the outcome.
 
 use super::error::ScenarioError;
 use super::tamper::Tampering;
 use aspendrum_checker::Millis;
 use serde::Deserialize;
 
-/// More machines than these are not played.
+/// The maximum number of control nodes, including spares.
 const MAX_CORES: usize = 100;
+/// The maximum number of edge machines.
 const MAX_EDGES: usize = 150;
 
-/// A scenario.
+/// A scenario, read from TOML.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// The name of the scenario.
     pub name: String,
-    /// What it is about, in a sentence.
+    /// A description in one sentence.
     pub about: String,
-    /// Of traffic.
+    /// The duration of the traffic, in seconds.
     pub seconds: f64,
-    /// Machines of control, and of proxies, spread over the zones in turn.
+    /// The number of control nodes, spread over the zones in turn.
     pub cores: usize,
-    /// Machines with a proxy and an agent.
+    /// The number of edge machines, each with a proxy and an agent, spread over the zones in turn.
     pub edges: usize,
-    /// Machines of control that are not started: each takes the place of one that is replaced.
+    /// The number of spare control nodes, which start only when they replace another one.
     #[serde(default)]
     pub spares: usize,
-    /// Zones; each two are a region.
-    #[serde(default = "two")]
+    /// The number of zones. A region consists of two zones.
+    #[serde(default = "default_zones")]
     pub zones: usize,
-    /// Of each service in each zone.
-    #[serde(default = "two")]
+    /// The number of servers of each service in each zone.
+    #[serde(default = "default_servers")]
     pub servers: usize,
-    /// Requests of all clients together, a second.
-    #[serde(default = "queries")]
+    /// The rate of requests of all clients together, per second.
+    #[serde(default = "default_queries_per_s")]
     pub queries_per_s: f64,
-    /// A tenant's quota; 0: none.
+    /// The quota of each tenant, in requests per second; 0 for none.
     #[serde(default)]
     pub quota_per_s: f64,
-    /// How often the first tenant asks for each time that another does.
-    #[serde(default = "one")]
+    /// The request rate of the first tenant, relative to that of the second.
+    #[serde(default = "default_factor")]
     pub hot: f64,
-    /// Disks that may be lost at once.
-    #[serde(default = "one_disk")]
+    /// The number of machines that may lose their disks at the same time (`tolerate.machs`).
+    #[serde(default = "default_losses")]
     pub losses: usize,
-    /// Routes in each configuration that nobody uses.
+    /// The number of additional routes in each configuration that receive no requests.
     #[serde(default)]
     pub filler_routes: usize,
-    /// What the traffic is drawn from.
+    /// The seed from which the traffic is generated.
     #[serde(default)]
     pub seed: u64,
-    /// How clients behave.
+    /// The behavior of clients.
     #[serde(default)]
     pub habits: Habits,
-    /// Proxies and agents reach each other over links of the rig; without them directly, so that there may be many.
-    #[serde(default = "linked")]
+    /// Whether edge machines reach each other over relays that can be cut. Without relays, which cost file descriptors, there
+    /// can be more edge machines.
+    #[serde(default = "default_edge_links")]
     pub edge_links: bool,
-    /// The terms in the settings.
+    /// The platform's terms in the settings.
     #[serde(default)]
     pub terms: Terms,
-    /// What happens when.
+    /// The steps, in any order.
     #[serde(default)]
     pub steps: Vec<Step>,
-    /// What must hold beside the rules.
+    /// Bounds on the outcome, in addition to the rules.
     #[serde(default)]
     pub bounds: Bounds,
 }
 
-fn linked() -> bool {
+fn default_edge_links() -> bool {
     true
 }
 
-fn once() -> usize {
+fn default_count() -> usize {
     1
 }
 
-fn second() -> f64 {
+fn default_wait_s() -> f64 {
     1.0
 }
 
-fn one() -> f64 {
+fn default_factor() -> f64 {
     1.0
 }
 
-fn one_disk() -> usize {
+fn default_losses() -> usize {
     1
 }
 
-fn two() -> usize {
+fn default_zones() -> usize {
     2
 }
 
-fn queries() -> f64 {
+fn default_servers() -> usize {
+    2
+}
+
+fn default_queries_per_s() -> f64 {
     60.0
 }
 
-/// The platform's terms, in milliseconds where they do not say otherwise.
+/// The platform's terms, in milliseconds unless the name has another unit.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Terms {
-    /// `contact-ms`: a machine counts as connected so long after a fault.
+    /// `contact-ms`: how long after the end of a fault a machine counts as connected again.
     pub contact: Millis,
     /// `ack-ms`: how long an operator retries an order.
     pub ack: Millis,
-    /// `sync-s`: how long a machine counts as lost after its return.
+    /// `sync-s`: how long a machine still counts as lost after it has returned.
     pub sync_s: f64,
-    /// `apply-ms`: a change is in force within this time.
+    /// `apply-ms`: the time within which a change is in force.
     pub apply: Millis,
-    /// `revoked`: whether removed credentials have a bound.
+    /// `revoked`: whether the time until a removed credential is refused is bounded.
     pub revoked: bool,
-    /// `revoke-ms`: that bound.
+    /// `revoke-ms`: the time within which a removed credential is refused.
     pub revoke: Millis,
-    /// `evac-ms`: an evacuated zone gets nothing after this time.
+    /// `evac-ms`: the time after which an evacuated zone receives no requests.
     pub evac: Millis,
-    /// `drain-ms`: a draining server gets nothing after this time.
+    /// `drain-ms`: the time after which a draining server receives no requests.
     pub drain: Millis,
-    /// `grace-s`: a process is killed so long after SIGTERM.
+    /// `grace-s`: the time after SIGTERM at which a process is killed.
     pub grace_s: f64,
-    /// `loss-ms`: a request may be lost within this time, unless it ran.
+    /// `loss-ms`: the time within which a request may be lost unless it ran.
     pub loss: Millis,
 }
 
@@ -138,21 +144,21 @@
     }
 }
 
-/// How clients behave: shares of all wishes.
+/// The behavior of clients. Numbers without a unit are shares of all requests.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Habits {
-    /// They close their connection before they have an answer, between these moments after they have sent.
+    /// The share of requests whose client disconnects without waiting for the response.
     pub leave: f64,
-    /// They leave so long after the request at the least.
+    /// The minimum time between sending a request and disconnecting.
     pub leave_least_ms: Millis,
-    /// They leave so long after the request at the most.
+    /// The maximum time between sending a request and disconnecting.
     pub leave_most_ms: Millis,
-    /// They hold an old answer and go to any proxy, whatever look-ups say now.
+    /// The share of requests whose client ignores lookups and connects to any proxy, as with an outdated lookup result.
     pub stubborn: f64,
-    /// They use a connection that is open, to whichever proxy, until that closes it.
+    /// The share of requests whose client uses any open connection, until the proxy closes it.
     pub faithful: f64,
-    /// They send a second request ahead, behind the first one.
+    /// The share of requests behind which the client pipelines a second one.
     pub ahead: f64,
 }
 
@@ -169,65 +175,65 @@
     }
 }
 
-/// Something that happens. `for_s`: it is taken back after so long.
+/// An order or a fault at a given time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When it happens, in seconds from the start of the traffic.
+    /// The time of the step, in seconds from the start of the traffic.
     pub at_s: f64,
-    /// What happens.
-    pub what: What,
-    /// Machines or processes: `core 0`, `edge 1-3`, `proxy 2`, `agent 2`; servers: `origin 0-3`.
+    /// The kind of the step.
+    pub what: StepKind,
+    /// The targets, separated by commas: `core 0`, `edge 1-3`, `proxy 2`, `agent 2`, `origin 0-3`.
     #[serde(default)]
     pub of: String,
-    /// The other side of a cut; left out, all others.
+    /// The other side of a cut; all other machines and servers if empty.
     #[serde(default)]
     pub from: String,
-    /// Only what `of` says is lost, not what it hears.
+    /// Whether a cut affects only data sent by `of`, not data sent to it.
     #[serde(default)]
     pub one_way: bool,
-    /// It is taken back after so many seconds.
+    /// The time after which the step is reverted, in seconds.
     pub for_s: Option<f64>,
-    /// Between one and the next, where several are named or counted.
+    /// The interval between targets or repetitions, in seconds.
     #[serde(default)]
     pub gap_s: f64,
-    /// Changes, or races.
-    #[serde(default = "once")]
+    /// The number of changes, races or signals.
+    #[serde(default = "default_count")]
     pub count: usize,
-    /// Of changes, each so many adds a route that all proxies are probed for; 0: none.
+    /// One in this many changes adds a route, for which all proxies are probed; 0 for none.
     #[serde(default)]
     pub adds_route_every: usize,
-    /// How a cut looks to whoever it strikes.
+    /// The effect of a cut on connections.
     #[serde(default)]
-    pub form: Form,
-    /// A machine that is replaced is killed; without it it gets SIGTERM.
+    pub form: CutForm,
+    /// Whether a replaced control node gets SIGKILL instead of SIGTERM.
     #[serde(default)]
     pub killed: bool,
-    /// The settings name the machine that takes its place, and all get SIGHUP.
+    /// Whether the settings list the replacement as a seed, and all processes get SIGHUP.
     #[serde(default)]
     pub seeds: bool,
-    /// What is sent again is everything that was ever sent.
+    /// Whether all configurations sent so far are sent again, not only the last one.
     #[serde(default)]
     pub all: bool,
-    /// How long the operator waits for what a machine shows.
-    #[serde(default = "second")]
+    /// The timeout for reading a configuration back, in seconds.
+    #[serde(default = "default_wait_s")]
     pub wait_s: f64,
     /// The zone of an evacuation.
     #[serde(default)]
     pub zone: String,
-    /// What is done to configurations.
+    /// How configurations are tampered with.
     pub how: Option<Tampering>,
-    /// The share of requests that servers spoil; the share of processor time that a throttled process has.
+    /// The share of requests that fail at a server, or the share of processor time of a throttled process.
     #[serde(default)]
     pub share: f64,
-    /// How many times as long servers take.
-    #[serde(default = "one")]
+    /// The factor by which servers are slower.
+    #[serde(default = "default_factor")]
     pub times: f64,
 }
 
 impl Step {
-    /// A step of that kind at that moment; everything else as where it is left out.
-    pub fn new(at_s: f64, what: What, of: String) -> Step {
+    /// Returns a step with the given time, kind and targets, and defaults for everything else.
+    pub fn new(at_s: f64, what: StepKind, of: String) -> Step {
         Step {
             at_s,
             what,
@@ -236,17 +242,17 @@
             one_way: false,
             for_s: None,
             gap_s: 0.0,
-            count: once(),
+            count: default_count(),
             adds_route_every: 0,
-            form: Form::default(),
+            form: CutForm::default(),
             killed: false,
             seeds: false,
             all: false,
-            wait_s: second(),
+            wait_s: default_wait_s(),
             zone: String::new(),
             how: None,
             share: 0.0,
-            times: one(),
+            times: default_factor(),
         }
     }
 }
@@ -254,119 +260,120 @@
 /// The kinds of steps.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
-    /// A new configuration, sent to `of` and whoever comes after it: the once-only route goes to the other
-    /// service.
+pub enum StepKind {
+    /// Sends a configuration that moves the once-only route to the other service, starting with the control node `of`.
     Move,
-    /// A new configuration without the second tenant's key, or with it again.
+    /// Sends a configuration without the second tenant's key.
     TakeKey,
-    /// A new configuration in which the second tenant has its key again.
+    /// Sends a configuration with the second tenant's key.
     GiveKey,
-    /// `count` changes, one each `gap_s` and eight under way at most, each sent until it is acknowledged.
+    /// Sends `count` changes, one every `gap_s` with at most eight in flight. Each is retried until it is acknowledged,
+    /// rejected or timed out.
     Changes,
-    /// `count` invalid texts, one each `gap_s`, each sent once.
+    /// Sends `count` invalid texts, pausing `gap_s` after each, without retries.
     InvalidChanges,
-    /// Two texts under one number at once, to two machines of `of` or to one; `count` times. Whoever loses is told.
+    /// Sends two texts with the same version concurrently, to two control nodes of `of` or to the same one, `count` times. Each
+    /// must be acknowledged or rejected.
     Race,
-    /// The last configuration again, as an operator who heard no answer sends it.
+    /// Sends the last configuration again, as an operator does without a response.
     Resend,
-    /// The operator reads back from `of` alone, as long as `wait_s`.
+    /// Reads the configuration back from the control node `of`, with the timeout `wait_s`.
     Show,
-    /// Begun, and finished after `for_s`.
+    /// Begins the evacuation of a zone, and finishes it after `for_s` if given.
     Evacuate,
-    /// A zone is evacuated.
+    /// Begins the evacuation of a zone.
     Begin,
-    /// The evacuation of a zone ends.
+    /// Finishes the evacuation of a zone.
     Finish,
-    /// SIGKILL; up again after `for_s`, at once without it.
+    /// Sends SIGKILL, and restarts the process after `for_s`, or immediately if not given.
     Kill,
-    /// The same with an empty disk.
+    /// Like `Kill`, but restarts the process with an empty disk.
     Wipe,
-    /// SIGTERM, and up again once it has ended.
+    /// Sends SIGTERM, and restarts the process once it has exited.
     Term,
-    /// A machine of control ends for good, and a spare one with an empty disk takes its place after `for_s`.
+    /// Permanently stops a control node, and starts a spare one with an empty disk after `for_s`.
     Replace,
-    /// SIGSTOP, and SIGCONT after `for_s`.
+    /// Sends SIGSTOP, and SIGCONT after `for_s`.
     Freeze,
-    /// Processes run for `share` of each tenth of a second, for `for_s`.
+    /// Lets processes run only for `share` of each period of 100 ms, for `for_s`.
     Throttle,
-    /// A partition.
+    /// Cuts the links between `of` and `from`, and heals them after `for_s`.
     Cut,
-    /// Configurations go wrong on their way: to an agent (`agent 1`), or from it to its proxy (`proxy 1`).
+    /// Tampers with configurations sent to an agent (`agent 1`), or from the agent to its proxy (`proxy 1`).
     Tamper,
-    /// The settings name other seeds, and SIGHUP.
+    /// Lists the control nodes `of` as seeds in the settings, and sends SIGHUP to all processes.
     Seeds,
-    /// SIGHUP, `count` times.
+    /// Sends SIGHUP `count` times.
     Hup,
-    /// Servers: die (a new life after `for_s`), drain, answer 500, reset behind the work, hang, reset unread, take
-    /// `times` as long, turn everything away, stand still.
+    /// Servers stop, and restart after `for_s`.
     Die,
     /// Servers drain.
     Drain,
-    /// Servers answer 500.
+    /// Servers respond to a `share` of requests with status 500.
     Fail,
-    /// Servers reset a connection behind the work.
+    /// Servers execute a `share` of requests, but reset the connection instead of responding.
     Reset,
-    /// Servers do not answer.
+    /// Servers never respond to a `share` of requests.
     Hang,
-    /// Servers reset a connection unread.
+    /// Servers reset the connection of a `share` of requests without reading them.
     Deaf,
-    /// Servers take `times` as long.
+    /// Servers take `times` as long as usual.
     Slow,
-    /// Servers reject everything.
+    /// Servers reject all requests.
     Full,
     /// Servers make no progress.
     Stall,
 }
 
-/// How a cut looks to whoever it strikes.
+/// The effect of a cut on connections.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Form {
-    /// Nothing comes through.
+pub enum CutForm {
+    /// All data is dropped silently.
     #[default]
     Silent,
-    /// It begins with a reset of all connections.
+    /// Existing connections are reset; after that all data is dropped silently.
     Reset,
-    /// The same, and nobody listens meanwhile.
+    /// Existing connections are reset, and new ones are refused.
     Refuse,
 }
 
-/// What must hold beside the rules.
+/// Bounds on the outcome of a scenario, in addition to the rules.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Of all wishes, and of the once-only ones.
+    /// The minimum share of all requests that must be served.
     pub served: Option<f64>,
-    /// Of the requests that may run once only.
+    /// The minimum share of once-only requests that must be served.
     pub served_once: Option<f64>,
-    /// Of the second tenant's wishes, where the first asks for more than its plan.
+    /// The minimum share of the second tenant's requests that must be served while the first one exceeds its quota.
     pub served_second: Option<f64>,
-    /// Of the wishes of the last two seconds: the system is back.
+    /// The minimum share of requests of the last two seconds that must be served, which shows that the system has recovered.
     pub served_last: Option<f64>,
-    /// Milliseconds until nineteen of twenty refusals for a quota are there: a client that is given up is told at once.
+    /// The maximum 95th percentile of the response times of quota refusals, in milliseconds. Clients must learn immediately
+    /// that they are over their quota.
     pub refused_ms: Option<Millis>,
-    /// In the end every node applies what was decided.
+    /// Whether every node must apply the current state at the end.
     #[serde(default)]
     pub agree: bool,
-    /// Tries that a proxy refused with 503, for want of a licence or a server.
+    /// The maximum number of attempts that proxies reject with 503, for lack of a license or a server.
     pub unready: Option<usize>,
-    /// Connections that a proxy closed with a request read, whatever went on.
+    /// The maximum number of attempts whose connection ends without a complete response, including those during faults.
     pub lost: Option<usize>,
-    /// Violations of the programs' own invariants.
+    /// The maximum number of invariant violations that the processes log.
     pub violations: Option<u64>,
-    /// Milliseconds until the slowest acknowledgement of a configuration is there.
+    /// The maximum time until a configuration is acknowledged, in milliseconds.
     pub acked_ms: Option<Millis>,
-    /// Milliseconds from the acknowledgement of an added route until the last connected proxy serves it.
+    /// The maximum time from the acknowledgement of an added route until the last connected proxy serves it, in milliseconds.
     pub in_force_ms: Option<Millis>,
 }
 
-/// Who a step is about.
+/// A machine, process or server that a step applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum Target {
     /// A control node.
     Core(usize),
-    /// A machine with a proxy and an agent.
+    /// An edge machine, with a proxy and an agent.
     Edge(usize),
     /// A proxy.
     Proxy(usize),
@@ -377,10 +384,10 @@
 }
 
 impl Scenario {
-    /// Reads a scenario in TOML, and checks it.
+    /// Parses a scenario from TOML and validates it.
     ///
     /// # Errors
-    /// [`ScenarioError`] names the first fault.
+    /// [`ScenarioError`] describes the first fault found.
     pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario =
             toml::from_str(text).map_err(|e| ScenarioError::Unreadable(Box::new(e)))?;
@@ -403,22 +410,25 @@
         Ok(())
     }
 
-    /// All steps name machines that are there.
+    /// Checks that the targets of all steps exist and fit their kinds, and that there are enough spares.
     fn check_steps(&self) -> Result<(), ScenarioError> {
         let mut replaced = 0;
         for step in &self.steps {
-            let of = self.who(&step.of)?;
-            self.who(&step.from)?;
-            let is_of_control = matches!(step.what, What::Replace | What::Race);
-            let are_control = !of.is_empty() && of.iter().all(|who| matches!(who, Who::Core(_)));
-            if is_of_control && !are_control {
+            let targets = self.targets(&step.of)?;
+            self.targets(&step.from)?;
+            let needs_control_nodes = matches!(step.what, StepKind::Replace | StepKind::Race);
+            let are_control_nodes = !targets.is_empty()
+                && targets
+                    .iter()
+                    .all(|target| matches!(target, Target::Core(_)));
+            if needs_control_nodes && !are_control_nodes {
                 return Err(ScenarioError::NotControl {
                     scenario: self.name.clone(),
                     what: step.what,
                 });
             }
-            if step.what == What::Replace {
-                replaced += of.len();
+            if step.what == StepKind::Replace {
+                replaced += targets.len();
             }
         }
         if replaced > self.spares {
@@ -431,31 +441,31 @@
         Ok(())
     }
 
-    /// Of control, spare ones too.
+    /// Returns the number of control nodes, including spares.
     pub fn machines(&self) -> usize {
         self.cores + self.spares
     }
 
-    /// The zone of a machine.
+    /// Returns the index of a machine's zone.
     pub fn zone(&self, n: usize) -> usize {
         n % self.zones
     }
 
-    /// Both services together.
+    /// Returns the number of servers of both services together.
     pub fn origins(&self) -> usize {
         2 * self.zones * self.servers
     }
 
-    /// Those whom a text names: `core 0`, `edge 1-3`, several after commas; empty: nobody.
+    /// Parses a comma-separated list of targets such as `core 0, edge 1-3`. An empty text has no targets.
     ///
     /// # Errors
-    /// [`ScenarioError::UnknownMachine`] if one of them is not there.
-    pub fn who(&self, text: &str) -> Result<Vec<Who>, ScenarioError> {
+    /// [`ScenarioError::UnknownMachine`] if a target does not exist.
+    pub fn targets(&self, text: &str) -> Result<Vec<Target>, ScenarioError> {
         let parts = text.split(',').map(str::trim);
         let mut all = Vec::new();
         for part in parts.filter(|part| !part.is_empty()) {
-            let named = self.named(part);
-            all.extend(named.ok_or_else(|| ScenarioError::UnknownMachine {
+            let targets = self.parse_range(part);
+            all.extend(targets.ok_or_else(|| ScenarioError::UnknownMachine {
                 scenario: self.name.clone(),
                 part: part.to_string(),
             })?);
@@ -463,20 +473,20 @@
         Ok(all)
     }
 
-    /// Of one kind: `edge 1-3`.
-    fn named(&self, part: &str) -> Option<Vec<Who>> {
+    /// Parses targets of one kind, such as `edge 1-3`. Returns `None` if the text is invalid or a target does not exist.
+    fn parse_range(&self, part: &str) -> Option<Vec<Target>> {
         let (kind, numbers) = part.split_once(' ')?;
         let (first, last) = numbers.split_once('-').unwrap_or((numbers, numbers));
         let (first, last): (usize, usize) = (first.parse().ok()?, last.parse().ok()?);
-        let (of, count): (fn(usize) -> Who, usize) = match kind {
-            "core" => (Who::Core, self.machines()),
-            "edge" => (Who::Edge, self.edges),
-            "proxy" => (Who::Proxy, self.edges),
-            "agent" => (Who::Agent, self.edges),
-            "origin" => (Who::Origin, self.origins()),
+        let (target, count): (fn(usize) -> Target, usize) = match kind {
+            "core" => (Target::Core, self.machines()),
+            "edge" => (Target::Edge, self.edges),
+            "proxy" => (Target::Proxy, self.edges),
+            "agent" => (Target::Agent, self.edges),
+            "origin" => (Target::Origin, self.origins()),
             _ => return None,
         };
-        let is_there = first <= last && last < count;
-        is_there.then(|| (first..=last).map(of).collect())
+        let exists = first <= last && last < count;
+        exists.then(|| (first..=last).map(target).collect())
     }
 }
--- a/crates/aspendrum-testbed/src/system/settings_files.rs
+++ b/crates/aspendrum-testbed/src/system/settings_files.rs
@@ -1,9 +1,9 @@
-//! The settings files of a run's processes, as the platform writes them.
+//! The settings files of the processes, in the form that the platform writes.
 
 use super::addresses::{
     Addresses, AGENT_PORT, CONTROL_PORT, COUNTER_PORT, GOSSIP_PORT, PORT_RANGE, SNAPSHOT_PORT,
 };
-use super::fleet::{region, zone};
+use super::fleet::{region_name, zone_name};
 use super::links::Links;
 use super::scenario::Scenario;
 use aspendrum_fake_services::origin::OriginServer;
@@ -13,20 +13,20 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// What settings are written from.
+/// Builds the settings of the processes of a run.
 pub(super) struct SettingsWriter<'f> {
     pub(super) scenario: &'f Scenario,
     pub(super) addresses: &'f Addresses,
     pub(super) links: &'f Links,
     pub(super) origins: &'f [Arc<OriginServer>],
-    /// Where the platform's list of servers is.
+    /// The address of the platform's server list.
     pub(super) cloud_api: SocketAddr,
-    /// The control nodes that the settings name.
+    /// The control nodes that the settings list as seeds.
     pub(super) seeds: &'f [usize],
 }
 
 impl SettingsWriter<'_> {
-    /// Of a control node.
+    /// Returns the settings of a control node.
     pub(super) fn control(
         &self,
         number: usize,
@@ -42,7 +42,8 @@
         self.common(zone, own, &binds, overrides.collect())
     }
 
-    /// Of the proxy or the agent of a machine. `agent`: where the agent is found, or listens.
+    /// Returns the settings of the proxy or the agent of an edge machine. `agent` is the address to which the proxy connects or
+    /// on which the agent listens.
     pub(super) fn edge(&self, number: usize, agent: SocketAddr) -> Value {
         let (scenario, addresses, links) = (self.scenario, self.addresses, self.links);
         let row = scenario.machines() + number;
@@ -58,19 +59,22 @@
                 .unwrap_or_default()
                 .into_iter()
                 .enumerate();
-            overrides
-                .extend(peers.map(|(to, by)| (self.edge_port(to, port), by.to_string().into())));
+            overrides.extend(
+                peers.map(|(to, relay)| (self.edge_port(to, port), relay.to_string().into())),
+            );
         }
         let snapshots = links.snapshots[number].iter().enumerate();
-        overrides.extend(snapshots.map(|(to, by)| {
+        overrides.extend(snapshots.map(|(to, relay)| {
             (
                 self.edge_port(to, SNAPSHOT_PORT),
-                by.addr().to_string().into(),
+                relay.addr().to_string().into(),
             )
         }));
         let servers = self.origins.iter().zip(&links.servers[number]);
         overrides.extend(
-            servers.map(|(server, by)| (server.addr().to_string(), by.addr().to_string().into())),
+            servers.map(|(server, relay)| {
+                (server.addr().to_string(), relay.addr().to_string().into())
+            }),
         );
         let own_agent = SocketAddr::from((Ipv4Addr::LOCALHOST, AGENT_PORT));
         overrides.insert(own_agent.to_string(), agent.to_string().into());
@@ -81,7 +85,8 @@
         self.common(scenario.zone(number), own, &binds, overrides)
     }
 
-    /// Where a machine reaches a control node: its address, and the relay in its place.
+    /// Returns the address of a control node, and the address of the relay through which a machine reaches it. `row` is the
+    /// machine's index in [`Links::control`].
     fn control_override(&self, row: usize, node: usize) -> (String, Value) {
         let address = SocketAddr::from((self.addresses.control(node), CONTROL_PORT));
         let relay = self.links.control[row][node].addr();
@@ -100,12 +105,12 @@
         overrides: Map<String, Value>,
     ) -> Value {
         let (s, t) = (self.scenario, &self.scenario.terms);
-        let zones = (0..s.zones).map(|z| (zone(z), region(z).into()));
+        let zones = (0..s.zones).map(|z| (zone_name(z), region_name(z).into()));
         let zones: Map<String, Value> = zones.collect();
         let seeds = self.seeds.iter().map(|seed| self.addresses.operator(*seed));
         let seeds: Vec<SocketAddr> = seeds.collect();
-        own["az"] = zone(own_zone).into();
-        own["geo"] = region(own_zone).into();
+        own["az"] = zone_name(own_zone).into();
+        own["geo"] = region_name(own_zone).into();
         json!({
             "self": own,
             "net": {"binds": binds, "port-range": PORT_RANGE, "seeds": seeds, "zones": zones, "ways": overrides},
@@ -119,7 +124,7 @@
     }
 }
 
-/// Replaces a file as a whole: a process may start in the same moment.
+/// Replaces a file atomically, because a process may read it at the same time.
 pub(super) fn replace_file(file: &Path, text: &str) -> io::Result<()> {
     let next = file.with_extension("next");
     std::fs::write(&next, text)?;
--- a/crates/aspendrum-testbed/src/system/slot.rs
+++ b/crates/aspendrum-testbed/src/system/slot.rs
@@ -1,4 +1,4 @@
-//! One process of a run: what it is, where its settings and its log are, and its life.
+//! A process of a run with its settings, log and disk, across restarts.
 
 use crate::process::Process;
 use crate::program::Program;
@@ -7,16 +7,16 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A process that was started longer ago has loaded its program and runs it.
+/// The time after which a started process is assumed to run its own code.
 const LOADING_TIME: Duration = Duration::from_millis(50);
 
-/// One process.
+/// A process of a run that can be started, signalled and killed.
 pub struct Slot {
     program: Program,
-    /// Where its settings are.
+    /// The settings file.
     pub(super) settings: PathBuf,
     log: PathBuf,
-    /// Where its disk is, if it has one.
+    /// The directory of persistent data, if the process has one.
     pub(super) disk: Option<PathBuf>,
     started_at: Option<Instant>,
     /// The process, while it runs.
@@ -24,7 +24,7 @@
 }
 
 impl Slot {
-    /// A process that has not been started, of that name; its files are in `folder`.
+    /// Creates a slot whose process has not been started. `name` is the base name of its files in `folder`.
     pub(super) fn new(program: &Program, folder: &Path, name: &str, disk: Option<PathBuf>) -> Slot {
         Slot {
             program: program.clone(),
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Starts it, if it does not run.
+    /// Starts the process unless it is running.
     ///
     /// # Errors
-    /// The error of the start.
-    pub fn up(&mut self) -> io::Result<()> {
+    /// Returns the error of the start.
+    pub fn ensure_running(&mut self) -> io::Result<()> {
         if self.process.is_none() {
             self.process = Some(Process::start(&self.program, &self.settings, &self.log)?);
             self.started_at = Some(Instant::now());
@@ -48,51 +48,51 @@
         Ok(())
     }
 
-    /// Kills it, if it runs.
+    /// Kills the process if it is running.
     pub async fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             process.kill().await;
         }
     }
 
-    /// Removes its disk.
+    /// Removes the directory of persistent data, if there is one.
     ///
     /// # Errors
-    /// The error of the removal.
+    /// Returns the error of the removal.
     pub fn wipe(&self) -> io::Result<()> {
         self.disk.as_ref().map_or(Ok(()), std::fs::remove_dir_all)
     }
 
-    /// Of the process that runs, as the kernel names it.
-    pub fn id(&self) -> Option<i32> {
+    /// Returns the process id of the running process.
+    pub fn pid(&self) -> Option<i32> {
         self.process.as_ref().map(Process::id)
     }
 
-    /// It has only just been started: before its first instruction no program can ask for signals.
+    /// Whether the process was started so recently that it may not have installed its signal handlers.
     pub fn is_loading(&self) -> bool {
         let is_new = |at: Instant| at.elapsed() < LOADING_TIME;
         self.process.is_some() && self.started_at.is_some_and(is_new)
     }
 
-    /// Sends it a signal, unless it is loading.
+    /// Sends a signal to the process, unless it is loading or not running.
     ///
     /// # Errors
-    /// The error of the signal.
+    /// Returns the error of sending the signal.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let process = self.process.as_ref().filter(|_| !self.is_loading());
         process.map_or(Ok(()), |process| process.signal(signal))
     }
 
-    /// The most violations of its invariants that one of its lives has reported.
+    /// Returns the highest count of invariant violations in the log. The count starts at 0 in each process.
     pub fn violations(&self) -> u64 {
         let reported = |line: &str| {
-            let (_, behind) = line.split_once(" violations=")?;
-            behind.split(' ').next()?.parse().ok()
+            let (_, rest) = line.split_once(" violations=")?;
+            rest.split(' ').next()?.parse().ok()
         };
         self.log().lines().filter_map(reported).max().unwrap_or(0)
     }
 
-    /// What it logged so far.
+    /// Returns the log of all processes of the slot so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
--- a/crates/aspendrum-testbed/src/system/soak.rs
+++ b/crates/aspendrum-testbed/src/system/soak.rs
@@ -1,54 +1,57 @@
-//! Soak: scenarios drawn from seeds, several troubles at a time and each more than once, under clients that keep using
-//! open connections, send ahead and leave early. The same seed draws the same scenario.
+//! Soak tests: scenarios that are generated from seeds, with several concurrent and repeated faults, and clients that reuse
+//! open connections, pipeline requests and disconnect early. The same seed always generates the same scenario.
 
 use super::outcome::Outcome;
 use super::play::play;
-use super::scenario::{Bounds, Form, Habits, Scenario, Step, Terms, What};
+use super::scenario::{Bounds, CutForm, Habits, Scenario, Step, StepKind, Terms};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use std::path::Path;
 
-/// How large the drawn system is.
+/// The size of a generated system.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Control nodes.
+    /// The number of control nodes.
     pub cores: usize,
-    /// Machines with a proxy and an agent.
+    /// The number of edge machines, each with a proxy and an agent.
     pub edges: usize,
-    /// Of traffic.
+    /// The duration of the traffic, in seconds.
     pub seconds: f64,
 }
 
-/// More proxies than these reach each other directly: each link between two takes descriptors of the rig.
-const LINKED_EDGES: usize = 16;
+/// The maximum number of edge machines that are linked through relays. More of them reach each other directly, because each
+/// relay uses file descriptors of the testbed.
+const MAX_LINKED_EDGES: usize = 16;
 const ZONES: usize = 2;
-/// Of each service in each zone.
+/// The number of servers of each service in each zone.
 const SERVERS: usize = 2;
-/// Wishes a second for each proxy, and at the most.
+/// Requests per second for each proxy.
 const QUERIES_PER_EDGE: f64 = 20.0;
-const QUERIES: f64 = 400.0;
-/// Troubles are over so long before the traffic's end, and begin so long after its start.
+/// The maximum number of requests per second in total.
+const MAX_QUERIES_PER_S: f64 = 400.0;
+/// The time without faults at the end of the traffic.
 const CALM_END_S: f64 = 5.0;
+/// The time without faults at the start of the traffic.
 const CALM_START_S: f64 = 0.5;
-/// In these all servers are so slow that clients leave while their requests run.
-const SLOW_SPELLS: usize = 2;
-/// Of the wishes of the last two seconds, those that must be served.
-const SERVED_LAST: f64 = 0.8;
+/// The number of periods in which all servers are so slow that clients disconnect while their requests run.
+const SLOW_PERIODS: usize = 2;
+/// The minimum share of requests of the last two seconds that must be served.
+const MIN_SERVED_LAST: f64 = 0.8;
 
-/// Draws a scenario.
+/// Generates a scenario with faults of all kinds from a seed.
 pub fn draw(seed: u64, size: Size) -> Scenario {
-    let mut draw = Draw {
+    let mut generator = StepGenerator {
         rng: SmallRng::seed_from_u64(seed),
         size,
         core_free_s: CALM_START_S,
     };
-    let troubles = draw.rng.random_range(7..=12);
-    let mut steps: Vec<Step> = (0..troubles).flat_map(|_| draw.trouble()).collect();
-    steps.extend((0..SLOW_SPELLS).map(|_| draw.slow_spell()));
+    let faults = generator.rng.random_range(7..=12);
+    let mut steps: Vec<Step> = (0..faults).flat_map(|_| generator.fault()).collect();
+    steps.extend((0..SLOW_PERIODS).map(|_| generator.slow_period()));
     let habits = Habits {
-        leave: draw.rng.random_range(0.3..0.8),
-        leave_most_ms: draw.rng.random_range(30.0..700.0),
+        leave: generator.rng.random_range(0.3..0.8),
+        leave_most_ms: generator.rng.random_range(30.0..700.0),
         stubborn: 0.2,
         faithful: 0.4,
         ahead: 0.1,
@@ -57,37 +60,37 @@
     Scenario {
         habits,
         steps,
-        ..draw_calm(seed, size)
+        ..scenario_without_steps(seed, size)
     }
 }
 
-/// Routes in each configuration of a storm that nobody uses.
+/// The number of routes in each configuration of a storm that receive no requests.
 const FILLER_ROUTES: usize = 600;
-/// Of changes in a storm, each so many adds a route.
+/// One in this many changes of a storm adds a route.
 const ADDS_ROUTE_EVERY: usize = 10;
 
-/// Draws a scenario of configuration storms: hundreds of changes, with added routes that are used at once, among races,
-/// invalid texts and credentials that come and go, on processes with little processor time that are killed, told to end,
-/// stopped, cut off and reset meanwhile.
+/// Generates a scenario of configuration storms from a seed: hundreds of changes, with added routes that are probed
+/// immediately, together with races, invalid texts and a credential that is removed and restored. Meanwhile processes are
+/// throttled, killed, terminated, reloaded, stopped and cut off.
 pub fn draw_storm(seed: u64, size: Size) -> Scenario {
-    let mut draw = Draw {
+    let mut generator = StepGenerator {
         rng: SmallRng::seed_from_u64(seed),
         size,
         core_free_s: CALM_START_S,
     };
-    let mut steps = draw.storm();
-    for _ in 0..draw.rng.random_range(0..2) {
-        steps.extend(draw.storm());
+    let mut steps = generator.storm();
+    for _ in 0..generator.rng.random_range(0..2) {
+        steps.extend(generator.storm());
     }
-    steps.extend(draw.contested_changes());
-    for _ in 0..draw.rng.random_range(1..4) {
-        steps.push(draw.throttled());
+    steps.extend(generator.contested_changes());
+    for _ in 0..generator.rng.random_range(1..4) {
+        steps.push(generator.throttle());
     }
-    for _ in 0..draw.rng.random_range(3..8) {
-        steps.extend(draw.process_fault());
+    for _ in 0..generator.rng.random_range(3..8) {
+        steps.extend(generator.process_fault());
     }
-    if draw.rng.random_bool(0.3) {
-        steps.push(draw.all_of_control_killed());
+    if generator.rng.random_bool(0.3) {
+        steps.push(generator.kill_all_control());
     }
     Scenario {
         name: format!("storm-{seed}"),
@@ -100,12 +103,12 @@
             ..Habits::default()
         },
         steps,
-        ..draw_calm(seed, size)
+        ..scenario_without_steps(seed, size)
     }
 }
 
-/// The system of that size, without any step.
-fn draw_calm(seed: u64, size: Size) -> Scenario {
+/// Returns a scenario of the given size without steps.
+fn scenario_without_steps(seed: u64, size: Size) -> Scenario {
     Scenario {
         name: format!("soak-{seed}"),
         about: format!("drawn from seed {seed}"),
@@ -115,18 +118,18 @@
         spares: 0,
         zones: ZONES,
         servers: SERVERS,
-        queries_per_s: (QUERIES_PER_EDGE * size.edges as f64).min(QUERIES),
+        queries_per_s: (QUERIES_PER_EDGE * size.edges as f64).min(MAX_QUERIES_PER_S),
         quota_per_s: 0.0,
         hot: 1.0,
         losses: 1,
         filler_routes: 0,
         seed,
         habits: Habits::default(),
-        edge_links: size.edges <= LINKED_EDGES,
+        edge_links: size.edges <= MAX_LINKED_EDGES,
         terms: Terms::default(),
         steps: Vec::new(),
         bounds: Bounds {
-            served_last: Some(SERVED_LAST),
+            served_last: Some(MIN_SERVED_LAST),
             violations: Some(0),
             agree: true,
             ..Bounds::default()
@@ -134,35 +137,38 @@
     }
 }
 
-struct Draw {
+/// Generates the steps of a scenario.
+struct StepGenerator {
     rng: SmallRng,
     size: Size,
-    /// From then on the next machine of control may be troubled: one at a time, and each is whole again before.
+    /// The earliest time of the next fault of a control node, so that only one of them is faulty at a time and each has
+    /// recovered before the next fault.
     core_free_s: f64,
 }
 
-impl Draw {
-    fn trouble(&mut self) -> Vec<Step> {
+impl StepGenerator {
+    /// Generates one fault or change of any kind.
+    fn fault(&mut self) -> Vec<Step> {
         match self.rng.random_range(0..100) {
-            0..=9 => self.killed(),
-            10..=24 => self.told_to_end(),
-            25..=34 => self.told_to_reload(),
-            35..=42 => self.frozen(),
+            0..=9 => self.kill(),
+            10..=24 => self.terminate(),
+            25..=34 => self.reload(),
+            35..=42 => self.freeze(),
             43..=54 => self.cut(),
-            55..=64 => self.core(),
-            65..=74 => self.changed(),
-            _ => self.servers(),
+            55..=64 => self.core_fault(),
+            65..=74 => self.config_change(),
+            _ => self.server_fault(),
         }
     }
 
-    /// A moment for a trouble that lasts so long.
-    fn at(&mut self, lasts_s: f64) -> f64 {
-        let last = self.size.seconds - CALM_END_S - lasts_s;
+    /// Returns a random start time for a step of the given duration, in seconds.
+    fn start_s(&mut self, duration_s: f64) -> f64 {
+        let last = self.size.seconds - CALM_END_S - duration_s;
         self.rng
             .random_range(CALM_START_S..last.max(CALM_START_S + 0.1))
     }
 
-    /// One to four machines at the edge, with their agents or one of the two programs alone.
+    /// Selects one to four consecutive edge machines, or only their proxies or agents.
     fn edges(&mut self) -> String {
         let kind = *["edge", "edge", "proxy", "agent"]
             .choose(&mut self.rng)
@@ -172,36 +178,38 @@
         format!("{kind} {first}-{last}")
     }
 
+    /// Selects a range of servers.
     fn origins(&mut self) -> String {
         let all = 2 * ZONES * SERVERS;
         let first = self.rng.random_range(0..all);
         format!("origin {first}-{}", self.rng.random_range(first..all))
     }
 
-    fn lasting(&mut self, what: What, of: String, most_s: f64) -> Step {
-        let lasts = self.rng.random_range(0.3..most_s);
+    /// Returns a step of random start and duration.
+    fn timed_step(&mut self, what: StepKind, of: String, max_duration_s: f64) -> Step {
+        let duration_s = self.rng.random_range(0.3..max_duration_s);
         Step {
-            for_s: Some(lasts),
-            ..Step::new(self.at(lasts), what, of)
+            for_s: Some(duration_s),
+            ..Step::new(self.start_s(duration_s), what, of)
         }
     }
 
-    fn killed(&mut self) -> Vec<Step> {
+    fn kill(&mut self) -> Vec<Step> {
         let of = self.edges();
         vec![Step {
             gap_s: self.rng.random_range(0.0..0.4),
-            ..self.lasting(What::Kill, of, 1.5)
+            ..self.timed_step(StepKind::Kill, of, 1.5)
         }]
     }
 
-    /// One after the other, and now and then twice.
-    fn told_to_end(&mut self) -> Vec<Step> {
+    /// Terminates edge processes one after the other, sometimes a second time while the first is still in progress.
+    fn terminate(&mut self) -> Vec<Step> {
         let of = self.edges();
         let gap_s = self.rng.random_range(0.0..0.7);
-        // Each ends within half of its grace, if it has nothing in hand.
+        // A process without requests in flight ends within half of its grace period.
         let first = Step {
             gap_s,
-            ..Step::new(self.at(4.0), What::Term, of)
+            ..Step::new(self.start_s(4.0), StepKind::Term, of)
         };
         let again = Step {
             at_s: first.at_s + self.rng.random_range(0.2..2.0),
@@ -214,7 +222,7 @@
         }
     }
 
-    fn told_to_reload(&mut self) -> Vec<Step> {
+    fn reload(&mut self) -> Vec<Step> {
         let of = if self.rng.random_bool(0.5) {
             format!("edge 0-{}", self.size.edges - 1)
         } else {
@@ -227,16 +235,16 @@
         vec![Step {
             count,
             gap_s,
-            ..Step::new(self.at(2.0), What::Hup, of)
+            ..Step::new(self.start_s(2.0), StepKind::Hup, of)
         }]
     }
 
-    fn frozen(&mut self) -> Vec<Step> {
+    fn freeze(&mut self) -> Vec<Step> {
         let of = self.edges();
-        vec![self.lasting(What::Freeze, of, 2.0)]
+        vec![self.timed_step(StepKind::Freeze, of, 2.0)]
     }
 
-    /// Machines at the edge from servers, from control, or from all.
+    /// Cuts edge machines off from servers, from control nodes, or from everything.
     fn cut(&mut self) -> Vec<Step> {
         let of = self.edges();
         let from = match self.rng.random_range(0..3) {
@@ -244,27 +252,32 @@
             1 => format!("core 0-{}", self.size.cores - 1),
             _ => String::new(),
         };
-        let form = *[Form::Silent, Form::Reset, Form::Refuse]
+        let form = *[CutForm::Silent, CutForm::Reset, CutForm::Refuse]
             .choose(&mut self.rng)
-            .unwrap_or(&Form::Silent);
+            .unwrap_or(&CutForm::Silent);
         let one_way = self.rng.random_bool(0.2);
         vec![Step {
             from,
             form,
             one_way,
-            ..self.lasting(What::Cut, of, 2.5)
+            ..self.timed_step(StepKind::Cut, of, 2.5)
         }]
     }
 
-    /// One machine of control.
-    fn core(&mut self) -> Vec<Step> {
+    /// Kills, freezes, terminates or cuts off one control node. Returns no step if there is no time left to recover.
+    fn core_fault(&mut self) -> Vec<Step> {
         let of = format!("core {}", self.rng.random_range(0..self.size.cores));
-        let what = *[What::Kill, What::Freeze, What::Term, What::Cut]
-            .choose(&mut self.rng)
-            .unwrap_or(&What::Kill);
+        let what = *[
+            StepKind::Kill,
+            StepKind::Freeze,
+            StepKind::Term,
+            StepKind::Cut,
+        ]
+        .choose(&mut self.rng)
+        .unwrap_or(&StepKind::Kill);
         let step = Step {
             at_s: self.core_free_s,
-            ..self.lasting(what, of, 1.5)
+            ..self.timed_step(what, of, 1.5)
         };
         self.core_free_s += step.for_s.unwrap_or_default() + Terms::default().sync_s + 1.0;
         if step.at_s + CALM_END_S + 2.0 > self.size.seconds {
@@ -273,16 +286,17 @@
         vec![step]
     }
 
-    fn changed(&mut self) -> Vec<Step> {
+    /// Changes to the configuration, or the evacuation of a zone.
+    fn config_change(&mut self) -> Vec<Step> {
         let of = format!("core {}", self.rng.random_range(0..self.size.cores));
         if self.rng.random_bool(0.3) {
-            return vec![Step::new(self.at(1.0), What::Move, of)];
+            return vec![Step::new(self.start_s(1.0), StepKind::Move, of)];
         }
         if self.rng.random_bool(0.3) {
             let zone = format!("zone-{}", self.rng.random_range(0..ZONES));
             return vec![Step {
                 zone,
-                ..self.lasting(What::Evacuate, of, 3.0)
+                ..self.timed_step(StepKind::Evacuate, of, 3.0)
             }];
         }
         let (count, gap_s) = (
@@ -292,11 +306,11 @@
         vec![Step {
             count,
             gap_s,
-            ..Step::new(self.at(4.0), What::Changes, of)
+            ..Step::new(self.start_s(4.0), StepKind::Changes, of)
         }]
     }
 
-    /// Hundreds of changes, some of which add a route.
+    /// Sends 40 to 199 changes, some of which add a route.
     fn storm(&mut self) -> Vec<Step> {
         let of = self.any_core();
         let count = self.rng.random_range(40..200);
@@ -305,37 +319,42 @@
             count,
             gap_s,
             adds_route_every: ADDS_ROUTE_EVERY,
-            ..Step::new(self.at(count as f64 * gap_s + 2.0), What::Changes, of)
+            ..Step::new(
+                self.start_s(count as f64 * gap_s + 2.0),
+                StepKind::Changes,
+                of,
+            )
         }]
     }
 
-    /// Races, invalid texts, and a credential that is taken away and given back.
+    /// Races between changes, invalid texts, and a credential that is removed and restored.
     fn contested_changes(&mut self) -> Vec<Step> {
         let all = format!("core 0-{}", self.size.cores - 1);
         let race = Step {
             count: self.rng.random_range(2..6),
             gap_s: self.rng.random_range(0.1..0.6),
-            ..Step::new(self.at(5.0), What::Race, all)
+            ..Step::new(self.start_s(5.0), StepKind::Race, all)
         };
         let invalid = Step {
             count: self.rng.random_range(5..15),
             gap_s: self.rng.random_range(0.05..0.4),
-            ..Step::new(self.at(6.0), What::InvalidChanges, self.any_core())
+            ..Step::new(self.start_s(6.0), StepKind::InvalidChanges, self.any_core())
         };
-        let taken = Step::new(self.at(4.0), What::TakeKey, self.any_core());
+        let taken = Step::new(self.start_s(4.0), StepKind::TakeKey, self.any_core());
         let given = Step {
             at_s: taken.at_s + self.rng.random_range(0.5..3.0),
-            ..Step::new(0.0, What::GiveKey, self.any_core())
+            ..Step::new(0.0, StepKind::GiveKey, self.any_core())
         };
         vec![race, invalid, taken, given]
     }
 
+    /// Selects one control node.
     fn any_core(&mut self) -> String {
         format!("core {}", self.rng.random_range(0..self.size.cores))
     }
 
-    /// Machines at the edge, or one of control, with a part of their processor time.
-    fn throttled(&mut self) -> Step {
+    /// Throttles edge machines, or one control node.
+    fn throttle(&mut self) -> Step {
         let of = match self.rng.random_range(0..4) {
             0 => self.any_core(),
             1 => self.edges(),
@@ -343,57 +362,60 @@
         };
         Step {
             share: self.rng.random_range(0.25..0.6),
-            ..self.lasting(What::Throttle, of, 6.0)
+            ..self.timed_step(StepKind::Throttle, of, 6.0)
         }
     }
 
+    /// Generates a fault of edge processes or of a control node.
     fn process_fault(&mut self) -> Vec<Step> {
         match self.rng.random_range(0..6) {
-            0 => self.killed(),
-            1 => self.told_to_end(),
-            2 => self.told_to_reload(),
-            3 => self.frozen(),
+            0 => self.kill(),
+            1 => self.terminate(),
+            2 => self.reload(),
+            3 => self.freeze(),
             4 => self.cut(),
-            _ => self.core(),
+            _ => self.core_fault(),
         }
     }
 
-    fn all_of_control_killed(&mut self) -> Step {
+    /// Kills all control nodes at the same time.
+    fn kill_all_control(&mut self) -> Step {
         let all = format!("core 0-{}", self.size.cores - 1);
-        self.lasting(What::Kill, all, 1.5)
+        self.timed_step(StepKind::Kill, all, 1.5)
     }
 
-    fn slow_spell(&mut self) -> Step {
+    /// Slows down all servers for a time.
+    fn slow_period(&mut self) -> Step {
         let all = format!("origin 0-{}", 2 * ZONES * SERVERS - 1);
         Step {
             times: self.rng.random_range(20.0..60.0),
-            ..self.lasting(What::Slow, all, 4.0)
+            ..self.timed_step(StepKind::Slow, all, 4.0)
         }
     }
 
-    fn servers(&mut self) -> Vec<Step> {
+    fn server_fault(&mut self) -> Vec<Step> {
         let of = self.origins();
         let (share, times) = (
             self.rng.random_range(0.1..0.5),
             self.rng.random_range(10.0..60.0),
         );
         let what = match self.rng.random_range(0..10) {
-            0..=3 => What::Slow,
-            4..=5 => What::Stall,
-            6 => What::Full,
-            7 => What::Hang,
-            8 => What::Reset,
-            _ => What::Die,
+            0..=3 => StepKind::Slow,
+            4..=5 => StepKind::Stall,
+            6 => StepKind::Full,
+            7 => StepKind::Hang,
+            8 => StepKind::Reset,
+            _ => StepKind::Die,
         };
         vec![Step {
             share,
             times,
-            ..self.lasting(what, of, 4.0)
+            ..self.timed_step(what, of, 4.0)
         }]
     }
 }
 
-/// What is drawn from a seed.
+/// The kind of scenario that is generated from a seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakKind {
     /// Faults of all kinds: [`draw`].
@@ -410,7 +432,7 @@
         }
     }
 
-    /// The option of the command line that stands for it.
+    /// Returns the command-line option of the kind, with a leading space.
     fn option(self) -> &'static str {
         match self {
             SoakKind::Faults => "",
@@ -419,18 +441,19 @@
     }
 }
 
-/// Plays a seed. Its line, and whether all was kept; a seed that fails leaves its logs in `folder`.
+/// Plays the scenario of a seed. Returns a summary line and whether all rules and bounds held. A failed run leaves its logs in
+/// `folder`.
 pub fn soak(kind: SoakKind, seed: u64, size: Size, folder: &Path) -> (String, bool) {
     let scenario = kind.draw(seed, size);
     let _ = std::fs::remove_dir_all(folder);
-    let begun = format!(
-        "seed {seed}: {} cores, {} proxies, {} troubles",
+    let intro = format!(
+        "seed {seed}: {} control nodes, {} proxies, {} steps",
         size.cores,
         size.edges,
         scenario.steps.len()
     );
-    let again = format!(
-        "play it again: aspendrum-testbed soak{} --seeds {seed} --cores {} --edges {} --seconds {}; its logs: {}",
+    let rerun = format!(
+        "to run it again: aspendrum-testbed soak{} --seeds {seed} --cores {} --edges {} --seconds {}; logs: {}",
         kind.option(),
         size.cores,
         size.edges,
@@ -438,18 +461,18 @@
         folder.display()
     );
     match play(&scenario, folder, &|_| {}) {
-        Err(why) => (format!("{begun}; FAILED: {why}; {again}"), false),
+        Err(error) => (format!("{intro}; FAILED: {error}; {rerun}"), false),
         Ok(outcome) => {
             let broken = outcome.broken(&scenario);
-            let told = told(&outcome);
+            let summary = summary(&outcome);
             if broken.is_empty() {
                 let _ = std::fs::remove_dir_all(folder);
-                (format!("{begun}; {told}; kept"), true)
+                (format!("{intro}; {summary}; passed"), true)
             } else {
-                // Beside the logs, for whoever traces it: what happened when.
+                // The times of the steps are needed to read the logs.
                 let _ = std::fs::write(folder.join("scenario.txt"), format!("{scenario:#?}\n"));
                 (
-                    format!("{begun}; {told}; FAILED: {}; {again}", broken.join("; ")),
+                    format!("{intro}; {summary}; FAILED: {}; {rerun}", broken.join("; ")),
                     false,
                 )
             }
@@ -457,20 +480,23 @@
     }
 }
 
-fn told(outcome: &Outcome) -> String {
-    let gone = outcome.departed();
-    let (median, most) = outcome.times_in_force();
+/// Summarizes the outcome of a run in one line.
+fn summary(outcome: &Outcome) -> String {
+    let disconnects = outcome.disconnect_counts();
+    let (median, max) = outcome.times_in_force();
     let in_force = match outcome.in_force.len() {
         0 => String::new(),
-        added => format!("; {added} routes added, in force in {median:.0}, {most:.0} ms"),
+        added => format!(
+            "; {added} routes added, in force after {median:.0} ms (median), {max:.0} ms (maximum)"
+        ),
     };
     format!(
-        "{} tries, served {:.2}, {} left, {} sent late, {} of {} runs went on{in_force}",
+        "{} attempts, {:.2} served, {} clients disconnected, {} of their requests sent late, {} of {} runs not aborted{in_force}",
         outcome.record.attempts.len(),
         outcome.verdict.all.share(),
-        gone.disconnected,
-        gone.sent_late,
-        gone.not_aborted,
-        gone.abortable
+        disconnects.disconnected,
+        disconnects.sent_late,
+        disconnects.not_aborted,
+        disconnects.abortable
     )
 }
--- a/crates/aspendrum-testbed/src/system/steps/mod.rs
+++ b/crates/aspendrum-testbed/src/system/steps/mod.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, step by step: the operator's orders, and the faults.
+//! Carries out the steps of a scenario: orders of the operator, and faults.
 
 mod orders;
 mod processes;
@@ -7,7 +7,7 @@
 use super::fleet::Fleet;
 use super::operator::Operator;
 use super::probes::Probes;
-use super::scenario::{Step, What, Who};
+use super::scenario::{Step, StepKind, Target};
 use aspendrum_checker::system::{ConfigVersion, Evacuation, ProxyFault, ProxyRestart};
 use aspendrum_checker::Millis;
 use aspendrum_fake_services::lock;
@@ -17,22 +17,22 @@
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// What the operator has decided, and what went wrong for whom.
+/// The operator's orders, and the faults and failures of a run.
 #[derive(Default)]
 pub struct RunLog {
     /// All configurations that were sent.
     pub versions: Vec<ConfigVersion>,
-    /// All orders about zones.
+    /// All evacuation orders.
     pub evacuations: Vec<Evacuation>,
-    /// When proxies were faulty, or cut off.
+    /// The periods in which proxies were faulty or cut off.
     pub faults: Vec<ProxyFault>,
-    /// What went wrong with the run itself.
+    /// Failures of the run itself.
     pub failures: Vec<String>,
-    /// When proxies were started again.
+    /// The times at which proxies were restarted.
     pub restarts: Vec<ProxyRestart>,
 }
 
-/// The steps of a run, and what they leave behind.
+/// Carries out the steps of a run and records them.
 pub struct ScenarioRun {
     fleet: Arc<Fleet>,
     /// The operator.
@@ -42,20 +42,21 @@
     log: Mutex<RunLog>,
 }
 
-fn core(who: &Who) -> Option<usize> {
-    match who {
-        Who::Core(number) => Some(*number),
+/// Returns the number of a control node, or `None` for other targets.
+fn core(target: &Target) -> Option<usize> {
+    match target {
+        Target::Core(number) => Some(*number),
         _ => None,
     }
 }
 
-/// How long a step lasts.
+/// Returns the duration of a step, which is zero if it has none.
 fn duration(step: &Step) -> Duration {
     Duration::from_secs_f64(step.for_s.unwrap_or_default())
 }
 
 impl ScenarioRun {
-    /// Nothing has happened yet.
+    /// Creates a run without any step carried out.
     pub fn new(fleet: Arc<Fleet>) -> ScenarioRun {
         ScenarioRun {
             operator: Operator::new(fleet.clone()),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// All of it, taken out.
+    /// Takes the log, leaving an empty one.
     pub fn take_log(&self) -> RunLog {
         std::mem::take(&mut *lock(&self.log))
     }
@@ -74,53 +75,59 @@
         self.fleet.clock.now()
     }
 
-    /// Something went wrong with the run itself.
+    /// Records a failure of the run itself.
     pub fn record_failure(&self, what: &str) {
         lock(&self.log).failures.push(what.to_string());
     }
 
-    /// Whoever is out of touch by this, from now on until `to`.
-    fn record_fault(&self, of: &[Who], to: Millis) {
+    /// Records that the proxies affected by a fault of the targets may be disconnected from now on until `to`.
+    fn record_fault(&self, of: &[Target], to: Millis) {
         let from = self.now();
         let cores = of.iter().filter_map(core).count();
-        let edges = of.iter().filter_map(|who| match who {
-            Who::Edge(number) | Who::Proxy(number) | Who::Agent(number) => Some(Some(*number)),
+        let edges = of.iter().filter_map(|target| match target {
+            Target::Edge(number) | Target::Proxy(number) | Target::Agent(number) => {
+                Some(Some(*number))
+            }
             _ => None,
         });
-        // Fewer than half of control must do no harm.
-        let all = (2 * cores >= self.fleet.scenario.cores).then_some(None);
-        let faults = edges.chain(all).map(|proxy| ProxyFault { proxy, from, to });
+        // A fault of fewer than half of the control nodes must not affect any proxy.
+        let all_proxies = (2 * cores >= self.fleet.scenario.cores).then_some(None);
+        let faults = edges
+            .chain(all_proxies)
+            .map(|proxy| ProxyFault { proxy, from, to });
         lock(&self.log).faults.extend(faults);
     }
 
-    /// Carries out a step, and takes it back after its time.
-    pub async fn step(&self, number: u32, step: &Step, of: &[Who], from: Vec<Who>) {
+    /// Carries out a step and, if it has a duration, reverts it afterwards.
+    pub async fn run_step(&self, number: u32, step: &Step, of: &[Target], from: Vec<Target>) {
         match step.what {
-            What::Move
-            | What::TakeKey
-            | What::GiveKey
-            | What::Changes
-            | What::InvalidChanges
-            | What::Race
-            | What::Resend
-            | What::Show
-            | What::Evacuate
-            | What::Begin
-            | What::Finish => self.order(step, of).await,
-            What::Replace | What::Kill | What::Wipe | What::Term => self.restart(step, of).await,
-            What::Freeze | What::Throttle | What::Cut | What::Tamper => {
+            StepKind::Move
+            | StepKind::TakeKey
+            | StepKind::GiveKey
+            | StepKind::Changes
+            | StepKind::InvalidChanges
+            | StepKind::Race
+            | StepKind::Resend
+            | StepKind::Show
+            | StepKind::Evacuate
+            | StepKind::Begin
+            | StepKind::Finish => self.order(step, of).await,
+            StepKind::Replace | StepKind::Kill | StepKind::Wipe | StepKind::Term => {
+                self.restart(step, of).await
+            }
+            StepKind::Freeze | StepKind::Throttle | StepKind::Cut | StepKind::Tamper => {
                 self.disturb(number, step, of, from).await;
             }
-            What::Seeds | What::Hup => self.reload_settings(step, of).await,
-            What::Die
-            | What::Drain
-            | What::Fail
-            | What::Reset
-            | What::Hang
-            | What::Deaf
-            | What::Slow
-            | What::Full
-            | What::Stall => {
+            StepKind::Seeds | StepKind::Hup => self.reload_settings(step, of).await,
+            StepKind::Die
+            | StepKind::Drain
+            | StepKind::Fail
+            | StepKind::Reset
+            | StepKind::Hang
+            | StepKind::Deaf
+            | StepKind::Slow
+            | StepKind::Full
+            | StepKind::Stall => {
                 self.disturb_servers(step, of);
                 if step.for_s.is_some() {
                     sleep(duration(step)).await;
@@ -130,21 +137,21 @@
         }
     }
 
-    /// When a step that begins now is taken back.
-    fn end_of(&self, step: &Step) -> Millis {
+    /// Returns when a step that begins now is reverted.
+    fn end_time(&self, step: &Step) -> Millis {
         self.now() + step.for_s.unwrap_or(0.0) * MILLIS_PER_SECOND
     }
 
-    /// One after the other, `gap_s` apart; without a gap all at once.
-    async fn each<F: std::future::Future<Output = ()>>(
+    /// Applies an action to all targets concurrently, with starts `gap_s` seconds apart.
+    async fn for_each_staggered<F: std::future::Future<Output = ()>>(
         &self,
-        of: &[Who],
+        of: &[Target],
         gap_s: f64,
-        what: impl Fn(Who) -> F,
+        action: impl Fn(Target) -> F,
     ) {
-        let all = of.iter().enumerate().map(|(index, who)| {
+        let all = of.iter().enumerate().map(|(index, target)| {
             let delay = Duration::from_secs_f64(gap_s * index as f64);
-            let done = what(*who);
+            let done = action(*target);
             async move {
                 sleep(delay).await;
                 done.await;
--- a/crates/aspendrum-testbed/src/system/steps/orders.rs
+++ b/crates/aspendrum-testbed/src/system/steps/orders.rs
@@ -1,27 +1,27 @@
-//! Steps that are orders of the operator: configurations, and evacuations of zones.
+//! Steps that are orders of the operator: configuration changes and evacuations.
 
 use super::{core, duration, ScenarioRun};
 use crate::system::configuration::{self, CONFIG_FAULTS};
 use crate::system::fleet::SERVICES;
 use crate::system::operator::OrderOutcome;
 use crate::system::probes::AddedRoute;
-use crate::system::scenario::{Step, What, Who};
+use crate::system::scenario::{Step, StepKind, Target};
 use aspendrum_checker::system::{ConfigVersion, Evacuation, RouteRule, TenantRule};
 use aspendrum_fake_services::lock;
 use std::time::Duration;
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// Orders that are under way at once.
+/// The maximum number of concurrent changes.
 const MAX_IN_FLIGHT: usize = 8;
 
-/// The once-only route goes to the other service.
+/// Moves the once-only route to the other service.
 fn move_once_only_route(version: &mut ConfigVersion) {
     let other = usize::from(version.routes[1].service == SERVICES[0]);
     version.routes[1].service = SERVICES[other].into();
 }
 
-/// Two routes, the second of them once-only, and two tenants.
+/// Returns a first version with two routes, the second of them once-only, and two tenants.
 fn first_version() -> ConfigVersion {
     let route = |service: usize, is_once_only| RouteRule {
         service: SERVICES[service].into(),
@@ -39,30 +39,30 @@
 }
 
 impl ScenarioRun {
-    /// An order of the operator, to the first control node of `of` first.
-    pub(super) async fn order(&self, step: &Step, of: &[Who]) {
+    /// Carries out an order of the operator, starting with the first control node of `of`.
+    pub(super) async fn order(&self, step: &Step, of: &[Target]) {
         let first = of.first().and_then(core).unwrap_or(0);
         match step.what {
-            What::Move => {
-                self.change(first, move_once_only_route).await;
+            StepKind::Move => {
+                self.send_change(first, move_once_only_route).await;
             }
-            What::TakeKey => {
-                self.change(first, |version| version.tenants[1].has_key = false)
+            StepKind::TakeKey => {
+                self.send_change(first, |version| version.tenants[1].has_key = false)
                     .await;
             }
-            What::GiveKey => {
-                self.change(first, |version| version.tenants[1].has_key = true)
+            StepKind::GiveKey => {
+                self.send_change(first, |version| version.tenants[1].has_key = true)
                     .await;
             }
-            What::Changes => self.send_changes(first, step).await,
-            What::InvalidChanges => self.send_invalid_changes(first, step).await,
-            What::Race => self.race(of, step).await,
-            What::Resend => self.resend(first, step.all).await,
-            What::Show => {
+            StepKind::Changes => self.send_changes(first, step).await,
+            StepKind::InvalidChanges => self.send_invalid_changes(first, step).await,
+            StepKind::Race => self.race(of, step).await,
+            StepKind::Resend => self.resend(first, step.all).await,
+            StepKind::Show => {
                 let wait = Duration::from_secs_f64(step.wait_s);
                 self.operator.shown_version(first, wait).await;
             }
-            What::Evacuate => {
+            StepKind::Evacuate => {
                 self.evacuate(first, &step.zone, true).await;
                 if step.for_s.is_some() {
                     sleep(duration(step)).await;
@@ -70,13 +70,14 @@
                 }
             }
             _ => {
-                let begins = step.what == What::Begin;
+                let begins = step.what == StepKind::Begin;
                 self.evacuate(first, &step.zone, begins).await;
             }
         }
     }
 
-    /// The next configuration, as the last one with that done to it. A number of its own, unless told otherwise.
+    /// Creates and logs the next version by applying a change to the last one. The version gets a new number unless `number` is
+    /// given.
     fn next_version(
         &self,
         number: Option<u32>,
@@ -85,7 +86,7 @@
         let mut log = lock(&self.log);
         let last = log.versions.last().cloned();
         let mut next = last.unwrap_or_else(first_version);
-        // Versions go up in steps that are not even.
+        // Version numbers need not be consecutive, so they increase by 2 or 3.
         let numbers = log.versions.iter().map(|version| version.number);
         let newest = numbers.max().unwrap_or(0);
         next.number = number.unwrap_or(newest + if newest % 2 == 0 { 3 } else { 2 });
@@ -96,8 +97,8 @@
         next
     }
 
-    /// Sends the next configuration, beginning at that machine of control.
-    pub async fn change(
+    /// Creates the next version and sends it, starting with control node `first`. Returns its number and the outcome.
+    pub async fn send_change(
         &self,
         first: usize,
         change: impl FnOnce(&mut ConfigVersion),
@@ -106,6 +107,7 @@
         (next.number, self.send(first, &next).await)
     }
 
+    /// Sends a version, and logs when it was acknowledged.
     async fn send(&self, first: usize, version: &ConfigVersion) -> OrderOutcome {
         let (number, text) = (version.number, &version.text);
         let outcome = self.operator.send_config(first, number, text).await;
@@ -119,14 +121,21 @@
         outcome
     }
 
-    /// Many changes, in their order, eight under way at most: each goes to another machine first.
+    /// Sends a number of changes, one every `gap_s` with a bounded number in flight, each starting with the next member.
     async fn send_changes(&self, first: usize, step: &Step) {
         let in_flight = Semaphore::new(MAX_IN_FLIGHT);
-        let changes = (0..step.count).map(|index| self.send_one_of(first, step, index, &in_flight));
+        let changes =
+            (0..step.count).map(|index| self.send_indexed_change(first, step, index, &in_flight));
         futures_util::future::join_all(changes).await;
     }
 
-    async fn send_one_of(&self, first: usize, step: &Step, index: usize, in_flight: &Semaphore) {
+    async fn send_indexed_change(
+        &self,
+        first: usize,
+        step: &Step,
+        index: usize,
+        in_flight: &Semaphore,
+    ) {
         sleep(Duration::from_secs_f64(step.gap_s * index as f64)).await;
         let Ok(_permit) = in_flight.acquire().await else {
             return;
@@ -137,14 +146,14 @@
         let (number, outcome) = if adds_route {
             self.add_route(first).await
         } else {
-            self.change(first, |_| {}).await
+            self.send_change(first, |_| {}).await
         };
         if !matches!(outcome, OrderOutcome::Acknowledged(_)) {
-            self.record_failure(&format!("the change {number:08x} was not acknowledged"));
+            self.record_failure(&format!("change {number:08x} was not acknowledged"));
         }
     }
 
-    /// A configuration with a further route, which proxies are probed for once it is acknowledged.
+    /// Sends a change that adds a route, and probes proxies for the route once it is acknowledged.
     async fn add_route(&self, first: usize) -> (u32, OrderOutcome) {
         let mut route = 0;
         let add = |version: &mut ConfigVersion| {
@@ -154,7 +163,7 @@
                 is_once_only: false,
             });
         };
-        let (number, outcome) = self.change(first, add).await;
+        let (number, outcome) = self.send_change(first, add).await;
         if let OrderOutcome::Acknowledged(acknowledged_at) = outcome {
             self.probes.add(AddedRoute {
                 route,
@@ -164,7 +173,7 @@
         (number, outcome)
     }
 
-    /// Invalid texts, each under a number that no valid one has.
+    /// Sends invalid texts. Each has the number that follows the last version.
     async fn send_invalid_changes(&self, first: usize, step: &Step) {
         for index in 0..step.count {
             let Some(mut version) = lock(&self.log).versions.last().cloned() else {
@@ -182,8 +191,8 @@
         }
     }
 
-    /// Two texts under one number: a route moves by the one, a key is taken away or given by the other.
-    async fn race(&self, of: &[Who], step: &Step) {
+    /// Sends two versions with the same number concurrently. Both move a route, and the second also toggles a tenant's key.
+    async fn race(&self, of: &[Target], step: &Step) {
         let cores: Vec<usize> = of.iter().filter_map(core).collect();
         for round in 0..step.count {
             let (one, other) = (cores[round % cores.len()], cores[(round + 1) % cores.len()]);
@@ -195,14 +204,14 @@
             let (a, b) = tokio::join!(self.send(one, &a), self.send(other, &b));
             if [a, b].contains(&OrderOutcome::Unclear) {
                 self.record_failure(&format!(
-                    "the race {round} ended without a clear answer: {a:?}, {b:?}"
+                    "race {round} ended without a definite response: {a:?}, {b:?}"
                 ));
             }
             sleep(Duration::from_secs_f64(step.gap_s)).await;
         }
     }
 
-    /// One after the other, all that was ever sent or the last alone, each until it is answered.
+    /// Sends all versions so far again, or only the last one, one after the other.
     async fn resend(&self, first: usize, all: bool) {
         let mut sent = lock(&self.log).versions.clone();
         sent.drain(..if all { 0 } else { sent.len().saturating_sub(1) });
@@ -211,6 +220,7 @@
         }
     }
 
+    /// Begins or finishes the evacuation of a zone, and logs the order.
     async fn evacuate(&self, first: usize, zone: &str, is_evacuated: bool) {
         let index = {
             let orders = &mut lock(&self.log).evacuations;
@@ -227,7 +237,7 @@
         let ended_at = self.now();
         if matches!(outcome, OrderOutcome::Unclear | OrderOutcome::Refused(_)) {
             self.record_failure(&format!(
-                "the evacuation of {zone}, begun {is_evacuated}: {outcome:?}"
+                "evacuation of {zone} (evacuated: {is_evacuated}) failed: {outcome:?}"
             ));
         }
         let order = &mut lock(&self.log).evacuations[index];
--- a/crates/aspendrum-testbed/src/system/steps/processes.rs
+++ b/crates/aspendrum-testbed/src/system/steps/processes.rs
@@ -1,7 +1,7 @@
-//! Steps that end, restart, signal or disturb processes, or the links between them.
+//! Steps that restart, signal or throttle processes, or disturb the links between them.
 
 use super::{core, duration, ScenarioRun};
-use crate::system::scenario::{Step, What, Who};
+use crate::system::scenario::{Step, StepKind, Target};
 use crate::system::slot::Slot;
 use crate::system::throttle::throttle;
 use aspendrum_checker::system::ProxyRestart;
@@ -10,54 +10,57 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A process that got SIGTERM has ended by then: the platform would kill it.
+/// How long a process may take to exit after SIGTERM before it is killed.
 const END_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two looks whether a process has ended.
+/// The interval between checks of whether a process has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ScenarioRun {
-    /// Processes end, and others come in their place.
-    pub(super) async fn restart(&self, step: &Step, of: &[Who]) {
-        if step.what != What::Term {
-            let until = self.end_of(step) + self.fleet.scenario.terms.contact;
+    /// Ends processes, and restarts or replaces them.
+    pub(super) async fn restart(&self, step: &Step, of: &[Target]) {
+        if step.what != StepKind::Term {
+            let until = self.end_time(step) + self.fleet.scenario.terms.contact;
             self.record_fault(of, until);
         }
         match step.what {
-            What::Replace => {
-                let replace = |who: Who| async move {
-                    if let Some(old) = core(&who) {
+            StepKind::Replace => {
+                let replace = |target: Target| async move {
+                    if let Some(old) = core(&target) {
                         self.replace(old, step).await;
                     }
                 };
-                self.each(of, step.gap_s, replace).await;
+                self.for_each_staggered(of, step.gap_s, replace).await;
+            }
+            StepKind::Term => {
+                self.for_each_staggered(of, step.gap_s, |target| self.term(target))
+                    .await
             }
-            What::Term => self.each(of, step.gap_s, |who| self.term(who)).await,
             _ => {
-                let wipes = step.what == What::Wipe;
-                let kill = |who| self.kill(who, wipes, duration(step));
-                self.each(of, step.gap_s, kill).await;
+                let wipes = step.what == StepKind::Wipe;
+                let kill = |target| self.kill(target, wipes, duration(step));
+                self.for_each_staggered(of, step.gap_s, kill).await;
             }
         }
     }
 
-    /// Processes or links are disturbed for a time.
-    pub(super) async fn disturb(&self, number: u32, step: &Step, of: &[Who], from: Vec<Who>) {
-        if step.what != What::Throttle {
-            self.record_fault(of, self.end_of(step));
+    /// Disturbs processes or links for the duration of the step.
+    pub(super) async fn disturb(&self, number: u32, step: &Step, of: &[Target], from: Vec<Target>) {
+        if step.what != StepKind::Throttle {
+            self.record_fault(of, self.end_time(step));
         }
         match step.what {
-            What::Freeze => {
+            StepKind::Freeze => {
                 self.signal(of, Signal::SIGSTOP).await;
                 sleep(duration(step)).await;
                 self.signal(of, Signal::SIGCONT).await;
             }
-            What::Throttle => {
+            StepKind::Throttle => {
                 let errors = throttle(&self.fleet, of, step.share, duration(step)).await;
                 errors.iter().for_each(|error| self.record_failure(error));
             }
-            What::Cut => {
+            StepKind::Cut => {
                 let from = if from.is_empty() {
-                    self.fleet.everyone()
+                    self.fleet.all_targets()
                 } else {
                     from
                 };
@@ -66,19 +69,21 @@
                 self.fleet.heal(of, &from, step.one_way, number);
             }
             _ => {
-                of.iter().for_each(|who| self.fleet.tamper(*who, step.how));
+                of.iter()
+                    .for_each(|target| self.fleet.tamper(*target, step.how));
                 sleep(duration(step)).await;
-                of.iter().for_each(|who| self.fleet.tamper(*who, None));
+                of.iter()
+                    .for_each(|target| self.fleet.tamper(*target, None));
             }
         }
     }
 
-    /// SIGHUP, with or without other seeds in the settings.
-    pub(super) async fn reload_settings(&self, step: &Step, of: &[Who]) {
-        if step.what == What::Seeds {
-            self.fleet.name_seeds(of.iter().filter_map(core).collect());
+    /// Sends SIGHUP, after changing the seeds in the settings if the step says so.
+    pub(super) async fn reload_settings(&self, step: &Step, of: &[Target]) {
+        if step.what == StepKind::Seeds {
+            self.fleet.set_seeds(of.iter().filter_map(core).collect());
             if let Err(e) = self.fleet.write_settings(false).await {
-                self.record_failure(&format!("the settings: {e}"));
+                self.record_failure(&format!("failed to write the settings: {e}"));
             }
             return self.reload().await;
         }
@@ -90,46 +95,48 @@
         }
     }
 
+    /// Stops a control node and starts a spare one after the duration of the step.
     async fn replace(&self, old: usize, step: &Step) {
         let Some(new) = self.fleet.replace(old, step.seeds) else {
-            return self.record_failure("there is no spare machine of control");
+            return self.record_failure("there is no spare control node left");
         };
         if step.killed {
             self.fleet.cores[old].lock().await.kill().await;
         } else {
-            self.stop(Who::Core(old), &self.fleet.cores[old]).await;
+            self.stop(Target::Core(old), &self.fleet.cores[old]).await;
         }
         sleep(duration(step)).await;
         if let Err(e) = self.fleet.write_settings(false).await {
-            self.record_failure(&format!("the settings: {e}"));
+            self.record_failure(&format!("failed to write the settings: {e}"));
         }
-        // Whoever starts now reads them as they are.
+        // The replacement reads the current settings when it starts.
         if step.seeds {
             self.reload().await;
         }
-        if let Err(e) = self.fleet.cores[new].lock().await.up() {
-            self.record_failure(&format!("core {new}: {e}"));
+        if let Err(e) = self.fleet.cores[new].lock().await.ensure_running() {
+            self.record_failure(&format!("failed to start control node {new}: {e}"));
         }
     }
 
-    /// SIGHUP to all.
+    /// Sends SIGHUP to all processes.
     async fn reload(&self) {
-        let mut all = self.fleet.everyone();
-        all.retain(|who| !matches!(who, Who::Origin(_)));
+        let mut all = self.fleet.all_targets();
+        all.retain(|target| !matches!(target, Target::Origin(_)));
         self.signal(&all, Signal::SIGHUP).await;
     }
 
-    /// A proxy's process ends, and another one will know nothing of what it has shown.
-    fn record_restart(&self, who: Who) {
-        if let Who::Edge(proxy) | Who::Proxy(proxy) = who {
+    /// Records the restart of a proxy, after which its state starts afresh.
+    fn record_restart(&self, target: Target) {
+        if let Target::Edge(proxy) | Target::Proxy(proxy) = target {
             let at = self.now();
             lock(&self.log).restarts.push(ProxyRestart { proxy, at });
         }
     }
 
-    async fn kill(&self, who: Who, wipes: bool, downtime: Duration) {
-        self.record_restart(who);
-        let slots = self.fleet.slots(who);
+    /// Kills the processes of a target and restarts them after the downtime, with empty disks if `wipes`.
+    async fn kill(&self, target: Target, wipes: bool, downtime: Duration) {
+        self.record_restart(target);
+        let slots = self.fleet.slots(target);
         for slot in &slots {
             slot.lock().await.kill().await;
         }
@@ -137,49 +144,53 @@
         for slot in slots {
             let mut slot = slot.lock().await;
             let wiped = if wipes { slot.wipe() } else { Ok(()) };
-            if let Err(e) = wiped.and_then(|()| slot.up()) {
-                self.record_failure(&format!("{who:?}: {e}"));
+            if let Err(e) = wiped.and_then(|()| slot.ensure_running()) {
+                self.record_failure(&format!("failed to restart {target:?}: {e}"));
             }
         }
     }
 
-    async fn term(&self, who: Who) {
-        self.record_restart(who);
-        for slot in self.fleet.slots(who) {
-            self.stop(who, slot).await;
-            if let Err(e) = slot.lock().await.up() {
-                self.record_failure(&format!("{who:?}: {e}"));
+    /// Terminates and restarts the processes of a target, one after the other.
+    async fn term(&self, target: Target) {
+        self.record_restart(target);
+        for slot in self.fleet.slots(target) {
+            self.stop(target, slot).await;
+            if let Err(e) = slot.lock().await.ensure_running() {
+                self.record_failure(&format!("failed to restart {target:?}: {e}"));
             }
         }
     }
 
-    /// SIGTERM, and its end waited for. It may be signalled, stopped and killed meanwhile.
-    async fn stop(&self, who: Who, slot: &tokio::sync::Mutex<Slot>) {
+    /// Sends SIGTERM to a process and waits until it exits; kills it after a timeout. Other steps may signal or kill the process
+    /// at the same time.
+    async fn stop(&self, target: Target, slot: &tokio::sync::Mutex<Slot>) {
         while slot.lock().await.is_loading() {
             sleep(POLL_INTERVAL).await;
         }
-        let (signalled, id) = {
+        let (signalled, pid) = {
             let slot = slot.lock().await;
-            (slot.signal(Signal::SIGTERM), slot.id())
+            (slot.signal(Signal::SIGTERM), slot.pid())
         };
         let deadline = tokio::time::Instant::now() + END_TIMEOUT;
         loop {
             let mut current = slot.lock().await;
-            // Another one may have waited for the same end, and have started it again.
-            let Some(process) = current.process.as_mut().filter(|p| Some(p.id()) == id) else {
+            // Another step may have seen the exit and restarted the process.
+            let Some(process) = current.process.as_mut().filter(|p| Some(p.id()) == pid) else {
                 return;
             };
             if let Some(status) = process.exit_status() {
                 current.process = None;
                 if !status.success() {
                     self.record_failure(&format!(
-                        "{who:?} did not end in order: {signalled:?} {status:?}"
+                        "{target:?} did not shut down cleanly: {signalled:?} {status:?}"
                     ));
                 }
                 return;
             }
             if tokio::time::Instant::now() >= deadline {
-                self.record_failure(&format!("{who:?} did not end: {signalled:?}"));
+                self.record_failure(&format!(
+                    "{target:?} did not exit after SIGTERM: {signalled:?}"
+                ));
                 return current.kill().await;
             }
             drop(current);
@@ -187,10 +198,11 @@
         }
     }
 
-    async fn signal(&self, of: &[Who], signal: Signal) {
-        for slot in of.iter().flat_map(|who| self.fleet.slots(*who)) {
+    /// Sends a signal to all processes of the targets.
+    async fn signal(&self, of: &[Target], signal: Signal) {
+        for slot in of.iter().flat_map(|target| self.fleet.slots(*target)) {
             if let Err(e) = slot.lock().await.signal(signal) {
-                self.record_failure(&format!("{signal}: {e}"));
+                self.record_failure(&format!("failed to send {signal}: {e}"));
             }
         }
     }
--- a/crates/aspendrum-testbed/src/system/tamper.rs
+++ b/crates/aspendrum-testbed/src/system/tamper.rs
@@ -1,5 +1,5 @@
-//! A relay between two processes of the system on which updates go wrong: configurations are dropped, delayed, reordered or
-//! corrupted, while every other message passes.
+//! A relay between two processes of the system that drops, delays, reorders or corrupts configurations, and forwards every
+//! other message unchanged.
 
 use aspendrum_fake_services::lock;
 use aspendrum_model::compression::{compress, decompress};
@@ -17,31 +17,31 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-/// What is done to configurations.
+/// How configurations are tampered with.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Tampering {
-    /// They are lost.
+    /// Configurations are dropped.
     Drop,
-    /// They arrive [`DELAY`] later.
+    /// Configurations are delayed by [`DELAY`].
     Delay,
-    /// One arrives after the next one.
+    /// A configuration is forwarded after the next one.
     Reorder,
-    /// Two services change places in them, under the same version and checksum.
+    /// Two services are swapped in configurations, without a change of version or checksum.
     #[serde(rename = "torn")]
     Corrupt,
 }
 
-/// How long configurations are delayed.
+/// The delay of configurations under [`Tampering::Delay`].
 pub const DELAY: Duration = Duration::from_secs(20);
-/// Messages that may wait for the receiver.
+/// The maximum number of messages queued for the receiver.
 const QUEUE_CAPACITY: usize = 256;
 const LENGTH_BYTES: usize = 4;
 
-/// What is done at present.
+/// The tampering in effect, shared by all connections of a relay.
 type SharedTampering = Arc<Mutex<Option<Tampering>>>;
 
-/// A relay that can tamper. It ends when it is dropped.
+/// A relay that can tamper with configurations. It stops accepting connections when it is dropped.
 pub struct TamperingRelay {
     address: SocketAddr,
     tampering: SharedTampering,
@@ -55,11 +55,11 @@
 }
 
 impl TamperingRelay {
-    /// Listens at a free port of that address, and leads to the destination, whose messages it can tamper with. `services`:
-    /// the two that change places in a corrupt configuration.
+    /// Listens on a free port of an address and relays connections to the destination, whose messages can be tampered with.
+    /// `services` are the two services that are swapped in corrupted configurations.
     ///
     /// # Errors
-    /// No port is free.
+    /// Returns the error of binding the listener.
     pub async fn start(
         ip: IpAddr,
         destination: SocketAddr,
@@ -72,7 +72,12 @@
         let accept = async move {
             loop {
                 if let Ok((near, _)) = listener.accept().await {
-                    tokio::spawn(carry(near, destination, shared.clone(), services));
+                    tokio::spawn(relay_connection(
+                        near,
+                        destination,
+                        shared.clone(),
+                        services,
+                    ));
                 }
             }
         };
@@ -84,18 +89,18 @@
         })
     }
 
-    /// Where to connect instead of the destination.
+    /// Returns the address to connect to in place of the destination.
     pub fn addr(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what is done from now on; `None`: nothing.
-    pub fn set(&self, tampering: Option<Tampering>) {
+    /// Sets how configurations are tampered with; `None` forwards them unchanged.
+    pub fn set_tampering(&self, tampering: Option<Tampering>) {
         *lock(&self.tampering) = tampering;
     }
 }
 
-async fn carry(
+async fn relay_connection(
     near: TcpStream,
     destination: SocketAddr,
     tampering: SharedTampering,
@@ -117,7 +122,7 @@
         tampering,
         services,
     };
-    // The end of either direction is the end of both.
+    // When either direction ends, the connection is closed in both.
     tokio::select! {
         _ = tokio::io::copy(&mut near_in, &mut far_out) => {}
         _ = read_frames(far_in, frames) => {}
@@ -138,15 +143,16 @@
     }
 }
 
-/// The direction that is tampered with.
+/// Forwards the messages of the destination, and tampers with configurations among them.
 struct TamperingWriter {
     to: OwnedWriteHalf,
-    /// What has arrived.
+    /// Frames received from the destination.
     received: mpsc::Receiver<Vec<u8>>,
-    /// Delayed frames whose time has come.
+    /// Delayed frames that are due.
     due: mpsc::Receiver<Vec<u8>>,
+    /// Sends delayed frames back once they are due.
     delayed: mpsc::Sender<Vec<u8>>,
-    /// A frame that is written after the next configuration.
+    /// A frame that is forwarded after the next configuration.
     reordered: Option<Vec<u8>>,
     tampering: SharedTampering,
     services: [&'static str; 2],
@@ -214,7 +220,7 @@
     )
 }
 
-/// The update with the two services in each other's place.
+/// Returns the update with the two services swapped.
 fn corrupt(update: FromControl, [one, other]: [&str; 2]) -> FromControl {
     let FromControl::Update { number, section } = update else {
         return update;
--- a/crates/aspendrum-testbed/src/system/throttle.rs
+++ b/crates/aspendrum-testbed/src/system/throttle.rs
@@ -1,21 +1,29 @@
-//! Processes with little processor time: each is stopped for a part of every tenth of a second, as by a quota that is spent.
+//! Throttles the processor time of processes by stopping each for a part of every period, as an exhausted CPU quota does.
 
 use super::fleet::Fleet;
-use super::scenario::Who;
+use super::scenario::Target;
 use super::slot::Slot;
 use nix::sys::signal::Signal;
 use std::time::Duration;
 use tokio::sync::Mutex;
 use tokio::time::{sleep, Instant};
 
-/// A quota is given anew after so long.
+/// The period of the CPU quota.
 const PERIOD: Duration = Duration::from_millis(100);
 
-/// Lets the processes of these run for that share of each period, until the time is over. They begin their periods one after
-/// the other. Returns the errors of signals that could not be sent.
-pub async fn throttle(fleet: &Fleet, of: &[Who], share: f64, lasts: Duration) -> Vec<String> {
-    let slots: Vec<&Mutex<Slot>> = of.iter().flat_map(|who| fleet.slots(*who)).collect();
-    let until = Instant::now() + lasts;
+/// Limits the processes of the given targets to a share of each period, for the given duration. The periods of the processes
+/// are staggered. Returns the errors of signals that could not be sent.
+pub async fn throttle(
+    fleet: &Fleet,
+    targets: &[Target],
+    share: f64,
+    duration: Duration,
+) -> Vec<String> {
+    let slots: Vec<&Mutex<Slot>> = targets
+        .iter()
+        .flat_map(|target| fleet.slots(*target))
+        .collect();
+    let until = Instant::now() + duration;
     let count = slots.len().max(1) as f64;
     let all = slots.into_iter().enumerate().map(|(n, slot)| async move {
         sleep(PERIOD.mul_f64(n as f64 / count)).await;
@@ -34,5 +42,5 @@
 
 async fn signal(slot: &Mutex<Slot>, signal: Signal) -> Option<String> {
     let sent = slot.lock().await.signal(signal);
-    sent.err().map(|e| format!("{signal}: {e}"))
+    sent.err().map(|e| format!("failed to send {signal}: {e}"))
 }
--- a/crates/aspendrum-testbed/src/system/traffic.rs
+++ b/crates/aspendrum-testbed/src/system/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic of a run: requests at an even pace, drawn from the scenario's seed.
+//! The traffic of a run: requests at a constant rate, generated from the scenario's seed.
 
 use super::client_exchange::{Disconnect, RequestPlan, DISCONNECT_MANNERS};
 use super::clients::Clients;
@@ -10,10 +10,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// Of all requests, those that may run once only.
+/// The share of once-only requests.
 const ONCE_ONLY_SHARE: f64 = 0.4;
 
-/// Sends the traffic of a scenario that began at `start`. Returns the requests that are still under way at its end.
+/// Sends the traffic of a scenario that began at `start`. Returns the requests that are still in flight at its end.
 pub(super) async fn send(s: &Scenario, clients: &Arc<Clients>, start: Instant) -> JoinSet<()> {
     let mut rng = SmallRng::seed_from_u64(s.seed);
     let mut requests = JoinSet::new();
@@ -41,14 +41,14 @@
     }
 }
 
-/// What a client does beside its request.
+/// Draws how the client uses its connection; the route, tenant and zone are set by the caller.
 fn draw_habits(rng: &mut SmallRng, habits: &Habits) -> RequestPlan {
     let keeps_connection = rng.random();
     let ignores_lookups = rng.random::<f64>() < habits.stubborn;
-    let mut is = |share: f64| share > 0.0 && rng.random::<f64>() < share;
-    let reuses_any_connection = is(habits.faithful);
-    let is_pipelined = is(habits.ahead);
-    let disconnects = is(habits.leave);
+    let mut draw = |share: f64| share > 0.0 && rng.random::<f64>() < share;
+    let reuses_any_connection = draw(habits.faithful);
+    let is_pipelined = draw(habits.ahead);
+    let disconnects = draw(habits.leave);
     RequestPlan {
         keeps_connection,
         ignores_lookups,
--- a/crates/aspendrum-testbed/src/system/usage.rs
+++ b/crates/aspendrum-testbed/src/system/usage.rs
@@ -1,26 +1,26 @@
-//! What the processes of a run have used: processor time, memory, and bytes from control to agents.
+//! Resource usage of the processes of a run: processor time, memory, and bytes sent from control nodes to agents.
 
 use super::fleet::Fleet;
 use super::slot::Slot;
 use tokio::sync::Mutex;
 
-/// What was used by a time.
+/// Cumulative resource usage at one time, or the difference between two.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Processor time of all control nodes, in seconds.
     pub control_cpu_s: f64,
-    /// Of all agents.
+    /// Processor time of all agents, in seconds.
     pub agents_cpu_s: f64,
-    /// Of all proxies.
+    /// Processor time of all proxies, in seconds.
     pub proxies_cpu_s: f64,
-    /// The most resident memory that one control node has had, in KiB.
+    /// The peak resident memory of any control node, in KiB.
     pub control_peak_kb: u64,
-    /// Bytes that control nodes have sent to agents.
+    /// The number of bytes that control nodes have sent to agents.
     pub bytes_to_agents: u64,
 }
 
 impl Usage {
-    /// What the processes that run now have used since their start.
+    /// Returns the usage of the running processes since their start.
     pub async fn of(fleet: &Fleet) -> Usage {
         let mut usage = Usage {
             control_cpu_s: cpu_s(&fleet.cores).await,
@@ -37,7 +37,7 @@
         usage
     }
 
-    /// What was used after `earlier`; the peak of memory is of the whole life.
+    /// Returns the usage since `earlier`. Peak memory is that since the start of the processes.
     pub fn since(&self, earlier: &Usage) -> Usage {
         Usage {
             control_cpu_s: self.control_cpu_s - earlier.control_cpu_s,
@@ -50,14 +50,14 @@
 }
 
 async fn cpu_s(slots: &[Mutex<Slot>]) -> f64 {
-    let mut all = 0.0;
+    let mut total = 0.0;
     for slot in slots {
         let slot = slot.lock().await;
-        all += slot
+        total += slot
             .process
             .as_ref()
             .and_then(|p| p.cpu_seconds())
             .unwrap_or(0.0);
     }
-    all
+    total
 }
--- a/crates/aspendrum-testbed/tests/client_requests.rs
+++ b/crates/aspendrum-testbed/tests/client_requests.rs
@@ -1,12 +1,13 @@
-//! What the testbed's clients send, by the names of the protocol: a header under another name tests nothing.
+//! Tests that the testbed's clients send the header names of the protocol, since proxies ignore unknown headers.
 
 use aspendrum_testbed::system::client_exchange::{request_text, RequestPlan};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Danger: after a renaming the clients sent `Budget-Millis`, which no proxy reads, and no proxy knew when they give up.
+/// Guards against renamed headers: clients once sent `Budget-Millis`, which proxies ignore, so no proxy knew the clients'
+/// deadlines.
 #[test]
-fn a_request_bears_the_headers_of_the_protocol() {
+fn a_request_has_the_headers_of_the_protocol() {
     let until = Instant::now() + Duration::from_secs(2);
     let text = request_text(0xab, RequestPlan::simple(0), until);
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
