--- a/crates/aspendrum-testbed/tests/configuration.rs
+++ b/crates/aspendrum-testbed/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The texts that the testbed's operator sends: valid ones are read with all their routes, and each fault is refused.
+//! Tests that the operator's valid configuration texts are parsed with all routes, and that each fault is rejected.
 
 use aspendrum_checker::system::{ConfigVersion, RouteRule, TenantRule};
 use aspendrum_model::config::{Config, ConfigError};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_valid_text_holds_all_routes() {
+fn a_valid_text_is_parsed_with_all_routes() {
     let config = Config::read(text(&scenario(), &version()).as_bytes()).unwrap();
     assert_eq!((config.version, config.routes.len()), (9, 603));
     let route = |number| config.route("a.example", &format!("{}x", path(number)));
@@ -39,30 +39,30 @@
 }
 
 #[test]
-fn each_fault_is_refused_for_what_it_is() {
-    let refused =
+fn each_fault_is_rejected_with_its_own_error() {
+    let error_of =
         |fault| Config::read(invalid_text(&scenario(), &version(), fault).as_bytes()).unwrap_err();
-    let cut_short = refused(ConfigFault::CutShort);
+    let cut_short = error_of(ConfigFault::CutShort);
     assert!(matches!(cut_short, ConfigError::Unreadable(_)));
-    // The place where it ends.
+    // The error states where the text ends.
     assert!(cut_short.to_string().contains("line 1 column"));
     assert_eq!(
-        refused(ConfigFault::UnknownService),
+        error_of(ConfigFault::UnknownService),
         ConfigError::UnknownService {
             route: "r-0".into(),
             service: "nowhere".into()
         }
     );
     assert_eq!(
-        refused(ConfigFault::DuplicateRoute),
+        error_of(ConfigFault::DuplicateRoute),
         ConfigError::DuplicateRoute {
             host: "a.example".into(),
             prefix: path(0)
         }
     );
     assert_eq!(
-        refused(ConfigFault::NoAttempts),
+        error_of(ConfigFault::NoAttempts),
         ConfigError::NoAttempts("r-0".into())
     );
-    assert_eq!(refused(ConfigFault::SharedKey), ConfigError::SharedKey);
+    assert_eq!(error_of(ConfigFault::SharedKey), ConfigError::SharedKey);
 }
--- a/crates/aspendrum-testbed/tests/operator.rs
+++ b/crates/aspendrum-testbed/tests/operator.rs
@@ -1,11 +1,11 @@
-//! The operator of the testbed: what ends an order, by the protocol.
+//! Tests which responses end an order of the testbed's operator, and the validation of scenario steps.
 
 use aspendrum_testbed::system::error::ScenarioError;
 use aspendrum_testbed::system::operator::{next_step, OrderStep};
 use aspendrum_testbed::system::scenario::Scenario;
 
 #[test]
-fn an_answer_ends_an_order_as_the_protocol_says() {
+fn a_response_ends_an_order_as_the_protocol_defines() {
     let once = |status| next_step(status, &mut 0);
     for status in [200, 204] {
         assert_eq!(once(Some(status)), OrderStep::Acknowledged);
@@ -38,36 +38,36 @@
 }
 
 #[test]
-fn a_scenario_that_names_nobody_is_refused() {
+fn a_scenario_with_invalid_targets_is_rejected() {
     assert!(scenario("{ at_s = 0.0, what = \"replace\", of = \"core 0\" }").is_ok());
     assert!(
         scenario("{ at_s = 0.0, what = \"kill\", of = \"core 3\" }").is_ok(),
-        "a spare one"
+        "a step may target a spare"
     );
     for (steps, why) in [
         (
             "{ at_s = 0.0, what = \"replace\", of = \"core 0-1\" }",
-            "1 spares",
+            "only 1 spares",
         ),
         (
             "{ at_s = 0.0, what = \"replace\", of = \"edge 0\" }",
-            "machines of control",
+            "control nodes only",
         ),
         (
             "{ at_s = 0.0, what = \"race\", of = \"origin 0\" }",
-            "machines of control",
+            "control nodes only",
         ),
-        ("{ at_s = 0.0, what = \"race\" }", "machines of control"),
+        ("{ at_s = 0.0, what = \"race\" }", "control nodes only"),
         (
             "{ at_s = 0.0, what = \"kill\", of = \"core 4\" }",
-            "names nobody",
+            "matches no machine",
         ),
         (
             "{ at_s = 0.0, what = \"cut\", of = \"core 0\", form = \"loud\" }",
             "form",
         ),
     ] {
-        let said = scenario(steps).unwrap_err().to_string();
-        assert!(said.contains(why), "{steps}: {said}");
+        let error = scenario(steps).unwrap_err().to_string();
+        assert!(error.contains(why), "{steps}: {error}");
     }
 }
--- a/crates/aspendrum-testbed/tests/soak.rs
+++ b/crates/aspendrum-testbed/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short soak: drawn troubles, several at a time, over the whole system as processes. More seeds by hand:
-//! `aspendrum-testbed soak`.
+//! A short soak of the whole system as processes, with several concurrent faults generated from seeds. Run
+//! `aspendrum-testbed soak` for more seeds.
 
 use aspendrum_testbed::system::soak::{draw, draw_storm, soak, Size, SoakKind};
 
@@ -10,19 +10,19 @@
 };
 
 #[test]
-fn drawn_troubles_break_nothing() {
-    play_in_two_lanes(SoakKind::Faults, [1..=2, 3..=4]);
+fn generated_faults_break_no_rule() {
+    play_in_two_threads(SoakKind::Faults, [1..=2, 3..=4]);
 }
 
-/// Danger: storms of configurations on processes with little processor time: a change is not in force in time or goes back,
-/// proper requests are refused by old tables, and requests end without an answer.
+/// Guards against failures of configuration storms on throttled processes: changes that take effect too late or are reverted,
+/// valid requests that are rejected by outdated tables, and requests that end without a response.
 #[test]
-fn drawn_configuration_storms_break_nothing() {
-    play_in_two_lanes(SoakKind::Storms, [1..=1, 2..=2]);
+fn generated_configuration_storms_break_no_rule() {
+    play_in_two_threads(SoakKind::Storms, [1..=1, 2..=2]);
 }
 
-/// Two side by side: more would wait for each other's processors.
-fn play_in_two_lanes(kind: SoakKind, seeds: [std::ops::RangeInclusive<u64>; 2]) {
+/// Plays two runs concurrently; more would compete for processors.
+fn play_in_two_threads(kind: SoakKind, seeds: [std::ops::RangeInclusive<u64>; 2]) {
     let folder = tempfile::tempdir().unwrap();
     let play = |seeds: std::ops::RangeInclusive<u64>| {
         let folder = folder.path().join(format!("{}", seeds.start()));
@@ -32,17 +32,17 @@
                 .collect::<Vec<_>>()
         }
     };
-    let lanes = seeds.map(|seeds| std::thread::spawn(play(seeds)));
-    let played: Vec<(String, bool)> = lanes
+    let threads = seeds.map(|seeds| std::thread::spawn(play(seeds)));
+    let played: Vec<(String, bool)> = threads
         .into_iter()
-        .flat_map(|lane| lane.join().unwrap())
+        .flat_map(|thread| thread.join().unwrap())
         .collect();
     played.iter().for_each(|(line, _)| println!("{line}"));
-    assert!(played.iter().all(|(_, kept)| *kept), "{played:#?}");
+    assert!(played.iter().all(|(_, passed)| *passed), "{played:#?}");
 }
 
 #[test]
-fn the_same_seed_draws_the_same_troubles() {
+fn the_same_seed_generates_the_same_valid_steps() {
     for draw in [draw, draw_storm] {
         let text = |seed| format!("{:?}", draw(seed, SIZE));
         assert_eq!(text(7), text(7));
@@ -51,7 +51,7 @@
             let scenario = draw(seed, SIZE);
             for step in &scenario.steps {
                 assert!(
-                    scenario.who(&step.of).is_ok() && scenario.who(&step.from).is_ok(),
+                    scenario.targets(&step.of).is_ok() && scenario.targets(&step.from).is_ok(),
                     "{step:?}"
                 );
                 assert!(
