--- a/crates/aspendrum-testbed/src/days.rs
+++ b/crates/aspendrum-testbed/src/days.rs
@@ -1,5 +1,5 @@
-//! Days of our own for the users' bench: the files of the directory `days`, each of which says in its comments what it aims
-//! at and on which sites and with which seeds it is played; and days drawn from a seed.
+//! Days for the users' bench: the files of the directory `days`, whose leading comments state the purpose of a day and the
+//! sites and seeds with which it is played, and days generated from a seed.
 
 mod day;
 mod error;
--- a/crates/aspendrum-testbed/src/days/day.rs
+++ b/crates/aspendrum-testbed/src/days/day.rs
@@ -1,14 +1,14 @@
-//! The files of days.
+//! Reads day files.
 
 use super::error::DaysError;
 use std::path::{Path, PathBuf};
 
-/// A day: what it aims at and where it is played, by the comments at its beginning.
+/// A day's purpose, sites and seeds, read from the comments at the start of its file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Day {
-    /// Its name, and that of its file.
+    /// The name of the day, which is also the name of its file without the extension.
     pub name: String,
-    /// What it aims at.
+    /// The purpose of the day.
     pub about: String,
     /// The sites on which it is played.
     pub sites: Vec<String>,
@@ -17,11 +17,11 @@
 }
 
 impl Day {
-    /// Reads a day. The comments `# sites: NAME ...` and `# seeds: NUMBER ...` say where it is played, all other comments at
-    /// its beginning what it aims at.
+    /// Parses a day. The leading comments `# sites: NAME ...` and `# seeds: NUMBER ...` list sites and seeds; all other leading
+    /// comments describe the purpose.
     ///
     /// # Errors
-    /// [`DaysError`] if any of them is missing, or the day is invalid.
+    /// [`DaysError`] if any of these comments is missing, or the day is invalid.
     pub fn read(name: &str, text: &str) -> Result<Day, DaysError> {
         let (mut about, mut sites, mut seeds) = (Vec::new(), Vec::new(), Vec::new());
         let comments = text.lines().map_while(|line| line.strip_prefix('#'));
@@ -38,7 +38,7 @@
         if about.is_empty() || sites.is_empty() || seeds.is_empty() {
             return Err(DaysError::IncompleteComments { day });
         }
-        check_name(name, text)?;
+        validate_name(name, text)?;
         Ok(Day {
             name: day,
             about: about.join(" "),
@@ -59,7 +59,8 @@
     numbers.split_whitespace().map(parse).collect()
 }
 
-fn check_name(name: &str, text: &str) -> Result<(), DaysError> {
+/// Checks that the text is TOML and that its `name` is the given one.
+fn validate_name(name: &str, text: &str) -> Result<(), DaysError> {
     let day = name.to_string();
     let table: toml::Table = match toml::from_str(text) {
         Ok(table) => table,
@@ -68,19 +69,19 @@
     if table.get("name").and_then(toml::Value::as_str) == Some(name) {
         Ok(())
     } else {
-        Err(DaysError::OtherName { day })
+        Err(DaysError::NameMismatch { day })
     }
 }
 
-/// Where the days of the testbed are.
+/// Returns the directory of the testbed's days.
 pub fn days_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("days")
 }
 
-/// All days of the testbed, by name.
+/// Reads all days of the testbed, sorted by name.
 ///
 /// # Errors
-/// [`DaysError`] if one cannot be read.
+/// [`DaysError`] if a day cannot be read or is invalid.
 pub fn all_days() -> Result<Vec<Day>, DaysError> {
     let directory = days_dir();
     let mut days = Vec::new();
--- a/crates/aspendrum-testbed/src/days/play.rs
+++ b/crates/aspendrum-testbed/src/days/play.rs
@@ -1,4 +1,4 @@
-//! Days played on the users' bench, and a table of what became of them.
+//! Plays days on the users' bench and prints a table of the results.
 
 use super::day::{all_days, days_dir};
 use super::error::DaysError;
@@ -15,23 +15,23 @@
 /// How days are played.
 #[derive(Clone, Debug)]
 pub struct PlayOptions {
-    /// The bench's program. It runs in the present directory, which must be a checkout's root.
+    /// The bench's executable. It runs in the current directory, which must be the root of a checkout.
     pub bench: PathBuf,
     /// The directories with site files.
     pub site_dirs: Vec<PathBuf>,
-    /// The names of days; empty: all.
+    /// The names of the days to play; all days if empty.
     pub days: Vec<String>,
-    /// The names of sites; empty: all that a day is meant for.
+    /// The names of the sites to play on; all sites of each day if empty.
     pub only_sites: Vec<String>,
     /// Whether each day is played with its first seed only.
     pub first_seed_only: bool,
-    /// The cores that one play may use.
+    /// The number of cores that one play may use; the bench's default if `None`.
     pub jobs: Option<usize>,
-    /// How many plays go on at once.
+    /// The number of concurrent plays.
     pub parallel_plays: usize,
-    /// Drawn days are storms of configurations under faults of control.
+    /// Whether generated days are configuration storms with faults of control nodes.
     pub storms: bool,
-    /// Where the bench's output and reports go.
+    /// The directory for the bench's output and reports.
     pub out: PathBuf,
 }
 
@@ -41,14 +41,14 @@
     file: PathBuf,
     site: String,
     seed: u64,
-    /// Why it is played, for the bench's journal.
-    why: String,
+    /// The reason for the play, for the bench's journal.
+    reason: String,
 }
 
-/// Plays days of the testbed, and prints a line for each. Returns whether all was well.
+/// Plays days of the testbed and prints a table row for each play. Returns whether all plays passed.
 ///
 /// # Errors
-/// [`DaysError`] if a day cannot be played.
+/// [`DaysError`] if a day cannot be read or played.
 pub fn play_days(options: &PlayOptions) -> Result<bool, DaysError> {
     let mut days = all_days()?;
     let is_unknown = |name: &&String| days.iter().all(|day| day.name != **name);
@@ -59,7 +59,7 @@
         });
     }
     days.retain(|day| options.days.is_empty() || options.days.contains(&day.name));
-    let is_meant =
+    let is_selected =
         |site: &&String| options.only_sites.is_empty() || options.only_sites.contains(site);
     let max_seeds = if options.first_seed_only {
         1
@@ -68,20 +68,20 @@
     };
     let mut plays = Vec::new();
     for day in &days {
-        for site in day.sites.iter().filter(is_meant) {
+        for site in day.sites.iter().filter(is_selected) {
             plays.extend(day.seeds.iter().take(max_seeds).map(|seed| Play {
                 day: day.name.clone(),
                 file: days_dir().join(format!("{}.toml", day.name)),
                 site: site.clone(),
                 seed: *seed,
-                why: format!("own day {}", day.name),
+                reason: format!("own day {}", day.name),
             }));
         }
     }
     play_all(options, plays)
 }
 
-/// Plays the days drawn from these seeds, each on one of the sites in turn. Returns whether all was well.
+/// Plays the days generated from the given seeds, each on one of the sites in turn. Returns whether all plays passed.
 ///
 /// # Errors
 /// [`DaysError`] if a day cannot be played, or no site is named.
@@ -110,49 +110,51 @@
             drawn::draw_day(&day, seed, &contracts)
         };
         std::fs::write(&file, text).map_err(DaysError::io(&options.out))?;
-        let why = format!("day drawn from seed {seed}");
+        let reason = format!("day drawn from seed {seed}");
         plays.push(Play {
             day,
             file,
             site,
             seed,
-            why,
+            reason,
         });
     }
     play_all(options, plays)
 }
 
+/// Plays all given plays on a number of threads. Returns whether all passed.
 fn play_all(options: &PlayOptions, plays: Vec<Play>) -> Result<bool, DaysError> {
     std::fs::create_dir_all(&options.out).map_err(DaysError::io(&options.out))?;
     println!("{TABLE_HEAD}");
     let queue = Mutex::new(plays.into_iter());
     let next = || queue.lock().unwrap_or_else(PoisonError::into_inner).next();
     let play_queued = || -> Result<bool, DaysError> {
-        let mut all_good = true;
+        let mut all_passed = true;
         while let Some(play) = next() {
             let row = play_one(options, &play)?;
-            all_good &= row.is_good;
+            all_passed &= row.passed;
             println!("{}", row.text);
         }
-        Ok(all_good)
+        Ok(all_passed)
     };
     std::thread::scope(|scope| {
         let threads = 0..options.parallel_plays.max(1);
         let threads: Vec<_> = threads.map(|_| scope.spawn(play_queued)).collect();
-        let mut all_good = true;
+        let mut all_passed = true;
         for thread in threads {
-            all_good &= thread.join().unwrap_or(Err(DaysError::PlayPanicked))?;
+            all_passed &= thread.join().unwrap_or(Err(DaysError::PlayPanicked))?;
         }
-        Ok(all_good)
+        Ok(all_passed)
     })
 }
 
-/// A line of the table.
+/// A row of the table, and whether the play passed.
 struct Row {
     text: String,
-    is_good: bool,
+    passed: bool,
 }
 
+/// Returns the file of a site from the first directory that has it.
 fn site_file(options: &PlayOptions, site: &str) -> Result<PathBuf, DaysError> {
     let mut files = options
         .site_dirs
@@ -164,7 +166,7 @@
     })
 }
 
-/// The contracts that are in force on a site.
+/// Reads the contracts that are in force on a site.
 fn contracts_of(site: &Path) -> Result<Vec<String>, DaysError> {
     let path = site.to_path_buf();
     let text = std::fs::read_to_string(site).map_err(DaysError::io(site))?;
@@ -181,6 +183,7 @@
         .collect())
 }
 
+/// Plays one day with the bench and reads its report.
 fn play_one(options: &PlayOptions, play: &Play) -> Result<Row, DaysError> {
     let Play {
         day, site, seed, ..
@@ -202,9 +205,13 @@
     };
     let (score, served) = (figure("G"), figure("served"));
     let text = format!("| {day} | {site} | {seed} | {score} | {served} | {text} |");
-    Ok(Row { text, is_good })
+    Ok(Row {
+        text,
+        passed: is_good,
+    })
 }
 
+/// Runs the bench for one play. Its output and its report are written to the given files.
 fn run_bench(
     options: &PlayOptions,
     play: &Play,
@@ -216,7 +223,7 @@
         .arg("run")
         .arg(site_file(options, &play.site)?)
         .arg(&play.file);
-    command.args(["--seed", &play.seed.to_string(), "--why", &play.why]);
+    command.args(["--seed", &play.seed.to_string(), "--why", &play.reason]);
     command.arg("--report").arg(report);
     if let Some(jobs) = options.jobs {
         command.args(["--jobs", &jobs.to_string()]);
--- a/crates/aspendrum-testbed/src/days/verdict.rs
+++ b/crates/aspendrum-testbed/src/days/verdict.rs
@@ -1,41 +1,42 @@
-//! What a report of the bench says.
+//! Evaluates reports of the bench.
 
 use serde_json::Value;
 use std::fmt::Write;
 
-/// What a report of the bench says of a day.
+/// The result of a play according to the bench's report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BenchVerdict {
-    /// What was wrong, in words.
+    /// A description of all problems, or `none`.
     pub text: String,
-    /// Whether nothing was.
+    /// Whether there were no problems.
     pub is_good: bool,
 }
 
-/// What a report says was wrong: broken rules, faults of processes, and missed gates.
+/// Returns the verdict of a report: broken rules, faults of processes, and missed gates. An incomplete report counts as a
+/// failure.
 pub fn verdict(report: &Value) -> BenchVerdict {
     let (breaks, short) = (&report["breaks"], &report["short"]);
     if !breaks.is_object() || !short.is_array() || report.get("fault").is_none() {
-        let text = "a report that says nothing of rules, faults or the gate".into();
+        let text = "the report lacks the broken rules, the fault or the missed gates".into();
         return BenchVerdict {
             text,
             is_good: false,
         };
     }
-    let mut wrong = String::new();
+    let mut problems = String::new();
     for (rule, count) in breaks.as_object().into_iter().flatten() {
-        // Writing to memory does not fail, here and below.
-        let _ = write!(wrong, "{rule} {count}; ");
+        // Writing to a string cannot fail, here and below.
+        let _ = write!(problems, "{rule} {count}; ");
     }
     if !report["fault"].is_null() {
-        let _ = write!(wrong, "fault: {}; ", report["fault"]);
+        let _ = write!(problems, "fault: {}; ", report["fault"]);
     }
     for gate in short.as_array().into_iter().flatten() {
-        let _ = write!(wrong, "gate: {gate}; ");
+        let _ = write!(problems, "gate: {gate}; ");
     }
-    match wrong.strip_suffix("; ") {
-        Some(wrong) => BenchVerdict {
-            text: wrong.into(),
+    match problems.strip_suffix("; ") {
+        Some(problems) => BenchVerdict {
+            text: problems.into(),
             is_good: false,
         },
         None => BenchVerdict {
--- a/crates/aspendrum-testbed/src/drawn.rs
+++ b/crates/aspendrum-testbed/src/drawn.rs
@@ -1,23 +1,25 @@
-//! Days for the users' bench, drawn from a seed: any kind of fault at any time, several at once and repeatedly, with few or
-//! hundreds of configuration changes, and a closing fault of each kind. The same seed draws the same day on the same site.
+//! Generates days for the users' bench from a seed: faults of any kind at any time, concurrent and repeated, with few or
+//! hundreds of configuration changes, and usually a closing fault. The same seed always generates the same day for the same
+//! contracts.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::fmt::Write;
 
-/// A kind of entry and the values of its fields, in the words of the bench's `kinds`.
+/// A kind of day entry, with the possible values of its fields in the syntax of the bench's `kinds`.
 struct EntryKind {
     name: &'static str,
-    /// Whether it is planned work; else it is a fault.
+    /// Whether the entry is planned work rather than a fault.
     is_planned: bool,
     /// The contract that must be in force on the site.
     contract: &'static str,
-    /// How often it is drawn, relative to the others.
+    /// The relative frequency of the kind.
     weight: u32,
-    /// For each field the texts that it is drawn from.
+    /// For each field, the alternatives to choose from. An alternative may set several fields, or none.
     fields: &'static [&'static [&'static str]],
 }
 
+/// Returns a kind that needs no contract beyond the base.
 const fn kind(
     name: &'static str,
     is_planned: bool,
@@ -33,11 +35,12 @@
     }
 }
 
-/// A kind for sites with that contract only.
+/// Restricts a kind to sites with the given contract.
 const fn with_contract(contract: &'static str, kind: EntryKind) -> EntryKind {
     EntryKind { contract, ..kind }
 }
 
+/// The contract that all sites have.
 const BASE: &str = "base";
 
 const DURATIONS: &[&str] = &["for_s = 1.0", "for_s = 2.5", "for_s = 5.0", "for_s = 9.0"];
@@ -46,7 +49,7 @@
 const GAPS: &[&str] = &["gap_s = 0.3", "gap_s = 1.0", "gap_s = 3.0"];
 const MACHINES: &[&str] = &["", "", "on = \"core\", count = 1", "count = 2"];
 
-/// All that `kinds` lists for the contracts in force.
+/// The kinds that the bench's `kinds` lists for the supported contracts.
 const KINDS: &[EntryKind] = &[
     kind(
         "hot_tenant",
@@ -305,7 +308,7 @@
         &[&["for_s = 3.0"], &["x = 1.7", "x = 3"]],
     ),
     kind("retry_abuse", false, 1, &[DURATIONS, &["x = 3"]]),
-    // Seen only beside servers that are slower than clients wait.
+    // Has an effect only if servers are slower than the clients' deadline.
     kind(
         "give_up",
         false,
@@ -430,6 +433,7 @@
     kind("ack_lost", false, 3, &[DURATIONS, &["x = 0.7", "x = 1"]]),
 ];
 
+/// The faults that may close a day.
 const CLOSING_FAULTS: &[&str] = &[
     "{ kind = \"power_off_all\", down_s = 0.8 }",
     "{ kind = \"kill_all\", down_s = 1.4 }",
@@ -440,30 +444,31 @@
     "{ kind = \"kill_all\", down_s = 0.6, how = \"timed\" }",
 ];
 
-/// The seconds of traffic in which entries begin.
+/// The length of the period in which entries begin, in seconds.
 const TRAFFIC_S: f64 = 28.0;
 
-/// Entries begin after so many seconds of traffic.
-const FIRST_S: f64 = 1.0;
+/// The time before the first entry, in seconds of traffic.
+const FIRST_ENTRY_S: f64 = 1.0;
 /// The number of entries of a day.
-const ENTRIES: std::ops::Range<i32> = 3..12;
-/// One day in so many has a storm of changes.
+const ENTRY_COUNT: std::ops::Range<i32> = 3..12;
+/// One day in this many has a storm of changes.
 const STORM_EVERY: i32 = 3;
 /// The number of changes of a storm.
 const STORM_CHANGES: std::ops::Range<i32> = 120..260;
-/// Draws without a closing fault, beside one for each kind of it.
-const NO_CLOSING_FAULT: usize = 2;
+/// The weight of having no closing fault, relative to a weight of 1 for each closing fault.
+const NO_CLOSING_FAULT_WEIGHT: usize = 2;
 
+/// Generates the text of an entry of the given kind.
 fn draw_entry(rng: &mut SmallRng, kind: &EntryKind) -> String {
-    let at = FIRST_S + rng.random_range(0.0..TRAFFIC_S);
+    let at = FIRST_ENTRY_S + rng.random_range(0.0..TRAFFIC_S);
     let mut entry = format!("    {{ at = {at:.2}, kind = \"{}\"", kind.name);
-    for choices in kind.fields {
-        let chosen = choices[rng.random_range(0..choices.len())];
-        // A field that an earlier choice has set stays as it is.
+    for alternatives in kind.fields {
+        let chosen = alternatives[rng.random_range(0..alternatives.len())];
+        // Fields that an earlier alternative has set are not overwritten.
         for field in chosen.split(", ").filter(|field| !field.is_empty()) {
             let key = field.split(' ').next().unwrap_or("");
             if !entry.contains(&format!(", {key} =")) {
-                // Writing to memory does not fail, here and below.
+                // Writing to a string cannot fail, here and below.
                 let _ = write!(entry, ", {field}");
             }
         }
@@ -471,7 +476,7 @@
     entry + " },\n"
 }
 
-/// The kinds for a site with these contracts, each as often as its weight.
+/// Returns the kinds for a site with the given contracts, each repeated according to its weight.
 fn weighted_kinds(contracts: &[String]) -> Vec<&'static EntryKind> {
     let is_in_force = |kind: &&EntryKind| contracts.iter().any(|c| c == kind.contract);
     let kinds = KINDS.iter().filter(is_in_force);
@@ -480,7 +485,8 @@
         .collect()
 }
 
-/// What a storm of configurations consists of: each entry once, begun within these seconds of the storm's start.
+/// The entries of every configuration storm, in addition to the changes. Each begins within [`STORM_SPREAD_S`] of the start of
+/// the storm.
 const STORM_PLAN: &[&str] = &[
     "kind = \"big_config\", count = 600",
     "kind = \"config_race\", count = 7, gap_s = 1.0",
@@ -489,11 +495,15 @@
     "kind = \"revoke\", count = 2, gap_s = 1.5",
     "kind = \"config_change\", how = \"route\"",
 ];
+/// The period after the start of a storm in which its entries begin, in seconds.
 const STORM_SPREAD_S: f64 = 7.0;
+/// The start of a storm, in seconds of traffic.
 const STORM_START_S: std::ops::Range<f64> = 3.0..12.0;
+/// The possible numbers of changes of a storm.
 const STORM_COUNTS: &[u32] = &[80, 150, 300];
+/// The possible intervals between the changes of a storm, in seconds.
 const STORM_GAPS: &[&str] = &["0.05", "0.1"];
-/// Faults that strike control, and planned work there, while a storm goes on.
+/// Faults during a storm, most of them of control nodes.
 const STORM_FAULTS: &[&str] = &[
     "kind = \"core_cut\", for_s = 9.0, how = \"leader one_way\"",
     "kind = \"core_cut\", for_s = 5.0, how = \"behind\"",
@@ -516,16 +526,18 @@
     "kind = \"disk_full\", for_s = 5.0",
     "kind = \"clock_step\", for_s = 5.0",
 ];
-const STORM_PLANNED_FAULTS: &[&str] = &[
+/// Planned work during a storm.
+const STORM_PLANNED_WORK: &[&str] = &[
     "kind = \"replace_core\"",
     "kind = \"replace_core\", how = \"planned\"",
     "kind = \"roll_term\", on = \"core\", count = 1",
     "kind = \"roll_term\", share = 0.5, x = 4, gap_s = 1.5",
     "kind = \"hup\", share = 0.6, gap_s = 1.0",
 ];
+/// The number of faults during a storm.
 const STORM_FAULT_COUNT: std::ops::Range<i32> = 3..7;
 
-/// The text of a day with a storm of configurations under faults of control.
+/// Generates the text of a day with a configuration storm during faults of control nodes.
 pub fn draw_storm_day(name: &str, seed: u64) -> String {
     let mut rng = SmallRng::seed_from_u64(seed);
     let start = rng.random_range(STORM_START_S);
@@ -544,7 +556,7 @@
         plan.push_str(&entry(&mut rng, text));
     }
     if rng.random_bool(0.5) {
-        let planned = STORM_PLANNED_FAULTS[rng.random_range(0..STORM_PLANNED_FAULTS.len())];
+        let planned = STORM_PLANNED_WORK[rng.random_range(0..STORM_PLANNED_WORK.len())];
         plan.push_str(&entry(&mut rng, planned));
     }
     let mut faults = String::new();
@@ -555,12 +567,12 @@
     day_text(name, seed, &mut rng, &plan, &faults)
 }
 
-/// The text of the day with that seed, on a site with these contracts.
+/// Generates the text of a day from a seed, for a site with the given contracts.
 pub fn draw_day(name: &str, seed: u64, contracts: &[String]) -> String {
     let mut rng = SmallRng::seed_from_u64(seed);
     let kinds = weighted_kinds(contracts);
     let (mut plan, mut faults) = (String::new(), String::new());
-    for _ in 0..rng.random_range(ENTRIES) {
+    for _ in 0..rng.random_range(ENTRY_COUNT) {
         let kind = kinds[rng.random_range(0..kinds.len())];
         let entries = if kind.is_planned {
             &mut plan
@@ -579,9 +591,9 @@
     day_text(name, seed, &mut rng, &plan, &faults)
 }
 
-/// The text of a day with these entries, and a closing fault that is drawn.
+/// Returns the text of a day with the given entries and a random closing fault or none.
 fn day_text(name: &str, seed: u64, rng: &mut SmallRng, plan: &str, faults: &str) -> String {
-    let closing = rng.random_range(0..CLOSING_FAULTS.len() + NO_CLOSING_FAULT);
+    let closing = rng.random_range(0..CLOSING_FAULTS.len() + NO_CLOSING_FAULT_WEIGHT);
     let closing = CLOSING_FAULTS.get(closing);
     let closing = closing.map_or(String::new(), |fault| format!("closing = {fault}\n"));
     let head = format!("name = \"{name}\"\nslot = \"trouble\"\nseed = {seed}\n{closing}");
--- a/crates/aspendrum-testbed/tests/days.rs
+++ b/crates/aspendrum-testbed/tests/days.rs
@@ -1,19 +1,19 @@
-//! Days of our own for the users' bench: every file says what it aims at, and what a report says is told.
+//! Tests the day files for the users' bench, the evaluation of its reports, and the generation of days from seeds.
 
 use aspendrum_testbed::days::{all_days, verdict, BenchVerdict, Day};
 use aspendrum_testbed::drawn;
 use serde_json::json;
 
 #[test]
-fn every_day_says_what_it_aims_at_and_where_it_is_played() {
+fn every_day_states_its_purpose_sites_and_seeds() {
     let days = all_days().unwrap();
     assert!(days.len() >= 20, "{}", days.len());
     for day in &days {
-        let aimed = ["Point", "Incident "]
+        let has_purpose = ["Point", "Incident "]
             .iter()
-            .any(|aim| day.about.starts_with(aim));
+            .any(|prefix| day.about.starts_with(prefix));
         assert!(
-            aimed && day.about.contains(':'),
+            has_purpose && day.about.contains(':'),
             "{}: {}",
             day.name,
             day.about
@@ -25,15 +25,15 @@
     }
     for point in '1'..='5' {
         let of_points = days.iter().filter(|d| d.about.starts_with("Point"));
-        let aimed =
+        let matching =
             of_points.filter(|d| d.about.split(':').next().is_some_and(|a| a.contains(point)));
-        assert!(aimed.count() > 0, "no day aims at point {point}");
+        assert!(matching.count() > 0, "no day covers point {point}");
     }
     assert!(days.iter().any(|d| d.about.starts_with("Incident GONE: ")));
 }
 
 #[test]
-fn a_day_that_does_not_say_so_is_refused() {
+fn a_day_without_purpose_sites_seeds_or_matching_name_is_rejected() {
     let whole = "# Point 1: a cut.\n# sites: small\n# seeds: 1 2\nname = \"cut\"\n";
     let day = Day::read("cut", whole).unwrap();
     assert_eq!(
@@ -41,15 +41,15 @@
         ("Point 1: a cut.", &["small".into()][..], &[1, 2][..])
     );
     for (bad, why) in [
-        (whole.replace("# sites: small\n", ""), "must say"),
-        (whole.replace("# seeds: 1 2\n", ""), "must say"),
-        (whole.replace("# Point 1: a cut.\n", ""), "must say"),
-        (whole.replace("1 2", "1 two"), "no number"),
+        (whole.replace("# sites: small\n", ""), "must state"),
+        (whole.replace("# seeds: 1 2\n", ""), "must state"),
+        (whole.replace("# Point 1: a cut.\n", ""), "must state"),
+        (whole.replace("1 2", "1 two"), "is not a number"),
         (whole.replace("\"cut\"", "\"other\""), "name"),
         (whole.replace("name =", "name"), "cut"),
     ] {
-        let said = Day::read("cut", &bad).unwrap_err().to_string();
-        assert!(said.contains(why), "{bad}: {said}");
+        let error = Day::read("cut", &bad).unwrap_err().to_string();
+        assert!(error.contains(why), "{bad}: {error}");
     }
 }
 
@@ -62,20 +62,20 @@
             is_good: true
         }
     );
-    let told = verdict(&json!({"breaks": {"CONFIG": 3}, "fault": "an end", "short": ["served"]}));
+    let failed = verdict(&json!({"breaks": {"CONFIG": 3}, "fault": "an end", "short": ["served"]}));
     assert_eq!(
-        told,
+        failed,
         BenchVerdict {
             text: "CONFIG 3; fault: \"an end\"; gate: \"served\"".into(),
             is_good: false
         }
     );
-    // A report without what it should hold is no clean bill.
+    // An incomplete report is not a pass.
     assert!(!verdict(&json!({})).is_good);
 }
 
 #[test]
-fn a_storm_day_has_its_storm_and_faults_of_control() {
+fn a_storm_day_has_a_storm_and_faults() {
     assert_eq!(drawn::draw_storm_day("d", 7), drawn::draw_storm_day("d", 7));
     for seed in 0..200 {
         let day: toml::Table = toml::from_str(&drawn::draw_storm_day("d", seed)).unwrap();
@@ -99,9 +99,9 @@
     }
 }
 
-/// Danger: a day that cannot be played again, or kinds that no day ever holds.
+/// Guards against generated days that are not reproducible, and against kinds that are never generated.
 #[test]
-fn a_seed_draws_one_day_and_many_seeds_draw_every_kind() {
+fn generated_days_are_reproducible_and_cover_every_kind() {
     let all = ["base", "health", "own", "pool"].map(str::to_string);
     assert_eq!(drawn::draw_day("d", 7, &all), drawn::draw_day("d", 7, &all));
     for kind in ["srv_grey", "srv_cut"] {
