--- a/crates/aspendrum-testbed/src/drawn.rs
+++ b/crates/aspendrum-testbed/src/drawn.rs
@@ -444,8 +444,8 @@
     "{ kind = \"kill_all\", down_s = 0.6, how = \"timed\" }",
 ];
 
-/// The length of the period in which entries begin, in seconds.
-const TRAFFIC_S: f64 = 28.0;
+/// The length of the period in which entries begin, in seconds of traffic.
+const ENTRY_PERIOD_S: f64 = 28.0;
 
 /// The time before the first entry, in seconds of traffic.
 const FIRST_ENTRY_S: f64 = 1.0;
@@ -460,7 +460,7 @@
 
 /// Generates the text of an entry of the given kind.
 fn draw_entry(rng: &mut SmallRng, kind: &EntryKind) -> String {
-    let at = FIRST_ENTRY_S + rng.random_range(0.0..TRAFFIC_S);
+    let at = FIRST_ENTRY_S + rng.random_range(0.0..ENTRY_PERIOD_S);
     let mut entry = format!("    {{ at = {at:.2}, kind = \"{}\"", kind.name);
     for alternatives in kind.fields {
         let chosen = alternatives[rng.random_range(0..alternatives.len())];
--- a/crates/aspendrum-testbed/src/system/client_exchange.rs
+++ b/crates/aspendrum-testbed/src/system/client_exchange.rs
@@ -1,6 +1,6 @@
 //! One HTTP exchange between a client and a proxy, including clients that disconnect before the response arrives.
 
-use super::configuration::{path, KEYS};
+use super::configuration::{route_prefix, KEYS};
 use aspendrum_checker::system::AttemptOutcome;
 use aspendrum_fake_services::http::{self, Message, MessageKind};
 use std::time::Duration;
@@ -199,7 +199,7 @@
     format!(
         "{method} {}x HTTP/1.1\r\nHost: a.example\r\nTry-Id: {id:016x}\r\nBudget-Ms: {left}\r\n\
          Credential: {}\r\nContent-Length: {}\r\n\r\n{body}",
-        path(plan.route),
+        route_prefix(plan.route),
         KEYS[plan.tenant],
         body.len()
     )
--- a/crates/aspendrum-testbed/src/system/configuration.rs
+++ b/crates/aspendrum-testbed/src/system/configuration.rs
@@ -11,7 +11,7 @@
 pub const FIRST_ROUTES: usize = 2;
 
 /// Returns the path prefix of a route.
-pub fn path(route: usize) -> String {
+pub fn route_prefix(route: usize) -> String {
     match route {
         0 => "/quote/".into(),
         1 => "/send/".into(),
@@ -20,7 +20,7 @@
 }
 
 /// Returns the configuration text of a version, including the scenario's filler routes.
-pub fn text(s: &Scenario, version: &ConfigVersion) -> String {
+pub fn config_text(s: &Scenario, version: &ConfigVersion) -> String {
     document(s, version).to_string()
 }
 
@@ -44,7 +44,7 @@
         "idem"
     };
     json!({"name": format!("r-{number}"), "type": kind, "goal-ms": 800, "prio": number.min(FIRST_ROUTES), "public": false,
-        "match": {"pfx": path(number)},
+        "match": {"pfx": route_prefix(number)},
         "action": {"svc": route.service, "limit-ms": 2000, "tries": 3, "homes": []}})
 }
 
@@ -89,7 +89,7 @@
 ];
 
 /// Returns the configuration text of a version with the given fault.
-pub fn invalid_text(s: &Scenario, version: &ConfigVersion, fault: ConfigFault) -> String {
+pub fn invalid_config_text(s: &Scenario, version: &ConfigVersion, fault: ConfigFault) -> String {
     let mut document = document(s, version);
     let rules = &mut document["ports"][0]["rules"];
     match fault {
@@ -98,7 +98,7 @@
             return text[..text.len() * 2 / 3].to_string();
         }
         ConfigFault::UnknownService => rules[0]["action"]["svc"] = "nowhere".into(),
-        ConfigFault::DuplicateRoute => rules[1]["match"]["pfx"] = path(0).into(),
+        ConfigFault::DuplicateRoute => rules[1]["match"]["pfx"] = route_prefix(0).into(),
         ConfigFault::NoAttempts => rules[0]["action"]["tries"] = 0.into(),
         ConfigFault::SharedKey => {
             for tenant in 0..2 {
--- a/crates/aspendrum-testbed/src/system/play.rs
+++ b/crates/aspendrum-testbed/src/system/play.rs
@@ -176,7 +176,7 @@
     let calls = run.operator.calls();
     let mut log = run.take_log();
     if s.bounds.agree {
-        log.failures.extend(disagreeing(fleet).await);
+        log.failures.extend(wait_for_agreement(fleet).await);
     }
     let violations = end_processes(fleet, &mut log.failures).await;
     let RunLog {
@@ -222,7 +222,7 @@
 
 /// Waits until all nodes apply the current state. Returns a description of those that don't before the timeout, according to
 /// the control nodes.
-async fn disagreeing(fleet: &Fleet) -> Vec<String> {
+async fn wait_for_agreement(fleet: &Fleet) -> Vec<String> {
     let started_at = Instant::now();
     loop {
         let mut all = Vec::new();
--- a/crates/aspendrum-testbed/src/system/steps/orders.rs
+++ b/crates/aspendrum-testbed/src/system/steps/orders.rs
@@ -86,13 +86,13 @@
         let mut log = lock(&self.log);
         let last = log.versions.last().cloned();
         let mut next = last.unwrap_or_else(first_version);
-        // Version numbers need not be consecutive, so they increase by 2 or 3.
+        // Version numbers need not be consecutive. They increase by 2 or 3, and invalid texts use the numbers in between.
         let numbers = log.versions.iter().map(|version| version.number);
         let newest = numbers.max().unwrap_or(0);
         next.number = number.unwrap_or(newest + if newest % 2 == 0 { 3 } else { 2 });
         (next.sent_at, next.acknowledged_at) = (self.now(), None);
         change(&mut next);
-        next.text = configuration::text(&self.fleet.scenario, &next).into();
+        next.text = configuration::config_text(&self.fleet.scenario, &next).into();
         log.versions.push(next.clone());
         next
     }
@@ -173,7 +173,7 @@
         (number, outcome)
     }
 
-    /// Sends invalid texts. Each has the number that follows the last version.
+    /// Sends invalid texts, each with the number after the last version, which no valid text uses.
     async fn send_invalid_changes(&self, first: usize, step: &Step) {
         for index in 0..step.count {
             let Some(mut version) = lock(&self.log).versions.last().cloned() else {
@@ -181,7 +181,8 @@
             };
             version.number += 1;
             let fault = CONFIG_FAULTS[index % CONFIG_FAULTS.len()];
-            let text = configuration::invalid_text(&self.fleet.scenario, &version, fault).into();
+            let text =
+                configuration::invalid_config_text(&self.fleet.scenario, &version, fault).into();
             let members = self.fleet.members();
             let node = members[(first + index) % members.len()];
             self.operator
--- a/crates/aspendrum-testbed/tests/configuration.rs
+++ b/crates/aspendrum-testbed/tests/configuration.rs
@@ -2,7 +2,9 @@
 
 use aspendrum_checker::system::{ConfigVersion, RouteRule, TenantRule};
 use aspendrum_model::config::{Config, ConfigError};
-use aspendrum_testbed::system::configuration::{invalid_text, path, text, ConfigFault};
+use aspendrum_testbed::system::configuration::{
+    config_text, invalid_config_text, route_prefix, ConfigFault,
+};
 use aspendrum_testbed::system::scenario::Scenario;
 
 fn scenario() -> Scenario {
@@ -30,9 +32,9 @@
 
 #[test]
 fn a_valid_text_is_parsed_with_all_routes() {
-    let config = Config::read(text(&scenario(), &version()).as_bytes()).unwrap();
+    let config = Config::read(config_text(&scenario(), &version()).as_bytes()).unwrap();
     assert_eq!((config.version, config.routes.len()), (9, 603));
-    let route = |number| config.route("a.example", &format!("{}x", path(number)));
+    let route = |number| config.route("a.example", &format!("{}x", route_prefix(number)));
     assert_eq!([route(0), route(1), route(2)], [Some(0), Some(1), Some(2)]);
     assert_eq!(route(3), None);
     assert!(!config.routes[1].idempotent && config.routes[2].idempotent);
@@ -40,8 +42,9 @@
 
 #[test]
 fn each_fault_is_rejected_with_its_own_error() {
-    let error_of =
-        |fault| Config::read(invalid_text(&scenario(), &version(), fault).as_bytes()).unwrap_err();
+    let error_of = |fault| {
+        Config::read(invalid_config_text(&scenario(), &version(), fault).as_bytes()).unwrap_err()
+    };
     let cut_short = error_of(ConfigFault::CutShort);
     assert!(matches!(cut_short, ConfigError::Unreadable(_)));
     // The error states where the text ends.
@@ -57,7 +60,7 @@
         error_of(ConfigFault::DuplicateRoute),
         ConfigError::DuplicateRoute {
             host: "a.example".into(),
-            prefix: path(0)
+            prefix: route_prefix(0)
         }
     );
     assert_eq!(
--- a/crates/aspendrum-testbed/tests/system.rs
+++ b/crates/aspendrum-testbed/tests/system.rs
@@ -59,7 +59,7 @@
     killing_half_of_the_proxies_grants_no_second_quota = "herd";
     /// Guards against requests that were read but are lost when the proxy closes their connections.
     a_rolling_restart_of_proxies_loses_nothing = "rolling-term";
-    a_hot_tenant_does_not_affect_other_tenants = "hot-tenant";
+    other_tenants_lose_nothing_to_a_hot_tenant = "hot-tenant";
     the_system_recovers_after_all_processes_were_killed = "everything-dark";
     /// Guards against a restarted server that runs requests meant for its predecessor at the same address.
     replaced_servers_run_no_misdirected_request = "new-lives";
