--- a/crates/aspendrum-token-bucket/src/bucket.rs
+++ b/crates/aspendrum-token-bucket/src/bucket.rs
@@ -1,27 +1,27 @@
-//! One limiter's token bucket for one tenant: what it may grant without asking anybody.
+//! One limiter's token bucket for one tenant, from which it grants requests without contacting other nodes.
 //!
-//! Each limiter of the set fills its own bucket with its share of the rate, from empty at its start. A limiter that asks
-//! the quota's owner for admission transfers all tokens that it holds, in the request itself. A transfer has left the
-//! sender's bucket before it is sent, and is accepted at most once: it carries the time at which it was sent, and the
-//! receiver accepts only what is later than the sender's last transfer, younger than
-//! [`TRANSFER_LIFETIME`](crate::TRANSFER_LIFETIME) and sent after its own start. Tokens that are lost on the way are spent by
-//! nobody.
+//! Each limiter of the set fills its own bucket with its share of the rate, starting from an empty bucket. When a
+//! limiter requests admission from the quota's owner, it transfers all its tokens in the same message. The tokens are
+//! removed from the sender's bucket before the transfer is sent, and the transfer is accepted at most once: it carries
+//! its send time, and the receiver accepts it only if it is later than the sender's last transfer, not older than
+//! [`TRANSFER_LIFETIME`](crate::TRANSFER_LIFETIME), and sent after the receiver's start. Tokens of a lost transfer are
+//! never spent.
 //!
-//! So all buckets and transfers in flight together never hold more than what the rate has brought and nobody has spent, and
-//! each bucket has a capacity: what was granted in any time T is at most the rate times T and what all buckets held at its
-//! beginning.
+//! Therefore all buckets and transfers in flight together never hold more than the accrued tokens that are unspent.
+//! Since each bucket has a capacity, the amount granted in any interval `t` is at most `rate * t` plus what all buckets
+//! held at its beginning.
 
 use crate::limits::BucketLimits;
-use crate::transfer::{amount_of, steps_in, TokenTransfer, TransferSources};
+use crate::transfer::{step_amount, whole_steps, TokenTransfer, TransferSources};
 use crate::units::{ClockMillis, NanoTokens};
 
-/// A bucket that fills at this limiter's share of the rate.
+/// A token bucket that is filled at this limiter's share of the rate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TokenBucket {
     tokens: NanoTokens,
-    /// When `tokens` was last brought up to date.
+    /// When `tokens` was last updated.
     filled_at: ClockMillis,
-    /// What that filling left over of a nano-token, in fractions of `total_shares`.
+    /// The remainder of the last update, in fractions `1 / total_shares` of a nano-token.
     remainder: u64,
     /// When this limiter started.
     started_at: ClockMillis,
@@ -29,7 +29,8 @@
 }
 
 impl TokenBucket {
-    /// A bucket that is empty at `empty_at`, of a limiter that started at `started_at` and accepts no transfer from before.
+    /// Creates a bucket that is empty at `empty_at`. Transfers sent before `started_at`, when the limiter started, are
+    /// not accepted.
     pub fn new(empty_at: ClockMillis, started_at: ClockMillis) -> TokenBucket {
         TokenBucket {
             filled_at: empty_at,
@@ -38,15 +39,16 @@
         }
     }
 
-    /// The tokens that it held when it was last brought up to date.
+    /// Returns the number of tokens at the last update.
     pub fn tokens(&self) -> NanoTokens {
         self.tokens
     }
 
-    /// Whether the limiter at that position of the set (0 is the first) may spend so much now.
+    /// Returns whether the limiter at `position` of the set, counted from 0, may spend `amount` now.
     ///
-    /// Where its share of the burst is less than the amount, limiters take turns by the clock, as many at a time as the
-    /// burst has such amounts: all limiters could hold one, and all at once would spend many times the burst.
+    /// If the amount exceeds a limiter's share of the burst, the limiters take turns by the clock. The number of
+    /// limiters whose turn it is at the same time is bounded by the burst divided by the amount, because all limiters
+    /// together could otherwise spend many times the burst.
     pub fn can_spend(
         &mut self,
         limits: &BucketLimits,
@@ -60,19 +62,19 @@
                 || limits.is_turn_of(position, amount, now))
     }
 
-    /// Removes the amount, as far as it is there. Also for what the counter granted, which is spent here too.
+    /// Removes the amount, or all tokens if there are fewer. Amounts granted by the counter are removed here too.
     pub fn spend(&mut self, limits: &BucketLimits, amount: NanoTokens, now: ClockMillis) {
         self.fill(limits, now);
         self.tokens = self.tokens.saturating_sub(amount);
     }
 
-    /// Adds what was spent for a request that went to no server.
+    /// Adds back the amount spent on a request that was not sent to any server.
     pub fn refund(&mut self, limits: &BucketLimits, amount: NanoTokens, now: ClockMillis) {
         self.fill(limits, now);
         self.add(limits, amount, now);
     }
 
-    /// Sets the bucket to this limiter's share of what the counter says is left of the whole quota.
+    /// Sets the tokens to this limiter's share of the quota that remains according to the counter.
     pub fn set_remaining(
         &mut self,
         limits: &BucketLimits,
@@ -86,25 +88,26 @@
             as NanoTokens;
     }
 
-    /// Removes all tokens for a [`TokenTransfer`] to the quota's owner, and returns the number of steps that they make.
+    /// Removes tokens for a [`TokenTransfer`] to the quota's owner and returns their number of steps. A remainder of
+    /// less than one step stays in the bucket.
     ///
-    /// What is above this limiter's share of the burst is discarded: transferred, the whole requests that limiters may
-    /// hold for times when they are alone would add up to many bursts.
+    /// Tokens above this limiter's share of the burst are discarded. A bucket may hold the largest request even if that
+    /// exceeds the share, for use while the limiter is isolated; transferred, these tokens would add up to many bursts.
     pub fn withdraw_all(&mut self, limits: &BucketLimits, now: ClockMillis) -> u16 {
         self.fill(limits, now);
         let share = self.share_of_burst(limits, now);
-        let steps = steps_in(limits, self.tokens.min(share));
+        let steps = whole_steps(limits, self.tokens.min(share));
         let is_above_share = self.tokens > share;
         self.tokens = if is_above_share {
             0
         } else {
-            self.tokens - amount_of(limits, steps)
+            self.tokens - step_amount(limits, steps)
         };
         steps
     }
 
-    /// Accepts a transfer. Returns false, and adds nothing, if it is too old, a duplicate, or may have been sent to an
-    /// earlier process of this limiter.
+    /// Receives a transfer. Returns false and adds nothing if the transfer is too old, a duplicate, or may have been
+    /// sent to a previous process of this limiter.
     pub fn receive(
         &mut self,
         limits: &BucketLimits,
@@ -119,16 +122,17 @@
         {
             return false;
         }
-        self.add(limits, amount_of(limits, transfer.steps), now);
+        self.add(limits, step_amount(limits, transfer.steps), now);
         true
     }
 
-    /// Whether that limiter sent a transfer so lately that it need not be asked for its tokens.
+    /// Returns whether the given limiter sent a transfer so recently that its tokens need not be requested.
     pub fn received_recently(&self, limits: &BucketLimits, limiter: u16, now: ClockMillis) -> bool {
         self.sources.received_recently(limits, limiter, now)
     }
 
-    /// This limiter's own share of the burst, and one for each recent sender: what these sent they do not hold.
+    /// Returns this limiter's share of the burst plus an even share for each recent sender, whose tokens are now held
+    /// here.
     fn share_of_burst(&self, limits: &BucketLimits, now: ClockMillis) -> NanoTokens {
         let senders = self.sources.recent_count(limits, now);
         limits.share_of(
@@ -137,7 +141,7 @@
         )
     }
 
-    /// The most that it holds: its share of the burst, or one whole request where that is more.
+    /// Returns the capacity: the share of the burst, but at least the largest request.
     fn capacity(&self, limits: &BucketLimits, now: ClockMillis) -> NanoTokens {
         self.share_of_burst(limits, now).max(limits.largest_request)
     }
@@ -149,7 +153,7 @@
             .min(self.capacity(limits, now));
     }
 
-    /// Adds this limiter's share of what the rate has brought since it was last filled.
+    /// Adds this limiter's share of the tokens accrued since the last update.
     fn fill(&mut self, limits: &BucketLimits, now: ClockMillis) {
         let total_shares = u128::from(limits.total_shares.max(1));
         let elapsed = u128::from(now.saturating_sub(self.filled_at));
--- a/crates/aspendrum-token-bucket/src/lib.rs
+++ b/crates/aspendrum-token-bucket/src/lib.rs
@@ -1,9 +1,9 @@
-//! Token buckets that the limiters of a tenant's set fill and spend on their own while the shared counter is out of
-//! reach, and transfers of tokens between them.
+//! Token buckets that the limiters of a tenant's set fill and spend independently while the shared counter is
+//! unreachable, and transfers of tokens between them.
 //!
-//! All buckets of a set and all transfers in flight together stay within the quota, whatever messages are lost, delayed,
-//! duplicated or reordered and whichever limiter stalls, crashes or restarts. `docs/shared-state.md` states the bound,
-//! `docs/design-shared-counts.md` weighs the options. The crate does no I/O and reads no clock.
+//! All buckets of a set and all transfers in flight together stay within the quota, even if messages are lost, delayed,
+//! duplicated or reordered, or limiters stall, crash or restart. `docs/shared-state.md` states the bound, and
+//! `docs/design-shared-counts.md` discusses the alternatives. The crate does no I/O and does not read the clock.
 
 mod bucket;
 mod limits;
--- a/crates/aspendrum-token-bucket/src/transfer.rs
+++ b/crates/aspendrum-token-bucket/src/transfer.rs
@@ -1,48 +1,48 @@
-//! Transfers of tokens between limiters, and the record of transfers received.
+//! Transfers of tokens between limiters, and the record of received transfers.
 
 use crate::limits::BucketLimits;
 use crate::units::{ClockMillis, NanoTokens};
 
-/// A transfer that is older on arrival is discarded. Longer than datagrams take, and shorter than a bucket is kept after
-/// its last use.
+/// The maximum age of a transfer on arrival; older ones are discarded. It is longer than the delivery time of datagrams
+/// and shorter than the time for which an unused bucket is kept.
 pub const TRANSFER_LIFETIME: ClockMillis = 1_000;
 
-/// The most by which two limiters' clocks differ. A transfer sent so soon after its receiver's start may have been sent
-/// before it.
+/// The maximum difference between the clocks of two limiters. A transfer whose send time is within this time of the
+/// receiver's start may have been sent before it.
 pub const MAX_CLOCK_SKEW: ClockMillis = 50;
 
 /// Tokens that a limiter sends to the owner of a tenant's quota along with an admission request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TokenTransfer {
-    /// The amount in steps, as [`TokenBucket::withdraw_all`](crate::TokenBucket::withdraw_all) counts them.
+    /// The number of steps returned by [`TokenBucket::withdraw_all`](crate::TokenBucket::withdraw_all).
     pub steps: u16,
-    /// When it was sent, on the sender's clock. No two transfers of one sender have the same time.
+    /// The send time on the sender's clock. Unique among the transfers of one sender.
     pub sent_at: ClockMillis,
 }
 
-/// The last transfer that was accepted from one limiter.
+/// The last transfer accepted from one limiter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct TransferSource {
     limiter: u16,
-    /// By the sender's clock.
+    /// The send time on the sender's clock.
     sent_at: ClockMillis,
-    /// By the receiver's clock.
+    /// The arrival time on the receiver's clock.
     received_at: ClockMillis,
 }
 
-/// The limiters from which a bucket accepted transfers of late. It accepts each transfer at most once.
+/// The limiters from which a bucket recently accepted transfers. Ensures that each transfer is accepted at most once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct TransferSources(Vec<TransferSource>);
 
 impl TransferSources {
-    /// How many limiters sent a transfer within the last fill time.
+    /// Returns the number of limiters from which a transfer was accepted within the last fill time.
     pub(crate) fn recent_count(&self, limits: &BucketLimits, now: ClockMillis) -> u64 {
         let recent =
             |source: &&TransferSource| now.saturating_sub(source.received_at) <= limits.fill_time();
         self.0.iter().filter(recent).count() as u64
     }
 
-    /// Whether that limiter sent a transfer within the last half of a fill time.
+    /// Returns whether a transfer from the given limiter was accepted within the last half of a fill time.
     pub(crate) fn received_recently(
         &self,
         limits: &BucketLimits,
@@ -57,8 +57,8 @@
             .any(|source| source.limiter == limiter && is_recent(source))
     }
 
-    /// Accepts a transfer unless it is too old, a duplicate or older than the last one of its sender, or may have been sent
-    /// before `started_at`, when this limiter started.
+    /// Accepts and records a transfer, unless its send time is too old, in the future, not later than that of the
+    /// sender's last transfer, or possibly before `started_at`, when this limiter started.
     pub(crate) fn accept(
         &mut self,
         limits: &BucketLimits,
@@ -93,7 +93,8 @@
         true
     }
 
-    /// Forgets senders whose transfers are so old that none could be accepted twice.
+    /// Removes senders other than `sender` that no longer count as recent and whose last transfer is too old to be
+    /// accepted again.
     fn forget_old(&mut self, limits: &BucketLimits, sender: u16, now: ClockMillis) {
         let kept_for = limits.fill_time().max(TRANSFER_LIFETIME + MAX_CLOCK_SKEW);
         self.0.retain(|source| {
@@ -102,12 +103,12 @@
     }
 }
 
-/// The number of whole steps in an amount, at most what a transfer can carry.
-pub(crate) fn steps_in(limits: &BucketLimits, amount: NanoTokens) -> u16 {
+/// Returns the number of whole steps in an amount, limited to the maximum of a transfer.
+pub(crate) fn whole_steps(limits: &BucketLimits, amount: NanoTokens) -> u16 {
     (amount / limits.transfer_step()).min(u16::MAX.into()) as u16
 }
 
-/// The amount that a number of steps stands for.
-pub(crate) fn amount_of(limits: &BucketLimits, steps: u16) -> NanoTokens {
+/// Returns the amount of a number of steps.
+pub(crate) fn step_amount(limits: &BucketLimits, steps: u16) -> NanoTokens {
     NanoTokens::from(steps) * limits.transfer_step()
 }
--- a/crates/aspendrum-token-bucket/src/units.rs
+++ b/crates/aspendrum-token-bucket/src/units.rs
@@ -1,9 +1,9 @@
-//! The units in which tokens and times are counted.
+//! Units of tokens and times.
 
-/// Milliseconds of the clock that all limiters read.
+/// Milliseconds of the clock shared by all limiters.
 pub type ClockMillis = u64;
 
-/// Billionths of a token. Whole numbers, so that a transfer adds exactly what it took.
+/// Billionths of a token. Integers, so that a transfer adds exactly the amount that it removed.
 pub type NanoTokens = u64;
 
 /// One token, in [`NanoTokens`].
--- a/crates/aspendrum-token-bucket/tests/model.rs
+++ b/crates/aspendrum-token-bucket/tests/model.rs
@@ -1,8 +1,8 @@
-//! A model check of token buckets: three limiters, two tenants, transfers that are lost, duplicated and reordered, a crash
-//! with a restart from nothing, a stall that outlasts every transfer.
+//! A model check of token buckets: three limiters, two tenants, transfers that are lost, duplicated and reordered, a
+//! crash and restart without state, and a stall that outlasts every transfer.
 //!
-//! In each reachable state, what was granted and what may still be spent is at most what the rate has brought. The same
-//! check finds each of the broken variants.
+//! In each reachable state, the granted and the spendable tokens together are at most the accrued tokens. The same
+//! check detects each of the broken variants.
 
 use aspendrum_token_bucket::{
     BucketLimits, ClockMillis, NanoTokens, TokenBucket, TokenTransfer, MAX_CLOCK_SKEW,
@@ -20,7 +20,8 @@
 const MAX_DEPTH: usize = 9;
 const MAX_IN_FLIGHT: usize = 2;
 const WITHIN_QUOTA: &str = "within the quota";
-/// Small whole numbers, so that states meet: 12 nano-tokens a millisecond, two thirds of them the owner's.
+/// In nano-tokens per millisecond; two thirds are the owner's. Small integers, so that different paths reach equal
+/// states.
 const RATE: NanoTokens = 12;
 
 fn limits(limiter: usize, tenant: usize) -> BucketLimits {
@@ -47,7 +48,7 @@
     tenant: usize,
     sender: usize,
     transfer: TokenTransfer,
-    /// Copies of it that may still arrive.
+    /// The number of copies that may still arrive.
     copies: u8,
 }
 
@@ -71,16 +72,16 @@
         limiter: usize,
         tenant: usize,
     },
-    /// One copy of a datagram arrives, whatever was sent before it.
+    /// One copy of a datagram arrives, in any order.
     Receive(usize),
     Duplicate(usize),
     Lose(usize),
-    /// A limiter spends all that it may without asking anybody.
+    /// A limiter spends as much from its own bucket as it may.
     Spend {
         limiter: usize,
         tenant: usize,
     },
-    /// A limiter crashes and starts from nothing.
+    /// A limiter crashes and restarts without state.
     Restart(usize),
     Stall(usize),
     Resume(usize),
@@ -89,7 +90,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Variant {
     Sound,
-    /// Accepts a transfer whenever it arrives.
+    /// Accepts every copy of a transfer.
     AcceptsTwice,
     /// Keeps the tokens that it transfers.
     KeepsTransferred,
@@ -102,21 +103,21 @@
 struct LimiterSet(Variant);
 
 impl State {
-    /// A bucket with what the rate has brought since it was last brought up to date.
+    /// Returns a copy of a bucket, filled up to the current time.
     fn filled_bucket(&self, limiter: usize, tenant: usize) -> TokenBucket {
         let mut bucket = self.limiters[limiter].buckets[tenant].clone();
         bucket.spend(&limits(limiter, tenant), 0, self.now);
         bucket
     }
 
-    /// What all limiters hold of a tenant's tokens.
+    /// Returns the tokens of a tenant held by all limiters together.
     fn held(&self, tenant: usize) -> NanoTokens {
         (0..LIMITERS)
             .map(|limiter| self.filled_bucket(limiter, tenant).tokens())
             .sum()
     }
 
-    /// What transfers that would still be accepted hold of a tenant's tokens.
+    /// Returns the tokens of a tenant in transfers that would still be accepted.
     fn acceptable_in_flight(&self, tenant: usize) -> NanoTokens {
         let owner = OWNER[tenant];
         let is_acceptable = |datagram: &&Datagram| {
@@ -163,7 +164,7 @@
         let bucket = &mut state.limiters[limiter].buckets[tenant];
         let steps = bucket.withdraw_all(&limits, state.now);
         state.transfers_sent[limiter] += 1;
-        // As limiters do: no two transfers of one limiter carry the same time.
+        // Like real limiters, ensure that no two transfers of one limiter have the same send time.
         let transfer = TokenTransfer {
             steps,
             sent_at: state.now + state.transfers_sent[limiter],
@@ -317,9 +318,9 @@
                 })
             }),
             Property::always("within what the buckets may hold", |_, state: &State| {
-                (0..TENANTS).all(|tenant| state.held(tenant) <= limits(0, 0).max_held(1))
+                (0..TENANTS).all(|tenant| state.held(tenant) <= limits(0, 0).max_total_tokens(1))
             }),
-            // The search reaches the states that matter.
+            // Ensure that the search reaches the relevant states.
             Property::sometimes(
                 "the owner spends what others transferred",
                 |_, state: &State| {
@@ -353,7 +354,7 @@
 }
 
 #[test]
-fn no_order_of_events_grants_more_than_the_rate_brings() {
+fn no_order_of_events_grants_more_than_the_accrued_tokens() {
     let checker = check(Variant::Sound);
     checker.assert_properties();
     assert!(
@@ -364,7 +365,7 @@
 }
 
 #[test]
-fn each_broken_variant_is_found() {
+fn each_broken_variant_is_detected() {
     for (name, variant) in [
         ("accepts twice", Variant::AcceptsTwice),
         ("keeps what it transfers", Variant::KeepsTransferred),
--- a/crates/aspendrum-token-bucket/tests/schedules.rs
+++ b/crates/aspendrum-token-bucket/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Random schedules of forty limiters: links that lose, duplicate, delay and reorder, crashes, stalls and clocks that
-//! differ. What was granted in any time is at most what the rate brings in it and what the buckets may hold.
+//! Random schedules of forty limiters with lost, duplicated, delayed and reordered transfers, crashes, stalls and clock
+//! skew. The amount granted in any interval is at most the tokens accrued in it plus what the buckets may hold.
 
 use aspendrum_token_bucket::{
     BucketLimits, ClockMillis, NanoTokens, TokenBucket, TokenTransfer, MAX_CLOCK_SKEW, ONE_TOKEN,
@@ -14,7 +14,7 @@
 const BURST: NanoTokens = 6 * ONE_TOKEN;
 const START: ClockMillis = 1_000_000;
 
-/// Sixty shares in a hundred are the first limiter's own.
+/// An even share is 40 of 100 shares per limiter. The first limiter gets all remaining shares.
 fn limits(limiter: usize) -> BucketLimits {
     let limiters = LIMITERS as u64;
     let even_shares = 40;
@@ -37,7 +37,8 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// A limiter has a request, and transfers all its tokens to that owner, or spends its own if `is_alone`.
+    /// A limiter gets a request. It transfers all its tokens to `owner`, or spends its own tokens if `is_alone` or if
+    /// it is that owner.
     Request {
         limiter: usize,
         owner: usize,
@@ -45,14 +46,14 @@
         delay: ClockMillis,
         copies: u8,
     },
-    /// A limiter grants a request out of its bucket.
+    /// A limiter grants a request from its bucket.
     Spend(usize),
     Restart(usize),
-    /// A limiter receives and does nothing for so long.
+    /// A limiter is suspended for the given time.
     Stall(usize, ClockMillis),
 }
 
-/// An event, and the time before it.
+/// Generates an event and the time before it.
 fn event() -> impl Strategy<Value = (ClockMillis, Event)> {
     let request = (
         0..LIMITERS,
@@ -108,7 +109,7 @@
 
 struct LimiterSet {
     now: ClockMillis,
-    /// How far each limiter's clock is ahead.
+    /// By how much each limiter's clock is ahead.
     clock_errors: Vec<ClockMillis>,
     limiters: Vec<Limiter>,
     in_flight: Vec<Datagram>,
@@ -139,7 +140,7 @@
         for datagram in self.in_flight.drain(..due) {
             let receiver = datagram.receiver;
             let limiter = &mut self.limiters[receiver];
-            // A datagram for a limiter that is stalled waits in its machine's buffer.
+            // A datagram for a stalled limiter waits in the socket buffer.
             let received_at = self.now.max(limiter.stalled_until) + self.clock_errors[receiver];
             let sender = datagram.sender as u16;
             limiter
@@ -227,7 +228,7 @@
             set.advance(gap);
             set.handle(event);
         }
-        // A clock that is ahead at the start brings nothing; one that jumps brings what its error is worth.
+        // A constant clock error does not add tokens. A clock that jumps adds tokens for at most the clock skew.
         let slack = RATE * MAX_CLOCK_SKEW;
         let total: NanoTokens = set.grants.iter().map(|grant| grant.amount).sum();
         prop_assert!(total <= RATE * (set.now - START) + slack, "{total} in {} ms", set.now - START);
@@ -235,7 +236,7 @@
             let mut granted = 0;
             for grant in &set.grants[index..] {
                 granted += grant.amount;
-                let bound = RATE * (grant.at - first.at) + limits(0).max_held(OWNERS as u64) + slack;
+                let bound = RATE * (grant.at - first.at) + limits(0).max_total_tokens(OWNERS as u64) + slack;
                 prop_assert!(granted <= bound);
             }
         }
--- a/crates/aspendrum-token-bucket/tests/wire_amounts.rs
+++ b/crates/aspendrum-token-bucket/tests/wire_amounts.rs
@@ -1,5 +1,5 @@
-//! The amounts that one limiter sends to another. Only their number of steps crosses the wire (the datagram itself is
-//! the core's): limiters of different versions must agree on how many nano-tokens a step stands for.
+//! Pinned amounts of transfers between limiters. Only the number of steps is sent (in a datagram defined by
+//! `aspendrum_core`), so limiters of different versions must agree on the number of nano-tokens per step.
 
 use aspendrum_token_bucket::{BucketLimits, TokenBucket, TokenTransfer, ONE_TOKEN};
 
@@ -19,11 +19,11 @@
 fn a_token_is_a_billion_nano_tokens() {
     assert_eq!(ONE_TOKEN, 1_000_000_000);
     assert_eq!(limits().fill_time(), 3_000);
-    assert_eq!(limits().max_held(2), 21 * ONE_TOKEN);
+    assert_eq!(limits().max_total_tokens(2), 21 * ONE_TOKEN);
 }
 
 #[test]
-fn the_steps_that_are_sent_are_those_of_today() {
+fn withdrawn_steps_match_the_pinned_values() {
     let sent = |waited: u64| {
         let mut bucket = TokenBucket::new(10_000, 10_000);
         let steps = bucket.withdraw_all(&limits(), 10_000 + waited);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_steps_that_are_received_count_as_today() {
+fn received_steps_add_the_pinned_amounts() {
     let received = |steps: u16| {
         let mut bucket = TokenBucket::new(10_000, 10_000);
         let accepted = bucket.receive(
