--- a/crates/aspendrum/src/backoff.rs
+++ b/crates/aspendrum/src/backoff.rs
@@ -1,15 +1,15 @@
-//! Exponential backoff with full jitter, for calls to a service that all limiters share.
+//! Exponential backoff with full jitter, for calls to a service shared by all limiters.
 //!
-//! A hundred limiters that start at once, are rejected together and retry together would be rejected again for as long as
-//! they run. The delay is drawn from the whole interval, whose length doubles with each failure.
+//! Without jitter, a fleet of limiters that start together would retry together and overload the service each time. The
+//! delay is uniformly distributed over the whole interval, whose length doubles with each failure.
 
 use fastrand::Rng;
 use std::time::Duration;
 
-/// Higher powers of two are beyond any maximum.
+/// Limits the exponent. Further doublings would exceed any configured maximum.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// The delays between the attempts of one caller.
+/// Generates the delays between the attempts of one caller.
 pub struct Backoff {
     initial: Duration,
     max: Duration,
@@ -18,7 +18,7 @@
 }
 
 impl Backoff {
-    /// `initial` is the longest delay before any failure, `max` the longest of all.
+    /// Creates a backoff whose first delay is at most `initial` and whose later delays are at most `max`.
     pub fn new(initial: Duration, max: Duration, seed: u64) -> Backoff {
         Backoff {
             initial: initial.min(max),
@@ -28,7 +28,8 @@
         }
     }
 
-    /// The delay before the next attempt, evenly distributed from zero to the present interval. Counts as a failure.
+    /// Records a failure and returns the delay before the next attempt, uniformly distributed between zero and the
+    /// current interval.
     pub fn next_delay(&mut self) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let interval = self.initial.saturating_mul(1 << doublings).min(self.max);
@@ -36,7 +37,7 @@
         interval.mul_f64(self.rng.f64())
     }
 
-    /// Returns to the initial interval, after a call that succeeded.
+    /// Resets to the initial interval after a successful call.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/aspendrum/src/client_session.rs
+++ b/crates/aspendrum/src/client_session.rs
@@ -1,6 +1,6 @@
-//! One connection of a client, and the responses that go out on it.
+//! One client connection and the responses written to it.
 
-use crate::http::OwnResponse;
+use crate::http::ClientResponse;
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use aspendrum_net::disconnects::ClientConnection;
@@ -16,18 +16,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum SessionState {
-    /// It waits for a request.
+    /// Waiting for a request.
     Idle,
-    /// It has a request in progress.
+    /// A request is in progress.
     Busy,
-    /// It ends: whatever is answered now is the last response.
+    /// The session is ending: the next response is the last one.
     Closed,
 }
 
 /// One client connection.
 ///
-/// A session is closed by others only while it is idle, and only its receiving side is shut down then: a request that had
-/// arrived by then is still read, and gets the session's last response.
+/// Other threads close a session only while it is idle, and shut down only its receiving side. A request that has
+/// already arrived is still read and gets the last response of the session.
 pub(crate) struct ClientSession {
     pub(crate) stream: Arc<TcpStream>,
     /// The request in progress, and whether its client is still connected.
@@ -35,10 +35,10 @@
     state: AtomicU8,
     /// When the connection was accepted, by [`Lifecycle::uptime_ms`].
     opened_ms: u64,
-    /// When something was last read or answered.
+    /// When data was last read or a request last finished, by [`Lifecycle::uptime_ms`].
     last_used_ms: AtomicU64,
-    /// Whether a well-formed request has come. Until then the client may be anybody: floods of silent connections must not
-    /// displace those of the usual clients.
+    /// Whether a well-formed request has arrived. Sessions without one are closed first, so that a flood of silent
+    /// connections does not displace active clients.
     has_had_request: AtomicBool,
     outgoing: Mutex<RingBuffer>,
 }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The socket by itself, if nobody else holds it.
+    /// Returns the socket if no other reference to it exists.
     pub(crate) fn into_stream(self) -> Option<TcpStream> {
         drop(self.connection);
         Arc::into_inner(self.stream)
@@ -68,7 +68,7 @@
         self.state.load(Ordering::Acquire) == state as u8
     }
 
-    /// Changes the state, unless it is another one than `from`. Returns whether it was changed.
+    /// Changes the state from `from` to `to`. Returns false if the state was not `from`.
     pub(crate) fn transition(&self, from: SessionState, to: SessionState) -> bool {
         let changed =
             self.state
@@ -85,10 +85,10 @@
         self.transition(SessionState::Idle, SessionState::Busy);
     }
 
-    /// Ends the request; the session goes on if it `stays_open`.
-    pub(crate) fn finish_request(&self, now_ms: u64, stays_open: bool) {
+    /// Ends the request. The session becomes idle if `keep_alive` is set, and closed otherwise.
+    pub(crate) fn finish_request(&self, now_ms: u64, keep_alive: bool) {
         self.record_use(now_ms);
-        let next = if stays_open {
+        let next = if keep_alive {
             SessionState::Idle
         } else {
             SessionState::Closed
@@ -108,13 +108,13 @@
         Duration::from_millis(now_ms.saturating_sub(self.last_used_ms.load(Ordering::Relaxed)))
     }
 
-    /// Writes one whole response. Returns whether the session goes on. A client that no longer reads is no fault of the
-    /// limiter's.
-    pub(crate) fn respond(&self, lifecycle: &Lifecycle, response: OwnResponse<'_>) -> bool {
+    /// Writes one complete response. Returns whether the session continues. A failed write is logged at debug level
+    /// only, because the usual cause is a client that stopped reading.
+    pub(crate) fn respond(&self, lifecycle: &Lifecycle, response: ClientResponse<'_>) -> bool {
         let mut outgoing = lock(&self.outgoing);
-        // A limiter that drains takes no further request on this connection.
+        // No further request is accepted on this connection while the limiter drains.
         let close = response.close || lifecycle.is_draining() || self.is_in(SessionState::Closed);
-        let is_complete = OwnResponse { close, ..response }.write(&mut outgoing);
+        let is_complete = ClientResponse { close, ..response }.write(&mut outgoing);
         let is_written = is_complete && outgoing.drain(&mut &*self.stream).is_ok();
         if !is_written {
             tracing::debug!("a response could not be written");
@@ -126,7 +126,7 @@
         self.stream.set_read_timeout(Some(timeout))
     }
 
-    /// Closes the session if it is idle. Returns whether it was.
+    /// Closes the session if it is idle. Returns whether it was idle.
     pub(crate) fn close_if_idle(&self) -> bool {
         let was_idle = self.transition(SessionState::Idle, SessionState::Closed);
         if was_idle {
--- a/crates/aspendrum/src/clock.rs
+++ b/crates/aspendrum/src/clock.rs
@@ -1,20 +1,20 @@
-//! Conversions of milliseconds, and a clock that shows Unix time but is never set back or forward.
+//! Millisecond conversions, and a monotonic clock that is based on Unix time.
 
 use aspendrum_core::api::Millis;
 use aspendrum_core::settings::MILLIS_PER_SECOND;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds as a duration; negative ones and those beyond any duration count as zero.
+/// Converts milliseconds to a duration. Negative and unrepresentable values become zero.
 pub fn duration_from_millis(millis: Millis) -> Duration {
     Duration::try_from_secs_f64(millis.max(0.0) / MILLIS_PER_SECOND).unwrap_or(Duration::ZERO)
 }
 
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn millis_from_duration(duration: Duration) -> Millis {
     duration.as_secs_f64() * MILLIS_PER_SECOND
 }
 
-/// Unix time in milliseconds, read once from the system and advanced by the monotonic clock from then on.
+/// Unix time in milliseconds, read from the system clock once and then advanced by the monotonic clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -22,7 +22,7 @@
 }
 
 impl Clock {
-    /// Reads the system's time.
+    /// Starts the clock at the current system time.
     #[expect(
         clippy::disallowed_methods,
         reason = "limiters and servers exchange times as Unix time; read once, never after"
@@ -37,17 +37,17 @@
         }
     }
 
-    /// The time at that instant.
+    /// Returns the time at the given instant.
     pub fn time_at(&self, instant: Instant) -> Millis {
         self.start_unix + millis_from_duration(instant.saturating_duration_since(self.start))
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         self.time_at(Instant::now())
     }
 
-    /// The instant at that time.
+    /// Returns the instant at the given time.
     pub fn instant_at(&self, time: Millis) -> Instant {
         self.start + duration_from_millis(time - self.start_unix)
     }
--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -1,7 +1,7 @@
-//! The limiter's configuration: one JSON file, read and checked here, with its defaults.
+//! The limiter's configuration: parsing and validation of its JSON file, and default values.
 //!
-//! Errors name the faulty key. The settings of the decision engine are read by `aspendrum_core::settings`, which the
-//! simulator's adapter uses too.
+//! Errors name the invalid key. The settings of the decision engine are parsed by `aspendrum_core::settings`, which is
+//! shared with the simulator adapter.
 
 use crate::clock::duration_from_millis;
 use crate::server_list::{LocationNames, ServerList, ServerListError};
@@ -17,17 +17,17 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The environment variable that names the configuration file if the command line does not.
+/// The environment variable with the path of the configuration file, used if the command line does not give one.
 pub const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
 
 const DEFAULT_NAME: &str = "limiter";
 const DEFAULT_MEMORY_MB: u64 = 192;
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// With fewer descriptors there would be none for clients or servers, besides the limiter's own.
+/// With fewer file descriptors, too few would remain for clients and servers besides the reserved ones.
 const MIN_DESCRIPTORS: u64 = 64;
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
 const DEFAULT_KEEPALIVE_S: f64 = 30.0;
-/// No time in the settings is as long.
+/// The exclusive upper bound of times in the settings, in seconds.
 const MAX_SECONDS: f64 = 1e6;
 
 /// Why a configuration is rejected.
@@ -38,15 +38,15 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The contents of the file are faulty.
+    /// The contents of the file are invalid.
     #[display("{}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// The error in the contents.
         source: Box<ConfigError>,
     },
     /// The text is not JSON.
@@ -55,10 +55,10 @@
     /// A key is missing.
     #[display("{_0} is missing")]
     Missing(#[error(not(source))] String),
-    /// A setting of the decision engine is missing or faulty.
+    /// A setting of the decision engine is missing or invalid.
     #[display("{_0}")]
     Setting(SettingsError),
-    /// The value of a key is no address.
+    /// The value of a key is not an address.
     #[display("{key} is not an address: {value}")]
     NoAddress {
         /// The key.
@@ -73,18 +73,18 @@
         key: &'static str,
         /// Its value.
         value: String,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The seed is no number in base 16.
+    /// The seed is not a hexadecimal number.
     #[display("seed is not a hexadecimal number: {value}: {source}")]
     InvalidSeed {
         /// The value.
         value: String,
-        /// Why.
+        /// The cause.
         source: ParseIntError,
     },
-    /// A number is out of its range, or none.
+    /// A value is out of range or not a number.
     #[display("{key} is absurd: {value}")]
     OutOfRange {
         /// The key.
@@ -95,62 +95,62 @@
     /// There are more endpoint groups or plans than can be numbered.
     #[display("{_0} is one too many")]
     TooMany(#[error(not(source))] String),
-    /// Two endpoint groups, or two plans, have one name.
+    /// Two endpoint groups or two plans have the same name.
     #[display("{key} is there twice: {name}")]
     Duplicate {
-        /// The key of the second one.
+        /// The key of the second occurrence.
         key: String,
         /// The name.
         name: String,
     },
-    /// The list of known servers is faulty.
+    /// The list of known servers is invalid.
     #[display("known.{_0}")]
     KnownServers(ServerListError),
 }
 
-/// A configuration that was read and found valid.
+/// A valid configuration.
 pub struct Config {
     /// The limiter's name in the log.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// The address of the list of servers.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
     /// The address of the shared counter, if the settings use one.
     pub counter: Option<SocketAddr>,
-    /// Where datagrams of other limiters arrive, if limiters exchange any.
+    /// The address for datagrams from other limiters, if limiters exchange any.
     pub peer_listen: Option<SocketAddr>,
-    /// The other limiters' addresses, by their numbers.
+    /// The addresses of the other limiters, indexed by limiter number.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all other limiters.
+    /// The broadcast address that reaches all other limiters.
     pub peer_broadcast: Option<SocketAddr>,
-    /// The seed of random choices; another one with each start.
+    /// The seed of random choices. It should differ with each start.
     pub seed: u64,
-    /// Memory that the limiter may use.
+    /// The memory that the limiter may use, in MiB.
     pub memory_mb: u64,
-    /// Descriptors that the limiter may open.
+    /// The number of file descriptors that the limiter may open.
     pub max_descriptors: usize,
-    /// A connection to a server that is not up by then has failed.
+    /// The timeout for connecting to a server.
     pub connect_timeout: Duration,
-    /// After this servers close idle connections.
+    /// How long servers keep idle connections open.
     pub server_keepalive: Duration,
     /// The decision engine's settings.
     pub settings: Settings,
-    /// The numbers of endpoint groups, by the names that requests carry.
+    /// The numbers of endpoint groups by name.
     pub group_numbers: HashMap<String, u16>,
-    /// The numbers of plans, by the names that requests carry.
+    /// The numbers of plans by name.
     pub plan_numbers: HashMap<String, u32>,
-    /// The zones and machine kinds of the settings.
+    /// The zone and machine kind names of the settings.
     pub location_names: LocationNames,
-    /// The servers known before discovery answers.
+    /// The servers used until discovery responds.
     pub known_servers: ServerList,
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
-    /// The first fault, with the file's path.
+    /// Returns the first error, with the path of the file.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
             path: path.to_path_buf(),
@@ -162,16 +162,16 @@
         })
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and validates the text of a configuration file.
     ///
     /// # Errors
-    /// The first fault, by its key.
+    /// Returns the first error, with the invalid key.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let root: Value = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let raw = root
             .get("settings")
             .ok_or(ConfigError::Missing("settings".into()))?;
-        let settings = settings::read(&as_pairs(raw)).map_err(ConfigError::Setting)?;
+        let settings = settings::read(&flatten_settings(raw)).map_err(ConfigError::Setting)?;
         let location_names = LocationNames {
             zones: string_list(raw, "Zones"),
             machine_kinds: string_list(raw, "Kinds"),
@@ -220,36 +220,36 @@
     }
 }
 
-/// Nested JSON as the `path=value` lines in which the simulator sends settings.
-fn as_pairs(settings: &Value) -> String {
+/// Flattens nested JSON into `path=value` lines, the format in which the simulator sends settings.
+fn flatten_settings(settings: &Value) -> String {
     let mut lines = String::new();
-    add_pairs("", settings, &mut lines);
+    append_setting_lines("", settings, &mut lines);
     lines
 }
 
-fn add_pairs(path: &str, value: &Value, lines: &mut String) {
+fn append_setting_lines(path: &str, value: &Value, lines: &mut String) {
     match value {
         Value::Object(map) => map
             .iter()
-            .for_each(|(key, inner)| add_pairs(&join(path, key), inner, lines)),
+            .for_each(|(key, inner)| append_setting_lines(&join_path(path, key), inner, lines)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            add_pairs(&join(path, "count"), &Value::from(items.len()), lines);
+            append_setting_lines(&join_path(path, "count"), &Value::from(items.len()), lines);
             for (index, item) in items.iter().enumerate() {
-                add_pairs(&join(path, &index.to_string()), item, lines);
+                append_setting_lines(&join_path(path, &index.to_string()), item, lines);
             }
         }
         Value::Array(items) => {
-            let list: Vec<String> = items.iter().map(plain).collect();
+            let list: Vec<String> = items.iter().map(scalar_text).collect();
             let _ = writeln!(lines, "{path}={}", list.join(","));
         }
         Value::Null => {}
         other => {
-            let _ = writeln!(lines, "{path}={}", plain(other));
+            let _ = writeln!(lines, "{path}={}", scalar_text(other));
         }
     }
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_string()
     } else {
@@ -257,8 +257,8 @@
     }
 }
 
-/// A value without the characters that separate values and lines.
-fn plain(value: &Value) -> String {
+/// Formats a value, replacing the characters that separate values and lines.
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ',', '\n', '\r'], "_"),
         other => other.to_string(),
@@ -274,7 +274,7 @@
         .collect()
 }
 
-/// The index of each item of a list, by its `Name`.
+/// Maps the `Name` of each item of a list to its index.
 fn numbers_by_name<N: TryFrom<usize>>(
     settings: &Value,
     list: &str,
--- a/crates/aspendrum/src/counter.rs
+++ b/crates/aspendrum/src/counter.rs
@@ -1,7 +1,7 @@
-//! Calls to the shared counter, distributed over a few connections by the name of the total.
+//! The client of the shared counter, which distributes calls over a few connections by the name of the total.
 //!
-//! The dispatcher writes calls itself where a connection is established: a thread in between cost a sixth of a limiter's CPU
-//! time. Connecting, which may take long, is done by a thread of its own.
+//! The dispatcher writes calls directly to established connections, because a separate writer thread cost a sixth of
+//! the limiter's CPU time. Connections are opened on a separate thread, because connecting may block.
 
 mod connection;
 pub mod resp;
@@ -21,7 +21,7 @@
 pub struct CounterClient {
     address: SocketAddr,
     connections: Vec<Arc<CounterConnection>>,
-    /// Connections to earlier addresses, until their last call is answered or timed out.
+    /// Connections to previous addresses, kept until their last call gets a reply or times out.
     retired: Vec<Arc<CounterConnection>>,
     opener: MailboxSender<Arc<CounterConnection>>,
     dispatcher: Arc<DispatcherHandle>,
@@ -29,16 +29,16 @@
 }
 
 impl CounterClient {
-    /// A client that opens its connections with the first calls.
+    /// Creates a client, which opens its connections with the first calls.
     ///
     /// # Errors
-    /// The error of the thread that opens connections.
+    /// Fails if the thread that opens connections cannot be started.
     pub fn start(
         address: SocketAddr,
         dispatcher: &Arc<DispatcherHandle>,
         limits: &Arc<Limits>,
     ) -> io::Result<CounterClient> {
-        // Room for the connections to two addresses: after a move the old ones may still wait to be opened.
+        // Sized for the connections to two addresses, because old ones may still be queued after an address change.
         let capacity = 2 * limits.counter.connections;
         let start_opener = |requests: MailboxReceiver<Arc<CounterConnection>>| {
             spawn("counter", limits.threads.stack_bytes, move || {
@@ -71,8 +71,8 @@
             .collect()
     }
 
-    /// Adds `amount` to the total of that name, which expires after `ttl` if it is new. The outcome is reported to the
-    /// dispatcher, in the order of the calls of that name.
+    /// Adds `amount` to the total with the given name. A new total expires after `ttl` milliseconds. Outcomes are
+    /// reported to the dispatcher, for each name in the order of the calls.
     pub fn add(&self, name: u64, amount: f32, ttl: Millis) {
         let index = name as usize % self.connections.len().max(1);
         let Some(connection) = self.connections.get(index) else {
@@ -87,11 +87,12 @@
         connection.call(call, || self.request_open(connection));
     }
 
-    /// Goes over to another address at once.
+    /// Switches to another address immediately.
     ///
-    /// Calls that were not written yet go there. For those that were, the replies are awaited: they have been added or will
-    /// be. Both addresses reply with true totals, so that a reply of the new one may overtake one of the same name.
-    pub fn move_to(&mut self, address: SocketAddr) {
+    /// Calls that have not been written are sent to the new address. For written calls the old address's replies are
+    /// awaited, because repeating them could add the amount twice. A reply from the new address may arrive before one
+    /// from the old address for the same name; this is harmless, because both addresses reply with correct totals.
+    pub fn change_address(&mut self, address: SocketAddr) {
         if address == self.address {
             return;
         }
@@ -100,12 +101,12 @@
         let connections = self.connections_to(address);
         let old = std::mem::replace(&mut self.connections, connections);
         for (from, to) in old.iter().zip(&self.connections) {
-            to.adopt_queued(from.retire(), || self.request_open(to));
+            to.take_over_queued(from.retire(), || self.request_open(to));
         }
         self.retired.extend(old);
     }
 
-    /// Reports calls whose time-out has passed. The dispatcher calls this with each of its timers.
+    /// Reports calls that have timed out. The dispatcher calls this whenever one of its timers fires.
     pub fn expire(&mut self) {
         self.connections
             .iter()
@@ -116,7 +117,7 @@
         });
     }
 
-    /// Has the connection opened. Returns false if too many wait for that already.
+    /// Requests that the connection be opened. Returns false if the queue of the opener thread is full.
     fn request_open(&self, connection: &Arc<CounterConnection>) -> bool {
         self.opener.try_send(connection.clone()).is_ok()
     }
--- a/crates/aspendrum/src/counter/connection.rs
+++ b/crates/aspendrum/src/counter/connection.rs
@@ -1,8 +1,7 @@
-//! One of the connections to the counter, and the calls on it.
+//! A connection to the counter with its pending calls.
 //!
-//! Calls are written one after another without waiting for replies (pipelining), so that the replies of one connection come
-//! in the order of its calls. A call whose time-out passes is reported as timed out; its late reply is read in its turn and
-//! discarded.
+//! Calls are pipelined, so the replies on a connection arrive in the order of its calls. A call that times out is
+//! reported as such; its late reply is still matched to it and then discarded.
 
 use super::resp::{parse_reply, write_add, CounterReply, ParsedReply};
 use crate::clock::millis_from_duration;
@@ -20,7 +19,7 @@
 
 /// A call that has not been written.
 pub(super) struct Call {
-    /// The total's name.
+    /// The name of the total.
     pub(super) name: u64,
     pub(super) amount: f32,
     pub(super) ttl: Millis,
@@ -31,29 +30,29 @@
 struct PendingCall {
     name: u64,
     called_at: Instant,
-    /// Its time-out has passed, and the dispatcher was notified.
+    /// Whether the call has timed out and the dispatcher has been notified.
     is_reported: bool,
 }
 
-/// An established connection.
+/// An established TCP connection.
 struct Link {
     stream: Arc<TcpStream>,
     outgoing: RingBuffer,
     pending: VecDeque<PendingCall>,
-    /// When something was last written or read.
+    /// When data was last written or read.
     last_used: Instant,
     last_read: Instant,
 }
 
 impl Link {
-    /// Whether it was idle for so long that the counter may be closing it. A call that crosses with the close may or may
-    /// not have been added, and nobody could tell.
+    /// Returns whether the link was idle for so long that the counter may be closing it. It would be unknown whether a
+    /// call that crosses with the close was added.
     fn is_stale(&self, idle_timeout: Duration) -> bool {
         self.pending.is_empty() && self.last_used.elapsed() > idle_timeout
     }
 
-    /// Whether calls have been pending without any reply for so long that the counter's machine may be gone. That leaves
-    /// connections open and silent, and only a new one reaches its successor.
+    /// Returns whether calls have been pending without any reply for so long that the counter's host may have failed.
+    /// Such a failure can leave the connection open, and only a new connection reaches the replacement host.
     fn is_silent(&self, timeout: Duration) -> bool {
         let oldest = self
             .pending
@@ -66,16 +65,16 @@
 #[derive(Default)]
 struct State {
     link: Option<Link>,
-    /// Calls that wait for the link; there are some only while it is being opened.
+    /// Calls that wait for the link. Non-empty only while the link is being opened.
     queued: VecDeque<Call>,
     is_opening: bool,
-    /// The counter has moved: no new call is made here, and the pending ones are awaited.
+    /// Whether the counter's address has changed: pending calls are awaited, but no new ones are made.
     is_retired: bool,
-    /// Events that the dispatcher's mailbox had no room for.
+    /// Events that did not fit into the dispatcher's mailbox.
     undelivered: VecDeque<DispatcherEvent>,
 }
 
-/// A connection to the counter, established or not.
+/// A connection to the counter, which is opened on demand.
 pub(super) struct CounterConnection {
     state: Mutex<State>,
     dispatcher: Arc<DispatcherHandle>,
@@ -102,8 +101,8 @@
         lock(&self.state)
     }
 
-    /// Writes a call, or queues it if there is no link. Then `request_open` is called, and returns whether the link will
-    /// be opened.
+    /// Writes a call, or queues it if there is no link. In that case `request_open` is called unless the link is
+    /// already being opened; it returns whether the link will be opened.
     pub(super) fn call(&self, call: Call, request_open: impl FnOnce() -> bool) {
         let mut state = self.state();
         let idle_timeout = self.limits.counter.idle_timeout;
@@ -121,8 +120,12 @@
         self.ensure_opening(&mut state, request_open);
     }
 
-    /// Takes over the calls that another connection has not written.
-    pub(super) fn adopt_queued(&self, calls: VecDeque<Call>, request_open: impl FnOnce() -> bool) {
+    /// Takes over the unwritten calls of another connection.
+    pub(super) fn take_over_queued(
+        &self,
+        calls: VecDeque<Call>,
+        request_open: impl FnOnce() -> bool,
+    ) {
         let mut state = self.state();
         state.queued = calls;
         self.ensure_opening(&mut state, request_open);
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Makes no new calls from now on, and closes once no call is pending. Returns the calls that were not written.
+    /// Stops making new calls, and closes the link once no call is pending. Returns the calls that were not written.
     pub(super) fn retire(&self) -> VecDeque<Call> {
         let mut state = self.state();
         state.is_retired = true;
@@ -152,13 +155,13 @@
         unwritten
     }
 
-    /// Whether a retired connection has nothing left to report.
+    /// Returns whether a retired connection has nothing left to report.
     pub(super) fn is_done(&self) -> bool {
         let state = self.state();
         state.link.is_none() && state.undelivered.is_empty() && !state.is_opening
     }
 
-    /// Reports calls whose time-out has passed.
+    /// Reports calls that have timed out, and closes a silent link.
     pub(super) fn expire(&self) {
         let mut guard = self.state();
         let state = &mut *guard;
@@ -230,7 +233,7 @@
         let timeout = self.limits.counter.timeout.max(min_timeout);
         let stream = TcpStream::connect_timeout(&self.address, timeout)?;
         stream.set_nodelay(true)?;
-        // The dispatcher writes: a counter that reads nothing must not block it.
+        // The dispatcher writes to this socket and must not be blocked by a counter that does not read.
         stream.set_write_timeout(Some(min_timeout))?;
         Ok(Arc::new(stream))
     }
@@ -260,7 +263,7 @@
                 is_reported: false,
             });
         }
-        // Without its last byte the call cannot have been added. The calls before it are reported first.
+        // The call was not written completely, so it cannot have been added. The calls before it are reported first.
         self.close(state, None);
         self.report(
             &mut state.undelivered,
@@ -271,11 +274,13 @@
         );
     }
 
-    /// Closes the link, if it still is the one of that stream. Its pending calls may have been added.
-    fn close(&self, state: &mut State, only: Option<&Arc<TcpStream>>) {
-        let is_meant =
-            |link: &mut Link| only.is_none_or(|stream| Arc::ptr_eq(stream, &link.stream));
-        let Some(link) = state.link.take_if(is_meant) else {
+    /// Closes the link and reports its pending calls, which may have been added, as timed out. Does nothing if
+    /// `expected_stream` is given and the link uses another stream.
+    fn close(&self, state: &mut State, expected_stream: Option<&Arc<TcpStream>>) {
+        let is_expected = |link: &mut Link| {
+            expected_stream.is_none_or(|stream| Arc::ptr_eq(stream, &link.stream))
+        };
+        let Some(link) = state.link.take_if(is_expected) else {
             return;
         };
         let _ = link.stream.shutdown(Shutdown::Both);
@@ -290,7 +295,7 @@
         }
     }
 
-    /// Reports the queued calls: they were never written, so nothing was added.
+    /// Reports the queued calls as failed. They were never written, so nothing was added.
     fn fail_queued(&self, state: &mut State) {
         for call in state.queued.drain(..) {
             self.report(
@@ -303,8 +308,8 @@
         }
     }
 
-    /// Reports the outcome of a call to the dispatcher, under this connection's lock and without waiting: outcomes of a name
-    /// keep their order, and the dispatcher, which takes this lock too, never waits for itself.
+    /// Reports the outcome of a call to the dispatcher. The caller holds this connection's lock, which preserves the
+    /// order of outcomes. Never blocks, because the dispatcher takes the same lock and would deadlock.
     fn report(
         &self,
         undelivered: &mut VecDeque<DispatcherEvent>,
@@ -331,7 +336,7 @@
         }
     }
 
-    /// Reads replies until the link ends.
+    /// Reads replies until the link is closed.
     fn read_replies(&self, stream: &Arc<TcpStream>) {
         let mut buffer = RingBuffer::new(
             self.limits.buffers.initial_bytes,
@@ -350,7 +355,8 @@
         self.close(&mut self.state(), Some(stream));
     }
 
-    /// Reports the calls whose replies are in the buffer. Returns false if the link is at its end.
+    /// Processes the replies in the buffer and reports the outcomes of their calls. Returns false if the link must be
+    /// closed.
     fn handle_replies(&self, stream: &Arc<TcpStream>, buffer: &mut RingBuffer) -> bool {
         let mut guard = self.state();
         let state = &mut *guard;
--- a/crates/aspendrum/src/counter/resp.rs
+++ b/crates/aspendrum/src/counter/resp.rs
@@ -1,47 +1,47 @@
-//! The counter's protocol, RESP2 (the Redis serialization protocol): calls out, replies in.
+//! The counter's protocol, RESP2 (Redis serialization protocol): serialization of calls and parsing of replies.
 
 use aspendrum_core::api::Millis;
 use aspendrum_net::ring_buffer::RingBuffer;
 use std::io::Write;
 
 const ADD_COMMAND: &str = "CNT.ADD";
-/// No reply of the counter is longer.
+/// The maximum size of a reply.
 const MAX_REPLY_BYTES: usize = 256;
 const CRLF: &[u8] = b"\r\n";
 
-/// A reply of the counter.
+/// A reply from the counter.
 #[derive(Debug, PartialEq)]
 pub enum CounterReply {
     /// The total after the addition.
     Total(f32),
-    /// The call was rejected or not understood: nothing was added.
+    /// The call was rejected or not understood, and nothing was added.
     Rejected,
 }
 
-/// What a buffer holds of a reply.
+/// The result of parsing a reply.
 #[derive(Debug, PartialEq)]
 pub enum ParsedReply {
-    /// The beginning of a reply: more bytes are needed.
+    /// The reply is incomplete.
     Incomplete,
-    /// A whole reply.
+    /// A complete reply.
     Complete(CounterReply),
-    /// Something else. Whatever follows it belongs to no call that is known.
+    /// Not a valid reply. The bytes that follow cannot be matched to calls.
     Invalid,
 }
 
-/// Writes a call that adds `amount` to the total of that name, which expires after `ttl` if it is new.
+/// Writes a call that adds `amount` to the total with the given name. A new total expires after `ttl` milliseconds.
 pub fn write_add(out: &mut impl Write, name: u64, amount: f32, ttl: Millis) {
     let name = name.to_string();
     let amount = amount.to_string();
     let ttl = (ttl.ceil().max(1.0) as u64).to_string();
-    // Writing to memory does not fail.
+    // Writing to an in-memory buffer does not fail.
     let _ = write!(out, "*4\r\n");
     for argument in [ADD_COMMAND, &name, &amount, &ttl] {
         let _ = write!(out, "${}\r\n{argument}\r\n", argument.len());
     }
 }
 
-/// Takes one reply off the buffer if it is whole.
+/// Removes one reply from the buffer if it is complete.
 pub fn parse_reply(buffer: &mut RingBuffer) -> ParsedReply {
     let bytes = buffer.contiguous();
     let Some((kind, rest)) = bytes.split_first() else {
@@ -69,8 +69,8 @@
     parsed
 }
 
-/// Only these two errors prove that nothing was added. Any other may stand for an addition that was made, and a retry
-/// would count it twice.
+/// Parses an error reply. Only `BUSY` and `ERR` guarantee that nothing was added. After any other error the amount may
+/// have been added, so a retry could count it twice.
 fn parse_error(line: &str) -> ParsedReply {
     match line.split(' ').next() {
         Some("BUSY" | "ERR") => ParsedReply::Complete(CounterReply::Rejected),
@@ -85,7 +85,7 @@
     }
 }
 
-/// Parses the string that follows a line with its size. Returns with it how many bytes it takes after that line.
+/// Parses a bulk string, whose size is on the first line. Returns the reply and the number of bytes after that line.
 fn parse_bulk_string(line: &str, content: &[u8]) -> (ParsedReply, usize) {
     let size = line
         .parse::<usize>()
--- a/crates/aspendrum/src/discovery.rs
+++ b/crates/aspendrum/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The list of servers: the one that the configuration holds, then discovery's. Silence and faulty lists leave the last
-//! list in force.
+//! Server discovery: the list in the configuration is used until the discovery service responds. If the service does
+//! not respond or sends an invalid list, the last valid list stays in use.
 
 mod client;
 mod endpoint;
--- a/crates/aspendrum/src/discovery/client.rs
+++ b/crates/aspendrum/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Requests to discovery: a complete list, then one watch after another.
+//! The discovery client: fetches a complete list, then watches for changes.
 
 use super::endpoint::DiscoveryEndpoint;
 use super::publish::publish;
@@ -24,7 +24,7 @@
     #[display("{_0}")]
     Connect(io::Error),
     #[display("its address has changed")]
-    Moved,
+    AddressChanged,
     #[display("{_0:?}")]
     Exchange(#[error(not(source))] Outcome),
     #[display("status {_0}")]
@@ -35,21 +35,21 @@
     InvalidList(ServerListError),
 }
 
-/// What the client needs from the start on.
+/// The options of a [`DiscoveryClient`].
 pub(crate) struct DiscoveryOptions {
     pub(crate) endpoint: Arc<DiscoveryEndpoint>,
     pub(crate) location_names: LocationNames,
-    /// What the decision engine requests.
+    /// Requests of the decision engine.
     pub(crate) requests: Receiver<DiscoveryRequest>,
-    /// Discovery pushes nothing: the decision engine requests lists and watches.
-    pub(crate) is_on_request: bool,
-    /// The version of the list that is known at the start, if it has any servers.
+    /// Whether discovery is polled: the decision engine requests each list and watch.
+    pub(crate) is_polled: bool,
+    /// The version of the list in the configuration.
     pub(crate) known_version: u64,
-    pub(crate) knows_servers: bool,
+    pub(crate) has_known_servers: bool,
     pub(crate) backoff: Backoff,
 }
 
-/// Keeps the dispatcher and the pool informed of the servers.
+/// Keeps the server lists of the dispatcher and the connection pool up to date.
 pub(crate) struct DiscoveryClient {
     state: Arc<LimiterState>,
     options: DiscoveryOptions,
@@ -57,7 +57,7 @@
     connection: Option<Connection>,
     should_watch: bool,
     should_fetch: bool,
-    /// The last failure, which is logged once.
+    /// The last error. Consecutive identical errors are logged once.
     last_error: Option<String>,
 }
 
@@ -67,10 +67,10 @@
             state,
             version: options.known_version,
             connection: None,
-            should_watch: !options.is_on_request,
-            // Where discovery is asked, a limiter that knows servers begins with a watch from their version: that takes
-            // one request of the few that a fleet may make, not two.
-            should_fetch: !options.is_on_request || !options.knows_servers,
+            should_watch: !options.is_polled,
+            // When discovery is polled and servers are known, the first request is a watch from their version. This
+            // saves the fetch, because the request rate of the whole fleet is limited.
+            should_fetch: !options.is_polled || !options.has_known_servers,
             last_error: None,
             options,
         }
@@ -78,13 +78,13 @@
 
     /// Sends requests until the limiter stops.
     pub(crate) fn run(mut self) {
-        if self.options.is_on_request {
-            // A fleet that starts at once must not ask all at once.
+        if self.options.is_polled {
+            // Spread the first requests of a fleet whose limiters start together.
             self.back_off();
         }
         while !self.state.lifecycle.is_stopped() && self.receive_requests() {
-            if self.options.endpoint.take_has_moved() {
-                self.start_over();
+            if self.options.endpoint.take_address_changed() {
+                self.reset();
             }
             if self.should_fetch || self.should_watch {
                 self.update();
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Receives what the decision engine requests; waits for it if there is nothing to do. Returns false if there is no
-    /// decision engine any more.
+    /// Receives requests of the decision engine, and blocks if there is nothing else to do. Returns false if the
+    /// decision engine has ended.
     fn receive_requests(&mut self) -> bool {
         if !self.should_fetch && !self.should_watch {
             let Ok(request) = self.options.requests.recv() else {
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Discovery has moved: everything is fetched from its new address.
-    fn start_over(&mut self) {
+    /// Closes the connection and schedules a fetch of the complete list, after the discovery address has changed.
+    fn reset(&mut self) {
         self.connection = None;
         self.should_fetch = true;
     }
@@ -125,19 +125,20 @@
             Ok(list) => {
                 self.last_error = None;
                 self.options.backoff.reset();
-                // Changes of an older version do not apply.
+                // A delta with a version older than ours cannot be applied, so fetch the complete list.
                 self.should_fetch = !list.is_complete && list.version < self.version;
                 if !self.should_fetch {
                     self.publish(list);
                 }
             }
-            // A request that was ended by the move is no failure.
-            Err(_) if self.options.endpoint.take_has_moved() => self.start_over(),
+            // A request that was aborted because the address changed is not a failure.
+            Err(_) if self.options.endpoint.take_address_changed() => self.reset(),
             Err(error) => self.handle_failure(&error),
         }
     }
 
-    /// A failure leaves the last list in force.
+    /// Logs a failure, reports it to the decision engine if discovery is polled, and backs off. The last list stays in
+    /// use.
     fn handle_failure(&mut self, error: &DiscoveryError) {
         self.connection = None;
         let text = error.to_string();
@@ -145,7 +146,7 @@
             tracing::warn!(why = %text, "discovery failed; the last list stays");
             self.last_error = Some(text);
         }
-        if self.options.is_on_request {
+        if self.options.is_polled {
             self.should_watch = false;
             let (list, entries) = (ListKind::Failed, Vec::new());
             self.state.dispatcher.send(DispatcherEvent::Servers {
@@ -157,7 +158,8 @@
         self.back_off();
     }
 
-    /// Waits before the next request, and receives what is requested meanwhile; a request to fetch ends the delay.
+    /// Waits for the backoff delay while receiving requests of the decision engine. A fetch request ends the delay
+    /// early.
     fn back_off(&mut self) {
         let deadline = Instant::now() + self.options.backoff.next_delay();
         while let Ok(request) = self.options.requests.recv_deadline(deadline) {
@@ -175,7 +177,7 @@
             None => self.connect()?,
         };
         if !self.options.endpoint.register(&connection) {
-            return Err(DiscoveryError::Moved);
+            return Err(DiscoveryError::AddressChanged);
         }
         let (hold, path) = if self.should_fetch {
             (Duration::ZERO, PATH.to_string())
--- a/crates/aspendrum/src/discovery/endpoint.rs
+++ b/crates/aspendrum/src/discovery/endpoint.rs
@@ -1,18 +1,18 @@
-//! The address of discovery, which a new configuration may change, and the connection to it.
+//! The address of the discovery service, which a configuration reload may change, and the connection to it.
 
 use aspendrum_net::connection::Connection;
 use aspendrum_net::threads::lock;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// Where discovery is reached.
+/// The discovery service's current address.
 pub(crate) struct DiscoveryEndpoint(Mutex<State>);
 
 struct State {
     address: SocketAddr,
     /// The connection in use.
     stream: Option<Arc<TcpStream>>,
-    has_moved: bool,
+    has_address_changed: bool,
 }
 
 impl DiscoveryEndpoint {
@@ -20,14 +20,14 @@
         DiscoveryEndpoint(Mutex::new(State {
             address,
             stream: None,
-            has_moved: false,
+            has_address_changed: false,
         }))
     }
 
-    /// Goes over to another address, and ends the connection to the old one at once: a watch there may be silent for
-    /// seconds, and whatever it would still report is in the complete list that is fetched from the new one. Returns
-    /// whether the address is another one.
-    pub(crate) fn move_to(&self, address: SocketAddr) -> bool {
+    /// Changes the address and closes the connection to the old one immediately: a watch on it could block for seconds,
+    /// and the complete list fetched from the new address includes any change that the watch would report. Returns
+    /// whether the address has changed.
+    pub(crate) fn change_address(&self, address: SocketAddr) -> bool {
         let mut state = lock(&self.0);
         if state.address == address {
             return false;
@@ -36,7 +36,7 @@
             let _ = stream.shutdown(Shutdown::Both);
         }
         state.address = address;
-        state.has_moved = true;
+        state.has_address_changed = true;
         true
     }
 
@@ -44,12 +44,12 @@
         lock(&self.0).address
     }
 
-    /// Whether the address has changed since the last call.
-    pub(super) fn take_has_moved(&self) -> bool {
-        std::mem::take(&mut lock(&self.0).has_moved)
+    /// Returns whether the address has changed since the last call, and clears the flag.
+    pub(super) fn take_address_changed(&self) -> bool {
+        std::mem::take(&mut lock(&self.0).has_address_changed)
     }
 
-    /// Registers the connection in use. Returns false if the address has changed meanwhile: the connection is of no use.
+    /// Registers the connection in use. Returns false if the address has changed since it was opened.
     pub(super) fn register(&self, connection: &Connection) -> bool {
         let mut state = lock(&self.0);
         state.stream = (state.address == connection.address).then(|| connection.stream.clone());
--- a/crates/aspendrum/src/discovery/publish.rs
+++ b/crates/aspendrum/src/discovery/publish.rs
@@ -1,4 +1,4 @@
-//! Passes a list of servers on.
+//! Publishes server lists to the connection pool and the dispatcher.
 
 use crate::event::DispatcherEvent;
 use crate::server_list::{ListedServer, ServerList};
@@ -6,8 +6,8 @@
 use aspendrum_core::api::{Health, ListKind};
 use std::collections::HashSet;
 
-/// Passes a list on to the pool, and then to the dispatcher: the decision engine must not choose a server whose address is not
-/// known.
+/// Publishes a list, first to the pool and then to the dispatcher: the decision engine must not choose a server whose
+/// address the pool does not have.
 pub(crate) fn publish(state: &LimiterState, kind: ListKind, list: ServerList) {
     let mut listed = HashSet::new();
     for ListedServer { entry, address } in &list.entries {
--- a/crates/aspendrum/src/dispatcher.rs
+++ b/crates/aspendrum/src/dispatcher.rs
@@ -1,7 +1,7 @@
-//! The dispatcher: the one thread that owns the decision engine, its timers, and the requests in progress.
+//! The dispatcher: the single thread that owns the decision engine, its timers and the requests in progress.
 //!
-//! All other threads notify it through one bounded mailbox. It passes what happened to the decision engine, carries out the
-//! actions that the engine returns, and never waits for anybody.
+//! All other threads send it events through one bounded mailbox. The dispatcher passes each event to the decision
+//! engine, performs the actions that the engine returns, and never blocks on another thread.
 
 mod pending_request;
 mod timers;
@@ -26,10 +26,10 @@
 use std::time::Instant;
 use timers::Timers;
 
-/// The target of the decision engine's own log lines.
+/// The `tracing` target of log lines emitted by the decision engine.
 const ENGINE_LOG_TARGET: &str = "aspendrum::module";
 
-/// The services that carry out the decision engine's actions.
+/// The services that perform the decision engine's actions.
 pub(crate) struct Services {
     pub(crate) counter: Option<CounterClient>,
     pub(crate) discovery: Sender<DiscoveryRequest>,
@@ -43,9 +43,9 @@
     services: Services,
     requests: HashMap<RequestId, PendingRequest>,
     timers: Timers,
-    /// What the engine returned and is still to be carried out; kept for its allocation.
+    /// Actions returned by the engine and not performed yet. The allocation is reused between events.
     actions: Vec<Action>,
-    /// Requests whose threads take no decision any more. The engine is notified after the event in progress.
+    /// Requests whose threads no longer receive decisions. The engine is notified after the current event.
     abandoned: Vec<RequestId>,
     last_expiry: Instant,
     disconnect_reporter: DisconnectReporter,
@@ -127,16 +127,16 @@
             DispatcherEvent::PeerDatagram { from, data } => {
                 self.notify_engine(&Event::DatagramReceived { from, data: &data });
             }
-            DispatcherEvent::CounterMoved { to } => {
+            DispatcherEvent::CounterAddressChanged { address } => {
                 if let Some(counter) = &mut self.services.counter {
-                    counter.move_to(to);
+                    counter.change_address(address);
                 }
             }
             DispatcherEvent::Stop => {}
         }
     }
 
-    /// Passes an event to the decision engine, and carries out what it returns.
+    /// Passes an event to the decision engine and performs the returned actions.
     fn notify_engine(&mut self, event: &Event<'_>) {
         self.engine.handle(self.now(), event, &mut self.actions);
         self.perform_actions();
@@ -151,15 +151,15 @@
             return;
         };
         request.is_finished = true;
-        // While an attempt is in flight, the request's thread reads this after its end.
+        // While an attempt is in flight, the request's thread receives this after the attempt has ended.
         let _ = request
             .decisions
             .try_send(RequestDecision::ClientDisconnected);
         self.notify_engine(&Event::ClientDisconnected { id });
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    /// The request's thread reads no decision any more.
+    /// Handles a request whose thread no longer receives decisions.
     fn handle_abandoned(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -169,7 +169,7 @@
             self.notify_engine(&Event::ClientDisconnected { id });
         }
         match in_flight {
-            // An attempt that no thread started never ran.
+            // The attempt was never started, so the request did not run.
             Some(Attempt { number, server }) => self.handle_attempt_end(&AttemptEnd {
                 id,
                 attempt: number,
@@ -179,7 +179,7 @@
                 charged: 0,
                 load: LoadReport::default(),
             }),
-            None => self.forget_if_done(id),
+            None => self.remove_if_done(id),
         }
     }
 
@@ -202,11 +202,11 @@
             load: end.load,
         };
         self.notify_engine(&event);
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    /// Forgets a request once it is finished and no attempt is in flight.
-    fn forget_if_done(&mut self, id: RequestId) {
+    /// Removes a request once it is finished and has no attempt in flight.
+    fn remove_if_done(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(PendingRequest::is_done) {
             self.requests.remove(&id);
         }
@@ -229,8 +229,10 @@
         }
     }
 
-    /// Checks whether the clients of all requests in progress are still connected. For one that is not, nothing more is
-    /// sent; what happens to an attempt at a server is the decision engine's to say.
+    /// Checks whether the clients of all requests in progress are still connected.
+    ///
+    /// After a disconnect no further attempt is sent to a server. The decision engine decides whether an attempt that
+    /// is already in flight is cancelled.
     fn check_disconnects(&mut self) {
         let state = self.state.clone();
         let sessions = state.sessions.with_request();
@@ -257,8 +259,8 @@
         }
     }
 
-    /// Records a violation of the invariant that a request which was not sent completely within [`REACTION_DEADLINE`] of its
-    /// client's disconnect is never sent.
+    /// Records a violation of the invariant that a request is either sent completely within [`REACTION_DEADLINE`] of
+    /// its client's disconnect or not at all.
     fn check_reaction(&self, connection: &ClientConnection) {
         let watcher = &self.state.disconnect_watcher;
         let since_disconnect = connection.time_since_disconnect(watcher);
@@ -319,7 +321,7 @@
             Action::Probe { server } => start_health_check(&self.state, server),
             Action::CloseConnections { server } => self.state.pool.close_idle(server),
             Action::Timer { token, wait } => self.timers.add(self.now() + wait.max(0.0), token),
-            // A full channel holds the same request already.
+            // Dropped if the channel is full of requests that the discovery client has not received yet.
             Action::FetchServers => drop(self.services.discovery.try_send(DiscoveryRequest::Fetch)),
             Action::WatchServers { on } => drop(
                 self.services
@@ -360,12 +362,12 @@
             return;
         };
         request.is_finished = true;
-        // A full mailbox means that the request's thread takes no decisions: it ends by its own time-out.
+        // If the mailbox is full, the request's thread is not receiving decisions and ends by its own timeout.
         let _ = request.decisions.try_send(decision);
         if let Some(attempt) = &request.in_flight {
-            // The response is written now, and nobody is left to read what the server still sends.
+            // The client gets its response now, so a later response of the server would be discarded.
             request.forward.cancel_up_to(attempt.number);
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 }
--- a/crates/aspendrum/src/dispatcher/pending_request.rs
+++ b/crates/aspendrum/src/dispatcher/pending_request.rs
@@ -1,4 +1,4 @@
-//! A request in progress, as the dispatcher sees it.
+//! The dispatcher's record of a request in progress.
 
 use crate::event::RequestDecision;
 use aspendrum_core::api::ServerId;
@@ -6,21 +6,21 @@
 use aspendrum_net::mailbox::MailboxSender;
 use std::sync::Arc;
 
-/// An attempt to run a request at a server.
+/// An attempt to run a request on a server.
 pub(super) struct Attempt {
     pub(super) number: u8,
     pub(super) server: ServerId,
 }
 
-/// A request that is not finished, or has an attempt in flight.
+/// A request that is not finished or still has an attempt in flight.
 pub(super) struct PendingRequest {
-    /// Decisions for the request's thread.
+    /// Delivers decisions to the request's thread.
     pub(super) decisions: MailboxSender<RequestDecision>,
-    /// The means to cancel its attempts.
+    /// Cancels attempts of the request.
     pub(super) forward: Arc<ForwardHandle>,
     next_attempt: u8,
     pub(super) in_flight: Option<Attempt>,
-    /// It has its final response, or its client has disconnected.
+    /// Whether the request has its final response or its client has disconnected.
     pub(super) is_finished: bool,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Starts an attempt; returns its number.
+    /// Starts an attempt and returns its number.
     pub(super) fn start_attempt(&mut self, server: ServerId) -> u8 {
         let number = self.next_attempt;
         self.next_attempt += 1;
--- a/crates/aspendrum/src/dispatcher/timers.rs
+++ b/crates/aspendrum/src/dispatcher/timers.rs
@@ -6,14 +6,14 @@
 
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// A timer; ordered by its due time, then by its token.
+/// A timer, ordered by due time and then by token.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     due_us: u64,
     token: u32,
 }
 
-/// Timers in the order in which they are due, to the microsecond.
+/// Timers ordered by due time, with microsecond resolution.
 #[derive(Default)]
 pub(super) struct Timers(BinaryHeap<Reverse<Timer>>);
 
@@ -23,14 +23,14 @@
         self.0.push(Reverse(Timer { due_us, token }));
     }
 
-    /// When the first timer is due.
+    /// Returns when the next timer is due.
     pub(super) fn next_due(&self) -> Option<Millis> {
         self.0
             .peek()
             .map(|Reverse(timer)| timer.due_us as f64 / MICROSECONDS_PER_MILLISECOND)
     }
 
-    /// Removes the first timer if it is due, and returns its token.
+    /// Removes the next timer if it is due and returns its token.
     pub(super) fn pop_due(&mut self, now: Millis) -> Option<u32> {
         let now_us = (now * MICROSECONDS_PER_MILLISECOND) as u64;
         let Reverse(timer) = self
--- a/crates/aspendrum/src/dispatcher_handle.rs
+++ b/crates/aspendrum/src/dispatcher_handle.rs
@@ -1,4 +1,4 @@
-//! How the limiter's threads reach the dispatcher.
+//! The handle through which the limiter's other threads reach the dispatcher.
 
 use crate::clock::Clock;
 use crate::event::DispatcherEvent;
@@ -7,16 +7,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// Sends events to the dispatcher, and numbers requests for it.
+/// Sends events to the dispatcher and assigns request ids.
 pub struct DispatcherHandle {
     events: MailboxSender<DispatcherEvent>,
-    /// The clock of all times that the decision engine sees.
+    /// The clock of all times passed to the decision engine.
     pub clock: Clock,
     next_request: AtomicU64,
 }
 
 impl DispatcherHandle {
-    /// A handle that sends to this mailbox.
+    /// Creates a handle that sends to the given mailbox.
     pub fn new(events: MailboxSender<DispatcherEvent>, clock: Clock) -> DispatcherHandle {
         DispatcherHandle {
             events,
@@ -25,25 +25,26 @@
         }
     }
 
-    /// The id of a new request.
+    /// Returns the id for a new request.
     pub(crate) fn next_request_id(&self) -> RequestId {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// For callers that must not wait for the dispatcher, the dispatcher itself among them.
+    /// Sends an event without blocking. Callers that must not wait for the dispatcher use this, including the
+    /// dispatcher itself.
     ///
     /// # Errors
-    /// The event, if its mailbox is full.
+    /// Returns the event if the mailbox is full.
     pub(crate) fn try_send(&self, event: DispatcherEvent) -> Result<(), DispatcherEvent> {
         self.events.try_send(event)
     }
 
-    /// Waits until the mailbox has room, which it soon has. Returns false if there is no dispatcher any more.
+    /// Sends an event, blocking while the mailbox is full. Returns false if the dispatcher has ended.
     pub(crate) fn send(&self, event: DispatcherEvent) -> bool {
         self.events.send(event, None)
     }
 
-    /// The same, but not beyond the deadline.
+    /// Like [`Self::send`], but blocks no longer than until the deadline.
     pub(crate) fn send_by(&self, deadline: Instant, event: DispatcherEvent) -> bool {
         self.events.send(event, Some(deadline))
     }
--- a/crates/aspendrum/src/event.rs
+++ b/crates/aspendrum/src/event.rs
@@ -8,100 +8,100 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the dispatcher is notified of.
+/// An event for the dispatcher.
 pub enum DispatcherEvent {
     /// A request was read.
     Request {
-        /// What the decision engine needs to know of it.
+        /// The request, as passed to the decision engine.
         request: NewRequest,
-        /// Where its decisions are sent.
+        /// The mailbox for the request's decisions.
         decisions: MailboxSender<RequestDecision>,
-        /// The means to cancel its attempts.
+        /// Cancels attempts of the request.
         forward: Arc<ForwardHandle>,
     },
     /// The client disconnected while its request was in progress.
     ClientDisconnected {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
     },
     /// The attempt in flight has ended.
     AttemptEnded(AttemptEnd),
-    /// The request has its response without a decision; no further decision is read.
+    /// The request got its response without a decision and receives no further decisions.
     Abandoned {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
     },
-    /// An event that goes to the decision engine unchanged.
+    /// An event that is passed to the decision engine unchanged.
     Engine(Event<'static>),
-    /// Discovery's list, or that there is none.
+    /// A server list from discovery, or a failure to get one.
     Servers {
-        /// What the list is.
+        /// The kind of list.
         list: ListKind,
-        /// Its version.
+        /// The version of the list.
         version: u32,
-        /// Its servers.
+        /// The listed servers.
         entries: Vec<ServerEntry>,
     },
-    /// A datagram of another limiter.
+    /// A datagram from another limiter.
     PeerDatagram {
-        /// The other limiter's number.
+        /// The number of the sender.
         from: u16,
-        /// Its contents.
+        /// The payload.
         data: Vec<u8>,
     },
-    /// A new configuration names another address of the counter.
-    CounterMoved {
-        /// The address.
-        to: SocketAddr,
+    /// A new configuration changed the address of the counter.
+    CounterAddressChanged {
+        /// The new address.
+        address: SocketAddr,
     },
-    /// The limiter stops.
+    /// Stops the dispatcher.
     Stop,
 }
 
-/// How an attempt to run a request at a server ended.
+/// The result of an attempt to run a request on a server.
 pub struct AttemptEnd {
-    /// The request.
+    /// The id of the request.
     pub id: RequestId,
-    /// The attempt's number.
+    /// The number of the attempt.
     pub attempt: u8,
     /// The server.
     pub server: ServerId,
     /// The outcome.
     pub outcome: Outcome,
-    /// How long the attempt took.
+    /// The duration of the attempt, in milliseconds.
     pub rtt: Millis,
-    /// Units that the server charged.
+    /// The units charged by the server.
     pub charged: u16,
-    /// The load that the server reported.
+    /// The load reported by the server.
     pub load: LoadReport,
 }
 
-/// What the dispatcher decides for a request. One of the last three ends it.
+/// A decision of the dispatcher about a request. All variants but `Forward` end the request.
 pub enum RequestDecision {
-    /// Send it to a server.
+    /// Forward the request to a server.
     Forward {
-        /// The attempt's number.
+        /// The number of the attempt.
         attempt: u8,
         /// The server.
         server: ServerId,
-        /// How long the attempt may take; the client's deadline, if there is none.
+        /// The timeout of the attempt in milliseconds. If absent, only the client's deadline applies.
         timeout: Option<Millis>,
     },
-    /// Reject it: it did not run.
+    /// Reject the request, which did not run.
     Shed {
-        /// After how long the client may retry.
+        /// The time after which the client may retry, in milliseconds.
         retry_after: Option<Millis>,
     },
-    /// Give it up: it may have run.
+    /// Give up on the request, which may have run.
     Drop,
-    /// The client has disconnected: there is nobody to respond to.
+    /// The client has disconnected; no response is written.
     ClientDisconnected,
 }
 
-/// What the decision engine requests of discovery, where lists must be asked for.
+/// A request of the decision engine to the discovery client, used when discovery is polled.
 #[derive(Clone, Copy, PartialEq)]
 pub enum DiscoveryRequest {
-    /// Watch for changes, or no longer.
+    /// Start (`true`) or stop (`false`) watching for changes.
     Watch(bool),
     /// Fetch the complete list.
     Fetch,
--- a/crates/aspendrum/src/health_check.rs
+++ b/crates/aspendrum/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers, each on a thread of its own.
+//! Health checks of servers, each on a worker thread.
 
 use crate::clock::millis_from_duration;
 use crate::event::DispatcherEvent;
@@ -8,7 +8,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Checks a server. The dispatcher is notified of the result in any case.
+/// Starts a health check of a server, whose result is reported to the dispatcher. If no thread is available, the check
+/// is reported as a failed connection.
 pub(crate) fn start_health_check(state: &Arc<LimiterState>, server: ServerId) {
     let job_state = state.clone();
     let job = move || run(&job_state, server);
--- a/crates/aspendrum/src/http/fields.rs
+++ b/crates/aspendrum/src/http/fields.rs
@@ -1,26 +1,25 @@
-//! The header fields of requests: their names, and how their values are read.
+//! Names of request header fields, and parsers of their values.
 
 use aspendrum_core::api::Millis;
 
-/// The client's id of a transaction.
+/// The transaction id assigned by the client.
 pub(super) const TRANSACTION: &str = "X-Txn";
 /// The name of an endpoint group.
 pub(super) const GROUP: &str = "X-Lane";
 /// The name of a tenant's plan.
 pub(super) const PLAN: &str = "X-Plan";
-/// The time that is left until the client gives up.
+/// The time until the client stops waiting.
 pub(super) const REMAINING: &str = "X-Remaining";
-/// Whether the client retries.
+/// Whether the request is a client retry.
 pub(super) const RESENT: &str = "X-Resent";
-/// The units that a request takes, and the limiters among which its tenant's quota is divided.
+/// The units that a request consumes, and the limiters that share its tenant's quota.
 pub(super) const QUOTA: &str = "X-Quota";
-/// By which servers recognize a request that they have run before.
+/// The key by which servers recognize a request that they have already run.
 pub(super) const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 const TENANT_COOKIE: &str = "client";
 
-/// Fields that decide how a request is treated. One that comes twice may be read in one way here and in another by a
-/// server.
-const SINGLE_FIELDS: [&str; 9] = [
+/// Fields that must not be repeated, because the limiter and a server could each use a different occurrence.
+const SINGLETON_FIELDS: [&str; 9] = [
     TRANSACTION,
     GROUP,
     PLAN,
@@ -31,7 +30,7 @@
     "Cookie",
     "Host",
 ];
-/// Fields that concern one connection only, and those that this hop writes itself.
+/// Hop-by-hop fields, and fields that this hop writes itself.
 const HOP_BY_HOP: [&str; 12] = [
     "connection",
     "keep-alive",
@@ -47,21 +46,21 @@
     "x-remaining",
 ];
 
-/// Tenants are numbers below this, written with [`TENANT_DIGITS`] hexadecimal digits.
-const TENANTS: u64 = 1 << 33;
+/// The exclusive upper bound of tenant numbers, which are written with [`TENANT_DIGITS`] hexadecimal digits.
+const MAX_TENANTS: u64 = 1 << 33;
 const TENANT_DIGITS: usize = 16;
 const MAX_REMAINING: Millis = 3_600_000.0;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
 pub(super) fn has_duplicate_field(headers: &[httparse::Header<'_>]) -> bool {
-    let comes_twice = |name: &&str| {
+    let is_repeated = |name: &&str| {
         headers
             .iter()
             .filter(|field| field.name.eq_ignore_ascii_case(name))
             .count()
             > 1
     };
-    SINGLE_FIELDS.iter().any(comes_twice)
+    SINGLETON_FIELDS.iter().any(is_repeated)
 }
 
 pub(super) fn is_forwarded(field: &httparse::Header<'_>) -> bool {
@@ -70,8 +69,9 @@
         .any(|name| name.eq_ignore_ascii_case(field.name))
 }
 
-/// The number of the tenant in the cookies. None also if there are two: a server might take the other one.
-pub(super) fn tenant(headers: &[httparse::Header<'_>]) -> Option<u64> {
+/// Parses the tenant number from the cookies. Returns `None` if there are several, because a server could use another
+/// one.
+pub(super) fn parse_tenant(headers: &[httparse::Header<'_>]) -> Option<u64> {
     let cookies = headers
         .iter()
         .filter(|field| field.name.eq_ignore_ascii_case("cookie"));
@@ -87,32 +87,32 @@
     }
     u64::from_str_radix(value, 16)
         .ok()
-        .filter(|tenant| *tenant < TENANTS)
+        .filter(|tenant| *tenant < MAX_TENANTS)
 }
 
-/// A time with its unit: `m` for milliseconds, `u` for microseconds.
-pub(super) fn remaining_time(text: &str) -> Option<Millis> {
+/// Parses a time with its unit: `m` for milliseconds, `u` for microseconds.
+pub(super) fn parse_remaining_time(text: &str) -> Option<Millis> {
     let millis = match text.as_bytes().last()? {
-        b'm' => number(&text[..text.len() - 1])?,
-        b'u' => number(&text[..text.len() - 1])? / MICROSECONDS_PER_MILLISECOND,
+        b'm' => parse_number(&text[..text.len() - 1])?,
+        b'u' => parse_number(&text[..text.len() - 1])? / MICROSECONDS_PER_MILLISECOND,
         _ => return None,
     };
     Some(millis).filter(|millis| *millis > 0.0 && *millis <= MAX_REMAINING)
 }
 
-/// What a request takes of its tenant's quota.
+/// The part of its tenant's quota that a request uses.
 pub(super) struct QuotaShare {
     pub(super) units: f64,
-    /// How many limiters share the quota.
+    /// The number of limiters that share the quota.
     pub(super) instances: f64,
-    /// The number of the first of them.
+    /// The number of the first of these limiters.
     pub(super) first_instance: f64,
 }
 
 impl QuotaShare {
     const NAMES: [&str; 3] = ["units", "spread", "first"];
 
-    /// Reads `units=U,spread=S,first=F`, in any order and with unknown names among them.
+    /// Parses `units=U,spread=S,first=F`, in any order. Unknown names are ignored.
     pub(super) fn parse(text: &str) -> Option<QuotaShare> {
         let mut values = [None; 3];
         for pair in text.split(',') {
@@ -120,7 +120,7 @@
             let Some(index) = QuotaShare::NAMES.iter().position(|known| *known == name) else {
                 continue;
             };
-            if values[index].replace(number(value)?).is_some() {
+            if values[index].replace(parse_number(value)?).is_some() {
                 return None;
             }
         }
@@ -132,17 +132,17 @@
         })
     }
 
-    /// Whether such a set of limiters exists, and a request may take so many units.
+    /// Returns whether this set of limiters exists and a request may use this number of units.
     pub(super) fn is_valid(&self, limiters: f64, max_units: f64) -> bool {
-        let is_set =
+        let is_existing_set =
             self.instances >= 1.0 && self.instances <= limiters && self.first_instance < limiters;
         let is_whole = self.instances.fract() == 0.0 && self.first_instance.fract() == 0.0;
-        is_set && is_whole && self.units > 0.0 && self.units <= max_units
+        is_existing_set && is_whole && self.units > 0.0 && self.units <= max_units
     }
 }
 
-/// A finite number that is not negative.
-pub(super) fn number(text: &str) -> Option<f64> {
+/// Parses a finite, non-negative number.
+pub(super) fn parse_number(text: &str) -> Option<f64> {
     text.trim()
         .parse()
         .ok()
--- a/crates/aspendrum/src/http/forwarded.rs
+++ b/crates/aspendrum/src/http/forwarded.rs
@@ -10,13 +10,12 @@
 pub const HEALTH_CHECK_PATH: &str = "/health/live";
 /// The path of a health check whose response reports the server's load.
 pub const LOAD_REPORT_PATH: &str = "/stats";
-/// The host by which servers are addressed.
+/// The `Host` header of requests that the limiter sends on its own.
 const SERVER_HOST: &str = "origin.svc";
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
 impl ClientRequest {
-    /// Writes the request as it is forwarded, with the time that its client still waits. Returns false if the buffer is too
-    /// small.
+    /// Writes the forwarded request, with the remaining time of its client. Returns false if the buffer is too small.
     pub fn write_forwarded(&self, remaining: Millis, out: &mut RingBuffer) -> bool {
         let remaining_us = (remaining * MICROSECONDS_PER_MILLISECOND).max(1.0) as u64;
         let body_bytes = self.body.len();
@@ -29,7 +28,7 @@
     }
 }
 
-/// Writes a request without a body. Returns false if the buffer is too small.
+/// Writes a GET request. Returns false if the buffer is too small.
 pub fn write_get(out: &mut RingBuffer, path: &str) -> bool {
     write!(out, "GET {path} HTTP/1.1\r\nHost: {SERVER_HOST}\r\n\r\n").is_ok()
 }
--- a/crates/aspendrum/src/http/load_report.rs
+++ b/crates/aspendrum/src/http/load_report.rs
@@ -1,15 +1,15 @@
-//! LoadReport reports of servers: `name=value` pairs in a header or in a body.
+//! Load reports of servers: `name=value` pairs in a header or a body.
 
-use super::fields::number;
+use super::fields::parse_number;
 use aspendrum_core::api::{LoadReport, LoadValue};
 
-/// Reads a report from a response's body.
+/// Parses a load report from the body of a response.
 pub fn parse_load_report(body: &[u8], values: &[LoadValue]) -> LoadReport {
     parse_load(std::str::from_utf8(body).unwrap_or(""), values)
 }
 
-/// Reads the given values of a report. A value that cannot be read is NaN and does not invalidate the others; a report
-/// without any value is empty.
+/// Parses the given values of a load report. A missing or invalid value becomes NaN and does not invalidate the others.
+/// If all values are invalid, the report is empty.
 pub(super) fn parse_load(text: &str, values: &[LoadValue]) -> LoadReport {
     let mut load = LoadReport::default();
     let pairs = text.trim().trim_start_matches("TEXT").trim_start();
@@ -33,12 +33,12 @@
         .split([',', '\n'])
         .filter_map(|pair| pair.trim().split_once('='));
     pairs
-        .filter(|(name, _)| load_value(name) == value)
-        .find_map(|(_, text)| number(text))
+        .filter(|(name, _)| load_value_by_name(name) == value)
+        .find_map(|(_, text)| parse_number(text))
 }
 
-/// Servers name the values as the deployment does; the simulator has names of its own.
-fn load_value(name: &str) -> LoadValue {
+/// Maps the name of a value. Each value has two names: one used by deployed servers and one used by the simulator.
+fn load_value_by_name(name: &str) -> LoadValue {
     match name.trim() {
         "inflight" | "busy_reqs" => LoadValue::RequestsInFlight,
         "queue" | "pending" => LoadValue::RequestsQueued,
--- a/crates/aspendrum/src/http/request.rs
+++ b/crates/aspendrum/src/http/request.rs
@@ -1,8 +1,8 @@
-//! Requests of clients.
+//! Parsing of client requests.
 
 use super::fields::{
-    has_duplicate_field, is_forwarded, remaining_time, tenant, QuotaShare, GROUP, IDEMPOTENCY_KEY,
-    PLAN, QUOTA, REMAINING, RESENT, TRANSACTION,
+    has_duplicate_field, is_forwarded, parse_remaining_time, parse_tenant, QuotaShare, GROUP,
+    IDEMPOTENCY_KEY, PLAN, QUOTA, REMAINING, RESENT, TRANSACTION,
 };
 use super::schema::MessageSchema;
 use super::status::{
@@ -18,50 +18,50 @@
 
 const READINESS_PATH: &str = "/health/ready";
 const METHODS: [&str; 5] = ["GET", "POST", "PUT", "PATCH", "DELETE"];
-/// A head is usually shorter.
+/// The initial capacity of a forwarded head, which is sufficient for most requests.
 const HEAD_CAPACITY: usize = 512;
 
-/// A whole request as it was read from a client.
+/// A complete request from a client.
 pub enum IncomingRequest {
-    /// Whether the limiter is ready.
+    /// A readiness check of the limiter.
     Readiness {
-        /// The client wants the connection closed after the response.
+        /// Whether the client wants the connection closed after the response.
         close: bool,
     },
-    /// A request for a server.
+    /// A request to be forwarded to a server.
     Forwardable(Box<ClientRequest>),
 }
 
-/// A request for a server.
+/// A request to be forwarded to a server.
 pub struct ClientRequest {
     /// The number of its endpoint group.
     pub group: u16,
     /// The number of its tenant's plan.
     pub plan: u32,
-    /// Its tenant.
+    /// The number of its tenant.
     pub tenant: u64,
-    /// The time until its client gives up.
+    /// The time until its client stops waiting, in milliseconds.
     pub remaining: Millis,
-    /// The units that it takes.
+    /// The quota units that it uses.
     pub units: f32,
-    /// How many limiters share the tenant's quota.
+    /// The number of limiters that share the tenant's quota.
     pub instances: f32,
-    /// The number of the first of them.
+    /// The number of the first of these limiters.
     pub first_instance: f32,
-    /// Whether the client sent it before.
+    /// Whether it is a client retry.
     pub is_retry: bool,
-    /// Whether it may change something: its method is not GET.
+    /// Whether it may have side effects: its method is not GET.
     pub is_write: bool,
     /// Whether the client wants the connection closed after the response.
     pub close: bool,
-    /// The transaction id that the client gave it.
+    /// The transaction id assigned by the client.
     pub transaction: Vec<u8>,
-    /// The head of each forwarded request, without the remaining time and the body's length.
+    /// The head of the forwarded request, without the remaining time and the content length.
     pub(super) forwarded_head: Vec<u8>,
     pub(super) body: Vec<u8>,
 }
 
-/// Takes one request off the buffer if it is whole. [`Parsed::Invalid`] has the status for its client.
+/// Removes one request from the buffer if it is complete. [`Parsed::Invalid`] contains the status for the response.
 pub fn parse_request(
     buffer: &mut RingBuffer,
     schema: &MessageSchema,
@@ -118,8 +118,8 @@
     Ok(IncomingRequest::Forwardable(Box::new(request)))
 }
 
-/// None if anything is out of order. Such a request is rejected before the decision engine sees it: it may come in the name
-/// of a tenant that has nothing to do with it, and must change nothing that is known of that tenant.
+/// Parses a request to be forwarded. Returns `None` if it is invalid. Invalid requests are rejected before the decision
+/// engine sees them, because their tenant may be forged and its state must not change.
 fn client_request(
     head: &httparse::Request<'_, '_>,
     method: &str,
@@ -147,8 +147,8 @@
         group,
         plan,
         forwarded_head: forwarded_head(method, path, headers)?,
-        tenant: tenant(headers)?,
-        remaining: remaining_time(header(headers, REMAINING)?)?,
+        tenant: parse_tenant(headers)?,
+        remaining: parse_remaining_time(header(headers, REMAINING)?)?,
         units: quota.units as f32,
         instances: quota.instances as f32,
         first_instance: quota.first_instance as f32,
@@ -160,8 +160,8 @@
     })
 }
 
-/// Whether the method is the one of the request's group. Forwarded with another, a request that may run only once could
-/// pass for an idempotent one; and without its key nothing would recognize a keyed one that is repeated.
+/// Returns whether the request matches the semantics of its group. Otherwise a non-idempotent request could be retried
+/// as an idempotent one, or a deduplicated request without its key could run twice.
 fn fits_group(
     semantics: Semantics,
     method: &str,
@@ -177,7 +177,7 @@
     }
 }
 
-/// The first segment of a path is the name of the request's group.
+/// Returns the first segment of a path, which is the name of the request's group.
 fn first_segment(path: &str) -> Option<&str> {
     path.strip_prefix('/')?.split(['/', '?']).next()
 }
--- a/crates/aspendrum/src/http/response.rs
+++ b/crates/aspendrum/src/http/response.rs
@@ -1,4 +1,4 @@
-//! The limiter's responses to clients.
+//! Responses to clients.
 
 use super::status::reason_phrase;
 use aspendrum_core::api::Millis;
@@ -8,38 +8,38 @@
 
 /// A response to a client.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnResponse<'a> {
+pub struct ClientResponse<'a> {
     /// The status code.
     pub status: u16,
-    /// After how long the client may retry.
+    /// The time after which the client may retry, in milliseconds.
     pub retry_after: Option<Millis>,
-    /// Whether the connection is closed after it.
+    /// Whether the connection is closed after the response.
     pub close: bool,
-    /// The type of the body, or nothing.
+    /// The media type of the body; may be empty.
     pub content_type: &'a [u8],
     /// The body.
     pub body: &'a [u8],
 }
 
-impl OwnResponse<'_> {
-    /// A response without a body, after which the connection stays open.
-    pub fn empty(status: u16) -> OwnResponse<'static> {
-        OwnResponse {
+impl ClientResponse<'_> {
+    /// Creates a response without a body, after which the connection stays open.
+    pub fn empty(status: u16) -> ClientResponse<'static> {
+        ClientResponse {
             status,
-            ..OwnResponse::default()
+            ..ClientResponse::default()
         }
     }
 
-    /// A response without a body, after which the connection is closed.
-    pub fn closing(status: u16) -> OwnResponse<'static> {
-        OwnResponse {
+    /// Creates a response without a body, after which the connection is closed.
+    pub fn closing(status: u16) -> ClientResponse<'static> {
+        ClientResponse {
             status,
             close: true,
-            ..OwnResponse::default()
+            ..ClientResponse::default()
         }
     }
 
-    /// Writes the whole response. Returns false if the buffer is too small.
+    /// Writes the complete response. Returns false if the buffer is too small.
     pub fn write(&self, out: &mut RingBuffer) -> bool {
         let reason = reason_phrase(self.status);
         let body_bytes = self.body.len();
--- a/crates/aspendrum/src/http/schema.rs
+++ b/crates/aspendrum/src/http/schema.rs
@@ -1,26 +1,26 @@
-//! What parsing messages needs to know of the configuration.
+//! The parts of the configuration needed to parse messages.
 
 use aspendrum_core::api::{LoadValue, Semantics};
 use std::collections::HashMap;
 
-/// The names, numbers and bounds by which messages are read.
+/// Names, numbers and bounds for parsing messages.
 pub struct MessageSchema {
     /// The numbers of endpoint groups, by name.
     pub group_numbers: HashMap<String, u16>,
     /// The numbers of plans, by name.
     pub plan_numbers: HashMap<String, u32>,
-    /// Whether the requests of each endpoint group may run more than once, by number.
+    /// The semantics of each endpoint group, indexed by group number.
     pub semantics: Vec<Semantics>,
-    /// How many limiters there are.
+    /// The number of limiters.
     pub limiters: f64,
-    /// The most units that one request takes.
+    /// The maximum number of units of one request.
     pub max_units: f64,
     /// The values of load reports that the decision engine uses.
     pub load_values: Vec<LoadValue>,
 }
 
 impl MessageSchema {
-    /// Whether the requests of that group may run any number of times.
+    /// Returns whether the requests of a group may run any number of times.
     pub(crate) fn is_idempotent(&self, group: u16) -> bool {
         self.semantics.get(usize::from(group)) == Some(&Semantics::Idempotent)
     }
--- a/crates/aspendrum/src/http/server_response.rs
+++ b/crates/aspendrum/src/http/server_response.rs
@@ -1,6 +1,6 @@
-//! Responses of servers and of discovery.
+//! Parsing of responses from servers and discovery.
 
-use super::fields::number;
+use super::fields::parse_number;
 use super::load_report::parse_load;
 use super::schema::MessageSchema;
 use super::status::{
@@ -14,33 +14,33 @@
 };
 use aspendrum_net::ring_buffer::RingBuffer;
 
-/// The server's load.
+/// The load report of the server.
 const LOAD_REPORT: &str = "X-Pressure";
-/// The units that a request took in the end, where the deployment charges them after the response.
+/// The units charged for the request, in deployments that charge units after the response.
 const UNITS_CHARGED: &str = "X-Units-Charged";
-/// The server rejected the request without running it.
+/// `1` if the server rejected the request without running it.
 const REJECTED: &str = "X-Turned-Away";
 
-/// A whole response.
+/// A complete response from a server.
 pub struct ServerResponse {
     /// The status code.
     pub status: u16,
-    /// The server rejected the request without running it.
+    /// Whether the server rejected the request without running it.
     pub is_rejected: bool,
-    /// The server closes the connection after it.
+    /// Whether the server closes the connection after the response.
     pub close: bool,
-    /// The units that the request took, if the server says so.
+    /// The units charged for the request, if the server reports them.
     pub charged: Option<f32>,
-    /// The server's load.
+    /// The load reported by the server.
     pub load: LoadReport,
-    /// The type of the body, or nothing.
+    /// The media type of the body; may be empty.
     pub content_type: Vec<u8>,
-    /// The body, without any framing.
+    /// The body, without transfer coding.
     pub body: Vec<u8>,
 }
 
 impl ServerResponse {
-    /// What became of the request, as the decision engine sees it.
+    /// Returns the outcome of the request for the decision engine.
     pub(crate) fn outcome(&self) -> Outcome {
         match self.status {
             OK => Outcome::Ok,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// What became of a health check.
+    /// Returns the outcome of a health check.
     pub(crate) fn health_check_outcome(&self) -> Outcome {
         match self.status {
             OK => Outcome::Ok,
@@ -58,20 +58,22 @@
         }
     }
 
-    /// Whether the server takes the request for malformed.
+    /// Returns whether the status is a client error (4xx).
     pub(crate) fn is_client_error(&self) -> bool {
         (400..500).contains(&self.status)
     }
 }
 
-/// Where a message's body ends, and its content.
+/// The content of a message's body, and the offset of its end in the message.
 struct Body {
     end: usize,
     content: Vec<u8>,
 }
 
-/// Takes one response off the buffer if it is whole, and interim responses (1xx) before it. A response that only the end of
-/// the connection delimits cannot be told from one that was cut short, so it is invalid.
+/// Removes one response from the buffer if it is complete, together with interim responses (1xx) before it.
+///
+/// A response delimited only by the end of the connection is invalid, because it cannot be distinguished from a
+/// truncated one.
 pub fn parse_server_response(
     buffer: &mut RingBuffer,
     schema: &MessageSchema,
@@ -89,7 +91,7 @@
             _ => return Parsed::Invalid(BAD_GATEWAY),
         };
         let status = head.code.unwrap_or(0);
-        // Nobody asked for another protocol; what follows is not HTTP.
+        // The limiter never requests an upgrade, and the bytes that follow are not HTTP.
         if status == SWITCHING_PROTOCOLS {
             return Parsed::Invalid(BAD_GATEWAY);
         }
@@ -151,8 +153,8 @@
     body: Vec<u8>,
     schema: &MessageSchema,
 ) -> ServerResponse {
-    // A number that cannot be read, or is impossible, invalidates itself and not the response.
-    let charged = header(headers, UNITS_CHARGED).and_then(number);
+    // An invalid or out-of-range number is ignored and does not invalidate the response.
+    let charged = header(headers, UNITS_CHARGED).and_then(parse_number);
     let load_report = header(headers, LOAD_REPORT).unwrap_or("");
     ServerResponse {
         status,
--- a/crates/aspendrum/src/lib.rs
+++ b/crates/aspendrum/src/lib.rs
@@ -1,8 +1,8 @@
-//! The rate limiter as a library: read a [`config::Config`], start a [`Limiter`], drain it in the end.
+//! The rate limiter as a library. Read a [`config::Config`], start a [`Limiter`], and drain it to shut down.
 //!
-//! A limiter accepts requests of clients, keeps each tenant to its quota, and forwards what is admitted to servers. Every
-//! decision is made by `aspendrum_core`; this crate does the input and output. `docs/architecture.md` shows which thread
-//! owns what.
+//! A limiter accepts client requests, enforces the quota of each tenant, and forwards admitted requests to servers.
+//! `aspendrum_core` makes all decisions; this crate does the I/O. `docs/architecture.md` shows which thread owns which
+//! state.
 
 pub mod backoff;
 mod client_session;
--- a/crates/aspendrum/src/lifecycle.rs
+++ b/crates/aspendrum/src/lifecycle.rs
@@ -1,9 +1,9 @@
-//! Whether the limiter serves, drains or has stopped, and for how long it has been running.
+//! The limiter's lifecycle state (running, draining, stopped) and its uptime.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Instant;
 
-/// The phase of one limiter, shared by all its threads.
+/// The lifecycle of one limiter, shared by all its threads.
 pub(crate) struct Lifecycle {
     started_at: Instant,
     is_draining: AtomicBool,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start.
     pub(crate) fn uptime_ms(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
--- a/crates/aspendrum/src/limiter.rs
+++ b/crates/aspendrum/src/limiter.rs
@@ -1,4 +1,4 @@
-//! A limiter: its start, a new configuration while it runs, and its end.
+//! Startup, configuration reload and shutdown of a limiter.
 
 use crate::backoff::Backoff;
 use crate::clock::Clock;
@@ -30,19 +30,19 @@
     /// The address for clients could not be bound.
     #[display("listen: {_0}")]
     Listen(io::Error),
-    /// The dispatcher's thread could not be started.
+    /// The dispatcher thread could not be started.
     #[display("dispatcher: {_0}")]
     Dispatcher(io::Error),
-    /// The dispatcher's thread has ended.
+    /// The dispatcher thread has ended.
     #[display("dispatcher: its thread has ended")]
     DispatcherEnded,
-    /// The counter's thread could not be started.
+    /// The counter thread could not be started.
     #[display("counter: {_0}")]
     Counter(io::Error),
-    /// The address for datagrams of peers could not be bound, or its thread not be started.
+    /// The address for peer datagrams could not be bound, or the peer thread could not be started.
     #[display("peer_listen: {_0}")]
     Peers(io::Error),
-    /// Discovery's thread could not be started.
+    /// The discovery thread could not be started.
     #[display("discovery: {_0}")]
     Discovery(io::Error),
     /// The thread that accepts connections could not be started.
@@ -50,15 +50,15 @@
     Accept(io::Error),
 }
 
-/// Why a new configuration is not taken while the limiter runs.
+/// Why a new configuration is rejected while the limiter runs.
 #[derive(Debug, Display, Error, PartialEq)]
 pub enum ReloadError {
-    /// It uses the counter and the present one does not, or the reverse.
+    /// Exactly one of the new and the current configuration uses the counter.
     #[display("setting Specifics.Counter cannot change while the limiter runs")]
     CounterToggled,
 }
 
-/// A limiter at work.
+/// A running limiter.
 pub struct Limiter {
     state: Arc<LimiterState>,
     address: SocketAddr,
@@ -68,20 +68,20 @@
 }
 
 impl Limiter {
-    /// Starts a limiter, which accepts connections from then on.
+    /// Starts a limiter and begins to accept connections.
     ///
     /// # Errors
-    /// An address that cannot be bound, or a thread that cannot be started.
+    /// Fails if an address cannot be bound or a thread cannot be started.
     pub fn start(config: Config) -> Result<Limiter, StartError> {
         let limits = Arc::new(Limits::new(&config));
-        // Bound first: from here on the system accepts connections, and each will be served.
+        // Bound first, so that clients can connect during startup. Their connections are served once it completes.
         let listener = listen(config.listen, limits.clients.backlog).map_err(StartError::Listen)?;
         let address = listener.local_addr().map_err(StartError::Listen)?;
         let (start_dispatcher, events) =
             spawn_dispatcher(&limits).map_err(StartError::Dispatcher)?;
-        let dispatcher = Arc::new(DispatcherHandle::new(events, Clock::start()));
+        let handle = Arc::new(DispatcherHandle::new(events, Clock::start()));
         let schema = message_schema(&config);
-        let state = Arc::new(LimiterState::new(limits, schema, dispatcher));
+        let state = Arc::new(LimiterState::new(limits, schema, handle));
         let uses_counter = config.counter.is_some();
         let (discovery_requests, requests) = bounded(state.limits.dispatcher.max_queued_decisions);
         let services = Services {
@@ -93,11 +93,11 @@
         let seed = config.seed;
         let name = config.name.clone();
         let discovery = Arc::new(DiscoveryEndpoint::new(config.discovery));
-        // The servers known before come first of all, as the decision engine expects it.
+        // The decision engine expects the known servers before any other event.
         let options = publish_known_servers(config, &state, discovery.clone(), requests);
-        let instance = Dispatcher::new(state.clone(), &settings, seed, services);
+        let dispatcher = Dispatcher::new(state.clone(), &settings, seed, services);
         start_dispatcher
-            .send(instance)
+            .send(dispatcher)
             .map_err(|_| StartError::DispatcherEnded)?;
         start_discovery(&state, options)?;
         start_listener(&state, listener)?;
@@ -116,38 +116,38 @@
         self.address
     }
 
-    /// Goes over to the addresses of a new configuration, serving throughout. Everything else in it takes effect at the next
-    /// start.
+    /// Switches to the counter and discovery addresses of a new configuration without interrupting service. All other
+    /// settings take effect at the next start.
     ///
     /// # Errors
-    /// [`ReloadError::CounterToggled`]; nothing is changed then.
+    /// Returns [`ReloadError::CounterToggled`] and changes nothing if only one of the configurations uses the counter.
     pub fn reload(&self, config: &Config) -> Result<(), ReloadError> {
         if config.counter.is_some() != self.uses_counter {
             return Err(ReloadError::CounterToggled);
         }
-        if let Some(to) = config.counter {
+        if let Some(address) = config.counter {
             self.state
                 .dispatcher
-                .send(DispatcherEvent::CounterMoved { to });
+                .send(DispatcherEvent::CounterAddressChanged { address });
         }
-        if self.discovery.move_to(config.discovery) {
-            // Where discovery is asked, its client may be waiting for a request.
+        if self.discovery.change_address(config.discovery) {
+            // When discovery is polled, the client may be blocked waiting for a request.
             let _ = self.discovery_requests.try_send(DiscoveryRequest::Fetch);
         }
         Ok(())
     }
 
-    /// Answers all that it has accepted, then stops.
+    /// Responds to all accepted requests, then stops.
     pub fn drain(self) {
         drain(&self.state);
         self.stop();
     }
 
-    /// Stops at once.
+    /// Stops immediately.
     pub fn stop(self) {
         self.state.lifecycle.stop();
         self.state.dispatcher.send(DispatcherEvent::Stop);
-        // Wakes the thread that accepts connections.
+        // Wakes the listener thread, which is blocked in `accept`.
         let timeout = self.state.limits.servers.connect_timeout;
         let _ = TcpStream::connect_timeout(&self.address, timeout);
     }
@@ -155,22 +155,22 @@
 
 fn listen(address: SocketAddr, backlog: i32) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(address)?;
-    // The standard library's backlog is 128. A limiter that restarts meets all its clients at once, and whoever the system
-    // rejects tries again a second later.
+    // The standard library uses a backlog of 128. After a restart all clients connect at once, and a client that does
+    // not fit into the backlog retries only a second later.
     let _ = SockRef::from(&listener).listen(backlog);
     Ok(listener)
 }
 
-/// Starts the dispatcher's thread, which waits for its dispatcher: that needs the handle, and the handle the thread's
-/// mailbox. Returns where the dispatcher is sent, and the mailbox.
+/// Starts the dispatcher thread, which first waits to receive its [`Dispatcher`]: creating the dispatcher requires the
+/// handle, and the handle requires the thread's mailbox. Returns the channel for the dispatcher, and the mailbox.
 fn spawn_dispatcher(
     limits: &Limits,
 ) -> io::Result<(Sender<Dispatcher>, MailboxSender<DispatcherEvent>)> {
-    let (sender, instance) = bounded::<Dispatcher>(1);
+    let (sender, receiver) = bounded::<Dispatcher>(1);
     let start = |events: MailboxReceiver<DispatcherEvent>| {
         spawn("dispatcher", limits.threads.stack_bytes, move || {
             let exit_on_panic = ExitOnPanic;
-            if let Ok(dispatcher) = instance.recv() {
+            if let Ok(dispatcher) = receiver.recv() {
                 dispatcher.run(&events);
             }
             std::mem::forget(exit_on_panic);
@@ -221,7 +221,7 @@
     peers.map(Some).map_err(StartError::Peers)
 }
 
-/// Publishes the servers of the configuration. Returns what the client of discovery needs.
+/// Publishes the servers listed in the configuration. Returns the options of the discovery client.
 fn publish_known_servers(
     config: Config,
     state: &LimiterState,
@@ -233,9 +233,9 @@
         endpoint,
         location_names: config.location_names,
         requests,
-        is_on_request: config.settings.polls_discovery,
+        is_polled: config.settings.polls_discovery,
         known_version: config.known_servers.version,
-        knows_servers: !config.known_servers.entries.is_empty(),
+        has_known_servers: !config.known_servers.entries.is_empty(),
         backoff: Backoff::new(limits.initial_backoff, limits.max_backoff, config.seed),
     };
     publish(state, ListKind::Cached, config.known_servers);
@@ -258,7 +258,7 @@
         .map_err(StartError::Accept)
 }
 
-/// Without its dispatcher a limiter would reject everything for ever: it exits, and is restarted.
+/// Exits the process if the dispatcher panics, so that it is restarted. Without a dispatcher every request is rejected.
 struct ExitOnPanic;
 
 impl Drop for ExitOnPanic {
--- a/crates/aspendrum/src/limits.rs
+++ b/crates/aspendrum/src/limits.rs
@@ -1,6 +1,6 @@
-//! All sizes, counts and times of the limiter's input and output, computed from the configuration at the start.
+//! Sizes, counts and durations that bound the limiter's I/O, computed from the configuration at startup.
 //!
-//! How requests are decided is not here but in `aspendrum_core`.
+//! Limits that affect admission decisions are in `aspendrum_core`.
 
 use crate::clock::duration_from_millis;
 use crate::config::Config;
@@ -16,7 +16,7 @@
     pub clients: ClientLimits,
     /// HTTP messages.
     pub messages: MessageLimits,
-    /// The buffer of one direction of a connection.
+    /// The buffer for one direction of a connection.
     pub buffers: BufferLimits,
     /// Connections to servers.
     pub servers: ServerLimits,
@@ -30,159 +30,162 @@
     pub drain: DrainLimits,
     /// Threads.
     pub threads: ThreadLimits,
-    /// No time-out of a socket is shorter: the system accepts no time-out of zero.
+    /// The minimum socket timeout. The operating system does not accept a timeout of zero.
     pub min_socket_timeout: Duration,
 }
 
 /// Limits of client connections.
 #[derive(Clone, Debug)]
 pub struct ClientLimits {
-    /// Connections that are served.
+    /// The maximum number of connections that are served.
     pub max_connections: usize,
-    /// Connections beyond those that are still answered, each with a rejection.
+    /// The number of connections beyond [`Self::max_connections`] that still get a response, which is an error.
     pub overflow: usize,
-    /// Threads that answer these.
+    /// The number of threads that respond on overflow connections.
     pub overflow_threads: usize,
-    /// Connections that the system holds until they are accepted.
+    /// The listen backlog.
     pub backlog: i32,
-    /// How long accepting pauses while there are no descriptors.
+    /// The delay before accepting again after a failed accept, and the polling interval while waiting for capacity.
     pub accept_pause: Duration,
-    /// From a connection's start, or a later request's first byte, to the request's last byte.
+    /// The timeout for reading a request, from accepting the connection (first request) or from the request's first
+    /// byte (later requests).
     pub request_timeout: Duration,
-    /// For writing a response.
+    /// The timeout for writing a response.
     pub write_timeout: Duration,
-    /// A connection that is idle for so long is closed.
+    /// How long a connection may be idle before it is closed.
     pub idle_timeout: Duration,
-    /// The same while more than half of [`Self::max_connections`] are open.
-    pub crowded_idle_timeout: Duration,
-    /// How long a connection is read after a final response, so that the client can read that.
+    /// The idle timeout while more than half of [`Self::max_connections`] are open.
+    pub reduced_idle_timeout: Duration,
+    /// How long a connection is read after its final response. Closing it with unread data would reset the connection
+    /// before the client has read the response.
     pub linger: Duration,
-    /// A connection that was idle for less is not closed to make room, for its client may be about to send a request.
+    /// The minimum idle time before a connection may be closed to make room. A client that was active more recently may
+    /// be about to send a request.
     pub min_idle: Duration,
-    /// The same for a connection on which no request has come yet.
-    pub min_silent: Duration,
-    /// The same for a connection that has had requests, while there are some that have not.
-    pub min_idle_beside_silent: Duration,
+    /// The minimum age before a connection without any request may be closed to make room.
+    pub min_unused_age: Duration,
+    /// Like [`Self::min_idle`], while there are also connections without any request.
+    pub min_idle_with_unused: Duration,
 }
 
-/// Sizes of buffers.
+/// Buffer sizes.
 #[derive(Clone, Copy, Debug)]
 pub struct BufferLimits {
-    /// At the start.
+    /// The initial size.
     pub initial_bytes: usize,
-    /// A whole message, with what this hop adds to its head.
+    /// The maximum size: a complete message, including headers added by this hop.
     pub max_bytes: usize,
 }
 
 /// Limits of connections to servers.
 #[derive(Clone, Debug)]
 pub struct ServerLimits {
-    /// Connections to all servers.
+    /// The maximum number of connections to all servers together.
     pub max_connections: usize,
-    /// For connecting.
+    /// The timeout for connecting.
     pub connect_timeout: Duration,
-    /// For a health check, from connecting to the response's last byte.
+    /// The timeout of a health check, from connecting to the last byte of the response.
     pub health_check_timeout: Duration,
-    /// For one write.
+    /// The timeout of one write.
     pub write_timeout: Duration,
-    /// How long one read waits before the deadline is checked.
+    /// The timeout of one read, after which the deadline is checked.
     pub read_timeout: Duration,
-    /// A connection that is idle for so long is closed.
+    /// How long a connection may be idle before it is closed.
     pub idle_timeout: Duration,
-    /// A connection rests for so long between two requests: bytes that follow a response have arrived by then, and are
-    /// not taken for the next response.
+    /// The minimum idle time between two requests on a connection. Stray bytes after a response arrive within this
+    /// time, so that they are not read as the next response.
     pub min_idle: Duration,
 }
 
 /// Limits of calls to the counter.
 #[derive(Clone, Debug)]
 pub struct CounterLimits {
-    /// Connections to the counter.
+    /// The number of connections to the counter.
     pub connections: usize,
-    /// Calls that wait for a connection.
+    /// The maximum number of calls that wait for a connection.
     pub max_queued: usize,
-    /// For a call.
+    /// The timeout of a call.
     pub timeout: Duration,
-    /// A connection that is idle for so long is replaced before the next call.
+    /// How long a connection may be idle before it is replaced at the next call.
     pub idle_timeout: Duration,
-    /// A connection with pending calls on which nothing was read for so long is given up.
+    /// How long a connection with pending calls may receive nothing before it is closed.
     pub silence_timeout: Duration,
 }
 
 /// Limits of requests to discovery.
 #[derive(Clone, Debug)]
 pub struct DiscoveryLimits {
-    /// How long discovery may hold a watch.
+    /// How long discovery may hold a watch request before responding.
     pub watch_hold: Duration,
-    /// How much later than that its response may arrive.
+    /// The response timeout, in addition to the hold time.
     pub response_timeout: Duration,
-    /// The longest delay after the first failure.
+    /// The maximum delay after the first failure.
     pub initial_backoff: Duration,
-    /// The longest delay after any failure.
+    /// The maximum delay after any failure.
     pub max_backoff: Duration,
 }
 
 /// Limits of the dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatcherLimits {
-    /// Events that wait for the dispatcher.
+    /// The capacity of the dispatcher's mailbox.
     pub max_queued_events: usize,
-    /// Decisions that wait for one request's thread.
+    /// The capacity of the mailbox for one request's decisions, and of the queue of discovery requests.
     pub max_queued_decisions: usize,
-    /// How long after its client's deadline a request ends if no decision comes.
-    pub max_lateness: Duration,
-    /// Between two searches for expired connections to servers.
+    /// How long after the client's deadline a request ends if no decision has arrived.
+    pub decision_grace: Duration,
+    /// The interval between two checks for expired server connections.
     pub expiry_interval: Duration,
 }
 
 /// Limits of a graceful shutdown.
 #[derive(Clone, Debug)]
 pub struct DrainLimits {
-    /// How long idle connections stay open.
-    pub keep_open: Duration,
-    /// Between two checks whether all connections are closed.
+    /// How long idle connections are kept open after the shutdown begins.
+    pub idle_grace: Duration,
+    /// The interval between two checks whether all connections are closed.
     pub check_interval: Duration,
 }
 
 /// Limits of threads.
 #[derive(Clone, Debug)]
 pub struct ThreadLimits {
-    /// The stack of each thread.
+    /// The stack size of each thread.
     pub stack_bytes: usize,
-    /// A thread without a connection ends after this.
+    /// How long a worker thread may be idle before it ends.
     pub idle_timeout: Duration,
 }
 
-/// Header fields of one message at most.
+/// The maximum number of header fields of a message.
 pub const MAX_HEADERS: usize = 64;
-/// What one client with the largest request and response takes at most: bodies, buffers, two stacks.
-const CLIENT_KB: usize = 160;
-/// The limiter's own descriptors: standard streams, listener, signals, counter, discovery, peers, and spare ones.
-const OWN_DESCRIPTORS: usize = 40;
-const HEAD_BYTES: usize = 8 << 10;
-const BODY_BYTES: usize = 64 << 10;
-/// What this hop adds to a message's head at most.
-const ADDED_HEAD_BYTES: usize = 512;
-/// What one limiter's first request may take of a discovery that a whole fleet shares.
-const DISCOVERY_SHARE: Duration = Duration::from_millis(10);
+/// The memory needed for one client with a request and response of maximum size: bodies, buffers and two thread stacks.
+const MAX_CLIENT_MEMORY_KIB: usize = 160;
+/// File descriptors reserved for standard streams, listener, signals, counter, discovery and peers, with some spare.
+const RESERVED_DESCRIPTORS: usize = 40;
+const MAX_HEAD_BYTES: usize = 8 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// The maximum number of bytes that this hop adds to the head of a message.
+const MAX_ADDED_HEAD_BYTES: usize = 512;
+/// The initial backoff per limiter of the fleet, which spreads the first requests to a shared discovery service.
+const DISCOVERY_BACKOFF_PER_LIMITER: Duration = Duration::from_millis(10);
 const MAX_SHARED_DISCOVERY_BACKOFF: Duration = Duration::from_millis(10_000);
-/// Where discovery pushes its lists, the agent on this machine answers requests at no cost.
+/// When discovery pushes its lists, requests are cheap because the agent on the local machine answers them.
 const LOCAL_DISCOVERY_BACKOFF: Duration = Duration::from_millis(100);
 
 impl Limits {
-    /// The limits that follow from a configuration.
+    /// Computes the limits from a configuration.
     pub fn new(config: &Config) -> Limits {
-        let own_descriptors = OWN_DESCRIPTORS.min(config.max_descriptors / 4);
-        let descriptors = config.max_descriptors - own_descriptors;
+        let reserved_descriptors = RESERVED_DESCRIPTORS.min(config.max_descriptors / 4);
+        let descriptors = config.max_descriptors - reserved_descriptors;
         Limits {
             clients: ClientLimits::new(descriptors, config.memory_mb as usize),
             messages: MessageLimits {
-                head_bytes: HEAD_BYTES,
-                body_bytes: BODY_BYTES,
+                head_bytes: MAX_HEAD_BYTES,
+                body_bytes: MAX_BODY_BYTES,
             },
             buffers: BufferLimits {
                 initial_bytes: 1 << 10,
-                max_bytes: HEAD_BYTES + BODY_BYTES + ADDED_HEAD_BYTES,
+                max_bytes: MAX_HEAD_BYTES + MAX_BODY_BYTES + MAX_ADDED_HEAD_BYTES,
             },
             servers: ServerLimits::new(descriptors, config),
             counter: CounterLimits {
@@ -196,11 +199,11 @@
             dispatcher: DispatcherLimits {
                 max_queued_events: 4096,
                 max_queued_decisions: 8,
-                max_lateness: Duration::from_millis(20),
+                decision_grace: Duration::from_millis(20),
                 expiry_interval: Duration::from_millis(1000),
             },
             drain: DrainLimits {
-                keep_open: Duration::from_millis(450),
+                idle_grace: Duration::from_millis(450),
                 check_interval: Duration::from_millis(10),
             },
             threads: ThreadLimits {
@@ -211,7 +214,7 @@
         }
     }
 
-    /// The limits of the pool of connections to servers.
+    /// Returns the limits of the server connection pool.
     pub fn pool_limits(&self) -> PoolLimits {
         PoolLimits {
             max_connections: self.servers.max_connections,
@@ -231,7 +234,7 @@
 impl ClientLimits {
     fn new(descriptors: usize, memory_mb: usize) -> ClientLimits {
         ClientLimits {
-            max_connections: (descriptors / 2).min(memory_mb * 1024 / CLIENT_KB),
+            max_connections: (descriptors / 2).min(memory_mb * 1024 / MAX_CLIENT_MEMORY_KIB),
             overflow: descriptors / 16,
             overflow_threads: 4,
             backlog: 4096,
@@ -239,11 +242,11 @@
             request_timeout: Duration::from_millis(2000),
             write_timeout: Duration::from_millis(10_000),
             idle_timeout: Duration::from_millis(4000),
-            crowded_idle_timeout: Duration::from_millis(500),
+            reduced_idle_timeout: Duration::from_millis(500),
             linger: Duration::from_millis(200),
             min_idle: Duration::from_millis(150),
-            min_silent: Duration::from_millis(100),
-            min_idle_beside_silent: Duration::from_millis(2000),
+            min_unused_age: Duration::from_millis(100),
+            min_idle_with_unused: Duration::from_millis(2000),
         }
     }
 }
@@ -266,7 +269,7 @@
     fn new(config: &Config) -> DiscoveryLimits {
         let settings = &config.settings;
         let (initial_backoff, max_backoff) = if settings.polls_discovery {
-            let fleet_share = DISCOVERY_SHARE.mul_f64(f64::from(settings.instances));
+            let fleet_share = DISCOVERY_BACKOFF_PER_LIMITER.mul_f64(f64::from(settings.instances));
             (
                 LOCAL_DISCOVERY_BACKOFF.max(fleet_share),
                 MAX_SHARED_DISCOVERY_BACKOFF,
--- a/crates/aspendrum/src/listener.rs
+++ b/crates/aspendrum/src/listener.rs
@@ -11,8 +11,8 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-/// Accepts connections until the limiter stops, and never pauses for long: a connection that the system has accepted counts
-/// as taken.
+/// Accepts connections until the limiter stops. Pauses are short, because every connection in the system's backlog must
+/// get a response.
 pub(crate) fn accept_connections(state: &Arc<LimiterState>, listener: &TcpListener) {
     let overflow = start_overflow_threads(state);
     let limits = &state.limits.clients;
@@ -24,7 +24,7 @@
                 serve_or_reject(state, stream, next_session, &overflow);
                 next_session += 1;
             }
-            // No descriptor is free, or the client has gone again.
+            // No file descriptor is available, or the client has disconnected.
             Err(error) => {
                 tracing::debug!(%error, "a connection could not be accepted");
                 state
@@ -47,17 +47,17 @@
         Capacity::SoonAvailable | Capacity::Exhausted => Some(stream),
     };
     if let Some(stream) = unserved {
-        // While even the overflow threads are behind, connections wait in the system's backlog; dropped here, their
-        // requests would be lost.
+        // Blocks while the overflow threads are busy, so that connections wait in the system's backlog. Dropping them
+        // would lose their requests.
         let _ = overflow.send(stream);
     }
 }
 
-/// Waits a little for capacity that is about to become available: a flood of silent connections is closed within this time,
-/// and no request is rejected for it.
+/// Waits for a short time for capacity that is about to become available. A flood of silent connections is closed
+/// within this time, so that it does not cause rejections.
 fn await_capacity(state: &LimiterState) -> Capacity {
     let limits = &state.limits.clients;
-    let deadline = Instant::now() + limits.min_silent;
+    let deadline = Instant::now() + limits.min_unused_age;
     loop {
         let capacity = state
             .sessions
@@ -69,7 +69,7 @@
     }
 }
 
-/// Starts a session on a thread of its own. Returns the connection if no thread is to be had.
+/// Starts a session on its own thread. Returns the connection if no thread is available.
 fn start_session(state: &Arc<LimiterState>, stream: TcpStream, id: SessionId) -> Option<TcpStream> {
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(state.limits.clients.write_timeout));
@@ -97,7 +97,7 @@
         .and_then(ClientSession::into_stream)
 }
 
-/// Removes the session when its thread has finished with it, also by a panic.
+/// Removes the session when its thread finishes or panics.
 struct SessionRegistration<'s> {
     state: &'s LimiterState,
     id: SessionId,
--- a/crates/aspendrum/src/logging.rs
+++ b/crates/aspendrum/src/logging.rs
@@ -1,5 +1,6 @@
-//! The program's log: lines on standard error, as text or as one JSON object each. The library only emits events; a program
-//! that embeds it sends them where it likes.
+//! Logging to standard error, as text or as one JSON object per line.
+//!
+//! The library only emits `tracing` events. A program that embeds it installs its own subscriber.
 
 use derive_more::{Display, Error};
 use std::io::stderr;
@@ -9,27 +10,27 @@
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{fmt, registry, Layer};
 
-/// Selects the levels, as `debug` or `warn,aspendrum::discovery=debug`.
+/// The environment variable that selects log levels, such as `debug` or `warn,aspendrum::discovery=debug`.
 const LEVELS_VARIABLE: &str = "RUST_LOG";
 const DEFAULT_LEVELS: &str = "info";
 
-/// Why the log could not be started.
+/// Why logging could not be initialized.
 #[derive(Debug, Display, Error)]
 pub(crate) enum LoggingError {
     #[display("{LEVELS_VARIABLE}: {levels}: {source}")]
     InvalidLevels { levels: String, source: ParseError },
-    #[display("the log: {_0}")]
+    #[display("cannot initialize logging: {_0}")]
     AlreadyStarted(TryInitError),
 }
 
-/// How a line is written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 pub(crate) enum LogFormat {
     Text,
     Json,
 }
 
-/// Starts the log.
+/// Initializes logging.
 pub(crate) fn start(format: LogFormat) -> Result<(), LoggingError> {
     let levels = std::env::var(LEVELS_VARIABLE).unwrap_or(DEFAULT_LEVELS.into());
     let targets = Targets::from_str(&levels).map_err(|source| LoggingError::InvalidLevels {
--- a/crates/aspendrum/src/main.rs
+++ b/crates/aspendrum/src/main.rs
@@ -1,10 +1,10 @@
-//! The command line of the limiter. Everything else is in the library.
+//! The command-line interface of the limiter.
 
 mod logging;
 
 use aspendrum::config::{Config, ConfigError, CONFIG_VARIABLE};
 use aspendrum::limiter::{ReloadError, StartError};
-use aspendrum::signals::{ProgramSignals, SignalRequest};
+use aspendrum::signals::{ProgramSignals, SignalAction};
 use aspendrum::Limiter;
 use clap::{Args, Parser, Subcommand};
 use derive_more::{Display, Error, From};
@@ -16,7 +16,7 @@
 #[derive(Parser)]
 #[command(
     name = "aspendrum",
-    about = "A limiter that keeps each customer of a shared back end to its plan"
+    about = "A rate limiter that enforces the plan of each customer of a shared back end"
 )]
 struct CommandLine {
     /// How log lines are written to standard error
@@ -28,9 +28,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs the limiter in the foreground until SIGTERM; SIGHUP reads the configuration again
+    /// Runs the limiter in the foreground until SIGTERM; SIGHUP reloads the configuration
     Serve(ConfigSource),
-    /// Reads and checks the configuration, and says what is wrong with it
+    /// Reads and checks the configuration, and reports the first error in it
     CheckConfig(ConfigSource),
     /// Prints the version
     Version,
@@ -38,12 +38,12 @@
 
 #[derive(Args)]
 struct ConfigSource {
-    /// The configuration file; without it, the one that EDGE_CONFIG names
+    /// The configuration file; defaults to the one named by EDGE_CONFIG
     #[arg(long)]
     config: Option<PathBuf>,
 }
 
-/// Why the program fails, or does not take a new configuration.
+/// Why the program failed or rejected a new configuration.
 #[derive(Debug, Display, Error, From)]
 enum ProgramError {
     #[display("{_0}")]
@@ -93,8 +93,8 @@
 fn serve(source: &ConfigSource) -> Result<(), ProgramError> {
     let mut signals = ProgramSignals::register()?;
     let limiter = Limiter::start(source.load()?)?;
-    while signals.wait() == SignalRequest::Reload {
-        // Read and checked completely, as at the start: a faulty file changes nothing.
+    while signals.wait() == SignalAction::Reload {
+        // The file is validated completely before anything changes, as at startup.
         match reload(source, &limiter) {
             Ok(()) => tracing::info!("the configuration is read again"),
             Err(error) => tracing::error!(why = %error, "the configuration stays as it was"),
--- a/crates/aspendrum/src/overflow.rs
+++ b/crates/aspendrum/src/overflow.rs
@@ -1,7 +1,7 @@
-//! Connections that cannot be served: each is answered that its request is rejected.
+//! Rejects the requests of connections that exceed the limiter's capacity.
 
 use crate::http::status::{REQUEST_TIMEOUT, SERVICE_UNAVAILABLE};
-use crate::http::{parse_request, OwnResponse, Parsed};
+use crate::http::{parse_request, ClientResponse, Parsed};
 use crate::state::LimiterState;
 use aspendrum_net::ring_buffer::RingBuffer;
 use aspendrum_net::threads::spawn;
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Starts the threads that answer these connections; returns where they are sent. The threads are started in advance, for
-/// when they are needed there may be none to be had.
+/// Starts the overflow threads and returns the channel for their connections. The threads are started in advance,
+/// because starting one may fail when the limiter is overloaded.
 pub(crate) fn start_overflow_threads(state: &Arc<LimiterState>) -> Sender<TcpStream> {
     let limits = &state.limits;
     let (sender, streams) = bounded(limits.clients.overflow / 2);
@@ -31,7 +31,7 @@
         let status = read_request(state, &stream);
         let mut outgoing =
             RingBuffer::new(limits.buffers.initial_bytes, limits.messages.head_bytes);
-        if OwnResponse::closing(status).write(&mut outgoing) {
+        if ClientResponse::closing(status).write(&mut outgoing) {
             let _ = stream.set_write_timeout(Some(limits.clients.linger));
             let _ = outgoing.drain(&mut &stream);
         }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads a request, for a short time; returns the status with which it is answered.
+/// Reads a request with a short timeout and returns the status of its response.
 fn read_request(state: &LimiterState, stream: &TcpStream) -> u16 {
     let limits = &state.limits;
     let mut incoming = RingBuffer::new(limits.buffers.initial_bytes, limits.buffers.max_bytes);
--- a/crates/aspendrum/src/peers.rs
+++ b/crates/aspendrum/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between limiters, where the settings allow them.
+//! Datagrams between limiters, if the settings allow them.
 
 use crate::dispatcher_handle::DispatcherHandle;
 use crate::event::DispatcherEvent;
@@ -7,14 +7,14 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// Longer datagrams are neither sent nor received.
+/// The maximum size of a datagram. Longer ones are neither sent nor received.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// The addresses of the other limiters.
 pub struct PeerAddresses {
-    /// By the limiters' numbers.
+    /// The addresses, indexed by limiter number.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all of them.
+    /// The broadcast address that reaches all of them.
     pub broadcast: Option<SocketAddr>,
 }
 
@@ -25,10 +25,10 @@
 }
 
 impl PeerSocket {
-    /// Binds the socket, and notifies the dispatcher of each datagram that a known peer sends.
+    /// Binds the socket and starts a thread that passes each datagram from a known peer to the dispatcher.
     ///
     /// # Errors
-    /// The error of the socket or of the thread that reads it.
+    /// Fails if the socket cannot be bound or the receiving thread cannot be started.
     pub fn start(
         listen: SocketAddr,
         addresses: PeerAddresses,
@@ -45,7 +45,8 @@
         Ok(PeerSocket { socket, addresses })
     }
 
-    /// Sends to one peer by its number, or to all. A datagram that cannot be sent is lost, as the network may lose it.
+    /// Sends a datagram to the peer with the given number, or to all peers. Errors are ignored, because the network may
+    /// lose datagrams too.
     pub fn send(&self, to: Option<u32>, data: &[u8]) {
         let address = match to {
             Some(peer) => self.addresses.peers.get(peer as usize).copied(),
@@ -60,7 +61,7 @@
 fn receive(socket: &UdpSocket, known_peers: &[SocketAddr], dispatcher: &DispatcherHandle) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
-        // An error here reports an earlier datagram that could not be delivered.
+        // An error reports that an earlier datagram could not be delivered.
         let Ok((size, sender)) = socket.recv_from(&mut buffer) else {
             continue;
         };
--- a/crates/aspendrum/src/request_handler.rs
+++ b/crates/aspendrum/src/request_handler.rs
@@ -1,13 +1,13 @@
-//! The life of one request, from the moment at which it was read to its response's last byte.
+//! Handles one request, from the time at which it was read to the last byte of its response.
 //!
-//! The dispatcher decides, and the request's thread carries the decisions out. It always writes exactly one response, also if
-//! no decision comes.
+//! The dispatcher makes the decisions and the request's thread executes them. Unless the client disconnects, the thread
+//! writes exactly one response, even if no decision arrives.
 
 use crate::client_session::ClientSession;
 use crate::clock::{duration_from_millis, millis_from_duration};
 use crate::event::{AttemptEnd, DispatcherEvent, RequestDecision};
 use crate::http::status::{GATEWAY_TIMEOUT, OK, SERVICE_UNAVAILABLE};
-use crate::http::{ClientRequest, OwnResponse, ServerResponse};
+use crate::http::{ClientRequest, ClientResponse, ServerResponse};
 use crate::sessions::TransactionClaim;
 use crate::state::LimiterState;
 use aspendrum_core::api::{LoadReport, Millis, NewRequest, Outcome, RequestId, ServerId};
@@ -22,22 +22,22 @@
     state: &'r LimiterState,
     session: &'r ClientSession,
     request: &'r ClientRequest,
-    /// Its transaction id, until it has a response.
+    /// The claim on the request's transaction id, released when the response is written.
     claim: Option<TransactionClaim<'r>>,
     id: RequestId,
-    /// When its client gives up.
+    /// When the client stops waiting for a response.
     deadline: Instant,
     forward: Arc<ForwardHandle>,
-    /// An attempt may have run it at a server.
+    /// Whether an attempt may have run the request on a server.
     may_have_run: bool,
 }
 
-/// What follows after an attempt.
-enum AfterAttempt {
-    /// The next decision is awaited.
-    Continue,
-    /// The response is written; whether the session goes on.
-    Responded { stays_open: bool },
+/// Whether a request is finished.
+enum RequestProgress {
+    /// The handler waits for the next decision.
+    InProgress,
+    /// The request is finished. `keep_alive` is whether the session continues.
+    Finished { keep_alive: bool },
 }
 
 impl<'r> RequestHandler<'r> {
@@ -67,10 +67,10 @@
         }
     }
 
-    /// Sees the request through. Returns whether the session goes on.
+    /// Handles the request to its end. Returns whether the session continues.
     pub(crate) fn run(mut self) -> bool {
-        // If the dispatcher says nothing, the request does not wait much longer than its client.
-        let last_wait = self.deadline + self.state.limits.dispatcher.max_lateness;
+        // Without a decision, the handler waits only a little longer than the client.
+        let last_wait = self.deadline + self.state.limits.dispatcher.decision_grace;
         let (decisions, is_submitted) = self.submit(last_wait);
         loop {
             let decision = if is_submitted {
@@ -78,29 +78,30 @@
             } else {
                 None
             };
-            let after = match decision {
+            let progress = match decision {
                 Some(RequestDecision::Forward {
                     attempt,
                     server,
                     timeout,
                 }) => self.forward_to(attempt, server, timeout),
-                Some(RequestDecision::Shed { retry_after }) => self.respond(OwnResponse {
+                Some(RequestDecision::Shed { retry_after }) => self.respond(ClientResponse {
                     retry_after,
-                    ..OwnResponse::empty(SERVICE_UNAVAILABLE)
+                    ..ClientResponse::empty(SERVICE_UNAVAILABLE)
                 }),
-                Some(RequestDecision::Drop) => self.respond(OwnResponse::empty(GATEWAY_TIMEOUT)),
+                Some(RequestDecision::Drop) => self.respond(ClientResponse::empty(GATEWAY_TIMEOUT)),
                 Some(RequestDecision::ClientDisconnected) => {
-                    AfterAttempt::Responded { stays_open: false }
+                    RequestProgress::Finished { keep_alive: false }
                 }
                 None => self.abandon(),
             };
-            if let AfterAttempt::Responded { stays_open } = after {
-                return stays_open;
+            if let RequestProgress::Finished { keep_alive } = progress {
+                return keep_alive;
             }
         }
     }
 
-    /// Submits the request to the dispatcher. Returns where its decisions come, and whether it was taken.
+    /// Submits the request to the dispatcher. Returns the mailbox for its decisions, and whether the dispatcher
+    /// accepted it.
     fn submit(&self, deadline: Instant) -> (MailboxReceiver<RequestDecision>, bool) {
         let max_decisions = self.state.limits.dispatcher.max_queued_decisions;
         let (sender, decisions) = mailbox::for_current_thread(max_decisions);
@@ -108,12 +109,12 @@
             .connection
             .begin_request(self.id, &self.state.disconnect_watcher);
         let event = DispatcherEvent::Request {
-            request: self.new_query(),
+            request: self.new_request(),
             decisions: sender,
             forward: self.forward.clone(),
         };
         let is_submitted = self.state.dispatcher.send_by(deadline, event);
-        // The dispatcher may have detected the disconnect before it knew the request.
+        // The dispatcher may have detected the disconnect before it received the request.
         if self.session.connection.has_disconnected() {
             let stage = self.forward.handle_disconnect();
             self.state
@@ -124,7 +125,7 @@
         (decisions, is_submitted)
     }
 
-    fn new_query(&self) -> NewRequest {
+    fn new_request(&self) -> NewRequest {
         NewRequest {
             id: self.id,
             group: self.request.group,
@@ -142,25 +143,25 @@
         }
     }
 
-    /// No decision came in time. A request that may have run is not reported as rejected.
-    fn abandon(&mut self) -> AfterAttempt {
+    /// Ends a request for which no decision came in time. A request that may have run is not reported as rejected.
+    fn abandon(&mut self) -> RequestProgress {
         let status = if self.may_have_run {
             GATEWAY_TIMEOUT
         } else {
             SERVICE_UNAVAILABLE
         };
-        let after = self.respond(OwnResponse::empty(status));
+        let progress = self.respond(ClientResponse::empty(status));
         self.notify(DispatcherEvent::Abandoned { id: self.id });
-        after
+        progress
     }
 
-    /// Forwards the request to a server, and its response, if it is one, to the client.
+    /// Forwards the request to a server, and a successful response or a client error to the client.
     fn forward_to(
         &mut self,
         attempt: u8,
         server: ServerId,
         timeout: Option<Millis>,
-    ) -> AfterAttempt {
+    ) -> RequestProgress {
         let deadline = self.attempt_deadline(timeout);
         let started_at = Instant::now();
         let (outcome, response) = self.attempt(attempt, server, deadline);
@@ -180,10 +181,10 @@
             .as_ref()
             .filter(|_| is_ok)
             .map_or(0, |response| self.charged_units(response));
-        // The client gets its response before anything else is done.
-        let after = match response.filter(|_| is_ok) {
+        // Write the response first, to keep the client's latency low.
+        let progress = match response.filter(|_| is_ok) {
             Some(response) => self.respond_with(&response),
-            None => AfterAttempt::Continue,
+            None => RequestProgress::InProgress,
         };
         let end = AttemptEnd {
             id: self.id,
@@ -195,7 +196,7 @@
             load,
         };
         self.notify(DispatcherEvent::AttemptEnded(end));
-        after
+        progress
     }
 
     fn attempt_deadline(&self, timeout: Option<Millis>) -> Instant {
@@ -205,44 +206,44 @@
         }
     }
 
-    /// A server that takes the request for malformed says nothing of itself, and others would answer the same: the fault is
-    /// the client's, who is told.
-    fn report_client_error(&mut self, status: u16) -> AfterAttempt {
-        self.respond(OwnResponse::closing(status));
+    /// Returns a client error (4xx) of a server to the client. It is no evidence about the server's health, and other
+    /// servers would respond the same, so the request is not retried.
+    fn report_client_error(&mut self, status: u16) -> RequestProgress {
+        self.respond(ClientResponse::closing(status));
         self.notify(DispatcherEvent::Abandoned { id: self.id });
-        AfterAttempt::Responded { stays_open: false }
+        RequestProgress::Finished { keep_alive: false }
     }
 
-    /// A server that names no units charged those that were requested.
+    /// The units charged for the request: those reported by the server, or else those that were requested.
     fn charged_units(&self, response: &ServerResponse) -> u16 {
         response.charged.unwrap_or(self.request.units).ceil() as u16
     }
 
-    fn respond_with(&mut self, response: &ServerResponse) -> AfterAttempt {
+    fn respond_with(&mut self, response: &ServerResponse) -> RequestProgress {
         let (content_type, body) = (&response.content_type[..], &response.body[..]);
-        self.respond(OwnResponse {
+        self.respond(ClientResponse {
             content_type,
             body,
-            ..OwnResponse::empty(OK)
+            ..ClientResponse::empty(OK)
         })
     }
 
-    /// Writes the response. No server is to run the request any more, so that its client may send the transaction id again
-    /// once it reads the first byte.
-    fn respond(&mut self, response: OwnResponse<'_>) -> AfterAttempt {
+    /// Writes the response. The transaction id is released first, because the client may reuse it as soon as it reads
+    /// the first byte; no server will run the request after this point.
+    fn respond(&mut self, response: ClientResponse<'_>) -> RequestProgress {
         self.claim = None;
         let close = response.close || self.request.close;
-        let stays_open = self
+        let keep_alive = self
             .session
-            .respond(&self.state.lifecycle, OwnResponse { close, ..response });
-        AfterAttempt::Responded { stays_open }
+            .respond(&self.state.lifecycle, ClientResponse { close, ..response });
+        RequestProgress::Finished { keep_alive }
     }
 
     fn notify(&self, event: DispatcherEvent) {
         self.state.dispatcher.send(event);
     }
 
-    /// One attempt at one server. Until the request's last byte is written it has not run; from then on it may have.
+    /// Makes one attempt on one server. The request may have run once its last byte is written, and not before.
     fn attempt(
         &self,
         attempt: u8,
@@ -262,7 +263,7 @@
         let received = sent.and_then(|()| self.state.receive(&mut connection, deadline));
         let is_cancelled = self.forward.end_attempt(attempt);
         match received {
-            // A response that arrived whole counts, even if the attempt was cancelled at the same moment.
+            // A complete response is used even if the attempt was cancelled at the same time.
             Ok(response) => {
                 let outcome = response.outcome();
                 if !is_cancelled && !response.close {
@@ -274,10 +275,10 @@
         }
     }
 
-    /// Takes a connection from the pool, or opens one.
+    /// Takes a connection from the pool or opens a new one.
     ///
-    /// The handle gets the socket before it is connected: a request that is cancelled meanwhile must not wait for a server
-    /// that never accepts.
+    /// The forward handle gets the socket before it is connected, so that cancelling the request also interrupts a
+    /// connect to a server that never accepts.
     fn connect(
         &self,
         attempt: u8,
@@ -325,7 +326,7 @@
     }
 }
 
-/// Whether the outcome proves that the request did not run.
+/// Whether the outcome proves that the request did not run on the server.
 fn never_ran(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -335,7 +336,7 @@
 
 fn failed_outcome(outcome: Outcome, is_cancelled: bool) -> Outcome {
     match outcome {
-        // The last byte was not written, because the attempt was cancelled: no fault of the server's.
+        // The cancellation prevented the last byte from being written; the server did not fail.
         Outcome::ConnectFailed | Outcome::NotSent if is_cancelled => Outcome::NotSent,
         Outcome::ConnectFailed | Outcome::NotSent => outcome,
         _ if is_cancelled => Outcome::Cancelled,
--- a/crates/aspendrum/src/server_list.rs
+++ b/crates/aspendrum/src/server_list.rs
@@ -1,4 +1,4 @@
-//! Lists of servers, as discovery and the configuration write them in JSON.
+//! Server lists in the JSON format used by discovery and the configuration.
 
 use aspendrum_core::api::{Health, Millis, ServerEntry, ServerId};
 use derive_more::{Display, Error};
@@ -8,21 +8,21 @@
 /// Why a list is rejected.
 #[derive(Debug, Display, Error, PartialEq)]
 pub enum ServerListError {
-    /// `hosts` is missing or no list.
+    /// `hosts` is missing or not a list.
     #[display("hosts is no list")]
     NoHosts,
-    /// `seq` is missing, negative or no whole number.
+    /// `seq` is missing or not an unsigned integer.
     #[display("seq is no number")]
     NoVersion,
-    /// `whole` is missing or no truth value.
+    /// `whole` is missing or not a Boolean.
     #[display("whole is neither true nor false")]
     NoCompleteness,
-    /// An entry of `hosts` is faulty.
+    /// An entry of `hosts` is invalid.
     #[display("hosts.{index}.{source}")]
     Entry {
-        /// Its index in the list.
+        /// The index of the entry.
         index: usize,
-        /// What is wrong with it.
+        /// The error in the entry.
         source: ServerEntryError,
     },
 }
@@ -30,59 +30,59 @@
 /// Why an entry of a list is rejected.
 #[derive(Debug, Display, Error, PartialEq)]
 pub enum ServerEntryError {
-    /// A key is missing or no text.
+    /// A key is missing or not a string.
     #[display("{key} is no text")]
     NoText {
         /// The key.
         key: &'static str,
     },
-    /// A key is missing, negative or no number.
+    /// A key is missing, negative or not a number.
     #[display("{key} is no number")]
     NoNumber {
         /// The key.
         key: &'static str,
     },
-    /// `health` is none of the known words.
+    /// `health` has an unknown value.
     #[display("health is unknown: {_0}")]
     UnknownHealth(#[error(not(source))] String),
-    /// `dial` is missing or no address, and the server is not terminated.
+    /// `dial` is missing or not an address, and the server is not terminated.
     #[display("dial is no address")]
     NoAddress,
 }
 
-/// The names of zones and machine kinds, in the order in which the settings number them.
+/// The names of zones and machine kinds, indexed by their numbers in the settings.
 pub struct LocationNames {
-    /// Zones.
+    /// The zone names.
     pub zones: Vec<String>,
-    /// Kinds of machines.
+    /// The machine kind names.
     pub machine_kinds: Vec<String>,
 }
 
-/// A server, and its address unless it is terminated.
+/// A server with its address.
 pub struct ListedServer {
-    /// What the decision engine needs to know of it.
+    /// The entry for the decision engine.
     pub entry: ServerEntry,
-    /// Its address.
+    /// The server's address; always present unless the server is terminated.
     pub address: Option<SocketAddr>,
 }
 
 /// A complete list of servers, or the changes since an earlier version.
 #[derive(Default)]
 pub struct ServerList {
-    /// The version that the list brings its reader to.
+    /// The version of the state after this list is applied.
     pub version: u64,
-    /// Whether it names all servers. Otherwise it names those that changed.
+    /// Whether the list contains all servers rather than only the changed ones.
     pub is_complete: bool,
     /// The servers.
     pub entries: Vec<ListedServer>,
 }
 
 impl ServerList {
-    /// Reads a list.
+    /// Parses a list.
     ///
     /// # Errors
-    /// The first fault. One faulty entry rejects the whole list: left out of a complete list, its server would count as
-    /// gone.
+    /// Returns the first error. One invalid entry rejects the whole list, because omitting the entry from a complete
+    /// list would mean that its server has been removed.
     pub fn parse(list: &Value, names: &LocationNames) -> Result<ServerList, ServerListError> {
         let hosts = list
             .get("hosts")
@@ -152,13 +152,13 @@
         .ok_or(ServerEntryError::NoNumber { key })
 }
 
-/// The number of a name in the settings; unknown names count as the first.
+/// Returns the number of a name in the settings, or 0 if the name is unknown.
 fn index_of(names: &[String], name: &str) -> u8 {
     names.iter().position(|known| known == name).unwrap_or(0) as u8
 }
 
-/// The FNV-1a hash of the server's name, which is the same at every limiter. It distinguishes the few dozen servers of a
-/// deployment.
+/// Returns the FNV-1a hash of the server's name, so that all limiters use the same id. 32 bits suffice for the few
+/// dozen servers of a deployment.
 fn server_id(name: &str) -> ServerId {
     const OFFSET_BASIS: ServerId = 0x811c_9dc5;
     const PRIME: ServerId = 0x0100_0193;
--- a/crates/aspendrum/src/session_loop.rs
+++ b/crates/aspendrum/src/session_loop.rs
@@ -1,9 +1,9 @@
-//! Reads a connection's requests one after another, and answers each.
+//! Reads the requests of a connection one after another and responds to each.
 
 use crate::client_session::{ClientSession, SessionState};
 use crate::event::DispatcherEvent;
 use crate::http::status::{BAD_GATEWAY, CONFLICT, OK, REQUEST_TIMEOUT, SERVICE_UNAVAILABLE};
-use crate::http::{parse_request, ClientRequest, IncomingRequest, OwnResponse, Parsed};
+use crate::http::{parse_request, ClientRequest, ClientResponse, IncomingRequest, Parsed};
 use crate::request_handler::RequestHandler;
 use crate::sessions::TransactionClaim;
 use crate::state::LimiterState;
@@ -22,7 +22,7 @@
         read_timeout: Duration::ZERO,
     };
     loop {
-        let stays_open = match parse_request(&mut incoming, &state.schema, &state.limits.messages) {
+        let keep_alive = match parse_request(&mut incoming, &state.schema, &state.limits.messages) {
             Parsed::Incomplete => read_more(state, session, &mut reader, &mut incoming),
             Parsed::Invalid(status) => reject(state, session, status),
             Parsed::Complete(IncomingRequest::Readiness { close }) => {
@@ -34,9 +34,9 @@
                 };
                 session.respond(
                     &state.lifecycle,
-                    OwnResponse {
+                    ClientResponse {
                         close,
-                        ..OwnResponse::empty(status)
+                        ..ClientResponse::empty(status)
                     },
                 )
             }
@@ -48,23 +48,24 @@
                 }
             }
         };
-        if !stays_open {
+        if !keep_alive {
             return;
         }
     }
 }
 
-/// What came of waiting for more bytes.
+/// The result of waiting for more bytes.
 enum ReadProgress {
     Read,
     TimedOut,
 }
 
-/// How long the next request may take to arrive.
+/// Reads requests with a timeout for each.
 struct RequestReader {
-    /// The first request may take its time from the connection's start on, a later one from its first byte.
+    /// When the request timeout began: the start of the connection for the first request, the first byte for later
+    /// ones.
     started_at: Option<Instant>,
-    /// The time-out of reads as last set: setting it again for each request would cost a system call.
+    /// The read timeout last set on the socket, to avoid a system call per request when it is unchanged.
     read_timeout: Duration,
 }
 
@@ -101,17 +102,18 @@
             Some(started_at) => limits.request_timeout.saturating_sub(started_at.elapsed()),
             None => limits.idle_timeout,
         };
-        // Idle connections hold descriptors that other clients may need: the more there are, the sooner they are closed.
+        // Idle connections hold file descriptors that other clients may need, so they are closed sooner when there are
+        // many.
         let is_crowded = state.sessions.count() > limits.max_connections / 2;
         if is_crowded && !has_partial_request {
-            timeout.min(limits.crowded_idle_timeout)
+            timeout.min(limits.reduced_idle_timeout)
         } else {
             timeout
         }
     }
 }
 
-/// Returns whether the session goes on. One that ends between requests is owed no response.
+/// Reads more bytes. Returns whether the session continues. No response is sent if it ends between two requests.
 fn read_more(
     state: &LimiterState,
     session: &ClientSession,
@@ -133,9 +135,9 @@
     }
 }
 
-/// Answers with an error and ends the session.
+/// Responds with an error and ends the session.
 fn reject(state: &LimiterState, session: &ClientSession, status: u16) -> bool {
-    session.respond(&state.lifecycle, OwnResponse::closing(status));
+    session.respond(&state.lifecycle, ClientResponse::closing(status));
     let limits = &state.limits;
     lingering_close(
         &session.stream,
@@ -145,7 +147,7 @@
     false
 }
 
-/// Sees a request through. Returns whether the session goes on.
+/// Handles a request to its end. Returns whether the session continues.
 fn handle_request(
     state: &LimiterState,
     session: &ClientSession,
@@ -155,15 +157,15 @@
     session.start_request();
     let id = state.dispatcher.next_request_id();
     let read_at = Instant::now();
-    // A panic must leave neither the client without a response nor the dispatcher with the request.
+    // After a panic the client must still get a response, and the dispatcher must drop the request.
     let handler =
         AssertUnwindSafe(|| RequestHandler::new(state, session, request, claim, id, read_at).run());
-    let stays_open = catch_unwind(handler).unwrap_or_else(|_| {
+    let keep_alive = catch_unwind(handler).unwrap_or_else(|_| {
         state.dispatcher.send(DispatcherEvent::Abandoned { id });
-        session.respond(&state.lifecycle, OwnResponse::closing(BAD_GATEWAY))
+        session.respond(&state.lifecycle, ClientResponse::closing(BAD_GATEWAY))
     });
     session.connection.end_request();
-    let stays_open = stays_open && !session.connection.has_disconnected();
-    session.finish_request(state.lifecycle.uptime_ms(), stays_open);
-    stays_open
+    let keep_alive = keep_alive && !session.connection.has_disconnected();
+    session.finish_request(state.lifecycle.uptime_ms(), keep_alive);
+    keep_alive
 }
--- a/crates/aspendrum/src/sessions.rs
+++ b/crates/aspendrum/src/sessions.rs
@@ -1,4 +1,4 @@
-//! All client connections that are open, and the transactions in progress.
+//! The open client sessions and the transactions in progress.
 
 use crate::client_session::{ClientSession, SessionState};
 use crate::limits::ClientLimits;
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Capacity {
     Available,
-    /// Connections on which no request has come may soon be closed.
+    /// Connections that have not had a request may soon be old enough to be closed.
     SoonAvailable,
     Exhausted,
 }
@@ -18,7 +18,7 @@
 /// The number of a session.
 pub(crate) type SessionId = u64;
 
-/// The sessions that are open.
+/// The open sessions.
 #[derive(Default)]
 pub(crate) struct Sessions {
     open: Mutex<HashMap<SessionId, Arc<ClientSession>>>,
@@ -42,7 +42,7 @@
         self.open().remove(&id);
     }
 
-    /// The sessions with a request in progress.
+    /// Returns the sessions with a request in progress.
     pub(crate) fn with_request(&self) -> Vec<Arc<ClientSession>> {
         let open = self.open();
         open.values()
@@ -51,53 +51,54 @@
             .collect()
     }
 
-    /// Whether there is capacity. Where there is none, an idle session is closed for it.
+    /// Returns whether one more connection can be served, closing an idle session if necessary.
     pub(crate) fn make_capacity(&self, now_ms: u64, limits: &ClientLimits) -> Capacity {
         let count = self.count();
         if count < limits.max_connections {
             return Capacity::Available;
         }
-        // Sessions that were closed just now still hold their descriptors.
+        // Sessions closed a moment ago still hold their file descriptors.
         if count >= limits.max_connections + limits.overflow / 2 {
             return Capacity::SoonAvailable;
         }
         self.close_idle(now_ms, limits)
     }
 
-    /// Closes the oldest session on which no request has come, or else the one that has been idle for longest.
+    /// Closes the oldest session that has not had a request, or else the session that has been idle for longest.
     ///
-    /// None is closed that is so new that its client may be about to send a request; and, while there are others, none that
-    /// has had requests and was used lately.
+    /// A session is not closed while its client may be about to send a request: sessions without a request have a
+    /// minimum age, the others a minimum idle time. That idle time is longer while there are sessions without a
+    /// request.
     pub(crate) fn close_idle(&self, now_ms: u64, limits: &ClientLimits) -> Capacity {
         let open = self.open();
         let idle = || {
             open.values()
                 .filter(|session| session.is_in(SessionState::Idle))
         };
-        let silent = idle().filter(|session| !session.has_had_request());
-        let silent = silent.max_by_key(|session| session.age(now_ms));
+        let unused = idle().filter(|session| !session.has_had_request());
+        let unused = unused.max_by_key(|session| session.age(now_ms));
         let used = idle().filter(|session| session.has_had_request());
         let used = used.max_by_key(|session| session.idle_time(now_ms));
-        let min_idle = if silent.is_some() {
-            limits.min_idle_beside_silent
+        let min_idle = if unused.is_some() {
+            limits.min_idle_with_unused
         } else {
             limits.min_idle
         };
-        let closable = silent
-            .filter(|session| session.age(now_ms) >= limits.min_silent)
+        let closable = unused
+            .filter(|session| session.age(now_ms) >= limits.min_unused_age)
             .or(used.filter(|session| session.idle_time(now_ms) >= min_idle));
         if closable.is_some_and(|session| session.close_if_idle()) {
             return Capacity::Available;
         }
-        if silent.is_some() {
+        if unused.is_some() {
             Capacity::SoonAvailable
         } else {
             Capacity::Exhausted
         }
     }
 
-    /// Reserves a transaction id until the returned claim is dropped. None if another request with that id is in progress:
-    /// forwarded, servers could take one for the other.
+    /// Reserves a transaction id until the returned claim is dropped. Returns `None` if a request with the same id is
+    /// in progress, because servers could confuse the two requests.
     pub(crate) fn claim_transaction(&self, id: &[u8]) -> Option<TransactionClaim<'_>> {
         let is_new = lock(&self.transactions).insert(id.to_vec());
         is_new.then(|| TransactionClaim {
--- a/crates/aspendrum/src/signals.rs
+++ b/crates/aspendrum/src/signals.rs
@@ -1,36 +1,36 @@
-//! The signals by which the platform and operators address the program.
+//! The signals that the program handles.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::io;
 
-/// What a signal asks for.
+/// The action requested by a signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SignalRequest {
+pub enum SignalAction {
     /// SIGTERM or SIGINT: shut down gracefully.
     ShutDown,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
-/// The signals that the program handles, from its start on.
+/// The registered signal handlers.
 pub struct ProgramSignals(Signals);
 
 impl ProgramSignals {
-    /// Handles SIGTERM, SIGINT and SIGHUP from now on: by default each would end the program at once, with all that it has
-    /// accepted.
+    /// Registers handlers for SIGTERM, SIGINT and SIGHUP. By default each of them would end the program immediately and
+    /// drop all requests in progress.
     ///
     /// # Errors
-    /// The error of the system.
+    /// Fails if the operating system rejects a handler.
     pub fn register() -> io::Result<ProgramSignals> {
         Signals::new([SIGTERM, SIGINT, SIGHUP]).map(ProgramSignals)
     }
 
     /// Waits for the next signal.
-    pub fn wait(&mut self) -> SignalRequest {
+    pub fn wait(&mut self) -> SignalAction {
         match self.0.forever().next() {
-            Some(SIGHUP) => SignalRequest::Reload,
-            _ => SignalRequest::ShutDown,
+            Some(SIGHUP) => SignalAction::Reload,
+            _ => SignalAction::ShutDown,
         }
     }
 }
--- a/crates/aspendrum/src/state.rs
+++ b/crates/aspendrum/src/state.rs
@@ -1,4 +1,4 @@
-//! What the limiter's threads share.
+//! State shared by the limiter's threads.
 
 use crate::dispatcher_handle::DispatcherHandle;
 use crate::http::{parse_server_response, MessageSchema, ServerResponse};
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The state of one limiter.
+/// The shared state of one limiter.
 pub(crate) struct LimiterState {
     pub(crate) limits: Arc<Limits>,
     pub(crate) schema: MessageSchema,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Reads one whole response of a server, or of discovery.
+    /// Reads one complete response from a server or from discovery.
     pub(crate) fn receive(
         &self,
         connection: &mut Connection,
--- a/crates/aspendrum/tests/fleet/main.rs
+++ b/crates/aspendrum/tests/fleet/main.rs
@@ -1,7 +1,7 @@
-//! Fleets of limiters on loopback: what is harmless for one and harmful when all do it. A program of its own, so that its
-//! load does not disturb the tests of single limiters.
+//! Tests of fleets of limiters on loopback, for behaviour that is harmful only when all limiters show it at once. A
+//! separate test binary, so that its load does not disturb the tests of single limiters.
 
-// The fake services are those of the suite, which uses more of them.
+// Shared with the test suite, which uses more of these helpers.
 #[allow(dead_code)]
 #[path = "../suite/support/mod.rs"]
 mod support;
@@ -21,12 +21,12 @@
 const MAX_REQUESTS: usize = 3;
 const RATE_WINDOW: Duration = Duration::from_millis(250);
 
-/// A discovery that serves a few requests in a window, and rejects all while more come.
+/// A discovery service that rejects requests while more than [`MAX_REQUESTS`] arrive within [`RATE_WINDOW`].
 struct OverloadedDiscovery {
     list: String,
-    /// When requests came, within the last window.
+    /// The times of the requests within the last window.
     recent_requests: Mutex<Vec<Instant>>,
-    /// Connections on which a list was sent.
+    /// The number of lists sent. Each connection gets one.
     informed: AtomicUsize,
 }
 
@@ -51,7 +51,7 @@
             }
             let _ = stream.write_all(response(&self.list).as_bytes());
             self.informed.fetch_add(1, Ordering::SeqCst);
-            // The watch that follows is held: there are no changes.
+            // There are no changes, so the watch that follows is held.
             read_message(&mut stream, &mut rest);
             thread::sleep(Duration::from_secs(30));
             return;
@@ -79,10 +79,10 @@
     config
 }
 
-/// Risk: a fleet that starts at once and retries together every 100 ms never gets a list, and forwards to servers that are
-/// gone for the whole day.
+/// Without jittered backoff, limiters that start together retry together every 100 ms and never get a list. They would
+/// then keep forwarding requests to servers that no longer exist.
 #[test]
-fn a_fleet_that_starts_at_once_gets_its_lists_from_an_overloaded_discovery() {
+fn limiters_that_start_together_get_their_lists_from_an_overloaded_discovery() {
     let servers = [FakeServer::start(RESPONDS_OK).address];
     let (discovery, address) = OverloadedDiscovery::start(list(&servers, 2));
     let limiters: Vec<_> = (0..LIMITERS)
--- a/crates/aspendrum/tests/suite/backoff.rs
+++ b/crates/aspendrum/tests/suite/backoff.rs
@@ -1,4 +1,4 @@
-//! Delays between attempts.
+//! Tests of the backoff delays between attempts.
 
 use aspendrum::backoff::Backoff;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 const INITIAL: Duration = Duration::from_millis(100);
 const MAX: Duration = Duration::from_secs(2);
 
-/// Equal delays brought a fleet back together each time; unbounded ones left a limiter without a list for longer than the
-/// platform allows.
+/// With equal delays, all limiters of a fleet retried at the same time. With unbounded delays, a limiter was without a
+/// server list for longer than the platform allows.
 #[test]
 fn delays_grow_with_failures_differ_and_stay_bounded() {
     let delay_after = |seed, failures| {
--- a/crates/aspendrum/tests/suite/client_connections.rs
+++ b/crates/aspendrum/tests/suite/client_connections.rs
@@ -1,4 +1,4 @@
-//! Client connections: how long they are kept, and what floods of them cost others.
+//! Client connections: their timeouts, and floods of connections.
 
 use crate::support::client::{connect, exchange, request, status, status_of, READINESS_REQUEST};
 use crate::support::fake_services::{read_message, FakeServer, RESPONDS_OK};
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Risk: a client that is silent, or stops in the middle of a request, holds a thread and a descriptor for long.
+/// Guards against a client that sends nothing, or only part of a request, and occupies a thread and a file descriptor.
 #[test_case("", 0 ; "nothing")]
 #[test_case("GET /look HTTP/1.1\r\nHost:", 408 ; "half a head")]
 #[test_case("POST /pay HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", 408 ; "half a body")]
@@ -20,7 +20,7 @@
     limiter.stop();
 }
 
-/// Idle connections hold descriptors that other clients may need.
+/// Idle connections occupy file descriptors that other clients may need.
 #[test]
 fn idle_connections_are_closed_sooner_while_there_are_many() {
     let limiter = limiter(&[FakeServer::start(RESPONDS_OK).address]);
@@ -34,9 +34,9 @@
     limiter.stop();
 }
 
-/// Risk: hundreds of silent connections displace those of clients that send requests, or have them rejected.
+/// Guards against hundreds of silent connections displacing those of active clients or causing rejections.
 #[test]
-fn a_flood_of_silent_connections_costs_the_usual_clients_nothing() {
+fn a_flood_of_silent_connections_does_not_affect_active_clients() {
     let limiter = limiter(&[FakeServer::start(RESPONDS_OK).address]);
     let mut usual: Vec<_> = (0..40).map(|_| connect(&limiter)).collect();
     for stream in &mut usual {
@@ -51,7 +51,8 @@
     limiter.stop();
 }
 
-/// The system accepts connections before the limiter does: without free descriptors it must still answer.
+/// The operating system accepts connections before the limiter does, so the limiter must respond even without free file
+/// descriptors.
 #[test]
 fn more_clients_than_descriptors_are_all_answered() {
     let limiter = limiter(&[FakeServer::start(RESPONDS_OK).address]);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_connection_whose_client_wants_it_closed_ends_with_the_response() {
+fn a_connection_is_closed_after_the_response_if_the_client_requests_it() {
     let limiter = limiter(&[FakeServer::start(RESPONDS_OK).address]);
     let mut stream = connect(&limiter);
     let text = request("look").replace("Host: x", "Host: x\r\nConnection: close");
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn connections_are_kept_on_both_sides_and_pipelined_requests_wait() {
+fn connections_to_clients_and_servers_are_reused_and_pipelined_requests_are_queued() {
     let server = FakeServer::start(RESPONDS_OK);
     let limiter = limiter(&[server.address]);
     let mut stream = connect(&limiter);
--- a/crates/aspendrum/tests/suite/config.rs
+++ b/crates/aspendrum/tests/suite/config.rs
@@ -1,4 +1,4 @@
-//! Faulty configurations.
+//! Invalid configurations.
 
 use crate::support::configuration::config;
 use aspendrum::config::Config;
@@ -16,7 +16,11 @@
 #[test_case("/settings/Profiles/1/Name", json!("look"), "setting Profiles.1.Name is there twice: look" ; "a name twice")]
 #[test_case("/settings/Limits/KeepaliveS", json!(0), "setting Limits.KeepaliveS is absurd" ; "keepalive")]
 #[test_case("/known/hosts/0/health", json!("fine"), "known.hosts.0.health is unknown: fine" ; "a known server")]
-fn a_faulty_configuration_is_rejected_by_its_key(path: &str, value: Value, error: &str) {
+fn an_invalid_configuration_is_rejected_with_the_name_of_the_key(
+    path: &str,
+    value: Value,
+    error: &str,
+) {
     let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let mut config = config(&[address], address, address);
     *config.pointer_mut(path).unwrap() = value;
--- a/crates/aspendrum/tests/suite/counter.rs
+++ b/crates/aspendrum/tests/suite/counter.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter, and a counter that fails.
+//! Calls to the counter, and counter failures.
 
 use crate::support::client::{connect, exchange, request, status};
 use crate::support::configuration::config;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn calls_are_written_as_the_protocol_defines_them() {
+fn calls_are_serialized_as_the_protocol_specifies() {
     let mut out = Vec::new();
     write_add(&mut out, 77, -2.5, 3999.2);
     assert_eq!(
@@ -55,13 +55,13 @@
     );
 }
 
-/// A client, and what it reports to the dispatcher.
+/// A counter client, and the events that it reports to the dispatcher.
 struct Client {
     counter: CounterClient,
     events: MailboxReceiver<DispatcherEvent>,
 }
 
-/// The outcome of a call.
+/// The reported outcome of a call.
 #[derive(Debug, PartialEq)]
 struct Reported {
     name: u64,
@@ -87,7 +87,7 @@
         self.counter.add(name, amount, 1000.0);
     }
 
-    /// Waits for the next outcome, and reports time-outs meanwhile as the dispatcher's timers do.
+    /// Waits for the next outcome. Meanwhile expires calls periodically, like the dispatcher's timers.
     fn next_outcome(&mut self) -> Reported {
         let started_at = Instant::now();
         while started_at.elapsed() < Duration::from_secs(6) {
@@ -113,16 +113,17 @@
 }
 
 #[test]
-fn outcomes_of_a_name_come_in_the_order_of_its_calls() {
+fn outcomes_of_a_name_are_reported_in_the_order_of_its_calls() {
     let mut client = Client::start(fake_counter(None), 5.0);
     (0..50).for_each(|amount| client.add(6, amount as f32));
     let totals: Vec<f32> = (0..50).map(|_| client.next_outcome().total).collect();
     assert!(totals.windows(2).all(|pair| pair[0] <= pair[1]) && totals[49] == 1225.0);
 }
 
-/// Risk: a late reply is taken for the next call's, and from then on every total belongs to another tenant.
+/// Guards against matching a late reply to the next call, after which every total would be attributed to the wrong
+/// tenant.
 #[test]
-fn a_late_reply_is_read_in_its_turn_and_discarded() {
+fn a_late_reply_is_matched_to_its_call_and_discarded() {
     let address = listen(|mut stream| {
         for (delay_ms, reply) in [(400, "$3\r\n111\r\n"), (0, "$3\r\n222\r\n"), (500, "")] {
             let _ = stream.read(&mut [0; 4096]);
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn a_broken_connection_leaves_its_calls_unknown_and_the_next_call_opens_another() {
+fn calls_on_a_broken_connection_time_out_and_the_next_call_opens_a_new_one() {
     let address = listen(|mut stream| {
         let _ = stream.read(&mut [0; 8]);
     });
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn a_counter_that_cannot_be_reached_has_added_nothing() {
+fn calls_to_an_unreachable_counter_are_reported_as_not_added() {
     let mut client = Client::start(unused_address(), 1.0);
     client.add(6, 1.0);
     assert_eq!(
@@ -185,7 +186,7 @@
     );
 }
 
-/// Risk: a counter whose machine vanished keeps connections open and replies nothing more.
+/// Guards against waiting forever on a connection that stays open although the counter's host has failed.
 #[test]
 fn a_silent_connection_is_replaced() {
     let connections = AtomicUsize::new(0);
@@ -204,21 +205,23 @@
     assert_eq!((outcomes[0], outcomes[7]), (Outcome::TimedOut, Outcome::Ok));
 }
 
-/// What was written to the old address has been added there, so its reply is awaited and the call not repeated; later calls
-/// go to the new one.
+/// A call written to the old address may have been added there, so its reply is awaited and the call is not repeated.
+/// Later calls go to the new address.
 #[test]
-fn replies_of_the_old_address_are_awaited_after_a_move() {
+fn replies_from_the_old_address_are_awaited_after_an_address_change() {
     let old_address = listen(|mut stream| {
         let _ = stream.read(&mut [0; 4096]);
         thread::sleep(Duration::from_millis(300));
         let _ = stream.write_all(b"$3\r\n111\r\n");
-        // Stays open, as a counter that shuts down does for a while.
+        // Keep the connection open, like a counter that is shutting down.
         let _ = stream.read(&mut [0; 4096]);
     });
     let mut client = Client::start(old_address, 2.0);
     client.add(6, 1.0);
     thread::sleep(Duration::from_millis(50));
-    client.counter.move_to(fake_counter(Some("$3\r\n222\r\n")));
+    client
+        .counter
+        .change_address(fake_counter(Some("$3\r\n222\r\n")));
     client.add(8, 1.0);
     assert_eq!(
         client.next_outcome(),
@@ -243,7 +246,7 @@
 #[test_case(Some("$3\r\nabc\r\n") ; "replies no number")]
 #[test_case(Some("*9999999\r\n") ; "replies another type")]
 #[test_case(None ; "adds")]
-fn requests_are_served_whatever_the_counter_does(reply: Option<&'static str>) {
+fn requests_are_served_for_every_counter_behaviour(reply: Option<&'static str>) {
     let servers = [FakeServer::start(RESPONDS_OK).address];
     let limiter = start(&config(
         &servers,
--- a/crates/aspendrum/tests/suite/disconnects.rs
+++ b/crates/aspendrum/tests/suite/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their request is in progress.
+//! Client disconnects while a request is in progress.
 
 use crate::support::client::{connect, request};
 use crate::support::configuration::config;
@@ -10,9 +10,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Risk: work for nobody, and a descriptor that stays in use.
+/// Guards against running a request whose client is gone, and against keeping its file descriptor in use.
 #[test]
-fn a_disconnect_ends_the_attempt_in_flight() {
+fn a_disconnect_aborts_the_attempt_in_flight() {
     let server = FakeServer::start(Behaviour::Hangs);
     let limiter = limiter(&[server.address]);
     let mut stream = connect(&limiter);
@@ -25,17 +25,18 @@
     limiter.stop();
 }
 
-/// Risk: the bytes of a pipelined request hide the close that follows them, and both requests are seen through.
+/// Guards against missing a disconnect because the unread bytes of a pipelined request precede it. Both requests would
+/// then be run.
 #[test]
 fn a_disconnect_after_a_pipelined_request_is_detected() {
     let server = FakeServer::start(Behaviour::Hangs);
     let list = list(&[server.address], 2);
     let mut config = config(&[server.address], counter(None), discovery(list));
-    // Far longer than this test waits: nothing else ends the request.
+    // Much longer than the test, so that only the disconnect can end the request.
     for key in ["AimS", "HardLimitS"] {
         config["settings"]["Profiles"][2][key] = json!(60.0);
     }
-    // Connections of health checks would end too.
+    // Health checks would also open and close connections to the server.
     config["settings"]["Limits"]["Probes"] = json!(false);
     let limiter = start(&config);
     let mut stream = connect(&limiter);
@@ -53,9 +54,9 @@
     limiter.stop();
 }
 
-/// A client may have disconnected before the dispatcher knows its request.
+/// A client may disconnect before the dispatcher receives its request.
 #[test]
-fn clients_that_disconnect_at_once_leave_nothing_behind() {
+fn attempts_of_clients_that_disconnect_immediately_are_aborted() {
     let server = FakeServer::start(Behaviour::Hangs);
     let limiter = limiter(&[server.address]);
     for _ in 0..20 {
@@ -65,7 +66,7 @@
             .unwrap();
     }
     thread::sleep(Duration::from_millis(100));
-    // An attempt aborted before its request was written leaves a connection that ends without one.
+    // An attempt that is aborted before its request is written opens a connection that carries no request.
     assert!(eventually(
         || server.ended_connections() == server.connections()
     ));
--- a/crates/aspendrum/tests/suite/discovery.rs
+++ b/crates/aspendrum/tests/suite/discovery.rs
@@ -1,4 +1,4 @@
-//! Lists of servers, and a discovery that fails.
+//! Server lists, and discovery failures.
 
 use crate::support::client::{request, status_of};
 use crate::support::configuration::config;
@@ -15,7 +15,7 @@
 #[test_case("{\"seq\":3,\"whole\":true,\"hosts\":[{\"host\":7}]}" ; "a faulty entry")]
 #[test_case("{\"seq\":-3,\"whole\":true,\"hosts\":[]}" ; "a faulty version")]
 #[test_case("[[[[" ; "no JSON")]
-fn a_faulty_list_leaves_the_last_one_in_force(list: &str) {
+fn after_an_invalid_list_the_last_valid_one_stays_in_use(list: &str) {
     let servers = [FakeServer::start(RESPONDS_OK).address];
     let limiter = start(&config(&servers, counter(None), discovery(list.into())));
     thread::sleep(Duration::from_millis(100));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_list_is_read_with_the_names_of_the_settings() {
+fn a_list_is_parsed_with_the_location_names_of_the_settings() {
     let names = LocationNames {
         zones: vec!["b".into(), "a".into()],
         machine_kinds: vec![],
--- a/crates/aspendrum/tests/suite/http.rs
+++ b/crates/aspendrum/tests/suite/http.rs
@@ -1,4 +1,4 @@
-//! Responses of servers with unreadable fields.
+//! Server responses with invalid header fields.
 
 use crate::support::configuration::config;
 use aspendrum::config::Config;
@@ -10,7 +10,8 @@
 use std::net::SocketAddr;
 use test_case::test_case;
 
-/// Risk: a good response is lost for a report that is no text. A faulty length still invalidates the response.
+/// Guards against discarding a valid response because its load report is not text. An invalid length still invalidates
+/// the response.
 #[test_case(b"HTTP/1.1 200 OK\r\nX-Pressure: \xff\xfe=1\r\nContent-Length: 2\r\n\r\nhi", Some((0, None)) ; "report is no text")]
 #[test_case(b"HTTP/1.1 200 OK\r\nX-Pressure: TEXT cpu_share=0.5, queue=\xff\r\nContent-Length: 2\r\n\r\nhi", Some((0, None)) ; "half of it is no text")]
 #[test_case(b"HTTP/1.1 200 OK\r\nX-Pressure: TEXT cpu_share=0.5, queue=x\r\nContent-Length: 2\r\n\r\nhi", Some((2, None)) ; "one value is no number")]
@@ -18,7 +19,7 @@
 #[test_case(b"HTTP/1.1 200 OK\r\nX-Units-Charged: 1\r\nContent-Length: 2\r\n\r\nhi", Some((0, Some(1.0))) ; "units")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: \xff2\r\n\r\nhi", None ; "length is no text")]
 #[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: \xffchunked\r\n\r\n0\r\n\r\n", None ; "coding is no text")]
-fn an_unreadable_field_invalidates_only_itself(bytes: &[u8], expected: Option<(u8, Option<f32>)>) {
+fn an_invalid_field_invalidates_only_itself(bytes: &[u8], expected: Option<(u8, Option<f32>)>) {
     let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let config = Config::parse(&config(&[], address, address).to_string()).unwrap();
     let schema = MessageSchema {
--- a/crates/aspendrum/tests/suite/main.rs
+++ b/crates/aspendrum/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The limiter among fake services on loopback.
+//! Integration tests of the limiter with fake services on loopback.
 
 mod backoff;
 mod client_connections;
--- a/crates/aspendrum/tests/suite/malformed_requests.rs
+++ b/crates/aspendrum/tests/suite/malformed_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are rejected before the decision engine sees them.
+//! Malformed requests, which are rejected before they reach the decision engine.
 
 use crate::support::client::{connect, exchange, request, status, status_of};
 use crate::support::fake_services::{read_message, Behaviour, FakeServer, RESPONDS_OK};
@@ -52,7 +52,7 @@
 #[test_case("GET /look", "GET /pay" ; "a path that is not its group's")]
 #[test_case("GET /look", "GET /lookout" ; "a path that only begins like its group's")]
 #[test_case("Host: x", "Host: x\r\nContent-Length: 0\r\nTransfer-Encoding: chunked" ; "two kinds of length")]
-fn a_request_with_one_fault_is_not_forwarded(from: &str, to: &str) {
+fn a_request_with_one_invalid_part_is_not_forwarded(from: &str, to: &str) {
     let server = FakeServer::start(RESPONDS_OK);
     let limiter = limiter(&[server.address]);
     assert_eq!(status_of(&limiter, &request("look").replace(from, to)), 400);
@@ -69,18 +69,18 @@
 }
 
 #[test]
-fn a_head_without_end_is_rejected_at_the_limit() {
+fn an_endless_head_is_rejected_at_the_size_limit() {
     let limiter = limiter(&[FakeServer::start(RESPONDS_OK).address]);
     let endless = format!("GET /look HTTP/1.1\r\nX-Long: {}", "x".repeat(20_000));
     assert_eq!(status_of(&limiter, &endless), 431);
     limiter.stop();
 }
 
-/// Servers could take one request for the other, and drop or answer the wrong one.
+/// Servers could otherwise confuse the two requests, and drop or answer the wrong one.
 ///
-/// The last line failed now and then: a client that read its response and sent the id again at once got 409. The limiter
-/// released the id only behind the write of the response, on a thread that a busy machine had suspended in between.
-/// Beside 24 busy processes that came in 5 of 240 runs (six at a time), and in none of 840 since the id is released first.
+/// The last assertion also guards against a race: if the id is released only after the response has been written, a
+/// client that reuses it immediately gets 409. On a busy machine (24 busy processes, six runs in parallel) this failed
+/// in 5 of 240 runs, and in none of 840 with the id released first.
 #[test]
 fn a_transaction_id_that_is_in_progress_is_rejected() {
     let slow = Behaviour::RespondsAfter(300, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_request_in_parts_is_put_together_and_the_connection_goes_on() {
+fn a_request_in_parts_is_reassembled_and_the_connection_stays_open() {
     let limiter = limiter(&[FakeServer::start(RESPONDS_OK).address]);
     let mut stream = connect(&limiter);
     stream.write_all(b"GET /health/ready HT").unwrap();
--- a/crates/aspendrum/tests/suite/server_responses.rs
+++ b/crates/aspendrum/tests/suite/server_responses.rs
@@ -1,5 +1,5 @@
-//! What becomes of a request when its server fails: what may have run is retried, or reported as rejected, only where its
-//! endpoint group allows it.
+//! Requests whose server fails. A request that may have run is retried or reported as rejected only if its endpoint
+//! group allows it.
 
 use crate::support::client::{connect, exchange, request, status, status_of};
 use crate::support::configuration::config;
@@ -50,7 +50,7 @@
 #[test_case("pay", Behaviour::Hangs, 504, 1 ; "a hang ends in time")]
 #[test_case("look", Behaviour::Hangs, 503, 1 ; "a hang of an idempotent request is rejected")]
 #[test_case("pay", REJECTS, 503, 2 ; "rejected by a server never ran and may be retried")]
-fn a_request_by_the_behaviour_of_its_servers(
+fn a_request_is_handled_according_to_the_behaviour_of_its_servers(
     group: &str,
     behaviour: Behaviour,
     expected_status: u16,
@@ -75,9 +75,10 @@
     limiter.stop();
 }
 
-/// The fault is the client's, who is told; the server's health and other servers are not affected.
+/// A client error is returned to the client. It does not affect the server's health and is not retried on other
+/// servers.
 #[test]
-fn a_request_that_a_server_takes_for_malformed_is_not_retried() {
+fn a_request_with_a_client_error_is_not_retried() {
     let servers = [
         FakeServer::start(RESPONDS_MALFORMED),
         FakeServer::start(RESPONDS_MALFORMED),
@@ -91,10 +92,11 @@
     limiter.stop();
 }
 
-/// Bytes after a response, at once or a moment later, belong to no request: the next one must not get them.
+/// Extra bytes after a response, sent immediately or shortly later, must not be read as the response to the next
+/// request.
 #[test_case(0 ; "at once")]
 #[test_case(5 ; "a moment later")]
-fn bytes_after_a_response_are_not_taken_for_the_next_one(delay_ms: u64) {
+fn bytes_after_a_response_are_not_read_as_the_next_response(delay_ms: u64) {
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
     let stale = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale";
     let server = FakeServer::start(Behaviour::RespondsTwice(response, delay_ms, stale));
@@ -108,9 +110,9 @@
     limiter.stop();
 }
 
-/// The backlog of a listener that accepts nothing is filled first, so that no further connection is established.
+/// The test first fills the backlog of a listener that never accepts, so that further connects hang.
 #[test]
-fn a_request_given_up_while_it_connects_is_answered_at_once() {
+fn a_request_cancelled_while_connecting_gets_an_immediate_response() {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener
         .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
@@ -138,9 +140,10 @@
     limiter.stop();
 }
 
-/// A connection that the server closed while it was idle would leave it unknown whether a non-idempotent request ran.
+/// If a non-idempotent request were sent on a connection that the server closes at the same time, it would be unknown
+/// whether the request ran.
 #[test]
-fn a_connection_closed_while_idle_is_not_used_again() {
+fn a_connection_closed_while_idle_is_not_reused() {
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let server = FakeServer::start(Behaviour::RespondsAndCloses(response));
     let limiter = limiter(&[server.address]);
--- a/crates/aspendrum/tests/suite/shutdown_and_reload.rs
+++ b/crates/aspendrum/tests/suite/shutdown_and_reload.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown, and a new configuration while the limiter runs.
+//! Graceful shutdown and configuration reload.
 
 use crate::support::client::{connect, exchange, request, status, READINESS_REQUEST};
 use crate::support::configuration::config;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_graceful_shutdown_answers_what_was_accepted_and_accepts_what_still_comes() {
+fn a_graceful_shutdown_answers_accepted_and_late_requests() {
     let slow = Behaviour::RespondsAfter(300, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
     let limiter = limiter(&[
         FakeServer::start(slow).address,
@@ -43,7 +43,7 @@
     drained.join().unwrap();
 }
 
-/// The program itself, with its configuration in a file.
+/// A running limiter program and its configuration file.
 struct Program {
     process: Child,
     config_path: PathBuf,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Replaces the configuration, and has it reloaded.
+    /// Replaces the configuration file and triggers a reload.
     fn reload(&self, config: &str) {
         std::fs::write(&self.config_path, config).unwrap();
         self.signal("-HUP");
@@ -88,9 +88,9 @@
     }
 }
 
-/// Risk: SIGHUP ends the program, with all that it has accepted.
+/// Guards against SIGHUP ending the program and dropping all accepted requests.
 #[test]
-fn a_reload_moves_discovery_and_counter_and_a_faulty_configuration_changes_nothing() {
+fn a_reload_changes_discovery_and_counter_and_an_invalid_configuration_changes_nothing() {
     let (before, after) = (
         FakeServer::start(RESPONDS_OK),
         FakeServer::start(RESPONDS_OK),
--- a/crates/aspendrum/tests/suite/support/client.rs
+++ b/crates/aspendrum/tests/suite/support/client.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// A request of that endpoint group, with a transaction id of its own, as clients give them.
+/// Returns a request of the given endpoint group with a unique transaction id.
 pub(crate) fn request(group: &str) -> String {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
@@ -25,7 +25,7 @@
     )
 }
 
-/// A request for the limiter's readiness.
+/// A readiness check of the limiter.
 pub(crate) const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\n\r\n";
 
 pub(crate) fn connect(limiter: &Limiter) -> TcpStream {
@@ -36,13 +36,13 @@
     stream
 }
 
-/// Sends a text and reads one response; empty if the connection ended.
+/// Sends a text and reads one response. Returns an empty string if the connection ended.
 pub(crate) fn exchange(stream: &mut TcpStream, text: &str) -> String {
     let _ = stream.write_all(text.as_bytes());
     read_message(stream, &mut Vec::new()).unwrap_or_default()
 }
 
-/// The status of a response; 0 if there is none.
+/// Returns the status of a response, or 0 if there is none.
 pub(crate) fn status(response: &str) -> u16 {
     response
         .split(' ')
@@ -51,7 +51,7 @@
         .unwrap_or(0)
 }
 
-/// Sends a request on a connection of its own, and returns the status of the response.
+/// Sends a request on a new connection and returns the status of the response.
 pub(crate) fn status_of(limiter: &Limiter, request: &str) -> u16 {
     status(&exchange(&mut connect(limiter), request))
 }
--- a/crates/aspendrum/tests/suite/support/configuration.rs
+++ b/crates/aspendrum/tests/suite/support/configuration.rs
@@ -1,9 +1,9 @@
-//! A configuration of the limiter.
+//! Configurations of the limiter.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Entries of these servers in a list.
+/// Returns the entries of the given servers in a server list.
 pub(crate) fn hosts(servers: &[SocketAddr]) -> Value {
     let entry = |(index, address): (usize, &SocketAddr)| {
         json!({"host": format!("s-{index}"), "dial": address.to_string(), "site": "a", "class": "m2", "block": index,
@@ -12,7 +12,8 @@
     servers.iter().enumerate().map(entry).collect()
 }
 
-/// Three endpoint groups, one of each kind, and one plan whose quota is enough for all tests.
+/// Returns settings with three endpoint groups, one for each kind of semantics, and one plan whose quota is sufficient
+/// for all tests.
 pub(crate) fn settings() -> Value {
     let group = |name, semantics| {
         json!({"AimS": 0.4, "Credit": 1.0, "Group": "all", "HardLimitS": 2.0, "Name": name,
--- a/crates/aspendrum/tests/suite/support/fake_services.rs
+++ b/crates/aspendrum/tests/suite/support/fake_services.rs
@@ -1,4 +1,4 @@
-//! Fake servers, counter and discovery.
+//! Fake servers, counters and discovery services.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,18 +7,18 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a fake server does with a request.
+/// How a fake server handles a request.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Behaviour {
     Responds(&'static str),
     RespondsAndCloses(&'static str),
-    /// Closes the connection with the request read.
+    /// Closes the connection after reading the request.
     Closes,
-    /// Responds nothing and keeps the connection open.
+    /// Sends no response and keeps the connection open.
     Hangs,
-    /// Responds after that many milliseconds.
+    /// Responds after a delay in milliseconds.
     RespondsAfter(u64, &'static str),
-    /// Responds, and that many milliseconds later sends more, which belongs to no request.
+    /// Responds, and sends further bytes after a delay in milliseconds.
     RespondsTwice(&'static str, u64, &'static str),
 }
 
@@ -29,16 +29,16 @@
 pub(crate) const REJECTS: Behaviour =
     Behaviour::Responds("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
 
-/// What a fake server has seen.
+/// The events counted by a fake server.
 #[derive(Default)]
 pub(crate) struct ServerLog {
     connections: AtomicUsize,
     requests: AtomicUsize,
-    /// Connections that the other side ended.
+    /// Connections closed by the peer.
     ended_connections: AtomicUsize,
 }
 
-/// A fake server that is running.
+/// A running fake server.
 #[derive(Clone)]
 pub(crate) struct FakeServer {
     pub(crate) address: SocketAddr,
@@ -95,7 +95,7 @@
     let _ = stream.write_all(text.as_bytes());
 }
 
-/// Accepts connections for ever, each on a thread of its own.
+/// Accepts connections indefinitely and serves each on its own thread.
 pub(crate) fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -109,7 +109,7 @@
     address
 }
 
-/// An address at which nobody listens.
+/// Returns an address without a listener.
 pub(crate) fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -117,7 +117,7 @@
         .unwrap()
 }
 
-/// Reads one HTTP message, head and body. None if the connection has ended.
+/// Reads one HTTP message, head and body. Returns `None` if the connection has ended.
 pub(crate) fn read_message(stream: &mut TcpStream, rest: &mut Vec<u8>) -> Option<String> {
     let mut chunk = [0; 4096];
     loop {
@@ -145,7 +145,7 @@
     value.map_or(0, |length| length.parse().unwrap())
 }
 
-/// A response with a body.
+/// Returns a response with a body.
 pub(crate) fn response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -153,11 +153,11 @@
     )
 }
 
-/// A counter of one total that replies to each call with `reply`, or with the total if there is none.
+/// Starts a counter with one total. It replies to each call with `reply`, or with the total if `reply` is `None`.
 pub(crate) fn counter(reply: Option<&'static str>) -> SocketAddr {
-    /// Lines of one call.
+    /// The number of lines of one call.
     const CALL_LINES: usize = 9;
-    /// The line with the amount.
+    /// The index of the line with the amount.
     const AMOUNT: usize = 6;
     listen(move |mut stream| {
         let (mut received, mut total, mut chunk) = (Vec::new(), 0.0, [0; 4096]);
@@ -186,7 +186,7 @@
     })
 }
 
-/// Discovery that responds with `list` to each request for the complete list, and holds watches.
+/// Starts a discovery service that responds with `list`, to a watch only after five seconds.
 pub(crate) fn discovery(list: String) -> SocketAddr {
     listen(move |mut stream| {
         let mut rest = Vec::new();
--- a/crates/aspendrum/tests/suite/support/mod.rs
+++ b/crates/aspendrum/tests/suite/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests need around a limiter, on loopback: fake services, configurations and clients.
+//! Test support: fake services, configurations and clients on loopback.
 
 pub(crate) mod client;
 pub(crate) mod configuration;
@@ -13,12 +13,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A limiter in front of these servers, with a counter and a discovery that work.
+/// Starts a limiter in front of the given servers, with a working counter and discovery.
 pub(crate) fn limiter(servers: &[SocketAddr]) -> Limiter {
     start(&config(servers, counter(None), discovery(list(servers, 2))))
 }
 
-/// A complete list of these servers.
+/// Returns a complete list of the given servers.
 pub(crate) fn list(servers: &[SocketAddr], version: u64) -> String {
     json!({"seq": version, "whole": true, "hosts": hosts(servers)}).to_string()
 }
@@ -27,7 +27,7 @@
     Limiter::start(Config::parse(&config.to_string()).unwrap()).unwrap()
 }
 
-/// Waits for what another thread is about to do, up to two seconds.
+/// Waits up to two seconds for the condition to become true.
 pub(crate) fn eventually(condition: impl Fn() -> bool) -> bool {
     let started_at = Instant::now();
     while !condition() && started_at.elapsed() < Duration::from_secs(2) {
