--- a/crates/aspendrum/tests/suite/wire_bytes.rs
+++ b/crates/aspendrum/tests/suite/wire_bytes.rs
@@ -1,8 +1,8 @@
-//! The bytes that the limiter writes and reads, as fixtures: calls to the counter and its replies, requests to servers
-//! and to discovery, its answers to clients, datagrams between limiters, and the keys of its configuration. Other
-//! programs, other versions and operators' files rely on them, so they must not change.
+//! Fixture tests of the limiter's wire formats: counter calls and replies, requests to servers and to discovery,
+//! responses to clients, datagrams between limiters, and configuration keys. They must not change, because other
+//! programs, other versions and operators' files depend on them.
 //!
-//! A fixture `*.txt` holds one message a line: a name, a blank, and the bytes with `\r`, `\n`, `\"` and `\xNN` escaped.
+//! A `*.txt` fixture has one message per line: a name, a space, and the bytes with `\r`, `\n`, `\"` and `\xNN` escaped.
 
 use crate::support::configuration::config;
 use crate::support::fake_services::{counter, listen, read_message, response};
@@ -29,9 +29,9 @@
 
 const COUNTER_CALLS: &str = include_str!("../fixtures/counter_calls.txt");
 const COUNTER_REPLIES: &str = include_str!("../fixtures/counter_replies.txt");
-const ANSWERS: &str = include_str!("../fixtures/answers.txt");
+const RESPONSES: &str = include_str!("../fixtures/answers.txt");
 const REQUESTS: &str = include_str!("../fixtures/requests.txt");
-const SERVER_ANSWERS: &str = include_str!("../fixtures/server_answers.txt");
+const SERVER_RESPONSES: &str = include_str!("../fixtures/server_answers.txt");
 const DISCOVERY_REQUESTS: &str = include_str!("../fixtures/discovery_requests.txt");
 const DISCOVERY_LIST: &str = include_str!("../fixtures/discovery_list.json");
 const CONFIGURATION: &str = include_str!("../fixtures/configuration.json");
@@ -59,7 +59,7 @@
     format!("{name} {}\n", bytes.escape_ascii())
 }
 
-/// Names and bytes of a fixture's messages.
+/// Returns the names and bytes of the messages in a fixture.
 fn messages(fixture: &str) -> Vec<(&str, Vec<u8>)> {
     fixture
         .lines()
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn replies_of_the_counter() {
+fn replies_from_the_counter() {
     let read = |(name, bytes): (&'static str, Vec<u8>)| {
         let mut buffer = buffer_of(&bytes);
         let reply = resp::parse_reply(&mut buffer);
@@ -159,18 +159,18 @@
     assert_eq!(replies, expected);
 }
 
-/// Each status that the limiter answers by itself, with its reason and headers.
+/// Covers each status that the limiter generates, with its reason phrase and headers.
 #[test]
-fn answers_to_clients() {
-    let answer = |name: &str, status, advice, close, kind: &[u8], body: &[u8]| {
+fn responses_to_clients() {
+    let response = |name: &str, status, retry_after, close, content_type: &[u8], body: &[u8]| {
         line(
             name,
             &written(|out| {
-                http::OwnResponse {
+                http::ClientResponse {
                     status,
-                    retry_after: advice,
+                    retry_after,
                     close,
-                    content_type: kind,
+                    content_type,
                     body,
                 }
                 .write(out)
@@ -178,11 +178,11 @@
         )
     };
     let mut lines: Vec<String> = [200, 400, 405, 408, 409, 411, 413, 431, 502, 503, 504]
-        .map(|status| answer(&format!("status-{status}"), status, None, false, b"", b""))
+        .map(|status| response(&format!("status-{status}"), status, None, false, b"", b""))
         .to_vec();
-    lines.push(answer("closed", 503, None, true, b"", b""));
-    lines.push(answer("retry-after", 503, Some(1234.5), false, b"", b""));
-    lines.push(answer(
+    lines.push(response("closed", 503, None, true, b"", b""));
+    lines.push(response("retry-after", 503, Some(1234.5), false, b"", b""));
+    lines.push(response(
         "retry-after-and-closed",
         503,
         Some(0.4),
@@ -190,7 +190,7 @@
         b"",
         b"",
     ));
-    lines.push(answer(
+    lines.push(response(
         "with-a-body",
         200,
         None,
@@ -198,20 +198,20 @@
         b"text/plain; charset=utf-8",
         b"hello\x00\xff",
     ));
-    assert_eq!(lines.concat(), ANSWERS);
+    assert_eq!(lines.concat(), RESPONSES);
 }
 
 #[test]
-fn requests_read_and_sent_on() {
+fn requests_read_and_forwarded() {
     let forwarded = |name: &str| {
         let mut incoming = buffer_of(&bytes(REQUESTS, name));
-        let http::Parsed::Complete(IncomingRequest::Forwardable(query)) =
+        let http::Parsed::Complete(IncomingRequest::Forwardable(request)) =
             http::parse_request(&mut incoming, &schema(), &limits().messages)
         else {
             panic!("{name} was not read")
         };
         assert!(incoming.is_empty());
-        (written(|out| query.write_forwarded(899.5, out)), query)
+        (written(|out| request.write_forwarded(899.5, out)), request)
     };
     let (out, get) = forwarded("read");
     assert_eq!(
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn the_readiness_question() {
+fn the_readiness_request() {
     let mut incoming = buffer_of(&bytes(REQUESTS, "readiness"));
     let read = http::parse_request(&mut incoming, &schema(), &limits().messages);
     assert!(matches!(
@@ -275,11 +275,11 @@
 }
 
 #[test]
-fn answers_of_servers() {
+fn responses_from_servers() {
     let read = |name| {
-        let mut incoming = buffer_of(&bytes(SERVER_ANSWERS, name));
+        let mut incoming = buffer_of(&bytes(SERVER_RESPONSES, name));
         match http::parse_server_response(&mut incoming, &schema(), &limits().messages) {
-            http::Parsed::Complete(answer) => answer,
+            http::Parsed::Complete(response) => response,
             _ => panic!("{name} was not read"),
         }
     };
@@ -298,19 +298,19 @@
     );
     let other = read("with-the-other-names");
     assert_eq!(other.load, load(&[5.0, 6.0, 0.75, 8.0]));
-    let refused = read("turned-away");
+    let rejected = read("turned-away");
     assert_eq!(
-        (refused.status, refused.is_rejected, refused.close),
+        (rejected.status, rejected.is_rejected, rejected.close),
         (503, true, true)
     );
     assert_eq!(
-        (refused.charged, refused.load),
+        (rejected.charged, rejected.load),
         (None, LoadReport::default())
     );
 }
 
 #[test]
-fn a_load_report_names_each_value_in_two_ways() {
+fn each_load_value_has_two_names() {
     let values = [LoadValue::ResponsesPerSecond, LoadValue::FailuresPerSecond];
     for body in ["qps=90,eps=2", "TEXT served_ps=90\nfailed_ps=2"] {
         assert_eq!(
@@ -323,14 +323,14 @@
 #[test]
 fn requests_to_discovery() {
     let seen = Arc::new(Mutex::new(Vec::<String>::new()));
-    let (own, list) = (
+    let (recorded, list) = (
         seen.clone(),
         json!({"seq": 43, "whole": true, "hosts": []}).to_string(),
     );
     let address = listen(move |mut stream| {
         let mut rest = Vec::new();
         while let Some(request) = read_message(&mut stream, &mut rest) {
-            let mut seen = own.lock().unwrap();
+            let mut seen = recorded.lock().unwrap();
             seen.push(request);
             if seen.len() > 2 {
                 return;
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn a_list_of_discovery() {
+fn a_server_list_from_discovery() {
     let names = LocationNames {
         zones: vec!["a".into(), "b".into()],
         machine_kinds: vec!["m1".into(), "m2".into()],
@@ -362,7 +362,7 @@
     let [first, second, third] = &list.entries[..] else {
         panic!("{} entries", list.entries.len())
     };
-    // A server's number is the FNV-1a hash of its name, the same at every limiter.
+    // A server's id is the FNV-1a hash of its name, so that all limiters use the same one.
     let numbers = [first, second, third].map(|listed| listed.entry.server);
     assert_eq!(numbers, [0x4cae_c46a, 0x189b_ada4, 0x1b9b_b25d]);
     let health = [first, second, third].map(|listed| listed.entry.health);
@@ -387,8 +387,8 @@
     other
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
-    let there = other.local_addr().unwrap();
-    // No other test binds a port of this loopback address between the drop and the start.
+    let peer_address = other.local_addr().unwrap();
+    // Only this test binds ports of this loopback address, so the port stays free between the drop and the start.
     let listen = UdpSocket::bind("127.61.7.3:0")
         .unwrap()
         .local_addr()
@@ -399,8 +399,8 @@
     let peers = PeerSocket::start(
         listen,
         PeerAddresses {
-            peers: vec![unknown, there],
-            broadcast: Some(there),
+            peers: vec![unknown, peer_address],
+            broadcast: Some(peer_address),
         },
         &dispatcher,
         128 << 10,
@@ -415,12 +415,12 @@
         }
         _ => panic!("no datagram came"),
     }
-    let mut space = [0; 512];
+    let mut buffer = [0; 512];
     peers.send(Some(1), &[1; 257]);
     for to in [Some(1), None] {
         peers.send(to, &longest);
-        let (size, _) = other.recv_from(&mut space).unwrap();
-        assert_eq!(space[..size], longest);
+        let (size, _) = other.recv_from(&mut buffer).unwrap();
+        assert_eq!(buffer[..size], longest);
     }
 }
 
@@ -496,7 +496,7 @@
 }
 
 #[test]
-fn keys_that_are_left_out() {
+fn defaults_of_omitted_keys() {
     let mut text: Value = serde_json::from_str(CONFIGURATION).unwrap();
     for key in ["name", "peer_listen", "known", "limits"] {
         text.as_object_mut().unwrap().remove(key);
@@ -552,7 +552,7 @@
     (done.status.success(), text(done.stdout), text(done.stderr))
 }
 
-/// The sub-commands, the option and the variable that operators and deployments use.
+/// The subcommands, options and environment variable used by operators and deployments.
 #[test]
 fn the_command_line() {
     let path = concat!(
