--- a/crates/aspendrum-simulator-adapter/src/adapter.rs
+++ b/crates/aspendrum-simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Many instances behind one pair of pipes.
+//! Dispatches the records of a frame to decision engine instances.
 
 use crate::batch::{Batch, Record};
 use crate::error::{FrameError, RecordError};
@@ -7,17 +7,20 @@
 use aspendrum_core::engine::DecisionEngine;
 use std::collections::HashMap;
 
-/// The instances that run, by number.
+/// The running instances, by number.
 #[derive(Default)]
 pub struct Adapter {
     instances: HashMap<u32, DecisionEngine>,
-    /// Kept from frame to frame, for their memory.
+    /// Buffers that are reused across frames to avoid allocations.
     actions: Vec<Action>,
     servers: Vec<ServerEntry>,
 }
 
 impl Adapter {
-    /// Hands each event of a frame to its instance, and writes the reply to the frame into `out`.
+    /// Passes each event of a frame to its instance, and writes the reply to `out`.
+    ///
+    /// # Errors
+    /// Returns [`FrameError`] if the frame or one of its records is invalid, or if the reply is too long.
     pub fn process(&mut self, frame: &[u8], out: &mut Vec<u8>) -> Result<(), FrameError> {
         let batch = Batch::open(frame)?;
         let mut reply = Reply::new(out);
@@ -54,7 +57,7 @@
     }
 }
 
-/// Starts, stops or informs an instance; appends what it is to do.
+/// Starts or stops an instance, or passes an event to it. Appends the resulting actions to `actions`.
 fn apply(
     instances: &mut HashMap<u32, DecisionEngine>,
     instance: u32,
--- a/crates/aspendrum-simulator-adapter/src/batch.rs
+++ b/crates/aspendrum-simulator-adapter/src/batch.rs
@@ -1,4 +1,5 @@
-//! Frames from the simulator: a header, records of equal size, and a tail that records refer to.
+//! Parses frames from the simulator: a header, fixed-size records, and a variable-length tail that
+//! the records reference.
 
 use crate::error::{FrameError, RecordError};
 use crate::record::RecordReader;
@@ -9,7 +10,7 @@
 const RECORD_BYTES: usize = 48;
 const SERVER_ENTRY_BYTES: usize = 21;
 
-/// Codes of records.
+// Record codes.
 const PROBE_ENDED: u8 = 1;
 const TIMER: u8 = 2;
 const START: u8 = 3;
@@ -23,23 +24,23 @@
 const ATTEMPT_ENDED: u8 = 11;
 const STREAM_STARTED: u8 = 12;
 
-/// Bits of a request's flags.
+// Bits of a request's flags.
 const CLIENT_RETRY: u8 = 2;
 const WRITE: u8 = 4;
 
-/// A record.
+/// A record of a frame.
 pub enum Record<'a> {
-    /// The records that follow are for the instance of that number.
+    /// The following records are for the instance with this number.
     SelectInstance(u32),
-    /// The instance starts, with that seed.
+    /// Starts the instance with the given seed and settings.
     Start(u64, Box<Settings>),
-    /// The instance stops.
+    /// Stops the instance.
     Stop,
-    /// Something happened at the instance.
+    /// An event for the instance.
     Event(Event<'a>),
 }
 
-/// A frame, taken apart.
+/// A frame, split into its parts.
 pub struct Batch<'a> {
     now: Millis,
     records: &'a [u8],
@@ -47,16 +48,22 @@
 }
 
 impl<'a> Batch<'a> {
-    /// Checks the frame's header and takes it apart.
+    /// Validates the frame's header and splits the frame.
+    ///
+    /// # Errors
+    /// Returns [`FrameError`] if the header is incomplete or does not match the frame.
     pub fn open(frame: &'a [u8]) -> Result<Self, FrameError> {
         let bytes = frame.len();
         if bytes < HEADER_BYTES {
             return Err(FrameError::TooShort { bytes });
         }
         let mut header = RecordReader::new(frame);
-        let (count, told) = (header.u32() as usize, header.u32() as usize);
-        if told != bytes {
-            return Err(FrameError::LengthMismatch { told, read: bytes });
+        let (count, declared) = (header.u32() as usize, header.u32() as usize);
+        if declared != bytes {
+            return Err(FrameError::LengthMismatch {
+                declared,
+                read: bytes,
+            });
         }
         let records_end = count
             .checked_mul(RECORD_BYTES)
@@ -72,18 +79,21 @@
         })
     }
 
-    /// The time of all its events.
+    /// Returns the time of all events of the frame.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// How many records it has.
+    /// Returns the number of records.
     pub fn count(&self) -> usize {
         self.records.len() / RECORD_BYTES
     }
 
-    /// Reads the record of that number, which must be below [`Batch::count`]. A list of servers is
-    /// put into `servers`.
+    /// Reads the record at `index`, which must be below [`Batch::count`]. The entries of a server list
+    /// replace the contents of `servers`.
+    ///
+    /// # Errors
+    /// Returns [`RecordError`] if the record is invalid.
     pub fn record<'b>(
         &'b self,
         index: usize,
@@ -133,7 +143,8 @@
         }
     }
 
-    /// The part of the tail that the record refers to, in entries of that width.
+    /// Reads a tail reference and returns the referenced bytes. The length of the reference counts
+    /// entries of `width` bytes.
     fn tail(&self, reader: &mut RecordReader<'_>, width: usize) -> Result<&'a [u8], RecordError> {
         let (offset, length) = (reader.u32() as usize, reader.u32() as usize);
         let end = length
@@ -176,7 +187,7 @@
     }
 }
 
-/// Fields stand in the order in which they are read, here and below.
+// The struct initializers here and below read the fields in the order in which they are encoded.
 fn server_entry(reader: &mut RecordReader<'_>) -> Result<ServerEntry, RecordError> {
     Ok(ServerEntry {
         server: reader.u32(),
--- a/crates/aspendrum-simulator-adapter/src/error.rs
+++ b/crates/aspendrum-simulator-adapter/src/error.rs
@@ -1,99 +1,99 @@
-//! Why a frame of the simulator is refused.
+//! Errors of invalid frames.
 
 use aspendrum_core::settings::SettingsError;
 use derive_more::{Display, Error, From};
 use std::str::Utf8Error;
 
-/// Why a frame is refused.
+/// The reason why a frame is rejected.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum FrameError {
-    /// It is shorter than a frame's header.
+    /// The frame is shorter than its header.
     #[display("short frame: {bytes} bytes")]
     TooShort {
-        /// Its length.
+        /// The length of the frame.
         bytes: usize,
     },
-    /// Its header tells another length than it has.
-    #[display("frame length {told} disagrees with the {read} bytes read")]
+    /// The length in the header differs from the number of bytes read.
+    #[display("frame length {declared} disagrees with the {read} bytes read")]
     LengthMismatch {
-        /// The length that the header tells.
-        told: usize,
-        /// The length that it has.
+        /// The length in the header.
+        declared: usize,
+        /// The number of bytes read.
         read: usize,
     },
-    /// Its header tells more records than it can hold.
+    /// The record count in the header does not fit the frame.
     #[display("record count {count} does not fit a frame of {bytes} bytes")]
     TooManyRecords {
-        /// The number that the header tells.
+        /// The record count in the header.
         count: usize,
-        /// The frame's length.
+        /// The length of the frame.
         bytes: usize,
     },
-    /// The header's time is not a finite number.
+    /// The time in the header is not a finite number.
     #[display("{_0}")]
     Clock(RecordError),
-    /// A record can't be read, or is not for a running instance.
+    /// A record is invalid, or is for an instance that is not running.
     #[display("record {index}: {error}")]
     Record {
-        /// The record's number, from 0 on.
+        /// The zero-based index of the record.
         index: usize,
-        /// What is wrong with it.
+        /// The cause.
         #[error(source)]
         error: RecordError,
     },
-    /// The reply would be longer than its header can tell.
-    #[display("a reply over 4 GiB")]
+    /// The length of the reply does not fit its header.
+    #[display("reply exceeds 4 GiB")]
     ReplyTooLong,
 }
 
-/// Why a record is refused. Fields have the names of the simulator's pages.
+/// The reason why a record is rejected. Field names are those of the simulator's documentation.
 #[derive(Clone, Debug, Display, Error, From, PartialEq)]
 pub enum RecordError {
-    /// A number is infinite or not a number.
+    /// A number is infinite or NaN.
     #[display("{field} is not a finite number")]
     #[from(skip)]
     NotFinite {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
     },
-    /// A field has a code that stands for nothing.
+    /// A field has an unknown code.
     #[display("unknown {field} {code}")]
     #[from(skip)]
     UnknownCode {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What stands there.
+        /// The code.
         code: u16,
     },
-    /// A load report has more values than fit it.
+    /// A load report has too many values.
     #[display("Load with {count} values")]
     #[from(skip)]
     TooManyLoadValues {
-        /// How many it tells.
+        /// The declared number of values.
         count: u8,
     },
-    /// A reference leads out of the frame's tail.
+    /// A reference exceeds the frame's tail.
     #[display("tail reference {offset}+{length} is out of bounds")]
     #[from(skip)]
     TailOutOfBounds {
-        /// Where it begins, in bytes.
+        /// The offset of the referenced part, in bytes.
         offset: usize,
-        /// Its length, in bytes or entries.
+        /// The length of the referenced part, in bytes or entries.
         length: usize,
     },
-    /// Settings are not UTF-8.
+    /// The settings are not valid UTF-8.
     #[display("Settings: {_0}")]
     SettingsNotUtf8(Utf8Error),
-    /// Settings are refused.
+    /// The settings are invalid.
     Settings(SettingsError),
-    /// An event came before any record that names its instance.
-    #[display("an event before any On")]
+    /// A record precedes the first record that selects an instance.
+    #[display("event before the first On")]
     NoInstance,
-    /// An event is for an instance that does not run.
+    /// A record is for an instance that is not running.
     #[display("On for no such instance: {instance}")]
     #[from(skip)]
     UnknownInstance {
-        /// The instance's number.
+        /// The number of the instance.
         instance: u32,
     },
 }
--- a/crates/aspendrum-simulator-adapter/src/lib.rs
+++ b/crates/aspendrum-simulator-adapter/src/lib.rs
@@ -1,5 +1,4 @@
-//! The adapter between the simulator's frames and the decision engine. It translates and decides
-//! nothing.
+//! Translates between the simulator's frames and the events and actions of decision engines.
 
 pub mod adapter;
 pub mod batch;
--- a/crates/aspendrum-simulator-adapter/src/main.rs
+++ b/crates/aspendrum-simulator-adapter/src/main.rs
@@ -1,18 +1,18 @@
-//! Reads frames from standard input, hands each event to its instance, and writes one reply a
-//! frame.
+//! Reads frames from standard input, passes each event to its instance, and writes one reply per
+//! frame to standard output.
 
 use aspendrum_simulator_adapter::adapter::Adapter;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-/// The number of records and the length of the frame.
+/// The size of the record count and the frame length, with which each frame starts.
 const PREFIX_BYTES: usize = 8;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("aspendrum-simulator-adapter: {text}");
+        Err(error) => {
+            eprintln!("aspendrum-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
@@ -26,13 +26,14 @@
             .process(&frame, &mut reply)
             .map_err(|error| error.to_string())?;
         let written = output.write_all(&reply).and_then(|()| output.flush());
-        written.map_err(|error| format!("writing a reply: {error}"))?;
+        written.map_err(|error| format!("failed to write a reply: {error}"))?;
     }
     Ok(())
 }
 
-/// Reads a frame in place of what the buffer holds; false at the input's end. The buffer grows by
-/// what really arrives, never by what the frame says of its length.
+/// Replaces the contents of `frame` by the next frame. Returns false at the end of the input. The
+/// buffer grows with the bytes received, so a wrong length in the frame cannot cause a large
+/// allocation.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, String> {
     frame.clear();
     read_up_to(input, PREFIX_BYTES as u64, frame)?;
@@ -40,7 +41,7 @@
         return if frame.is_empty() {
             Ok(false)
         } else {
-            Err("short frame: header cut off".into())
+            Err("short frame: truncated header".into())
         };
     };
     let size = u64::from(u32::from_be_bytes([
@@ -56,5 +57,5 @@
 fn read_up_to(input: &mut impl Read, bytes: u64, frame: &mut Vec<u8>) -> Result<(), String> {
     let read = input.take(bytes).read_to_end(frame);
     read.map(|_| ())
-        .map_err(|error| format!("reading a frame: {error}"))
+        .map_err(|error| format!("failed to read a frame: {error}"))
 }
--- a/crates/aspendrum-simulator-adapter/src/record.rs
+++ b/crates/aspendrum-simulator-adapter/src/record.rs
@@ -1,10 +1,10 @@
-//! Reads the fields of a fixed record one after another. Numbers are big-endian.
+//! Reads the fields of a fixed-size record in sequence. Numbers are big-endian.
 
 use crate::error::RecordError;
 use aspendrum_core::api::{LoadReport, Millis, Outcome};
 use aspendrum_core::settings::MILLIS_PER_SECOND;
 
-/// What is left to read of a record, which has all the fields that are read from it.
+/// The unread part of a record. Reading past the end of the record panics.
 pub(crate) struct RecordReader<'a>(&'a [u8]);
 
 impl<'a> RecordReader<'a> {
@@ -36,7 +36,7 @@
         u64::from_be_bytes(self.take())
     }
 
-    /// A finite number.
+    /// Reads a finite number.
     pub(crate) fn f32(&mut self, field: &'static str) -> Result<f32, RecordError> {
         let value = f32::from_be_bytes(self.take());
         value
@@ -45,7 +45,7 @@
             .ok_or(RecordError::NotFinite { field })
     }
 
-    /// A finite number of seconds.
+    /// Reads a finite number of seconds and returns it in milliseconds.
     pub(crate) fn seconds(&mut self, field: &'static str) -> Result<Millis, RecordError> {
         let value = f64::from_be_bytes(self.take());
         let value = value
--- a/crates/aspendrum-simulator-adapter/src/reply.rs
+++ b/crates/aspendrum-simulator-adapter/src/reply.rs
@@ -1,4 +1,5 @@
-//! Frames to the simulator: a header, a record for each action, and a tail that records refer to.
+//! Writes frames to the simulator: a header, a record for each action, and a variable-length tail
+//! that the records reference.
 
 use crate::error::FrameError;
 use aspendrum_core::api::{Action, Millis};
@@ -7,7 +8,7 @@
 const HEADER_BYTES: usize = 8;
 const RECORD_BYTES: usize = 24;
 
-/// Codes of records.
+// Record codes.
 const SEND_DATAGRAM: u8 = 65;
 const CANCEL: u8 = 66;
 const FORWARD: u8 = 67;
@@ -23,10 +24,11 @@
 const LOG: u8 = 77;
 const SELECT_INSTANCE: u8 = 78;
 
-/// In place of an instance's number: all others.
+/// Addresses a datagram to all other instances.
 const ALL_INSTANCES: u32 = u32::MAX;
 
-/// A frame in the making. Records go to the caller's buffer, the tail behind them at the end.
+/// A frame under construction. Records are written to the caller's buffer at once;
+/// [`Reply::finish`] appends the tail.
 pub struct Reply<'a> {
     out: &'a mut Vec<u8>,
     tail: Vec<u8>,
@@ -35,7 +37,7 @@
 }
 
 impl<'a> Reply<'a> {
-    /// An empty frame in place of what the buffer holds.
+    /// Starts an empty frame, replacing the contents of `out`.
     pub fn new(out: &'a mut Vec<u8>) -> Self {
         out.clear();
         out.extend_from_slice(&[0; HEADER_BYTES]);
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Adds the actions of an instance, and takes them out of `actions`.
+    /// Drains `actions` and adds them to the frame as actions of `instance`.
     pub fn add(&mut self, instance: u32, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             if self.selected_instance != Some(instance) {
@@ -58,7 +60,10 @@
         }
     }
 
-    /// Completes the frame.
+    /// Appends the tail and fills in the header.
+    ///
+    /// # Errors
+    /// Returns [`FrameError::ReplyTooLong`] if the length does not fit the header.
     pub fn finish(self) -> Result<(), FrameError> {
         self.out.extend_from_slice(&self.tail);
         let size = u32::try_from(self.out.len()).map_err(|_| FrameError::ReplyTooLong)?;
@@ -126,7 +131,7 @@
         self.count += 1;
     }
 
-    /// Adds to the tail; the offset and length that refer to it.
+    /// Appends `data` to the tail. Returns its offset and length, as encoded in records.
     fn push_tail(&mut self, data: &[u8]) -> ([u8; 4], [u8; 4]) {
         let offset = (self.tail.len() as u32).to_be_bytes();
         self.tail.extend_from_slice(data);
--- a/crates/aspendrum-simulator-adapter/tests/examples.rs
+++ b/crates/aspendrum-simulator-adapter/tests/examples.rs
@@ -1,4 +1,4 @@
-//! Example frames, and one bad frame of each kind.
+//! Decodes and encodes example frames, and rejects one invalid frame of each kind.
 
 use aspendrum_core::api::{Action, Event, ListKind};
 use aspendrum_core::settings;
@@ -54,26 +54,26 @@
 
 #[test_case("09 000d9f1c5d3a91c4 0000 40214df3b645a1cb 91f03b7c55d20a64 00000000 40400000 40000000 3f800000 01",
     "Request(NewRequest { id: 3834118869258692, group: 0, deadline: 8652.25" ; "new request")]
-#[test_case("02 0000004d", "Timer { token: 77 }" ; "elapsed")]
-#[test_case("06 000e6a560e6f2b19", "ClientDisconnected { id: 4057567515847449 }" ; "cancelled by client")]
+#[test_case("02 0000004d", "Timer { token: 77 }" ; "timer")]
+#[test_case("06 000e6a560e6f2b19", "ClientDisconnected { id: 4057567515847449 }" ; "client disconnected")]
 #[test_case("0b 000d9f1c5d3a91c4 00 03124a07 0001 3f92f1a9fbe76c8b 01 0056 0003 01 3f1eb852",
-    "forward: 0, server: 51530247, outcome: Ok, rtt: 18.5" ; "finished")]
+    "forward: 0, server: 51530247, outcome: Ok, rtt: 18.5" ; "attempt ended")]
 #[test_case("07 000000000089f690 0001 42180000 3f619ce075f6fd22",
-    "CounterReplied { name: 9041552, outcome: Ok, total: 38.0, rtt: 2.15" ; "tally back")]
-#[test_case("01 03124a07 0004 3f92f1a9fbe76c8b", "ProbeEnded { server: 51530247, outcome: ConnectFailed" ; "sampled")]
-#[test_case("0c 000d9f1c5d3a91c4 02 03124a07 3f92f1a9fbe76c8b", "forward: 2, server: 51530247" ; "begun")]
-fn example_events_are_read(record: &str, shown: &str) {
+    "CounterReplied { name: 9041552, outcome: Ok, total: 38.0, rtt: 2.15" ; "counter replied")]
+#[test_case("01 03124a07 0004 3f92f1a9fbe76c8b", "ProbeEnded { server: 51530247, outcome: ConnectFailed" ; "probe ended")]
+#[test_case("0c 000d9f1c5d3a91c4 02 03124a07 3f92f1a9fbe76c8b", "forward: 2, server: 51530247" ; "stream started")]
+fn example_events_are_decoded(record: &str, expected: &str) {
     let frame = frame(&[record], b"");
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     assert_eq!(batch.now(), 8412.25);
     let Record::Event(event) = batch.record(0, &mut servers).unwrap() else {
         panic!("not an event")
     };
-    assert!(format!("{event:?}").contains(shown), "{event:?}");
+    assert!(format!("{event:?}").contains(expected), "{event:?}");
 }
 
 #[test]
-fn an_example_list_of_servers_is_read() {
+fn an_example_server_list_is_decoded() {
     let tail = bytes(
         "03124a07 01 0000 00 3f800000 00 0000000000000000 2c9011f2 01 0000 01 3fc00000 00 4018666666666666",
     );
@@ -96,22 +96,22 @@
 }
 
 #[test_case(Action::Forward { id: 0xd9f1c5d3a91c4, server: 0x3124a07, timeout: 80.0 },
-    "43 000d9f1c5d3a91c4 03124a07 3fb47ae147ae147b 000000", "" ; "route")]
-#[test_case(Action::Timer { token: 77, wait: 500.0 }, "47 0000004d 3fe0000000000000 0000000000000000000000", "" ; "defer")]
+    "43 000d9f1c5d3a91c4 03124a07 3fb47ae147ae147b 000000", "" ; "forward")]
+#[test_case(Action::Timer { token: 77, wait: 500.0 }, "47 0000004d 3fe0000000000000 0000000000000000000000", "" ; "timer")]
 #[test_case(Action::AddToCounter { name: 0x89f690, units: 4.0, ttl: 3000.0 },
-    "44 40800000 4008000000000000 000000000089f690 000000", "" ; "charge counter")]
+    "44 40800000 4008000000000000 000000000089f690 000000", "" ; "add to counter")]
 #[test_case(Action::Log("two servers known".into()),
-    "4d 00000000 00000011 000000000000000000000000000000", "74776f2073657276657273206b6e6f776e" ; "emit")]
+    "4d 00000000 00000011 000000000000000000000000000000", "74776f2073657276657273206b6e6f776e" ; "log")]
 #[test_case(Action::SendDatagram { to: None, data: b"hi 7".to_vec() },
-    "41 ffffffff 00000000 00000004 0000000000000000000000", "68692037" ; "tell")]
-#[test_case(Action::Cancel { id: 5, forward: 1 }, "42 0000000000000005 01 0000000000000000000000000000", "" ; "abort")]
-#[test_case(Action::Shed { id: 5, retry_after: 500.0, beyond_quota: false }, "4b 0000000000000005 3fe0000000000000 00000000000000", "" ; "say no")]
-#[test_case(Action::Drop { id: 5 }, "4a 0000000000000005 000000000000000000000000000000", "" ; "finish error")]
-#[test_case(Action::Probe { server: 9 }, "48 00000009 00000000000000000000000000000000000000", "" ; "touch")]
-#[test_case(Action::CloseConnections { server: 9 }, "45 00000009 00000000000000000000000000000000000000", "" ; "let go")]
-#[test_case(Action::WatchServers { on: true }, "4c 01 00000000000000000000000000000000000000000000", "" ; "track")]
-#[test_case(Action::FetchServers, "46 0000000000000000000000000000000000000000000000", "" ; "refresh")]
-fn example_actions_are_written(action: Action, record: &str, tail: &str) {
+    "41 ffffffff 00000000 00000004 0000000000000000000000", "68692037" ; "broadcast datagram")]
+#[test_case(Action::Cancel { id: 5, forward: 1 }, "42 0000000000000005 01 0000000000000000000000000000", "" ; "cancel")]
+#[test_case(Action::Shed { id: 5, retry_after: 500.0, beyond_quota: false }, "4b 0000000000000005 3fe0000000000000 00000000000000", "" ; "shed")]
+#[test_case(Action::Drop { id: 5 }, "4a 0000000000000005 000000000000000000000000000000", "" ; "drop")]
+#[test_case(Action::Probe { server: 9 }, "48 00000009 00000000000000000000000000000000000000", "" ; "probe")]
+#[test_case(Action::CloseConnections { server: 9 }, "45 00000009 00000000000000000000000000000000000000", "" ; "close connections")]
+#[test_case(Action::WatchServers { on: true }, "4c 01 00000000000000000000000000000000000000000000", "" ; "watch servers")]
+#[test_case(Action::FetchServers, "46 0000000000000000000000000000000000000000000000", "" ; "fetch servers")]
+fn example_actions_are_encoded(action: Action, record: &str, tail: &str) {
     let mut out = Vec::new();
     let mut reply = Reply::new(&mut out);
     reply.add(3, &mut vec![action]);
@@ -134,11 +134,11 @@
 }
 
 #[test]
-fn an_instance_stops_and_starts_again_in_one_frame() {
+fn an_instance_restarts_within_one_frame() {
     let mut adapter = Adapter::default();
     start(&mut adapter, &[]).unwrap();
-    let again = format!("03 0000000000000008 00000000 {:08x}", SETTINGS.len());
-    let records = ["08 00000003", "04", again.as_str()];
+    let restart = format!("03 0000000000000008 00000000 {:08x}", SETTINGS.len());
+    let records = ["08 00000003", "04", restart.as_str()];
     let mut reply = Vec::new();
     adapter
         .process(&frame(&records, SETTINGS.as_bytes()), &mut reply)
@@ -153,7 +153,7 @@
 #[test_case("05 02 00000001 00000000 ffffffff", "record 2: tail reference 0+4294967295 is out of bounds" ; "entries")]
 #[test_case("05 07 00000001", "record 2: unknown Scope 7" ; "list kind")]
 #[test_case("01 00000001 0001 0000000000000000 05", "record 2: Load with 5 values" ; "load")]
-fn bad_events_are_refused(record: &str, text: &str) {
+fn invalid_events_are_rejected(record: &str, text: &str) {
     assert_eq!(
         start(&mut Adapter::default(), &[record]),
         Err(text.to_string())
@@ -164,21 +164,21 @@
 #[test_case("00000000 00000014 4020d3126e978d50", "frame length 20 disagrees with the 16 bytes read" ; "length")]
 #[test_case("00000002 00000010 4020d3126e978d50", "record count 2 does not fit a frame of 16 bytes" ; "count")]
 #[test_case("00000000 00000010 7ff0000000000000", "clock is not a finite number" ; "clock")]
-fn bad_frames_are_refused(hex: &str, text: &str) {
-    let refused = Adapter::default()
+fn invalid_frames_are_rejected(hex: &str, text: &str) {
+    let error = Adapter::default()
         .process(&bytes(hex), &mut Vec::new())
         .unwrap_err();
-    assert_eq!(refused.to_string(), text);
+    assert_eq!(error.to_string(), text);
 }
 
 #[test]
-fn an_event_for_no_instance_is_refused() {
-    let told = Adapter::default().process(
+fn an_event_for_an_unknown_instance_is_rejected() {
+    let result = Adapter::default().process(
         &frame(&["08 00000004", "02 00000001"], b""),
         &mut Vec::new(),
     );
     assert_eq!(
-        told.unwrap_err().to_string(),
+        result.unwrap_err().to_string(),
         "record 1: On for no such instance: 4"
     );
 }
@@ -187,7 +187,7 @@
 #[test_case("Specifics.CountWaitS=0.05", "X=1", "setting Specifics.CountWaitS is missing" ; "missing")]
 #[test_case("TickS=0.004", "TickS=soon", "setting TickS is absurd: soon" ; "not a number")]
 #[test_case("Semantics=retryable", "Semantics=odd", "setting Profiles.0.Semantics is absurd: odd" ; "word")]
-fn bad_settings_are_refused_by_name(from: &str, to: &str, text: &str) {
+fn invalid_settings_are_reported_by_name(from: &str, to: &str, text: &str) {
     assert_eq!(
         settings::read(&SETTINGS.replace(from, to))
             .unwrap_err()
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Each record of the simulator's frames, as `fixtures/frames.txt` pins its bytes.
+//! Checks the encoding of each record type against the bytes in `fixtures/frames.txt`.
 
 use aspendrum_core::api::{
     Action, Event, Health, ListKind, LoadReport, NewRequest, Outcome, ServerEntry,
@@ -7,8 +7,8 @@
 use aspendrum_simulator_adapter::reply::Reply;
 use test_case::test_case;
 
-const EVENT: usize = 48;
-const ACTION: usize = 24;
+const EVENT_BYTES: usize = 48;
+const ACTION_BYTES: usize = 24;
 const CLOCK_S: f64 = 8.412_25;
 const ID: u64 = 0x1122_3344_5566_7788;
 const NUMBER: u32 = 0x1122_3344;
@@ -22,7 +22,7 @@
         .collect()
 }
 
-/// A record of the fixture, filled up to its size, and its tail.
+/// Returns a record of the fixture, zero-padded to `size`, and its tail.
 fn fixture(name: &str, size: usize) -> (Vec<u8>, Vec<u8>) {
     let text = include_str!("fixtures/frames.txt");
     let line = text
@@ -42,7 +42,7 @@
 }
 
 fn frame(name: &str) -> Vec<u8> {
-    let (record, tail) = fixture(name, EVENT);
+    let (record, tail) = fixture(name, EVENT_BYTES);
     let mut out = 1_u32.to_be_bytes().to_vec();
     out.extend(((16 + record.len() + tail.len()) as u32).to_be_bytes());
     out.extend(CLOCK_S.to_be_bytes());
@@ -60,7 +60,7 @@
     values: [0.5, 0.25, 0.0, 0.0],
 };
 
-fn query() -> NewRequest {
+fn request() -> NewRequest {
     NewRequest {
         id: ID,
         group: 0x102,
@@ -78,7 +78,7 @@
     }
 }
 
-fn ended() -> Event<'static> {
+fn attempt_ended() -> Event<'static> {
     Event::AttemptEnded {
         id: ID,
         forward: 9,
@@ -92,7 +92,7 @@
     }
 }
 
-fn members() -> [ServerEntry; 3] {
+fn server_entries() -> [ServerEntry; 3] {
     let common = ServerEntry {
         server: 1,
         pool: 0,
@@ -129,16 +129,16 @@
     ]
 }
 
-#[test_case("probed", Event::ProbeEnded { server: NUMBER, outcome: Outcome::TimedOut, rtt: 1.0, load: LOAD_OF_FOUR } ; "probed")]
+#[test_case("probed", Event::ProbeEnded { server: NUMBER, outcome: Outcome::TimedOut, rtt: 1.0, load: LOAD_OF_FOUR } ; "probe ended")]
 #[test_case("timer", Event::Timer { token: NUMBER } ; "timer")]
-#[test_case("members", Event::ServerList { list: ListKind::Full, version: NUMBER, entries: &members() } ; "members")]
-#[test_case("client_left", Event::ClientDisconnected { id: ID } ; "client left")]
-#[test_case("counted", Event::CounterReplied { name: ID, outcome: Outcome::Rejected, total: 38.0, rtt: 2.15 } ; "counted")]
-#[test_case("query", Event::Request(query()) ; "query")]
-#[test_case("peer", Event::DatagramReceived { from: 0x102, data: &[1, 2, 3] } ; "peer")]
-#[test_case("ended", ended() ; "forward ended")]
+#[test_case("members", Event::ServerList { list: ListKind::Full, version: NUMBER, entries: &server_entries() } ; "server list")]
+#[test_case("client_left", Event::ClientDisconnected { id: ID } ; "client disconnected")]
+#[test_case("counted", Event::CounterReplied { name: ID, outcome: Outcome::Rejected, total: 38.0, rtt: 2.15 } ; "counter replied")]
+#[test_case("query", Event::Request(request()) ; "request")]
+#[test_case("peer", Event::DatagramReceived { from: 0x102, data: &[1, 2, 3] } ; "datagram")]
+#[test_case("ended", attempt_ended() ; "attempt ended")]
 #[test_case("stream", Event::StreamStarted { id: ID, forward: 9, server: NUMBER, rtt: 18.5 } ; "stream started")]
-fn each_event_is_read_from_these_bytes(name: &str, expected: Event<'_>) {
+fn each_event_is_decoded_from_the_pinned_bytes(name: &str, expected: Event<'_>) {
     let frame = frame(name);
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     assert_eq!((batch.now(), batch.count()), (8412.25, 1));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn the_instance_that_events_are_for_is_read_from_these_bytes() {
+fn an_instance_selection_is_decoded_from_the_pinned_bytes() {
     let frame = frame("on");
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     assert!(matches!(
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_start_carries_the_seed_and_the_settings() {
+fn a_start_contains_the_seed_and_the_settings() {
     let frame = frame("begin");
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     let Ok(Record::Start(seed, settings)) = batch.record(0, &mut servers) else {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_stop_is_read_from_these_bytes() {
+fn a_stop_is_decoded_from_the_pinned_bytes() {
     let frame = frame("stop");
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     assert!(matches!(batch.record(0, &mut servers), Ok(Record::Stop)));
@@ -184,13 +184,13 @@
 #[test_case(5, Outcome::Reset)]
 #[test_case(6, Outcome::Cancelled)]
 #[test_case(7, Outcome::NotSent)]
-fn each_outcome_has_its_number(number: u8, expected: Outcome) {
+fn each_outcome_has_its_code(code: u8, expected: Outcome) {
     let mut frame = frame("counted");
-    frame[16 + 10] = number;
+    frame[16 + 10] = code;
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     let Ok(Record::Event(Event::CounterReplied { outcome, .. })) = batch.record(0, &mut servers)
     else {
-        panic!("not counted")
+        panic!("not a counter reply")
     };
     assert_eq!(outcome, expected);
 }
@@ -199,9 +199,9 @@
 #[test_case(1, ListKind::Full)]
 #[test_case(2, ListKind::Cached)]
 #[test_case(3, ListKind::Failed)]
-fn each_kind_of_list_has_its_number(number: u8, expected: ListKind) {
+fn each_list_kind_has_its_code(code: u8, expected: ListKind) {
     let mut frame = frame("members");
-    frame[16 + 1] = number;
+    frame[16 + 1] = code;
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
     let Ok(Record::Event(Event::ServerList { list, .. })) = batch.record(0, &mut servers) else {
         panic!("not a list")
@@ -213,47 +213,50 @@
 #[test_case(1, false, false)]
 #[test_case(2, true, false)]
 #[test_case(4, false, true)]
-fn flags_of_a_query_are_bits(flags: u8, repeat: bool, writes: bool) {
+fn request_flags_are_bits(flags: u8, is_client_retry: bool, is_write: bool) {
     let mut frame = frame("query");
     frame[16 + 43] = flags;
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
-    let Ok(Record::Event(Event::Request(new))) = batch.record(0, &mut servers) else {
-        panic!("not a query")
+    let Ok(Record::Event(Event::Request(request))) = batch.record(0, &mut servers) else {
+        panic!("not a request")
     };
-    assert_eq!((new.is_client_retry, new.is_write), (repeat, writes));
+    assert_eq!(
+        (request.is_client_retry, request.is_write),
+        (is_client_retry, is_write)
+    );
 }
 
-#[test_case("tell", Action::SendDatagram { to: Some(0x5566_7788), data: vec![1, 2, 3] } ; "tell")]
-#[test_case("tell_all", Action::SendDatagram { to: None, data: vec![4, 5] } ; "tell all")]
+#[test_case("tell", Action::SendDatagram { to: Some(0x5566_7788), data: vec![1, 2, 3] } ; "send datagram")]
+#[test_case("tell_all", Action::SendDatagram { to: None, data: vec![4, 5] } ; "broadcast datagram")]
 #[test_case("cancel", Action::Cancel { id: ID, forward: 9 } ; "cancel")]
 #[test_case("forward", Action::Forward { id: ID, server: 0x5566_7788, timeout: 80.0 } ; "forward")]
-#[test_case("count", Action::AddToCounter { name: ID, units: 4.0, ttl: 3000.0 } ; "count")]
-#[test_case("close", Action::CloseConnections { server: NUMBER } ; "close")]
-#[test_case("fetch", Action::FetchServers ; "fetch")]
+#[test_case("count", Action::AddToCounter { name: ID, units: 4.0, ttl: 3000.0 } ; "add to counter")]
+#[test_case("close", Action::CloseConnections { server: NUMBER } ; "close connections")]
+#[test_case("fetch", Action::FetchServers ; "fetch servers")]
 #[test_case("defer", Action::Timer { token: NUMBER, wait: 500.0 } ; "timer")]
 #[test_case("probe", Action::Probe { server: NUMBER } ; "probe")]
 #[test_case("fault", Action::Fault("fault".into()) ; "fault")]
 #[test_case("drop", Action::Drop { id: ID } ; "drop")]
 #[test_case("shed", Action::Shed { id: ID, retry_after: 500.0, beyond_quota: true } ; "shed")]
-#[test_case("watch", Action::WatchServers { on: true } ; "watch")]
-#[test_case("unwatch", Action::WatchServers { on: false } ; "watch no more")]
+#[test_case("watch", Action::WatchServers { on: true } ; "watch servers")]
+#[test_case("unwatch", Action::WatchServers { on: false } ; "unwatch servers")]
 #[test_case("log", Action::Log("log".into()) ; "log")]
-fn each_action_is_written_as_these_bytes(name: &str, action: Action) {
+fn each_action_is_encoded_as_the_pinned_bytes(name: &str, action: Action) {
     let mut out = Vec::new();
     let mut reply = Reply::new(&mut out);
     reply.add(NUMBER, &mut vec![action]);
     reply.finish().unwrap();
-    let (instance, _) = fixture("instance", ACTION);
-    let (record, tail) = fixture(name, ACTION);
+    let (instance, _) = fixture("instance", ACTION_BYTES);
+    let (record, tail) = fixture(name, ACTION_BYTES);
     let mut expected = 2_u32.to_be_bytes().to_vec();
-    expected.extend(((8 + 2 * ACTION + tail.len()) as u32).to_be_bytes());
+    expected.extend(((8 + 2 * ACTION_BYTES + tail.len()) as u32).to_be_bytes());
     expected.extend(instance);
     expected.extend(record);
     expected.extend(tail);
     assert_eq!(out, expected);
 }
 
-/// The instance is named once for actions in a row, and tails stand behind all records.
+/// Consecutive actions of an instance share one selection record, and the tail follows all records.
 #[test]
 fn actions_of_two_instances_share_a_reply() {
     let mut out = Vec::new();
@@ -273,7 +276,7 @@
     let mut expected = bytes("00000006 0000009b");
     for record in records {
         let mut record = bytes(record);
-        record.resize(ACTION, 0);
+        record.resize(ACTION_BYTES, 0);
         expected.extend(record);
     }
     expected.extend(b"abc");
