--- a/crates/aspendrum-known-failures/src/lib.rs
+++ b/crates/aspendrum-known-failures/src/lib.rs
@@ -1,6 +1,6 @@
-//! Tests that fail for a real fault which is not yet mended. `KNOWN-RED.txt` at the workspace's root lists them, three at
-//! most, one a line. This crate reads the list, and plans the runs of cargo that play every other test; its program runs
-//! them.
+//! Support for known test failures: tests that fail because of a real defect that is not fixed yet. `KNOWN-RED.txt` at
+//! the workspace root lists at most three of them, one per line. This crate parses the list and plans the cargo
+//! invocations that run all other tests; its program executes them.
 
 mod list;
 mod outcome;
--- a/crates/aspendrum-known-failures/src/list.rs
+++ b/crates/aspendrum-known-failures/src/list.rs
@@ -1,67 +1,70 @@
-//! The list of known failures.
+//! Parses the list of known failures.
 
 use derive_more::{Display, Error};
 
-/// The list's name, at the root of the workspace. It need not exist.
+/// The file name of the list, at the root of the workspace. The file is optional.
 pub const LIST_FILE: &str = "KNOWN-RED.txt";
-/// The most tests that may be listed.
+/// The maximum number of listed tests.
 pub const MAX_LISTED: usize = 3;
 
 /// A listed test: `PACKAGE::PROGRAM TEST, CAUSE, ISSUE`. The cause may contain commas.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{package}::{program} {test}, {cause}, #{issue}")]
 pub struct ListedTest {
-    /// The package that it belongs to.
+    /// The package of the test.
     pub package: String,
-    /// Which of the package's test programs: a file of `tests`, `lib`, or the name of a binary or an example.
+    /// The test program within the package: the name of a file in `tests`, `lib`, or the name of a binary, an example
+    /// or a benchmark.
     pub program: String,
-    /// Its full path, as the test program lists it.
+    /// The full path of the test, as listed by the test program.
     pub test: String,
-    /// Why it fails.
+    /// The reason why the test fails.
     pub cause: String,
-    /// The issue about it.
+    /// The number of the issue that tracks the failure.
     pub issue: u32,
 }
 
-/// Why the list is refused.
+/// The reason why the list is rejected.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 pub enum ListError {
-    /// A line is not of the expected form.
+    /// A line does not have the expected form.
     #[display("{LIST_FILE}, line {number}: {source}")]
     InvalidLine {
-        /// Its number, from 1.
+        /// The one-based line number.
         number: usize,
-        /// What is wrong with it.
+        /// The cause.
         source: LineError,
     },
-    /// More tests are listed than allowed.
-    #[display("{LIST_FILE} lists {_0} tests, and {MAX_LISTED} may be: mend the first")]
+    /// Too many tests are listed.
+    #[display(
+        "{LIST_FILE} lists {_0} tests, and {MAX_LISTED} may be listed at most: fix the first one"
+    )]
     TooMany(#[error(not(source))] usize),
     /// A test is listed twice.
     #[display("{LIST_FILE} lists {package}::{program} {test} twice")]
     Duplicate {
-        /// Its package.
+        /// The package.
         package: String,
-        /// Its program.
+        /// The test program.
         program: String,
-        /// Its path.
+        /// The path of the test.
         test: String,
     },
 }
 
-/// What is wrong with a line.
+/// The reason why a line is rejected.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum LineError {
-    /// It does not have three parts.
-    #[display("not TEST, CAUSE, ISSUE")]
+    /// The line does not have three parts.
+    #[display("expected TEST, CAUSE, ISSUE")]
     NotThreeParts,
     /// The last part is missing.
-    #[display("no issue behind the cause")]
+    #[display("no issue after the cause")]
     NoIssue,
-    /// The test is not named by its package, its program and its path.
-    #[display("a test is named as PACKAGE::PROGRAM TEST")]
+    /// The test is not given as package, program and path.
+    #[display("expected a test name of the form PACKAGE::PROGRAM TEST")]
     InvalidTestName,
-    /// The cause has no words.
+    /// The cause contains no letters.
     #[display("no cause")]
     NoCause,
     /// The issue is not a positive number.
@@ -72,7 +75,7 @@
 /// Parses the list. Empty lines are ignored.
 ///
 /// # Errors
-/// [`ListError`] if any line is not a listed test, there are too many, or one is listed twice.
+/// Returns [`ListError`] if a line is invalid, or if there are too many or duplicate entries.
 pub fn parse_list(text: &str) -> Result<Vec<ListedTest>, ListError> {
     let mut listed: Vec<ListedTest> = Vec::new();
     for (index, line) in text
@@ -140,7 +143,7 @@
     })
 }
 
-/// Package, program and test of `PACKAGE::PROGRAM TEST`.
+/// Splits `PACKAGE::PROGRAM TEST` into package, program and test.
 fn parse_name(name: &str) -> Option<(&str, &str, &str)> {
     let mut words = name.split_whitespace();
     let (Some(program), Some(test), None) = (words.next(), words.next(), words.next()) else {
--- a/crates/aspendrum-known-failures/src/main.rs
+++ b/crates/aspendrum-known-failures/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the workspace's tests but for those that `KNOWN-RED.txt` lists. Its exit status is 0 if all others passed.
+//! Runs the workspace's tests except those listed in `KNOWN-RED.txt`. The exit status is 0 if all other tests pass.
 
 mod error;
 mod run;
@@ -14,11 +14,11 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Runs the workspace's tests but for those that KNOWN-RED.txt lists
+/// Runs the workspace's tests except those listed in KNOWN-RED.txt
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
-    /// The workspace's root
+    /// The root of the workspace
     #[bpaf(positional("ROOT"), fallback(PathBuf::from(".")))]
     root: PathBuf,
 }
@@ -26,8 +26,8 @@
 fn main() -> ExitCode {
     match run_tests(&arguments().run().root) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("known-failures: {why}");
+        Err(error) => {
+            eprintln!("known-failures: {error}");
             ExitCode::FAILURE
         }
     }
@@ -78,7 +78,10 @@
     })
 }
 
-/// Runs a listed test by itself, and prints what became of it.
+/// Runs a listed test on its own and prints its outcome.
+///
+/// # Errors
+/// Returns [`RunError`] if the test is ignored in its source, or if its program cannot be run.
 fn report(listed: &ListedTest, program: &TestProgram) -> Result<(), RunError> {
     let run = run_program(program, &["--exact", &listed.test])?;
     match test_outcome(run.success, &run.output) {
--- a/crates/aspendrum-known-failures/src/outcome.rs
+++ b/crates/aspendrum-known-failures/src/outcome.rs
@@ -1,17 +1,17 @@
-//! What became of a test that was run by itself.
+//! The outcome of a test that was run on its own.
 
-/// What became of a test.
+/// The outcome of a test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TestOutcome {
-    /// It failed.
+    /// The test failed.
     Failed,
-    /// It passed.
+    /// The test passed.
     Passed,
-    /// It is switched off in its source, where it must not hide.
+    /// The test is marked `#[ignore]` in its source, which is not allowed for a listed test.
     Ignored,
 }
 
-/// The outcome of one test, by its program's exit status and output.
+/// Returns the outcome of a single test, given the exit status and the output of its program.
 pub fn test_outcome(success: bool, output: &str) -> TestOutcome {
     match (success, output.contains("1 ignored")) {
         (true, true) => TestOutcome::Ignored,
--- a/crates/aspendrum-known-failures/src/plan.rs
+++ b/crates/aspendrum-known-failures/src/plan.rs
@@ -1,16 +1,17 @@
-//! The runs of cargo that play every test but the listed ones.
+//! Plans the cargo invocations that run all tests except the listed ones.
 
 use crate::list::ListedTest;
 use crate::test_program::{find_program, ProgramError, TestProgram};
 
-/// The arguments of one run of cargo.
+/// The arguments of one cargo invocation.
 pub type CargoArguments = Vec<String>;
 
-/// The runs of cargo that together play every test of the workspace but the listed ones: one for all packages without a
-/// listed test, then each program of the other packages by itself, without exactly its listed tests.
+/// Returns the cargo invocations that together run all tests of the workspace except the listed ones: one for all
+/// packages without listed tests, then one for each program of the other packages, which skips exactly its listed
+/// tests, and one for the documentation tests of each library among them.
 ///
 /// # Errors
-/// [`ProgramError`] if a listed test has no program.
+/// Returns [`ProgramError`] if a listed test does not match exactly one program.
 pub fn plan_runs(
     listed: &[ListedTest],
     programs: &[TestProgram],
@@ -23,21 +24,21 @@
     packages.sort_unstable();
     packages.dedup();
     let mut runs = Vec::new();
-    // Cargo refuses a run in which no package is left.
+    // Cargo fails if all packages are excluded.
     if programs
         .iter()
         .any(|program| !packages.contains(&program.package.as_str()))
     {
-        runs.push(run_without_packages(&packages));
+        runs.push(exclude_packages(&packages));
     }
     for package in packages {
-        let of_package = || {
+        let package_programs = || {
             programs
                 .iter()
                 .filter(move |program| program.package == package)
         };
-        runs.extend(of_package().map(|program| run_of_program(program, &skipped)));
-        if of_package().any(|program| program.kind == "lib") {
+        runs.extend(package_programs().map(|program| program_arguments(program, &skipped)));
+        if package_programs().any(|program| program.kind == "lib") {
             runs.push(arguments(&[
                 "test",
                 "--locked",
@@ -54,7 +55,7 @@
     arguments.iter().map(ToString::to_string).collect()
 }
 
-fn run_without_packages(packages: &[&str]) -> CargoArguments {
+fn exclude_packages(packages: &[&str]) -> CargoArguments {
     let mut run = arguments(&["test", "--workspace", "--locked"]);
     run.extend(
         packages
@@ -64,12 +65,12 @@
     run
 }
 
-fn run_of_program(program: &TestProgram, skipped: &[(&TestProgram, &str)]) -> CargoArguments {
+fn program_arguments(program: &TestProgram, skipped: &[(&TestProgram, &str)]) -> CargoArguments {
     let mut run = arguments(&["test", "--locked", "--package", &program.package]);
     run.extend(program.target_arguments());
     let tests: Vec<&str> = skipped
         .iter()
-        .filter(|(of, _)| *of == program)
+        .filter(|(owner, _)| *owner == program)
         .map(|(_, test)| *test)
         .collect();
     if !tests.is_empty() {
--- a/crates/aspendrum-known-failures/src/run.rs
+++ b/crates/aspendrum-known-failures/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs of cargo and of single test programs.
+//! Runs cargo and single test programs.
 
 use crate::error::RunError;
 use aspendrum_known_failures::{parse_programs, TestProgram};
@@ -9,20 +9,20 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A test program that runs for longer is killed; its listed test counts as failed.
+/// The time limit of a test program. A program that exceeds it is killed, and its listed test counts as failed.
 const TIMEOUT: Duration = Duration::from_secs(300);
-/// Between two checks whether a test program has ended.
+/// The interval between checks whether a test program has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a test program came to.
+/// The result of running a test program.
 pub(crate) struct ProgramRun {
-    /// Whether its exit status was 0.
+    /// Whether the exit status was 0.
     pub(crate) success: bool,
-    /// What it wrote to standard output.
+    /// The standard output.
     pub(crate) output: String,
 }
 
-/// Builds every test program of the workspace.
+/// Builds all test programs of the workspace.
 pub(crate) fn build_programs(root: &Path) -> Result<Vec<TestProgram>, RunError> {
     let message_format = "--message-format=json-render-diagnostics";
     let mut command = cargo(root);
@@ -44,7 +44,7 @@
     Ok(parse_programs(&String::from_utf8_lossy(&build.stdout)))
 }
 
-/// Runs cargo, with its output on our own.
+/// Runs cargo with inherited standard output and standard error.
 pub(crate) fn run_cargo<S: AsRef<OsStr>>(root: &Path, arguments: &[S]) -> Result<(), RunError> {
     let status = cargo(root)
         .args(arguments)
@@ -63,7 +63,7 @@
     command
 }
 
-/// Runs a test program as cargo does, but for no longer than [`TIMEOUT`].
+/// Runs a test program in the environment that cargo sets up, limited to [`TIMEOUT`].
 pub(crate) fn run_program(
     program: &TestProgram,
     arguments: &[&str],
@@ -86,8 +86,8 @@
     let mut pipe = child
         .stdout
         .take()
-        .ok_or_else(|| io::Error::other("no output"))?;
-    // Read meanwhile: a program whose pipe is full waits.
+        .ok_or_else(|| io::Error::other("standard output is not captured"))?;
+    // Reads concurrently: a program that fills the pipe would block.
     let reader = spawn(move || {
         let mut output = Vec::new();
         pipe.read_to_end(&mut output).map(|_| output)
@@ -95,7 +95,7 @@
     let status = wait_with_timeout(&mut child)?;
     let output = reader
         .join()
-        .map_err(|_| io::Error::other("its output could not be read"))??;
+        .map_err(|_| io::Error::other("failed to read the output"))??;
     Ok(ProgramRun {
         success: status.success(),
         output: String::from_utf8_lossy(&output).into_owned(),
--- a/crates/aspendrum-known-failures/src/test_program.rs
+++ b/crates/aspendrum-known-failures/src/test_program.rs
@@ -1,31 +1,31 @@
-//! The test programs that cargo builds.
+//! Test programs built by cargo.
 
 use crate::list::{ListedTest, LIST_FILE};
 use derive_more::{Display, Error};
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// The kinds of cargo's targets, but for libraries, whose kind has several names.
+/// The kinds of cargo targets, except libraries, which have several kinds.
 const TARGET_KINDS: [&str; 4] = ["bin", "test", "example", "bench"];
 const LIBRARY: &str = "lib";
 
-/// A program with tests, as cargo built it.
+/// A test program built by cargo.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TestProgram {
-    /// Its package.
+    /// The name of the package.
     pub package: String,
-    /// The kind of its target: `lib`, `bin`, `test`, `example` or `bench`.
+    /// The kind of the target: `lib`, `bin`, `test`, `example` or `bench`.
     pub kind: String,
-    /// The name of its target.
+    /// The name of the target.
     pub name: String,
     /// The executable file.
     pub executable: PathBuf,
-    /// The directory in which cargo runs it: its package's.
+    /// The directory in which cargo runs the program: the root of its package.
     pub working_dir: PathBuf,
 }
 
 impl TestProgram {
-    /// The name by which the list refers to it, within its package.
+    /// Returns the name of the program in the list of known failures.
     pub fn listed_name(&self) -> &str {
         if self.kind == LIBRARY {
             LIBRARY
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The arguments with which cargo runs it alone.
+    /// Returns the cargo arguments that select only this program.
     pub fn target_arguments(&self) -> Vec<String> {
         match self.kind.as_str() {
             LIBRARY => vec![format!("--{LIBRARY}")],
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The program that one of cargo's messages is about, if it is about a test program.
+    /// Returns the test program that a cargo message describes, or `None` if the message is about anything else.
     fn from_message(message: &Value) -> Option<TestProgram> {
         if message["reason"] != "compiler-artifact" || message["profile"]["test"] != true {
             return None;
@@ -66,7 +66,8 @@
     }
 }
 
-/// The name in a package id: `path+file:///directory/name#0.1.0` or `path+file:///directory#name@0.1.0`.
+/// Returns the package name in a package id of the form `path+file:///directory/name#0.1.0` or
+/// `path+file:///directory#name@0.1.0`.
 fn package_name(id: &str) -> &str {
     let (path, version) = id.rsplit_once('#').unwrap_or((id, ""));
     match version.split_once('@') {
@@ -75,7 +76,7 @@
     }
 }
 
-/// The test programs in the messages of `cargo test --no-run --message-format=json`.
+/// Parses the test programs from the messages of `cargo test --no-run --message-format=json`.
 pub fn parse_programs(messages: &str) -> Vec<TestProgram> {
     let messages = messages
         .lines()
@@ -85,19 +86,19 @@
         .collect()
 }
 
-/// Why a listed test has no program.
+/// The reason why no unique program matches a listed test.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 pub enum ProgramError {
-    /// There is none of that name.
-    #[display("{LIST_FILE}: there are no tests at {package}::{program}")]
+    /// No program has the given name.
+    #[display("{LIST_FILE}: no test program {package}::{program}")]
     NotFound {
         /// The package.
         package: String,
         /// The program.
         program: String,
     },
-    /// The name is ambiguous.
-    #[display("{LIST_FILE}: {package}::{program} names several programs")]
+    /// Several programs have the given name.
+    #[display("{LIST_FILE}: {package}::{program} matches several programs")]
     Ambiguous {
         /// The package.
         package: String,
@@ -106,26 +107,26 @@
     },
 }
 
-/// The program that a listed test belongs to.
+/// Returns the program of a listed test.
 ///
 /// # Errors
-/// [`ProgramError`] if there is not exactly one of its name.
+/// Returns [`ProgramError`] unless exactly one program has the listed name.
 pub fn find_program<'p>(
     listed: &ListedTest,
     programs: &'p [TestProgram],
 ) -> Result<&'p TestProgram, ProgramError> {
-    let is_named =
+    let has_name =
         |p: &&TestProgram| p.package == listed.package && p.listed_name() == listed.program;
-    let mut named = programs.iter().filter(is_named);
+    let mut matches = programs.iter().filter(has_name);
     let (package, program) = (listed.package.clone(), listed.program.clone());
-    match (named.next(), named.next()) {
-        (Some(one), None) => Ok(one),
+    match (matches.next(), matches.next()) {
+        (Some(only), None) => Ok(only),
         (None, _) => Err(ProgramError::NotFound { package, program }),
         (Some(_), Some(_)) => Err(ProgramError::Ambiguous { package, program }),
     }
 }
 
-/// Whether the output of a program's `--list` contains exactly that test.
+/// Whether the output of a test program's `--list` contains a test with exactly this name.
 pub fn lists_test(list: &str, test: &str) -> bool {
     list.lines()
         .any(|line| line.strip_suffix(": test") == Some(test))
--- a/crates/aspendrum-known-failures/tests/list.rs
+++ b/crates/aspendrum-known-failures/tests/list.rs
@@ -1,4 +1,4 @@
-//! The list of known failures: what is refused, and that exactly the listed tests are left out.
+//! Parsing of the list of known failures, and planning of test runs that skip exactly the listed tests.
 
 use aspendrum_known_failures::{
     lists_test, parse_list, parse_programs, plan_runs, test_outcome, TestOutcome, TestProgram,
@@ -9,7 +9,7 @@
     "aspendrum-control::processes a::b, voters are settled once, and never change, #42\n";
 
 #[test]
-fn a_line_is_a_test_a_cause_and_an_issue() {
+fn a_line_consists_of_a_test_a_cause_and_an_issue() {
     let [one] = &parse_list(GOOD).unwrap()[..] else {
         panic!()
     };
@@ -26,12 +26,12 @@
     assert_eq!(parse_list("\n \n").unwrap(), []);
 }
 
-/// Danger: a list that grows, or that does not say why a test fails.
+/// Guards against a growing list and against entries without a cause or an issue.
 #[test]
-fn a_bad_line_and_a_fourth_are_refused() {
+fn invalid_lines_and_a_fourth_entry_are_rejected() {
     let three = "p::t a, why, 1\np::t b, why, 2\n\np::t c, why, 3\n";
     assert_eq!(parse_list(three).unwrap().len(), 3);
-    let refused = [
+    let invalid = [
         ("p::t a", "TEST, CAUSE, ISSUE"),
         ("p::t a, why", "no issue"),
         ("p::t a, , 4", "no cause"),
@@ -48,21 +48,21 @@
         ("p::t a, why, 4\np::t a, why, 4", "twice"),
         ("# a comment", "TEST, CAUSE, ISSUE"),
     ];
-    for (text, why) in refused {
-        let said = parse_list(text).unwrap_err().to_string();
-        assert!(said.contains(why), "{text:?}: {said}");
+    for (text, expected) in invalid {
+        let error = parse_list(text).unwrap_err().to_string();
+        assert!(error.contains(expected), "{text:?}: {error}");
     }
-    let said = parse_list(&format!("{three}p::t d, why, 4\n"))
+    let error = parse_list(&format!("{three}p::t d, why, 4\n"))
         .unwrap_err()
         .to_string();
-    assert!(said.contains("4 tests, and 3 may be"), "{said}");
-    let said = parse_list("p::t a, why, 1\nnonsense\n")
+    assert!(error.contains("4 tests, and 3 may be"), "{error}");
+    let error = parse_list("p::t a, why, 1\nnonsense\n")
         .unwrap_err()
         .to_string();
-    assert!(said.contains("line 2"), "{said}");
+    assert!(error.contains("line 2"), "{error}");
 }
 
-fn built(package: &str, kind: &str, name: &str) -> TestProgram {
+fn test_program(package: &str, kind: &str, name: &str) -> TestProgram {
     let (executable, working_dir) = (
         PathBuf::from(format!("/t/{name}-{kind}")),
         PathBuf::from("/p"),
@@ -78,13 +78,13 @@
 
 #[test]
 fn test_programs_are_found_in_the_messages_of_cargo() {
-    let said = r#"{"reason":"compiler-artifact","package_id":"path+file:///w/crates/one#0.1.0","manifest_path":"/w/crates/one/Cargo.toml","target":{"kind":["lib"],"name":"one"},"profile":{"test":true},"executable":"/t/one-1"}
+    let messages = r#"{"reason":"compiler-artifact","package_id":"path+file:///w/crates/one#0.1.0","manifest_path":"/w/crates/one/Cargo.toml","target":{"kind":["lib"],"name":"one"},"profile":{"test":true},"executable":"/t/one-1"}
 {"reason":"compiler-artifact","package_id":"path+file:///w/crates/x#two@0.1.0","manifest_path":"/w/crates/x/Cargo.toml","target":{"kind":["test"],"name":"deep"},"profile":{"test":true},"executable":"/t/deep-1"}
 {"reason":"compiler-artifact","package_id":"path+file:///w/crates/x#two@0.1.0","manifest_path":"/w/crates/x/Cargo.toml","target":{"kind":["bin"],"name":"two"},"profile":{"test":false},"executable":"/t/two"}
 {"reason":"build-finished","success":true}
 no message"#;
-    let all = parse_programs(said);
-    let found: Vec<_> = all
+    let programs = parse_programs(messages);
+    let found: Vec<_> = programs
         .iter()
         .map(|p| (p.package.as_str(), p.listed_name(), p.target_arguments()))
         .collect();
@@ -96,19 +96,19 @@
             ("two", "deep", words(&["--test", "deep"]))
         ]
     );
-    assert_eq!(all[1].working_dir, PathBuf::from("/w/crates/x"));
+    assert_eq!(programs[1].working_dir, PathBuf::from("/w/crates/x"));
 }
 
-/// Danger: a listed name leaves out other tests with similar names, in the same program or in another.
+/// Guards against skipping other tests with similar names, in the same program or in another one.
 #[test]
-fn only_the_listed_tests_of_the_listed_program_are_left_out() {
-    let all = [
-        built("one", "lib", "one"),
-        built("one", "test", "deep"),
-        built("two", "bin", "two"),
+fn only_the_listed_tests_of_the_listed_program_are_skipped() {
+    let programs = [
+        test_program("one", "lib", "one"),
+        test_program("one", "test", "deep"),
+        test_program("two", "bin", "two"),
     ];
     let listed = parse_list("one::deep a::b, why, 4").unwrap();
-    let found: Vec<String> = plan_runs(&listed, &all)
+    let found: Vec<String> = plan_runs(&listed, &programs)
         .unwrap()
         .iter()
         .map(|r| r.join(" "))
@@ -128,19 +128,22 @@
         "two::lib a, why, 4",
     ] {
         assert!(
-            plan_runs(&parse_list(missing).unwrap(), &all).is_err(),
+            plan_runs(&parse_list(missing).unwrap(), &programs).is_err(),
             "{missing}"
         );
     }
-    let two = [built("one", "bin", "deep"), built("one", "test", "deep")];
-    assert!(plan_runs(&listed, &two)
+    let ambiguous = [
+        test_program("one", "bin", "deep"),
+        test_program("one", "test", "deep"),
+    ];
+    assert!(plan_runs(&listed, &ambiguous)
         .unwrap_err()
         .to_string()
         .contains("several"));
 }
 
 #[test]
-fn a_test_is_found_by_its_full_name_only() {
+fn a_test_matches_by_its_full_name_only() {
     let list = "a::b: test\na::bc: test\nd: benchmark\n";
     assert!(lists_test(list, "a::b") && lists_test(list, "a::bc"));
     assert!(
--- a/crates/aspendrum-known-failures/tests/workspace.rs
+++ b/crates/aspendrum-known-failures/tests/workspace.rs
@@ -1,60 +1,64 @@
-//! The program over a workspace of its own, which needs nothing from anywhere.
+//! Runs the program on a generated workspace without dependencies.
 
 use std::fs::{create_dir_all, write};
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Writes a workspace with two test programs that have a test of the same name each; one of the two has the body `first`.
-/// A third test has a similar name.
-fn write_workspace(at: &Path, first: &str) {
+/// Writes a workspace with two test programs, `one` and `two`. Both have a test `same` and a test with a similar name.
+/// The body of `same` in `one` is `first_body`.
+fn write_workspace(root: &Path, first_body: &str) {
     let manifest =
         "[package]\nname = \"small\"\nversion = \"0.1.0\"\nedition = \"2021\"\n[workspace]\n";
-    write(at.join("Cargo.toml"), manifest).unwrap();
+    write(root.join("Cargo.toml"), manifest).unwrap();
     let lock = "version = 4\n\n[[package]]\nname = \"small\"\nversion = \"0.1.0\"\n";
-    write(at.join("Cargo.lock"), lock).unwrap();
-    for folder in ["src", "tests"] {
-        create_dir_all(at.join(folder)).unwrap();
+    write(root.join("Cargo.lock"), lock).unwrap();
+    for directory in ["src", "tests"] {
+        create_dir_all(root.join(directory)).unwrap();
     }
-    write(at.join("src/lib.rs"), "").unwrap();
-    let one =
+    write(root.join("src/lib.rs"), "").unwrap();
+    let program =
         |body: &str| format!("#[test] fn same() {{ {body} }}\n#[test] fn same_but_longer() {{}}\n");
-    write(at.join("tests/one.rs"), one(first)).unwrap();
-    write(at.join("tests/two.rs"), one("println!(\"the other ran\")")).unwrap();
+    write(root.join("tests/one.rs"), program(first_body)).unwrap();
+    write(
+        root.join("tests/two.rs"),
+        program("println!(\"the other ran\")"),
+    )
+    .unwrap();
 }
 
-fn run_known_failures(at: &Path) -> (Output, String) {
+fn run_known_failures(root: &Path) -> (Output, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_known-failures"));
     command
-        .arg(at)
+        .arg(root)
         .env("CARGO_NET_OFFLINE", "true")
-        .env("CARGO_TARGET_DIR", at.join("target"));
-    let done = command.output().unwrap();
-    let text =
-        String::from_utf8_lossy(&done.stdout).into_owned() + &String::from_utf8_lossy(&done.stderr);
-    (done, text)
+        .env("CARGO_TARGET_DIR", root.join("target"));
+    let output = command.output().unwrap();
+    let text = String::from_utf8_lossy(&output.stdout).into_owned()
+        + &String::from_utf8_lossy(&output.stderr);
+    (output, text)
 }
 
-/// How many lines of cargo's output are exactly this one.
-fn count_lines(text: &str, end: &str) -> usize {
-    text.lines().filter(|l| l.trim() == end).count()
+/// Returns the number of lines that are equal to `line`, ignoring surrounding white space.
+fn count_lines(text: &str, line: &str) -> usize {
+    text.lines().filter(|l| l.trim() == line).count()
 }
 
-/// Danger: a list skips more tests than it names, or others.
+/// Guards against skipping tests that are not listed.
 #[test]
 fn exactly_the_listed_test_is_skipped_and_reported() {
-    let folder = tempfile::tempdir().unwrap();
-    let at = folder.path();
-    write_workspace(at, "panic!()");
-    let (done, text) = run_known_failures(at);
-    assert!(!done.status.success(), "red, and not listed:\n{text}");
+    let directory = tempfile::tempdir().unwrap();
+    let root = directory.path();
+    write_workspace(root, "panic!()");
+    let (output, text) = run_known_failures(root);
+    assert!(!output.status.success(), "an unlisted test fails:\n{text}");
 
     write(
-        at.join("KNOWN-RED.txt"),
+        root.join("KNOWN-RED.txt"),
         "small::one same, it is made so, 4\n",
     )
     .unwrap();
-    let (done, text) = run_known_failures(at);
-    assert!(done.status.success(), "{text}");
+    let (output, text) = run_known_failures(root);
+    assert!(output.status.success(), "{text}");
     assert!(
         text.contains("known red, passed over: small::one same, it is made so, #4"),
         "{text}"
@@ -62,7 +66,7 @@
     assert_eq!(
         count_lines(&text, "test same ... ok"),
         1,
-        "the other program's:\n{text}"
+        "only the test of the other program:\n{text}"
     );
     assert_eq!(
         count_lines(&text, "test same_but_longer ... ok"),
@@ -71,36 +75,39 @@
     );
 
     write(
-        at.join("KNOWN-RED.txt"),
+        root.join("KNOWN-RED.txt"),
         "small::one sam, it is made so, 4\n",
     )
     .unwrap();
-    let (done, text) = run_known_failures(at);
+    let (output, text) = run_known_failures(root);
     assert!(
-        !done.status.success() && text.contains("holds no test sam"),
+        !output.status.success() && text.contains("holds no test sam"),
         "{text}"
     );
 
     write(
-        at.join("KNOWN-RED.txt"),
+        root.join("KNOWN-RED.txt"),
         "small::two same, it is made so, 4\n",
     )
     .unwrap();
-    let (done, text) = run_known_failures(at);
+    let (output, text) = run_known_failures(root);
     assert!(
-        !done.status.success(),
-        "the red one is not the listed one:\n{text}"
+        !output.status.success(),
+        "the failing test is not the listed one:\n{text}"
     );
 
-    write_workspace(at, "");
-    let (done, text) = run_known_failures(at);
+    write_workspace(root, "");
+    let (output, text) = run_known_failures(root);
     assert!(
-        done.status.success() && text.contains("take its line out: small::two same"),
+        output.status.success() && text.contains("take its line out: small::two same"),
         "{text}"
     );
 
-    write(at.join("KNOWN-RED.txt"), "\n").unwrap();
-    let (done, text) = run_known_failures(at);
-    assert!(done.status.success() && text.contains("no test"), "{text}");
+    write(root.join("KNOWN-RED.txt"), "\n").unwrap();
+    let (output, text) = run_known_failures(root);
+    assert!(
+        output.status.success() && text.contains("no test"),
+        "{text}"
+    );
     assert_eq!(count_lines(&text, "test same ... ok"), 2, "{text}");
 }
