--- a/crates/aspendrum-benchmarks/src/components/configurations.rs
+++ b/crates/aspendrum-benchmarks/src/components/configurations.rs
@@ -1,4 +1,4 @@
-//! Configurations: their size on the wire, reading, compressing, and digests of their state.
+//! Configurations: encoded size, parsing, compression and state digests.
 
 use crate::figure::FigureLine;
 use crate::fleet_data::config_text;
@@ -10,27 +10,27 @@
 use aspendrum_net::frames::encode_frame;
 use aspendrum_reconcile::state_digest;
 
-/// With more tenants, work is repeated less often.
-const MANY_TENANTS: usize = 5_000;
+/// Configurations with more tenants are measured with fewer repeats.
+const LARGE_TENANT_COUNT: usize = 5_000;
 
-/// What a configuration consists of.
+/// The dimensions of a configuration.
 #[derive(Clone, Copy)]
-struct Shape {
+struct ConfigShape {
     routes: usize,
     tenants: usize,
     hosts: usize,
 }
 
-const fn shape(routes: usize, tenants: usize, hosts: usize) -> Shape {
-    Shape {
+const fn shape(routes: usize, tenants: usize, hosts: usize) -> ConfigShape {
+    ConfigShape {
         routes,
         tenants,
         hosts,
     }
 }
 
-/// Growing numbers of routes, of hosts and of tenants, then all as at the target.
-const SHAPES: [Shape; 8] = [
+/// Increasing numbers of routes, hosts and tenants; the last entry is the target size.
+const SHAPES: [ConfigShape; 8] = [
     shape(100, 500, 16),
     shape(475, 500, 62),
     shape(1_900, 500, 250),
@@ -45,7 +45,7 @@
     SHAPES.into_iter().for_each(measure);
 }
 
-impl Shape {
+impl ConfigShape {
     fn figure(&self, name: &str) -> FigureLine {
         FigureLine::new(name)
             .with("routes", self.routes)
@@ -63,9 +63,9 @@
     }
 }
 
-fn measure(shape: Shape) {
-    let has_many_tenants = shape.tenants > MANY_TENANTS;
-    let repeats = if has_many_tenants { 5 } else { 15 };
+fn measure(shape: ConfigShape) {
+    let is_large = shape.tenants > LARGE_TENANT_COUNT;
+    let repeats = if is_large { 5 } else { 15 };
     let text = shape.text();
     let packed = compress(text.as_bytes());
     let frame = encode_frame(&FromControl::Update {
@@ -100,7 +100,7 @@
         .milliseconds("cpu", &read_time)
         .print();
     let Ok(config) = memory.result else { return };
-    let repeats = if has_many_tenants { 3 } else { 9 };
+    let repeats = if is_large { 3 } else { 9 };
     let digest_time = time_each(repeats, |_| state_digest(Some(&config), 0, &[]));
     shape
         .figure("collation.edition")
--- a/crates/aspendrum-benchmarks/src/components/consensus.rs
+++ b/crates/aspendrum-benchmarks/src/components/consensus.rs
@@ -1,9 +1,9 @@
-//! The replicated state: messages, bytes, disk writes and processor time of each command. Messages are delivered in
-//! their order, and none is lost.
+//! Replicated state: messages, bytes, disk writes and CPU time per command. Messages are delivered in order and without
+//! loss.
 
 use crate::figure::FigureLine;
 use crate::fleet_data::config_text;
-use crate::fleet_size::{zone, FleetSize, GRADES, TARGET};
+use crate::fleet_size::{zone, FleetSize, FLEET_SIZES, TARGET};
 use crate::measure::{thread_cpu_ms, Samples};
 use aspendrum_consensus::membership::voters_tolerating;
 use aspendrum_consensus::{Command, Effect, NodeId, Replica, ReplicaOptions, Voters};
@@ -12,20 +12,20 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes that a frame adds to a message: its length, and the variants of the two enums around it.
+/// The framing overhead per message, in bytes: the length prefix and two enum discriminants.
 const FRAME_OVERHEAD: usize = 6;
-/// Commands that each figure is the mean of.
+/// The number of measured commands per figure.
 const REPEATS: usize = 9;
 const VOTER_COUNTS: [usize; 4] = [3, 4, 5, 7];
-/// Nodes at the first start, and how many disks may be lost at once.
-const FOUNDINGS: [(usize, usize); 6] = [(3, 1), (4, 1), (4, 2), (5, 2), (6, 2), (7, 3)];
+/// The number of nodes at the first start, and the number of simultaneous disk losses to tolerate.
+const BOOTSTRAP_CASES: [(usize, usize); 6] = [(3, 1), (4, 1), (4, 2), (5, 2), (6, 2), (7, 3)];
 const INCARNATION: u64 = 1 << 24;
 
 pub(super) fn run() {
-    for (nodes, tolerated_losses) in FOUNDINGS {
-        measure_founding(nodes, tolerated_losses);
+    for (nodes, tolerated_losses) in BOOTSTRAP_CASES {
+        measure_bootstrap(nodes, tolerated_losses);
     }
-    for size in GRADES {
+    for size in FLEET_SIZES {
         let config = CompressedConfig::new(&size);
         for voters in VOTER_COUNTS {
             let set_config = |n: usize| config.command(n as u32 + 1);
@@ -40,7 +40,7 @@
         measure_commands("consensus.evacuation", voters, 0, set_evacuation);
         measure_commands("consensus.read", voters, 0, |_| Command::Read);
     }
-    // Reads by a node that holds the target's configuration, as all others do.
+    // Reads while all nodes hold a configuration of the target size.
     let config = CompressedConfig::new(&TARGET);
     for voters in VOTER_COUNTS {
         let read_config = |n: usize| match n {
@@ -79,7 +79,7 @@
     }
 }
 
-/// What commands cost, all nodes together.
+/// The cost of commands, summed over all nodes.
 #[derive(Clone, Copy, Default)]
 struct Cost {
     messages: usize,
@@ -115,7 +115,7 @@
 }
 
 impl Cluster {
-    /// Nodes that were all there at the first start, the first `voters` of them as the voters of the first epoch.
+    /// Starts `nodes` nodes for the first time, and makes the first `voters` of them the voters of the first epoch.
     fn new(nodes: usize, voters: usize) -> Cluster {
         let nodes: Vec<NodeId> = (1..=nodes as u32).map(NodeId::new).collect();
         let start = |node: &NodeId| {
@@ -138,15 +138,15 @@
         cluster
     }
 
-    /// Submits a command at the first node. Returns its processor time, all nodes together, in milliseconds.
+    /// Submits a command at the first node. Returns the CPU time of all nodes in milliseconds.
     fn submit(&mut self, now: f64, command: Command) -> f64 {
         self.run(now, |first| first.submit(now, command, Some(1)))
     }
 
-    /// Carries out everything that follows from what the first node does. Returns the processor time in milliseconds.
+    /// Calls `start` on the first node and processes all resulting effects. Returns the CPU time in milliseconds.
     fn run(&mut self, now: f64, start: impl FnOnce(&mut Replica) -> Vec<Effect>) -> f64 {
         let started_at = thread_cpu_ms();
-        // The time that the benchmark itself takes to count.
+        // The CPU time that the benchmark itself spends on counting, which is excluded from the result.
         let mut counting_time = 0.0;
         let first_node = NodeId::new(1);
         let Some(first) = self.replicas.get_mut(&first_node) else {
@@ -155,9 +155,9 @@
         let effects = start(first);
         let mut pending: VecDeque<_> = effects.into_iter().map(|e| (first_node, e)).collect();
         while let Some((node, effect)) = pending.pop_front() {
-            let counting_from = thread_cpu_ms();
+            let counting_started_at = thread_cpu_ms();
             self.cost.add(node, &effect, self.replicas.get(&node));
-            counting_time += thread_cpu_ms() - counting_from;
+            counting_time += thread_cpu_ms() - counting_started_at;
             let Effect::Send { to, message } = effect else {
                 continue;
             };
@@ -170,7 +170,7 @@
     }
 }
 
-/// Submits the commands of numbers 0 to [`REPEATS`]; the first is not measured.
+/// Submits the commands 0 to [`REPEATS`], inclusive. Command 0 prepares the state and is not measured.
 fn measure_commands(
     name: &str,
     voters: usize,
@@ -199,8 +199,8 @@
         .print();
 }
 
-/// The first start: the nodes decide who votes.
-fn measure_founding(nodes: usize, tolerated_losses: usize) {
+/// Measures the first start, in which the nodes agree on the voters.
+fn measure_bootstrap(nodes: usize, tolerated_losses: usize) {
     let started_at = thread_cpu_ms();
     let voters = voters_tolerating(tolerated_losses).min(nodes);
     let cluster = Cluster::new(nodes, voters);
--- a/crates/aspendrum-benchmarks/src/components/directory.rs
+++ b/crates/aspendrum-benchmarks/src/components/directory.rs
@@ -1,4 +1,4 @@
-//! Lookups in the directory of a control node.
+//! Proxy directory of a control node: merging of proxy tables, updates and lookups.
 
 use crate::figure::FigureLine;
 use crate::fleet_data::proxies;
@@ -9,7 +9,7 @@
 use aspendrum_model::message::ProxyEndpoint;
 
 const PROXY_COUNTS: [usize; 5] = [30, 100, 200, 430, 1_000];
-/// Each knows the proxies whose agents are connected to it.
+/// The number of control nodes. Each has a table of the proxies whose agents are connected to it.
 const CONTROL_NODES: usize = 4;
 const TTL_S: f64 = 5.0;
 
--- a/crates/aspendrum-benchmarks/src/components/gossip.rs
+++ b/crates/aspendrum-benchmarks/src/components/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between agents: the nodes of a whole fleet on one simulated clock, datagrams delivered at once.
+//! Gossip between the agents of a fleet, on a simulated clock and with immediate delivery of datagrams.
 
 use crate::figure::FigureLine;
 use crate::fleet_data::proxy_addr;
@@ -8,23 +8,23 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::Ipv4Addr;
 
-const FLEETS: [usize; 4] = [100, 300, 430, 1_000];
-/// Which agents are cut off from control: none, every ninth, all.
-const ISOLATED: [Option<usize>; 3] = [None, Some(9), Some(1)];
-/// Time between two ticks of an agent, milliseconds.
-const TICK_INTERVAL: f64 = 300.0;
-/// For how long a fleet is simulated, milliseconds.
-const DURATION: f64 = 60_000.0;
+const AGENT_COUNTS: [usize; 4] = [100, 300, 430, 1_000];
+/// The agents that are disconnected from control: none, every ninth, all.
+const ISOLATION_INTERVALS: [Option<usize>; 3] = [None, Some(9), Some(1)];
+/// The interval between two ticks of an agent.
+const TICK_INTERVAL_MS: f64 = 300.0;
+/// The simulated time per fleet.
+const DURATION_MS: f64 = 60_000.0;
 
 pub(super) fn run() {
-    for agents in FLEETS {
-        for isolated in ISOLATED {
-            measure(agents, isolated);
+    for agents in AGENT_COUNTS {
+        for isolation_interval in ISOLATION_INTERVALS {
+            measure(agents, isolation_interval);
         }
     }
 }
 
-/// What the agents sent.
+/// The traffic that the agents sent.
 #[derive(Default)]
 struct Traffic {
     datagrams: usize,
@@ -37,15 +37,15 @@
 struct GossipFleet {
     agents: Vec<Ipv4Addr>,
     nodes: HashMap<Ipv4Addr, GossipNode>,
-    /// Every agent whose number is a multiple of this one is cut off from control.
-    isolated: Option<usize>,
+    /// Every agent whose number is a multiple of this one is disconnected from control.
+    isolation_interval: Option<usize>,
     decided: StateDigest,
     pending: VecDeque<(Ipv4Addr, GossipAction)>,
     traffic: Traffic,
 }
 
 impl GossipFleet {
-    fn new(agents: usize, isolated: Option<usize>) -> GossipFleet {
+    fn new(agents: usize, isolation_interval: Option<usize>) -> GossipFleet {
         let agents: Vec<Ipv4Addr> = (0..agents).map(|n| *proxy_addr(n).ip()).collect();
         let mut nodes = HashMap::new();
         for (number, agent) in agents.iter().enumerate() {
@@ -56,7 +56,7 @@
         GossipFleet {
             agents,
             nodes,
-            isolated,
+            isolation_interval,
             decided: StateDigest::default(),
             pending: VecDeque::new(),
             traffic: Traffic::default(),
@@ -64,17 +64,17 @@
     }
 
     fn is_isolated(&self, number: usize) -> bool {
-        self.isolated
-            .is_some_and(|every| number.is_multiple_of(every))
+        self.isolation_interval
+            .is_some_and(|interval| number.is_multiple_of(interval))
     }
 
     fn tick(&mut self, now: f64) {
         for (number, agent) in self.agents.iter().enumerate() {
-            let asks_peers = self.is_isolated(number);
+            let is_isolated = self.is_isolated(number);
             let Some(node) = self.nodes.get_mut(agent) else {
                 continue;
             };
-            let actions = node.tick(now, asks_peers);
+            let actions = node.tick(now, is_isolated);
             self.pending
                 .extend(actions.into_iter().map(|a| (*agent, a)));
         }
@@ -96,31 +96,33 @@
         self.traffic.bytes += bytes;
         self.traffic.longest = self.traffic.longest.max(bytes);
         let is_report_request = matches!(message, GossipMessage::ReportRequest { .. });
-        let confirmed_as_of = (is_report_request && self.hears_control(to)).then_some(now);
+        let confirmed_as_of =
+            (is_report_request && self.is_connected_to_control(to)).then_some(now);
         if let Some(node) = self.nodes.get_mut(&to) {
             let actions = node.handle(now, from, message, &self.decided, confirmed_as_of);
             self.pending.extend(actions.into_iter().map(|a| (to, a)));
         }
     }
 
-    fn hears_control(&self, agent: Ipv4Addr) -> bool {
+    fn is_connected_to_control(&self, agent: Ipv4Addr) -> bool {
         let number = self.agents.iter().position(|known| *known == agent);
         !self.is_isolated(number.unwrap_or(0))
     }
 }
 
-fn measure(agents: usize, isolated: Option<usize>) {
-    let mut fleet = GossipFleet::new(agents, isolated);
+fn measure(agents: usize, isolation_interval: Option<usize>) {
+    let mut fleet = GossipFleet::new(agents, isolation_interval);
     let started_at = thread_cpu_ms();
     let mut now = 0.0;
-    while now < DURATION {
+    while now < DURATION_MS {
         fleet.tick(now);
         fleet.deliver_all(now);
-        now += TICK_INTERVAL;
+        now += TICK_INTERVAL_MS;
     }
     let cpu_ms = thread_cpu_ms() - started_at;
-    let agent_seconds = agents as f64 * DURATION / 1000.0;
-    let isolated = isolated.map_or("none".to_string(), |every| format!("1/{every}"));
+    let agent_seconds = agents as f64 * DURATION_MS / 1000.0;
+    let isolated =
+        isolation_interval.map_or("none".to_string(), |interval| format!("1/{interval}"));
     let traffic = &fleet.traffic;
     FigureLine::new("gossip.circle")
         .with("agents", agents)
--- a/crates/aspendrum-benchmarks/src/components/mod.rs
+++ b/crates/aspendrum-benchmarks/src/components/mod.rs
@@ -1,4 +1,4 @@
-//! Single components, measured in this process at graded sizes of the fleet.
+//! Benchmarks of single components at several fleet sizes.
 
 mod configurations;
 mod consensus;
@@ -42,20 +42,20 @@
     },
 ];
 
-/// Runs the benchmarks whose names begin with `prefix`, and prints their figures.
+/// Runs the benchmarks whose names start with `prefix` and prints their figures.
 ///
 /// # Errors
-/// No name begins so.
+/// Returns [`BenchmarkError::UnknownComponent`] if no name starts with `prefix`.
 pub fn run(prefix: &str) -> Result<(), BenchmarkError> {
-    let is_chosen = |benchmark: &&Benchmark| benchmark.name.starts_with(prefix);
-    let chosen: Vec<&Benchmark> = BENCHMARKS.iter().filter(is_chosen).collect();
-    if chosen.is_empty() {
+    let has_prefix = |benchmark: &&Benchmark| benchmark.name.starts_with(prefix);
+    let selected: Vec<&Benchmark> = BENCHMARKS.iter().filter(has_prefix).collect();
+    if selected.is_empty() {
         return Err(BenchmarkError::UnknownComponent {
             prefix: prefix.to_string(),
             names: BENCHMARKS.map(|benchmark| benchmark.name).join(", "),
         });
     }
-    for benchmark in chosen {
+    for benchmark in selected {
         (benchmark.run)();
     }
     Ok(())
--- a/crates/aspendrum-benchmarks/src/components/proxy/admission.rs
+++ b/crates/aspendrum-benchmarks/src/components/proxy/admission.rs
@@ -1,4 +1,4 @@
-//! Requests: the time that decisions on them take, and which of them have to wait.
+//! Request admission: the CPU time of decisions, and the number of requests that are not decided at once.
 
 use super::fixture::{config_section, configured_dispatcher, new_dispatcher, servers_section};
 use crate::figure::FigureLine;
@@ -19,35 +19,36 @@
 
 const REQUESTS: usize = 3_000;
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Requests between two ticks of the dispatcher.
+/// The number of requests per tick of the dispatcher.
 const REQUESTS_PER_TICK: usize = 50;
 const RESPONSE_TIME_MS: f64 = 50.0;
 const SHORT_RESPONSE_TIME_MS: f64 = 5.0;
-/// Which of a route's services gets a request, as a share of their weights.
-const SERVICE_CHOICE: f64 = 0.1;
-/// Requests to each of two pools.
+/// Selects the service of a request: a position from 0 to 1 within the cumulative weights of the route's services.
+const SERVICE_SELECTION: f64 = 0.1;
+/// The number of requests to each of the two pools in a benchmark of blocked pools.
 const REQUESTS_PER_POOL: usize = 20;
 
-/// What a request is for.
+/// The route, pool and tenant of a request.
 struct Target {
     route: usize,
     pool: u16,
     tenant: usize,
 }
 
-/// A request that has been given to the dispatcher.
+/// A request that has been passed to the dispatcher.
 struct Admitted {
     id: RequestId,
     decisions: MailboxReceiver<RequestDecision>,
 }
 
 impl Admitted {
-    /// The decision, if there is one already.
+    /// Returns the decision if it is available already.
     fn decision(&self) -> Option<RequestDecision> {
         self.decisions.recv_deadline(Some(Instant::now())).ok()
     }
 }
 
+/// Passes a request to the dispatcher. Returns the request and the CPU time in milliseconds.
 fn admit(dispatcher: &Dispatcher, snapshot: &ConfigSnapshot, target: Target) -> (Admitted, f64) {
     let (sender, decisions) = mailbox::for_current_thread(8);
     let request = AdmissionRequest {
@@ -73,8 +74,8 @@
     }
 }
 
-/// The time from a request to its first attempt, and from the end of that to the end of the request. This proxy owns
-/// the counters of all tenants.
+/// Measures the CPU time of admitting a request and of completing its only attempt. The proxy owns the counters of all
+/// tenants.
 pub(super) fn measure(size: &FleetSize) {
     let dispatcher = configured_dispatcher(size, 1);
     let Some(snapshot) = dispatcher.snapshot() else {
@@ -83,7 +84,7 @@
     let (mut admission_times, mut completion_times, mut not_sent) = (Vec::new(), Vec::new(), 0);
     for number in 0..REQUESTS {
         let route = number % snapshot.config.routes.len();
-        let service = snapshot.config.routes[route].service(SERVICE_CHOICE);
+        let service = snapshot.config.routes[route].service(SERVICE_SELECTION);
         let Some(pool) = snapshot.pools.get(service).copied() else {
             continue;
         };
@@ -134,14 +135,14 @@
         .print();
 }
 
-/// How many requests have to wait for the answer of another proxy, which owns their tenant's counter, before anything
-/// is decided; and how many of those proxies are in another region.
+/// Counts the requests that are decided at once, without waiting for a reply from the proxy that owns the tenant's
+/// counter, and the tenants whose counters are owned by a proxy in another region.
 pub(super) fn measure_remote_counters(size: &FleetSize) {
     let dispatcher = configured_dispatcher(size, size.limiters);
     let Some(snapshot) = dispatcher.snapshot() else {
         return;
     };
-    let service = snapshot.config.routes[0].service(SERVICE_CHOICE);
+    let service = snapshot.config.routes[0].service(SERVICE_SELECTION);
     let Some(pool) = snapshot.pools.get(service).copied() else {
         return;
     };
@@ -186,8 +187,8 @@
         .count()
 }
 
-/// Whether requests to another pool still leave while a pool has no usable server. The engine tells pools apart by 64
-/// bits, so that pools 64 numbers apart may block each other.
+/// Measures whether requests to one pool are forwarded while another pool has no usable server. The engine
+/// distinguishes pools by 64 bits, so pools whose numbers differ by 64 can block each other.
 pub(super) fn measure_blocked_pools() {
     for (services, empty, other) in [(60, 0, 59), (250, 0, 64), (250, 0, 65)] {
         let size = FleetSize {
@@ -218,7 +219,7 @@
     else {
         return;
     };
-    // Requests that wait keep their place until all have been admitted.
+    // Keeps the waiting requests alive until all requests have been admitted.
     let mut waiting = Vec::new();
     send_to_pool(&dispatcher, &snapshot, size, empty_pool, &mut waiting);
     let sent_at_once = send_to_pool(&dispatcher, &snapshot, size, other_pool, &mut waiting);
@@ -231,7 +232,7 @@
         .print();
 }
 
-/// Returns how many requests were forwarded at once. The others go to `waiting`.
+/// Returns the number of requests that were forwarded at once. The others are added to `waiting`.
 fn send_to_pool(
     dispatcher: &Dispatcher,
     snapshot: &ConfigSnapshot,
--- a/crates/aspendrum-benchmarks/src/components/proxy/apply.rs
+++ b/crates/aspendrum-benchmarks/src/components/proxy/apply.rs
@@ -1,4 +1,4 @@
-//! Applying decided state at a proxy.
+//! Applying decided state to the dispatcher of a proxy.
 
 use super::fixture::{config_section, new_dispatcher, servers_section};
 use crate::figure::FigureLine;
@@ -45,7 +45,7 @@
 
 fn measure_servers(dispatcher: &Dispatcher, size: &FleetSize) {
     let list = servers(size);
-    // The dispatcher takes the list over; copying it is not part of the time.
+    // Copies the lists in advance: the dispatcher takes ownership, and copying is not part of the measured time.
     let mut copies: Vec<Vec<_>> = (0..REPEATS).map(|_| list.clone()).collect();
     let memory = measure_memory(|| dispatcher.apply(servers_section(list.clone())));
     figure("proxy.list.memory", size)
@@ -71,7 +71,7 @@
         .print();
 }
 
-/// Proxies of which the one of that number is not ready.
+/// Returns `count` proxies, of which the one with number `closed` is not ready.
 fn proxies_with_one_closed(count: usize, closed: usize) -> Vec<ProxyEndpoint> {
     let mut proxies = proxies(count);
     if let Some(proxy) = proxies.get_mut(closed % count) {
--- a/crates/aspendrum-benchmarks/src/components/proxy/counter.rs
+++ b/crates/aspendrum-benchmarks/src/components/proxy/counter.rs
@@ -1,9 +1,8 @@
-//! Tenants' counters: finding the owner, adding, and taking over those of other proxies. Also finding a tenant by its
-//! credential.
+//! Tenant counters: owner lookup, addition and ownership changes. Also the lookup of a tenant by credential.
 
 use crate::figure::FigureLine;
 use crate::fleet_data::{config_text, proxies, proxy_addr};
-use crate::fleet_size::{FleetSize, GRADES};
+use crate::fleet_size::{FleetSize, FLEET_SIZES};
 use crate::measure::{time_batches, time_each};
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
@@ -16,8 +15,8 @@
     excess: 0.1,
     slack: 20.0,
 };
-/// A moment long after the start, milliseconds.
-const ADD_AT: f64 = 60_000.0;
+/// The time of all additions, long after the start.
+const ADD_TIME_MS: f64 = 60_000.0;
 const HOSTS: usize = 16;
 
 pub(super) fn measure(size: &FleetSize) {
@@ -46,7 +45,7 @@
     store.set_quotas(counters.iter().map(quota).collect(), |_| true);
     store.set_owned(0.0, |_| true);
     let add_time = time_batches(9, 10_000, |n| {
-        store.add(ADD_AT, counters[n % counters.len()], 1.0)
+        store.add(ADD_TIME_MS, counters[n % counters.len()], 1.0)
     });
     figure("counts.add", size)
         .milliseconds("cpu", &add_time)
@@ -64,11 +63,11 @@
 }
 
 fn measure_credentials(size: &FleetSize) {
-    let size_of_config = FleetSize {
+    let config_size = FleetSize {
         tenants: size.tenants,
-        ..GRADES[0]
+        ..FLEET_SIZES[0]
     };
-    let Ok(config) = Config::read(config_text(&size_of_config, HOSTS, 1).as_bytes()) else {
+    let Ok(config) = Config::read(config_text(&config_size, HOSTS, 1).as_bytes()) else {
         return;
     };
     let tenants = config.tenants.iter().flatten();
--- a/crates/aspendrum-benchmarks/src/components/proxy/fixture.rs
+++ b/crates/aspendrum-benchmarks/src/components/proxy/fixture.rs
@@ -1,4 +1,4 @@
-//! A dispatcher that has applied the state of a fleet.
+//! Dispatchers for benchmarks.
 
 use crate::fleet_data::{config_text, proxies, proxy_addr, servers};
 use crate::fleet_size::{region, region_by_zone, zone, FleetSize};
@@ -9,17 +9,17 @@
 use aspendrum_proxy::dispatcher::Dispatcher;
 use std::net::UdpSocket;
 
-/// A dispatcher of the first proxy, without any state.
+/// Creates the dispatcher of the first proxy, without any applied state.
 pub(super) fn new_dispatcher() -> Dispatcher {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback has a free port");
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a loopback port is available");
     Dispatcher::new(&settings(), socket)
 }
 
-/// A dispatcher with the state of a fleet of that size, and with that many proxies.
+/// Creates a dispatcher that has applied the state of a fleet of the given size, but with `proxy_count` proxies.
 pub(super) fn configured_dispatcher(size: &FleetSize, proxy_count: usize) -> Dispatcher {
     let dispatcher = new_dispatcher();
-    // The proxies come first: no other proxy has owned a counter that is new to a running proxy, and it can be used at
-    // once.
+    // Proxies are applied before the configuration: counters that are new to a running proxy have had no other owner,
+    // so they are usable at once.
     dispatcher.apply(StateSection::Proxies(proxies(proxy_count)));
     let text = config_text(size, size.services, 1);
     dispatcher.apply(config_section(&text, 1));
@@ -55,5 +55,5 @@
             "warm-slack": 8,
         }},
     });
-    Settings::read(text.to_string().as_bytes()).expect("settings of this file are well-formed")
+    Settings::read(text.to_string().as_bytes()).expect("the settings are valid")
 }
--- a/crates/aspendrum-benchmarks/src/components/proxy/mod.rs
+++ b/crates/aspendrum-benchmarks/src/components/proxy/mod.rs
@@ -1,5 +1,4 @@
-//! A proxy's dispatcher and its decision engine: what it costs to apply decided state, to know many servers, and to
-//! decide on a request.
+//! Dispatcher and decision engine of a proxy: applying decided state, periodic work and request admission.
 
 mod admission;
 mod apply;
@@ -7,15 +6,16 @@
 mod fixture;
 mod tick;
 
-use crate::fleet_size::{FleetSize, GRADES, TARGET, ZONES};
+use crate::fleet_size::{FleetSize, FLEET_SIZES, TARGET, ZONES};
 
-/// The most tenants with which admission is measured below the target.
+/// The number of tenants in the admission benchmark of each fleet size. The target size is also measured with all of
+/// its tenants.
 const ADMISSION_TENANTS: usize = 500;
-/// Tenants of which it is counted where their counters are.
-const COUNTED_TENANTS: usize = 3_000;
+/// The number of tenants in the benchmark of remote counters.
+const REMOTE_COUNTER_TENANTS: usize = 3_000;
 
 pub(super) fn run() {
-    for size in GRADES {
+    for size in FLEET_SIZES {
         tick::measure(&size, 0);
         admission::measure(&FleetSize {
             tenants: ADMISSION_TENANTS,
@@ -23,17 +23,17 @@
         });
         counter::measure(&size);
     }
-    // One zone comes back, and its servers are in slow start.
+    // The servers of one zone are in slow start, as after the zone has recovered.
     tick::measure(&TARGET, TARGET.servers / ZONES);
     admission::measure(&TARGET);
-    for size in GRADES {
+    for size in FLEET_SIZES {
         admission::measure_remote_counters(&FleetSize {
-            tenants: COUNTED_TENANTS,
+            tenants: REMOTE_COUNTER_TENANTS,
             ..size
         });
     }
     admission::measure_blocked_pools();
-    for size in GRADES {
+    for size in FLEET_SIZES {
         apply::measure(&size);
     }
 }
--- a/crates/aspendrum-benchmarks/src/components/proxy/tick.rs
+++ b/crates/aspendrum-benchmarks/src/components/proxy/tick.rs
@@ -1,4 +1,4 @@
-//! The periodic work of an idle dispatcher, as a share of a core.
+//! Periodic work of an idle dispatcher, as a share of a CPU core.
 
 use super::fixture::{config_section, new_dispatcher, servers_section};
 use crate::figure::FigureLine;
@@ -10,12 +10,12 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const OBSERVED_TIME: Duration = Duration::from_secs(2);
-/// Tenants cost nothing on a tick.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(2);
+/// The cost of a tick does not depend on the number of tenants.
 const TENANTS: usize = 50;
 const SLOW_START_LEFT_MS: u32 = 60_000;
 
-/// `slow_starting`: how many servers are in slow start.
+/// Measures ticks while `slow_starting` servers are in slow start.
 pub(super) fn measure(size: &FleetSize, slow_starting: usize) {
     let dispatcher = new_dispatcher();
     let few_tenants = FleetSize {
@@ -31,13 +31,13 @@
     dispatcher.apply(servers_section(list));
     dispatcher.apply(StateSection::Proxies(proxies(size.limiters)));
     let (started_at, cpu_before, mut times) = (Instant::now(), thread_cpu_ms(), Vec::new());
-    while started_at.elapsed() < OBSERVED_TIME {
+    while started_at.elapsed() < MEASUREMENT_TIME {
         sleep(Duration::from_secs_f64(TICK_MS / 1000.0));
-        let tick_from = thread_cpu_ms();
+        let tick_started_at = thread_cpu_ms();
         dispatcher.tick();
-        times.push(thread_cpu_ms() - tick_from);
+        times.push(thread_cpu_ms() - tick_started_at);
     }
-    // A thread that has to wait for a core ticks less often than it should: the share is that of the ticks that are due.
+    // The share is computed from the configured tick interval, because a thread that waits for a core ticks less often.
     let cpu_per_tick = (thread_cpu_ms() - cpu_before) / times.len() as f64;
     FigureLine::new("proxy.beat")
         .with("servers", size.servers)
--- a/crates/aspendrum-benchmarks/src/components/server_lists.rs
+++ b/crates/aspendrum-benchmarks/src/components/server_lists.rs
@@ -1,8 +1,8 @@
-//! Lists of servers and proxies, and heartbeats: their size on the wire, and reading and replacing them.
+//! Server lists, proxy lists and heartbeats: encoded size, parsing and replacement.
 
 use crate::figure::FigureLine;
 use crate::fleet_data::{proxies, server_page, servers, SERVERS_PER_PAGE};
-use crate::fleet_size::{FleetSize, GRADES};
+use crate::fleet_size::{FleetSize, FLEET_SIZES};
 use crate::measure::{measure_memory, time_batches, time_each};
 use aspendrum_model::message::{
     Envelope, FromControl, Readiness, StateDigest, StateSection, ToControl,
@@ -10,17 +10,17 @@
 use aspendrum_model::servers::{parse_page, ServerInstance, ServerList};
 use aspendrum_net::frames::encode_frame;
 
-/// A day after the start.
+/// The send time of the heartbeats: one day after the start.
 const SENT_AT_MS: u64 = 86_400_000;
-/// Lists that replace one another.
+/// The number of times that the server list is replaced.
 const REPLACEMENTS: usize = 16;
 
 pub(super) fn run() {
-    for size in GRADES {
+    for size in FLEET_SIZES {
         measure_pages(&size);
         measure_server_list(&size);
     }
-    for size in GRADES {
+    for size in FLEET_SIZES {
         measure_proxy_list(&size);
     }
     measure_heartbeats();
@@ -65,7 +65,7 @@
     figure("lists.memory", size)
         .megabytes("held", memory.retained_bytes)
         .print();
-    // One server begins to drain, and is back with the next list.
+    // Consecutive lists differ in which of two servers is draining.
     let list = |number: usize| -> Vec<ServerInstance> {
         let mut list = servers.clone();
         list[number % 2].draining = true;
--- a/crates/aspendrum-benchmarks/src/error.rs
+++ b/crates/aspendrum-benchmarks/src/error.rs
@@ -1,32 +1,32 @@
-//! Why a benchmark cannot be run.
+//! Errors of benchmark runs.
 
 use aspendrum_model::config::ConfigError;
 use aspendrum_testbed::program::ProgramError;
 use derive_more::{Display, Error};
 use std::io;
 
-/// Why a benchmark cannot be run.
+/// The reason why a benchmark cannot run.
 #[derive(Debug, Display, Error)]
 pub enum BenchmarkError {
-    /// No component has a name that begins as asked for.
-    #[display("no component's name begins with {prefix}: {names}")]
+    /// No component name starts with the requested prefix.
+    #[display("no component name starts with {prefix}; available components: {names}")]
     UnknownComponent {
-        /// What was asked for.
+        /// The requested prefix.
         prefix: String,
-        /// The names of all components, separated by commas.
+        /// The comma-separated names of all components.
         names: String,
     },
-    /// The runtime of the fault proxies cannot be started.
-    #[display("the runtime: {_0}")]
+    /// The async runtime of the fault proxies cannot be started.
+    #[display("failed to start the async runtime: {_0}")]
     Runtime(io::Error),
-    /// No folder for settings, logs and disks can be created.
-    #[display("a temporary folder: {_0}")]
-    TemporaryFolder(io::Error),
-    /// The programs that are measured cannot be built or found.
+    /// The temporary directory for settings, logs and data cannot be created.
+    #[display("failed to create a temporary directory: {_0}")]
+    TemporaryDirectory(io::Error),
+    /// The programs under test cannot be built or found.
     #[display("{_0}")]
     Programs(ProgramError),
     /// The settings of a process cannot be written.
-    #[display("settings of {process}: {source}")]
+    #[display("failed to write the settings of {process}: {source}")]
     WriteSettings {
         /// The name of the process.
         process: String,
@@ -34,7 +34,7 @@
         source: io::Error,
     },
     /// A process cannot be started.
-    #[display("{process}: {source}")]
+    #[display("failed to start {process}: {source}")]
     StartProcess {
         /// The name of the process.
         process: String,
@@ -42,18 +42,18 @@
         source: io::Error,
     },
     /// A fault proxy between two processes cannot be started.
-    #[display("a fault proxy: {_0}")]
+    #[display("failed to start a fault proxy: {_0}")]
     FaultProxy(io::Error),
-    /// The simulated platform cannot listen.
-    #[display("the simulated platform: {_0}")]
+    /// The simulated platform cannot listen on its address.
+    #[display("failed to start the simulated platform: {_0}")]
     Platform(io::Error),
     /// A thread of the simulated agents cannot be started.
-    #[display("the simulated agents: {_0}")]
+    #[display("failed to start the simulated agents: {_0}")]
     Agents(io::Error),
-    /// The simulated servers cannot listen.
-    #[display("the simulated servers: {_0}")]
+    /// The simulated servers cannot listen on their port, or their thread cannot be started.
+    #[display("failed to start the simulated servers: {_0}")]
     Servers(io::Error),
-    /// A generated configuration is refused.
-    #[display("the generated configuration: {_0}")]
+    /// A generated configuration is invalid.
+    #[display("invalid generated configuration: {_0}")]
     InvalidConfig(ConfigError),
 }
--- a/crates/aspendrum-benchmarks/src/figure.rs
+++ b/crates/aspendrum-benchmarks/src/figure.rs
@@ -1,22 +1,22 @@
-//! The lines in which figures are printed.
+//! The output format of figures.
 //!
-//! Names and keys of figures are those of the recorded runs in `docs/capacity`, so that runs can be compared with them:
-//! there a control process is a `vault`, a simulated agent is `hollow`, a proxy is a `front`, and processes of one
-//! limiter (a proxy and its agent) are `whole`.
+//! The names and keys of figures match the recorded runs in `docs/capacity`, so that runs can be compared. They differ
+//! from the terms of the code: a control process is a `vault`, a simulated agent is `hollow`, a proxy is a `front`, and
+//! the processes of a real limiter (a proxy and its agent) are `whole`.
 
 use crate::measure::Samples;
 use std::fmt::Display;
 
-/// Digits of a number that count.
+/// The number of significant digits in the output.
 const SIGNIFICANT_DIGITS: f64 = 4.0;
-/// No number is printed with more decimal places.
+/// The maximum number of decimal places in the output.
 const MAX_DECIMAL_PLACES: f64 = 6.0;
 
 /// One line of key=value pairs.
 pub struct FigureLine(String);
 
 impl FigureLine {
-    /// A line for the figure of that name.
+    /// Starts the line of the figure with the given name.
     pub fn new(name: &str) -> FigureLine {
         FigureLine(format!("figure={name}"))
     }
@@ -38,19 +38,19 @@
         self.with(key, format!("{value:.*}", places as usize))
     }
 
-    /// Adds measurements in milliseconds: the median, the least and the most.
+    /// Adds the median, the minimum and the maximum of measurements in milliseconds.
     pub fn milliseconds(self, key: &str, samples: &Samples) -> FigureLine {
         self.number(&format!("{key}_ms"), samples.median())
             .number(&format!("{key}_least"), samples.quantile(0.0))
             .number(&format!("{key}_most"), samples.quantile(1.0))
     }
 
-    /// Adds a number of bytes as megabytes.
+    /// Adds a number of bytes, converted to megabytes.
     pub fn megabytes(self, key: &str, bytes: usize) -> FigureLine {
         self.number(&format!("{key}_mb"), bytes as f64 / 1e6)
     }
 
-    /// Adds a duration in seconds, or `never` if what was waited for did not happen.
+    /// Adds a duration in seconds, or `never` for `None`.
     pub fn seconds(self, key: &str, duration: Option<f64>) -> FigureLine {
         self.with(key, duration.map_or("never".into(), |s| format!("{s:.3}")))
     }
--- a/crates/aspendrum-benchmarks/src/fleet_data.rs
+++ b/crates/aspendrum-benchmarks/src/fleet_data.rs
@@ -1,5 +1,5 @@
-//! Generates configurations, server lists and proxy lists of any size, in the form of the protocol's examples. The same
-//! arguments give the same result.
+//! Generates configurations, server lists and proxy lists of any size in the formats of the protocol. The output is
+//! deterministic.
 
 use crate::fleet_size::{zone, FleetSize};
 use aspendrum_model::message::{ProxyEndpoint, Readiness};
@@ -8,27 +8,27 @@
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The port of all servers.
+/// The port on which all servers listen.
 pub const SERVER_PORT: u16 = 28_080;
-/// Servers on a page of the platform's list, as in the deployments.
+/// The number of servers per page of the platform's server list, as in deployments.
 pub const SERVERS_PER_PAGE: usize = 50;
-/// The port of all proxies.
+/// The port on which all proxies listen.
 const PROXY_PORT: u16 = 8202;
-/// Proxies whose addresses share the first three bytes.
+/// The number of proxies per /24 subnet.
 const PROXIES_PER_SUBNET: usize = 250;
 const SEED: u64 = 7;
-/// Credentials of a tenant, as in the protocol's example.
+/// The number of credentials per tenant, as in the example of the protocol.
 const KEYS_PER_TENANT: usize = 2;
-/// The request limits of a configuration, as in the protocol's example.
+/// The request limits of a configuration, as in the example of the protocol.
 const LIMITS: &str = r#"{"hdr-bytes":16384,"body-bytes":67108864,"hdr-ms":3000,"idle-ms":15000}"#;
 
-/// The name of a service.
+/// Returns the name of a service.
 pub fn service(number: usize) -> String {
     format!("svc{number:03}a")
 }
 
-/// The text of a configuration whose routes are spread over that many hosts. Versions differ in the weights of one
-/// route.
+/// Returns the text of a configuration whose routes are distributed over `hosts` hosts. Apart from the version number,
+/// versions differ in the weights of one route.
 pub fn config_text(size: &FleetSize, hosts: usize, version: u32) -> String {
     let mut rng = Rng::with_seed(SEED);
     let mut text = format!(r#"{{"gen":"{version:08x}","caps":{LIMITS},"tenants":["#);
@@ -82,7 +82,7 @@
     );
 }
 
-/// `host`: the number of the host, and how many hosts there are.
+/// `host` is the number of the host and the total number of hosts.
 fn push_host(
     text: &mut String,
     rng: &mut Rng,
@@ -141,7 +141,7 @@
     *text += r#""proto":"h1","tls":false,"warmup-s":3.0,"warm-rate-s":6.7}"#;
 }
 
-/// Servers, spread evenly over services and zones, each with an address of its own.
+/// Returns servers with unique addresses, distributed evenly over services and zones.
 pub fn servers(size: &FleetSize) -> Vec<ServerInstance> {
     let server = |n: usize| ServerInstance {
         uid: format!("i-{:08x}", (n as u32).wrapping_mul(0x9e37_79b1)),
@@ -155,20 +155,20 @@
     (0..size.servers).map(server).collect()
 }
 
-/// The address of the server of that number.
+/// Returns the address of a server.
 pub fn server_addr(number: usize) -> SocketAddrV4 {
     let ip = Ipv4Addr::new(127, 62, (number >> 8) as u8, number as u8);
     SocketAddrV4::new(ip, SERVER_PORT)
 }
 
-/// The address of the proxy of that number.
+/// Returns the address of a proxy.
 pub fn proxy_addr(number: usize) -> SocketAddrV4 {
     let subnet = 10 + (number / PROXIES_PER_SUBNET) as u8;
     let host = (number % PROXIES_PER_SUBNET + 1) as u8;
     SocketAddrV4::new(Ipv4Addr::new(127, 60, subnet, host), PROXY_PORT)
 }
 
-/// That many proxies, all ready, spread evenly over the zones.
+/// Returns `count` ready proxies, distributed evenly over the zones.
 pub fn proxies(count: usize) -> Vec<ProxyEndpoint> {
     let proxy = |n| ProxyEndpoint {
         addr: proxy_addr(n),
@@ -179,7 +179,7 @@
     (0..count).map(proxy).collect()
 }
 
-/// The platform's answer to a call for one page of its server list: these servers, and the token of the next page.
+/// Returns a page of the platform's server list, with the token of the next page.
 pub fn server_page(servers: &[ServerInstance], next_page: Option<String>) -> String {
     let entry = |server: &ServerInstance| {
         serde_json::json!({
--- a/crates/aspendrum-benchmarks/src/fleet_size.rs
+++ b/crates/aspendrum-benchmarks/src/fleet_size.rs
@@ -1,29 +1,29 @@
-//! Sizes of fleets, and the zones and regions over which they are spread.
+//! Fleet sizes, and the zones and regions of a fleet.
 
 use std::collections::BTreeMap;
 
-/// Zones of each fleet.
+/// The number of zones of each fleet.
 pub const ZONES: usize = 20;
-/// Regions of each fleet.
+/// The number of regions of each fleet.
 pub const REGIONS: usize = 9;
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetSize {
-    /// Proxies, each with its agent.
+    /// The number of limiters: proxies with their agents.
     pub limiters: usize,
-    /// Servers of all services.
+    /// The number of servers, over all services.
     pub servers: usize,
-    /// Services.
+    /// The number of services.
     pub services: usize,
-    /// Routes of the configuration.
+    /// The number of routes in the configuration.
     pub routes: usize,
-    /// Tenants of the configuration.
+    /// The number of tenants in the configuration.
     pub tenants: usize,
 }
 
-/// The operators' target, and two sizes on the way to it.
-pub const GRADES: [FleetSize; 3] = [
+/// Two smaller sizes and the operators' target, in ascending order.
+pub const FLEET_SIZES: [FleetSize; 3] = [
     FleetSize {
         limiters: 30,
         servers: 230,
@@ -41,7 +41,7 @@
     TARGET,
 ];
 
-/// The operators' target.
+/// The operators' target size.
 pub const TARGET: FleetSize = FleetSize {
     limiters: 430,
     servers: 3_700,
@@ -50,17 +50,17 @@
     tenants: 35_000,
 };
 
-/// The name of a zone. Numbers from [`ZONES`] on begin again with the first zone.
+/// Returns the name of a zone. Numbers wrap around at [`ZONES`].
 pub fn zone(number: usize) -> String {
     format!("zone-{:02}", number % ZONES)
 }
 
-/// The name of the region in which the zone of that number lies.
+/// Returns the name of the region of a zone.
 pub fn region(number: usize) -> String {
     format!("region-{}", number % ZONES * REGIONS / ZONES)
 }
 
-/// The region of each zone.
+/// Returns the region of each zone, by zone name.
 pub fn region_by_zone() -> BTreeMap<String, String> {
     (0..ZONES).map(|n| (zone(n), region(n))).collect()
 }
--- a/crates/aspendrum-benchmarks/src/lib.rs
+++ b/crates/aspendrum-benchmarks/src/lib.rs
@@ -1,11 +1,11 @@
-//! Measures what the components and the processes of the system cost by the size of the fleet, up to the size that the
-//! operators aim for: the runs behind `docs/CAPACITY.md`.
+//! Benchmarks of components and processes by fleet size, up to the operators' target size. `docs/CAPACITY.md` is based
+//! on their results.
 //!
-//! - [`components`] runs single components in this process.
-//! - [`simulated_fleet`] runs real control processes, connected to simulated agents in this process.
+//! - [`components`] benchmarks single components in this process.
+//! - [`simulated_fleet`] benchmarks real control processes, connected to simulated agents in this process.
 //!
-//! Each figure is one line of key=value pairs on standard output ([`figure`]). Processor time is measured rather than
-//! elapsed time, so that other work on the machine changes little. Everything runs on loopback.
+//! Each figure is one line of key=value pairs on standard output ([`figure`]). Most figures are CPU time instead of
+//! elapsed time, which reduces the influence of other load on the machine. All connections use loopback.
 
 pub mod components;
 pub mod error;
--- a/crates/aspendrum-benchmarks/src/main.rs
+++ b/crates/aspendrum-benchmarks/src/main.rs
@@ -1,21 +1,21 @@
-//! The command line. Everything else is in the library.
+//! The command-line interface of the benchmarks.
 
 use aspendrum_benchmarks::{components, simulated_fleet};
 use bpaf::Bpaf;
 use std::process::ExitCode;
 
-/// What each component and each process costs by the size of the fleet
+/// Benchmarks components and processes by fleet size
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Arguments {
-    /// Single components, in this process
+    /// Benchmark single components in this process
     #[bpaf(command("components"), long("cores"))]
     Components {
-        /// Only those whose name begins so
+        /// Run only the components whose names start with NAME
         #[bpaf(long("only"), argument("NAME"), fallback(String::new()))]
-        only: String,
+        name_prefix: String,
     },
-    /// Real control processes with simulated agents in this process
+    /// Benchmark real control processes with simulated agents in this process
     #[bpaf(command("simulated-fleet"), long("hollow"))]
     SimulatedFleet {
         #[bpaf(external(simulated_fleet::plan::plan))]
@@ -25,7 +25,7 @@
 
 fn main() -> ExitCode {
     let result = match arguments().run() {
-        Arguments::Components { only } => components::run(&only),
+        Arguments::Components { name_prefix } => components::run(&name_prefix),
         Arguments::SimulatedFleet { plan } => simulated_fleet::run(&plan),
     };
     match result {
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/agent.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/agent.rs
@@ -1,6 +1,6 @@
-//! Simulated agents: they connect to control, send heartbeats, and receive and acknowledge updates with the real messages
-//! over real connections, and apply updates at once. There is no proxy behind them, and they do not gossip. They leave a
-//! control node for the same reasons as real agents.
+//! Simulated agents. They connect to control over TCP, use the real protocol to send heartbeats and to acknowledge
+//! updates, and disconnect from a control node for the same reasons as real agents. They apply updates at once, since
+//! they have no proxies, and they do not gossip.
 
 use crate::fleet_data::proxy_addr;
 use crate::fleet_size::zone;
@@ -18,23 +18,23 @@
 
 const STACK_BYTES: usize = 256 << 10;
 const READ_BUFFER_BYTES: usize = 4 << 10;
-// The times of a real agent.
+// The timeouts and intervals are those of a real agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-const RECONNECT_PAUSE: Duration = Duration::from_millis(60);
+const RECONNECT_DELAY: Duration = Duration::from_millis(60);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// Until the first answer that tells what a majority holds.
+/// The heartbeat interval until the first report of what a majority holds.
 const FIRST_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(60);
-/// A control node that sends nothing for so long is left.
+/// The agent disconnects from a control node that sends nothing for this long.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1100);
-/// A control node that has not reached a majority for so long is left.
-const STALE_AFTER: Duration = Duration::from_millis(1300);
-/// An agent reconnects for a missed update at most this often.
-const UPDATE_GAP_INTERVAL: Duration = Duration::from_secs(1);
-/// How often it is looked which agents have something to do.
-const TICK: Duration = Duration::from_millis(5);
-/// The kind of frames that are no updates. Updates have the kinds of their sections, which are lower.
+/// The agent disconnects from a control node that has not reached a majority for this long.
+const STALE_TIMEOUT: Duration = Duration::from_millis(1300);
+/// The minimum interval between two disconnects of an agent because of missed updates.
+const MIN_UPDATE_GAP_INTERVAL: Duration = Duration::from_secs(1);
+/// The interval at which all agents are checked for due heartbeats and timeouts.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// The kind of frames that are not updates. The kinds of updates are those of their sections, which are lower.
 pub const HEARTBEAT_KIND: usize = SECTION_KINDS;
-/// Kinds of frames.
+/// The number of frame kinds.
 pub const FRAME_KINDS: usize = SECTION_KINDS + 1;
 
 /// The state that an agent has applied.
@@ -42,11 +42,11 @@
 pub struct AppliedState {
     /// The version of the configuration.
     pub config_version: u32,
-    /// When that version was received.
+    /// The time at which that version was received.
     pub config_received_at: Option<Instant>,
-    /// Proxies that are ready.
+    /// The number of ready proxies.
     pub ready_proxies: usize,
-    /// Servers that drain.
+    /// The number of draining servers.
     pub draining_servers: usize,
 }
 
@@ -73,7 +73,7 @@
     stream: Option<Arc<TcpStream>>,
     connected_at: Option<Instant>,
     received_at: Option<Instant>,
-    /// As of when a majority of control held nothing newer.
+    /// The latest time as of which a majority of control held nothing newer.
     confirmed_as_of: Option<Instant>,
     update_gap_at: Option<Instant>,
     heartbeat_sent_at: Option<Instant>,
@@ -84,32 +84,32 @@
 impl Session {
     fn disconnect(&self) {
         if let Some(stream) = &self.stream {
-            // The control node may have closed it already.
+            // Ignores the error: the control node may have closed the connection already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// What all agents of a fleet count together.
+/// Counters shared by all agents of a fleet.
 #[derive(Default)]
 pub struct FleetCounters {
-    /// Bytes received, by the kind of frame.
+    /// Bytes received, by frame kind.
     pub received_bytes: [AtomicU64; FRAME_KINDS],
-    /// Frames received, by their kind.
+    /// Frames received, by kind.
     pub received_frames: [AtomicU64; FRAME_KINDS],
     /// Bytes sent.
     pub sent_bytes: AtomicU64,
     /// Connections opened.
     pub connections: AtomicU64,
-    /// Connections ended because nothing was received.
+    /// Connections closed because nothing was received within the timeout.
     pub silence_timeouts: AtomicU32,
-    /// Connections ended because the control node had no majority.
+    /// Connections closed because the control node did not reach a majority.
     pub stale_disconnects: AtomicU32,
-    /// Connections ended because an update was missed.
+    /// Connections closed because an update was missed.
     pub update_gaps: AtomicU32,
 }
 
-/// Counts the bytes that are read.
+/// A reader that counts the bytes read.
 struct CountingReader<'s> {
     reader: BufReader<&'s TcpStream>,
     bytes: u64,
@@ -126,33 +126,33 @@
 /// A simulated agent.
 pub struct SimulatedAgent {
     number: usize,
-    /// Heartbeats tell times since then.
+    /// The reference point of the timestamps in heartbeats.
     epoch: Instant,
     session: Mutex<Session>,
-    /// Whether it is running; a stopped one has no connection.
+    /// Whether the agent is running. A stopped agent does not connect.
     is_running: AtomicBool,
     counters: Arc<FleetCounters>,
 }
 
 impl SimulatedAgent {
-    /// The state that it has applied.
+    /// Returns the state that the agent has applied.
     pub fn applied(&self) -> AppliedState {
         lock(&self.session).applied
     }
 
-    /// Whether it is connected to a control node that reaches a majority.
+    /// Whether the agent is connected to a control node that reaches a majority.
     pub fn is_connected(&self) -> bool {
         let session = lock(&self.session);
-        let is_confirmed = |at: Instant| at.elapsed() < STALE_AFTER;
+        let is_confirmed = |at: Instant| at.elapsed() < STALE_TIMEOUT;
         session.stream.is_some() && session.confirmed_as_of.is_some_and(is_confirmed)
     }
 
-    /// Starts it without any state.
+    /// Starts the agent without any state.
     pub fn start(&self) {
         self.is_running.store(true, Relaxed);
     }
 
-    /// Stops it. It forgets its state.
+    /// Stops the agent and discards its state.
     pub fn stop(&self) {
         self.is_running.store(false, Relaxed);
         let mut session = lock(&self.session);
@@ -160,15 +160,15 @@
         *session = Session::default();
     }
 
-    /// Connects to the next control node whenever a connection ends.
-    fn stay_connected(&self, control_nodes: &[SocketAddr]) {
+    /// Connects to the control nodes in turn, to the next one whenever a connection ends.
+    fn run_connections(&self, control_nodes: &[SocketAddr]) {
         let mut next = self.number;
         loop {
             if self.is_running.load(Relaxed) {
                 self.run_session(control_nodes[next % control_nodes.len()]);
                 next += 1;
             }
-            sleep(RECONNECT_PAUSE);
+            sleep(RECONNECT_DELAY);
         }
     }
 
@@ -176,12 +176,12 @@
         let Ok(stream) = TcpStream::connect_timeout(&control_node, CONNECT_TIMEOUT) else {
             return;
         };
-        // A connection that does not take the options only shows other figures.
+        // Socket options are best effort: a failure only affects the figures.
         let _ = stream.set_nodelay(true);
         let _ = stream.set_write_timeout(Some(SILENCE_TIMEOUT));
         let stream = Arc::new(stream);
         self.counters.connections.fetch_add(1, Relaxed);
-        // Before the thread that sends heartbeats has the connection: the hello has to come first.
+        // Sent before the heartbeat thread can use the connection: the hello must be the first message.
         self.send_on(&stream, self.hello());
         self.on_connected(stream.clone());
         let mut reader = CountingReader {
@@ -252,24 +252,24 @@
                 decided,
                 ..
             } => {
-                let asked_at = self.epoch + Duration::from_millis(sent_at_ms);
-                let as_of = asked_at.checked_sub(Duration::from_millis(age_ms.into()));
+                let requested_at = self.epoch + Duration::from_millis(sent_at_ms);
+                let as_of = requested_at.checked_sub(Duration::from_millis(age_ms.into()));
                 self.on_majority_report(decided, as_of, now);
             }
             FromControl::Heartbeat { .. } | FromControl::Resync => {}
         }
     }
 
-    /// A majority of control held nothing newer than `decided` at `as_of`.
+    /// Handles the report that a majority of control held nothing newer than `decided` at `as_of`.
     fn on_majority_report(&self, decided: StateDigest, as_of: Option<Instant>, now: Instant) {
         let mut session = lock(&self.session);
         if decided.revision.config <= session.applied.config_version {
-            // The digest of what a proxy would have applied, without a proxy.
+            // There is no proxy to compute a digest of its applied state, so the decided digest is reported.
             session.digest = decided;
             session.confirmed_as_of = session.confirmed_as_of.max(as_of);
             return;
         }
-        let is_due = |at: Instant| at.elapsed() >= UPDATE_GAP_INTERVAL;
+        let is_due = |at: Instant| at.elapsed() >= MIN_UPDATE_GAP_INTERVAL;
         if session.update_gap_at.is_none_or(is_due) {
             session.update_gap_at = Some(now);
             self.counters.update_gaps.fetch_add(1, Relaxed);
@@ -277,20 +277,21 @@
         }
     }
 
-    /// Ends a connection that is of no use, and sends a heartbeat when it is due.
+    /// Closes a silent or stale connection, or sends a heartbeat if one is due.
     fn tick(&self) {
         if let Some(heartbeat) = self.due_heartbeat(Instant::now()) {
             self.send(heartbeat);
         }
     }
 
+    /// Returns the next heartbeat if it is due. Closes the connection instead if it is silent or stale.
     fn due_heartbeat(&self, now: Instant) -> Option<ToControl> {
         let mut session = lock(&self.session);
         session.stream.as_ref()?;
-        let is_over = |at: Option<Instant>, limit: Duration| at.is_none_or(|at| now - at > limit);
-        let is_silent = is_over(session.received_at, SILENCE_TIMEOUT);
-        let is_stale = is_over(session.connected_at, STALE_AFTER)
-            && is_over(session.confirmed_as_of, STALE_AFTER);
+        let is_older = |at: Option<Instant>, limit: Duration| at.is_none_or(|at| now - at > limit);
+        let is_silent = is_older(session.received_at, SILENCE_TIMEOUT);
+        let is_stale = is_older(session.connected_at, STALE_TIMEOUT)
+            && is_older(session.confirmed_as_of, STALE_TIMEOUT);
         if is_silent || is_stale {
             let counter = if is_silent {
                 &self.counters.silence_timeouts
@@ -307,7 +308,7 @@
         } else {
             FIRST_HEARTBEAT_INTERVAL
         };
-        if !is_over(session.heartbeat_sent_at, interval) {
+        if !is_older(session.heartbeat_sent_at, interval) {
             return None;
         }
         session.heartbeat_sent_at = Some(now);
@@ -319,10 +320,10 @@
     }
 }
 
-/// Creates that many agents, none of them started yet.
+/// Creates `count` agents and their threads. The agents do not connect until they are started.
 ///
 /// # Errors
-/// A thread cannot be started.
+/// Returns an error if a thread cannot be started.
 pub fn spawn_agents(
     count: usize,
     control_nodes: &[SocketAddr],
@@ -338,16 +339,16 @@
             is_running: AtomicBool::new(false),
             counters: counters.clone(),
         });
-        let (connecting, control_nodes) = (agent.clone(), control_nodes.to_vec());
+        let (connector, control_nodes) = (agent.clone(), control_nodes.to_vec());
         spawn("agent", STACK_BYTES, move || {
-            connecting.stay_connected(&control_nodes)
+            connector.run_connections(&control_nodes)
         })?;
         agents.push(agent);
     }
-    let ticking = agents.clone();
+    let ticked_agents = agents.clone();
     spawn("agent-ticks", STACK_BYTES, move || loop {
-        ticking.iter().for_each(|agent| agent.tick());
-        sleep(TICK);
+        ticked_agents.iter().for_each(|agent| agent.tick());
+        sleep(TICK_INTERVAL);
     })?;
     Ok(agents)
 }
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/mod.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Real control processes with a fleet of simulated agents: what control costs by the number of agents and by the size
-//! of the decided state, while nothing happens, at a change and at a restart.
+//! Benchmarks of real control processes with a fleet of simulated agents: the cost of control by the number of agents
+//! and by the size of the decided state, while idle, on changes and on restarts.
 
 pub mod agent;
 pub mod plan;
@@ -28,28 +28,28 @@
 use traffic::{Servers, Traffic};
 use usage::status_mb;
 
-/// How long anything is waited for.
-const WAIT_LIMIT: Duration = Duration::from_secs(30);
+/// The maximum time to wait for any condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(3);
-const OPERATOR_RETRY_PAUSE: Duration = Duration::from_millis(200);
+const OPERATOR_RETRY_DELAY: Duration = Duration::from_millis(200);
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(1);
 const LOOKUPS: usize = 500;
-/// The kernel counts processor time in hundredths of a second: a short piece of work is observed for some time.
+/// The additional time for which short operations are observed, since the kernel counts CPU time in units of 10 ms.
 const ACCOUNTING_TIME: Duration = Duration::from_secs(1);
-/// Until what follows from an event is over.
+/// The time after which the effects of an event are assumed to be complete.
 const SETTLING_TIME: Duration = Duration::from_secs(2);
-/// Runs of each rate of traffic.
+/// The number of runs per traffic rate.
 const TRAFFIC_RUNS: usize = 2;
 const MESSAGE_LIMITS: MessageLimits = MessageLimits {
     head_bytes: 8 << 10,
     body_bytes: 32 << 20,
 };
 
-/// Runs the simulated fleet, and prints its figures.
+/// Runs the simulated fleet and prints its figures.
 ///
 /// # Errors
-/// A part of the fleet cannot be started.
+/// Returns [`BenchmarkError`] if a part of the fleet cannot be started.
 pub fn run(plan: &Plan) -> Result<(), BenchmarkError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -57,13 +57,13 @@
         .build()
         .map_err(BenchmarkError::Runtime)?;
     runtime.block_on(async {
-        let folder = tempfile::tempdir().map_err(BenchmarkError::TemporaryFolder)?;
-        let processes = Processes::prepare(plan, folder.path()).await?;
+        let directory = tempfile::tempdir().map_err(BenchmarkError::TemporaryDirectory)?;
+        let processes = Processes::prepare(plan, directory.path()).await?;
         Simulation::new(plan, processes)?.run().await
     })
 }
 
-/// The fleet, and what happens to it.
+/// The simulated fleet and its processes.
 struct Simulation<'p> {
     plan: &'p Plan,
     size: FleetSize,
@@ -71,24 +71,24 @@
     agents: Vec<Arc<SimulatedAgent>>,
     counters: Arc<FleetCounters>,
     platform: Arc<Platform>,
-    /// The version of the last configuration.
+    /// The version of the latest configuration.
     version: u32,
 }
 
-/// How a configuration was acknowledged.
+/// The acknowledgement of a configuration by control.
 struct Acknowledgement {
-    /// From the first call, seconds.
+    /// The time since the first call, in seconds.
     total_s: f64,
-    /// From the call that was acknowledged, seconds.
+    /// The time since the call that was acknowledged, in seconds.
     last_call_s: f64,
     calls: usize,
 }
 
-/// Waits until the condition holds. Returns how long that took in seconds, or none if it took too long.
+/// Waits until the condition holds. Returns the elapsed time in seconds, or `None` after [`WAIT_TIMEOUT`].
 fn wait_until(condition: impl Fn() -> bool) -> Option<f64> {
     let started_at = Instant::now();
     while !condition() {
-        if started_at.elapsed() > WAIT_LIMIT {
+        if started_at.elapsed() > WAIT_TIMEOUT {
             return None;
         }
         sleep(POLL_INTERVAL);
@@ -135,17 +135,18 @@
             node.start()?;
         }
         thread_guard::start(&self.processes.control_nodes);
-        self.first_configuration();
-        for member in &mut self.processes.limiters {
-            member.start()?;
+        self.set_first_config();
+        for process in &mut self.processes.limiters {
+            process.start()?;
         }
         let is_complete = self.start_agents();
         self.observe_idle("hollow.calm");
         if !is_complete {
-            // A fleet that did not come up shows nothing more, and its connections take the machine's threads.
+            // Further figures of an incomplete fleet are meaningless, and its connection attempts occupy threads of the
+            // machine.
             return Ok(());
         }
-        self.look_up();
+        self.measure_lookups();
         self.send_traffic()?;
         self.change_configuration();
         self.drain_server();
@@ -155,7 +156,7 @@
         Ok(())
     }
 
-    fn first_configuration(&mut self) {
+    fn set_first_config(&mut self) {
         let acknowledgement = self.set_config();
         let acknowledgement = acknowledgement.as_ref();
         self.figure("hollow.first")
@@ -165,25 +166,26 @@
             .print();
     }
 
-    /// Sends the next version until it is acknowledged.
+    /// Sends the next version to the control nodes in turn until one acknowledges it. Returns `None` after
+    /// [`WAIT_TIMEOUT`].
     fn set_config(&mut self) -> Option<Acknowledgement> {
         self.version += 1;
         let text = config_text(&self.size, self.plan.services, self.version);
         let (started_at, mut calls) = (Instant::now(), 0);
-        while started_at.elapsed() < WAIT_LIMIT {
+        while started_at.elapsed() < WAIT_TIMEOUT {
             let node = (calls + self.version as usize) % self.plan.control_nodes;
             calls += 1;
-            let call_at = Instant::now();
+            let call_started_at = Instant::now();
             let mut client = HttpClient::new(operator_addr(node), MESSAGE_LIMITS);
-            let answer = client.call("POST", "/api/Cfg.Set", text.as_bytes(), OPERATOR_TIMEOUT);
-            if answer.is_ok_and(|a| a.status == 200) {
+            let response = client.call("POST", "/api/Cfg.Set", text.as_bytes(), OPERATOR_TIMEOUT);
+            if response.is_ok_and(|r| r.status == 200) {
                 return Some(Acknowledgement {
                     total_s: started_at.elapsed().as_secs_f64(),
-                    last_call_s: call_at.elapsed().as_secs_f64(),
+                    last_call_s: call_started_at.elapsed().as_secs_f64(),
                     calls,
                 });
             }
-            sleep(OPERATOR_RETRY_PAUSE);
+            sleep(OPERATOR_RETRY_DELAY);
         }
         None
     }
@@ -200,7 +202,7 @@
         self.all_agents(SimulatedAgent::is_connected)
     }
 
-    /// Starts all agents. Returns whether each of them connected and got the configuration.
+    /// Starts all agents. Returns whether all of them connected and received the configuration.
     fn start_agents(&self) -> bool {
         let usage_before = self.usage();
         for agent in &self.agents {
@@ -213,7 +215,7 @@
         let know_all =
             wait_until(|| self.all_agents(|agent| agent.applied().ready_proxies >= count));
         let since_start =
-            |further: Option<f64>| have_config.zip(further).map(|(first, more)| first + more);
+            |later: Option<f64>| have_config.zip(later).map(|(first, later)| first + later);
         sleep(ACCOUNTING_TIME);
         self.figure("hollow.greeting")
             .with("every_ms", self.plan.agent_start_interval_ms)
@@ -232,21 +234,21 @@
         self.print_usage(name, &usage_before);
     }
 
-    /// Clients look up proxies at the first control node.
-    fn look_up(&self) {
+    /// Measures proxy lookups by clients at the first control node.
+    fn measure_lookups(&self) {
         let usage_before = self.usage();
         let mut client = HttpClient::new(lookup_addr(0), MESSAGE_LIMITS);
         let (mut times, mut answered) = (Vec::new(), 0);
         for number in 0..LOOKUPS {
             let (region, zone) = (region(number), zone(number));
             let path = format!("/api/lookup?name=a.example&geo={region}&az={zone}");
-            let call_at = Instant::now();
-            let answer = client.call("GET", &path, b"", LOOKUP_TIMEOUT);
-            times.push(call_at.elapsed().as_secs_f64() * 1000.0);
-            answered += usize::from(answer.is_ok_and(|a| a.status == 200));
+            let call_started_at = Instant::now();
+            let response = client.call("GET", &path, b"", LOOKUP_TIMEOUT);
+            times.push(call_started_at.elapsed().as_secs_f64() * 1000.0);
+            answered += usize::from(response.is_ok_and(|r| r.status == 200));
         }
         let times = Samples::new(times);
-        // Includes whatever else the node did meanwhile.
+        // Includes all other work of the node during the lookups.
         let cpu_s = self.usage().control_cpu_s(0) - usage_before.control_cpu_s(0);
         self.figure("hollow.look_up")
             .with("asked", LOOKUPS)
@@ -257,7 +259,7 @@
             .print();
     }
 
-    /// Requests through the first real limiter, and directly to a server.
+    /// Sends requests through the first real limiter and, for comparison, directly to a server.
     fn send_traffic(&self) -> Result<(), BenchmarkError> {
         let Some(proxy) = self.processes.proxies().next() else {
             return Ok(());
@@ -300,7 +302,7 @@
             let acknowledgement = self.set_config();
             let acknowledged_at = Instant::now();
             let version = self.version;
-            let all_have_it = wait_until(|| self.all_have_config(version));
+            let all_received = wait_until(|| self.all_have_config(version));
             let limiters_applied = self.wait_for_limiters(version);
             let delay = |agent: &Arc<SimulatedAgent>| {
                 let received_at = agent.applied().config_received_at?;
@@ -314,7 +316,7 @@
                 .seconds("acknowledged_s", acknowledgement.map(|a| a.total_s))
                 .with("calls", acknowledgement.map_or(0, |a| a.calls))
                 .seconds("last_call_s", acknowledgement.map(|a| a.last_call_s))
-                .seconds("all_hold_s", all_have_it)
+                .seconds("all_hold_s", all_received)
                 .number("half_hold_s", delays.median())
                 .with("whole_applied_s", limiters_applied)
                 .with("disk_bytes", self.processes.database_bytes())
@@ -324,7 +326,8 @@
         }
     }
 
-    /// How long it took until the proxies of all real limiters had applied that version.
+    /// Waits until the proxies of all real limiters have applied a version. Returns the value of the figure: the
+    /// elapsed time in seconds, `never`, or `none` if there are no real limiters.
     fn wait_for_limiters(&self, version: u32) -> String {
         if self.plan.limiters == 0 {
             return "none".into();
@@ -338,7 +341,7 @@
         applied.map_or("never".into(), |s| format!("{s:.3}"))
     }
 
-    /// One server begins to drain, and comes back.
+    /// Sets one server to draining and back to in service.
     fn drain_server(&self) {
         for draining in [true, false] {
             let usage_before = self.usage();
@@ -356,7 +359,7 @@
         }
     }
 
-    /// One agent stops, and is back a second later.
+    /// Stops one agent, and restarts it [`ACCOUNTING_TIME`] after all others have received the change.
     fn restart_agent(&self) {
         let usage_before = self.usage();
         let [restarted, others @ ..] = &*self.agents else {
@@ -376,7 +379,7 @@
         self.print_usage("hollow.restart_one.spent", &usage_before);
     }
 
-    /// A control node is killed, and is back two seconds later.
+    /// Kills a control node, and restarts it [`SETTLING_TIME`] after all agents have reconnected to other nodes.
     async fn restart_control_node(&mut self) -> Result<(), BenchmarkError> {
         let usage_before = self.usage();
         self.processes.control_nodes[0].kill().await;
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/plan.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/plan.rs
@@ -1,63 +1,63 @@
-//! How large a simulated fleet is, and what happens to it: the options of the command line.
+//! Command-line options of the simulated fleet: its size and the events of a run.
 
 use crate::fleet_size::FleetSize;
 use bpaf::Bpaf;
 
-/// How large the fleet is, and what happens to it
+/// Size of the fleet and events of the run
 #[derive(Clone, Debug, Bpaf)]
 pub struct Plan {
-    /// Control processes
+    /// Number of control processes
     #[bpaf(long("controls"), argument("N"), fallback(4))]
     pub control_nodes: usize,
-    /// Disks that may be lost at once, as the settings tell control
+    /// Number of simultaneous disk losses that control must tolerate
     #[bpaf(long("losses"), argument("N"), fallback(1))]
     pub tolerated_losses: usize,
-    /// Simulated agents
+    /// Number of simulated agents
     #[bpaf(long("agents"), argument("N"), fallback(30))]
     pub agents: usize,
-    /// Real limiters beside them: a proxy process and its agent process each
+    /// Number of additional real limiters, each a proxy process and an agent process
     #[bpaf(long("whole"), argument("N"), fallback(0))]
     pub limiters: usize,
-    /// Bandwidth from each real limiter to control, Mbit/s; 0: as much as loopback has
+    /// Bandwidth between each real limiter and control in Mbit/s; 0 for unlimited
     #[bpaf(long("mbps"), argument("MBIT"), fallback(0.0))]
     pub bandwidth_mbps: f64,
-    /// Servers of all services
+    /// Number of servers over all services
     #[bpaf(long("servers"), argument("N"), fallback(230))]
     pub servers: usize,
-    /// Services
+    /// Number of services
     #[bpaf(long("services"), argument("N"), fallback(16))]
     pub services: usize,
-    /// Routes of the configuration
+    /// Number of routes in the configuration
     #[bpaf(long("routes"), argument("N"), fallback(100))]
     pub routes: usize,
-    /// Tenants of the configuration
+    /// Number of tenants in the configuration
     #[bpaf(long("tenants"), argument("N"), fallback(500))]
     pub tenants: usize,
-    /// One-way delay between control processes, milliseconds
+    /// One-way delay between control processes in milliseconds
     #[bpaf(long("delay-ms"), argument("MS"), fallback(0.0))]
     pub control_delay_ms: f64,
-    /// From the call for a page to its answer at the platform, milliseconds
+    /// Response delay of the platform for a page of the server list in milliseconds
     #[bpaf(long("page-ms"), argument("MS"), fallback(1))]
     pub page_delay_ms: u64,
-    /// The platform's rate limit, calls a second
+    /// Rate limit of the platform in calls per second
     #[bpaf(long("rate"), argument("N"), fallback(300.0))]
     pub platform_calls_per_s: f64,
-    /// Between the starts of two agents, milliseconds; 0: all at once, as after a loss of everything
+    /// Interval between agent starts in milliseconds; 0 to start all at once, as after a complete outage
     #[bpaf(long("every-ms"), argument("MS"), fallback(0))]
     pub agent_start_interval_ms: u64,
-    /// For how long the idle fleet is observed, and each rate of traffic sent, seconds
+    /// Duration of each idle observation and of each traffic run in seconds
     #[bpaf(long("seconds"), argument("S"), fallback(8))]
     pub seconds: u64,
-    /// Requests a second through the first real limiter, one run each, separated by commas
+    /// Comma-separated traffic rates through the first real limiter in requests per second
     #[bpaf(long("traffic"), argument("RATES"), fallback("67,300".into()))]
     pub traffic_rates: String,
-    /// Changes of the configuration
+    /// Number of configuration changes
     #[bpaf(long("changes"), argument("N"), fallback(5))]
     pub changes: u32,
 }
 
 impl Plan {
-    /// The size of the fleet.
+    /// Returns the size of the fleet.
     pub fn size(&self) -> FleetSize {
         FleetSize {
             limiters: self.agents,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The rates of traffic, requests a second. What is not a positive number is left out.
+    /// Returns the traffic rates in requests per second. Values that are not positive numbers are ignored.
     pub(super) fn traffic_rates(&self) -> impl Iterator<Item = f64> + '_ {
         let rates = self.traffic_rates.split(',');
         rates
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/platform.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/platform.rs
@@ -1,5 +1,5 @@
-//! A simulated platform: it answers calls for pages of its server list after a delay, within a rate limit that all
-//! callers share. Single servers can be made to drain.
+//! A simulated platform. It serves pages of its server list after a delay and under a rate limit shared by all callers.
+//! Servers can be set to draining.
 
 use crate::fleet_data::{server_page, SERVERS_PER_PAGE};
 use aspendrum_model::servers::ServerInstance;
@@ -20,24 +20,24 @@
 };
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The rate limit of the platform's calls: a token bucket that holds the calls of a second.
-struct CallLimit {
+/// The rate limit of calls: a token bucket with a capacity of one second's calls.
+struct CallLimiter {
     calls_per_s: f64,
     tokens: f64,
     updated_at: Instant,
 }
 
-impl CallLimit {
-    fn new(calls_per_s: f64) -> CallLimit {
-        CallLimit {
+impl CallLimiter {
+    fn new(calls_per_s: f64) -> CallLimiter {
+        CallLimiter {
             calls_per_s,
             tokens: calls_per_s,
             updated_at: Instant::now(),
         }
     }
 
-    /// Whether a call is allowed now.
-    fn take(&mut self) -> bool {
+    /// Takes a token. Returns whether the call is allowed.
+    fn try_acquire(&mut self) -> bool {
         let now = Instant::now();
         let elapsed = now.saturating_duration_since(self.updated_at);
         let refilled = self.tokens + self.calls_per_s * elapsed.as_secs_f64();
@@ -51,28 +51,28 @@
     }
 }
 
-/// What the platform has counted.
+/// Counters of the platform.
 #[derive(Default)]
 pub(super) struct PlatformCounters {
     pub(super) calls: AtomicU64,
     pub(super) rejected: AtomicU64,
     pub(super) sent_bytes: AtomicU64,
-    /// Complete lists: their last pages.
+    /// Complete lists sent, counted by their last pages.
     pub(super) lists: AtomicU64,
 }
 
 /// The simulated platform.
 pub(super) struct Platform {
     servers: Mutex<Vec<ServerInstance>>,
-    /// The server list as it is sent.
+    /// The encoded pages of the server list.
     pages: Mutex<Vec<Vec<u8>>>,
-    call_limit: Mutex<CallLimit>,
+    call_limiter: Mutex<CallLimiter>,
     delay: Duration,
     pub(super) counters: PlatformCounters,
 }
 
 impl Platform {
-    /// Listens at that address. `delay`: from the call for a page to its answer.
+    /// Starts a platform that listens on `addr` and delays each page by `delay`.
     pub(super) fn start(
         addr: SocketAddrV4,
         servers: Vec<ServerInstance>,
@@ -82,7 +82,7 @@
         let platform = Arc::new(Platform {
             pages: Mutex::new(pages(&servers)),
             servers: Mutex::new(servers),
-            call_limit: Mutex::new(CallLimit::new(calls_per_s)),
+            call_limiter: Mutex::new(CallLimiter::new(calls_per_s)),
             delay,
             counters: PlatformCounters::default(),
         });
@@ -92,14 +92,16 @@
             idle_timeout: IDLE_TIMEOUT,
             worker_idle_timeout: IDLE_TIMEOUT,
         };
-        let answering = platform.clone();
-        http_server::listen(addr, options, move |request| answering.answer(&request))?;
+        let handler = platform.clone();
+        http_server::listen(addr, options, move |request| {
+            handler.handle_request(&request)
+        })?;
         Ok(platform)
     }
 
-    fn answer(&self, request: &Request) -> Reply {
+    fn handle_request(&self, request: &Request) -> Reply {
         self.counters.calls.fetch_add(1, Relaxed);
-        if !lock(&self.call_limit).take() {
+        if !lock(&self.call_limiter).try_acquire() {
             self.counters.rejected.fetch_add(1, Relaxed);
             return Reply::plain(429);
         }
@@ -116,7 +118,7 @@
         Reply::json(body)
     }
 
-    /// Whether the server of that number drains from now on.
+    /// Sets whether a server is draining.
     pub(super) fn set_draining(&self, number: usize, draining: bool) {
         let mut servers = lock(&self.servers);
         if let Some(server) = servers.get_mut(number) {
@@ -126,7 +128,7 @@
     }
 }
 
-/// The token of a page is the number of its first server.
+/// Returns the index of the requested page. The token of a page contains the number of its first server.
 fn requested_page(query: &str) -> usize {
     let first_server = query_parameter(query, "page-tok")
         .and_then(|token| token.strip_prefix("p-")?.parse::<usize>().ok())
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/processes.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/processes.rs
@@ -1,5 +1,4 @@
-//! Real control processes, and real limiters where wanted, with fault proxies between them that count bytes and delay
-//! them.
+//! Real control processes and optional real limiters, with fault proxies between them that count and delay the traffic.
 
 use super::plan::Plan;
 use crate::error::BenchmarkError;
@@ -19,46 +18,46 @@
 const READINESS_PORT: u16 = 28_203;
 const PLATFORM_PORT: u16 = 28_205;
 const FAULT_PROXY_IP: Ipv4Addr = Ipv4Addr::new(127, 60, 3, 1);
-/// Control nodes that the settings name as seeds, at most.
+/// The maximum number of control nodes listed as seeds in the settings.
 const MAX_SEEDS: usize = 3;
-/// The number of a [`Relay`]'s fault.
-const DELAY_FAULT: u32 = 1;
-/// Bytes that a [`Relay`] reads at once; after each chunk it waits for its delay.
+/// The identifier of the delay among the faults of a [`Relay`].
+const DELAY_FAULT_ID: u32 = 1;
+/// The maximum number of bytes that a [`Relay`] reads at once. It applies its delay to each chunk.
 const RELAY_CHUNK_BYTES: f64 = 16_384.0;
 
 const CONTROL: &str = "aspendrum-control";
 const PROXY: &str = "aspendrum-proxy";
 const AGENT: &str = "aspendrum-agent";
 
-/// A process of the system.
-pub(super) struct Member {
+/// A process of the system under test.
+pub(super) struct SystemProcess {
     pub(super) name: String,
     program: Program,
     settings: PathBuf,
-    folder: PathBuf,
+    directory: PathBuf,
     process: Option<Process>,
 }
 
-impl Member {
-    /// Writes the settings of a process.
+impl SystemProcess {
+    /// Writes the settings of a process without starting it.
     fn new(
         program: &str,
         name: String,
         settings: &Value,
-        folder: &Path,
-    ) -> Result<Member, BenchmarkError> {
+        directory: &Path,
+    ) -> Result<SystemProcess, BenchmarkError> {
         let program = Program::system(program).map_err(BenchmarkError::Programs)?;
-        let file = folder.join(format!("{name}.json"));
+        let file = directory.join(format!("{name}.json"));
         let write_error = |source| BenchmarkError::WriteSettings {
             process: name.clone(),
             source,
         };
         std::fs::write(&file, settings.to_string()).map_err(write_error)?;
-        Ok(Member {
+        Ok(SystemProcess {
             name,
             program,
             settings: file,
-            folder: folder.to_path_buf(),
+            directory: directory.to_path_buf(),
             process: None,
         })
     }
@@ -79,49 +78,49 @@
         }
     }
 
-    /// The id of the process, while it is up.
+    /// Returns the process ID if the process is running.
     pub(super) fn process_id(&self) -> Option<i32> {
         self.process.as_ref().map(Process::id)
     }
 
-    /// A value of the process' status page, in kB or a count; none of a process that is down.
+    /// Returns a value of the process's `/proc` status, in kB or as a count, or `None` if the process is not running.
     pub(super) fn status(&self, key: &str) -> Option<u64> {
         process_status(self.process_id()?, key)
     }
 
     pub(super) fn open_descriptors(&self) -> usize {
-        let folder = self.process_id().map(|id| format!("/proc/{id}/fd"));
-        let entries = folder.and_then(|folder| std::fs::read_dir(folder).ok());
+        let directory = self.process_id().map(|id| format!("/proc/{id}/fd"));
+        let entries = directory.and_then(|directory| std::fs::read_dir(directory).ok());
         entries.map_or(0, Iterator::count)
     }
 
-    /// Processor time so far, seconds.
+    /// Returns the CPU time since the start of the process, in seconds.
     pub(super) fn cpu_s(&self) -> f64 {
         let process = self.process.as_ref();
         process.and_then(Process::cpu_seconds).unwrap_or(0.0)
     }
 
-    /// Whether its log contains that text.
+    /// Whether the log of the process contains `text`.
     pub(super) fn has_logged(&self, text: &str) -> bool {
         std::fs::read_to_string(self.log_file()).is_ok_and(|log| log.contains(text))
     }
 
-    /// The size of a control node's database.
+    /// Returns the size of the database of a control node.
     pub(super) fn database_bytes(&self) -> u64 {
-        let file = data_folder(&self.folder, &self.name).join("vault.redb");
+        let file = data_directory(&self.directory, &self.name).join("vault.redb");
         std::fs::metadata(file).map_or(0, |metadata| metadata.len())
     }
 
     fn log_file(&self) -> PathBuf {
-        self.folder.join(format!("{}.log", self.name))
+        self.directory.join(format!("{}.log", self.name))
     }
 }
 
-fn data_folder(folder: &Path, name: &str) -> PathBuf {
-    folder.join(format!("{name}-disk"))
+fn data_directory(directory: &Path, name: &str) -> PathBuf {
+    directory.join(format!("{name}-disk"))
 }
 
-/// A value of a process' status page, in kB or a count.
+/// Returns a value of the `/proc` status of a process, in kB or as a count.
 pub(super) fn process_status(id: i32, key: &str) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let value = text.lines().find_map(|line| line.strip_prefix(key))?;
@@ -129,14 +128,14 @@
     words.next()?.parse().ok()
 }
 
-/// The processes, and the fault proxies between them.
+/// The processes and the fault proxies between them.
 pub(super) struct Processes {
-    pub(super) control_nodes: Vec<Member>,
-    /// The proxy and the agent of each real limiter, one limiter after another.
-    pub(super) limiters: Vec<Member>,
-    /// From control node to control node.
+    pub(super) control_nodes: Vec<SystemProcess>,
+    /// The processes of the real limiters, alternating between proxies and agents.
+    pub(super) limiters: Vec<SystemProcess>,
+    /// Relays between control nodes.
     control_relays: Vec<Relay>,
-    /// From real limiters to control.
+    /// Relays between real limiters and control.
     limiter_relays: Vec<Relay>,
 }
 
@@ -144,32 +143,32 @@
     Ipv4Addr::new(127, 60, 1, number as u8 + 1)
 }
 
-/// Where agents and other control nodes reach a control node.
+/// Returns the address of a control node for agents and other control nodes.
 pub(super) fn control_addr(number: usize) -> SocketAddr {
     (control_ip(number), PORT_RANGE[0]).into()
 }
 
-/// Where operators reach a control node.
+/// Returns the address of a control node for operators.
 pub(super) fn operator_addr(number: usize) -> SocketAddrV4 {
     SocketAddrV4::new(control_ip(number), OPERATOR_PORT)
 }
 
-/// Where clients look up proxies at a control node.
+/// Returns the address of a control node for proxy lookups.
 pub(super) fn lookup_addr(number: usize) -> SocketAddrV4 {
     SocketAddrV4::new(control_ip(number), LOOKUP_PORT)
 }
 
-/// Where the platform is.
+/// Returns the address of the platform.
 pub(super) fn platform_addr() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, 60, 2, 1), PLATFORM_PORT)
 }
 
-/// Where clients reach the real limiter of that number.
+/// Returns the address of a real limiter for clients.
 pub(super) fn limiter_addr(number: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, 60, 20, number as u8 + 1), PROXY_PORT)
 }
 
-/// The zone of a control node: each is in a region of its own, as far as there are regions.
+/// Returns the zone of a control node. The first seven control nodes are in different regions.
 fn control_zone(number: usize) -> usize {
     number * ZONES / REGIONS + number
 }
@@ -182,8 +181,8 @@
             delay_ms,
             ..Fault::default()
         };
-        relay.forward.set_fault(DELAY_FAULT, fault);
-        relay.backward.set_fault(DELAY_FAULT, fault);
+        relay.forward.set_fault(DELAY_FAULT_ID, fault);
+        relay.backward.set_fault(DELAY_FAULT_ID, fault);
     }
     Ok(relay)
 }
@@ -193,19 +192,19 @@
     relays.iter().map(bytes).sum()
 }
 
-/// What is special to the settings of one process.
-struct OwnSettings {
+/// The settings that are specific to one process.
+struct ProcessSettings {
     node: Value,
     zone: usize,
     binds: Value,
-    /// Where to connect to instead of an address.
+    /// Maps addresses to the addresses to connect to instead.
     address_overrides: Map<String, Value>,
 }
 
-fn settings(plan: &Plan, own: OwnSettings) -> Value {
-    let mut node = own.node;
-    node["az"] = zone(own.zone).into();
-    node["geo"] = region(own.zone).into();
+fn settings(plan: &Plan, specific: ProcessSettings) -> Value {
+    let mut node = specific.node;
+    node["az"] = zone(specific.zone).into();
+    node["geo"] = region(specific.zone).into();
     let seeds: Vec<SocketAddrV4> = (0..plan.control_nodes.min(MAX_SEEDS))
         .map(operator_addr)
         .collect();
@@ -213,11 +212,11 @@
     json!({
         "self": node,
         "net": {
-            "binds": own.binds,
+            "binds": specific.binds,
             "port-range": PORT_RANGE,
             "seeds": seeds,
             "zones": zones,
-            "ways": own.address_overrides,
+            "ways": specific.address_overrides,
         },
         "plat": {"cloud-api": {
             "addr": platform_addr(),
@@ -236,8 +235,11 @@
 }
 
 impl Processes {
-    /// Builds the programs, writes the settings and starts the fault proxies; starts no process.
-    pub(super) async fn prepare(plan: &Plan, folder: &Path) -> Result<Processes, BenchmarkError> {
+    /// Builds the programs, writes the settings and starts the fault proxies, but no processes.
+    pub(super) async fn prepare(
+        plan: &Plan,
+        directory: &Path,
+    ) -> Result<Processes, BenchmarkError> {
         build(&[PROXY, AGENT, CONTROL]).map_err(BenchmarkError::Programs)?;
         let mut processes = Processes {
             control_nodes: Vec::new(),
@@ -246,10 +248,10 @@
             limiter_relays: Vec::new(),
         };
         for number in 0..plan.control_nodes {
-            processes.add_control_node(plan, folder, number).await?;
+            processes.add_control_node(plan, directory, number).await?;
         }
         for number in 0..plan.limiters {
-            processes.add_limiter(plan, folder, number).await?;
+            processes.add_limiter(plan, directory, number).await?;
         }
         Ok(processes)
     }
@@ -257,7 +259,7 @@
     async fn add_control_node(
         &mut self,
         plan: &Plan,
-        folder: &Path,
+        directory: &Path,
         number: usize,
     ) -> Result<(), BenchmarkError> {
         let mut address_overrides = Map::new();
@@ -268,32 +270,32 @@
             self.control_relays.push(relay);
         }
         let name = format!("core-{number}");
-        let own = OwnSettings {
+        let specific = ProcessSettings {
             node: json!({
                 "host-name": name,
                 "ip": control_ip(number),
                 "quorum": true,
                 "init": true,
-                "datadir": data_folder(folder, &name),
+                "datadir": data_directory(directory, &name),
             }),
             zone: control_zone(number),
             binds: json!({"ctl": operator_addr(number), "dir": lookup_addr(number)}),
             address_overrides,
         };
-        let settings = settings(plan, own);
-        let member = Member::new(CONTROL, name, &settings, folder)?;
-        self.control_nodes.push(member);
+        let settings = settings(plan, specific);
+        let process = SystemProcess::new(CONTROL, name, &settings, directory)?;
+        self.control_nodes.push(process);
         Ok(())
     }
 
     async fn add_limiter(
         &mut self,
         plan: &Plan,
-        folder: &Path,
+        directory: &Path,
         number: usize,
     ) -> Result<(), BenchmarkError> {
         let limiter = limiter_addr(number);
-        // Agents listen on 127.0.0.1; several of them on one machine need addresses of their own.
+        // Agents listen on 127.0.0.1 by default. Several agents on one machine need separate addresses.
         let agent_ip = Ipv4Addr::new(127, 60, 21, number as u8 + 1);
         let agent_addr = SocketAddrV4::new(agent_ip, AGENT_PORT).to_string();
         let default_agent_addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, AGENT_PORT).to_string();
@@ -306,7 +308,7 @@
             self.limiter_relays.push(relay);
         }
         let readiness_addr = SocketAddrV4::new(*limiter.ip(), READINESS_PORT);
-        let own = OwnSettings {
+        let specific = ProcessSettings {
             node: json!({
                 "host-name": format!("whole-{number}"),
                 "ip": limiter.ip(),
@@ -316,36 +318,36 @@
             binds: json!({"front": limiter, "readyz": readiness_addr}),
             address_overrides,
         };
-        let settings = settings(plan, own);
-        let proxy = Member::new(PROXY, format!("proxy-{number}"), &settings, folder)?;
-        let agent = Member::new(AGENT, format!("agent-{number}"), &settings, folder)?;
+        let settings = settings(plan, specific);
+        let proxy = SystemProcess::new(PROXY, format!("proxy-{number}"), &settings, directory)?;
+        let agent = SystemProcess::new(AGENT, format!("agent-{number}"), &settings, directory)?;
         self.limiters.extend([proxy, agent]);
         Ok(())
     }
 
-    /// The proxy processes of the real limiters.
-    pub(super) fn proxies(&self) -> impl Iterator<Item = &Member> {
+    /// Returns the proxy processes of the real limiters.
+    pub(super) fn proxies(&self) -> impl Iterator<Item = &SystemProcess> {
         self.limiters.iter().step_by(2)
     }
 
-    /// Bytes that control nodes have sent each other.
+    /// Returns the number of bytes sent between control nodes.
     pub(super) fn control_bytes(&self) -> u64 {
         relayed_bytes(&self.control_relays)
     }
 
-    /// Bytes between real limiters and control.
+    /// Returns the number of bytes sent between real limiters and control.
     pub(super) fn limiter_bytes(&self) -> u64 {
         relayed_bytes(&self.limiter_relays)
     }
 
-    /// The size of the largest database of a control node.
+    /// Returns the size of the largest database among the control nodes.
     pub(super) fn database_bytes(&self) -> u64 {
-        let sizes = self.control_nodes.iter().map(Member::database_bytes);
+        let sizes = self.control_nodes.iter().map(SystemProcess::database_bytes);
         sizes.max().unwrap_or(0)
     }
 }
 
-/// The delay of a chunk that makes up the bandwidth from a real limiter to control.
+/// Returns the delay per chunk that limits a real limiter's connections to the planned bandwidth.
 fn chunk_delay_ms(plan: &Plan) -> f64 {
     if plan.bandwidth_mbps > 0.0 {
         RELAY_CHUNK_BYTES * 8.0 / (plan.bandwidth_mbps * 1000.0)
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/thread_guard.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/thread_guard.rs
@@ -1,20 +1,20 @@
-//! Ends the benchmark when the control processes take too many threads: other programs run on the machine, too.
+//! Terminates the benchmark if the control processes use too many threads, to protect other programs on the machine.
 
-use super::processes::{process_status, Member};
+use super::processes::{process_status, SystemProcess};
 use crate::figure::FigureLine;
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Threads that all control processes together may have. The machine has 32,768 for everything that runs on it.
+/// The maximum number of threads of all control processes together. The machine-wide limit is 32,768.
 const MAX_THREADS: u64 = 10_000;
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const EXIT_CODE: i32 = 3;
 
-/// Watches the processes that are up now.
-pub(super) fn start(control_nodes: &[Member]) {
+/// Starts to monitor the processes that are running now.
+pub(super) fn start(control_nodes: &[SystemProcess]) {
     let ids: Vec<i32> = control_nodes
         .iter()
-        .filter_map(Member::process_id)
+        .filter_map(SystemProcess::process_id)
         .collect();
     std::thread::spawn(move || loop {
         let threads = ids.iter().filter_map(|id| process_status(*id, "Threads"));
@@ -24,7 +24,7 @@
                 .with("threads", threads)
                 .with("ended", true)
                 .print();
-            // The kernel ends the processes that were started here together with this one.
+            // The kernel kills the child processes when this process exits.
             std::process::exit(EXIT_CODE);
         }
         sleep(CHECK_INTERVAL);
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/traffic.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/traffic.rs
@@ -1,5 +1,5 @@
-//! Simulated servers behind a real limiter, and clients in front of it: what the limiter adds to the time of a request,
-//! and what a request costs it. One listener stands for all servers; it answers at once.
+//! Simulated servers and clients of a real limiter, to measure the latency that the limiter adds to a request and the
+//! cost of a request. One listener represents all servers and responds at once.
 
 use crate::figure::FigureLine;
 use crate::fleet_data::SERVER_PORT;
@@ -26,9 +26,9 @@
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 const BODY: [u8; 1500] = [b'x'; 1500];
-/// Clients, each with one kept connection.
+/// The number of clients, each with one keep-alive connection.
 const CLIENTS: usize = 16;
-// Steps that share no factor with the numbers of routes and keys: two requests in a row differ in both.
+// Prime steps that do not divide the numbers of routes and keys: consecutive requests differ in both.
 const ROUTE_STEP: usize = 7919;
 const KEY_STEP: usize = 104_729;
 
@@ -39,7 +39,7 @@
 }
 
 impl Servers {
-    /// Listens for all servers at once.
+    /// Starts a listener that represents all servers.
     pub(super) fn start() -> io::Result<Arc<Servers>> {
         let addr = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, SERVER_PORT);
         let listener = TcpListener::bind(addr)?;
@@ -48,7 +48,7 @@
         spawn("servers", STACK_BYTES, move || {
             while let Ok((stream, _)) = listener.accept() {
                 accepting.connections.fetch_add(1, Relaxed);
-                // Without a thread the connection is closed, and the client counts a failure.
+                // If no thread can be started, the connection is closed and the client sees a failure.
                 let _ = spawn("server", STACK_BYTES, move || serve(&stream));
             }
         })?;
@@ -61,7 +61,7 @@
 }
 
 fn serve(stream: &TcpStream) {
-    // A connection that does not take the options only shows other figures.
+    // Socket options are best effort: a failure only affects the figures.
     let _ = stream.set_nodelay(true);
     let _ = stream.set_read_timeout(Some(SERVER_IDLE_TIMEOUT));
     let mut ring = RingBuffer::new(SERVER_BUFFER_BYTES, MAX_BUFFER_BYTES);
@@ -84,7 +84,7 @@
     }
 }
 
-/// A client's connection and what has been read from it.
+/// A client connection and the buffer of received bytes.
 struct ClientConnection {
     stream: TcpStream,
     ring: RingBuffer,
@@ -102,17 +102,17 @@
     }
 }
 
-/// A client that keeps its connection.
+/// A client that reuses its connection.
 struct Client {
     addr: SocketAddr,
     connection: Option<ClientConnection>,
 }
 
 impl Client {
-    /// Sends a request. Returns the status of the response, if there is one.
+    /// Sends a request. Returns the status of the response, or `None` if there is no valid response.
     fn call(&mut self, request: &[u8]) -> Option<u16> {
         let mut connection = match self.connection.take() {
-            Some(kept) => kept,
+            Some(connection) => connection,
             None => ClientConnection::open(self.addr).ok()?,
         };
         (&connection.stream).write_all(request).ok()?;
@@ -132,13 +132,13 @@
     }
 }
 
-/// The outcome of the requests of a run.
+/// The results of the requests of a run.
 #[derive(Default)]
 pub(super) struct TrafficResult {
     sent: usize,
     served: usize,
     refused: usize,
-    /// From when each served request was due to its response, milliseconds.
+    /// The times from the scheduled send times of served requests to their responses, in milliseconds.
     response_times: Vec<f64>,
     server_connections: u64,
 }
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Prints the line with these figures added.
+    /// Adds the results to the line and prints it.
     pub(super) fn print(self, line: FigureLine) {
         let response_times = Samples::new(self.response_times);
         let connections_per_request = self.server_connections as f64 / self.sent.max(1) as f64;
@@ -170,15 +170,15 @@
     }
 }
 
-/// The requests that a configuration allows, on all of its routes and with the keys of all tenants in turn.
-struct RequestSource {
-    /// Host and path of each route.
+/// Generates valid requests for a configuration, cycling through all routes and the first key of each tenant.
+struct RequestGenerator {
+    /// The host and a path of each route.
     targets: Vec<(String, String)>,
     keys: Vec<String>,
 }
 
-impl RequestSource {
-    fn new(config: &Config) -> RequestSource {
+impl RequestGenerator {
+    fn new(config: &Config) -> RequestGenerator {
         let target = |host: &str, prefix: &str| (host.to_string(), format!("{prefix}x"));
         let mut targets: Vec<(String, String)> = config
             .route_entries()
@@ -186,7 +186,7 @@
             .collect();
         targets.sort();
         let tenants = config.tenants.iter().flatten();
-        RequestSource {
+        RequestGenerator {
             targets,
             keys: tenants.filter_map(|t| t.keys.first().cloned()).collect(),
         }
@@ -204,19 +204,19 @@
 
 /// Requests at a constant rate.
 pub(super) struct Traffic {
-    /// Where they are sent.
+    /// The destination address.
     pub(super) addr: SocketAddr,
-    /// Requests a second.
+    /// The number of requests per second.
     pub(super) rate: f64,
-    /// For how long they are sent.
+    /// The duration of the run.
     pub(super) duration: Duration,
 }
 
 impl Traffic {
-    /// Sends the requests; each is due at its own time, whatever became of those before.
+    /// Sends the requests. The scheduled time of each request does not depend on the results of earlier requests.
     pub(super) fn send(&self, config: &Config, servers: &Servers) -> TrafficResult {
         let connections_before = servers.connections();
-        let requests = RequestSource::new(config);
+        let requests = RequestGenerator::new(config);
         let next_number = AtomicU64::new(0);
         let result = Mutex::new(TrafficResult::default());
         let started_at = Instant::now();
@@ -232,7 +232,7 @@
 
     fn run_client(
         &self,
-        requests: &RequestSource,
+        requests: &RequestGenerator,
         next_number: &AtomicU64,
         started_at: Instant,
         result: &Mutex<TrafficResult>,
@@ -243,14 +243,14 @@
         };
         loop {
             let number = next_number.fetch_add(1, Relaxed);
-            let due_at = started_at + Duration::from_secs_f64(number as f64 / self.rate);
-            if due_at > started_at + self.duration {
+            let scheduled_at = started_at + Duration::from_secs_f64(number as f64 / self.rate);
+            if scheduled_at > started_at + self.duration {
                 return;
             }
-            sleep(due_at.saturating_duration_since(Instant::now()));
+            sleep(scheduled_at.saturating_duration_since(Instant::now()));
             let request = requests.request(number as usize);
             let status = client.call(request.as_bytes());
-            let response_time = due_at.elapsed().as_secs_f64() * 1000.0;
+            let response_time = scheduled_at.elapsed().as_secs_f64() * 1000.0;
             lock(result).record(status, response_time);
         }
     }
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/usage.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/usage.rs
@@ -1,14 +1,14 @@
-//! What the processes and the connections have used, and the difference between two moments.
+//! Resource usage of processes and connections, and its change over time.
 
 use super::agent::{FleetCounters, HEARTBEAT_KIND};
 use super::platform::Platform;
-use super::processes::{Member, Processes};
+use super::processes::{Processes, SystemProcess};
 use super::Simulation;
 use crate::figure::FigureLine;
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Instant;
 
-/// The kinds of frames in figures.
+/// The names of the frame kinds in figures.
 const FRAME_KIND_NAMES: [&str; HEARTBEAT_KIND + 1] = [
     "config",
     "evacuated",
@@ -18,12 +18,12 @@
     "beats",
 ];
 
-/// Counters of the whole fleet at a moment.
+/// A snapshot of the usage counters of the whole fleet.
 pub(super) struct Usage {
     at: Instant,
-    /// Processor time of each control process, seconds.
+    /// CPU time of each control process, in seconds.
     control_cpu_s: Vec<f64>,
-    /// Processor time of each process of real limiters, seconds.
+    /// CPU time of each process of the real limiters, in seconds.
     limiter_cpu_s: Vec<f64>,
     received_bytes: Vec<u64>,
     received_frames: Vec<u64>,
@@ -45,8 +45,16 @@
         let platform = &platform.counters;
         Usage {
             at: Instant::now(),
-            control_cpu_s: processes.control_nodes.iter().map(Member::cpu_s).collect(),
-            limiter_cpu_s: processes.limiters.iter().map(Member::cpu_s).collect(),
+            control_cpu_s: processes
+                .control_nodes
+                .iter()
+                .map(SystemProcess::cpu_s)
+                .collect(),
+            limiter_cpu_s: processes
+                .limiters
+                .iter()
+                .map(SystemProcess::cpu_s)
+                .collect(),
             received_bytes: agents
                 .received_bytes
                 .iter()
@@ -71,13 +79,14 @@
         }
     }
 
-    /// Processor time of a control process so far, seconds.
+    /// Returns the CPU time of a control process, in seconds.
     pub(super) fn control_cpu_s(&self, node: usize) -> f64 {
         self.control_cpu_s[node]
     }
 }
 
-/// Processor time from one moment to another. A process that was restarted meanwhile counts from its start.
+/// Returns the CPU time between two snapshots. For a process that was restarted in between, it is counted from the
+/// restart, which is detected by a lower CPU time.
 fn cpu_between(earlier: f64, later: f64) -> f64 {
     if later >= earlier {
         later - earlier
@@ -91,8 +100,8 @@
         Usage::now(&self.processes, &self.counters, &self.platform)
     }
 
-    /// Prints what was used since then: by control, by the connection of each agent, between control nodes, at the
-    /// platform, and by the real limiters.
+    /// Prints the usage since a snapshot: of control, of the connection of an average agent, between control nodes, at
+    /// the platform, and of the real limiters.
     pub(super) fn print_usage(&self, name: &str, since: &Usage) {
         let now = self.usage();
         let seconds = (now.at - since.at).as_secs_f64();
@@ -100,15 +109,15 @@
         let line = self.with_control(line, &now, since, seconds);
         let line = self.with_agents(line, &now, since, seconds);
         with_platform(line, &now, since, seconds).print();
-        for (index, member) in self.processes.limiters.iter().enumerate() {
+        for (index, process) in self.processes.limiters.iter().enumerate() {
             let cpu_s = cpu_between(since.limiter_cpu_s[index], now.limiter_cpu_s[index]);
             let bytes = (now.limiter_bytes - since.limiter_bytes) as f64;
-            self.figure(&format!("{name}.{}", member.name))
+            self.figure(&format!("{name}.{}", process.name))
                 .with("mbps", self.plan.bandwidth_mbps)
                 .number("core", cpu_s / seconds)
-                .number("rss_mb", status_mb(member, "VmRSS"))
-                .number("rss_most_mb", status_mb(member, "VmHWM"))
-                .with("descriptors", member.open_descriptors())
+                .number("rss_mb", status_mb(process, "VmRSS"))
+                .number("rss_most_mb", status_mb(process, "VmHWM"))
+                .with("descriptors", process.open_descriptors())
                 .number("links_b_s", bytes / seconds / self.plan.limiters as f64)
                 .print();
         }
@@ -133,7 +142,10 @@
                 .max()
                 .unwrap_or(0)
         };
-        let descriptors = nodes().map(Member::open_descriptors).max().unwrap_or(0);
+        let descriptors = nodes()
+            .map(SystemProcess::open_descriptors)
+            .max()
+            .unwrap_or(0);
         line.number("vault_core_mean", mean)
             .number("vault_core_most", cores.iter().copied().fold(0.0, f64::max))
             .number("rss_mb", highest("VmRSS") as f64 / 1e3)
@@ -186,7 +198,7 @@
     )
 }
 
-/// A memory size of a process' status page, megabytes.
-pub(super) fn status_mb(member: &Member, key: &str) -> f64 {
-    member.status(key).unwrap_or(0) as f64 / 1e3
+/// Returns a memory size from the `/proc` status of a process, in megabytes.
+pub(super) fn status_mb(process: &SystemProcess, key: &str) -> f64 {
+    process.status(key).unwrap_or(0) as f64 / 1e3
 }
--- a/crates/aspendrum-benchmarks/tests/fleet_data.rs
+++ b/crates/aspendrum-benchmarks/tests/fleet_data.rs
@@ -1,24 +1,25 @@
-//! The generated configurations and lists are what their names and sizes say.
+//! Checks the sizes and the validity of generated configurations and lists.
 
 use aspendrum_benchmarks::fleet_data::{
     config_text, proxies, server_page, servers, SERVERS_PER_PAGE,
 };
-use aspendrum_benchmarks::fleet_size::{region_by_zone, FleetSize, GRADES, REGIONS, ZONES};
+use aspendrum_benchmarks::fleet_size::{region_by_zone, FleetSize, FLEET_SIZES, REGIONS, ZONES};
 use aspendrum_benchmarks::measure::Samples;
 use aspendrum_model::config::Config;
 use aspendrum_model::servers::{parse_page, ServerPage};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Otherwise a figure for 35,000 tenants could come from a text that has fewer, or that control would refuse.
+/// Guards against figures, such as those for 35,000 tenants, that are measured with a smaller configuration or with one
+/// that control would reject.
 #[test]
-fn a_configuration_has_the_size_asked_for_and_is_valid() {
+fn a_configuration_has_the_requested_size_and_is_valid() {
     for (size, hosts) in [
-        (GRADES[0], 16),
-        (GRADES[0], 1),
+        (FLEET_SIZES[0], 16),
+        (FLEET_SIZES[0], 1),
         (
             FleetSize {
                 tenants: 7,
-                ..GRADES[1]
+                ..FLEET_SIZES[1]
             },
             62,
         ),
@@ -41,33 +42,33 @@
         assert_eq!(
             text,
             config_text(&size, hosts, 3),
-            "the same numbers give the same text"
+            "the generated text is deterministic"
         );
     }
-    let without_number =
-        |version| config_text(&GRADES[0], 16, version).replace(&format!("{version:08x}"), "");
+    let without_version =
+        |version| config_text(&FLEET_SIZES[0], 16, version).replace(&format!("{version:08x}"), "");
     assert_ne!(
-        without_number(1),
-        without_number(2),
-        "versions differ in more than their number"
+        without_version(1),
+        without_version(2),
+        "versions differ in more than the version number"
     );
 }
 
-/// Servers must not all be in one zone, and no two may share an address.
+/// Servers are distributed over all zones, and addresses are unique.
 #[test]
-fn servers_and_proxies_are_spread_over_the_fleet() {
-    for size in GRADES {
+fn servers_and_proxies_are_distributed_over_the_fleet() {
+    for size in FLEET_SIZES {
         let list = servers(&size);
         let mut servers_by_service = BTreeMap::<&str, usize>::new();
         list.iter()
             .for_each(|s| *servers_by_service.entry(&s.service).or_default() += 1);
-        let (least, most) = (
+        let (min, max) = (
             servers_by_service.values().min().unwrap(),
             servers_by_service.values().max().unwrap(),
         );
         assert!(
-            servers_by_service.len() == size.services && most - least <= 1,
-            "{least} to {most}"
+            servers_by_service.len() == size.services && max - min <= 1,
+            "{min} to {max}"
         );
         let zones: BTreeSet<&str> = list.iter().map(|s| s.zone.as_str()).collect();
         let names: BTreeSet<&str> = list.iter().map(|s| s.uid.as_str()).collect();
@@ -76,7 +77,10 @@
             [zones.len(), names.len(), addresses.len()],
             [ZONES, size.servers, size.servers]
         );
-        let proxy_addresses: BTreeSet<_> = proxies(size.limiters).iter().map(|f| f.addr).collect();
+        let proxy_addresses: BTreeSet<_> = proxies(size.limiters)
+            .iter()
+            .map(|proxy| proxy.addr)
+            .collect();
         assert_eq!(proxy_addresses.len(), size.limiters);
     }
     let regions: BTreeSet<String> = region_by_zone().into_values().collect();
@@ -84,8 +88,8 @@
 }
 
 #[test]
-fn a_server_page_is_read_as_the_platforms_are() {
-    let list = servers(&GRADES[0]);
+fn a_generated_server_page_is_parsed_as_a_platform_page() {
+    let list = servers(&FLEET_SIZES[0]);
     let ServerPage { servers, next_page } =
         parse_page(server_page(&list[..SERVERS_PER_PAGE], Some("p-50".into())).as_bytes()).unwrap();
     assert_eq!(
--- a/crates/aspendrum-benchmarks/tests/simulated_agents.rs
+++ b/crates/aspendrum-benchmarks/tests/simulated_agents.rs
@@ -1,4 +1,4 @@
-//! Simulated agents, connected to a control node played by the test: they send and obey what real agents do.
+//! Checks that simulated agents follow the protocol of real agents. The tests act as control nodes.
 
 use aspendrum_benchmarks::simulated_fleet::agent::{spawn_agents, FleetCounters};
 use aspendrum_model::message::{
@@ -36,9 +36,10 @@
     }
 }
 
-/// Simulated agents that take less than real ones would make control's figures too good.
+/// Guards against simulated agents that cause less load on control than real agents, which would make the figures too
+/// low.
 #[test]
-fn it_says_hello_acknowledges_updates_and_reconnects_after_an_update_gap() {
+fn an_agent_sends_hello_acknowledges_updates_and_reconnects_after_an_update_gap() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let counters = Arc::new(FleetCounters::default());
     let agents = spawn_agents(1, &[listener.local_addr().unwrap()], &counters).unwrap();
@@ -73,7 +74,7 @@
         most_agents_isolated: false,
     };
     send(&stream, heartbeat(sent_at_ms, 7));
-    // It reports the digest of the decided state as applied once it has that state.
+    // The agent reports the decided digest as applied once it has that state.
     loop {
         if let ToControl::Heartbeat { applied, .. } = next_message(&mut stream) {
             if applied == digest_of(7) {
@@ -86,7 +87,7 @@
         (7, true)
     );
     assert_eq!(counters.received_frames[0].load(Relaxed), 1);
-    // Something newer was decided and never sent: it ends the connection and opens another.
+    // A newer state was decided but never sent: the agent closes the connection and opens another one.
     send(&stream, heartbeat(sent_at_ms, 8));
     while frames::read_frame::<Envelope>(&mut stream).is_ok() {}
     let mut stream = accept(&listener);
@@ -100,9 +101,9 @@
     );
 }
 
-/// An agent must not wait for ever for a control node that is frozen.
+/// An agent must not wait indefinitely for a control node that accepts connections but does not respond.
 #[test]
-fn it_leaves_a_control_node_that_sends_nothing() {
+fn an_agent_disconnects_from_a_silent_control_node() {
     let [silent_node, other_node] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let counters = Arc::new(FleetCounters::default());
     let control = [&silent_node, &other_node].map(|l| l.local_addr().unwrap());
@@ -115,10 +116,10 @@
     assert!(counters.silence_timeouts.load(Relaxed) >= 1);
 }
 
-/// A control node does not know an agent whose heartbeat comes before its hello. Heartbeats are sent by another thread than
-/// the one that connects, so that many agents are needed for one of them to be late.
+/// A control node cannot identify an agent whose heartbeat arrives before its hello. Heartbeats are sent by a different
+/// thread than the hello, so many agents are needed to make the race likely.
 #[test]
-fn it_says_hello_before_any_heartbeat() {
+fn an_agent_sends_hello_before_any_heartbeat() {
     const AGENTS: usize = 400;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let counters = Arc::new(FleetCounters::default());
