--- a/crates/aspendrum-core/src/api/action.rs
+++ b/crates/aspendrum-core/src/api/action.rs
@@ -33,7 +33,7 @@
         /// The request.
         id: RequestId,
         /// The attempt's number among those of the request, from 0 on.
-        forward: u8,
+        attempt: u8,
     },
     /// Add units to a name in the shared counter, and read its total.
     AddToCounter {
--- a/crates/aspendrum-core/src/api/event.rs
+++ b/crates/aspendrum-core/src/api/event.rs
@@ -74,7 +74,7 @@
         /// The request.
         id: RequestId,
         /// The attempt's number among those of the request, from 0 on.
-        forward: u8,
+        attempt: u8,
         /// The server.
         server: ServerId,
         /// The outcome.
@@ -84,7 +84,7 @@
         /// The request is complete, due to this outcome or since before.
         is_final: bool,
         /// The tenant's usage in percent of its rate, plus 1, if servers meter it; otherwise 0.
-        metered: u16,
+        metered_usage: u16,
         /// The request's actual cost, if it is known after execution.
         actual_units: u16,
         /// The server's load report.
@@ -95,7 +95,7 @@
         /// The request.
         id: RequestId,
         /// The attempt's number.
-        forward: u8,
+        attempt: u8,
         /// The server.
         server: ServerId,
         /// The time since the attempt was sent.
--- a/crates/aspendrum-core/src/engine.rs
+++ b/crates/aspendrum-core/src/engine.rs
@@ -167,7 +167,7 @@
             Event::Request(ref new) => self.handle_request(new),
             Event::AttemptEnded {
                 id,
-                forward,
+                attempt,
                 outcome,
                 rtt,
                 is_final,
@@ -181,7 +181,7 @@
                     is_final,
                     actual_units: f64::from(actual_units),
                 };
-                self.handle_attempt_result(id, usize::from(forward), &result, load);
+                self.handle_attempt_result(id, usize::from(attempt), &result, load);
             }
             Event::StreamStarted { id, .. } => self.handle_stream_started(id),
             Event::ClientDisconnected { id } => self.handle_client_disconnect(id),
--- a/crates/aspendrum-core/src/engine/completion.rs
+++ b/crates/aspendrum-core/src/engine/completion.rs
@@ -64,7 +64,7 @@
             if attempt.outcome.is_none() {
                 self.actions.push(Action::Cancel {
                     id: request.id,
-                    forward: number as u8,
+                    attempt: number as u8,
                 });
             }
         }
--- a/crates/aspendrum-core/src/settings.rs
+++ b/crates/aspendrum-core/src/settings.rs
@@ -50,7 +50,7 @@
 /// # Errors
 ///
 /// Returns the first setting found to be missing or invalid.
-pub fn read(text: &str) -> Result<Settings, SettingsError> {
+pub fn parse(text: &str) -> Result<Settings, SettingsError> {
     let pairs = Pairs(
         text.lines()
             .filter_map(|line| line.split_once('='))
--- a/crates/aspendrum-core/tests/decisions/harness.rs
+++ b/crates/aspendrum-core/tests/decisions/harness.rs
@@ -144,24 +144,24 @@
         self.counter_reply(tenant, Outcome::Ok, total);
     }
 
-    pub(crate) fn end(&mut self, id: RequestId, forward: u8, outcome: Outcome) {
+    pub(crate) fn end(&mut self, id: RequestId, attempt: u8, outcome: Outcome) {
         let server = self
             .forwards
             .iter()
             .filter(|f| f.0 == id)
-            .nth(usize::from(forward))
+            .nth(usize::from(attempt))
             .map_or(0, |f| f.1);
         let over = outcome == Outcome::Ok;
         let load = LoadReport::default();
         let (rtt, used, actual) = (50.0, 0, 0);
         self.handle(&Event::AttemptEnded {
             id,
-            forward,
+            attempt,
             server,
             outcome,
             rtt,
             is_final: over,
-            metered: used,
+            metered_usage: used,
             actual_units: actual,
             load,
         });
--- a/crates/aspendrum-core/tests/decisions/servers.rs
+++ b/crates/aspendrum-core/tests/decisions/servers.rs
@@ -118,15 +118,15 @@
             out = sent.len();
             for (id, server) in sent {
                 let load = LoadReport::default();
-                let (forward, outcome, over, used, actual) = (0, Outcome::Ok, true, 0, 0);
+                let (attempt, outcome, over, used, actual) = (0, Outcome::Ok, true, 0, 0);
                 let ended = Event::AttemptEnded {
                     id,
-                    forward,
+                    attempt,
                     server,
                     outcome,
                     rtt,
                     is_final: over,
-                    metered: used,
+                    metered_usage: used,
                     actual_units: actual,
                     load,
                 };
--- a/crates/aspendrum-core/tests/recorded_run.rs
+++ b/crates/aspendrum-core/tests/recorded_run.rs
@@ -97,9 +97,9 @@
                 self.number(*id);
                 2
             }
-            Action::Cancel { id, forward } => {
+            Action::Cancel { id, attempt } => {
                 self.number(*id);
-                self.number((*forward).into());
+                self.number((*attempt).into());
                 3
             }
             Action::AddToCounter {
@@ -147,7 +147,7 @@
 enum ScheduledEvent {
     Forward {
         id: u64,
-        forward: u8,
+        attempt: u8,
         server: u32,
         outcome: Outcome,
         rtt: f64,
@@ -287,9 +287,9 @@
     fn execute(&mut self, instance: usize, action: &Action) {
         match *action {
             Action::Forward { id, server, .. } => self.forward(instance, id, server),
-            Action::Cancel { id, forward } => {
+            Action::Cancel { id, attempt } => {
                 if let Some(sent) = self.forwards.get_mut(&(instance, id)) {
-                    let (server, open) = &mut sent[usize::from(forward)];
+                    let (server, open) = &mut sent[usize::from(attempt)];
                     let (server, was_open) = (*server, std::mem::replace(open, false));
                     let (outcome, rtt, actual) = (Outcome::Cancelled, 9.0, 0);
                     if was_open {
@@ -298,7 +298,7 @@
                             instance,
                             ScheduledEvent::Forward {
                                 id,
-                                forward,
+                                attempt,
                                 server,
                                 outcome,
                                 rtt,
@@ -355,7 +355,7 @@
     fn forward(&mut self, instance: usize, id: u64, server: u32) {
         let sent = self.forwards.entry((instance, id)).or_default();
         sent.push((server, true));
-        let forward = (sent.len() - 1) as u8;
+        let attempt = (sent.len() - 1) as u8;
         // Server 2 hangs and recovers, server 3 is slow, and server 4 fails often.
         let second = self.second();
         if server == 2 && second % 6 >= 4 {
@@ -365,7 +365,7 @@
                 instance,
                 ScheduledEvent::Forward {
                     id,
-                    forward,
+                    attempt,
                     server,
                     outcome,
                     rtt,
@@ -403,7 +403,7 @@
             instance,
             ScheduledEvent::Forward {
                 id,
-                forward,
+                attempt,
                 server,
                 outcome,
                 rtt,
@@ -442,14 +442,14 @@
         match scheduled {
             ScheduledEvent::Forward {
                 id,
-                forward,
+                attempt,
                 server,
                 outcome,
                 rtt,
                 actual,
             } => {
                 if let Some(sent) = self.forwards.get_mut(&(instance, id)) {
-                    let was_open = std::mem::replace(&mut sent[usize::from(forward)].1, false);
+                    let was_open = std::mem::replace(&mut sent[usize::from(attempt)].1, false);
                     if !was_open && outcome != Outcome::Cancelled {
                         return;
                     }
@@ -461,12 +461,12 @@
                     instance,
                     &Event::AttemptEnded {
                         id,
-                        forward,
+                        attempt,
                         server,
                         outcome,
                         rtt,
                         is_final: over,
-                        metered: used,
+                        metered_usage: used,
                         actual_units: actual,
                         load,
                     },
@@ -477,7 +477,7 @@
                     instance,
                     &Event::StreamStarted {
                         id,
-                        forward: 0,
+                        attempt: 0,
                         server,
                         rtt: 4.0,
                     },
--- a/crates/aspendrum-core/tests/settings.rs
+++ b/crates/aspendrum-core/tests/settings.rs
@@ -3,7 +3,7 @@
 use aspendrum_core::api::{
     GroupSettings, LoadReportChannel, LoadValue, PlanSettings, RepeatGroup, Semantics, Settings,
 };
-use aspendrum_core::settings::read;
+use aspendrum_core::settings::parse;
 use test_case::test_case;
 
 const SETTINGS: &str = include_str!("fixtures/settings.txt");
@@ -119,7 +119,7 @@
 
 #[test]
 fn each_key_is_read_into_its_setting() {
-    assert_eq!(read(SETTINGS), Ok(expected()));
+    assert_eq!(parse(SETTINGS), Ok(expected()));
 }
 
 fn without(key: &str) -> String {
@@ -155,7 +155,7 @@
 fn an_optional_key_has_its_default(key: &str, change: fn(&mut Settings)) {
     let mut settings = expected();
     change(&mut settings);
-    assert_eq!(read(&without(key)), Ok(settings));
+    assert_eq!(parse(&without(key)), Ok(settings));
 }
 
 #[test_case("Me")]
@@ -196,7 +196,7 @@
 #[test_case("Specifics.UnitsTop")]
 #[test_case("Specifics.CostAfter")]
 fn a_missing_required_key_is_reported_by_name(key: &str) {
-    let error = read(&without(key)).unwrap_err();
+    let error = parse(&without(key)).unwrap_err();
     assert_eq!(error.to_string(), format!("setting {key} is missing"));
 }
 
@@ -205,7 +205,7 @@
     let text = without("Specifics.CountWaitS")
         .replace("Specifics.Counter=true", "Specifics.Counter=false");
     assert_eq!(
-        read(&text),
+        parse(&text),
         Ok(Settings {
             has_counter: false,
             counter_timeout: 0.0,
@@ -233,5 +233,5 @@
         }
     };
     let changed: Vec<String> = SETTINGS.lines().map(line).collect();
-    assert_eq!(read(&changed.join("\n")).unwrap_err().to_string(), text);
+    assert_eq!(parse(&changed.join("\n")).unwrap_err().to_string(), text);
 }
--- a/crates/aspendrum-proxy/src/dispatcher/attempt.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/attempt.rs
@@ -39,12 +39,12 @@
         let AttemptResult { outcome, rtt, load } = *self;
         Event::AttemptEnded {
             id,
-            forward: attempt,
+            attempt,
             server,
             outcome,
             rtt,
             is_final,
-            metered: 0,
+            metered_usage: 0,
             actual_units,
             load,
         }
--- a/crates/aspendrum-simulator-adapter/src/batch.rs
+++ b/crates/aspendrum-simulator-adapter/src/batch.rs
@@ -112,7 +112,7 @@
     fn start(&self, reader: &mut RecordReader<'_>) -> Result<Record<'static>, RecordError> {
         let seed = reader.u64();
         let text = std::str::from_utf8(self.tail(reader, 1)?)?;
-        Ok(Record::Start(seed, Box::new(settings::read(text)?)))
+        Ok(Record::Start(seed, Box::new(settings::parse(text)?)))
     }
 
     fn event<'b>(
@@ -255,12 +255,12 @@
 fn attempt_ended(reader: &mut RecordReader<'_>) -> Result<Event<'static>, RecordError> {
     Ok(Event::AttemptEnded {
         id: reader.u64(),
-        forward: reader.u8(),
+        attempt: reader.u8(),
         server: reader.u32(),
         outcome: reader.outcome()?,
         rtt: reader.seconds("RttS")?,
         is_final: reader.u8() != 0,
-        metered: reader.u16(),
+        metered_usage: reader.u16(),
         actual_units: reader.u16(),
         load: reader.load_report()?,
     })
@@ -269,7 +269,7 @@
 fn stream_started(reader: &mut RecordReader<'_>) -> Result<Event<'static>, RecordError> {
     Ok(Event::StreamStarted {
         id: reader.u64(),
-        forward: reader.u8(),
+        attempt: reader.u8(),
         server: reader.u32(),
         rtt: reader.seconds("RttS")?,
     })
--- a/crates/aspendrum-simulator-adapter/src/reply.rs
+++ b/crates/aspendrum-simulator-adapter/src/reply.rs
@@ -79,8 +79,8 @@
                 let (offset, length) = self.push_tail(data);
                 self.push_record(SEND_DATAGRAM, &[&to, &offset, &length]);
             }
-            Action::Cancel { id, forward } => {
-                self.push_record(CANCEL, &[&id.to_be_bytes(), &[*forward]])
+            Action::Cancel { id, attempt } => {
+                self.push_record(CANCEL, &[&id.to_be_bytes(), &[*attempt]])
             }
             Action::Forward {
                 id,
--- a/crates/aspendrum-simulator-adapter/tests/examples.rs
+++ b/crates/aspendrum-simulator-adapter/tests/examples.rs
@@ -57,11 +57,11 @@
 #[test_case("02 0000004d", "Timer { token: 77 }" ; "timer")]
 #[test_case("06 000e6a560e6f2b19", "ClientDisconnected { id: 4057567515847449 }" ; "client disconnected")]
 #[test_case("0b 000d9f1c5d3a91c4 00 03124a07 0001 3f92f1a9fbe76c8b 01 0056 0003 01 3f1eb852",
-    "forward: 0, server: 51530247, outcome: Ok, rtt: 18.5" ; "attempt ended")]
+    "attempt: 0, server: 51530247, outcome: Ok, rtt: 18.5" ; "attempt ended")]
 #[test_case("07 000000000089f690 0001 42180000 3f619ce075f6fd22",
     "CounterReplied { name: 9041552, outcome: Ok, total: 38.0, rtt: 2.15" ; "counter replied")]
 #[test_case("01 03124a07 0004 3f92f1a9fbe76c8b", "ProbeEnded { server: 51530247, outcome: ConnectFailed" ; "probe ended")]
-#[test_case("0c 000d9f1c5d3a91c4 02 03124a07 3f92f1a9fbe76c8b", "forward: 2, server: 51530247" ; "stream started")]
+#[test_case("0c 000d9f1c5d3a91c4 02 03124a07 3f92f1a9fbe76c8b", "attempt: 2, server: 51530247" ; "stream started")]
 fn example_events_are_decoded(record: &str, expected: &str) {
     let frame = frame(&[record], b"");
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
@@ -104,7 +104,7 @@
     "4d 00000000 00000011 000000000000000000000000000000", "74776f2073657276657273206b6e6f776e" ; "log")]
 #[test_case(Action::SendDatagram { to: None, data: b"hi 7".to_vec() },
     "41 ffffffff 00000000 00000004 0000000000000000000000", "68692037" ; "broadcast datagram")]
-#[test_case(Action::Cancel { id: 5, forward: 1 }, "42 0000000000000005 01 0000000000000000000000000000", "" ; "cancel")]
+#[test_case(Action::Cancel { id: 5, attempt: 1 }, "42 0000000000000005 01 0000000000000000000000000000", "" ; "cancel")]
 #[test_case(Action::Shed { id: 5, retry_after: 500.0, beyond_quota: false }, "4b 0000000000000005 3fe0000000000000 00000000000000", "" ; "shed")]
 #[test_case(Action::Drop { id: 5 }, "4a 0000000000000005 000000000000000000000000000000", "" ; "drop")]
 #[test_case(Action::Probe { server: 9 }, "48 00000009 00000000000000000000000000000000000000", "" ; "probe")]
@@ -189,7 +189,7 @@
 #[test_case("Semantics=retryable", "Semantics=odd", "setting Profiles.0.Semantics is absurd: odd" ; "word")]
 fn invalid_settings_are_reported_by_name(from: &str, to: &str, text: &str) {
     assert_eq!(
-        settings::read(&SETTINGS.replace(from, to))
+        settings::parse(&SETTINGS.replace(from, to))
             .unwrap_err()
             .to_string(),
         text
@@ -198,7 +198,7 @@
 
 #[test]
 fn unknown_settings_and_load_values_are_ignored() {
-    let read = settings::read(&SETTINGS.replace("Names=cpu_share", "Names=moon,pending")).unwrap();
+    let read = settings::parse(&SETTINGS.replace("Names=cpu_share", "Names=moon,pending")).unwrap();
     assert_eq!(
         (read.load_values.len(), read.counter_timeout, read.zone),
         (2, 50.0, 1)
--- a/crates/aspendrum-simulator-adapter/tests/frames.rs
+++ b/crates/aspendrum-simulator-adapter/tests/frames.rs
@@ -81,12 +81,12 @@
 fn attempt_ended() -> Event<'static> {
     Event::AttemptEnded {
         id: ID,
-        forward: 9,
+        attempt: 9,
         server: NUMBER,
         outcome: Outcome::Cancelled,
         rtt: 18.5,
         is_final: true,
-        metered: 0x102,
+        metered_usage: 0x102,
         actual_units: 0x304,
         load: LOAD_OF_TWO,
     }
@@ -137,7 +137,7 @@
 #[test_case("query", Event::Request(request()) ; "request")]
 #[test_case("peer", Event::DatagramReceived { from: 0x102, data: &[1, 2, 3] } ; "datagram")]
 #[test_case("ended", attempt_ended() ; "attempt ended")]
-#[test_case("stream", Event::StreamStarted { id: ID, forward: 9, server: NUMBER, rtt: 18.5 } ; "stream started")]
+#[test_case("stream", Event::StreamStarted { id: ID, attempt: 9, server: NUMBER, rtt: 18.5 } ; "stream started")]
 fn each_event_is_decoded_from_the_pinned_bytes(name: &str, expected: Event<'_>) {
     let frame = frame(name);
     let (batch, mut servers) = (Batch::open(&frame).unwrap(), Vec::new());
@@ -166,7 +166,7 @@
         panic!("not a start")
     };
     assert_eq!(seed, ID);
-    assert_eq!(Ok(*settings), aspendrum_core::settings::read(SETTINGS));
+    assert_eq!(Ok(*settings), aspendrum_core::settings::parse(SETTINGS));
 }
 
 #[test]
@@ -228,7 +228,7 @@
 
 #[test_case("tell", Action::SendDatagram { to: Some(0x5566_7788), data: vec![1, 2, 3] } ; "send datagram")]
 #[test_case("tell_all", Action::SendDatagram { to: None, data: vec![4, 5] } ; "broadcast datagram")]
-#[test_case("cancel", Action::Cancel { id: ID, forward: 9 } ; "cancel")]
+#[test_case("cancel", Action::Cancel { id: ID, attempt: 9 } ; "cancel")]
 #[test_case("forward", Action::Forward { id: ID, server: 0x5566_7788, timeout: 80.0 } ; "forward")]
 #[test_case("count", Action::AddToCounter { name: ID, units: 4.0, ttl: 3000.0 } ; "add to counter")]
 #[test_case("close", Action::CloseConnections { server: NUMBER } ; "close connections")]
--- a/crates/aspendrum/src/config.rs
+++ b/crates/aspendrum/src/config.rs
@@ -171,7 +171,7 @@
         let raw = root
             .get("settings")
             .ok_or(ConfigError::Missing("settings".into()))?;
-        let settings = settings::read(&flatten_settings(raw)).map_err(ConfigError::Setting)?;
+        let settings = settings::parse(&flatten_settings(raw)).map_err(ConfigError::Setting)?;
         let location_names = LocationNames {
             zones: string_list(raw, "Zones"),
             machine_kinds: string_list(raw, "Kinds"),
--- a/crates/aspendrum/src/dispatcher.rs
+++ b/crates/aspendrum/src/dispatcher.rs
@@ -192,12 +192,12 @@
         request.is_finished |= end.outcome == Outcome::Ok;
         let event = Event::AttemptEnded {
             id,
-            forward: end.attempt,
+            attempt: end.attempt,
             server: end.server,
             outcome: end.outcome,
             rtt: end.rtt,
             is_final: request.is_finished,
-            metered: 0,
+            metered_usage: 0,
             actual_units: end.charged,
             load: end.load,
         };
@@ -308,9 +308,9 @@
                 self.finish(id, RequestDecision::Shed { retry_after });
             }
             Action::Drop { id } => self.finish(id, RequestDecision::Drop),
-            Action::Cancel { id, forward } => {
+            Action::Cancel { id, attempt } => {
                 if let Some(request) = self.requests.get(&id) {
-                    request.forward.cancel_up_to(forward);
+                    request.forward.cancel_up_to(attempt);
                 }
             }
             Action::AddToCounter { name, units, ttl } => {
