--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -82,7 +82,7 @@
         let total_shares = EVEN_PARTS as u64 * limiters;
         let is_owner_held =
             plan.burst < MIN_EVEN_SHARE * tenant.instances && self.params.has_quota_owners;
-        let (even_shares, own_shares) = if is_owner_held {
+        let (equal_shares, own_shares) = if is_owner_held {
             let owner_rank = self
                 .quota_owners(index)
                 .position(|owner| owner == self.params.instance);
@@ -98,7 +98,7 @@
             burst: round_down(plan.burst),
             limiters,
             own_shares,
-            even_shares,
+            equal_shares,
             total_shares,
             largest_request: round_down(self.params.max_units),
         }
@@ -227,7 +227,9 @@
         let now = self.now as u64;
         let may_hold = |peer: u16| {
             peer != self.params.instance
-                && !tenant.token_bucket.received_recently(limits, peer, now)
+                && !tenant
+                    .token_bucket
+                    .has_recent_transfer_from(limits, peer, now)
         };
         let first = tenant.token_request.next;
         (first..first + holders)
@@ -294,7 +296,7 @@
 
 /// Whether the quota is too small to be split evenly, so that only its owners hold tokens.
 fn is_held_by_owners(limits: &BucketLimits) -> bool {
-    limits.even_shares == 0
+    limits.equal_shares == 0
 }
 
 /// Returns the number of instances of the tenant's set that may hold tokens.
--- a/crates/aspendrum-token-bucket/src/bucket.rs
+++ b/crates/aspendrum-token-bucket/src/bucket.rs
@@ -127,8 +127,13 @@
     }
 
     /// Returns whether the given limiter sent a transfer so recently that its tokens need not be requested.
-    pub fn received_recently(&self, limits: &BucketLimits, limiter: u16, now: ClockMillis) -> bool {
-        self.sources.received_recently(limits, limiter, now)
+    pub fn has_recent_transfer_from(
+        &self,
+        limits: &BucketLimits,
+        limiter: u16,
+        now: ClockMillis,
+    ) -> bool {
+        self.sources.has_recent_transfer_from(limits, limiter, now)
     }
 
     /// Returns this limiter's share of the burst plus an even share for each recent sender, whose tokens are now held
@@ -137,7 +142,7 @@
         let senders = self.sources.recent_count(limits, now);
         limits.share_of(
             limits.burst,
-            limits.own_shares + limits.even_shares * senders,
+            limits.own_shares + limits.equal_shares * senders,
         )
     }
 
--- a/crates/aspendrum-token-bucket/src/transfer.rs
+++ b/crates/aspendrum-token-bucket/src/transfer.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns whether a transfer from the given limiter was accepted within the last half of a fill time.
-    pub(crate) fn received_recently(
+    pub(crate) fn has_recent_transfer_from(
         &self,
         limits: &BucketLimits,
         limiter: u16,
