--- a/crates/aspendrum-agent/src/control_connection.rs
+++ b/crates/aspendrum-agent/src/control_connection.rs
@@ -4,7 +4,7 @@
 use crate::event::Event;
 use aspendrum_model::message::FromControl;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::frames::{self, Link};
+use aspendrum_net::frames::{self, FrameSender};
 use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::threads::spawn;
 use std::io::{self, BufReader};
@@ -69,9 +69,9 @@
     }
 }
 
-fn connect(settings: &Settings, ip: Ipv4Addr) -> io::Result<(Link, Arc<TcpStream>)> {
-    let stream = Link::connect(settings.control_addr(ip), CONNECT_TIMEOUT)?;
-    let link = Link::from_stream(stream.clone(), ACK_TIMEOUT, SEND_QUEUE_CAPACITY)?;
+fn connect(settings: &Settings, ip: Ipv4Addr) -> io::Result<(FrameSender, Arc<TcpStream>)> {
+    let stream = FrameSender::connect(settings.control_addr(ip), CONNECT_TIMEOUT)?;
+    let link = FrameSender::from_stream(stream.clone(), ACK_TIMEOUT, SEND_QUEUE_CAPACITY)?;
     Ok((link, stream))
 }
 
--- a/crates/aspendrum-agent/src/coordinator/control_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/control_session.rs
@@ -3,7 +3,7 @@
 use super::majority::{latest, MAJORITY_REPORT_TIMEOUT};
 use super::proxy_session::ProxySession;
 use aspendrum_model::message::{Envelope, ToControl};
-use aspendrum_net::frames::Link;
+use aspendrum_net::frames::FrameSender;
 use aspendrum_reconcile::Millis;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -24,7 +24,7 @@
     pub(super) id: u64,
     pub(super) ip: Ipv4Addr,
     pub(super) last_received_at: Millis,
-    link: Link,
+    link: FrameSender,
     connected_at: Millis,
     /// The most recent time, according to this node's reports, at which a majority held nothing newer.
     as_of: Option<Millis>,
@@ -37,7 +37,7 @@
 }
 
 impl ControlSession {
-    pub(super) fn new(id: u64, ip: Ipv4Addr, link: Link, now: Millis) -> ControlSession {
+    pub(super) fn new(id: u64, ip: Ipv4Addr, link: FrameSender, now: Millis) -> ControlSession {
         let (as_of, announced_proxy_addr) = (None, None);
         ControlSession {
             id,
@@ -85,7 +85,7 @@
     /// listed until another node receives messages from the agent.
     pub(super) fn disconnect(&self) {
         self.send(ToControl::Disconnecting);
-        self.link.finish();
+        self.link.close_after_flush();
     }
 
     /// Records the number of a received update.
--- a/crates/aspendrum-agent/src/coordinator/mod.rs
+++ b/crates/aspendrum-agent/src/coordinator/mod.rs
@@ -15,7 +15,7 @@
     ControlAddress, FromControl, ProxyEndpoint, StateDigest, StateSection, ToControl,
 };
 use aspendrum_model::settings::Settings;
-use aspendrum_net::frames::{self, Link};
+use aspendrum_net::frames::{self, FrameSender};
 use aspendrum_net::mailbox::MailboxReceiver;
 use aspendrum_reconcile::{MajorityReport, Millis, ReportValidity, SyncAssessment, SyncStatus};
 use control_session::{ControlFault, ControlSession};
@@ -154,7 +154,7 @@
             .is_some_and(|control| control.id == id)
     }
 
-    fn on_control_connected(&mut self, id: u64, ip: Ipv4Addr, link: Link) {
+    fn on_control_connected(&mut self, id: u64, ip: Ipv4Addr, link: FrameSender) {
         log::info!("event=control_reached ip={ip}");
         self.control = Some(ControlSession::new(id, ip, link, self.now()));
         self.heartbeat();
--- a/crates/aspendrum-agent/src/coordinator/proxy_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/proxy_session.rs
@@ -2,7 +2,7 @@
 
 use super::desired_state::{DesiredState, CONFIG, EVACUATED};
 use aspendrum_model::message::{FromControl, Readiness, StateDigest, StateSection};
-use aspendrum_net::frames::Link;
+use aspendrum_net::frames::FrameSender;
 use aspendrum_reconcile::{
     state_digest, MajorityReport, Millis, Repair, RepairStep, ReportValidity, Section,
     SyncAssessment, UpdateStream,
@@ -23,7 +23,7 @@
 /// The connection to the proxy. It is retained after a disconnect, until the proxy reconnects.
 pub(super) struct ProxySession {
     pub(super) id: u64,
-    pub(super) link: Link,
+    pub(super) link: FrameSender,
     /// `None` until the proxy has sent its `Hello`. No state is sent to the proxy before that.
     pub(super) identity: Option<ProxyIdentity>,
     pub(super) last_received_at: Millis,
@@ -46,7 +46,7 @@
 }
 
 impl ProxySession {
-    pub(super) fn new(id: u64, link: Link, now: Millis) -> ProxySession {
+    pub(super) fn new(id: u64, link: FrameSender, now: Millis) -> ProxySession {
         ProxySession {
             id,
             link,
--- a/crates/aspendrum-agent/src/event.rs
+++ b/crates/aspendrum-agent/src/event.rs
@@ -3,7 +3,7 @@
 use aspendrum_gossip::GossipMessage;
 use aspendrum_model::message::{FromControl, StateSection, ToControl};
 use aspendrum_model::settings::Settings;
-use aspendrum_net::frames::Link;
+use aspendrum_net::frames::FrameSender;
 use crossbeam_channel::Sender;
 use std::net::Ipv4Addr;
 
@@ -17,7 +17,7 @@
         /// The address of the control node.
         ip: Ipv4Addr,
         /// The sending half of the connection.
-        link: Link,
+        link: FrameSender,
     },
     /// A message was received from control.
     ControlMessage {
@@ -36,7 +36,7 @@
         /// The id of the connection.
         id: u64,
         /// The sending half of the connection.
-        link: Link,
+        link: FrameSender,
     },
     /// A message was received from the proxy.
     ProxyMessage {
--- a/crates/aspendrum-agent/src/proxy_listener.rs
+++ b/crates/aspendrum-agent/src/proxy_listener.rs
@@ -2,7 +2,7 @@
 
 use crate::event::Event;
 use aspendrum_model::message::ToControl;
-use aspendrum_net::frames::{self, Link};
+use aspendrum_net::frames::{self, FrameSender};
 use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::threads::spawn;
 use std::io::{self, BufReader};
@@ -49,7 +49,8 @@
 fn start_reader(id: u64, stream: TcpStream, events: &Arc<MailboxSender<Event>>) -> io::Result<()> {
     let stream = Arc::new(stream);
     // The peer may already have closed the connection, which is not an error of the agent.
-    let Ok(link) = Link::from_stream(stream.clone(), ACK_TIMEOUT, SEND_QUEUE_CAPACITY) else {
+    let Ok(link) = FrameSender::from_stream(stream.clone(), ACK_TIMEOUT, SEND_QUEUE_CAPACITY)
+    else {
         return Ok(());
     };
     events.send(Event::ProxyConnected { id, link }, None);
--- a/crates/aspendrum-agent/src/snapshot.rs
+++ b/crates/aspendrum-agent/src/snapshot.rs
@@ -4,7 +4,7 @@
 use crate::event::Event;
 use aspendrum_model::message::FromControl;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::frames::{self, Link};
+use aspendrum_net::frames::{self, FrameSender};
 use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::threads::spawn;
 use crossbeam_channel::bounded;
@@ -81,7 +81,7 @@
 }
 
 fn receive(address: SocketAddrV4, events: &MailboxSender<Event>) -> io::Result<()> {
-    let stream = Link::connect(address, CONNECT_TIMEOUT)?;
+    let stream = FrameSender::connect(address, CONNECT_TIMEOUT)?;
     let _ = stream.set_read_timeout(Some(TRANSFER_TIMEOUT));
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, &*stream);
     while let FromControl::Update { section, .. } = frames::read_frame::<FromControl>(&mut reader)?
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/platform.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/platform.rs
@@ -103,7 +103,7 @@
         self.counters.calls.fetch_add(1, Relaxed);
         if !lock(&self.call_limiter).try_acquire() {
             self.counters.rejected.fetch_add(1, Relaxed);
-            return Reply::plain(429);
+            return Reply::empty(429);
         }
         sleep(self.delay);
         let query = request.path.split_once('?').map_or("", |(_, query)| query);
--- a/crates/aspendrum-client/tests/transcripts.rs
+++ b/crates/aspendrum-client/tests/transcripts.rs
@@ -38,9 +38,9 @@
             headers: Vec::new(),
             body: b"older than 00000009\n".to_vec(),
         },
-        ("POST", "/api/Cfg.Set" | "/api/Evac.Begin/z1") if node == 1 => Reply::plain(200),
-        ("POST", "/api/Cfg.Set" | "/api/Evac.Begin/z1") => Reply::plain(503),
-        _ => Reply::plain(404),
+        ("POST", "/api/Cfg.Set" | "/api/Evac.Begin/z1") if node == 1 => Reply::empty(200),
+        ("POST", "/api/Cfg.Set" | "/api/Evac.Begin/z1") => Reply::empty(503),
+        _ => Reply::empty(404),
     }
 }
 
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -9,7 +9,7 @@
 use aspendrum_model::message::{
     FromControl, ProxyEndpoint, Readiness, StateDigest, StateSection, ToControl,
 };
-use aspendrum_net::frames::Link;
+use aspendrum_net::frames::FrameSender;
 use aspendrum_reconcile::{
     MajorityReport, ReportValidity, SyncAssessment, SyncStatus, UpdateStream,
 };
@@ -47,7 +47,7 @@
 
 /// The connection of an agent, and the state of its proxy.
 struct AgentSession {
-    link: Link,
+    link: FrameSender,
     host: String,
     /// `None` until the agent has identified itself.
     proxy: Option<ProxyEndpoint>,
@@ -66,7 +66,7 @@
 }
 
 impl AgentSession {
-    fn new(link: Link, now: Millis) -> AgentSession {
+    fn new(link: FrameSender, now: Millis) -> AgentSession {
         AgentSession {
             link,
             host: String::new(),
@@ -234,7 +234,7 @@
     }
 
     /// Adds a session for a new connection of an agent.
-    pub fn on_connected(&mut self, now: Millis, id: ConnectionId, link: Link) {
+    pub fn on_connected(&mut self, now: Millis, id: ConnectionId, link: FrameSender) {
         self.sessions.insert(id, AgentSession::new(link, now));
     }
 
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -101,8 +101,8 @@
                 arguments,
                 query,
             } => (call, arguments.first().copied(), query),
-            PathMatch::MethodNotAllowed => return Reply::plain(405),
-            PathMatch::NotFound => return Reply::plain(404),
+            PathMatch::MethodNotAllowed => return Reply::empty(405),
+            PathMatch::NotFound => return Reply::empty(404),
         };
         match call {
             Call::SetConfig => self.set_config(&request.body),
@@ -111,7 +111,7 @@
             Call::FinishEvacuation => self.set_evacuation(zone.unwrap_or_default(), false),
             Call::ReportNodes => self.report(ReportQuery::Nodes),
             Call::Explain => self.explain(query),
-            Call::LookUp => Reply::plain(404),
+            Call::LookUp => Reply::empty(404),
         }
     }
 
@@ -123,7 +123,7 @@
                 let body = format!("{error}\n").into_bytes();
                 return Reply {
                     body,
-                    ..Reply::plain(400)
+                    ..Reply::empty(400)
                 };
             }
         };
@@ -134,18 +134,18 @@
             compressed_text: compress(text),
             digest,
         };
-        self.submit(command, |_| Reply::plain(200))
+        self.submit(command, |_| Reply::empty(200))
     }
 
     fn set_evacuation(&self, zone: &str, is_evacuated: bool) -> Reply {
         if !self.region_by_zone.contains_key(zone) {
-            return Reply::plain(404);
+            return Reply::empty(404);
         }
         let call = if is_evacuated { "Begin" } else { "Finish" };
         log::info!("event=command call={call} zone={zone}");
         let zone = zone.to_string();
         let command = Command::SetEvacuation { zone, is_evacuated };
-        self.submit(command, |_| Reply::plain(200))
+        self.submit(command, |_| Reply::empty(200))
     }
 
     fn explain(&self, query: &str) -> Reply {
@@ -157,7 +157,7 @@
                 host: host.into(),
                 path: path.into(),
             }),
-            _ => Reply::plain(400),
+            _ => Reply::empty(400),
         }
     }
 
@@ -168,11 +168,11 @@
             .try_send(Event::Report { query, reply })
             .is_err()
         {
-            return Reply::plain(503);
+            return Reply::empty(503);
         }
         match report.recv_timeout(CALL_TIMEOUT) {
             Ok(report) => Reply::json(report.to_string().into_bytes()),
-            Err(_) => Reply::plain(503),
+            Err(_) => Reply::empty(503),
         }
     }
 
@@ -186,7 +186,7 @@
             reply,
         };
         if self.events.try_send(event).is_err() {
-            return Reply::plain(503);
+            return Reply::empty(503);
         }
         match outcome.recv_timeout(CALL_TIMEOUT) {
             Ok(Outcome::Committed(state)) => acknowledge(&state),
@@ -198,21 +198,21 @@
                 );
                 Reply {
                     body: VERSION_CONFLICT.as_bytes().to_vec(),
-                    ..Reply::plain(409)
+                    ..Reply::empty(409)
                 }
             }
-            Ok(Outcome::NoQuorum) | Err(_) => Reply::plain(503),
+            Ok(Outcome::NoQuorum) | Err(_) => Reply::empty(503),
         }
     }
 }
 
 fn show_config(state: &ReplicatedState) -> Reply {
     if state.config.version == 0 {
-        return Reply::plain(503);
+        return Reply::empty(503);
     }
     match decompress(&state.config.compressed_text) {
         Some(text) => Reply::json(text),
-        None => Reply::plain(500),
+        None => Reply::empty(500),
     }
 }
 
@@ -242,15 +242,15 @@
                 query,
                 ..
             } => query,
-            PathMatch::Call { .. } | PathMatch::NotFound => return Reply::plain(404),
-            PathMatch::MethodNotAllowed => return Reply::plain(405),
+            PathMatch::Call { .. } | PathMatch::NotFound => return Reply::empty(404),
+            PathMatch::MethodNotAllowed => return Reply::empty(405),
         };
         let region = query_parameter(query, "geo").unwrap_or("");
         let zone = query_parameter(query, "az").unwrap_or("");
         let directory = self.directory.read().unwrap_or_else(|e| e.into_inner());
         let answer = directory.look_up(now, region, zone, self.ttl_s);
         if answer.addresses.is_empty() {
-            return Reply::plain(503);
+            return Reply::empty(503);
         }
         let ips: Vec<String> = answer.addresses.iter().map(ToString::to_string).collect();
         let body = serde_json::json!({ "ips": ips, "ttl-s": answer.ttl_s });
--- a/crates/aspendrum-control/src/connections.rs
+++ b/crates/aspendrum-control/src/connections.rs
@@ -6,7 +6,7 @@
 use crate::peer_message::PeerMessage;
 use aspendrum_consensus::NodeId;
 use aspendrum_model::message::Envelope;
-use aspendrum_net::frames::{self, Link};
+use aspendrum_net::frames::{self, FrameSender};
 use aspendrum_net::mailbox::MailboxSender;
 use aspendrum_net::threads::spawn;
 use std::io::{self, Read};
@@ -48,7 +48,7 @@
     let events = events.clone();
     spawn("peer", STACK_BYTES, move || {
         while keep_connected.load(Ordering::Acquire) {
-            if let Ok(stream) = Link::connect(address, CONNECT_TIMEOUT) {
+            if let Ok(stream) = FrameSender::connect(address, CONNECT_TIMEOUT) {
                 run_connection(node, stream, peer_timeout, &events);
             }
             sleep(RECONNECT_INTERVAL);
@@ -64,7 +64,7 @@
     peer_timeout: Duration,
     events: &MailboxSender<Event>,
 ) {
-    let Ok(link) = Link::from_stream(stream.clone(), peer_timeout, LINK_CAPACITY) else {
+    let Ok(link) = FrameSender::from_stream(stream.clone(), peer_timeout, LINK_CAPACITY) else {
         return;
     };
     let link = Some(link);
@@ -131,7 +131,8 @@
             }
             Envelope::Agent(message) => {
                 if !is_agent {
-                    let link = Link::from_stream(stream.clone(), peer_timeout, LINK_CAPACITY);
+                    let link =
+                        FrameSender::from_stream(stream.clone(), peer_timeout, LINK_CAPACITY);
                     let Ok(link) = link else {
                         return;
                     };
--- a/crates/aspendrum-control/src/event.rs
+++ b/crates/aspendrum-control/src/event.rs
@@ -7,7 +7,7 @@
 use aspendrum_model::message::ToControl;
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
-use aspendrum_net::frames::Link;
+use aspendrum_net::frames::FrameSender;
 use crossbeam_channel::Sender;
 use serde_json::Value;
 use std::time::Instant;
@@ -43,14 +43,14 @@
         /// The other node.
         node: NodeId,
         /// The connection; `None` if it was lost.
-        link: Option<Link>,
+        link: Option<FrameSender>,
     },
     /// An agent connected.
     AgentConnected {
         /// Its connection.
         id: ConnectionId,
         /// Sends messages to the agent.
-        link: Link,
+        link: FrameSender,
     },
     /// A message from an agent was received.
     AgentMessage {
--- a/crates/aspendrum-control/src/node.rs
+++ b/crates/aspendrum-control/src/node.rs
@@ -23,7 +23,7 @@
 use aspendrum_consensus::{Command, Message, Millis, NodeId, Outcome};
 use aspendrum_model::message::{ControlAddress, ToControl};
 use aspendrum_model::settings::Settings;
-use aspendrum_net::frames::Link;
+use aspendrum_net::frames::FrameSender;
 use aspendrum_net::mailbox::{MailboxReceiver, MailboxSender};
 use aspendrum_reconcile::ReportValidity;
 use crossbeam_channel::Sender;
@@ -333,7 +333,7 @@
         }
     }
 
-    fn on_peer_link(&mut self, node: NodeId, link: Option<Link>) {
+    fn on_peer_link(&mut self, node: NodeId, link: Option<FrameSender>) {
         let event = if link.is_some() {
             "peer_connected"
         } else {
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -9,7 +9,7 @@
 use aspendrum_consensus::membership_planner::NodeStatus;
 use aspendrum_consensus::{Millis, NodeId};
 use aspendrum_model::message::ControlAddress;
-use aspendrum_net::frames::Link;
+use aspendrum_net::frames::FrameSender;
 use aspendrum_net::mailbox::MailboxSender;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -28,7 +28,7 @@
     zone: String,
     disk: DiskId,
     is_leaving: bool,
-    link: Option<Link>,
+    link: Option<FrameSender>,
     /// When the node was added to the table.
     added_at: Millis,
     last_received: Option<Millis>,
@@ -129,7 +129,7 @@
 
     /// Records that the connection to a node was established or lost. Returns whether the node is known and now
     /// connected.
-    pub fn on_link(&mut self, node: NodeId, link: Option<Link>) -> bool {
+    pub fn on_link(&mut self, node: NodeId, link: Option<FrameSender>) -> bool {
         let is_connected = link.is_some();
         match self.peers.get_mut(&node) {
             Some(peer) => {
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -30,7 +30,7 @@
         path: path.into(),
         headers: Vec::new(),
         body: body.as_bytes().to_vec(),
-        close: false,
+        closes_connection: false,
     }
 }
 
--- a/crates/aspendrum-net/src/connection.rs
+++ b/crates/aspendrum-net/src/connection.rs
@@ -106,7 +106,7 @@
     }
 
     /// Whether the receive buffer is empty.
-    pub fn nothing_received(&self) -> bool {
+    pub fn is_receive_buffer_empty(&self) -> bool {
         self.incoming.is_empty()
     }
 
--- a/crates/aspendrum-net/src/disconnect_metrics.rs
+++ b/crates/aspendrum-net/src/disconnect_metrics.rs
@@ -16,7 +16,7 @@
 /// The request kinds in declaration order, with their metric label values.
 const KINDS: [(RequestKind, &str); 2] = [
     (RequestKind::Idempotent, "repeatable"),
-    (RequestKind::OnceOnly, "once_only"),
+    (RequestKind::NonIdempotent, "once_only"),
 ];
 /// The stages in declaration order, with their metric label values.
 const STAGES: [(ForwardStage, &str); 4] = [
--- a/crates/aspendrum-net/src/forward.rs
+++ b/crates/aspendrum-net/src/forward.rs
@@ -24,7 +24,7 @@
     /// The request may be executed any number of times.
     Idempotent,
     /// The request must not be executed more than once.
-    OnceOnly,
+    NonIdempotent,
 }
 
 /// The progress of a request.
@@ -36,7 +36,7 @@
     pub is_aborted: bool,
     /// The time since the last attempt ended, if it ended after the client disconnected. The request is about to end
     /// then.
-    pub ended_ago: Option<Duration>,
+    pub time_since_end: Option<Duration>,
 }
 
 /// The attempts to forward a request. They are sequential and numbered from 0.
@@ -177,7 +177,7 @@
         Progress {
             stage: in_flight.map_or(ForwardStage::Waiting, |f| f.stage),
             is_aborted: in_flight.is_some_and(|f| f.is_aborted),
-            ended_ago: state.ended_at.map(|at| at.elapsed()),
+            time_since_end: state.ended_at.map(|at| at.elapsed()),
         }
     }
 }
--- a/crates/aspendrum-net/src/frames.rs
+++ b/crates/aspendrum-net/src/frames.rs
@@ -48,15 +48,16 @@
 
 /// The sending half of a framed connection. Sending never blocks: if the peer reads too slowly and the queue is full,
 /// the connection is closed.
-pub struct Link {
+pub struct FrameSender {
     /// Encoded frames for the writer thread. An empty vector, which encoding never produces, ends the connection.
     frames: MailboxSender<Vec<u8>>,
     stream: Arc<TcpStream>,
-    /// Whether [`Link::finish`] was called, so that the writer thread closes the connection after the queued frames.
+    /// Whether [`FrameSender::close_after_flush`] was called, so that the writer thread closes the connection after the
+    /// queued frames.
     is_finishing: AtomicBool,
 }
 
-impl Link {
+impl FrameSender {
     /// Creates the sending half of a connection and spawns its writer thread. The connection fails if sent bytes remain
     /// unacknowledged for longer than `ack_timeout` (`TCP_USER_TIMEOUT`). At most `capacity` messages can be queued.
     ///
@@ -66,7 +67,7 @@
         stream: Arc<TcpStream>,
         ack_timeout: Duration,
         capacity: usize,
-    ) -> io::Result<Link> {
+    ) -> io::Result<FrameSender> {
         stream.set_nodelay(true)?;
         let _ = SockRef::from(&*stream).set_tcp_user_timeout(Some(ack_timeout));
         let written = stream.clone();
@@ -75,7 +76,7 @@
                 write_frames(&frames, &written)
             })
         })?;
-        Ok(Link {
+        Ok(FrameSender {
             frames,
             stream,
             is_finishing: AtomicBool::new(false),
@@ -98,7 +99,7 @@
     }
 
     /// Closes the connection after all queued messages have been written, or immediately if the queue is full.
-    pub fn finish(&self) {
+    pub fn close_after_flush(&self) {
         if self.frames.try_send(Vec::new()).is_ok() {
             self.is_finishing.store(true, Ordering::Release);
         } else {
@@ -122,7 +123,7 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-impl Drop for Link {
+impl Drop for FrameSender {
     fn drop(&mut self) {
         if !self.is_finishing.load(Ordering::Acquire) {
             self.close();
--- a/crates/aspendrum-net/src/http1/parse.rs
+++ b/crates/aspendrum-net/src/http1/parse.rs
@@ -33,7 +33,7 @@
     /// The content, without framing.
     pub body: Vec<u8>,
     /// Whether the client wants the connection closed after the response.
-    pub close: bool,
+    pub closes_connection: bool,
 }
 
 /// A complete response.
@@ -83,7 +83,7 @@
     let request = Request {
         method: method.to_string(),
         path: path.to_string(),
-        close: wants_close(head.headers, head.version),
+        closes_connection: wants_close(head.headers, head.version),
         headers: to_owned(head.headers),
         body: body.content,
     };
--- a/crates/aspendrum-net/src/http_server.rs
+++ b/crates/aspendrum-net/src/http_server.rs
@@ -38,7 +38,7 @@
 
 impl Reply {
     /// Creates a response without content.
-    pub fn plain(status: u16) -> Reply {
+    pub fn empty(status: u16) -> Reply {
         Reply {
             status,
             headers: Vec::new(),
@@ -118,13 +118,13 @@
                 Ok(read) if read > 0 => continue,
                 _ => return,
             },
-            Parsed::Invalid(status) => (Reply::plain(status), true),
+            Parsed::Invalid(status) => (Reply::empty(status), true),
             // The client has disconnected, possibly while this machine was suspended and the request was in the socket
             // buffer. The client may have sent the opposite command to another node in the meantime, so this one must
             // not be executed. GET requests are safe (RFC 9110, 9.2.1) and are served.
             Parsed::Complete(request) if request.method != "GET" && has_hung_up(stream) => return,
             Parsed::Complete(request) => {
-                let close = request.close;
+                let close = request.closes_connection;
                 (serve(request), close)
             }
         };
--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -89,7 +89,7 @@
     }
 
     /// Removes a server and closes its idle connections.
-    pub fn forget(&self, server: ServerId) {
+    pub fn remove_server(&self, server: ServerId) {
         self.idle().remove(&server);
     }
 
@@ -152,7 +152,7 @@
     /// Returns a connection to the pool. It is closed instead if it holds surplus bytes, if the server was removed, or
     /// if the address of the server has changed.
     pub fn release(&self, server: ServerId, mut connection: Connection) {
-        if !connection.nothing_received() {
+        if !connection.is_receive_buffer_empty() {
             return;
         }
         connection.idle_since = Instant::now();
--- a/crates/aspendrum-net/tests/disconnects.rs
+++ b/crates/aspendrum-net/tests/disconnects.rs
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_request_is_never_sent_after_its_client_has_disconnected() {
-    for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
+    for kind in [RequestKind::Idempotent, RequestKind::NonIdempotent] {
         let (mut server, local) = connected_pair();
         let forward = ForwardHandle::new(kind);
         assert!(forward.begin_attempt(0, &local));
@@ -149,7 +149,7 @@
 
 #[test]
 fn idempotent_attempts_are_aborted_and_others_are_left_to_complete() {
-    for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
+    for kind in [RequestKind::Idempotent, RequestKind::NonIdempotent] {
         let (mut server, local) = connected_pair();
         let started_at = Instant::now();
         let forward = ForwardHandle::new(kind);
@@ -164,7 +164,7 @@
             (ForwardStage::AtServer, false),
             "it may complete on its own"
         );
-        assert_eq!(forward.progress().ended_ago, None);
+        assert_eq!(forward.progress().time_since_end, None);
         forward.abort_idempotent();
         let is_aborted = kind == RequestKind::Idempotent;
         assert_eq!(stage(&forward), (ForwardStage::AtServer, is_aborted));
@@ -178,8 +178,8 @@
         // Guards against counting the request as waiting between the end of the attempt and the end of the request.
         assert!(forward
             .progress()
-            .ended_ago
-            .is_some_and(|ended_ago| ended_ago <= started_at.elapsed()));
+            .time_since_end
+            .is_some_and(|time_since_end| time_since_end <= started_at.elapsed()));
         // A late abort does not affect the next request on the connection.
         forward.abort_idempotent();
         assert_eq!((&*local).write(b"x").is_ok(), !is_aborted);
@@ -198,7 +198,7 @@
         std::iter::from_fn(|| TcpStream::connect_timeout(&address, connect_timeout).ok()).collect();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let stream = Arc::new(TcpStream::from(socket));
-    let forward = Arc::new(ForwardHandle::new(RequestKind::OnceOnly));
+    let forward = Arc::new(ForwardHandle::new(RequestKind::NonIdempotent));
     assert!(forward.begin_attempt(0, &stream));
     let started_at = Instant::now();
     let local = stream.clone();
@@ -223,12 +223,12 @@
     let mut reporter = DisconnectReporter::default();
     assert_eq!(reporter.next_line(&metrics), None);
     metrics.record_disconnect(RequestKind::Idempotent, ForwardStage::AtServer);
-    metrics.record_send(RequestKind::OnceOnly, REACTION_DEADLINE);
+    metrics.record_send(RequestKind::NonIdempotent, REACTION_DEADLINE);
     metrics.record_overdue(RequestKind::Idempotent, ForwardStage::AtServer, true);
     assert_eq!((metrics.disconnects(), metrics.violations()), (1, 0));
-    metrics.record_overdue(RequestKind::OnceOnly, ForwardStage::Waiting, false);
+    metrics.record_overdue(RequestKind::NonIdempotent, ForwardStage::Waiting, false);
     metrics.record_send(
-        RequestKind::OnceOnly,
+        RequestKind::NonIdempotent,
         REACTION_DEADLINE + Duration::from_millis(1),
     );
     assert_eq!(metrics.violations(), 2);
@@ -268,7 +268,7 @@
         if request.path == "/first" {
             first_released.lock().unwrap().recv().unwrap();
         }
-        Reply::plain(200)
+        Reply::empty(200)
     };
     let limits = MessageLimits {
         head_bytes: 1 << 10,
--- a/crates/aspendrum-net/tests/wire_bytes.rs
+++ b/crates/aspendrum-net/tests/wire_bytes.rs
@@ -2,7 +2,7 @@
 
 use aspendrum_net::disconnect_metrics::{DisconnectMetrics, REACTION_DEADLINE};
 use aspendrum_net::forward::{ForwardStage, RequestKind};
-use aspendrum_net::frames::{encode_frame, read_frame, Link};
+use aspendrum_net::frames::{encode_frame, read_frame, FrameSender};
 use aspendrum_net::http1::{self, MessageLimits, Parsed, Request, Response};
 use aspendrum_net::http_client::HttpClient;
 use aspendrum_net::http_server::{self, Reply, ServerOptions};
@@ -95,10 +95,10 @@
 #[test]
 fn a_link_writes_frames_in_order_and_closes_after_the_last() {
     let (peer, local) = connected_pair();
-    let link = Link::from_stream(Arc::new(local), TEST_TIMEOUT, 8).unwrap();
+    let link = FrameSender::from_stream(Arc::new(local), TEST_TIMEOUT, 8).unwrap();
     link.send(&sample());
     link.send(&Sample::Empty);
-    link.finish();
+    link.close_after_flush();
     drop(link);
     assert_eq!(
         read_to_end(&peer),
@@ -172,13 +172,13 @@
             path,
             headers,
             body,
-            close: false
+            closes_connection: false
         }
     );
     let Parsed::Complete(second) = http1::parse_request(&mut buffer, &LIMITS) else {
         panic!("the second request was not parsed")
     };
-    assert!(second.method == "GET" && second.close && second.body.is_empty());
+    assert!(second.method == "GET" && second.closes_connection && second.body.is_empty());
     assert!(matches!(
         http1::parse_request(&mut buffer, &LIMITS),
         Parsed::Incomplete
@@ -382,7 +382,7 @@
             headers: vec![("Location", "/there".to_string())],
             body: Vec::new(),
         },
-        _ => Reply::plain(404),
+        _ => Reply::empty(404),
     };
     let options = ServerOptions {
         stack_bytes: 128 << 10,
@@ -425,7 +425,7 @@
 #[test]
 fn metrics_keep_their_names_and_labels() {
     let metrics = DisconnectMetrics::default();
-    let kinds = [RequestKind::Idempotent, RequestKind::OnceOnly];
+    let kinds = [RequestKind::Idempotent, RequestKind::NonIdempotent];
     for kind in kinds {
         for stage in [
             ForwardStage::Waiting,
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -3,7 +3,7 @@
 use crate::state::ProxyState;
 use aspendrum_model::message::{FromControl, StateSection, ToControl};
 use aspendrum_model::settings::Settings;
-use aspendrum_net::frames::{self, Link};
+use aspendrum_net::frames::{self, FrameSender};
 use aspendrum_net::threads::spawn;
 use std::io::{self, BufReader};
 use std::net::{SocketAddrV4, TcpStream};
@@ -47,14 +47,14 @@
     Ok(())
 }
 
-fn connect(agent_address: SocketAddrV4) -> io::Result<(Arc<Link>, Arc<TcpStream>)> {
-    let stream = Link::connect(agent_address, ACKNOWLEDGE_TIMEOUT)?;
-    let link = Link::from_stream(stream.clone(), ACKNOWLEDGE_TIMEOUT, SEND_QUEUE_CAPACITY)?;
+fn connect(agent_address: SocketAddrV4) -> io::Result<(Arc<FrameSender>, Arc<TcpStream>)> {
+    let stream = FrameSender::connect(agent_address, ACKNOWLEDGE_TIMEOUT)?;
+    let link = FrameSender::from_stream(stream.clone(), ACKNOWLEDGE_TIMEOUT, SEND_QUEUE_CAPACITY)?;
     Ok((Arc::new(link), stream))
 }
 
 /// Handles messages until the connection ends.
-fn receive(state: &ProxyState, link: &Link, stream: &TcpStream) {
+fn receive(state: &ProxyState, link: &FrameSender, stream: &TcpStream) {
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
     while let Ok(message) = frames::read_frame::<FromControl>(&mut reader) {
         match message {
--- a/crates/aspendrum-proxy/src/agent_link.rs
+++ b/crates/aspendrum-proxy/src/agent_link.rs
@@ -1,13 +1,13 @@
 //! The sending side of the loopback connection to the agent on this machine.
 
 use aspendrum_model::message::{Readiness, StateDigest, ToControl};
-use aspendrum_net::frames::Link;
+use aspendrum_net::frames::FrameSender;
 use aspendrum_net::threads::lock;
 use std::sync::{Arc, Mutex};
 
 /// The connection to the agent, if established.
 #[derive(Default)]
-pub struct AgentLink(Mutex<Option<Arc<Link>>>);
+pub struct AgentLink(Mutex<Option<Arc<FrameSender>>>);
 
 impl AgentLink {
     /// Sends a heartbeat. The agent's reply contains `sent_at_ms`, a time of the proxy's clock in milliseconds,
@@ -23,7 +23,7 @@
         }
     }
 
-    pub(crate) fn set(&self, link: Option<Arc<Link>>) {
+    pub(crate) fn set(&self, link: Option<Arc<FrameSender>>) {
         *lock(&self.0) = link;
     }
 }
--- a/crates/aspendrum-proxy/src/disconnects.rs
+++ b/crates/aspendrum-proxy/src/disconnects.rs
@@ -57,13 +57,13 @@
     let Progress {
         stage,
         is_aborted,
-        ended_ago,
+        time_since_end,
     } = progress;
-    let may_finish = (kind, stage) == (RequestKind::OnceOnly, ForwardStage::AtServer);
+    let may_finish = (kind, stage) == (RequestKind::NonIdempotent, ForwardStage::AtServer);
     // A request that was allowed to finish is measured from the end of its attempt, since it takes a moment to
     // complete.
-    let elapsed = ended_ago.map_or(disconnected_for, |ended_ago| {
-        ended_ago.min(disconnected_for)
+    let elapsed = time_since_end.map_or(disconnected_for, |time_since_end| {
+        time_since_end.min(disconnected_for)
     });
     if elapsed > REACTION_DEADLINE && !may_finish && session.connection.mark_overdue() {
         state
--- a/crates/aspendrum-proxy/src/process.rs
+++ b/crates/aspendrum-proxy/src/process.rs
@@ -74,16 +74,16 @@
 
 fn readiness_page(state: &ProxyState, request: &Request) -> Reply {
     match request.path.as_str() {
-        "/api/readyz" if state.is_ready() => Reply::plain(200),
-        "/api/readyz" => Reply::plain(503),
-        _ => Reply::plain(404),
+        "/api/readyz" if state.is_ready() => Reply::empty(200),
+        "/api/readyz" => Reply::empty(503),
+        _ => Reply::empty(404),
     }
 }
 
 fn metrics_page(state: &ProxyState, request: &Request) -> Reply {
     match request.path.as_str() {
         "/metrics" => Reply::text(state.disconnect_metrics.text()),
-        _ => Reply::plain(404),
+        _ => Reply::empty(404),
     }
 }
 
--- a/crates/aspendrum-proxy/src/request/filter.rs
+++ b/crates/aspendrum-proxy/src/request/filter.rs
@@ -45,7 +45,7 @@
     state: &ProxyState,
     request: &'r Request,
 ) -> Result<RequestTarget<'r>, ClientResponse> {
-    let policy = if request.close {
+    let policy = if request.closes_connection {
         ConnectionPolicy::Close
     } else {
         ConnectionPolicy::KeepAlive
--- a/crates/aspendrum-proxy/src/request/upstream.rs
+++ b/crates/aspendrum-proxy/src/request/upstream.rs
@@ -82,7 +82,7 @@
         let kind = if route_config.idempotent {
             RequestKind::Idempotent
         } else {
-            RequestKind::OnceOnly
+            RequestKind::NonIdempotent
         };
         let forward_handle = Arc::new(ForwardHandle::new(kind));
         UpstreamRequest {
@@ -232,7 +232,7 @@
     /// Records a reset of a reused connection before any response byte: the server may have dropped the
     /// connection while it was idle.
     fn record_reset(&self, connection: &Connection, outcome: Outcome) {
-        let was_idle = connection.nothing_received() && !connection.idle_time().is_zero();
+        let was_idle = connection.is_receive_buffer_empty() && !connection.idle_time().is_zero();
         if outcome == Outcome::Reset && was_idle && !self.forward_handle.progress().is_aborted {
             self.state.record_idle_reset(connection.idle_time());
         }
--- a/crates/aspendrum-proxy/tests/idle_limit.rs
+++ b/crates/aspendrum-proxy/tests/idle_limit.rs
@@ -48,7 +48,7 @@
         |conn: &aspendrum_net::connection::Connection| conn.stream.local_addr().unwrap().port();
     let first = acquire(Duration::MAX);
     let port = local_port(&first);
-    assert!(first.idle_time().is_zero() && first.nothing_received());
+    assert!(first.idle_time().is_zero() && first.is_receive_buffer_empty());
     pool.release(1, first);
     let fresh = acquire(Duration::ZERO);
     assert!(
--- a/crates/aspendrum-proxy/tests/wire_messages.rs
+++ b/crates/aspendrum-proxy/tests/wire_messages.rs
@@ -418,7 +418,7 @@
         ForwardStage::AtServer,
     ];
     let mut events = 0;
-    for kind in [RequestKind::Idempotent, RequestKind::OnceOnly] {
+    for kind in [RequestKind::Idempotent, RequestKind::NonIdempotent] {
         for stage in stages {
             events += 1;
             (0..events).for_each(|_| state.disconnect_metrics.record_disconnect(kind, stage));
--- a/crates/aspendrum/src/discovery/publish.rs
+++ b/crates/aspendrum/src/discovery/publish.rs
@@ -15,7 +15,7 @@
             listed.insert(entry.server);
             state.pool.set_address(entry.server, address);
         } else {
-            state.pool.forget(entry.server);
+            state.pool.remove_server(entry.server);
         }
     }
     if list.is_complete {
--- a/crates/aspendrum/src/dispatcher.rs
+++ b/crates/aspendrum/src/dispatcher.rs
@@ -276,9 +276,9 @@
         let Progress {
             stage,
             is_aborted,
-            ended_ago,
+            time_since_end,
         } = forward.progress();
-        let is_ending = ended_ago.is_some_and(|time| time <= REACTION_DEADLINE);
+        let is_ending = time_since_end.is_some_and(|time| time <= REACTION_DEADLINE);
         if stage != ForwardStage::AtServer && !is_ending && connection.mark_overdue() {
             self.state
                 .disconnect_metrics
--- a/crates/aspendrum/src/request_handler.rs
+++ b/crates/aspendrum/src/request_handler.rs
@@ -53,7 +53,7 @@
         let kind = if is_idempotent {
             RequestKind::Idempotent
         } else {
-            RequestKind::OnceOnly
+            RequestKind::NonIdempotent
         };
         RequestHandler {
             state,
