--- a/crates/aspendrum-agent/src/control_endpoints.rs
+++ b/crates/aspendrum-agent/src/control_endpoints.rs
@@ -1,6 +1,6 @@
 //! The addresses of the control nodes, in the order in which they are dialed.
 
-use aspendrum_model::hash::{digest, rank};
+use aspendrum_model::hash::{digest, rendezvous_weight};
 use aspendrum_model::message::ControlAddress;
 use aspendrum_model::settings::Settings;
 use aspendrum_net::threads::lock;
@@ -64,9 +64,9 @@
     fn new(node: &ControlAddress, settings: &Settings) -> DialKey {
         let host = digest(settings.host_name.as_bytes());
         DialKey {
-            is_down: !node.reachable,
+            is_down: !node.is_reachable,
             distance: Distance::of_zone(&node.zone, settings),
-            rank: rank(host, u64::from(u32::from(node.ip))),
+            rank: rendezvous_weight(host, u64::from(u32::from(node.ip))),
             ip: node.ip,
         }
     }
@@ -148,7 +148,7 @@
     let address = |ip| ControlAddress {
         ip,
         zone: String::new(),
-        reachable: true,
+        is_reachable: true,
     };
     settings.seeds.iter().map(move |seed| address(*seed.ip()))
 }
--- a/crates/aspendrum-agent/src/coordinator/desired_state.rs
+++ b/crates/aspendrum-agent/src/coordinator/desired_state.rs
@@ -113,7 +113,7 @@
             _ => None,
         };
         let (revision, zones) = match &self.sections[EVACUATED] {
-            Some(StateSection::Evacuated { revision, zones }) => (*revision, zones.as_slice()),
+            Some(StateSection::EvacuatedZones { revision, zones }) => (*revision, zones.as_slice()),
             _ => (0, [].as_slice()),
         };
         self.digest = state_digest(config.as_ref(), revision, zones);
@@ -136,8 +136,8 @@
             version > held_version || conflicts && source == Source::Control
         }
         (
-            StateSection::Evacuated { revision, .. },
-            Some(StateSection::Evacuated {
+            StateSection::EvacuatedZones { revision, .. },
+            Some(StateSection::EvacuatedZones {
                 revision: held_revision,
                 ..
             }),
--- a/crates/aspendrum-agent/src/coordinator/mod.rs
+++ b/crates/aspendrum-agent/src/coordinator/mod.rs
@@ -167,7 +167,7 @@
             control.last_received_at = now;
         }
         match message {
-            FromControl::Heartbeat {
+            FromControl::HeartbeatReply {
                 sent_at_ms,
                 majority_age,
                 decided,
@@ -228,9 +228,9 @@
         }
         match &section {
             StateSection::Proxies(proxies) => self.update_peers(proxies),
-            StateSection::Control(nodes) => self.update_endpoints(nodes),
+            StateSection::ControlNodes(nodes) => self.update_endpoints(nodes),
             StateSection::Config { .. }
-            | StateSection::Evacuated { .. }
+            | StateSection::EvacuatedZones { .. }
             | StateSection::Servers { .. } => {}
         }
         let now = self.now();
@@ -254,8 +254,8 @@
         // anything depends on the connection. It also leaves a node that reports itself as shutting down.
         let is_shutting_down = nodes
             .iter()
-            .any(|node| node.ip == control.ip && !node.reachable);
-        let has_alternative = nodes.iter().any(|node| node.reachable);
+            .any(|node| node.ip == control.ip && !node.is_reachable);
+        let has_alternative = nodes.iter().any(|node| node.is_reachable);
         let is_far = is_first_list && !self.endpoints.is_nearest(control.ip);
         if is_far || is_shutting_down && has_alternative {
             control.disconnect();
@@ -351,7 +351,7 @@
         let newest = newest.map(|as_of| MajorityReport { decided, as_of });
         let Some(proxy) = &mut self.proxy else { return };
         let report = newest.map(|newest| proxy.report(newest));
-        proxy.link.send(&FromControl::Heartbeat {
+        proxy.link.send(&FromControl::HeartbeatReply {
             sent_at_ms,
             majority_age: report.map(|report| (now - report.as_of).max(0.0).ceil() as u32),
             decided: report.map_or(decided, |report| report.decided),
@@ -425,10 +425,10 @@
         // is partitioned from the majority, except for the list of control nodes.
         let is_decided = matches!(
             section,
-            StateSection::Config { .. } | StateSection::Evacuated { .. }
+            StateSection::Config { .. } | StateSection::EvacuatedZones { .. }
         );
         let is_partitioned = self.majority.is_stale(self.now());
-        if is_decided || is_partitioned && !matches!(section, StateSection::Control(_)) {
+        if is_decided || is_partitioned && !matches!(section, StateSection::ControlNodes(_)) {
             self.apply_section(section, Source::Peer);
         }
     }
--- a/crates/aspendrum-agent/tests/control_endpoints.rs
+++ b/crates/aspendrum-agent/tests/control_endpoints.rs
@@ -16,7 +16,7 @@
     ControlAddress {
         ip,
         zone: zone.to_string(),
-        reachable: true,
+        is_reachable: true,
     }
 }
 
@@ -37,7 +37,7 @@
     let initial_settings = settings(SETTINGS);
     let endpoints = ControlEndpoints::new(&initial_settings);
     let shutting_down = ControlAddress {
-        reachable: false,
+        is_reachable: false,
         ..node(ip(1), "a1")
     };
     endpoints.update(&initial_settings, &[shutting_down, node(ip(3), "b1")]);
--- a/crates/aspendrum-agent/tests/process.rs
+++ b/crates/aspendrum-agent/tests/process.rs
@@ -103,7 +103,7 @@
         let ToControl::Heartbeat { sent_at_ms, .. } = message else {
             return message;
         };
-        let reply = FromControl::Heartbeat {
+        let reply = FromControl::HeartbeatReply {
             sent_at_ms,
             majority_age: Some(10),
             decided,
@@ -131,7 +131,7 @@
 fn sections() -> Vec<StateSection> {
     vec![
         StateSection::config(1, compress(CONFIG.as_bytes())),
-        StateSection::Evacuated {
+        StateSection::EvacuatedZones {
             revision: 7,
             zones: vec!["poa-b".into()],
         },
@@ -141,10 +141,10 @@
             readiness: Readiness::Ready,
             is_current: true,
         }]),
-        StateSection::Control(vec![ControlAddress {
+        StateSection::ControlNodes(vec![ControlAddress {
             ip: CONTROL_IP,
             zone: "poa-a".into(),
-            reachable: true,
+            is_reachable: true,
         }]),
     ]
 }
@@ -187,11 +187,11 @@
         compressed_text: compress(CONFIG.as_bytes()),
         checksum: 1,
     };
-    let older = StateSection::Evacuated {
+    let older = StateSection::EvacuatedZones {
         revision: 6,
         zones: Vec::new(),
     };
-    let newer = StateSection::Evacuated {
+    let newer = StateSection::EvacuatedZones {
         revision: 8,
         zones: Vec::new(),
     };
--- a/crates/aspendrum-agent/tests/wire_bytes.rs
+++ b/crates/aspendrum-agent/tests/wire_bytes.rs
@@ -47,7 +47,7 @@
         addr: address(),
         zone: "poa-a".into(),
         slots: 400,
-        draining: true,
+        is_draining: true,
         slow_start_left_ms: 3000,
     };
     let proxy = |readiness, is_current| ProxyEndpoint {
@@ -64,11 +64,11 @@
     let control = ControlAddress {
         ip: *address().ip(),
         zone: "poa-a".into(),
-        reachable: true,
+        is_reachable: true,
     };
     let update = |number, section| FromControl::Update { number, section };
     let heartbeat =
-        |majority_age, control_reachable, most_agents_isolated| FromControl::Heartbeat {
+        |majority_age, control_reachable, most_agents_isolated| FromControl::HeartbeatReply {
             sent_at_ms: 300,
             majority_age,
             decided: state_digest(),
@@ -91,7 +91,7 @@
             "evacuated_zones",
             update(
                 300,
-                StateSection::Evacuated {
+                StateSection::EvacuatedZones {
                     revision: 7,
                     zones: vec!["poa-a".into(), String::new()],
                 },
@@ -110,7 +110,7 @@
         ("proxies", update(4, StateSection::Proxies(proxies))),
         (
             "control_nodes",
-            update(u64::MAX, StateSection::Control(vec![control])),
+            update(u64::MAX, StateSection::ControlNodes(vec![control])),
         ),
         ("heartbeat_answer", heartbeat(Some(250), true, false)),
         ("heartbeat_answer_without_age", heartbeat(None, false, true)),
--- a/crates/aspendrum-benchmarks/src/components/proxy/admission.rs
+++ b/crates/aspendrum-benchmarks/src/components/proxy/admission.rs
@@ -84,7 +84,7 @@
     let (mut admission_times, mut completion_times, mut not_sent) = (Vec::new(), Vec::new(), 0);
     for number in 0..REQUESTS {
         let route = number % snapshot.config.routes.len();
-        let service = snapshot.config.routes[route].service(SERVICE_SELECTION);
+        let service = snapshot.config.routes[route].select_service(SERVICE_SELECTION);
         let Some(pool) = snapshot.pools.get(service).copied() else {
             continue;
         };
@@ -142,7 +142,7 @@
     let Some(snapshot) = dispatcher.snapshot() else {
         return;
     };
-    let service = snapshot.config.routes[0].service(SERVICE_SELECTION);
+    let service = snapshot.config.routes[0].select_service(SERVICE_SELECTION);
     let Some(pool) = snapshot.pools.get(service).copied() else {
         return;
     };
--- a/crates/aspendrum-benchmarks/src/components/server_lists.rs
+++ b/crates/aspendrum-benchmarks/src/components/server_lists.rs
@@ -68,7 +68,7 @@
     // Consecutive lists differ in which of two servers is draining.
     let list = |number: usize| -> Vec<ServerInstance> {
         let mut list = servers.clone();
-        list[number % 2].draining = true;
+        list[number % 2].is_draining = true;
         list
     };
     let lists: Vec<Vec<ServerInstance>> = (0..REPLACEMENTS).map(list).collect();
@@ -107,7 +107,7 @@
         readiness: Readiness::Ready,
         applied: digest,
     }));
-    let from_control = FromControl::Heartbeat {
+    let from_control = FromControl::HeartbeatReply {
         sent_at_ms: SENT_AT_MS,
         majority_age: Some(400),
         decided: digest,
--- a/crates/aspendrum-benchmarks/src/fleet_data.rs
+++ b/crates/aspendrum-benchmarks/src/fleet_data.rs
@@ -149,7 +149,7 @@
         addr: server_addr(n),
         zone: zone(n / size.services + n % size.services),
         slots: 2,
-        draining: false,
+        is_draining: false,
         slow_start_left_ms: 0,
     };
     (0..size.servers).map(server).collect()
@@ -189,7 +189,7 @@
             "az": server.zone,
             "gen": "v1",
             "slots": server.slots,
-            "phase": if server.draining { "drain" } else { "up" },
+            "phase": if server.is_draining { "drain" } else { "up" },
             "warm-left-ms": server.slow_start_left_ms,
         })
     };
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/agent.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/agent.rs
@@ -58,7 +58,7 @@
                 self.config_received_at = Some(now);
             }
             StateSection::Servers { list, .. } => {
-                self.draining_servers = list.iter().filter(|server| server.draining).count();
+                self.draining_servers = list.iter().filter(|server| server.is_draining).count();
             }
             StateSection::Proxies(proxies) => {
                 self.ready_proxies = proxies.iter().filter(|proxy| proxy.is_ready()).count();
@@ -236,7 +236,7 @@
         let now = Instant::now();
         let kind = match &message {
             FromControl::Update { section, .. } => section.kind(),
-            FromControl::Heartbeat { .. } | FromControl::Resync => HEARTBEAT_KIND,
+            FromControl::HeartbeatReply { .. } | FromControl::Resync => HEARTBEAT_KIND,
         };
         self.counters.received_bytes[kind].fetch_add(bytes, Relaxed);
         self.counters.received_frames[kind].fetch_add(1, Relaxed);
@@ -246,7 +246,7 @@
                 lock(&self.session).applied.apply(section, now);
                 self.send(ToControl::Applied { number });
             }
-            FromControl::Heartbeat {
+            FromControl::HeartbeatReply {
                 sent_at_ms,
                 majority_age: Some(age_ms),
                 decided,
@@ -256,7 +256,7 @@
                 let as_of = requested_at.checked_sub(Duration::from_millis(age_ms.into()));
                 self.on_majority_report(decided, as_of, now);
             }
-            FromControl::Heartbeat { .. } | FromControl::Resync => {}
+            FromControl::HeartbeatReply { .. } | FromControl::Resync => {}
         }
     }
 
--- a/crates/aspendrum-benchmarks/src/simulated_fleet/platform.rs
+++ b/crates/aspendrum-benchmarks/src/simulated_fleet/platform.rs
@@ -122,7 +122,7 @@
     pub(super) fn set_draining(&self, number: usize, draining: bool) {
         let mut servers = lock(&self.servers);
         if let Some(server) = servers.get_mut(number) {
-            server.draining = draining;
+            server.is_draining = draining;
         }
         *lock(&self.pages) = pages(&servers);
     }
--- a/crates/aspendrum-benchmarks/tests/simulated_agents.rs
+++ b/crates/aspendrum-benchmarks/tests/simulated_agents.rs
@@ -66,7 +66,7 @@
             break sent_at_ms;
         }
     };
-    let heartbeat = |sent_at_ms, config| FromControl::Heartbeat {
+    let heartbeat = |sent_at_ms, config| FromControl::HeartbeatReply {
         sent_at_ms,
         majority_age: Some(1),
         decided: digest_of(config),
--- a/crates/aspendrum-client/src/output.rs
+++ b/crates/aspendrum-client/src/output.rs
@@ -73,7 +73,7 @@
     } else {
         ", goes elsewhere"
     };
-    let retry_change = if old.idempotent == new.idempotent {
+    let retry_change = if old.is_idempotent == new.is_idempotent {
         ""
     } else {
         ", repeats otherwise"
@@ -92,7 +92,7 @@
         "Route {{ name: {:?}, repeatable: {}, goal_ms: {target:?}, limit_ms: {timeout:?}, prio: {priority:?}, \
          public: {}, tries: {}, homes: {:?}, services: {} }}",
         route.name,
-        route.idempotent,
+        route.is_idempotent,
         route.is_public,
         route.max_attempts,
         route.home_regions,
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -124,7 +124,7 @@
     ) {
         let report = view.decided.report();
         let report = report.map(|newest| self.updates.report(newest));
-        self.link.send(&FromControl::Heartbeat {
+        self.link.send(&FromControl::HeartbeatReply {
             sent_at_ms,
             majority_age: report.map(|report| (now - report.as_of).max(0.0).ceil() as u32),
             decided: report.map_or(view.decided.digest(), |report| report.decided),
--- a/crates/aspendrum-control/src/node.rs
+++ b/crates/aspendrum-control/src/node.rs
@@ -502,7 +502,7 @@
         let own = ControlAddress {
             ip: self.settings.ip,
             zone: self.settings.zone.clone(),
-            reachable: self.shutdown.is_none(),
+            is_reachable: self.shutdown.is_none(),
         };
         std::iter::once(own)
             .chain(self.peers.addresses(now))
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -259,7 +259,7 @@
         self.peers.iter().map(move |(node, peer)| ControlAddress {
             ip: node.address(),
             zone: peer.zone.clone(),
-            reachable: peer.is_reachable(now) && !peer.is_leaving,
+            is_reachable: peer.is_reachable(now) && !peer.is_leaving,
         })
     }
 }
--- a/crates/aspendrum-control/src/report.rs
+++ b/crates/aspendrum-control/src/report.rs
@@ -93,7 +93,7 @@
 }
 
 fn route(route: &Route) -> Value {
-    let retries = if route.idempotent {
+    let retries = if route.is_idempotent {
         "repeated freely"
     } else {
         "lands once: leaves only where decided is applied"
--- a/crates/aspendrum-control/src/sections.rs
+++ b/crates/aspendrum-control/src/sections.rs
@@ -32,7 +32,7 @@
                 sections.push(StateSection::config(config.version, text));
             }
             let evacuated = self.committed.evacuated_zones();
-            sections.push(StateSection::Evacuated {
+            sections.push(StateSection::EvacuatedZones {
                 revision: evacuated.revision,
                 zones: evacuated.zones,
             });
@@ -44,7 +44,7 @@
         if is_recent && self.has_collected_proxies && !self.proxies.is_empty() {
             sections.push(StateSection::Proxies(self.proxies.to_vec()));
         }
-        sections.push(StateSection::Control(self.control));
+        sections.push(StateSection::ControlNodes(self.control));
         sections
     }
 }
--- a/crates/aspendrum-control/src/server_list.rs
+++ b/crates/aspendrum-control/src/server_list.rs
@@ -3,7 +3,7 @@
 use crate::errors::PlatformError;
 use crate::peer_message::PeerMessage;
 use aspendrum_consensus::{Millis, NodeId};
-use aspendrum_model::hash::{digest, rank};
+use aspendrum_model::hash::{digest, rendezvous_weight};
 use aspendrum_model::message::StateSection;
 use aspendrum_model::servers::{ServerInstance, ServerList};
 use crossbeam_channel::Sender;
@@ -30,7 +30,7 @@
     takeover_delay: Millis,
 ) -> bool {
     let key = digest(RANK_KEY);
-    let rank_of = |node: NodeId| rank(key, u64::from(node.as_u32()));
+    let rank_of = |node: NodeId| rendezvous_weight(key, u64::from(node.as_u32()));
     let higher = reachable
         .iter()
         .filter(|node| rank_of(**node) > rank_of(local_node));
--- a/crates/aspendrum-control/tests/processes.rs
+++ b/crates/aspendrum-control/tests/processes.rs
@@ -284,7 +284,7 @@
     fn received_numbers(&self) -> Vec<u64> {
         let number = |message: &FromControl| match message {
             FromControl::Update { number, .. } => Some(*number),
-            FromControl::Heartbeat { .. } | FromControl::Resync => None,
+            FromControl::HeartbeatReply { .. } | FromControl::Resync => None,
         };
         self.received.iter().filter_map(number).collect()
     }
@@ -344,7 +344,7 @@
         applied: StateDigest::default(),
     });
     agent.receive_until(|m| match m {
-        FromControl::Heartbeat {
+        FromControl::HeartbeatReply {
             sent_at_ms: 42,
             majority_age: Some(age),
             decided,
@@ -403,7 +403,7 @@
         readiness: Readiness::Ready,
         applied: StateDigest::default(),
     });
-    agent.receive_until(|m| matches!(m, FromControl::Heartbeat { sent_at_ms: 42, .. }));
+    agent.receive_until(|m| matches!(m, FromControl::HeartbeatReply { sent_at_ms: 42, .. }));
     // After a second without an acknowledgement the newest configuration is sent nevertheless.
     let sent = agent.received_versions();
     let allowed = 2 + started.elapsed().as_secs() as usize;
--- a/crates/aspendrum-control/tests/wire_bytes.rs
+++ b/crates/aspendrum-control/tests/wire_bytes.rs
@@ -137,13 +137,13 @@
         },
     ];
     assert_peer_message(&mut pinned, "proxies", &PeerMessage::Proxies(proxies));
-    let server = |draining: bool, slow_start_left_ms: u32| ServerInstance {
+    let server = |is_draining: bool, slow_start_left_ms: u32| ServerInstance {
         uid: "u1".into(),
         service: "s".into(),
         addr: "10.1.2.3:443".parse().unwrap(),
         zone: "z1".into(),
         slots: 300,
-        draining,
+        is_draining,
         slow_start_left_ms,
     };
     let list = vec![server(false, 0), server(true, 2500)];
--- a/crates/aspendrum-model/src/config/document.rs
+++ b/crates/aspendrum-model/src/config/document.rs
@@ -154,7 +154,7 @@
         }
         Ok(Route {
             name: self.name.clone(),
-            idempotent: self.is_idempotent()?,
+            is_idempotent: self.is_idempotent()?,
             latency_target_ms: self.latency_target_ms,
             timeout_ms: action.timeout_ms,
             priority: self.priority,
--- a/crates/aspendrum-model/src/config/route.rs
+++ b/crates/aspendrum-model/src/config/route.rs
@@ -6,7 +6,7 @@
     /// The name of the route, for logs and reports.
     pub name: String,
     /// Whether a request may be executed more than once.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// The target latency of a response, in milliseconds.
     pub latency_target_ms: f64,
     /// The timeout of a request including all attempts, in milliseconds.
@@ -33,16 +33,16 @@
 }
 
 impl Route {
-    /// Selects the service for a request. `chance` is a uniform random number from 0 to 1.
-    pub fn service(&self, chance: f64) -> &str {
-        let mut remaining = chance * self.services.iter().map(|s| s.weight).sum::<f64>();
+    /// Selects the service for a request. `selection` is a uniform random number from 0 to 1.
+    pub fn select_service(&self, selection: f64) -> &str {
+        let mut remaining = selection * self.services.iter().map(|s| s.weight).sum::<f64>();
         for WeightedService { service, weight } in &self.services {
             remaining -= weight;
             if remaining < 0.0 {
                 return service;
             }
         }
-        // Reached if `remaining` is still not negative, through rounding or because `chance` is 1. A service with
+        // Reached if `remaining` is still not negative, through rounding or because `selection` is 1. A service with
         // weight 0 must not be selected in this case either.
         let last_weighted = self.services.iter().rev().find(|s| s.weight > 0.0);
         last_weighted.map_or("", |s| &s.service)
--- a/crates/aspendrum-model/src/hash.rs
+++ b/crates/aspendrum-model/src/hash.rs
@@ -10,13 +10,13 @@
 
 /// Returns the weight of a member for a key in rendezvous hashing (Thaler and Ravishankar, 1998). The member with the
 /// highest weight owns the key. When a member is removed, only its own keys are reassigned.
-pub fn rank(key: u64, member: u64) -> u64 {
+pub fn rendezvous_weight(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
 
-/// Returns the value of the member that owns the key, which is the one with the highest [`rank`]. Ties are broken by
-/// the member number. Returns `None` if there are no members.
-pub fn highest_ranked<T: Copy>(key: u64, members: impl Iterator<Item = (u64, T)>) -> Option<T> {
-    let owner = members.max_by_key(|(member, _)| (rank(key, *member), *member));
+/// Returns the value of the member that owns the key, which is the one with the highest [`rendezvous_weight`]. Ties are
+/// broken by the member number. Returns `None` if there are no members.
+pub fn rendezvous_owner<T: Copy>(key: u64, members: impl Iterator<Item = (u64, T)>) -> Option<T> {
+    let owner = members.max_by_key(|(member, _)| (rendezvous_weight(key, *member), *member));
     owner.map(|(_, value)| value)
 }
--- a/crates/aspendrum-model/src/message.rs
+++ b/crates/aspendrum-model/src/message.rs
@@ -79,7 +79,7 @@
     /// The zone in which it is located.
     pub zone: String,
     /// Whether the node is not shutting down and the sender has recently received a message from it.
-    pub reachable: bool,
+    pub is_reachable: bool,
 }
 
 /// A section of the state that proxies apply. Each section is complete and supersedes the previous one of its kind.
@@ -95,7 +95,7 @@
         checksum: u64,
     },
     /// The evacuated zones.
-    Evacuated {
+    EvacuatedZones {
         /// The sequence number of the last evacuation command for any zone.
         revision: u64,
         /// The names of the zones.
@@ -111,7 +111,7 @@
     /// The proxies to which clients can be directed.
     Proxies(Vec<ProxyEndpoint>),
     /// The control nodes.
-    Control(Vec<ControlAddress>),
+    ControlNodes(Vec<ControlAddress>),
 }
 
 /// The number of section kinds.
@@ -144,7 +144,7 @@
     pub fn is_decided(&self) -> bool {
         matches!(
             self,
-            StateSection::Config { .. } | StateSection::Evacuated { .. }
+            StateSection::Config { .. } | StateSection::EvacuatedZones { .. }
         )
     }
 
@@ -152,10 +152,10 @@
     pub fn kind(&self) -> usize {
         match self {
             StateSection::Config { .. } => 0,
-            StateSection::Evacuated { .. } => 1,
+            StateSection::EvacuatedZones { .. } => 1,
             StateSection::Servers { .. } => 2,
             StateSection::Proxies(_) => 3,
-            StateSection::Control(_) => 4,
+            StateSection::ControlNodes(_) => 4,
         }
     }
 }
@@ -171,7 +171,7 @@
         section: StateSection,
     },
     /// The reply to a heartbeat.
-    Heartbeat {
+    HeartbeatReply {
         /// The `sent_at_ms` of the heartbeat to which this is the reply.
         sent_at_ms: u64,
         /// The time in milliseconds since a majority of control's disks held nothing newer than `decided`; `None` if
--- a/crates/aspendrum-model/src/servers.rs
+++ b/crates/aspendrum-model/src/servers.rs
@@ -19,7 +19,7 @@
     /// The number of requests that the server executes concurrently.
     pub slots: u16,
     /// Whether the server accepts no new requests, because it is shutting down gracefully or has terminated.
-    pub draining: bool,
+    pub is_draining: bool,
     /// The remaining time of slow start when the list was sent, in milliseconds; 0 if the server is not in slow start.
     pub slow_start_left_ms: u32,
 }
@@ -68,7 +68,7 @@
 impl From<ServerEntry> for ServerInstance {
     fn from(entry: ServerEntry) -> ServerInstance {
         ServerInstance {
-            draining: entry.phase != PHASE_UP,
+            is_draining: entry.phase != PHASE_UP,
             uid: entry.uid,
             service: entry.service,
             addr: entry.addr,
--- a/crates/aspendrum-model/src/settings.rs
+++ b/crates/aspendrum-model/src/settings.rs
@@ -120,7 +120,7 @@
         /// The number of machines with a disk that may be lost at the same time.
         tolerated_losses: u64 = "terms.tolerate.machs", Some(1), |losses| *losses < MAX_TOLERATED_LOSSES;
         /// The names of the optional requirements that apply to the deployment.
-        contracts: BTreeSet<String> = "terms.contracts", Some(BTreeSet::new()), any;
+        optional_requirements: BTreeSet<String> = "terms.contracts", Some(BTreeSet::new()), any;
         /// The time within which operators may retry a command other than a configuration, in milliseconds.
         command_timeout_ms: f64 = "terms.bounds.ack-ms", Some(5000.0), positive;
         /// The time for which a machine still counts as lost after its return, in seconds.
@@ -243,7 +243,7 @@
     }
 
     /// Returns the region number of a zone.
-    pub fn region_of(&self, zone: &str) -> Option<u8> {
+    pub fn zone_region_number(&self, zone: &str) -> Option<u8> {
         self.region_number(self.zone_regions.get(zone)?)
     }
 }
--- a/crates/aspendrum-model/tests/config.rs
+++ b/crates/aspendrum-model/tests/config.rs
@@ -39,7 +39,7 @@
 #[test]
 fn requests_of_a_route_are_shared_by_weight() {
     let config = Config::read(CONFIG.as_bytes()).unwrap();
-    let to = |chance| config.routes[0].service(chance);
+    let to = |chance| config.routes[0].select_service(chance);
     assert_eq!(
         [to(0.0), to(0.89), to(0.91), to(1.0)],
         ["s1", "s1", "s2", "s2"]
@@ -85,7 +85,7 @@
         (
             s.counter_port(),
             s.agent_addr().to_string().as_str(),
-            s.region_of("cwb-a")
+            s.zone_region_number("cwb-a")
         ),
         (7601, "127.0.0.1:7602", Some(0))
     );
@@ -129,7 +129,7 @@
     assert_eq!(
         (
             servers[0].uid.as_str(),
-            servers[0].draining,
+            servers[0].is_draining,
             servers[0].slow_start_left_ms
         ),
         ("i-7", true, 1200)
@@ -150,7 +150,7 @@
         addr,
         zone,
         slots: 2,
-        draining: false,
+        is_draining: false,
         slow_start_left_ms,
     }
 }
--- a/crates/aspendrum-model/tests/config_values.rs
+++ b/crates/aspendrum-model/tests/config_values.rs
@@ -96,7 +96,7 @@
         panic!("three routes")
     };
     assert_eq!([&r1.name, &r2.name, &r3.name], ["r1", "r2", "r3"]);
-    assert_eq!([r1, r2, r3].map(|r| r.idempotent), [true, false, false]);
+    assert_eq!([r1, r2, r3].map(|r| r.is_idempotent), [true, false, false]);
     assert_eq!(
         [r1, r2, r3].map(|r| r.latency_target_ms),
         [500.0, 250.5, 400.0]
--- a/crates/aspendrum-model/tests/settings_values.rs
+++ b/crates/aspendrum-model/tests/settings_values.rs
@@ -64,7 +64,7 @@
     assert_eq!(
         (
             s.tolerated_losses,
-            s.contracts.iter().map(String::as_str).collect()
+            s.optional_requirements.iter().map(String::as_str).collect()
         ),
         (2, vec!["base", "quota"])
     );
@@ -125,7 +125,9 @@
         ],
         [None; 5]
     );
-    assert!(s.seeds.is_empty() && s.address_overrides.is_empty() && s.contracts.is_empty());
+    assert!(
+        s.seeds.is_empty() && s.address_overrides.is_empty() && s.optional_requirements.is_empty()
+    );
     assert_eq!(
         (s.cloud_api_rate, s.cloud_api_lag_ms, s.tolerated_losses),
         (1.0, 0.0, 1)
@@ -195,7 +197,7 @@
         [Some(0), Some(1), None]
     );
     assert_eq!(
-        ["cwb-a", "poa-a", "else"].map(|zone| s.region_of(zone)),
+        ["cwb-a", "poa-a", "else"].map(|zone| s.zone_region_number(zone)),
         [Some(0), Some(1), None]
     );
 }
--- a/crates/aspendrum-model/tests/wire_bytes.rs
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -2,7 +2,7 @@
 //! fields of a struct in declaration order. The fixture must not change when types or fields are renamed.
 
 use aspendrum_model::compression::{compress, decompress};
-use aspendrum_model::hash::{digest, highest_ranked, rank};
+use aspendrum_model::hash::{digest, rendezvous_owner, rendezvous_weight};
 use aspendrum_model::message::{
     ControlAddress, Envelope, FromControl, ProxyEndpoint, Readiness, Revision, StateDigest,
     StateSection, ToControl,
@@ -80,7 +80,7 @@
     ControlAddress {
         ip: "10.1.0.34".parse().unwrap(),
         zone: "cwb-a".into(),
-        reachable: true,
+        is_reachable: true,
     }
 }
 
@@ -91,7 +91,7 @@
         addr: "10.128.0.9:8080".parse().unwrap(),
         zone: "poa-a".into(),
         slots: 300,
-        draining: true,
+        is_draining: true,
         slow_start_left_ms: 1200,
     }
 }
@@ -101,7 +101,7 @@
         ("config", StateSection::config(12, b"packed".to_vec())),
         (
             "evacuated",
-            StateSection::Evacuated {
+            StateSection::EvacuatedZones {
                 revision: 9,
                 zones: vec!["poa-a".into(), "poa-b".into()],
             },
@@ -117,7 +117,10 @@
             "proxies",
             StateSection::Proxies(vec![proxy(Readiness::Ready, true)]),
         ),
-        ("control", StateSection::Control(vec![control_address()])),
+        (
+            "control",
+            StateSection::ControlNodes(vec![control_address()]),
+        ),
     ]
 }
 
@@ -150,7 +153,7 @@
         );
     }
     let heartbeat =
-        |majority_age, control_reachable, most_agents_isolated| FromControl::Heartbeat {
+        |majority_age, control_reachable, most_agents_isolated| FromControl::HeartbeatReply {
             sent_at_ms: 5,
             majority_age,
             decided: state_digest(),
@@ -283,13 +286,13 @@
 fn digests_and_key_owners_are_stable() {
     assert_eq!(digest(b""), 0x2d06_8005_38d3_94c2);
     assert_eq!(digest(b"aspendrum"), DIGEST);
-    assert_eq!([rank(1, 2), rank(2, 1)], RANKS);
+    assert_eq!([rendezvous_weight(1, 2), rendezvous_weight(2, 1)], RANKS);
     let members = || [10, 20, 30].into_iter().map(|member| (member, member));
     let owners: Vec<u64> = (0..16)
-        .filter_map(|key| highest_ranked(key, members()))
+        .filter_map(|key| rendezvous_owner(key, members()))
         .collect();
     assert_eq!(owners, OWNERS);
-    assert_eq!(highest_ranked::<u64>(1, std::iter::empty()), None);
+    assert_eq!(rendezvous_owner::<u64>(1, std::iter::empty()), None);
 }
 
 /// Compressed configurations are digested and stored on disk, so the compressed form of a text must not change, and
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -61,7 +61,7 @@
             FromControl::Update { number, section } => {
                 let is_versioned = matches!(
                     section,
-                    StateSection::Config { .. } | StateSection::Evacuated { .. }
+                    StateSection::Config { .. } | StateSection::EvacuatedZones { .. }
                 );
                 state.dispatcher.apply(section);
                 if is_versioned {
@@ -70,7 +70,7 @@
                 link.send(&ToControl::Applied { number });
             }
             FromControl::Resync => state.dispatcher.rebuild_tables(),
-            FromControl::Heartbeat {
+            FromControl::HeartbeatReply {
                 sent_at_ms,
                 majority_age,
                 decided,
--- a/crates/aspendrum-proxy/src/counter/client.rs
+++ b/crates/aspendrum-proxy/src/counter/client.rs
@@ -3,7 +3,7 @@
 use super::id::CounterId;
 use super::rtt::RttEstimator;
 use aspendrum_core::api::Millis;
-use aspendrum_model::hash::highest_ranked;
+use aspendrum_model::hash::rendezvous_owner;
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
@@ -43,7 +43,7 @@
 
     /// Returns the owner of a counter, or `None` if no proxy is known.
     pub fn owner(&self, counter: CounterId) -> Option<Ipv4Addr> {
-        highest_ranked(
+        rendezvous_owner(
             counter.0,
             self.owners
                 .iter()
--- a/crates/aspendrum-proxy/src/dispatcher/configuration.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/configuration.rs
@@ -96,7 +96,7 @@
         let key = GroupKey {
             latency_target: route.latency_target_ms.to_bits(),
             timeout: route.timeout_ms.to_bits(),
-            idempotent: route.idempotent,
+            idempotent: route.is_idempotent,
             priority: route.priority.to_bits(),
         };
         if let Some(number) = self.group_numbers.get(&key) {
@@ -108,7 +108,7 @@
             // cannot be met it would leave servers idle.
             latency_target: route.timeout_ms,
             hard_limit: route.timeout_ms,
-            semantics: if route.idempotent {
+            semantics: if route.is_idempotent {
                 Semantics::Idempotent
             } else {
                 Semantics::NonIdempotent
--- a/crates/aspendrum-proxy/src/dispatcher/mod.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/mod.rs
@@ -273,7 +273,7 @@
                     }
                 }
             }
-            StateSection::Evacuated { revision, zones } => {
+            StateSection::EvacuatedZones { revision, zones } => {
                 lock(&self.state).apply_evacuation(now, revision, &zones)
             }
             StateSection::Servers { age_ms, list } => {
@@ -284,7 +284,7 @@
                 let addresses = ProxyAddresses::from_endpoints(&proxies);
                 lock(&self.state).apply_proxies(now, addresses);
             }
-            StateSection::Control(_) => {}
+            StateSection::ControlNodes(_) => {}
         }
     }
 
--- a/crates/aspendrum-proxy/src/endpoints/location.rs
+++ b/crates/aspendrum-proxy/src/endpoints/location.rs
@@ -21,8 +21,8 @@
 impl ZoneLocation {
     /// Returns the location of `zone` as seen from the zone in the settings.
     pub fn new(zone: &str, settings: &Settings) -> ZoneLocation {
-        let region = settings.region_of(zone).unwrap_or(UNKNOWN_REGION);
-        let is_local_region = settings.region_of(&settings.zone) == Some(region);
+        let region = settings.zone_region_number(zone).unwrap_or(UNKNOWN_REGION);
+        let is_local_region = settings.zone_region_number(&settings.zone) == Some(region);
         let cost = match (zone == settings.zone, is_local_region) {
             (true, _) => 1.0,
             (false, true) => CROSS_ZONE_COST,
--- a/crates/aspendrum-proxy/src/endpoints/preference.rs
+++ b/crates/aspendrum-proxy/src/endpoints/preference.rs
@@ -1,7 +1,7 @@
 //! Deterministic subsetting: selects the servers to which a proxy preferably keeps connections. Each further server
 //! needs another connection, and a rarely used connection is closed before it is used again.
 
-use aspendrum_model::hash::{digest, rank};
+use aspendrum_model::hash::{digest, rendezvous_weight};
 use aspendrum_model::servers::ServerInstance;
 use std::collections::{HashMap, HashSet};
 use std::net::Ipv4Addr;
@@ -20,8 +20,8 @@
     pub(super) fn select(local_ip: Ipv4Addr, servers: &[ServerInstance]) -> PreferredServers {
         let mut ranked: HashMap<(&str, &str), Vec<(u64, &str)>> = HashMap::new();
         let proxy = u64::from(u32::from(local_ip));
-        for server in servers.iter().filter(|server| !server.draining) {
-            let rank = rank(proxy, digest(server.uid.as_bytes()));
+        for server in servers.iter().filter(|server| !server.is_draining) {
+            let rank = rendezvous_weight(proxy, digest(server.uid.as_bytes()));
             let group = ranked.entry((&server.service, &server.zone)).or_default();
             group.push((rank, &server.uid));
         }
--- a/crates/aspendrum-proxy/src/endpoints/set.rs
+++ b/crates/aspendrum-proxy/src/endpoints/set.rs
@@ -151,7 +151,7 @@
             .endpoints
             .iter_mut()
             .filter(|(id, _)| !listed.contains(id));
-        unlisted.for_each(|(_, endpoint)| endpoint.server.draining = true);
+        unlisted.for_each(|(_, endpoint)| endpoint.server.is_draining = true);
     }
 
     fn update_server(
@@ -329,7 +329,8 @@
 
 /// Returns an endpoint's health for the decision engine.
 fn health(now: Millis, endpoint: &Endpoint, evacuated_zones: &HashSet<String>) -> Health {
-    let is_excluded = endpoint.server.draining || evacuated_zones.contains(&endpoint.server.zone);
+    let is_excluded =
+        endpoint.server.is_draining || evacuated_zones.contains(&endpoint.server.zone);
     let has_capacity = !endpoint.in_slow_start(now) || endpoint.slow_start_tokens.available();
     if !is_excluded && has_capacity {
         Health::Ready
--- a/crates/aspendrum-proxy/src/endpoints/slow_start.rs
+++ b/crates/aspendrum-proxy/src/endpoints/slow_start.rs
@@ -2,7 +2,7 @@
 //! few proxies share this rate, each with its own token bucket that holds one token.
 
 use aspendrum_core::api::Millis;
-use aspendrum_model::hash::{digest, rank};
+use aspendrum_model::hash::{digest, rendezvous_weight};
 use std::net::Ipv4Addr;
 
 /// The fraction of the permitted rate that all proxies together use. It is below 1 because the proxies' lists of each
@@ -44,9 +44,10 @@
         let limit = (self.rate * self.tolerance.excess + self.tolerance.slack) * SAFETY_FACTOR;
         let sharers = (limit / 2.0).floor().max(1.0) as usize;
         let key = digest(self.uid.as_bytes());
-        let own_rank = rank(key, u64::from(u32::from(self.local_ip)));
+        let own_rank = rendezvous_weight(key, u64::from(u32::from(self.local_ip)));
         let is_ahead = |proxy: &&Ipv4Addr| {
-            **proxy != self.local_ip && rank(key, u64::from(u32::from(**proxy))) > own_rank
+            **proxy != self.local_ip
+                && rendezvous_weight(key, u64::from(u32::from(**proxy))) > own_rank
         };
         let ahead = self.proxies.iter().filter(is_ahead).count();
         if ahead >= sharers {
--- a/crates/aspendrum-proxy/src/request/filter.rs
+++ b/crates/aspendrum-proxy/src/request/filter.rs
@@ -64,7 +64,7 @@
     // A credential may have been revoked without this proxy's knowledge, unless its lease on credentials is valid.
     let is_authentic = tenant.is_none() || state.credentials_are_valid();
     // The route may have changed since. A non-idempotent request is then left to a proxy that is up to date.
-    let may_run = || route_config.idempotent || state.is_current();
+    let may_run = || route_config.is_idempotent || state.is_current();
     if !is_authentic || !may_run() {
         return Err(ClientResponse::retry_on_other_proxy(head.try_id));
     }
@@ -72,7 +72,7 @@
     let regions = snapshot.route_regions[route] & tenant_regions;
     let pool = snapshot
         .pools
-        .get(route_config.service(fastrand::f64()))
+        .get(route_config.select_service(fastrand::f64()))
         .copied();
     // Every configured service has a pool, so this is not expected.
     let pool = pool.ok_or_else(|| ClientResponse::retry_on_other_proxy(head.try_id))?;
--- a/crates/aspendrum-proxy/src/request/upstream.rs
+++ b/crates/aspendrum-proxy/src/request/upstream.rs
@@ -79,7 +79,7 @@
             .unwrap_or(route_config.timeout_ms)
             .min(route_config.timeout_ms);
         let budget = duration_from_millis(budget.min(MAX_BUDGET));
-        let kind = if route_config.idempotent {
+        let kind = if route_config.is_idempotent {
             RequestKind::Idempotent
         } else {
             RequestKind::NonIdempotent
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn is_idempotent(&self) -> bool {
-        self.target.route_config().idempotent
+        self.target.route_config().is_idempotent
     }
 
     /// Sends the request to a server as attempt number `attempt`.
--- a/crates/aspendrum-proxy/tests/common/mod.rs
+++ b/crates/aspendrum-proxy/tests/common/mod.rs
@@ -100,7 +100,7 @@
         addr: addr.to_string().parse().unwrap(),
         zone: "poa-a".into(),
         slots: 2,
-        draining: false,
+        is_draining: false,
         slow_start_left_ms: 0,
     });
     let proxy_endpoint = ProxyEndpoint {
--- a/crates/aspendrum-proxy/tests/endpoints.rs
+++ b/crates/aspendrum-proxy/tests/endpoints.rs
@@ -34,7 +34,7 @@
         addr,
         zone: zone.into(),
         slots: 2,
-        draining: false,
+        is_draining: false,
         slow_start_left_ms,
     }
 }
@@ -151,7 +151,7 @@
         100.0,
         0.0,
         vec![ServerInstance {
-            draining: true,
+            is_draining: true,
             ..server("i-1", "poa-a", 0)
         }],
         |_| LOCAL,
--- a/crates/aspendrum-proxy/tests/process.rs
+++ b/crates/aspendrum-proxy/tests/process.rs
@@ -91,7 +91,7 @@
         addr: SocketAddrV4::new(IP, 1),
         zone: "poa-a".into(),
         slots: 2,
-        draining: false,
+        is_draining: false,
         slow_start_left_ms: 0,
     };
     let proxy = ProxyEndpoint {
--- a/crates/aspendrum-proxy/tests/revisions.rs
+++ b/crates/aspendrum-proxy/tests/revisions.rs
@@ -7,7 +7,7 @@
 
 fn evacuated(revision: u64, zones: &[&str]) -> StateSection {
     let zones = zones.iter().map(ToString::to_string).collect();
-    StateSection::Evacuated { revision, zones }
+    StateSection::EvacuatedZones { revision, zones }
 }
 
 /// Guards against reverting an evacuation: a restarted agent holds no state and may first get a neighbour's snapshot
--- a/crates/aspendrum-reconcile/src/state_digest.rs
+++ b/crates/aspendrum-reconcile/src/state_digest.rs
@@ -131,7 +131,7 @@
     let form = CanonicalForm::default()
         .text(entry.host)
         .text(entry.prefix)
-        .flag(route.idempotent)
+        .flag(route.is_idempotent)
         .flag(route.is_public)
         .number(f64::from(route.max_attempts))
         .number(route.latency_target_ms)
--- a/crates/aspendrum-reconcile/tests/update_stream.rs
+++ b/crates/aspendrum-reconcile/tests/update_stream.rs
@@ -10,7 +10,7 @@
 
 fn evacuated(revision: u64) -> StateSection {
     let zones = Vec::new();
-    StateSection::Evacuated { revision, zones }
+    StateSection::EvacuatedZones { revision, zones }
 }
 
 fn report(version: u32, as_of: f64) -> MajorityReport {
--- a/crates/aspendrum-testbed/tests/configuration.rs
+++ b/crates/aspendrum-testbed/tests/configuration.rs
@@ -37,7 +37,7 @@
     let route = |number| config.route("a.example", &format!("{}x", route_prefix(number)));
     assert_eq!([route(0), route(1), route(2)], [Some(0), Some(1), Some(2)]);
     assert_eq!(route(3), None);
-    assert!(!config.routes[1].idempotent && config.routes[2].idempotent);
+    assert!(!config.routes[1].is_idempotent && config.routes[2].is_idempotent);
 }
 
 #[test]
