--- a/crates/aspendrum-benchmarks/src/components/consensus.rs
+++ b/crates/aspendrum-benchmarks/src/components/consensus.rs
@@ -5,7 +5,7 @@
 use crate::fleet_data::config_text;
 use crate::fleet_size::{zone, FleetSize, FLEET_SIZES, TARGET};
 use crate::measure::{thread_cpu_ms, Samples};
-use aspendrum_consensus::membership::voters_tolerating;
+use aspendrum_consensus::membership::required_voters;
 use aspendrum_consensus::{Command, Effect, NodeId, Replica, ReplicaOptions, Voters};
 use aspendrum_model::compression::compress;
 use aspendrum_model::hash::digest;
@@ -123,7 +123,7 @@
                 node: *node,
                 is_first_start: true,
                 seeds: &nodes,
-                new_disk: u64::from(node.as_u32()),
+                new_disk_id: u64::from(node.as_u32()),
                 incarnation: INCARNATION,
             };
             Replica::start(options, None).0
@@ -202,7 +202,7 @@
 /// Measures the first start, in which the nodes agree on the voters.
 fn measure_bootstrap(nodes: usize, tolerated_losses: usize) {
     let started_at = thread_cpu_ms();
-    let voters = voters_tolerating(tolerated_losses).min(nodes);
+    let voters = required_voters(tolerated_losses).min(nodes);
     let cluster = Cluster::new(nodes, voters);
     FigureLine::new("consensus.founding")
         .with("machines", nodes)
--- a/crates/aspendrum-consensus/src/effect.rs
+++ b/crates/aspendrum-consensus/src/effect.rs
@@ -9,7 +9,7 @@
 
 /// The outcome of a command.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum CommandOutcome {
     /// A majority of disks holds the command's effect. Carries the state that is known to be committed.
     Committed(Box<ReplicatedState>),
     /// Another text was decided for the version, so the command's text will never be applied on any node.
@@ -35,7 +35,7 @@
         /// The id under which the command was submitted.
         command_id: CommandId,
         /// The outcome.
-        outcome: Outcome,
+        outcome: CommandOutcome,
     },
     /// The committed state has advanced.
     CommittedAdvanced,
--- a/crates/aspendrum-consensus/src/lib.rs
+++ b/crates/aspendrum-consensus/src/lib.rs
@@ -16,7 +16,7 @@
 //! The crate does no I/O and reads no clock. Each control node owns one [`Replica`]. The caller passes it every
 //! received message ([`Replica::step`]), every operator command ([`Replica::submit`]) and, several times a second, the
 //! current time ([`Replica::tick`]). Each call returns [`Effect`]s, which the caller performs in order: write
-//! [`DurableState`] to disk and sync it, send a [`Message`], report the [`Outcome`] of a command.
+//! [`DurableState`] to disk and sync it, send a [`Message`], report the [`CommandOutcome`] of a command.
 //!
 //! A command is handled by one of two components. [`Command::SetConfig`] starts a Paxos proposer for its version.
 //! [`Command::SetEvacuation`] and [`Command::Read`] start an operation on the registers. Both components send requests
@@ -57,7 +57,7 @@
 mod version_proposal;
 mod voter;
 
-pub use crate::effect::{CommandId, Effect, Outcome};
+pub use crate::effect::{CommandId, CommandOutcome, Effect};
 pub use crate::membership::{Epoch, Voters};
 pub use crate::message::Message;
 pub use crate::node::{Millis, NodeId};
--- a/crates/aspendrum-consensus/src/membership.rs
+++ b/crates/aspendrum-consensus/src/membership.rs
@@ -11,10 +11,10 @@
 /// A placeholder for a disk id. In the [`Voters`] of an epoch it denotes the disk that the node had at the first start
 /// of the system, when disk ids had not been exchanged yet. In a node's status it means that the node has no usable
 /// disk.
-pub const FOUNDING_DISK: DiskId = 0;
+pub const UNASSIGNED_DISK: DiskId = 0;
 
 /// Returns the number of voters that retains a majority after the simultaneous loss of `losses` disks.
-pub fn voters_tolerating(losses: usize) -> usize {
+pub fn required_voters(losses: usize) -> usize {
     2 * losses + 1
 }
 
@@ -25,7 +25,7 @@
 impl Voters {
     /// Returns the voters of the founding epoch: `nodes`, with unknown disk ids.
     pub fn founding(nodes: &[NodeId]) -> Voters {
-        Voters(nodes.iter().map(|node| (*node, FOUNDING_DISK)).collect())
+        Voters(nodes.iter().map(|node| (*node, UNASSIGNED_DISK)).collect())
     }
 
     /// Returns the number of voters.
@@ -57,7 +57,7 @@
     /// first start of the system.
     pub fn contains_disk(&self, node: NodeId, disk: DiskId, is_founding_disk: bool) -> bool {
         match self.0.get(&node) {
-            Some(&FOUNDING_DISK) => is_founding_disk,
+            Some(&UNASSIGNED_DISK) => is_founding_disk,
             Some(id) => *id == disk,
             None => false,
         }
@@ -103,7 +103,7 @@
     }
 
     /// Whether the voters of this epoch accept commands. The voters of the founding epoch only decide the next epoch.
-    pub fn takes_commands(&self) -> bool {
+    pub fn accepts_commands(&self) -> bool {
         self.number > 0
     }
 }
--- a/crates/aspendrum-consensus/src/membership_planner.rs
+++ b/crates/aspendrum-consensus/src/membership_planner.rs
@@ -1,7 +1,7 @@
 //! Plans changes of the voters. Every voter plans independently, based on its own view of the other nodes; Paxos
 //! ensures that a single set is decided. Proposals are staggered so that voters do not preempt each other.
 
-use crate::membership::{voters_tolerating, DiskId, Epoch, Voters, FOUNDING_DISK};
+use crate::membership::{required_voters, DiskId, Epoch, Voters, UNASSIGNED_DISK};
 use crate::node::{Millis, NodeId};
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 /// The status of a control node as observed by the local node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeStatus {
-    /// The disk that the node can vote with; [`FOUNDING_DISK`] if it has none.
+    /// The disk that the node can vote with; [`UNASSIGNED_DISK`] if it has none.
     pub disk: DiskId,
     /// The zone of the node.
     pub zone: String,
@@ -40,7 +40,7 @@
     fn is_candidate(&self) -> bool {
         self.time_since_contact < CANDIDATE_TIMEOUT
             && !self.is_leaving
-            && self.disk != FOUNDING_DISK
+            && self.disk != UNASSIGNED_DISK
     }
 }
 
@@ -58,7 +58,7 @@
     /// after the start of a node during which it still counts as lost.
     pub fn new(losses: usize, sync_time: Millis) -> MembershipPolicy {
         MembershipPolicy {
-            voters: voters_tolerating(losses),
+            voters: required_voters(losses),
             replace_timeout: (REPLACE_TIMEOUT_FRACTION * sync_time).max(MIN_REPLACE_TIMEOUT),
         }
     }
@@ -96,13 +96,13 @@
 
     /// Returns the voters that this node should propose now, if any. `nodes` contains all control nodes that this node
     /// has ever learned of, including itself.
-    pub fn due_change(
+    pub fn next_proposal(
         &mut self,
         now: Millis,
         epoch: &Epoch,
         nodes: &BTreeMap<NodeId, NodeStatus>,
     ) -> Option<Voters> {
-        let next = if epoch.takes_commands() {
+        let next = if epoch.accepts_commands() {
             next_voters(&epoch.voters, nodes, &self.policy)
         } else {
             self.first_voters(now, &epoch.voters, nodes)
@@ -131,7 +131,7 @@
     ) -> Option<usize> {
         let is_eligible = |(node, disk): &(&NodeId, &DiskId)| {
             let has_that_disk =
-                |status: &NodeStatus| **disk == FOUNDING_DISK || status.disk == **disk;
+                |status: &NodeStatus| **disk == UNASSIGNED_DISK || status.disk == **disk;
             let can_propose =
                 |status: &NodeStatus| status.is_up() && !status.is_leaving && has_that_disk(status);
             **node == self.local_node || nodes.get(node).is_some_and(can_propose)
--- a/crates/aspendrum-consensus/src/quorum_operation.rs
+++ b/crates/aspendrum-consensus/src/quorum_operation.rs
@@ -6,7 +6,7 @@
 //! Invariant: when an operation completes, a majority holds its result. Every later operation reads from a majority,
 //! and any two majorities intersect, so its result is never older (linearizability).
 
-use crate::effect::{CommandId, Outcome};
+use crate::effect::{CommandId, CommandOutcome};
 use crate::message::{ReadReply, Request};
 use crate::node::{Millis, NodeId};
 use crate::replica_core::{ReplicaCore, COMMAND_TIMEOUT, RESEND_INTERVAL};
@@ -107,7 +107,7 @@
 
     /// Sends the request of an operation's phase to the voters that have not replied to it.
     fn send_request(&mut self, core: &mut ReplicaCore, index: usize) {
-        if !core.durable.epoch.takes_commands() {
+        if !core.durable.epoch.accepts_commands() {
             return;
         }
         let operation = &mut self.operations[index];
@@ -137,13 +137,13 @@
         }
     }
 
-    /// Completes the operations that have exceeded [`COMMAND_TIMEOUT`] with [`Outcome::NoQuorum`].
+    /// Completes the operations that have exceeded [`COMMAND_TIMEOUT`] with [`CommandOutcome::NoQuorum`].
     pub(crate) fn expire(&mut self, core: &mut ReplicaCore) {
         let now = core.now;
         let expired =
             |operation: &mut QuorumOperation| now - operation.started_at > COMMAND_TIMEOUT;
         for operation in self.operations.extract_if(.., expired) {
-            core.complete(operation.command_id, Outcome::NoQuorum);
+            core.complete(operation.command_id, CommandOutcome::NoQuorum);
         }
     }
 
--- a/crates/aspendrum-consensus/src/replica.rs
+++ b/crates/aspendrum-consensus/src/replica.rs
@@ -28,7 +28,7 @@
     /// The nodes that form the founding epoch at the first start.
     pub seeds: &'a [NodeId],
     /// The identity that is assigned to the disk if it is empty.
-    pub new_disk: DiskId,
+    pub new_disk_id: DiskId,
     /// A random number that is generated at each start. Its low 24 bits are zero, because request ids count up from it.
     pub incarnation: u64,
 }
@@ -52,11 +52,11 @@
             node,
             is_first_start,
             seeds,
-            new_disk,
+            new_disk_id,
             incarnation,
         } = options;
         let is_disk_empty = state.is_none();
-        let empty = || DurableState::empty(node, new_disk, is_first_start, seeds);
+        let empty = || DurableState::empty(node, new_disk_id, is_first_start, seeds);
         let mut state = state.unwrap_or_else(empty);
         state.enter_founding_epoch(node, seeds);
         let replica = Replica {
--- a/crates/aspendrum-consensus/src/replica_core.rs
+++ b/crates/aspendrum-consensus/src/replica_core.rs
@@ -2,7 +2,7 @@
 //! The components do not depend on each other; [`crate::replica`] composes them.
 
 use crate::ballot::{Ballot, BallotGenerator};
-use crate::effect::{CommandId, Effect, Outcome};
+use crate::effect::{CommandId, CommandOutcome, Effect};
 use crate::message::{Message, Request};
 use crate::node::{Millis, NodeId};
 use crate::replicated_state::ReplicatedState;
@@ -126,7 +126,7 @@
     }
 
     /// Reports the outcome of a command. `command_id` is `None` if no caller waits for the outcome.
-    pub(crate) fn complete(&mut self, command_id: Option<CommandId>, outcome: Outcome) {
+    pub(crate) fn complete(&mut self, command_id: Option<CommandId>, outcome: CommandOutcome) {
         let completed = |command_id| Effect::Completed {
             command_id,
             outcome,
@@ -135,8 +135,8 @@
     }
 
     /// Returns the outcome of a command whose effect is held by a majority of disks.
-    pub(crate) fn committed_outcome(&self) -> Outcome {
-        Outcome::Committed(Box::new(self.committed.clone()))
+    pub(crate) fn committed_outcome(&self) -> CommandOutcome {
+        CommandOutcome::Committed(Box::new(self.committed.clone()))
     }
 
     /// Merges another node's state into the durable state.
--- a/crates/aspendrum-consensus/src/version_proposal.rs
+++ b/crates/aspendrum-consensus/src/version_proposal.rs
@@ -3,7 +3,7 @@
 
 use crate::acceptor::Accepted;
 use crate::ballot::Ballot;
-use crate::effect::{CommandId, Outcome};
+use crate::effect::{CommandId, CommandOutcome};
 use crate::message::{Message, Request};
 use crate::node::{Millis, NodeId};
 use crate::proposer::{Phase, Proposer};
@@ -94,7 +94,7 @@
 
     /// Sends the request of a proposal's current phase to the voters that have not granted it.
     fn send_request(&mut self, core: &mut ReplicaCore, version: u32) {
-        if !core.durable.epoch.takes_commands() {
+        if !core.durable.epoch.accepts_commands() {
             return;
         }
         let Some(proposal) = self.by_version.get_mut(&version) else {
@@ -149,14 +149,14 @@
         }
     }
 
-    /// Completes the commands that have exceeded [`COMMAND_TIMEOUT`] with [`Outcome::NoQuorum`], and drops the
+    /// Completes the commands that have exceeded [`COMMAND_TIMEOUT`] with [`CommandOutcome::NoQuorum`], and drops the
     /// proposals without waiting commands or reads. `awaited_by_read` returns whether a read waits for a version.
     pub(crate) fn expire(&mut self, core: &mut ReplicaCore, awaited_by_read: impl Fn(u32) -> bool) {
         let now = core.now;
         for proposal in self.by_version.values_mut() {
             let expired = |command: &mut PendingCommand| now - command.started_at > COMMAND_TIMEOUT;
             for command in proposal.pending.extract_if(.., expired) {
-                core.complete(command.command_id, Outcome::NoQuorum);
+                core.complete(command.command_id, CommandOutcome::NoQuorum);
             }
         }
         self.by_version
@@ -295,7 +295,7 @@
     let outcome = if takes_effect {
         core.committed_outcome()
     } else {
-        Outcome::VersionConflict
+        CommandOutcome::VersionConflict
     };
     core.complete(command_id, outcome);
 }
--- a/crates/aspendrum-consensus/src/voter.rs
+++ b/crates/aspendrum-consensus/src/voter.rs
@@ -19,7 +19,7 @@
         request,
         Request::PrepareSuccessor { .. } | Request::AcceptSuccessor { .. }
     );
-    if !is_membership_request && !core.durable.epoch.takes_commands() {
+    if !is_membership_request && !core.durable.epoch.accepts_commands() {
         return None;
     }
     let reply = match request {
--- a/crates/aspendrum-consensus/tests/common/mod.rs
+++ b/crates/aspendrum-consensus/tests/common/mod.rs
@@ -11,7 +11,8 @@
 use aspendrum_consensus::message::{Message, Reply, Request};
 use aspendrum_consensus::versions::VersionAnswer;
 use aspendrum_consensus::{
-    Command, CommandId, DurableState, Effect, Epoch, NodeId, Outcome, Replica, ReplicaOptions,
+    Command, CommandId, CommandOutcome, DurableState, Effect, Epoch, NodeId, Replica,
+    ReplicaOptions,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,7 +41,7 @@
         node,
         is_first_start: false,
         seeds: &[],
-        new_disk: 0,
+        new_disk_id: 0,
         incarnation,
     }
 }
@@ -172,7 +173,7 @@
             return;
         }
         let incarnation = self.new_incarnation();
-        let new_disk: DiskId = if self.variant == Variant::KeepsDiskId {
+        let new_disk_id: DiskId = if self.variant == Variant::KeepsDiskId {
             u64::from(node.as_u32())
         } else {
             self.incarnations
@@ -181,7 +182,7 @@
             node,
             is_first_start: self.is_first_start,
             seeds: &SEEDS,
-            new_disk,
+            new_disk_id,
             incarnation,
         };
         let (replica, effects) = Replica::start(options, self.disks[&node].clone());
@@ -245,7 +246,7 @@
         }
     }
 
-    fn record_outcome(&mut self, command_id: CommandId, outcome: &Outcome) {
+    fn record_outcome(&mut self, command_id: CommandId, outcome: &CommandOutcome) {
         let Some(Command::SetConfig {
             version, digest, ..
         }) = self.submitted.get(&command_id)
@@ -253,17 +254,17 @@
             return;
         };
         match outcome {
-            Outcome::Committed(_) => {
+            CommandOutcome::Committed(_) => {
                 self.acknowledged_version = self.acknowledged_version.max(*version);
                 self.acknowledged
                     .entry(*version)
                     .or_default()
                     .insert(*digest);
             }
-            Outcome::VersionConflict => {
+            CommandOutcome::VersionConflict => {
                 self.rejected.insert((*version, *digest));
             }
-            Outcome::NoQuorum => {}
+            CommandOutcome::NoQuorum => {}
         }
     }
 
@@ -384,7 +385,7 @@
             return;
         };
         let mut effects = replica.tick(self.now);
-        if let Some(voters) = planner.due_change(self.now, replica.epoch(), &nodes) {
+        if let Some(voters) = planner.next_proposal(self.now, replica.epoch(), &nodes) {
             effects.extend(replica.propose_voters(self.now, voters));
         }
         self.perform_effects(node, effects);
--- a/crates/aspendrum-consensus/tests/membership.rs
+++ b/crates/aspendrum-consensus/tests/membership.rs
@@ -42,17 +42,17 @@
     let mut planner = MembershipPlanner::new(node(1), policy, 0.0);
     let mut nodes = statuses(&[(1, 11, "a"), (2, 12, "b"), (3, 13, "c")]);
     assert_eq!(
-        planner.due_change(100.0, &epoch, &nodes),
+        planner.next_proposal(100.0, &epoch, &nodes),
         None,
         "there are fewer nodes than required voters"
     );
     nodes.extend(statuses(&[(4, 14, "a"), (5, 15, "d"), (6, 16, "a")]));
-    let chosen = planner.due_change(200.0, &epoch, &nodes).unwrap();
+    let chosen = planner.next_proposal(200.0, &epoch, &nodes).unwrap();
     let expected = voters(&[(1, 11), (2, 12), (3, 13), (5, 15), (4, 14)]);
     assert_eq!(chosen, expected);
     // The wait for missing nodes is bounded.
     let nodes = statuses(&[(1, 11, "a"), (2, 12, "b")]);
-    let chosen = planner.due_change(2600.0, &epoch, &nodes);
+    let chosen = planner.next_proposal(2600.0, &epoch, &nodes);
     assert_eq!(chosen, Some(voters(&[(1, 11), (2, 12)])));
 }
 
@@ -116,7 +116,7 @@
     let proposed_at = |number: u32| {
         let mut planner = MembershipPlanner::new(node(number), policy, 0.0);
         let mut times = (0..100).map(|n| f64::from(n) * 50.0);
-        times.find(|now| planner.due_change(*now, &epoch, &nodes).is_some())
+        times.find(|now| planner.next_proposal(*now, &epoch, &nodes).is_some())
     };
     assert_eq!([2, 3, 4].map(proposed_at), [Some(0.0), Some(300.0), None]);
 }
--- a/crates/aspendrum-consensus/tests/pinned/mod.rs
+++ b/crates/aspendrum-consensus/tests/pinned/mod.rs
@@ -24,7 +24,7 @@
     }
 
     /// Asserts that the next line of the fixture has this name and these bytes.
-    pub(crate) fn same_bytes(&mut self, name: &str, encoded: &[u8]) {
+    pub(crate) fn assert_bytes(&mut self, name: &str, encoded: &[u8]) {
         let (expected_name, expected) = self
             .expected
             .get(self.next)
@@ -45,7 +45,7 @@
         T: serde::Serialize + serde::de::DeserializeOwned + Debug,
     {
         let encoded = postcard::to_allocvec(value).expect("it can be encoded");
-        self.same_bytes(name, &encoded);
+        self.assert_bytes(name, &encoded);
         let decoded: T = postcard::from_bytes(&encoded).expect("it can be decoded");
         assert_eq!(
             format!("{decoded:?}"),
@@ -56,7 +56,7 @@
     }
 
     /// Asserts that every line of the fixture was compared.
-    pub(crate) fn complete(self) {
+    pub(crate) fn assert_complete(self) {
         assert_eq!(
             self.next,
             self.expected.len(),
--- a/crates/aspendrum-consensus/tests/versions.rs
+++ b/crates/aspendrum-consensus/tests/versions.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use aspendrum_consensus::{Command, Effect, Outcome};
+use aspendrum_consensus::{Command, CommandOutcome, Effect};
 use common::schedule::{run, Step};
 use common::{config, node, Cluster, Variant, SEEDS};
 use std::collections::BTreeSet;
@@ -63,7 +63,7 @@
         matches!(
             effect,
             Effect::Completed {
-                outcome: Outcome::NoQuorum,
+                outcome: CommandOutcome::NoQuorum,
                 ..
             }
         )
--- a/crates/aspendrum-consensus/tests/wire_bytes.rs
+++ b/crates/aspendrum-consensus/tests/wire_bytes.rs
@@ -239,7 +239,7 @@
         },
     );
     pinned.same("nudge", &Message::CommitNotice);
-    pinned.complete();
+    pinned.assert_complete();
 }
 
 #[test]
@@ -278,7 +278,7 @@
             ..state
         },
     );
-    pinned.complete();
+    pinned.assert_complete();
 }
 
 /// The last field of the version table is the highest version that was dropped.
@@ -293,7 +293,7 @@
 #[test]
 fn digests_of_the_replicated_state_stay_the_same() {
     let mut pinned = Pinned::new("digests.hex", include_str!("fixtures/digests.hex"));
-    pinned.same_bytes("empty", &ReplicatedState::default().digest().to_be_bytes());
-    pinned.same_bytes("held", &replicated().digest().to_be_bytes());
-    pinned.complete();
+    pinned.assert_bytes("empty", &ReplicatedState::default().digest().to_be_bytes());
+    pinned.assert_bytes("held", &replicated().digest().to_be_bytes());
+    pinned.assert_complete();
 }
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -2,7 +2,7 @@
 
 use crate::directory::Directory;
 use crate::event::{Event, ReportQuery};
-use aspendrum_consensus::{Command, Millis, Outcome, ReplicatedState};
+use aspendrum_consensus::{Command, CommandOutcome, Millis, ReplicatedState};
 use aspendrum_model::compression::{compress, decompress};
 use aspendrum_model::config::Config;
 use aspendrum_model::hash::digest;
@@ -189,9 +189,9 @@
             return Reply::empty(503);
         }
         match outcome.recv_timeout(CALL_TIMEOUT) {
-            Ok(Outcome::Committed(state)) => acknowledge(&state),
+            Ok(CommandOutcome::Committed(state)) => acknowledge(&state),
             // A 409 is final for operators, so it is sent only after the other text has been decided.
-            Ok(Outcome::VersionConflict) => {
+            Ok(CommandOutcome::VersionConflict) => {
                 log::info!(
                     "event=command_refused why=\"{}\"",
                     VERSION_CONFLICT.trim_end()
@@ -201,7 +201,7 @@
                     ..Reply::empty(409)
                 }
             }
-            Ok(Outcome::NoQuorum) | Err(_) => Reply::empty(503),
+            Ok(CommandOutcome::NoQuorum) | Err(_) => Reply::empty(503),
         }
     }
 }
--- a/crates/aspendrum-control/src/event.rs
+++ b/crates/aspendrum-control/src/event.rs
@@ -3,7 +3,7 @@
 use crate::errors::PlatformError;
 use crate::peer_message::PeerMessage;
 use crate::storage::WriteResult;
-use aspendrum_consensus::{Command, NodeId, Outcome};
+use aspendrum_consensus::{Command, CommandOutcome, NodeId};
 use aspendrum_model::message::ToControl;
 use aspendrum_model::servers::ServerInstance;
 use aspendrum_model::settings::Settings;
@@ -71,7 +71,7 @@
         /// When the call was received.
         received_at: Instant,
         /// Receives the outcome.
-        reply: Sender<Outcome>,
+        reply: Sender<CommandOutcome>,
     },
     /// An operator requested a report.
     Report {
--- a/crates/aspendrum-control/src/membership.rs
+++ b/crates/aspendrum-control/src/membership.rs
@@ -3,7 +3,7 @@
 
 use crate::replica_driver::ReplicaDriver;
 use crate::storage::DiskHealth;
-use aspendrum_consensus::membership::{DiskId, Voters, FOUNDING_DISK};
+use aspendrum_consensus::membership::{DiskId, Voters, UNASSIGNED_DISK};
 use aspendrum_consensus::membership_planner::{MembershipPlanner, MembershipPolicy, NodeStatus};
 use aspendrum_consensus::{Millis, NodeId, Replica};
 use aspendrum_model::settings::Settings;
@@ -34,7 +34,7 @@
         replica: &Replica,
         nodes: &BTreeMap<NodeId, NodeStatus>,
     ) -> Option<Voters> {
-        let due = self.planner.due_change(now, replica.epoch(), nodes);
+        let due = self.planner.next_proposal(now, replica.epoch(), nodes);
         let may_propose = replica.has_joined() && !replica.is_proposing_voters();
         let voters = due.filter(|_| may_propose)?;
         let disks = voters.0.iter().map(|(node, disk)| (node.address(), *disk));
@@ -63,7 +63,7 @@
         disk: if may_vote {
             replica.replica().state().disk
         } else {
-            FOUNDING_DISK
+            UNASSIGNED_DISK
         },
         zone: settings.zone.clone(),
         time_since_contact: 0.0,
--- a/crates/aspendrum-control/src/node.rs
+++ b/crates/aspendrum-control/src/node.rs
@@ -20,7 +20,7 @@
 use crate::server_list::{PollSchedule, ServerListPoller};
 use crate::shutdown::Shutdown;
 use aspendrum_consensus::membership_planner::NodeStatus;
-use aspendrum_consensus::{Command, Message, Millis, NodeId, Outcome};
+use aspendrum_consensus::{Command, CommandOutcome, Message, Millis, NodeId};
 use aspendrum_model::message::{ControlAddress, ToControl};
 use aspendrum_model::settings::Settings;
 use aspendrum_net::frames::FrameSender;
@@ -212,14 +212,19 @@
 
     // Replicated state.
 
-    fn on_command(&mut self, command: Command, received_at: Instant, reply: Sender<Outcome>) {
+    fn on_command(
+        &mut self,
+        command: Command,
+        received_at: Instant,
+        reply: Sender<CommandOutcome>,
+    ) {
         if received_at.elapsed() > MAX_COMMAND_AGE {
             log::warn!("event=command_late");
             return;
         }
         // During shutdown, pending commands are completed and new ones are refused.
         if self.shutdown.is_some() {
-            let _ = reply.try_send(Outcome::NoQuorum);
+            let _ = reply.try_send(CommandOutcome::NoQuorum);
             return;
         }
         self.replica.submit(command, reply);
--- a/crates/aspendrum-control/src/peer_message.rs
+++ b/crates/aspendrum-control/src/peer_message.rs
@@ -39,7 +39,7 @@
     pub node: NodeId,
     /// The zone that it runs in.
     pub zone: String,
-    /// The disk with which the sender may vote; [`aspendrum_consensus::membership::FOUNDING_DISK`] if there is none.
+    /// The disk with which the sender may vote; [`aspendrum_consensus::membership::UNASSIGNED_DISK`] if there is none.
     pub disk: DiskId,
     /// Whether the sender is shutting down, or its disk is stalled or has failed.
     pub is_leaving: bool,
--- a/crates/aspendrum-control/src/peers.rs
+++ b/crates/aspendrum-control/src/peers.rs
@@ -5,7 +5,7 @@
 use crate::event::Event;
 use crate::peer_message::{Hello, KnownNode, PeerMessage};
 use crate::proxy_table::ProxyEntry;
-use aspendrum_consensus::membership::{DiskId, Voters, FOUNDING_DISK};
+use aspendrum_consensus::membership::{DiskId, Voters, UNASSIGNED_DISK};
 use aspendrum_consensus::membership_planner::NodeStatus;
 use aspendrum_consensus::{Millis, NodeId};
 use aspendrum_model::message::ControlAddress;
@@ -245,7 +245,7 @@
         let mut statuses: BTreeMap<NodeId, NodeStatus> = known.collect();
         for voter in voters.nodes() {
             statuses.entry(voter).or_insert_with(|| NodeStatus {
-                disk: FOUNDING_DISK,
+                disk: UNASSIGNED_DISK,
                 zone: String::new(),
                 time_since_contact: now,
                 is_leaving: false,
--- a/crates/aspendrum-control/src/replica_driver.rs
+++ b/crates/aspendrum-control/src/replica_driver.rs
@@ -5,8 +5,8 @@
 use crate::clock::Clock;
 use crate::storage::{DiskHealth, Storage, WriteCompletion, WriteResult};
 use aspendrum_consensus::{
-    Command, CommandId, DurableState, Effect, Epoch, Message, Millis, NodeId, Outcome, Replica,
-    ReplicaOptions, Voters,
+    Command, CommandId, CommandOutcome, DurableState, Effect, Epoch, Message, Millis, NodeId,
+    Replica, ReplicaOptions, Voters,
 };
 use crossbeam_channel::Sender;
 use std::collections::{HashMap, VecDeque};
@@ -38,7 +38,7 @@
     storage: Storage,
     /// The effects that may be executed now.
     ready_effects: VecDeque<Effect>,
-    pending_replies: HashMap<CommandId, Sender<Outcome>>,
+    pending_replies: HashMap<CommandId, Sender<CommandOutcome>>,
     next_command_id: CommandId,
 }
 
@@ -87,7 +87,7 @@
     }
 
     /// Submits an operator's command. Its outcome is sent to `reply`.
-    pub fn submit(&mut self, command: Command, reply: Sender<Outcome>) {
+    pub fn submit(&mut self, command: Command, reply: Sender<CommandOutcome>) {
         let command_id = self.next_command_id;
         self.next_command_id += 1;
         self.pending_replies.insert(command_id, reply);
@@ -154,7 +154,7 @@
     }
 
     /// Restarts the replica from the last durable state, as after a crash of this node. All pending commands end with
-    /// [`Outcome::NoQuorum`]. `is_non_voting` is set if the disk cannot be written: the node must not vote then.
+    /// [`CommandOutcome::NoQuorum`]. `is_non_voting` is set if the disk cannot be written: the node must not vote then.
     fn restart(&mut self, seeds: &[NodeId], is_non_voting: bool) {
         let synced = self.storage.synced().cloned();
         let disk = self.replica.state().disk;
@@ -163,7 +163,7 @@
             node: self.local_node,
             is_first_start: false,
             seeds,
-            new_disk: disk,
+            new_disk_id: disk,
             incarnation: new_incarnation(),
         };
         let state = synced.unwrap_or_else(empty);
@@ -174,7 +174,7 @@
         replica.resume_from(&self.replica);
         self.replica = replica;
         for reply in std::mem::take(&mut self.pending_replies).into_values() {
-            let _ = reply.try_send(Outcome::NoQuorum);
+            let _ = reply.try_send(CommandOutcome::NoQuorum);
         }
         self.push(effects);
     }
--- a/crates/aspendrum-control/src/shutdown.rs
+++ b/crates/aspendrum-control/src/shutdown.rs
@@ -39,7 +39,7 @@
         let is_unreplaceable = replica.is_voter()
             && !replica.is_proposing_voters()
             && next_voters(&replica.epoch().voters, nodes, policy).is_none();
-        if handed_over || is_unreplaceable || !replica.epoch().takes_commands() {
+        if handed_over || is_unreplaceable || !replica.epoch().accepts_commands() {
             log::info!("event=shutdown_ready handed_over={handed_over}");
             let _ = self.ready.try_send(());
         }
--- a/crates/aspendrum-control/src/startup.rs
+++ b/crates/aspendrum-control/src/startup.rs
@@ -143,7 +143,7 @@
         node: NodeId::from(settings.ip),
         is_first_start: settings.is_first_start,
         seeds: &seeds,
-        new_disk: fastrand::u64(1..),
+        new_disk_id: fastrand::u64(1..),
         incarnation: new_incarnation(),
     };
     Replica::start(options, state)
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -2,7 +2,7 @@
 //! depend.
 
 use aspendrum_consensus::replicated_state::{DecidedConfig, ReplicatedState};
-use aspendrum_consensus::{Command, Outcome};
+use aspendrum_consensus::{Command, CommandOutcome};
 use aspendrum_control::api::{LookupApi, OperatorApi};
 use aspendrum_control::directory::{Directory, REGION_HOLD_TIME};
 use aspendrum_control::event::{Event, ReportQuery};
@@ -57,7 +57,7 @@
 }
 
 /// Returns the formatted response to an operator's call, and the submitted commands. Every command ends with `outcome`.
-fn answer(outcome: &Outcome, request: &Request) -> (String, Vec<Command>) {
+fn answer(outcome: &CommandOutcome, request: &Request) -> (String, Vec<Command>) {
     let (command_sender, commands) = crossbeam_channel::unbounded();
     let outcome = outcome.clone();
     let start = |inbox: mailbox::MailboxReceiver<Event>| {
@@ -85,12 +85,12 @@
     (format_reply(&reply), commands.iter().collect())
 }
 
-fn committed(version: u32, text: &[u8]) -> Outcome {
+fn committed(version: u32, text: &[u8]) -> CommandOutcome {
     let config = DecidedConfig {
         version,
         compressed_text: text.to_vec(),
     };
-    Outcome::Committed(Box::new(ReplicatedState {
+    CommandOutcome::Committed(Box::new(ReplicatedState {
         config,
         ..ReplicatedState::default()
     }))
@@ -111,10 +111,10 @@
         }]
     );
     assert_eq!(
-        answer(&Outcome::VersionConflict, &set).0,
+        answer(&CommandOutcome::VersionConflict, &set).0,
         "409 another text was decided under this number\n"
     );
-    assert_eq!(answer(&Outcome::NoQuorum, &set).0, "503 ");
+    assert_eq!(answer(&CommandOutcome::NoQuorum, &set).0, "503 ");
     let invalid = request("POST", "/api/Cfg.Set", &CONFIG.replace("/a/", "a/"));
     let refused = "400 the prefix a/ does not begin with a slash\n".to_string();
     assert_eq!(answer(&committed(1, b""), &invalid), (refused, vec![]));
@@ -132,7 +132,7 @@
     assert_eq!(answer(&current, &show), (expected, vec![Command::Read]));
     assert_eq!(answer(&committed(0, b""), &show).0, "503 ");
     assert_eq!(answer(&committed(1, b"no packed text"), &show).0, "500 ");
-    assert_eq!(answer(&Outcome::NoQuorum, &show).0, "503 ");
+    assert_eq!(answer(&CommandOutcome::NoQuorum, &show).0, "503 ");
 }
 
 #[test]
@@ -148,12 +148,12 @@
     assert_eq!(call("/api/Evac.Finish/z1"), ("200 ".into(), command(false)));
     assert_eq!(call("/api/Evac.Begin/z2"), ("404 ".into(), vec![]));
     let begin = request("POST", "/api/Evac.Begin/z1", "");
-    assert_eq!(answer(&Outcome::NoQuorum, &begin).0, "503 ");
+    assert_eq!(answer(&CommandOutcome::NoQuorum, &begin).0, "503 ");
 }
 
 #[test]
 fn report_calls_are_selected_by_path() {
-    let call = |path: &str| answer(&Outcome::NoQuorum, &request("GET", path, "")).0;
+    let call = |path: &str| answer(&CommandOutcome::NoQuorum, &request("GET", path, "")).0;
     assert_eq!(
         call("/api/Nodes"),
         r#"200 Content-Type: application/json; {"of":null}"#
