--- a/crates/aspendrum-benchmarks/src/components/proxy/admission.rs
+++ b/crates/aspendrum-benchmarks/src/components/proxy/admission.rs
@@ -181,7 +181,7 @@
     let local_region = region(0);
     let tenants = snapshot.config.tenants.iter().flatten();
     tenants
-        .filter_map(|t| counters.owner(CounterId::of_tenant(&t.name)))
+        .filter_map(|t| counters.owner(CounterId::for_tenant(&t.name)))
         .filter_map(region_of)
         .filter(|owner_region| *owner_region != local_region)
         .count()
--- a/crates/aspendrum-benchmarks/src/components/proxy/counter.rs
+++ b/crates/aspendrum-benchmarks/src/components/proxy/counter.rs
@@ -40,10 +40,15 @@
 }
 
 fn measure_store(size: &FleetSize, client: &CounterClient, counters: &[CounterId]) {
-    let quota = |id: &CounterId| (*id, Quota::within(QUOTA_RATE, QUOTA_BURST, &TOLERANCE));
+    let quota = |id: &CounterId| {
+        (
+            *id,
+            Quota::with_tolerance(QUOTA_RATE, QUOTA_BURST, &TOLERANCE),
+        )
+    };
     let mut store = CounterStore::default();
     store.set_quotas(counters.iter().map(quota).collect(), |_| true);
-    store.set_owned(0.0, |_| true);
+    store.update_ownership(0.0, |_| true);
     let add_time = time_batches(9, 10_000, |n| {
         store.add(ADD_TIME_MS, counters[n % counters.len()], 1.0)
     });
@@ -52,7 +57,7 @@
         .print();
     let local_proxy = *proxy_addr(0).ip();
     let is_owned = |id: CounterId| client.owner(id) == Some(local_proxy);
-    let reassign_time = time_each(3, |n| store.set_owned(n as f64, is_owned));
+    let reassign_time = time_each(3, |n| store.update_ownership(n as f64, is_owned));
     figure("counts.moved", size)
         .milliseconds("cpu", &reassign_time)
         .print();
--- a/crates/aspendrum-proxy/src/counter/id.rs
+++ b/crates/aspendrum-proxy/src/counter/id.rs
@@ -12,12 +12,12 @@
 
 impl CounterId {
     /// Returns the id of a tenant's counter.
-    pub fn of_tenant(name: &str) -> CounterId {
+    pub fn for_tenant(name: &str) -> CounterId {
         CounterId(digest(name.as_bytes()) & ID_BITS)
     }
 
     /// Returns the id contained in the decision engine's name for a counter, which also contains a window number.
-    pub fn of_engine_name(engine_name: u64) -> CounterId {
+    pub fn from_engine_name(engine_name: u64) -> CounterId {
         CounterId(engine_name & ID_BITS)
     }
 }
--- a/crates/aspendrum-proxy/src/counter/quota.rs
+++ b/crates/aspendrum-proxy/src/counter/quota.rs
@@ -36,7 +36,7 @@
     /// span of `tolerance.span_s` seconds, at whatever offset to the windows, exceeds
     /// `(span * rate + burst) * (1 + excess) + slack`, where excess and slack are multiplied by
     /// `WINDOW_TOLERANCE_FRACTION`. A span overlaps at most `span / window + 1` windows.
-    pub fn within(rate: f64, burst: f64, tolerance: &QuotaTolerance) -> Quota {
+    pub fn with_tolerance(rate: f64, burst: f64, tolerance: &QuotaTolerance) -> Quota {
         let burst = if burst > 0.0 { burst } else { rate };
         if rate <= 0.0 {
             return Quota {
--- a/crates/aspendrum-proxy/src/counter/store.rs
+++ b/crates/aspendrum-proxy/src/counter/store.rs
@@ -53,7 +53,7 @@
 
     /// Updates the owned counters after a change of owners. Returns the handovers for counters owned by other
     /// proxies from now on. Nothing more is granted from these here, so their next owners can continue at once.
-    pub fn set_owned(
+    pub fn update_ownership(
         &mut self,
         now: Millis,
         is_owned: impl Fn(CounterId) -> bool,
--- a/crates/aspendrum-proxy/src/dispatcher/configuration.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/configuration.rs
@@ -135,5 +135,5 @@
 
 /// Returns the decision engine's id of a tenant, which is the id of its counter.
 pub(super) fn tenant_id(tenant: &str) -> TenantId {
-    CounterId::of_tenant(tenant).0
+    CounterId::for_tenant(tenant).0
 }
--- a/crates/aspendrum-proxy/src/dispatcher/counters.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/counters.rs
@@ -102,7 +102,7 @@
         amount: f32,
     ) -> Option<CounterResult> {
         // The engine's name includes a window number; the owner maintains its own windows.
-        let counter = CounterId::of_engine_name(engine_name);
+        let counter = CounterId::from_engine_name(engine_name);
         let total = match self
             .client
             .owner(counter)
@@ -221,7 +221,7 @@
         let (client, local_ip) = (&self.client, self.local_ip);
         let handovers = self
             .store
-            .set_owned(now, |counter| client.owner(counter) == Some(local_ip));
+            .update_ownership(now, |counter| client.owner(counter) == Some(local_ip));
         handovers
             .into_iter()
             .for_each(|handover| self.send_handover(handover));
--- a/crates/aspendrum-proxy/src/dispatcher/state.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/state.rs
@@ -299,8 +299,8 @@
         };
         let mut quotas = HashMap::new();
         let numbers = tenants.iter().map(|tenant| {
-            let quota = Quota::within(tenant.rate_per_second, tenant.burst, &tolerance);
-            quotas.insert(CounterId::of_tenant(&tenant.name), quota);
+            let quota = Quota::with_tolerance(tenant.rate_per_second, tenant.burst, &tolerance);
+            quotas.insert(CounterId::for_tenant(&tenant.name), quota);
             TenantNumbers {
                 id: tenant_id(&tenant.name),
                 plan: self.tables.set_plan(&tenant.name, &quota),
--- a/crates/aspendrum-proxy/tests/counter.rs
+++ b/crates/aspendrum-proxy/tests/counter.rs
@@ -18,10 +18,10 @@
 fn store(rate: f64, burst: f64) -> (CounterStore, Quota) {
     let (mut store, quota) = (
         CounterStore::default(),
-        Quota::within(rate, burst, &TOLERANCE),
+        Quota::with_tolerance(rate, burst, &TOLERANCE),
     );
     store.set_quotas(HashMap::from([(COUNTER, quota)]), |_| true);
-    store.set_owned(-10_000.0, |_| true);
+    store.update_ownership(-10_000.0, |_| true);
     (store, quota)
 }
 
@@ -82,7 +82,7 @@
         if now % 3000.0 == 0.0 && now > 0.0 {
             store = CounterStore::default();
             store.set_quotas(HashMap::from([(COUNTER, quota)]), |_| true);
-            store.set_owned(now, |_| true);
+            store.update_ownership(now, |_| true);
         }
         if store
             .add(now, COUNTER, 1.0)
@@ -103,9 +103,9 @@
 fn a_counter_that_returns_to_an_owner_waits_again_before_it_grants() {
     let (mut store, quota) = store(10.0, 10.0);
     assert_eq!(store.add(0.0, COUNTER, 1.0), Some(1.0));
-    store.set_owned(50.0, |_| false);
+    store.update_ownership(50.0, |_| false);
     assert_eq!(store.add(90.0, COUNTER, 1.0), None, "another proxy owns it");
-    store.set_owned(100.0, |_| true);
+    store.update_ownership(100.0, |_| true);
     assert_eq!(store.add(200.0, COUNTER, 1.0), None);
     assert_eq!(
         store.add(200.0 + quota.window + 400.0, COUNTER, 1.0),
@@ -124,11 +124,11 @@
 #[test]
 fn a_change_of_other_owners_does_not_prolong_the_wait() {
     let (mut store, quota) = store(10.0, 10.0);
-    store.set_owned(0.0, |_| false);
+    store.update_ownership(0.0, |_| false);
     let mut first_granted_at = None;
     for now in (100..10_000).step_by(100).map(f64::from) {
         if now % 400.0 == 100.0 {
-            store.set_owned(now, |_| true);
+            store.update_ownership(now, |_| true);
         }
         if first_granted_at.is_none() && store.add(now, COUNTER, 1.0).is_some() {
             first_granted_at = Some(now);
@@ -143,11 +143,11 @@
     let (mut grants, (rate, burst)) = (Vec::new(), (186.0, 186.0));
     let (mut owner, quota) = store(rate, burst);
     let (mut other_proxy, _) = store(rate, burst);
-    other_proxy.set_owned(-5000.0, |_| false);
+    other_proxy.update_ownership(-5000.0, |_| false);
     for now in (0..30_000).map(f64::from) {
         if now % 700.0 == 300.0 {
-            let handovers = owner.set_owned(now, |_| false);
-            other_proxy.set_owned(now, |_| true);
+            let handovers = owner.update_ownership(now, |_| false);
+            other_proxy.update_ownership(now, |_| true);
             handovers
                 .into_iter()
                 .for_each(|h| other_proxy.accept_handover(now, h));
@@ -203,10 +203,10 @@
 fn a_handover_does_not_restart_the_wait() {
     let (mut owner, quota) = store(10.0, 10.0);
     let (mut other_proxy, _) = store(10.0, 10.0);
-    owner.set_owned(0.0, |_| false);
-    other_proxy.set_owned(0.0, |_| false);
-    owner.set_owned(100.0, |_| true);
-    let handovers = owner.set_owned(900.0, |_| false);
+    owner.update_ownership(0.0, |_| false);
+    other_proxy.update_ownership(0.0, |_| false);
+    owner.update_ownership(100.0, |_| true);
+    let handovers = owner.update_ownership(900.0, |_| false);
     assert_eq!(
         handovers,
         [CounterHandover {
@@ -219,7 +219,7 @@
     handovers
         .into_iter()
         .for_each(|h| other_proxy.accept_handover(905.0, h));
-    other_proxy.set_owned(910.0, |_| true);
+    other_proxy.update_ownership(910.0, |_| true);
     assert_eq!(
         other_proxy.add(100.0 + quota.window + 300.0, COUNTER, 1.0),
         None
--- a/crates/aspendrum-proxy/tests/ownership.rs
+++ b/crates/aspendrum-proxy/tests/ownership.rs
@@ -20,7 +20,7 @@
     let mut client = CounterClient::default();
     client.set_owners(proxies());
     let mut names = (0..).map(|n| format!("tenant-{n}"));
-    let is_locally_owned = |name: &String| client.owner(CounterId::of_tenant(name)) == Some(LOCAL);
+    let is_locally_owned = |name: &String| client.owner(CounterId::for_tenant(name)) == Some(LOCAL);
     names.find(is_locally_owned).unwrap()
 }
 
