--- a/crates/aspendrum-agent/src/coordinator/proxy_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/proxy_session.rs
@@ -96,7 +96,7 @@
 
     /// Whether sections are waiting for the proxy to apply earlier ones.
     pub(super) fn has_waiting_updates(&self) -> bool {
-        self.updates.is_waiting()
+        self.updates.has_pending()
     }
 
     /// Whether updates may be acknowledged to control: the proxy has applied all of them, or is disconnected or
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -341,7 +341,7 @@
     pub fn has_pending_updates(&self) -> bool {
         self.sessions
             .values()
-            .any(|session| session.updates.is_waiting())
+            .any(|session| session.updates.has_pending())
     }
 
     /// Returns a report of each node whose agent is connected here, sorted by host name.
--- a/crates/aspendrum-reconcile/src/update_stream.rs
+++ b/crates/aspendrum-reconcile/src/update_stream.rs
@@ -56,7 +56,7 @@
 
 impl UpdateStream {
     /// Offers the newest section of its kind. Returns the number under which to send it now, or `None` if the receiver
-    /// already has it or has not acknowledged the previous one. While [`UpdateStream::is_waiting`] returns `true`, the
+    /// already has it or has not acknowledged the previous one. While [`UpdateStream::has_pending`] returns `true`, the
     /// caller must offer the newest sections again after acknowledgements and periodically.
     pub fn offer(&mut self, now: Millis, section: &StateSection) -> Option<u64> {
         let acknowledged = self.acknowledged;
@@ -101,7 +101,7 @@
     }
 
     /// Whether a section waits for the acknowledgement of the previous one.
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         self.slots.iter().any(|slot| slot.is_waiting)
     }
 
@@ -118,7 +118,7 @@
 
     /// Whether the receiver has applied all offered sections.
     pub fn is_applied(&self) -> bool {
-        !self.is_waiting() && self.acknowledged == self.last_number
+        !self.has_pending() && self.acknowledged == self.last_number
     }
 
     /// Whether an update has been unacknowledged for at least [`ACKNOWLEDGEMENT_TIMEOUT`].
--- a/crates/aspendrum-reconcile/tests/update_stream.rs
+++ b/crates/aspendrum-reconcile/tests/update_stream.rs
@@ -34,10 +34,10 @@
     for version in 2..100 {
         assert_eq!(updates.offer(1.0, &config(version)), None);
     }
-    assert!(updates.is_waiting() && !updates.is_applied());
+    assert!(updates.has_pending() && !updates.is_applied());
     updates.acknowledge(1);
     assert_eq!(updates.offer(2.0, &config(99)), Some(3));
-    assert!(!updates.is_waiting() && !updates.is_applied());
+    assert!(!updates.has_pending() && !updates.is_applied());
     updates.acknowledge(3);
     assert!(updates.is_applied());
     assert_eq!(
@@ -56,7 +56,7 @@
     assert_eq!(updates.offer(0.0, &evacuated(1)), Some(1));
     assert_eq!(updates.offer(1.0, &evacuated(2)), None);
     assert_eq!(updates.offer(2.0, &evacuated(1)), None);
-    assert!(!updates.is_waiting());
+    assert!(!updates.has_pending());
     updates.acknowledge(1);
     assert!(updates.is_applied());
 }
