--- a/crates/aspendrum-checker/src/limiter/quota.rs
+++ b/crates/aspendrum-checker/src/limiter/quota.rs
@@ -82,7 +82,7 @@
 impl QuotaUse {
     /// Returns the units refused although tokens were available: what one token bucket would have granted, less what
     /// was granted within the quota.
-    pub fn refused_with_room(&self) -> f64 {
+    pub fn refused_within_quota(&self) -> f64 {
         (self.ideally_granted - self.granted_within_quota).max(0.0)
     }
 }
--- a/crates/aspendrum-checker/src/limiter/verdict.rs
+++ b/crates/aspendrum-checker/src/limiter/verdict.rs
@@ -47,7 +47,7 @@
     /// How far all quotas together were used.
     pub total_use: QuotaUse,
     /// The highest load on a server in slow start, as a share of what the rule allows; 0 if there was none.
-    pub cold_load: f64,
+    pub max_slow_start_load: f64,
     /// The number of queries with each outcome.
     pub outcomes: Vec<(QueryOutcome, u64)>,
     /// The response times of answered queries as their clients saw them, in microseconds.
@@ -79,7 +79,7 @@
         breaches: rules::breaches(record, &grants, &loads),
         total_use: total_use(record, &quota_uses),
         quota_uses,
-        cold_load: loads.iter().map(|worst| worst.load).fold(0.0, f64::max),
+        max_slow_start_load: loads.iter().map(|worst| worst.load).fold(0.0, f64::max),
         outcomes: OUTCOMES.map(|kind| (kind, count(kind))).to_vec(),
         response_times: response_times(record),
         recoveries: recoveries.collect(),
@@ -193,11 +193,11 @@
 
     /// Returns the units refused although tokens were available, as a share of the units for which tokens were
     /// available.
-    pub fn refused_with_room(&self) -> f64 {
+    pub fn refused_within_quota(&self) -> f64 {
         let refused: f64 = self
             .quota_uses
             .iter()
-            .map(QuotaUse::refused_with_room)
+            .map(QuotaUse::refused_within_quota)
             .sum();
         refused / self.total_use.ideally_granted.max(f64::MIN_POSITIVE)
     }
--- a/crates/aspendrum-checker/src/system/disconnects.rs
+++ b/crates/aspendrum-checker/src/system/disconnects.rs
@@ -72,7 +72,7 @@
 ) {
     if execution.arrived_at > deadline {
         counts.sent_late += 1;
-    } else if !is_once_only && execution.drops_on_close && execution.would_end_at > deadline {
+    } else if !is_once_only && execution.aborts_on_close && execution.would_end_at > deadline {
         counts.abortable += 1;
         counts.not_aborted += usize::from(execution.ended_at > deadline);
     }
--- a/crates/aspendrum-checker/src/system/record.rs
+++ b/crates/aspendrum-checker/src/system/record.rs
@@ -67,7 +67,7 @@
     /// When the work would have been completed.
     pub would_end_at: Millis,
     /// Whether the server aborts the work when the connection closes, as most servers do.
-    pub drops_on_close: bool,
+    pub aborts_on_close: bool,
 }
 
 /// A route of a configuration.
@@ -85,7 +85,7 @@
     /// The name of the tenant.
     pub name: String,
     /// Whether the credential of the tenant's clients is valid.
-    pub has_key: bool,
+    pub has_valid_credential: bool,
 }
 
 /// A configuration as an operator sent it.
@@ -108,7 +108,9 @@
 impl ConfigVersion {
     /// Returns whether the credential of the tenant's clients is valid.
     pub(super) fn admits(&self, tenant: usize) -> bool {
-        self.tenants.get(tenant).is_some_and(|rule| rule.has_key)
+        self.tenants
+            .get(tenant)
+            .is_some_and(|rule| rule.has_valid_credential)
     }
 
     /// Returns whether the configuration has the attempt's route and admits its credential.
@@ -288,7 +290,7 @@
 impl Record {
     /// Returns whether the attempt is allowed by every configuration that was sent before its end and is not older than the
     /// newest applied one. This includes configurations that were refused.
-    pub fn is_owed(&self, attempt: &Attempt) -> bool {
+    pub fn is_allowed_throughout(&self, attempt: &Attempt) -> bool {
         let is_applied = |version: &&ConfigVersion| {
             let applied_by = version.acknowledged_at.map(|at| at + self.bounds.apply);
             applied_by.is_some_and(|at| attempt.sent_at > at)
--- a/crates/aspendrum-checker/src/system/verdict.rs
+++ b/crates/aspendrum-checker/src/system/verdict.rs
@@ -32,7 +32,7 @@
 pub struct Verdict {
     /// The rules that were broken.
     pub breaches: Vec<Breach>,
-    /// The requests that every configuration in question allows; see [`Record::is_owed`].
+    /// The requests that every configuration in question allows; see [`Record::is_allowed_throughout`].
     pub all: ServedCount,
     /// The part of these requests that may run only once.
     pub once_only: ServedCount,
@@ -40,7 +40,7 @@
     pub outcomes: Vec<(AttemptOutcome, usize)>,
     /// Attempts that ran although the client received neither a response nor the promise that they had not run. Losses
     /// cause these, and they are no breach.
-    pub unreported: usize,
+    pub executed_without_response: usize,
 }
 
 impl Verdict {
@@ -83,7 +83,7 @@
         all,
         once_only,
         outcomes: count_outcomes(record),
-        unreported: count_unreported(record, &executions),
+        executed_without_response: count_unreported(record, &executions),
     }
 }
 
@@ -154,7 +154,7 @@
     let counted = record
         .attempts
         .iter()
-        .filter(|attempt| record.is_owed(attempt));
+        .filter(|attempt| record.is_allowed_throughout(attempt));
     let counted = counted
         .map(|attempt| attempt.request)
         .filter(|id| !disconnected.contains(id));
--- a/crates/aspendrum-checker/tests/disconnects.rs
+++ b/crates/aspendrum-checker/tests/disconnects.rs
@@ -33,7 +33,7 @@
         ],
         tenants: vec![TenantRule {
             name: "ann".into(),
-            has_key: true,
+            has_valid_credential: true,
         }],
         ..ConfigVersion::default()
     };
@@ -59,7 +59,7 @@
         started_at: sent(id) + started,
         ended_at: sent(id) + ended,
         would_end_at: sent(id) + would_end,
-        drops_on_close: true,
+        aborts_on_close: true,
     };
     Record {
         from: 0.0,
@@ -162,7 +162,7 @@
     record
         .executions
         .iter_mut()
-        .for_each(|r| r.drops_on_close = false);
+        .for_each(|r| r.aborts_on_close = false);
     assert_eq!(
         breaches(&record),
         [""; 0],
--- a/crates/aspendrum-checker/tests/limiter.rs
+++ b/crates/aspendrum-checker/tests/limiter.rs
@@ -118,7 +118,7 @@
         (
             total.granted,
             total.granted_within_quota,
-            total.refused_with_room()
+            total.refused_within_quota()
         ),
         (100.0, 100.0, 0.0)
     );
@@ -273,9 +273,9 @@
         "rejected queries count as sent"
     );
     assert!(
-        verdict.cold_load > 1.0 && verdict.cold_load < 1.5,
+        verdict.max_slow_start_load > 1.0 && verdict.max_slow_start_load < 1.5,
         "{}",
-        verdict.cold_load
+        verdict.max_slow_start_load
     );
     let mut record = valid_record();
     record.incarnations.push(ServerIncarnation {
@@ -337,7 +337,7 @@
     record.forwards.retain(|f| !(20..40).contains(&f.id));
     let total = check(&record).total_use;
     assert_eq!(
-        (total.granted, total.refused, total.refused_with_room()),
+        (total.granted, total.refused, total.refused_within_quota()),
         (80.0, 20, 20.0)
     );
     // Of 60 simultaneous requests a bucket with a burst of 5 grants 5, so none of the 55 refused ones had tokens.
@@ -362,7 +362,7 @@
     }
     let total = check(&record).total_use;
     assert_eq!(
-        (total.granted, total.refused, total.refused_with_room()),
+        (total.granted, total.refused, total.refused_within_quota()),
         (5.0, 55, 0.0)
     );
 }
--- a/crates/aspendrum-checker/tests/operators.rs
+++ b/crates/aspendrum-checker/tests/operators.rs
@@ -276,7 +276,7 @@
             started_at: at,
             ended_at: at + 25.0,
             would_end_at: at + 25.0,
-            drops_on_close: true,
+            aborts_on_close: true,
         }
     };
     let is_kept = |r: &Execution| {
@@ -302,7 +302,7 @@
     record.versions = vec![ConfigVersion {
         tenants: vec![TenantRule {
             name: "ann".into(),
-            has_key: true,
+            has_valid_credential: true,
         }],
         ..version
     }];
@@ -388,7 +388,7 @@
         }],
         tenants: vec![TenantRule {
             name: "ann".into(),
-            has_key: true,
+            has_valid_credential: true,
         }],
     };
     let mut record = evacuated(Vec::new(), &[]);
--- a/crates/aspendrum-checker/tests/refusals.rs
+++ b/crates/aspendrum-checker/tests/refusals.rs
@@ -23,7 +23,7 @@
         routes: vec![rule; routes],
         tenants: vec![TenantRule {
             name: "ann".into(),
-            has_key: true,
+            has_valid_credential: true,
         }],
     }
 }
--- a/crates/aspendrum-checker/tests/system.rs
+++ b/crates/aspendrum-checker/tests/system.rs
@@ -17,7 +17,7 @@
     sent: f64,
     acked: Option<f64>,
     service: &str,
-    has_key: bool,
+    has_valid_credential: bool,
 ) -> ConfigVersion {
     ConfigVersion {
         number,
@@ -36,7 +36,7 @@
         ],
         tenants: vec![TenantRule {
             name: "ann".into(),
-            has_key,
+            has_valid_credential,
         }],
     }
 }
@@ -66,7 +66,7 @@
         started_at: at,
         ended_at: at + 25.0,
         would_end_at: at + 25.0,
-        drops_on_close: true,
+        aborts_on_close: true,
     }
 }
 
--- a/crates/aspendrum-fake-services/src/origin.rs
+++ b/crates/aspendrum-fake-services/src/origin.rs
@@ -30,7 +30,7 @@
     /// The mean duration of a request, in milliseconds.
     pub work_ms: f64,
     /// Whether the server aborts a request when its connection closes, as most servers do.
-    pub drops_on_close: bool,
+    pub aborts_on_close: bool,
 }
 
 /// The faults of a server, which can be combined. Shares are of requests, from 0 to 1.
@@ -322,7 +322,7 @@
             started_at: 0.0,
             ended_at: 0.0,
             would_end_at: 0.0,
-            drops_on_close: self.options.drops_on_close,
+            aborts_on_close: self.options.aborts_on_close,
         }
     }
 
@@ -330,7 +330,7 @@
     async fn run(&self, execution: Execution, faults: &OriginFaults, stream: &TcpStream) -> bool {
         lock(&self.state).in_progress += 1;
         let in_progress = InProgress(self);
-        let aborts_on_close = self.options.drops_on_close;
+        let aborts_on_close = self.options.aborts_on_close;
         let slot = tokio::select! {
             slot = self.slots.acquire() => slot,
             () = wait_for_close(stream), if aborts_on_close => return false,
--- a/crates/aspendrum-fake-services/src/server.rs
+++ b/crates/aspendrum-fake-services/src/server.rs
@@ -39,9 +39,9 @@
     /// The window over which the load in slow start is measured.
     pub collapse_window: Millis,
     /// Whether responses carry load reports; otherwise only probe responses do.
-    pub reports_in_answers: bool,
+    pub reports_load_in_responses: bool,
     /// Whether the server responds to probes.
-    pub answers_probes: bool,
+    pub responds_to_probes: bool,
     /// By endpoint group, the work of a query in milliseconds of one core, and whether a query may run more than once.
     pub groups: HashMap<String, (Millis, RetrySafety)>,
     /// The time for which repeats of a query with a key are dropped.
@@ -291,8 +291,10 @@
     fn probe_response(&self, path: &str) -> Vec<u8> {
         let report = self.load_report();
         match path {
-            "/health/live" if self.options.answers_probes => encode_response(200, &[], b""),
-            "/stats" if self.options.answers_probes => encode_response(200, &[], report.as_bytes()),
+            "/health/live" if self.options.responds_to_probes => encode_response(200, &[], b""),
+            "/stats" if self.options.responds_to_probes => {
+                encode_response(200, &[], report.as_bytes())
+            }
             _ => encode_response(404, &[], b""),
         }
     }
@@ -380,7 +382,7 @@
         }
         let report = format!("TEXT {}", self.load_report());
         let with_report = [("X-Pressure", report.as_str())];
-        let headers = if self.options.reports_in_answers {
+        let headers = if self.options.reports_load_in_responses {
             &with_report[..]
         } else {
             &[]
--- a/crates/aspendrum-fake-services/tests/services.rs
+++ b/crates/aspendrum-fake-services/tests/services.rs
@@ -33,8 +33,8 @@
         slow_start: 5000.0,
         collapse_multiple: 3.0,
         collapse_window: 1000.0,
-        reports_in_answers: true,
-        answers_probes: true,
+        reports_load_in_responses: true,
+        responds_to_probes: true,
         groups: groups
             .map(|(name, retry_safety)| (name.to_string(), (20.0, retry_safety)))
             .into(),
--- a/crates/aspendrum-testbed/src/report/csv_files.rs
+++ b/crates/aspendrum-testbed/src/report/csv_files.rs
@@ -86,7 +86,7 @@
     let mut line = vec![customer.name.clone()];
     line.extend(values.map(|value| format!("{value:.3}")));
     line.push(usage.refused.to_string());
-    line.push(format!("{:.3}", usage.refused_with_room()));
+    line.push(format!("{:.3}", usage.refused_within_quota()));
     line
 }
 
--- a/crates/aspendrum-testbed/src/run/outcome.rs
+++ b/crates/aspendrum-testbed/src/run/outcome.rs
@@ -86,7 +86,7 @@
             ),
             (
                 "refused with room, of what had room,",
-                verdict.refused_with_room(),
+                verdict.refused_within_quota(),
                 bounds.refused_with_room,
             ),
             (
--- a/crates/aspendrum-testbed/src/run/services.rs
+++ b/crates/aspendrum-testbed/src/run/services.rs
@@ -102,8 +102,8 @@
         slow_start: servers.slow_start_s * MILLIS_PER_SECOND,
         collapse_multiple: scenario.rules.collapse_multiple,
         collapse_window: scenario.rules.collapse_window_s * MILLIS_PER_SECOND,
-        reports_in_answers: servers.reports == LoadReports::Answers,
-        answers_probes: servers.reports == LoadReports::Probes,
+        reports_load_in_responses: servers.reports == LoadReports::Answers,
+        responds_to_probes: servers.reports == LoadReports::Probes,
         groups: groups.collect(),
         deduplication_window: DEDUPLICATION_WINDOW_S * MILLIS_PER_SECOND,
     }
--- a/crates/aspendrum-testbed/src/system/configuration.rs
+++ b/crates/aspendrum-testbed/src/system/configuration.rs
@@ -56,7 +56,7 @@
 }
 
 fn tenant(s: &Scenario, number: usize, tenant: &TenantRule) -> Value {
-    let keys = if tenant.has_key {
+    let keys = if tenant.has_valid_credential {
         vec![KEYS[number]]
     } else {
         Vec::new()
--- a/crates/aspendrum-testbed/src/system/fleet.rs
+++ b/crates/aspendrum-testbed/src/system/fleet.rs
@@ -296,7 +296,7 @@
             slots: 4,
             queue_capacity: 8,
             work_ms: 25.0,
-            drops_on_close: number % CONTINUES_ON_CLOSE_EVERY != CONTINUES_ON_CLOSE_EVERY - 1,
+            aborts_on_close: number % CONTINUES_ON_CLOSE_EVERY != CONTINUES_ON_CLOSE_EVERY - 1,
         };
         let at = addresses.services();
         origins.push(OriginServer::start(at, number, options, execution_log.clone()).await?);
--- a/crates/aspendrum-testbed/src/system/outcome.rs
+++ b/crates/aspendrum-testbed/src/system/outcome.rs
@@ -33,7 +33,7 @@
             attempt.id == attempt.request
                 && attempt.outcome != AttemptOutcome::ClientDisconnected
                 && is_part(attempt)
-                && record.is_owed(attempt)
+                && record.is_allowed_throughout(attempt)
         };
         let owed: Vec<&Attempt> = record.attempts.iter().filter(is_owed).collect();
         let is_served = |attempt: &&&Attempt| answered.contains(&attempt.request);
--- a/crates/aspendrum-testbed/src/system/report.rs
+++ b/crates/aspendrum-testbed/src/system/report.rs
@@ -70,7 +70,10 @@
             "the second tenant's requests, served",
             part(&o.second_tenant),
         ),
-        row("ran, and no client heard of it", o.verdict.unreported),
+        row(
+            "ran, and no client heard of it",
+            o.verdict.executed_without_response,
+        ),
     ]
 }
 
--- a/crates/aspendrum-testbed/src/system/steps/orders.rs
+++ b/crates/aspendrum-testbed/src/system/steps/orders.rs
@@ -29,7 +29,7 @@
     };
     let tenant = |name: &str| TenantRule {
         name: name.into(),
-        has_key: true,
+        has_valid_credential: true,
     };
     ConfigVersion {
         routes: vec![route(0, false), route(1, true)],
@@ -47,12 +47,16 @@
                 self.send_change(first, move_once_only_route).await;
             }
             StepKind::TakeKey => {
-                self.send_change(first, |version| version.tenants[1].has_key = false)
-                    .await;
+                self.send_change(first, |version| {
+                    version.tenants[1].has_valid_credential = false
+                })
+                .await;
             }
             StepKind::GiveKey => {
-                self.send_change(first, |version| version.tenants[1].has_key = true)
-                    .await;
+                self.send_change(first, |version| {
+                    version.tenants[1].has_valid_credential = true
+                })
+                .await;
             }
             StepKind::Changes => self.send_changes(first, step).await,
             StepKind::InvalidChanges => self.send_invalid_changes(first, step).await,
@@ -200,7 +204,7 @@
             let a = self.next_version(None, move_once_only_route);
             let b = self.next_version(Some(a.number), |version| {
                 move_once_only_route(version);
-                version.tenants[1].has_key = !version.tenants[1].has_key;
+                version.tenants[1].has_valid_credential = !version.tenants[1].has_valid_credential;
             });
             let (a, b) = tokio::join!(self.send(one, &a), self.send(other, &b));
             if [a, b].contains(&OrderOutcome::Unclear) {
--- a/crates/aspendrum-testbed/tests/configuration.rs
+++ b/crates/aspendrum-testbed/tests/configuration.rs
@@ -20,7 +20,7 @@
     };
     let tenant = |name: &str| TenantRule {
         name: name.into(),
-        has_key: true,
+        has_valid_credential: true,
     };
     ConfigVersion {
         number: 9,
