--- a/crates/aspendrum-testbed/src/days/play.rs
+++ b/crates/aspendrum-testbed/src/days/play.rs
@@ -196,19 +196,16 @@
     let report: Option<Value> = report.and_then(|text| serde_json::from_str(&text).ok());
     let not_played = || BenchVerdict {
         text: format!("not played: {status}"),
-        is_good: false,
+        passed: false,
     };
-    let BenchVerdict { text, is_good } = report.as_ref().map_or_else(not_played, verdict);
+    let BenchVerdict { text, passed } = report.as_ref().map_or_else(not_played, verdict);
     let figure = |key: &str| {
         let value = report.as_ref().and_then(|report| report[key].as_f64());
         value.map_or("-".into(), |value| format!("{value:.3}"))
     };
     let (score, served) = (figure("G"), figure("served"));
     let text = format!("| {day} | {site} | {seed} | {score} | {served} | {text} |");
-    Ok(Row {
-        text,
-        passed: is_good,
-    })
+    Ok(Row { text, passed })
 }
 
 /// Runs the bench for one play. Its output and its report are written to the given files.
--- a/crates/aspendrum-testbed/src/days/verdict.rs
+++ b/crates/aspendrum-testbed/src/days/verdict.rs
@@ -9,7 +9,7 @@
     /// A description of all problems, or `none`.
     pub text: String,
     /// Whether there were no problems.
-    pub is_good: bool,
+    pub passed: bool,
 }
 
 /// Returns the verdict of a report: broken rules, faults of processes, and missed gates. An incomplete report counts as a
@@ -20,7 +20,7 @@
         let text = "the report lacks the broken rules, the fault or the missed gates".into();
         return BenchVerdict {
             text,
-            is_good: false,
+            passed: false,
         };
     }
     let mut problems = String::new();
@@ -37,11 +37,11 @@
     match problems.strip_suffix("; ") {
         Some(problems) => BenchVerdict {
             text: problems.into(),
-            is_good: false,
+            passed: false,
         },
         None => BenchVerdict {
             text: "none".into(),
-            is_good: true,
+            passed: true,
         },
     }
 }
--- a/crates/aspendrum-testbed/src/library.rs
+++ b/crates/aspendrum-testbed/src/library.rs
@@ -49,14 +49,14 @@
 /// # Errors
 /// [`UnknownScenario`] if there is neither.
 pub fn scenario_text(name: &str) -> Result<String, UnknownScenario> {
-    find_text(ALL, name)
+    read_text(ALL, name)
 }
 
 /// Returns the text with that name in a library, or of the file at that path.
 ///
 /// # Errors
 /// [`UnknownScenario`] if there is neither.
-pub fn find_text(library: &[(&str, &str)], name: &str) -> Result<String, UnknownScenario> {
+pub fn read_text(library: &[(&str, &str)], name: &str) -> Result<String, UnknownScenario> {
     if let Some((_, text)) = library.iter().find(|(known, _)| *known == name) {
         return Ok(text.to_string());
     }
--- a/crates/aspendrum-testbed/src/system/library.rs
+++ b/crates/aspendrum-testbed/src/system/library.rs
@@ -2,7 +2,7 @@
 
 use super::error::ScenarioError;
 use super::scenario::Scenario;
-use crate::library::{describe_all, find_text};
+use crate::library::{describe_all, read_text};
 
 macro_rules! library {
     ($(#[$about:meta])* $all:ident: $($name:literal),* $(,)?) => {
@@ -68,7 +68,7 @@
 /// # Errors
 /// [`ScenarioError`] if the scenario does not exist or is invalid.
 pub fn scenario(name: &str) -> Result<Scenario, ScenarioError> {
-    Scenario::read(&find_text(&all(), name).map_err(ScenarioError::Unknown)?)
+    Scenario::read(&read_text(&all(), name).map_err(ScenarioError::Unknown)?)
 }
 
 /// Returns a list of all scenarios, one per line.
--- a/crates/aspendrum-testbed/tests/days.rs
+++ b/crates/aspendrum-testbed/tests/days.rs
@@ -59,7 +59,7 @@
         verdict(&json!({"breaks": {}, "fault": null, "short": []})),
         BenchVerdict {
             text: "none".into(),
-            is_good: true
+            passed: true
         }
     );
     let failed = verdict(&json!({"breaks": {"CONFIG": 3}, "fault": "an end", "short": ["served"]}));
@@ -67,11 +67,11 @@
         failed,
         BenchVerdict {
             text: "CONFIG 3; fault: \"an end\"; gate: \"served\"".into(),
-            is_good: false
+            passed: false
         }
     );
     // An incomplete report is not a pass.
-    assert!(!verdict(&json!({})).is_good);
+    assert!(!verdict(&json!({})).passed);
 }
 
 #[test]
