--- a/crates/aspendrum-testbed/src/system/operator.rs
+++ b/crates/aspendrum-testbed/src/system/operator.rs
@@ -1,5 +1,5 @@
 //! An operator that follows the protocol: which responses end an order, which control node is tried next and after which
-//! delay. All calls are recorded with their responses.
+//! delay. All calls except those about evacuations are recorded with their responses.
 
 use super::fleet::Fleet;
 use super::http_call::{call, CALL_TIMEOUT};
--- a/crates/aspendrum-testbed/src/system/steps/orders.rs
+++ b/crates/aspendrum-testbed/src/system/steps/orders.rs
@@ -90,7 +90,8 @@
         let mut log = lock(&self.log);
         let last = log.versions.last().cloned();
         let mut next = last.unwrap_or_else(first_version);
-        // Version numbers need not be consecutive. They increase by 2 or 3, and invalid texts use the numbers in between.
+        // Version numbers need not be consecutive. The first is 3 and each further one is higher by 2; invalid texts use
+        // the numbers in between.
         let numbers = log.versions.iter().map(|version| version.number);
         let newest = numbers.max().unwrap_or(0);
         next.number = number.unwrap_or(newest + if newest % 2 == 0 { 3 } else { 2 });
--- a/crates/aspendrum-testbed/tests/faults.rs
+++ b/crates/aspendrum-testbed/tests/faults.rs
@@ -1,5 +1,4 @@
-//! Tests of fleets of real processes under faults. The bounds are what the current program achieves, plus the variation over
-//! seeds. A bound that an open issue is to tighten names the issue.
+//! Tests of fleets of real processes under faults. A bound that an open issue is to tighten names the issue.
 
 use aspendrum_checker::limiter::{QueryOutcome, Recovery};
 use aspendrum_testbed::library;
