--- a/crates/aspendrum-client/src/control.rs
+++ b/crates/aspendrum-client/src/control.rs
@@ -49,7 +49,8 @@
     /// Sends a command, with retries, until a node acknowledges or refuses it.
     ///
     /// # Errors
-    /// Returns [`ClientError::NotAcknowledged`] if no node did in time. The command may still be committed.
+    /// Returns [`ClientError::NotAcknowledged`] if no node acknowledged or refused it in time. The command may still be
+    /// committed.
     pub(crate) fn send_command(
         &self,
         method: &str,
--- a/crates/aspendrum-client/src/main.rs
+++ b/crates/aspendrum-client/src/main.rs
@@ -59,7 +59,7 @@
     let reply = control.send_command("POST", "/api/Cfg.Set", &read_file(file)?)?;
     Ok(print_command_result(
         &reply,
-        &format!("version {:08x} is held", config.version),
+        &format!("version {:08x} is stored", config.version),
     ))
 }
 
@@ -79,12 +79,12 @@
 }
 
 fn evacuate(control: &ControlClient, step: &EvacuationStep) -> Result<bool, ClientError> {
-    let (verb, zone) = match step {
-        EvacuationStep::Begin { zone } => ("Begin", zone),
-        EvacuationStep::Finish { zone } => ("Finish", zone),
+    let (verb, effect, zone) = match step {
+        EvacuationStep::Begin { zone } => ("Begin", "start", zone),
+        EvacuationStep::Finish { zone } => ("Finish", "end", zone),
     };
     let reply = control.send_command("POST", &format!("/api/Evac.{verb}/{zone}"), b"")?;
-    let effect = format!("the evacuation's {} in {zone} is held", verb.to_lowercase());
+    let effect = format!("the {effect} of the evacuation of {zone} is stored");
     Ok(print_command_result(&reply, &effect))
 }
 
@@ -141,7 +141,7 @@
 fn print_command_result(reply: &CommandReply, effect: &str) -> bool {
     let is_acknowledged = reply.status == STATUS_OK;
     if is_acknowledged {
-        println!("{effect} by a majority of control's disks");
+        println!("{effect} by a majority of the control nodes' disks");
     } else {
         eprintln!("refused with {}: {}", reply.status, reply.text.trim());
     }
