--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -26,7 +26,7 @@
 pub struct MajorityView<'a> {
     /// The decided state as published by this node.
     pub decided: &'a DecidedState,
-    /// Whether the last majority read is recent. Otherwise this node itself may be outdated.
+    /// Whether the last quorum read is recent. Otherwise this node itself may be outdated.
     pub is_recent: bool,
     /// How long a majority report remains valid.
     pub report_validity: ReportValidity,
--- a/crates/aspendrum-control/src/api.rs
+++ b/crates/aspendrum-control/src/api.rs
@@ -94,7 +94,7 @@
     }
 
     /// Handles a call.
-    pub fn answer(&self, request: &Request) -> Reply {
+    pub fn handle(&self, request: &Request) -> Reply {
         let (call, zone, query) = match match_path(&self.routes, &request.method, &request.path) {
             PathMatch::Call {
                 call,
@@ -235,7 +235,7 @@
     }
 
     /// Handles a call. The response to a lookup contains `ips` and `ttl-s`.
-    pub fn answer(&self, now: Millis, request: &Request) -> Reply {
+    pub fn handle(&self, now: Millis, request: &Request) -> Reply {
         let query = match match_path(&self.routes, &request.method, &request.path) {
             PathMatch::Call {
                 call: Call::LookUp,
--- a/crates/aspendrum-control/src/decided.rs
+++ b/crates/aspendrum-control/src/decided.rs
@@ -12,7 +12,7 @@
 use aspendrum_reconcile::{state_digest, MajorityReport};
 use std::collections::VecDeque;
 
-/// The maximum age in milliseconds of the last majority read for this node to rely on its own state. A recent read
+/// The maximum age in milliseconds of the last quorum read for this node to rely on its own state. A recent read
 /// shows that the node is not behind, and that it is connected to the other control nodes and thus has their proxy
 /// tables.
 pub const MAX_MAJORITY_AGE: Millis = 1200.0;
@@ -33,8 +33,8 @@
 pub struct DecidedState {
     state: ReplicatedState,
     digest: StateDigest,
-    /// The last time at which the published state was known to be the newest one on a majority; `None` before the first
-    /// majority read.
+    /// The last time at which a majority of disks held nothing newer than the published state; `None` before the first
+    /// quorum read.
     as_of: Option<Millis>,
     /// The most recent publications, newest first.
     publications: VecDeque<Publication>,
@@ -58,7 +58,7 @@
     }
 
     /// Publishes the committed state if a publication is due. Returns whether it was published. `as_of` is the last
-    /// time at which `committed` was known to be the newest state on a majority.
+    /// time at which a majority of disks held nothing newer than `committed`.
     pub fn publish_if_due(
         &mut self,
         now: Millis,
@@ -111,8 +111,8 @@
         self.digest
     }
 
-    /// Returns the digest of the published state and the last time at which a majority held nothing newer; `None`
-    /// before the first majority read.
+    /// Returns the digest of the published state and the last time at which a majority of disks held nothing newer;
+    /// `None` before the first quorum read.
     pub fn report(&self) -> Option<MajorityReport> {
         let report = |as_of| MajorityReport {
             decided: self.digest,
--- a/crates/aspendrum-control/src/node.rs
+++ b/crates/aspendrum-control/src/node.rs
@@ -34,10 +34,10 @@
 use std::time::{Duration, Instant};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// The interval between majority reads. A read renews the agents' permission to serve, and finds commands that other
+/// The interval between quorum reads. A read renews the agents' permission to serve, and finds commands that other
 /// nodes committed but whose commit notices were lost.
 const READ_INTERVAL: Millis = 400.0;
-/// The interval between majority reads until the first one succeeds. It is shorter than [`READ_INTERVAL`] because after
+/// The interval between quorum reads until the first one succeeds. It is shorter than [`READ_INTERVAL`] because after
 /// a power failure all proxies wait for that read.
 const FIRST_READ_INTERVAL: Millis = 100.0;
 const HEARTBEAT_INTERVAL: Millis = 500.0;
@@ -83,7 +83,7 @@
     last_read: Option<Millis>,
     last_heartbeat: Option<Millis>,
     /// Whether [`PROXY_COLLECTION_TIME`] has passed and the agents have been updated since.
-    has_collected_proxies: bool,
+    has_sent_collected_proxies: bool,
     shutdown: Option<Shutdown>,
 }
 
@@ -116,7 +116,7 @@
             proxies: MergedProxies::new(directory),
             last_read: None,
             last_heartbeat: None,
-            has_collected_proxies: false,
+            has_sent_collected_proxies: false,
             shutdown: None,
         }
     }
@@ -192,14 +192,14 @@
             self.last_heartbeat = Some(now);
             self.heartbeat(now);
             self.update_proxies();
-            // Agents that connected before the first successful majority read do not have the configuration yet.
+            // Agents that connected before the first successful quorum read do not have the configuration yet.
             self.update_agents();
         }
         if self.agents.expire_silent(now) {
             self.on_local_proxies_changed();
         }
-        if !self.has_collected_proxies && now >= PROXY_COLLECTION_TIME {
-            self.has_collected_proxies = true;
+        if !self.has_sent_collected_proxies && now >= PROXY_COLLECTION_TIME {
+            self.has_sent_collected_proxies = true;
             self.update_agents();
         }
         if self.agents.has_pending_updates() {
@@ -307,7 +307,7 @@
         self.replica.replica().committed_as_of().is_some()
     }
 
-    /// Publishes the committed state after the first successful majority read. Until then the local state may be
+    /// Publishes the committed state after the first successful quorum read. Until then the local state may be
     /// outdated. `had_read` is whether a read had already succeeded before the current operation.
     fn update_agents_after_first_read(&mut self, had_read: bool) {
         if !had_read && self.has_read_majority() {
@@ -400,7 +400,7 @@
 
     fn on_consensus_message(&mut self, now: Millis, from: NodeId, message: Message) {
         if message == Message::CommitNotice {
-            // Forces a majority read at the next tick.
+            // Forces a quorum read at the next tick.
             self.last_read = None;
         }
         let had_read = self.has_read_majority();
--- a/crates/aspendrum-control/src/replica_driver.rs
+++ b/crates/aspendrum-control/src/replica_driver.rs
@@ -79,8 +79,8 @@
         !self.pending_replies.is_empty()
     }
 
-    /// Returns the time in milliseconds since [`Replica::committed`] was last confirmed by a majority as the newest
-    /// state; `None` if no read has succeeded yet.
+    /// Returns the time in milliseconds since the last time at which a majority of disks held nothing newer than
+    /// [`Replica::committed`]; `None` before the first quorum read.
     pub fn majority_age(&self, now: Millis) -> Option<Millis> {
         let as_of = self.replica.committed_as_of();
         as_of.map(|as_of| (now - as_of).max(0.0))
@@ -97,7 +97,7 @@
         self.push(effects);
     }
 
-    /// Starts a majority read, which updates [`Replica::committed`].
+    /// Starts a quorum read, which updates [`Replica::committed`].
     pub fn read(&mut self, now: Millis) {
         let effects = self.replica.submit(now, Command::Read, None);
         self.push(effects);
--- a/crates/aspendrum-control/src/sections.rs
+++ b/crates/aspendrum-control/src/sections.rs
@@ -8,7 +8,8 @@
 pub struct SectionSources<'a> {
     /// The committed state that this node has published.
     pub committed: &'a ReplicatedState,
-    /// The time since a majority was last known to hold nothing newer; `None` before the first majority read.
+    /// The time since the last time at which a majority of disks held nothing newer; `None` before the first quorum
+    /// read.
     pub majority_age: Option<Millis>,
     /// The server list of the platform; `None` until it has been polled.
     pub servers: Option<StateSection>,
@@ -24,7 +25,7 @@
     /// Returns the sections in the order in which they are sent.
     pub fn sections(self) -> Vec<StateSection> {
         let mut sections = Vec::new();
-        // Before the first majority read, the local state may be older than what another node has sent to an agent.
+        // Before the first quorum read, the local state may be older than what another node has sent to an agent.
         if self.majority_age.is_some() {
             let config = &self.committed.config;
             if config.version > 0 {
@@ -38,7 +39,7 @@
             });
         }
         sections.extend(self.servers);
-        // Without a recent majority read this node may be partitioned and know only the proxies of its own agents. The
+        // Without a recent quorum read this node may be partitioned and know only the proxies of its own agents. The
         // section is then omitted, so that agents keep their table instead of losing the other proxies.
         let is_recent = self.majority_age.is_some_and(|age| age <= MAX_MAJORITY_AGE);
         if is_recent && self.has_collected_proxies && !self.proxies.is_empty() {
--- a/crates/aspendrum-control/src/shutdown.rs
+++ b/crates/aspendrum-control/src/shutdown.rs
@@ -46,7 +46,7 @@
     }
 
     fn is_handed_over(&self, replica: &Replica) -> bool {
-        // A majority read that started after the request and completed without this node's vote shows that the new
+        // A quorum read that started after the request and completed without this node's vote shows that the new
         // voters hold everything that was acknowledged.
         let as_of = replica.committed_as_of();
         let has_read_since = as_of.is_some_and(|as_of| as_of > self.requested_at);
--- a/crates/aspendrum-control/src/startup.rs
+++ b/crates/aspendrum-control/src/startup.rs
@@ -207,17 +207,17 @@
     };
     if let Some(address) = settings.operator_addr {
         let api = OperatorApi::new(events.clone(), settings.zone_regions.clone());
-        let answer = move |request| api.answer(&request);
+        let handle = move |request| api.handle(&request);
         let options = options(OPERATOR_STACK_BYTES, OPERATOR_LIMITS);
-        http_server::listen(address, options, answer).map_err(resource_error("ctl"))?;
+        http_server::listen(address, options, handle).map_err(resource_error("ctl"))?;
     }
     if let Some(address) = settings.directory_addr {
         // The maximum time to live that the requirements allow: a lookup delays a request, whereas clients skip
         // addresses that fail.
         let api = LookupApi::new(directory.clone(), settings.max_ttl_s);
-        let answer = move |request| api.answer(clock.now(), &request);
+        let handle = move |request| api.handle(clock.now(), &request);
         let options = options(STACK_BYTES, LOOKUP_LIMITS);
-        http_server::listen(address, options, answer).map_err(resource_error("dir"))?;
+        http_server::listen(address, options, handle).map_err(resource_error("dir"))?;
     }
     Ok(())
 }
--- a/crates/aspendrum-control/tests/answers.rs
+++ b/crates/aspendrum-control/tests/answers.rs
@@ -80,7 +80,7 @@
     };
     let events = Arc::new(mailbox::spawn_receiver(8, start).unwrap());
     let zones = [("z1".to_string(), "g".to_string())].into();
-    let reply = OperatorApi::new(events.clone(), zones).answer(request);
+    let reply = OperatorApi::new(events.clone(), zones).handle(request);
     Arc::into_inner(events).unwrap().close();
     (format_reply(&reply), commands.iter().collect())
 }
@@ -248,7 +248,7 @@
     directory.update(0.0, &[proxy(1), proxy(2)]);
     let api = LookupApi::new(Arc::new(RwLock::new(directory)), 5.0);
     let look_up = |api: &LookupApi, method, path| {
-        format_reply(&api.answer(REGION_HOLD_TIME, &request(method, path, "")))
+        format_reply(&api.handle(REGION_HOLD_TIME, &request(method, path, "")))
     };
     let addresses =
         r#"200 Content-Type: application/json; {"ips":["10.0.0.1:80","10.0.0.2:80"],"ttl-s":5.0}"#;
