--- a/crates/aspendrum-net/src/pool.rs
+++ b/crates/aspendrum-net/src/pool.rs
@@ -98,7 +98,8 @@
         self.idle().retain(|server, _| servers.contains(server));
     }
 
-    /// Returns a connection to the server: one that has been idle for at most `max_idle`, or else a new one.
+    /// Returns a connection to the server: one that has been idle for at least [`PoolLimits::min_idle`] and at most
+    /// `max_idle`, or else a new one.
     /// `before_use` receives the socket first, so that another thread can shut it down. If it returns false, no
     /// connection is returned.
     ///
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -15,7 +15,7 @@
 /// decode than a request.
 const STACK_BYTES: usize = 512 << 10;
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
-/// TCP user time-out: the connection is closed if the agent acknowledges no bytes within this time.
+/// TCP user timeout: the connection is closed if the agent acknowledges no bytes within this time.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The capacity of the queue of outgoing messages.
 const SEND_QUEUE_CAPACITY: usize = 32;
--- a/crates/aspendrum-proxy/src/counter/lease.rs
+++ b/crates/aspendrum-proxy/src/counter/lease.rs
@@ -12,8 +12,8 @@
 use std::net::Ipv4Addr;
 
 /// The lease duration in milliseconds, measured from the heartbeat whose reply confirms contact with control.
-/// With the agent's own bound of 650 ms, the lease may end up to 150 ms after control considers the agent
-/// silent, which takes 1,000 ms. A new owner waits for at least one window before it grants, which is longer.
+/// Control considers an agent silent after 1,000 ms. With the agent's own bound of 650 ms, the lease ends at most
+/// 150 ms after that. A new owner waits for at least one window before it grants, which is longer.
 const LEASE_DURATION: Millis = 500.0;
 /// How long a call from another proxy shows that the caller's list contains this proxy, in milliseconds.
 const CALL_VALIDITY: Millis = 500.0;
--- a/crates/aspendrum-proxy/src/counter/rtt.rs
+++ b/crates/aspendrum-proxy/src/counter/rtt.rs
@@ -1,9 +1,8 @@
-//! Estimates the round-trip time of a peer and derives the time-out (RFC 6298).
+//! Estimates the round-trip time of a peer and derives the timeout (RFC 6298).
 
 use aspendrum_core::api::Millis;
 
-/// The time-out in milliseconds before the first sample: the time-out of the design, plus the longest round
-/// trip of known deployments.
+/// The timeout in milliseconds before the first sample: large enough for the longest round trip of known deployments.
 const INITIAL_TIMEOUT: Millis = 160.0;
 const MIN_TIMEOUT: Millis = 20.0;
 const MAX_TIMEOUT: Millis = 300.0;
@@ -19,7 +18,7 @@
 }
 
 impl RttEstimator {
-    /// The time-out for a peer without samples, in milliseconds.
+    /// The timeout for a peer without samples, in milliseconds.
     pub const INITIAL_TIMEOUT: Millis = INITIAL_TIMEOUT;
 
     /// Creates an estimator from the first sample.
@@ -36,7 +35,7 @@
         self.smoothed += SMOOTHING_GAIN * (sample - self.smoothed);
     }
 
-    /// Returns the time-out for the next reply, in milliseconds.
+    /// Returns the timeout for the next reply, in milliseconds.
     pub fn timeout(&self) -> Millis {
         (2.0 * self.smoothed + 4.0 * self.variation + MIN_TIMEOUT).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
--- a/crates/aspendrum-proxy/src/counter/store.rs
+++ b/crates/aspendrum-proxy/src/counter/store.rs
@@ -20,8 +20,9 @@
 pub struct CounterStore {
     windows: HashMap<CounterId, Window>,
     quotas: HashMap<CounterId, Quota>,
-    /// The time since which this proxy owns each counter. It is stored per counter so that a change of other owners
-    /// delays no counter. Negative infinity means that no other proxy has ever owned the counter.
+    /// The time since which this proxy owns each counter. It is stored per counter so that a counter whose owner does
+    /// not change is not delayed. A handover of a counter that is still waiting can move the time back to when the
+    /// sender began to wait. Negative infinity means that no other proxy has ever owned the counter.
     owned_since: HashMap<CounterId, Millis>,
     /// Whether the list of owners is known.
     owners_known: bool,
--- a/crates/aspendrum-proxy/src/dispatcher/admission.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/admission.rs
@@ -160,6 +160,7 @@
         deadline,
         tenant: tenant.id,
         plan: tenant.plan,
+        // The engine divides the quota by this number.
         instances: quota_divisor,
         units: 1.0,
         first_instance: 0.0,
--- a/crates/aspendrum-proxy/src/dispatcher/configuration.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/configuration.rs
@@ -59,8 +59,9 @@
     numbers.fold(0, |bits, number| bits | 1 << number)
 }
 
-/// The route settings that determine a group. Routes with equal settings share a group; floating-point values
-/// are compared by their bits.
+/// The settings by which routes are grouped. Routes with equal settings share a group; floating-point values are
+/// compared by their bits. The group's own settings do not depend on `latency_target`: routes that differ in nothing
+/// else still get groups of their own.
 #[derive(PartialEq, Eq, Hash)]
 struct GroupKey {
     latency_target: u64,
@@ -104,8 +105,8 @@
         }
         let number = self.groups.len() as u16;
         self.groups.push(GroupSettings {
-            // A late response still has its value, so the engine's target is the timeout: with a latency target that
-            // cannot be met it would leave servers idle.
+            // The engine's latency target is the route's timeout, because a late response still has value. With a
+            // target that cannot be met, the engine would leave servers idle.
             latency_target: route.timeout_ms,
             hard_limit: route.timeout_ms,
             semantics: if route.is_idempotent {
--- a/crates/aspendrum-proxy/src/dispatcher/counters.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/counters.rs
@@ -13,8 +13,8 @@
 /// The fraction of its even share of a quota that a proxy grants while the counter does not answer. It is below 1
 /// because the counter's last window may have been used up immediately before.
 const LOCAL_QUOTA_SHARE: f64 = 0.75;
-/// The same fraction while control is unreachable. The other proxies may then consider this one failed and divide
-/// the whole quota among themselves: with a sixth of the proxies isolated, the total stays within the quota's
+/// The corresponding fraction while control is unreachable. The other proxies may then consider this one failed and
+/// divide the whole quota among themselves: with a sixth of the proxies isolated, the total stays within the quota's
 /// tolerance.
 const ISOLATED_QUOTA_SHARE: f64 = 0.4;
 
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Sets whether control is unreachable. If it is, no counter is used, local or remote, since the other
-    /// proxies may consider this one failed. Returns whether the value changed.
+    /// Sets whether control is unreachable. If it is, this proxy starts no addition of its own, local or remote, since
+    /// the other proxies may consider this one failed. Returns whether the value changed.
     pub(super) fn set_control_unreachable(&mut self, is_unreachable: bool) -> bool {
         std::mem::replace(&mut self.control_unreachable, is_unreachable) != is_unreachable
     }
--- a/crates/aspendrum-proxy/src/dispatcher/engine.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/engine.rs
@@ -7,9 +7,9 @@
 
 /// The interval of the decision engine's timer, in milliseconds.
 pub const TICK_MS: Millis = 5.0;
-/// The number of instances among which the engine divides a server's initial credit. Responses replenish the
-/// credit afterwards. With a larger number, a proxy with a tenth of the traffic delays requests while it has
-/// only the initial credit of a few servers.
+/// The number of instances among which the engine divides a server's initial concurrency limit. Responses adjust the
+/// limit afterwards. With a larger number, a proxy with a tenth of the traffic delays requests while it has only the
+/// initial limits of a few servers.
 const INITIAL_CREDIT_INSTANCES: u32 = 2;
 
 /// Returns the settings of the group used for requests without a group of their own.
--- a/crates/aspendrum-proxy/src/dispatcher/mod.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/mod.rs
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Removes a request that needs no further decisions.
+    /// Removes a request that needs no further decisions. The engine is notified as of a client disconnect, which ends
+    /// a request without an answer from it.
     pub fn finish_request(&self, id: RequestId) {
         let now = self.now();
         let mut state = lock(&self.state);
--- a/crates/aspendrum-proxy/src/dispatcher/state.rs
+++ b/crates/aspendrum-proxy/src/dispatcher/state.rs
@@ -43,7 +43,8 @@
     pub(super) has_proxy_list: bool,
     /// The revision of the last applied evacuation command.
     pub(super) evacuation_revision: u64,
-    /// Whether the next configuration or evacuation command is applied regardless of its version.
+    /// Whether the next configuration is applied regardless of its version, and evacuation commands regardless of their
+    /// revision until then.
     pub(super) rebuild_requested: bool,
 }
 
--- a/crates/aspendrum-proxy/src/endpoints/set.rs
+++ b/crates/aspendrum-proxy/src/endpoints/set.rs
@@ -294,7 +294,8 @@
         }
     }
 
-    /// Returns the endpoint's health if it differs from the value last reported to the decision engine.
+    /// Returns the endpoint's health if it differs from the value last reported to the decision engine, and records it
+    /// as reported.
     fn take_health_change(&mut self, now: Millis, id: ServerId) -> Option<ServerEntry> {
         let endpoint = self.endpoints.get_mut(&id)?;
         let health = health(now, endpoint, &self.evacuated_zones);
--- a/crates/aspendrum-proxy/src/endpoints/slow_start.rs
+++ b/crates/aspendrum-proxy/src/endpoints/slow_start.rs
@@ -37,9 +37,9 @@
 }
 
 impl SlowStartShare<'_> {
-    /// Returns this proxy's tokens per second. The server is shared by as few proxies as can each have a whole token,
-    /// selected by rendezvous hashing, so that all proxies together never exceed the limit, whenever they spend their
-    /// tokens.
+    /// Returns this proxy's tokens per second. The server is shared by as many proxies as can each get two requests
+    /// per second, at least one, selected by rendezvous hashing, so that all proxies together never exceed the limit,
+    /// whenever they spend their tokens.
     pub(super) fn tokens_per_s(&self) -> f64 {
         let limit = (self.rate * self.tolerance.excess + self.tolerance.slack) * SAFETY_FACTOR;
         let sharers = (limit / 2.0).floor().max(1.0) as usize;
@@ -54,7 +54,7 @@
             return 0.0;
         }
         // A proxy that knows few others gets no larger share: after a restart of the whole fleet, all lists are
-        // short.
+        // short. One request per second is kept back for the token that the bucket may already hold.
         (limit / sharers as f64 - 1.0).max(0.0)
     }
 }
--- a/crates/aspendrum-proxy/src/listener.rs
+++ b/crates/aspendrum-proxy/src/listener.rs
@@ -26,18 +26,18 @@
 /// The limits on data read and discarded from a connection that the proxy closes.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 const MAX_LINGER_BYTES: usize = 256 << 10;
-/// The write time-out, for clients that do not read their response.
+/// The write timeout, for clients that do not read their response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 const LISTEN_BACKLOG: i32 = 1024;
 /// The delay after a failed accept: a file descriptor may be free again by then.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// The minimum of the configured time-outs, in milliseconds: a socket time-out of zero is invalid.
+/// The minimum of the configured timeouts, in milliseconds: a socket timeout of zero is invalid.
 const MIN_TIMEOUT_MS: f64 = 1.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Accepts connections until the proxy accepts no more requests. It then answers the clients in the system's
-/// accept queue and closes the listener, so that later clients are refused and connect to another proxy at
-/// once.
+/// Accepts connections until the proxy accepts no more requests. It then accepts the connections waiting in the
+/// operating system's accept queue and closes the listener, so that later clients are refused and connect to another
+/// proxy at once.
 pub fn accept(state: &Arc<ProxyState>, listener: TcpListener) {
     let _ = SockRef::from(&listener).listen(LISTEN_BACKLOG);
     let mut next_number = 1;
@@ -55,7 +55,8 @@
     state.record_listener_closed();
 }
 
-/// Accepts the connections waiting in the system's accept queue, whose requests have arrived or are under way.
+/// Accepts the connections waiting in the operating system's accept queue, whose requests have arrived or are under
+/// way.
 fn serve_accept_queue(state: &Arc<ProxyState>, next_number: &mut u64, listener: &TcpListener) {
     let mut waiting = 0;
     if listener.set_nonblocking(true).is_ok() {
@@ -185,8 +186,8 @@
     })
 }
 
-/// Responds to a request that is malformed or exceeds the limits. If the limits may be outdated, exceeding them is no
-/// permanent error.
+/// Responds to a request that is malformed or exceeds the limits. If the limits may be outdated, exceeding them is not
+/// answered with a permanent error.
 fn reject_invalid(state: &ProxyState, mut stream: &TcpStream, status: u16) -> Step {
     let exceeds_limits = matches!(status, CONTENT_TOO_LARGE | HEADER_FIELDS_TOO_LARGE);
     if !exceeds_limits || state.is_current() {
@@ -257,7 +258,7 @@
                 self.idle_since = None;
                 Step::Continue
             }
-            // The idle time-out is evaluated again, since a new configuration may allow a longer one.
+            // The idle timeout is evaluated again, since a new configuration may allow a longer one.
             Err(e) if is_timeout(&e) && is_idle => Step::Continue,
             Err(e) if is_timeout(&e) => reject(stream, 408),
             Err(e) if e.kind() == ErrorKind::Interrupted => Step::Continue,
@@ -274,7 +275,7 @@
         limits.idle_timeout_ms - idle_since.elapsed().as_secs_f64() * MILLIS_PER_SECOND
     }
 
-    /// Sets the read time-out if it has changed, which avoids a system call per read.
+    /// Sets the read timeout if it has changed, which avoids a system call per read.
     fn set_read_timeout(&mut self, stream: &TcpStream, timeout_ms: f64) {
         let timeout = duration_from_millis(timeout_ms.max(MIN_TIMEOUT_MS));
         if timeout != self.read_timeout {
--- a/crates/aspendrum-proxy/src/request/context.rs
+++ b/crates/aspendrum-proxy/src/request/context.rs
@@ -135,11 +135,11 @@
         let AttemptOutcome { outcome, response } = self.upstream.send(attempt, server, started_at);
         let load = response.as_ref().map(wire::server_load).unwrap_or_default();
         let is_answered = outcome == Outcome::Ok;
-        let is_known_not_run = matches!(
+        let did_not_run = matches!(
             outcome,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
-        self.may_have_run |= !is_known_not_run;
+        self.may_have_run |= !did_not_run;
         let rtt = started_at.elapsed().as_secs_f64() * 1000.0;
         let result = AttemptResult { outcome, rtt, load };
         self.upstream
@@ -151,7 +151,7 @@
         }
         let is_failure =
             |response: &Response| ResponseClass::from_response(response) == ResponseClass::Failed;
-        let failure = response.filter(|response| !is_known_not_run && is_failure(response));
+        let failure = response.filter(|response| !did_not_run && is_failure(response));
         self.failure = failure.or(self.failure.take());
         None
     }
--- a/crates/aspendrum-proxy/src/request/filter.rs
+++ b/crates/aspendrum-proxy/src/request/filter.rs
@@ -62,8 +62,9 @@
     let tenant = find_tenant(&snapshot, route_config, head.credential);
     let tenant = tenant.map_err(|Unauthorized| reject(401))?;
     // A credential may have been revoked without this proxy's knowledge, unless its lease on credentials is valid.
-    let is_authentic = tenant.is_none() || state.credentials_are_valid();
-    // The route may have changed since. A non-idempotent request is then left to a proxy that is up to date.
+    let is_authentic = tenant.is_none() || state.has_credential_lease();
+    // A newer configuration may route the request differently. Unless this proxy is up to date, a non-idempotent
+    // request is therefore left to one that is.
     let may_run = || route_config.is_idempotent || state.is_current();
     if !is_authentic || !may_run() {
         return Err(ClientResponse::retry_on_other_proxy(head.try_id));
@@ -87,8 +88,9 @@
     })
 }
 
-/// Rejects a request with a permanent error if the active configuration is known to be current. Otherwise the request
-/// may have been allowed since, and the client, which does not retry after such an error, is sent to another proxy.
+/// Rejects a request with a permanent error if the active configuration is known to be current. Otherwise a newer
+/// configuration may allow the request. The client would not retry after a permanent error, so it is sent to another
+/// proxy instead.
 fn reject_if_current(
     state: &ProxyState,
     try_id: &str,
--- a/crates/aspendrum-proxy/src/request/mod.rs
+++ b/crates/aspendrum-proxy/src/request/mod.rs
@@ -4,8 +4,12 @@
 //! 2. `RequestContext::proxy` admits the request to the dispatcher and waits for decisions.
 //! 3. For each decision to forward the request, `UpstreamRequest::upstream_peer` connects to the server,
 //!    `UpstreamRequest::exchange` sends the request and reads the response, and `upstream_response_filter`
-//!    classifies it; `UpstreamRequest::fail_to_connect` and `RequestContext::fail_to_proxy` handle failures.
-//! 4. The client gets exactly one response.
+//!    classifies it. `UpstreamRequest::fail_to_connect` decides the outcome of a connection that was not opened.
+//! 4. The client gets exactly one response. If no server completed the request, `RequestContext::fail_to_proxy`
+//!    selects the last error response of a server, or generates one.
+//!
+//! `request_filter`, `upstream_peer`, `fail_to_connect`, `upstream_response_filter` and `fail_to_proxy` are named after
+//! the phases of Pingora's proxy trait.
 
 mod context;
 mod filter;
--- a/crates/aspendrum-proxy/src/request/upstream.rs
+++ b/crates/aspendrum-proxy/src/request/upstream.rs
@@ -17,7 +17,7 @@
 pub(super) const RESPONSE_MARGIN: Duration = Duration::from_millis(12);
 /// The upper bound of a client's time budget, in milliseconds.
 const MAX_BUDGET: Millis = 3_600_000.0;
-/// The number of late responses to earlier requests that are skipped on one connection.
+/// The maximum number of late responses to earlier requests that are skipped on one connection.
 const MAX_STALE_RESPONSES: usize = 3;
 /// The fraction of a server's keep-alive time for which an idle connection is reused. It is below 1 because a request
 /// sent on a connection that is being closed may or may not have run.
--- a/crates/aspendrum-proxy/src/shutdown.rs
+++ b/crates/aspendrum-proxy/src/shutdown.rs
@@ -10,7 +10,7 @@
 
 /// The interval at which the progress of the shutdown is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The time-out of the connection that wakes the proxy's own listener.
+/// The timeout of the connection that wakes the proxy's own listener.
 const WAKE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Drains the proxy, and returns when the process may end. The platform kills the process after `grace_period`.
--- a/crates/aspendrum-proxy/src/state.rs
+++ b/crates/aspendrum-proxy/src/state.rs
@@ -24,7 +24,7 @@
 pub(crate) const STACK_BYTES: usize = 128 << 10;
 /// The idle time after which a worker thread ends.
 const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time-out for connecting to servers.
+/// The timeout for connecting to servers.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// The part of the revocation deadline that a lease on credentials leaves unused, in milliseconds. It covers
 /// clock drift and delayed threads.
@@ -48,7 +48,7 @@
     pub disconnect_watcher: DisconnectWatcher,
     /// Metrics of requests whose clients disconnected.
     pub disconnect_metrics: DisconnectMetrics,
-    /// The time-out for connecting to servers.
+    /// The timeout for connecting to servers.
     pub connect_timeout: Duration,
     idle_limit: Mutex<IdleConnectionLimit>,
     started_at: Instant,
@@ -146,7 +146,7 @@
     }
 
     /// Whether credentials may be accepted, since none can have been revoked without this proxy's knowledge.
-    pub fn credentials_are_valid(&self) -> bool {
+    pub fn has_credential_lease(&self) -> bool {
         let valid_until = || self.credentials_valid_until.load(Ordering::Acquire);
         self.revocation_ms.is_none() || self.uptime_ms() < valid_until()
     }
@@ -224,7 +224,7 @@
 
     /// Returns the readiness reported to the agent.
     pub(crate) fn readiness(&self) -> Readiness {
-        let can_serve = self.dispatcher.is_configured() && self.credentials_are_valid();
+        let can_serve = self.dispatcher.is_configured() && self.has_credential_lease();
         match (self.is_draining(), can_serve) {
             (false, true) => Readiness::Ready,
             (true, true) if self.accepts_requests() => Readiness::Draining,
--- a/crates/aspendrum-proxy/tests/counter.rs
+++ b/crates/aspendrum-proxy/tests/counter.rs
@@ -253,7 +253,7 @@
     assert!((60..200).contains(&moved.count()));
 }
 
-/// Guards against callers that wait for the time-out of every call to a removed proxy.
+/// Guards against callers that wait for the timeout of every call to a removed proxy.
 #[test]
 fn calls_to_a_removed_proxy_fail_immediately() {
     let mut calls = CounterClient::default();
@@ -271,7 +271,7 @@
     assert_eq!(calls.finish_call(5.0, proxies(2)[0], call), None);
 }
 
-/// Guards against accepting a reply from another proxy, or after the time-out.
+/// Guards against accepting a reply from another proxy, or after the timeout.
 #[test]
 fn only_the_owner_can_complete_a_call_and_only_before_its_timeout() {
     let mut calls = CounterClient::default();
--- a/crates/aspendrum-proxy/tests/limits.rs
+++ b/crates/aspendrum-proxy/tests/limits.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Longer than the first idle time-out of the test.
+/// Longer than the first idle timeout of the test.
 const LONG_IDLE_TIME: Duration = Duration::from_secs(1);
 const IDLE_TIMEOUT: &str = "\"idle-ms\":15000";
 /// A body length above the limit of the first configuration.
@@ -71,8 +71,8 @@
     assert_eq!(status(&mut client, &long), "200");
 }
 
-/// Guards against a waiting connection that keeps the idle time-out of its last request: a client that relies on the
-/// longer time-out of a new configuration then loses a request that crosses the close.
+/// Guards against a waiting connection that keeps the idle timeout of its last request: a client that relies on the
+/// longer timeout of a new configuration then loses a request that crosses the close.
 #[test]
 fn a_waiting_connection_gets_the_longer_idle_timeout_of_a_new_configuration() {
     let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
@@ -90,7 +90,7 @@
     assert_eq!(status(&mut client, READ), "200");
 }
 
-/// A connection is closed once its idle time-out has expired.
+/// A connection is closed once its idle timeout has expired.
 #[test]
 fn a_connection_is_closed_after_its_idle_timeout() {
     let proxy = test_proxy(1, |_| Some(OK_RESPONSE));
