--- a/crates/aspendrum-core/src/api/event.rs
+++ b/crates/aspendrum-core/src/api/event.rs
@@ -36,7 +36,8 @@
     pub tenant: TenantId,
     /// The index of the tenant's plan.
     pub plan: u32,
-    /// The number of instances that receive the tenant's requests.
+    /// The number of instances that receive the tenant's requests. The quota is divided by this
+    /// number; a proxy passes its own divisor.
     pub instances: f32,
     /// Its cost in units of the tenant's quota.
     pub units: f32,
--- a/crates/aspendrum-core/src/engine.rs
+++ b/crates/aspendrum-core/src/engine.rs
@@ -83,7 +83,7 @@
     sampling: CounterSampling,
     /// When the counter last replied, including rejections.
     last_counter_reply_at: Option<Millis>,
-    /// The counter counts as degraded until then, after a late or failed call.
+    /// The time until which the counter is treated as degraded; set by a late or failed call.
     counter_degraded_until: Millis,
     /// The indices of tenants with logged grants.
     tenants_with_log: Vec<usize>,
--- a/crates/aspendrum-core/src/engine/admission.rs
+++ b/crates/aspendrum-core/src/engine/admission.rs
@@ -9,8 +9,8 @@
 /// Tenants without requests for this long are removed. The rate limit share of a new tenant is
 /// therefore refilled for at most this long.
 pub(super) const IDLE_TIMEOUT: Millis = 90_000.0;
-/// Within this time after a start, the previous process may have granted its share of a windowed
-/// quota just before it ended.
+/// A new tenant of a windowed plan starts without local tokens for this long after the start of the
+/// process, because the previous process may just have granted the share.
 const RECENT_START: Millis = 5000.0;
 /// The fraction of the rate limit share that is reserved for requests within their quota.
 const RATE_LIMIT_RESERVE: f64 = 0.5;
@@ -130,7 +130,7 @@
         let until_owner_refill = tenant.exhausted_until - self.now;
         if until_owner_refill > 0.0 {
             until_owner_refill
-        } else if tenant.is_sparse {
+        } else if tenant.is_counted_by_window {
             (1.0 - tenant.window_position(self.now, plan).fract()) * plan.window
         } else {
             (request.units - tenant.remaining).max(0.0) / plan.rate.max(1e-9)
--- a/crates/aspendrum-core/src/engine/breaker.rs
+++ b/crates/aspendrum-core/src/engine/breaker.rs
@@ -76,10 +76,10 @@
         self.failures = 0;
     }
 
-    /// Counts a failure if `is_failure` is set. Returns whether a closed breaker has reached the
-    /// failure threshold.
-    pub(crate) fn count_failure(&mut self, is_failure: bool) -> bool {
-        self.failures += u32::from(is_failure);
+    /// Counts a failure if it is new. Returns whether a closed breaker has reached the failure
+    /// threshold.
+    pub(crate) fn count_failure(&mut self, is_new: bool) -> bool {
+        self.failures += u32::from(is_new);
         self.failures >= FAILURE_THRESHOLD && self.is_closed()
     }
 
--- a/crates/aspendrum-core/src/engine/completion.rs
+++ b/crates/aspendrum-core/src/engine/completion.rs
@@ -5,7 +5,8 @@
 use crate::state::request::{ExecutionStatus, RequestStage};
 
 impl DecisionEngine {
-    /// Answers a request that no server will answer. All such replies are sent here.
+    /// Answers a request that no server will answer. All such replies are sent here, except the
+    /// drop of an invalid request (`handle_request`).
     pub(super) fn send_local_reply(&mut self, slot: usize, retry_after: Millis) {
         let request = &self.requests[slot];
         // A retry after the latency target would spend quota and server capacity on a response
--- a/crates/aspendrum-core/src/engine/concurrency_limit.rs
+++ b/crates/aspendrum-core/src/engine/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Adaptive concurrency limits: bounds the requests in flight at each server by comparing its
+//! Adaptive concurrency limits, which bound the requests in flight at each server by comparing its
 //! response times with the latency target (additive steps; multiplicative decrease on failures).
 
 use super::DecisionEngine;
@@ -7,7 +7,7 @@
 
 const MIN_LIMIT: f64 = 0.2;
 const MAX_LIMIT: f64 = 12.0;
-/// The change of a server's limit per response, multiplied by the distance from the setpoint.
+/// The change of a server's limit per response and unit of distance from the setpoint.
 const LIMIT_GAIN: f64 = 0.3;
 const FAILURE_DECREASE: f64 = 0.7;
 const RESPONSE_TIME_SMOOTHING: f64 = 0.1;
@@ -70,14 +70,14 @@
             self.response_time_setpoint(group, response_time) - (response_time / target).min(1.0);
         let server = &mut self.servers[index];
         let in_flight_before = f64::from(server.in_flight) + 1.0;
-        let was_at_limit = in_flight_before >= server.concurrency_limit.floor()
+        let may_increase = in_flight_before >= server.concurrency_limit.floor()
             && server.reported_load < FULL_LOAD;
         server.last_response_at = self.now;
         server.response_time += RESPONSE_TIME_SMOOTHING * (response_time - server.response_time);
         self.fleet.record_response_time(response_time);
         let gain = SCALE_GAIN * self.params.probe_interval_factor.min(MAX_FLEET_GAIN_FACTOR);
         self.fleet.scale_limits(gain * step);
-        if was_at_limit || step < 0.0 {
+        if may_increase || step < 0.0 {
             server.concurrency_limit =
                 (server.concurrency_limit + LIMIT_GAIN * step).clamp(MIN_LIMIT, MAX_LIMIT);
         }
--- a/crates/aspendrum-core/src/engine/counter.rs
+++ b/crates/aspendrum-core/src/engine/counter.rs
@@ -6,24 +6,26 @@
 use super::{DecisionEngine, Settlement};
 use crate::api::{Action, Millis, Outcome};
 use crate::state::request::RequestStage;
-use crate::state::tenant::{CounterCall, CounterCallOwner};
+use crate::state::tenant::{CounterCall, CounterCallPurpose};
 
 /// A reply is prompt within this fraction of the counter's timeout.
 const PROMPT_REPLY_SHARE: f64 = 0.5;
-/// How long the counter counts as degraded after a late or failed call.
+/// How long the counter is treated as degraded after a late or failed call.
 const DEGRADED_PERIOD: Millis = 2000.0;
 /// How long units wait for another call of their tenant to include them, at a sampling rate of 1.
 const SETTLEMENT_DELAY: Millis = 200.0;
 
 impl DecisionEngine {
     /// Adds units to the tenant's count. The reply returns the new total.
-    pub(super) fn call_counter(&mut self, index: usize, owner: CounterCallOwner, units: f64) {
+    pub(super) fn call_counter(&mut self, index: usize, purpose: CounterCallPurpose, units: f64) {
         let tenant = &mut self.tenants[index];
         let counter_name = tenant.counter_name(self.now, &self.params.plans[tenant.plan]);
         let name = counter_name.name;
-        tenant
-            .counter_calls
-            .push_back(CounterCall { owner, units, name });
+        tenant.counter_calls.push_back(CounterCall {
+            purpose,
+            units,
+            name,
+        });
         self.actions.push(Action::AddToCounter {
             name,
             units: units as f32,
@@ -73,10 +75,10 @@
         } else {
             self.handle_failed_call(index, &call, outcome, is_new_failure);
         }
-        match call.owner {
-            CounterCallOwner::Request(slot) => self.resume_request(slot, is_ok),
-            CounterCallOwner::Settlement => {}
-            CounterCallOwner::BreakerProbe => {
+        match call.purpose {
+            CounterCallPurpose::Request(slot) => self.resume_request(slot, is_ok),
+            CounterCallPurpose::Settlement => {}
+            CounterCallPurpose::BreakerProbe => {
                 self.breaker.finish_probe();
                 if is_ok {
                     self.apply_breaker_event(BreakerEvent::ProbeAnswered);
@@ -141,7 +143,7 @@
             let tenant = &mut self.tenants[index];
             let plan = &self.params.plans[tenant.plan];
             tenant.enter_window(self.now, plan);
-            let window = if tenant.is_sparse {
+            let window = if tenant.is_counted_by_window {
                 tenant.window_position(self.now, plan).fract() * plan.window
             } else {
                 plan.window
@@ -151,8 +153,16 @@
                 .drain(..)
                 .filter(|grant| grant.at >= self.now - window);
             let sum: f64 = recent.map(|grant| grant.units).sum();
-            tenant.unsettled += if tenant.is_sparse { sum } else { 0.0 };
-            tenant.remaining -= if tenant.is_sparse { 0.0 } else { sum };
+            tenant.unsettled += if tenant.is_counted_by_window {
+                sum
+            } else {
+                0.0
+            };
+            tenant.remaining -= if tenant.is_counted_by_window {
+                0.0
+            } else {
+                sum
+            };
             self.schedule_settlement(index, sum);
         }
     }
@@ -161,10 +171,10 @@
     fn update_from_total(&mut self, index: usize, call: &CounterCall, total: f64) {
         let tenant = &mut self.tenants[index];
         let plan = &self.params.plans[tenant.plan];
-        if tenant.is_sparse != is_window_name(call.name) {
+        if tenant.is_counted_by_window != is_window_name(call.name) {
             return; // The tenant's counter name has changed since the call.
         }
-        if tenant.is_sparse {
+        if tenant.is_counted_by_window {
             tenant.update_from_window_total(plan, call.units, total, self.now);
         } else if tenant.split_among == 1.0 {
             tenant.update_from_total_as_owner(plan, call.units, total, self.now);
@@ -178,8 +188,8 @@
     /// separate call after the settlement delay.
     pub(super) fn schedule_settlement(&mut self, index: usize, units: f64) {
         let tenant = &mut self.tenants[index];
-        // Units rejected for a sparse tenant stay counted until its window ends.
-        if !tenant.is_sparse && self.params.has_counter {
+        // Units rejected for a tenant that is counted by window stay counted until the window ends.
+        if !tenant.is_counted_by_window && self.params.has_counter {
             tenant.unsettled += units;
             let due_at = self.now + SETTLEMENT_DELAY / self.sampling.rate();
             self.settlements.push_back(Settlement {
@@ -207,7 +217,7 @@
                     return;
                 }
                 let units = std::mem::take(&mut self.tenants[index].unsettled);
-                self.call_counter(index, CounterCallOwner::Settlement, units);
+                self.call_counter(index, CounterCallPurpose::Settlement, units);
             }
             self.settlements.pop_front();
         }
--- a/crates/aspendrum-core/src/engine/counter_name.rs
+++ b/crates/aspendrum-core/src/engine/counter_name.rs
@@ -18,7 +18,7 @@
     name & TENANT_ID_MASK
 }
 
-/// Whether the name is that of a sparse tenant's window, rather than of a tenant's whole count.
+/// Whether the name is that of one of a tenant's windows, rather than of a tenant's whole count.
 pub(crate) fn is_window_name(name: u64) -> bool {
     name >> TENANT_ID_BITS > 0
 }
--- a/crates/aspendrum-core/src/engine/maintenance.rs
+++ b/crates/aspendrum-core/src/engine/maintenance.rs
@@ -4,7 +4,7 @@
 use super::{DecisionEngine, TICK_INTERVAL};
 use crate::api::{Action, Health, Millis};
 use crate::state::request::{Request, RequestStage};
-use crate::state::tenant::CounterCallOwner;
+use crate::state::tenant::CounterCallPurpose;
 
 /// How long after its timeout a counter call without an outcome is abandoned.
 const COUNTER_TIMEOUT_GRACE: Millis = 4.0 * TICK_INTERVAL;
@@ -27,7 +27,7 @@
         if self.breaker.start_probe(self.now) {
             self.call_counter(
                 self.breaker.probe_tenant,
-                CounterCallOwner::BreakerProbe,
+                CounterCallPurpose::BreakerProbe,
                 0.0,
             );
         }
--- a/crates/aspendrum-core/src/engine/quota.rs
+++ b/crates/aspendrum-core/src/engine/quota.rs
@@ -4,7 +4,7 @@
 use super::DecisionEngine;
 use crate::api::Millis;
 use crate::state::request::Request;
-use crate::state::tenant::CounterCallOwner;
+use crate::state::tenant::CounterCallPurpose;
 
 /// How long an instance keeps the whole count of a tenant after its last decision as the tenant's
 /// owner.
@@ -45,7 +45,7 @@
         let Request { tenant, units, .. } = self.requests[slot];
         let tenant = &mut self.tenants[tenant];
         let plan = &self.params.plans[tenant.plan];
-        let refill = if tenant.is_sparse {
+        let refill = if tenant.is_counted_by_window {
             0.0
         } else {
             plan.rate * (self.now - tenant.remaining_at)
@@ -53,7 +53,7 @@
         let remaining = tenant.remaining + refill;
         let (is_reliable, room) = if is_owner {
             (
-                !tenant.has_local_room(plan, units, self.now),
+                !tenant.refill_and_check_room(plan, units, self.now),
                 tenant.local_tokens,
             )
         } else {
@@ -63,8 +63,8 @@
     }
 
     /// Decides by sampling whether this request calls the counter. Returns the probability of a
-    /// call if it does. Requests that the local count would reject, and a sparse tenant's requests
-    /// before the window's first total, have a higher probability.
+    /// call if it does. Requests that the local count would reject, and requests before the
+    /// window's first total of a tenant that is counted by window, have a higher probability.
     fn sample_counter_call(&mut self, slot: usize) -> Option<f64> {
         let Request {
             tenant,
@@ -74,8 +74,8 @@
         } = self.requests[slot];
         let tenant = &mut self.tenants[tenant];
         let plan = &self.params.plans[tenant.plan];
-        let has_room = tenant.has_local_room(plan, units, self.now)
-            && (tenant.total_known || !tenant.is_sparse);
+        let has_room = tenant.refill_and_check_room(plan, units, self.now)
+            && (tenant.total_known || !tenant.is_counted_by_window);
         let weight = priority
             * units
             * if has_room {
@@ -96,8 +96,9 @@
     fn call_counter_for_request(&mut self, slot: usize, probability: f64) {
         let request = &mut self.requests[slot];
         let tenant = &mut self.tenants[request.tenant];
-        // A sparse tenant's call also accounts for the requests that were not sampled.
-        let sample_scale = if tenant.is_sparse {
+        // If the tenant is counted by window, the call also accounts for the requests that were not
+        // sampled.
+        let sample_scale = if tenant.is_counted_by_window {
             1.0 / probability
         } else {
             1.0
@@ -106,7 +107,7 @@
         request.counter_call_in_flight = true;
         request.counted_units = request.units;
         let index = request.tenant;
-        self.call_counter(index, CounterCallOwner::Request(slot), units);
+        self.call_counter(index, CounterCallPurpose::Request(slot), units);
     }
 
     /// Decides by the total that the counter has just returned.
@@ -146,7 +147,7 @@
                 let is_first = tenant.grant_log.is_empty();
                 self.tenants_with_log.extend(is_first.then_some(index));
                 tenant.log_grant(units, self.params.plans[tenant.plan].window, self.now);
-            } else if !tenant.is_sparse {
+            } else if !tenant.is_counted_by_window {
                 tenant.remaining -= units;
             }
         }
--- a/crates/aspendrum-core/src/engine/quota_owner/routing.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/routing.rs
@@ -27,13 +27,13 @@
         self.route_to_owner(slot, 0);
     }
 
-    /// Routes the request to the first reachable owner, skipping the first `first` owners. This
-    /// instance decides if it is that owner or if none is reachable.
-    fn route_to_owner(&mut self, slot: usize, first: usize) {
+    /// Routes the request to the first reachable owner, skipping that many owners. This instance
+    /// decides if it is that owner or if none is reachable.
+    fn route_to_owner(&mut self, slot: usize, skipped: usize) {
         let tenant = self.requests[slot].tenant;
         let owner = self
             .quota_owners(tenant)
-            .skip(first)
+            .skip(skipped)
             .find(|peer| self.is_reachable(*peer));
         match owner {
             Some(peer) if peer != self.params.instance => self.send_to_owner(slot, peer),
--- a/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
+++ b/crates/aspendrum-core/src/engine/quota_owner/tokens.rs
@@ -13,7 +13,7 @@
 use crate::state::tenant::SpareGrant;
 use aspendrum_token_bucket::{BucketLimits, TokenTransfer, ONE_TOKEN};
 
-/// The counter counts as silent after two unanswered probes of the open breaker.
+/// The counter is treated as silent after two unanswered probes of the open breaker.
 const SILENT_AFTER: Millis = 2.5 * PROBE_INTERVAL;
 /// The maximum number of token requests sent at once.
 const MAX_TOKEN_REQUESTS: f64 = 8.0;
@@ -82,7 +82,7 @@
         let total_shares = EVEN_PARTS as u64 * limiters;
         let is_owner_held =
             plan.burst < MIN_EVEN_SHARE * tenant.instances && self.params.has_quota_owners;
-        let (equal_shares, own_shares) = if is_owner_held {
+        let (even_shares, own_shares) = if is_owner_held {
             let owner_rank = self
                 .quota_owners(index)
                 .position(|owner| owner == self.params.instance);
@@ -98,7 +98,7 @@
             burst: round_down(plan.burst),
             limiters,
             own_shares,
-            equal_shares,
+            even_shares,
             total_shares,
             largest_request: round_down(self.params.max_units),
         }
@@ -127,7 +127,7 @@
         } = self.requests[slot];
         if !self.params.has_quota_owners || !self.is_counter_silent() {
             let tenant = &mut self.tenants[index];
-            return tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now);
+            return tenant.refill_and_check_room(&self.params.plans[tenant.plan], units, self.now);
         }
         let (limits, now) = (self.bucket_limits(index), self.now as u64);
         let tenant = &mut self.tenants[index];
@@ -170,7 +170,7 @@
         let is_unused = last.last_counter_reply_at != self.last_counter_reply_at && is_refilled;
         let is_allowed =
             is_held_by_owners(&limits) && self.last_counter_reply_at.is_some() && is_unused;
-        is_allowed && tenant.has_local_room(&self.params.plans[tenant.plan], units, self.now)
+        is_allowed && tenant.refill_and_check_room(&self.params.plans[tenant.plan], units, self.now)
     }
 
     /// Sends token requests from an owner without tokens to instances of the set that have not sent
@@ -296,7 +296,7 @@
 
 /// Whether the quota is too small to be split evenly, so that only its owners hold tokens.
 fn is_held_by_owners(limits: &BucketLimits) -> bool {
-    limits.equal_shares == 0
+    limits.even_shares == 0
 }
 
 /// Returns the number of instances of the tenant's set that may hold tokens.
--- a/crates/aspendrum-core/src/engine/retry_rules.rs
+++ b/crates/aspendrum-core/src/engine/retry_rules.rs
@@ -26,7 +26,7 @@
     Shed,
     /// `Shed` if all servers recognize repeats, otherwise `Drop`.
     ShedIfAllDeduplicate,
-    /// An error: the request may have been executed.
+    /// An error. The client must not assume that the request was not executed.
     Drop,
 }
 
--- a/crates/aspendrum-core/src/engine/tenant_count.rs
+++ b/crates/aspendrum-core/src/engine/tenant_count.rs
@@ -18,27 +18,27 @@
         now / plan.window.max(1.0) + spread::phase(self.id as f64)
     }
 
-    /// For a sparse tenant, starts the window at `now` unless it is the current one.
+    /// Resets the count of a tenant that is counted by window, if a new window has begun by `now`.
     pub(crate) fn enter_window(&mut self, now: Millis, plan: &PlanParameters) {
         let window = self.window_position(now, plan).floor();
-        if self.is_sparse && window != self.window {
+        if self.is_counted_by_window && window != self.window {
             self.window = window;
             self.unsettled = 0.0;
             self.total_known = false;
         }
     }
 
-    /// Refills the local count and returns whether it has room. It is a token bucket with an even
-    /// share of rate and burst. Unless the tenant is sparse, it may hold more after a counter
-    /// total.
-    pub(crate) fn has_local_room(
+    /// Refills the local count and returns whether it has room. The local count is a token bucket
+    /// with an even share of rate and burst. A counter total may raise it above that share, unless
+    /// the tenant is counted by window.
+    pub(crate) fn refill_and_check_room(
         &mut self,
         plan: &PlanParameters,
         units: f64,
         now: Millis,
     ) -> bool {
         let share = plan.burst / self.split_among;
-        let size = if self.is_sparse {
+        let size = if self.is_counted_by_window {
             share
         } else {
             share.max(self.local_tokens)
@@ -55,14 +55,14 @@
     pub(crate) fn split_local_count(&mut self, plan: &PlanParameters, instances: f64, now: Millis) {
         let keeps_count = plan.is_windowed && self.split_among > 0.0;
         self.split_among = instances;
-        self.is_sparse = plan.is_windowed || plan.burst < MIN_EVEN_SHARE * instances;
+        self.is_counted_by_window = plan.is_windowed || plan.burst < MIN_EVEN_SHARE * instances;
         if keeps_count {
             return;
         }
         // Shares of less than one request would reject everything. Each instance of a sparse tenant
-        // may send one: `has_local_room` caps these tokens at the larger of its share and the
+        // may send one: `refill_and_check_room` caps these tokens at the larger of its share and the
         // request.
-        self.local_tokens = if self.is_sparse {
+        self.local_tokens = if self.is_counted_by_window {
             plan.burst
         } else {
             plan.burst / instances
@@ -76,11 +76,11 @@
         self.window = 0.0;
     }
 
-    /// Returns the name of the tenant's count in the shared counter. A sparse tenant has one name
-    /// per window.
+    /// Returns the name of the tenant's count in the shared counter. A tenant that is counted
+    /// by window has one name per window.
     pub(crate) fn counter_name(&mut self, now: Millis, plan: &PlanParameters) -> CounterName {
         self.enter_window(now, plan);
-        if self.is_sparse {
+        if self.is_counted_by_window {
             CounterName::of_window(self.id, self.window, plan.window)
         } else {
             CounterName::of_tenant(self.id)
@@ -91,7 +91,7 @@
 /// Updates from the shared counter's totals. `added` is the number of units that the call itself
 /// added; it is included in `total`.
 impl Tenant {
-    /// Updates a sparse tenant. The total includes all units used in the window.
+    /// Updates a tenant that is counted by window. The total includes all units used in the window.
     pub(crate) fn update_from_window_total(
         &mut self,
         plan: &PlanParameters,
@@ -116,7 +116,7 @@
         now: Millis,
     ) {
         let added_by_others = total - self.total - added;
-        self.has_local_room(plan, 0.0, now);
+        self.refill_and_check_room(plan, 0.0, now);
         let max_added = if self.total_known {
             f64::INFINITY
         } else {
--- a/crates/aspendrum-core/src/state/tenant.rs
+++ b/crates/aspendrum-core/src/state/tenant.rs
@@ -7,7 +7,7 @@
 
 /// The purpose of a counter call.
 #[derive(Clone, Copy)]
-pub(crate) enum CounterCallOwner {
+pub(crate) enum CounterCallPurpose {
     /// The admission of the request with that index.
     Request(usize),
     /// The settlement of units. Nothing waits for the reply.
@@ -18,7 +18,7 @@
 
 /// A call of the shared counter that is in flight.
 pub(crate) struct CounterCall {
-    pub(crate) owner: CounterCallOwner,
+    pub(crate) purpose: CounterCallPurpose,
     /// The units that the call adds.
     pub(crate) units: f64,
     pub(crate) name: u64,
@@ -69,10 +69,10 @@
     pub(crate) owned_at: Millis,
     /// According to its owner, the quota has no room until then.
     pub(crate) exhausted_until: Millis,
-    /// The tenant is counted per window, because its plan is windowed or because each instance sees
-    /// its requests too rarely to track its count.
-    pub(crate) is_sparse: bool,
-    /// The number of the current window, if sparse.
+    /// The tenant is counted by window, because its plan is windowed or because it is sparse: each
+    /// instance sees its requests too rarely to track its count.
+    pub(crate) is_counted_by_window: bool,
+    /// The number of the current window, if the tenant is counted by window.
     pub(crate) window: f64,
     /// The remaining units of the quota, according to the counter's totals.
     pub(crate) remaining: f64,
--- a/crates/aspendrum-token-bucket/src/bucket.rs
+++ b/crates/aspendrum-token-bucket/src/bucket.rs
@@ -1,11 +1,11 @@
 //! One limiter's token bucket for one tenant, from which it grants requests without contacting other nodes.
 //!
-//! Each limiter of the set fills its own bucket with its share of the rate, starting from an empty bucket. When a
-//! limiter requests admission from the quota's owner, it transfers all its tokens in the same message. The tokens are
-//! removed from the sender's bucket before the transfer is sent, and the transfer is accepted at most once: it carries
-//! its send time, and the receiver accepts it only if it is later than the sender's last transfer, not older than
-//! [`TRANSFER_LIFETIME`](crate::TRANSFER_LIFETIME), and sent after the receiver's start. Tokens of a lost transfer are
-//! never spent.
+//! Each limiter of the set fills its own bucket with its share of the rate, starting from an empty bucket. A
+//! limiter transfers its tokens to the quota's owner with a quota request while the counter is silent for either of
+//! them, or when the owner asks for them. The tokens are removed from the sender's bucket before the transfer is sent,
+//! and the transfer is accepted at most once: it carries its send time, and the receiver accepts it only if it is later
+//! than the sender's last transfer, not older than [`TRANSFER_LIFETIME`](crate::TRANSFER_LIFETIME), and sent after the
+//! receiver's start. Tokens of a lost transfer are never spent.
 //!
 //! Therefore all buckets and transfers in flight together never hold more than the accrued tokens that are unspent.
 //! Since each bucket has a capacity, the amount granted in any interval `t` is at most `rate * t` plus what all buckets
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the number of tokens at the last update.
+    /// Returns the tokens, in billionths, at the last update.
     pub fn tokens(&self) -> NanoTokens {
         self.tokens
     }
@@ -142,7 +142,7 @@
         let senders = self.sources.recent_count(limits, now);
         limits.share_of(
             limits.burst,
-            limits.own_shares + limits.equal_shares * senders,
+            limits.own_shares + limits.even_shares * senders,
         )
     }
 
--- a/crates/aspendrum-token-bucket/src/limits.rs
+++ b/crates/aspendrum-token-bucket/src/limits.rs
@@ -17,7 +17,7 @@
     /// This limiter's shares of the quota.
     pub own_shares: u64,
     /// The shares by which the capacity of a bucket grows for each limiter that recently transferred tokens to it.
-    pub equal_shares: u64,
+    pub even_shares: u64,
     /// The number of shares into which the quota is divided.
     pub total_shares: u64,
     /// The cost of the most expensive request.
@@ -46,7 +46,7 @@
     /// Returns the number of limiters, at least 1, that may each spend `amount` in the same fill time without exceeding
     /// the even shares of the burst.
     fn concurrent_spenders(&self, amount: NanoTokens) -> u64 {
-        let even = self.share_of(self.burst, self.equal_shares.saturating_mul(self.limiters));
+        let even = self.share_of(self.burst, self.even_shares.saturating_mul(self.limiters));
         (even / amount.max(1)).clamp(1, self.limiters.max(1))
     }
 
--- a/crates/aspendrum-token-bucket/src/transfer.rs
+++ b/crates/aspendrum-token-bucket/src/transfer.rs
@@ -11,7 +11,7 @@
 /// receiver's start may have been sent before it.
 pub const MAX_CLOCK_SKEW: ClockMillis = 50;
 
-/// Tokens that a limiter sends to the owner of a tenant's quota along with an admission request.
+/// Tokens that a limiter sends to the owner of a tenant's quota, with a quota request or when the owner asks for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TokenTransfer {
     /// The number of steps returned by [`TokenBucket::withdraw_all`](crate::TokenBucket::withdraw_all).
--- a/crates/aspendrum-token-bucket/tests/model.rs
+++ b/crates/aspendrum-token-bucket/tests/model.rs
@@ -30,7 +30,7 @@
         burst: RATE * 2 * TICK,
         limiters: LIMITERS as u64,
         own_shares: if OWNER[tenant] == limiter { 4 } else { 1 },
-        equal_shares: 1,
+        even_shares: 1,
         total_shares: 6,
         largest_request: TICK,
     }
--- a/crates/aspendrum-token-bucket/tests/schedules.rs
+++ b/crates/aspendrum-token-bucket/tests/schedules.rs
@@ -17,9 +17,9 @@
 /// An even share is 40 of 100 shares per limiter. The first limiter gets all remaining shares.
 fn limits(limiter: usize) -> BucketLimits {
     let limiters = LIMITERS as u64;
-    let equal_shares = 40;
+    let even_shares = 40;
     let total_shares = 100 * limiters;
-    let first_limiters_shares = total_shares - equal_shares * (limiters - 1);
+    let first_limiters_shares = total_shares - even_shares * (limiters - 1);
     BucketLimits {
         rate: RATE,
         burst: BURST,
@@ -27,9 +27,9 @@
         own_shares: if limiter == 0 {
             first_limiters_shares
         } else {
-            equal_shares
+            even_shares
         },
-        equal_shares,
+        even_shares,
         total_shares,
         largest_request: 2 * ONE_TOKEN,
     }
--- a/crates/aspendrum-token-bucket/tests/wire_amounts.rs
+++ b/crates/aspendrum-token-bucket/tests/wire_amounts.rs
@@ -9,7 +9,7 @@
         burst: 6 * ONE_TOKEN,
         limiters: 3,
         own_shares: 1,
-        equal_shares: 1,
+        even_shares: 1,
         total_shares: 3,
         largest_request: ONE_TOKEN,
     }
