--- a/crates/aspendrum-consensus/src/effect.rs
+++ b/crates/aspendrum-consensus/src/effect.rs
@@ -10,7 +10,8 @@
 /// The outcome of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandOutcome {
-    /// A majority of disks holds the command's effect. Carries the state that is known to be committed.
+    /// A majority of disks holds the command's effect, or a later version has replaced it. Carries the state that is
+    /// known to be committed.
     Committed(Box<ReplicatedState>),
     /// Another text was decided for the version, so the command's text will never be applied on any node.
     VersionConflict,
--- a/crates/aspendrum-consensus/src/quorum_operation.rs
+++ b/crates/aspendrum-consensus/src/quorum_operation.rs
@@ -276,9 +276,9 @@
         &mut self,
         core: &mut ReplicaCore,
         version: u32,
-        is_applied: bool,
+        is_reached: bool,
     ) {
-        if !is_applied {
+        if !is_reached {
             return self.restart_where(core, |operation| operation.awaits_decision_of(version));
         }
         let waiting = |operations: &[QuorumOperation]| {
--- a/crates/aspendrum-consensus/src/replica.rs
+++ b/crates/aspendrum-consensus/src/replica.rs
@@ -92,7 +92,8 @@
         &self.core.committed
     }
 
-    /// Returns the time as of which [`Replica::committed`] is known to contain everything that was acknowledged.
+    /// Returns the last time at which a majority of disks is known to have held nothing newer than
+    /// [`Replica::committed`], which thus contains everything that was acknowledged by then.
     pub fn committed_as_of(&self) -> Option<Millis> {
         self.core.committed_as_of
     }
@@ -275,7 +276,7 @@
     fn on_version_closed(&mut self, closed: &ClosedVersion) {
         let core = &mut self.core;
         self.operations
-            .on_version_closed(core, closed.version, closed.is_applied);
+            .on_version_closed(core, closed.version, closed.is_reached);
         if closed.must_persist {
             core.push(Effect::Persist);
         }
--- a/crates/aspendrum-consensus/src/version_proposal.rs
+++ b/crates/aspendrum-consensus/src/version_proposal.rs
@@ -31,7 +31,7 @@
 pub(crate) struct ClosedVersion {
     pub(crate) version: u32,
     /// Whether this node's configuration is at this version or a later one.
-    pub(crate) is_applied: bool,
+    pub(crate) is_reached: bool,
     /// Whether the durable state has changed. It is persisted after the waiting reads have completed: their result is
     /// already stored by a majority, so they need not wait for this disk.
     pub(crate) must_persist: bool,
@@ -200,12 +200,13 @@
                 let text = own.compressed.filter(|_| own.digest == digest);
                 Some(self.learn(core, version, digest, text))
             }
-            // The version was superseded and compacted, so the command has no effect regardless of the decided text.
+            // The version was superseded and its decision dropped, so the decided text is unknown. The command is
+            // acknowledged: whichever text was decided, a later version has replaced it.
             VersionAnswer::Compacted => {
                 self.close(core, version, None);
                 Some(ClosedVersion {
                     version,
-                    is_applied: false,
+                    is_reached: false,
                     must_persist: false,
                 })
             }
@@ -244,7 +245,7 @@
         self.close(core, version, Some(digest));
         ClosedVersion {
             version,
-            is_applied: core.durable.replicated.config.version >= version,
+            is_reached: core.durable.replicated.config.version >= version,
             must_persist,
         }
     }
