--- a/crates/aspendrum-agent/src/coordinator/control_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/control_session.rs
@@ -15,7 +15,7 @@
 pub(super) enum ControlFault {
     /// No message was received within [`RECEIVE_TIMEOUT`].
     Unresponsive,
-    /// The node has not reported a majority confirmation within [`MAJORITY_REPORT_TIMEOUT`].
+    /// The node has delivered no majority report within [`MAJORITY_REPORT_TIMEOUT`].
     Stale,
 }
 
--- a/crates/aspendrum-agent/src/coordinator/desired_state.rs
+++ b/crates/aspendrum-agent/src/coordinator/desired_state.rs
@@ -68,7 +68,8 @@
     }
 
     /// Stores a section if it is newer than the stored one. Configurations are ordered by version and evacuations by
-    /// revision. The other kinds are always accepted, but a server list only replaces one that was polled earlier.
+    /// revision. The other kinds are always accepted. Of a server list, the entries are taken only if it was polled
+    /// later than the stored list.
     pub(super) fn accept(
         &mut self,
         now: Millis,
--- a/crates/aspendrum-agent/src/coordinator/majority.rs
+++ b/crates/aspendrum-agent/src/coordinator/majority.rs
@@ -23,7 +23,7 @@
         self.as_of
     }
 
-    /// Whether the last confirmation is older than [`MAJORITY_REPORT_TIMEOUT`] or there was none.
+    /// Whether the last majority report is older than [`MAJORITY_REPORT_TIMEOUT`] or there was none.
     pub(super) fn is_stale(&self, now: Millis) -> bool {
         self.as_of
             .is_none_or(|as_of| now - as_of > MAJORITY_REPORT_TIMEOUT)
@@ -40,7 +40,7 @@
         self.as_of = latest(self.as_of, as_of);
     }
 
-    /// Records such a report by another agent.
+    /// Records a report by another agent that the local state is current.
     pub(super) fn record_from_peer(&mut self, as_of: Millis) {
         self.as_of = latest(self.as_of, Some(as_of));
     }
--- a/crates/aspendrum-agent/src/coordinator/mod.rs
+++ b/crates/aspendrum-agent/src/coordinator/mod.rs
@@ -197,12 +197,13 @@
         let Some(control) = &mut self.control else {
             return;
         };
-        let held = self.desired.digest();
+        let desired = self.desired.digest();
         let report = MajorityReport {
             decided,
             as_of: 0.0,
         };
-        let status = SyncAssessment::new(&held, Some(&report), false, &self.report_validity).status;
+        let status =
+            SyncAssessment::new(&desired, Some(&report), false, &self.report_validity).status;
         if status == SyncStatus::Current {
             control.record_majority_report(as_of);
             self.majority.record_current(as_of);
@@ -210,7 +211,7 @@
             // Updates are sent before the reports that refer to them, so an update was missed. A new connection starts
             // with a snapshot. Reconnections are rate-limited, because a snapshot takes time to arrive and other agents
             // are queried in the meantime.
-            let (new, old) = (decided.revision.config, held.revision.config);
+            let (new, old) = (decided.revision.config, desired.revision.config);
             log::warn!(
                 "event=update_gap status={} decided={new:08x} held={old:08x}",
                 status.as_str()
@@ -324,7 +325,7 @@
                 applied,
             } => {
                 let has_changed = proxy.record_heartbeat(readiness, applied);
-                if proxy.has_waiting_updates() {
+                if proxy.has_pending_updates() {
                     self.send_all_to_proxy();
                 }
                 self.answer_heartbeat(now, sent_at_ms);
@@ -335,7 +336,7 @@
             }
             ToControl::Applied { number } => {
                 proxy.acknowledge(number);
-                if proxy.has_waiting_updates() {
+                if proxy.has_pending_updates() {
                     self.send_all_to_proxy();
                 }
                 self.acknowledge_applied();
@@ -364,10 +365,10 @@
 
     /// Sends the next repair step to the proxy if its applied state differs from the desired state.
     fn repair_proxy(&mut self, now: Millis) {
-        let held = self.desired.digest();
+        let desired = self.desired.digest();
         let Some(proxy) = &mut self.proxy else { return };
-        let repair = proxy.next_repair(now, &held, &self.report_validity);
-        if repair.discards_state {
+        let repair = proxy.next_repair(now, &desired, &self.report_validity);
+        if repair.rebuilds_tables {
             proxy.link.send(&FromControl::Resync);
         }
         for kind in repair.kinds {
--- a/crates/aspendrum-agent/src/coordinator/proxy_session.rs
+++ b/crates/aspendrum-agent/src/coordinator/proxy_session.rs
@@ -39,8 +39,8 @@
 /// The messages that repair a proxy whose applied state differs from the desired state.
 #[derive(Default)]
 pub(super) struct RepairActions {
-    /// Whether the proxy is instructed to discard its applied state first.
-    pub(super) discards_state: bool,
+    /// Whether the proxy is first instructed to rebuild its tables from the next configuration, whatever its version.
+    pub(super) rebuilds_tables: bool,
     /// The kinds of the sections to resend.
     pub(super) kinds: Vec<usize>,
 }
@@ -95,7 +95,7 @@
     }
 
     /// Whether sections are waiting for the proxy to apply earlier ones.
-    pub(super) fn has_waiting_updates(&self) -> bool {
+    pub(super) fn has_pending_updates(&self) -> bool {
         self.updates.has_pending()
     }
 
@@ -137,7 +137,7 @@
     pub(super) fn next_repair(
         &mut self,
         now: Millis,
-        held: &StateDigest,
+        desired: &StateDigest,
         validity: &ReportValidity,
     ) -> RepairActions {
         // Updates in flight are expected to differ, unless they are stalled.
@@ -146,17 +146,17 @@
             return RepairActions::default();
         }
         let report = MajorityReport {
-            decided: *held,
+            decided: *desired,
             as_of: now,
         };
         let status = SyncAssessment::new(&self.applied, Some(&report), false, validity).status;
-        let differing = Section::differing(&self.applied, held);
+        let differing = Section::differing(&self.applied, desired);
         let Some(step) = self.repair.next_step(now, status, &differing) else {
             return RepairActions::default();
         };
-        let (applied, held) = (self.applied.revision.config, held.revision.config);
+        let (applied, desired) = (self.applied.revision.config, desired.revision.config);
         log::warn!(
-            "event=proxy_differs status={} applied={applied:08x} held={held:08x} sections={differing:?} step={step:?}",
+            "event=proxy_differs status={} applied={applied:08x} held={desired:08x} sections={differing:?} step={step:?}",
             status.as_str()
         );
         RepairActions::for_step(&step)
@@ -168,15 +168,15 @@
         let all = || DesiredState::kinds().collect();
         match step {
             RepairStep::ResendSections(sections) => RepairActions {
-                discards_state: false,
+                rebuilds_tables: false,
                 kinds: section_kinds(sections),
             },
             RepairStep::SendSnapshot => RepairActions {
-                discards_state: false,
+                rebuilds_tables: false,
                 kinds: all(),
             },
             RepairStep::Resync => RepairActions {
-                discards_state: true,
+                rebuilds_tables: true,
                 kinds: all(),
             },
             RepairStep::Alert => RepairActions::default(),
--- a/crates/aspendrum-model/src/message.rs
+++ b/crates/aspendrum-model/src/message.rs
@@ -185,7 +185,8 @@
         /// Whether at least half of all agents lack a recent majority report.
         most_agents_isolated: bool,
     },
-    /// Instructs the receiver to discard the applied state. All sections follow.
+    /// Instructs the receiver to rebuild its tables from the next configuration, whatever its version. The current
+    /// tables remain in use until then. All sections follow.
     Resync,
 }
 
--- a/crates/aspendrum-reconcile/src/repair.rs
+++ b/crates/aspendrum-reconcile/src/repair.rs
@@ -1,8 +1,8 @@
 //! Automatic repair of a node whose applied state remains different from the decided state.
 //!
-//! The repair escalates: first the differing sections are resent, then a full snapshot, and then the node discards its
-//! tables before it receives a snapshot. The first steps follow at short intervals, later ones with exponential
-//! backoff. If no step succeeds, one alert is raised.
+//! The repair escalates: first the differing sections are resent, then a full snapshot, and then the node rebuilds its
+//! tables from the next snapshot, whatever its version. The first steps follow at short intervals, later ones with
+//! exponential backoff. If no step succeeds, one alert is raised.
 
 use crate::state_digest::Section;
 use crate::sync_status::SyncStatus;
@@ -15,7 +15,7 @@
     ResendSections(Vec<Section>),
     /// Send a snapshot of the decided state.
     SendSnapshot,
-    /// Make the node discard its applied state, then send a snapshot.
+    /// Make the node rebuild its tables from the next snapshot, whatever its version, and send that snapshot.
     Resync,
     /// Alert the operators, once per repair: no step has succeeded. All later steps are [`RepairStep::Resync`].
     Alert,
@@ -39,10 +39,10 @@
     next_step_at: Millis,
     steps_taken: u32,
     has_alerted: bool,
-    /// When the last repair was completed: the time at which the node was current or isolated after at least one step.
-    pub last_completed: Option<Millis>,
-    /// The number of completed repairs.
-    pub completed: u32,
+    /// When the last repair ended: the time at which the node was current or isolated after at least one step.
+    pub last_ended: Option<Millis>,
+    /// The number of repairs that have ended.
+    pub ended: u32,
 }
 
 impl Repair {
@@ -78,8 +78,8 @@
     fn finish(&mut self, now: Millis) {
         let was_out_of_sync = self.out_of_sync_since.take().is_some();
         if was_out_of_sync && self.steps_taken > 0 {
-            self.last_completed = Some(now);
-            self.completed += 1;
+            self.last_ended = Some(now);
+            self.ended += 1;
         }
         self.steps_taken = 0;
         self.has_alerted = false;
--- a/crates/aspendrum-reconcile/src/update_stream.rs
+++ b/crates/aspendrum-reconcile/src/update_stream.rs
@@ -20,7 +20,7 @@
     acknowledged: u64,
     slots: [Slot; SECTION_KINDS],
     /// The report of the last decided state whose sections have all been sent.
-    sent_state: Option<MajorityReport>,
+    sent_report: Option<MajorityReport>,
 }
 
 /// The sections of one kind.
@@ -49,7 +49,7 @@
                     is_waiting: false,
                 }
             }; SECTION_KINDS],
-            sent_state: None,
+            sent_report: None,
         }
     }
 }
@@ -144,13 +144,13 @@
     /// as a lost update.
     pub fn record_offered(&mut self, report: MajorityReport) {
         if !self.is_decided_section_waiting() {
-            self.sent_state = Some(report);
+            self.sent_report = Some(report);
         }
     }
 
     /// Returns the report to send to the receiver, given the newest one.
     pub fn report(&mut self, newest: MajorityReport) -> MajorityReport {
-        match &mut self.sent_state {
+        match &mut self.sent_report {
             Some(sent) if sent.decided == newest.decided => {
                 sent.as_of = newest.as_of;
                 newest
--- a/crates/aspendrum-reconcile/tests/sync.rs
+++ b/crates/aspendrum-reconcile/tests/sync.rs
@@ -229,11 +229,11 @@
             None
         );
     }
-    assert_eq!(repair.completed, 0);
+    assert_eq!(repair.ended, 0);
     repair.next_step(6000.0, SyncStatus::Behind, &differing);
     let step = repair.next_step(6700.0, SyncStatus::Behind, &differing);
     assert_eq!(step, Some(RepairStep::ResendSections(differing.to_vec())));
     repair.next_step(6800.0, SyncStatus::Current, &[]);
-    assert_eq!((repair.completed, repair.last_completed), (1, Some(6800.0)));
+    assert_eq!((repair.ended, repair.last_ended), (1, Some(6800.0)));
     assert_eq!(repair.out_of_sync_since(), None);
 }
