--- a/crates/aspendrum-agent/src/coordinator/mod.rs
+++ b/crates/aspendrum-agent/src/coordinator/mod.rs
@@ -359,7 +359,7 @@
             control_reachable: self
                 .last_answered_heartbeat_at
                 .is_some_and(|sent_at| now - sent_at <= CONTROL_REACHABLE_TIMEOUT),
-            most_agents_isolated: self.gossip.most_agents_isolated(now),
+            half_of_agents_isolated: self.gossip.half_of_agents_isolated(now),
         });
     }
 
--- a/crates/aspendrum-agent/tests/process.rs
+++ b/crates/aspendrum-agent/tests/process.rs
@@ -108,7 +108,7 @@
             majority_age: Some(10),
             decided,
             control_reachable: true,
-            most_agents_isolated: false,
+            half_of_agents_isolated: false,
         };
         // The agent may have closed the connection in the meantime.
         let _ = control.write_all(&encode_frame(&reply));
--- a/crates/aspendrum-agent/tests/wire_bytes.rs
+++ b/crates/aspendrum-agent/tests/wire_bytes.rs
@@ -68,12 +68,12 @@
     };
     let update = |number, section| FromControl::Update { number, section };
     let heartbeat =
-        |majority_age, control_reachable, most_agents_isolated| FromControl::HeartbeatReply {
+        |majority_age, control_reachable, half_of_agents_isolated| FromControl::HeartbeatReply {
             sent_at_ms: 300,
             majority_age,
             decided: state_digest(),
             control_reachable,
-            most_agents_isolated,
+            half_of_agents_isolated,
         };
     vec![
         (
--- a/crates/aspendrum-benchmarks/src/components/server_lists.rs
+++ b/crates/aspendrum-benchmarks/src/components/server_lists.rs
@@ -112,7 +112,7 @@
         majority_age: Some(400),
         decided: digest,
         control_reachable: true,
-        most_agents_isolated: false,
+        half_of_agents_isolated: false,
     };
     FigureLine::new("lists.beat.bytes")
         .with("up", to_control.len())
--- a/crates/aspendrum-benchmarks/tests/simulated_agents.rs
+++ b/crates/aspendrum-benchmarks/tests/simulated_agents.rs
@@ -71,7 +71,7 @@
         majority_age: Some(1),
         decided: digest_of(config),
         control_reachable: true,
-        most_agents_isolated: false,
+        half_of_agents_isolated: false,
     };
     send(&stream, heartbeat(sent_at_ms, 7));
     // The agent reports the decided digest as applied once it has that state.
--- a/crates/aspendrum-control/src/agents.rs
+++ b/crates/aspendrum-control/src/agents.rs
@@ -129,7 +129,7 @@
             majority_age: report.map(|report| (now - report.as_of).max(0.0).ceil() as u32),
             decided: report.map_or(view.decided.digest(), |report| report.decided),
             control_reachable: true,
-            most_agents_isolated: false,
+            half_of_agents_isolated: false,
         });
         self.applied = applied;
         if view.is_recent {
--- a/crates/aspendrum-core/src/engine/sampling.rs
+++ b/crates/aspendrum-core/src/engine/sampling.rs
@@ -52,8 +52,8 @@
     }
 
     /// Returns the probability that a request of the given weight calls the counter. It is
-    /// proportional to the weight, so that the most valuable requests are preferred. At a rate of 1,
-    /// every request calls the counter.
+    /// proportional to the weight, so that the most valuable requests are preferred. At a rate of
+    /// 1, every request calls the counter.
     pub(crate) fn probability(&mut self, weight: f64, now: Millis) -> f64 {
         self.rate = (self.rate + GROWTH_PER_MS * (now - self.updated_at)).min(1.0);
         self.updated_at = now;
--- a/crates/aspendrum-core/src/engine/tenant_count.rs
+++ b/crates/aspendrum-core/src/engine/tenant_count.rs
@@ -60,8 +60,8 @@
             return;
         }
         // Shares of less than one request would reject everything. Each instance of a sparse tenant
-        // may send one: `refill_and_check_room` caps these tokens at the larger of its share and the
-        // request.
+        // may send one: `refill_and_check_room` caps these tokens at the larger of its share and
+        // the request.
         self.local_tokens = if self.is_counted_by_window {
             plan.burst
         } else {
--- a/crates/aspendrum-gossip/src/node.rs
+++ b/crates/aspendrum-gossip/src/node.rs
@@ -69,7 +69,7 @@
     ///
     /// A neighbour that does not reply counts as connected to control. Otherwise a small group of agents that are
     /// partitioned from the rest would mistake itself for the majority of the fleet.
-    pub fn most_agents_isolated(&self, now: Millis) -> bool {
+    pub fn half_of_agents_isolated(&self, now: Millis) -> bool {
         let recent = self
             .samples
             .iter()
--- a/crates/aspendrum-gossip/tests/node.rs
+++ b/crates/aspendrum-gossip/tests/node.rs
@@ -182,11 +182,14 @@
             }
         }
         assert_eq!(
-            node.most_agents_isolated(12_800.0),
+            node.half_of_agents_isolated(12_800.0),
             expected,
             "{answering} of 8 answer"
         );
-        assert!(!node.most_agents_isolated(20_000.0), "no recent requests");
+        assert!(
+            !node.half_of_agents_isolated(20_000.0),
+            "no recent requests"
+        );
     }
 }
 
--- a/crates/aspendrum-model/src/message.rs
+++ b/crates/aspendrum-model/src/message.rs
@@ -183,7 +183,7 @@
         /// of its heartbeats of the last 650 ms has been answered.
         control_reachable: bool,
         /// Whether at least half of all agents lack a recent majority report.
-        most_agents_isolated: bool,
+        half_of_agents_isolated: bool,
     },
     /// Instructs the receiver to rebuild its tables from the next configuration, whatever its version. The current
     /// tables remain in use until then. All sections follow.
--- a/crates/aspendrum-model/tests/wire_bytes.rs
+++ b/crates/aspendrum-model/tests/wire_bytes.rs
@@ -153,12 +153,12 @@
         );
     }
     let heartbeat =
-        |majority_age, control_reachable, most_agents_isolated| FromControl::HeartbeatReply {
+        |majority_age, control_reachable, half_of_agents_isolated| FromControl::HeartbeatReply {
             sent_at_ms: 5,
             majority_age,
             decided: state_digest(),
             control_reachable,
-            most_agents_isolated,
+            half_of_agents_isolated,
         };
     check_encoding(
         "down.heartbeat.confirmed",
--- a/crates/aspendrum-proxy/src/agent.rs
+++ b/crates/aspendrum-proxy/src/agent.rs
@@ -75,13 +75,13 @@
                 majority_age,
                 decided,
                 control_reachable,
-                most_agents_isolated,
+                half_of_agents_isolated,
             } => {
                 state.record_control_report(
                     sent_at_ms,
                     majority_age,
                     decided,
-                    most_agents_isolated,
+                    half_of_agents_isolated,
                 );
                 state.record_control_reachable(sent_at_ms, control_reachable);
             }
--- a/crates/aspendrum-proxy/src/consistency.rs
+++ b/crates/aspendrum-proxy/src/consistency.rs
@@ -18,7 +18,7 @@
     applied: StateDigest,
     report: Option<MajorityReport>,
     /// Whether at least half of the agents have no report from a majority either.
-    most_agents_isolated: bool,
+    half_of_agents_isolated: bool,
     assessment: SyncAssessment,
     /// The status last logged.
     logged_status: SyncStatus,
@@ -31,7 +31,7 @@
         let state = State {
             applied: state_digest(None, 0, &[]),
             report: None,
-            most_agents_isolated: false,
+            half_of_agents_isolated: false,
             assessment: SyncAssessment::UNKNOWN,
             logged_status: SyncStatus::Isolated,
         };
@@ -54,10 +54,10 @@
         &self,
         now: Millis,
         report: Option<MajorityReport>,
-        most_agents_isolated: bool,
+        half_of_agents_isolated: bool,
     ) -> SyncStatus {
         let mut state = lock(&self.state);
-        state.most_agents_isolated = most_agents_isolated;
+        state.half_of_agents_isolated = half_of_agents_isolated;
         let is_newer =
             |current: &MajorityReport| report.is_some_and(|report| report.as_of >= current.as_of);
         if state.report.as_ref().is_none_or(is_newer) {
@@ -67,7 +67,7 @@
         SyncAssessment::new(
             &state.applied,
             report.as_ref(),
-            most_agents_isolated,
+            half_of_agents_isolated,
             &self.report_validity,
         )
         .status
@@ -87,8 +87,12 @@
 impl State {
     fn update_assessment(&mut self, now: Millis, validity: &ReportValidity) {
         let report = self.report.as_ref();
-        self.assessment =
-            SyncAssessment::new(&self.applied, report, self.most_agents_isolated, validity);
+        self.assessment = SyncAssessment::new(
+            &self.applied,
+            report,
+            self.half_of_agents_isolated,
+            validity,
+        );
         let current = self.assessment.status_at(now);
         let previous = std::mem::replace(&mut self.logged_status, current);
         if current != previous {
--- a/crates/aspendrum-proxy/src/state.rs
+++ b/crates/aspendrum-proxy/src/state.rs
@@ -159,7 +159,7 @@
         sent_at_ms: u64,
         age: Option<u32>,
         decided: StateDigest,
-        most_agents_isolated: bool,
+        half_of_agents_isolated: bool,
     ) {
         let as_of = |age: u32| sent_at_ms as f64 - f64::from(age);
         let report = age.map(|age| MajorityReport {
@@ -169,7 +169,7 @@
         let now = self.uptime_ms() as f64;
         let status = self
             .consistency
-            .record_report(now, report, most_agents_isolated);
+            .record_report(now, report, half_of_agents_isolated);
         // Only the active state authenticates credentials, so the report must match it.
         let (Some(age), Some(revocation_ms), SyncStatus::Current) =
             (age, self.revocation_ms, status)
--- a/crates/aspendrum-reconcile/examples/overnight/simulation/node.rs
+++ b/crates/aspendrum-reconcile/examples/overnight/simulation/node.rs
@@ -100,7 +100,7 @@
         if now - self.table_digest.computed_at >= TABLE_DIGEST_INTERVAL {
             self.compute_digest(now);
         }
-        let most_isolated = self.gossip.most_agents_isolated(now);
+        let half_isolated = self.gossip.half_of_agents_isolated(now);
         let report = self.confirmed_as_of.map(|as_of| MajorityReport {
             decided: self.held,
             as_of,
@@ -108,7 +108,7 @@
         let applied = &self.table_digest.digest;
         self.assessment = match variant {
             Variant::Correct => {
-                SyncAssessment::new(applied, report.as_ref(), most_isolated, &validity)
+                SyncAssessment::new(applied, report.as_ref(), half_isolated, &validity)
             }
             Variant::TrustsUpdates => SyncAssessment {
                 status: SyncStatus::Current,
--- a/crates/aspendrum-reconcile/src/sync_status.rs
+++ b/crates/aspendrum-reconcile/src/sync_status.rs
@@ -51,17 +51,17 @@
 
     /// Compares the applied state of a node with the last majority report.
     ///
-    /// `most_agents_isolated` states whether at least half of the agents have no valid report.
+    /// `half_of_agents_isolated` states whether at least half of the agents have no valid report.
     pub fn new(
         applied: &StateDigest,
         report: Option<&MajorityReport>,
-        most_agents_isolated: bool,
+        half_of_agents_isolated: bool,
         validity: &ReportValidity,
     ) -> SyncAssessment {
         let Some(report) = report else {
             return SyncAssessment::UNKNOWN;
         };
-        let valid_for = if most_agents_isolated {
+        let valid_for = if half_of_agents_isolated {
             validity.extended
         } else {
             validity.normal
